--- /dev/null
+++ b/packages/registry/tests/test_registry_golden.py
@@ -0,0 +1,73 @@
+"""Bytes as version 0.2 of the fleet wrote them: the hint file of a controller, and what registries send each other.
+
+The fleet is updated one process at a time, so each of these is read and written the same by every later version.
+"""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+from larkweir_registry import memory
+from larkweir_registry.records import Record, State, Upstream, Vector
+from larkweir_registry.registry import Registry
+
+UPSTREAMS = (
+    Upstream("u-0", "chat", "10.0.0.4:9000", "z1"),
+    Upstream("u-1", "chat", "10.0.0.5:9000", "z2", 8, 41, State.READY, 41),
+    Upstream("u-2", "embed", "10.0.0.6:9000", "", 2, 17, State.DRAINING, 3),
+    Upstream("u-é", "", "", "", state=State.GONE),
+)
+UPSTREAM_LINES = (
+    b'{"id":"u-0","service":"chat","address":"10.0.0.4:9000","zone":"z1","slots":1,"sequence":0,"state":0,"lapsed":-1}',
+    b'{"id":"u-1","service":"chat","address":"10.0.0.5:9000","zone":"z2","slots":8,"sequence":41,"state":0,"lapsed":41}',
+    b'{"id":"u-2","service":"embed","address":"10.0.0.6:9000","zone":"","slots":2,"sequence":17,"state":1,"lapsed":3}',
+    b'{"id":"u-\xc3\xa9","service":"","address":"","zone":"","slots":1,"sequence":0,"state":2,"lapsed":-1}',
+)
+HINT_FILE = b"ede3955f [" + b",".join(UPSTREAM_LINES) + b"]"
+EMPTY_HINT_FILE = b"0d4cbb29 []"
+
+
+@pytest.mark.parametrize(("upstream", "line"), zip(UPSTREAMS, UPSTREAM_LINES, strict=True))
+def test_an_upstream(upstream: Upstream, line: bytes) -> None:
+    assert msgspec.json.encode(upstream) == line
+    assert msgspec.json.decode(line, type=Upstream) == upstream
+
+
+def test_the_fields_that_a_sender_may_leave_out() -> None:
+    line = b'{"id":"u","service":"s","address":"a:1","zone":"z","unknown":[1]}'
+    assert msgspec.json.decode(line, type=Upstream) == Upstream("u", "s", "a:1", "z", 1, 0, State.READY, -1)
+
+
+def test_a_record() -> None:
+    line = b"[" + UPSTREAM_LINES[1] + b',"10.0.0.1/a1b2c3",7]'
+    record = Record(UPSTREAMS[1], "10.0.0.1/a1b2c3", 7)
+    assert msgspec.json.encode(record) == line
+    assert msgspec.json.decode(line, type=Record) == record
+
+
+def test_a_version_vector() -> None:
+    line = b'{"10.0.0.1/a1b2c3":7,"10.0.0.2/d4e5f6":1}'
+    vector = {"10.0.0.1/a1b2c3": 7, "10.0.0.2/d4e5f6": 1}
+    assert msgspec.json.encode(vector) == line
+    assert msgspec.json.decode(line, type=Vector) == vector
+
+
+@pytest.mark.parametrize("state", State)
+def test_a_state_is_written_as_its_number(state: State) -> None:
+    assert msgspec.json.encode(state) == {"READY": b"0", "DRAINING": b"1", "GONE": b"2"}[state.name]
+
+
+def test_the_hint_file_is_written_byte_for_byte() -> None:
+    registry = Registry("10.0.0.1/a1b2c3")
+    assert memory.encode(registry) == EMPTY_HINT_FILE
+    for upstream in UPSTREAMS:
+        registry.note(upstream, 0.0)
+    assert memory.encode(registry) == HINT_FILE
+
+
+def test_the_hint_file_is_read_and_written_again_the_same() -> None:
+    registry = Registry("10.0.0.1/d4e5f6")
+    assert memory.restore(registry, HINT_FILE, 0.0)
+    assert tuple(registry.upstreams.values()) == UPSTREAMS
+    assert memory.encode(registry) == HINT_FILE
+    assert memory.restore(Registry("10.0.0.1/000000"), EMPTY_HINT_FILE, 0.0)
--- /dev/null
+++ b/tests/system/test_golden_messages.py
@@ -0,0 +1,137 @@
+"""Lines as version 0.2 of the fleet wrote them: one of every kind that its processes send each other.
+
+The fleet is updated one process at a time, so each of these is read and written the same by every later version.
+`tests/system/golden_messages.jsonl` holds the lines; what they say stands here beside them, in the same order.
+"""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import get_args
+
+import msgspec
+import pytest
+from larkweir_quotas.ledger import Statement
+from larkweir_registry.records import Record, State, Upstream
+from larkweir_replication.messages import Command
+from larkweir_replication.messages import Message as ReplicationMessage
+
+from larkweir.system.configuration.changes import Change, apply_change, version_of
+from larkweir.system.configuration.documents import difference, patched
+from larkweir.system.messages import (
+    ConfigUpdate,
+    Delta,
+    Forward,
+    Forwarded,
+    Heard,
+    Hello,
+    Kind,
+    Message,
+    Ping,
+    Place,
+    Placed,
+    Pull,
+    Replication,
+    Waiting,
+)
+from mulleinhitch.ejection import Endings
+
+LINES = (Path(__file__).parent / "golden_messages.jsonl").read_bytes().splitlines()
+REPLICATION = [line for line in LINES if line.startswith(b'{"type":"replication"')]
+OTHERS = [line for line in LINES if line not in REPLICATION]
+
+UPSTREAM = Upstream("u-1", "chat", "10.0.0.5:9000", "z2", 8, 41, State.DRAINING, 40)
+MESSAGES: list[Message] = [
+    Hello("10.0.0.1", Kind.ROUTER, "a1b2c3d4e5f6"),
+    Hello("10.0.0.2", Kind.CONTROLLER, "0f1e2d3c4b5a"),
+    Ping(),
+    Pull(),
+    Pull(12, {"10.0.0.2/0f": 7}, {"acme": 32.5}, 1_234.0, {"e-1": 4_096}, {"u-1": Endings(5, 2)}),
+    Waiting({}),
+    Waiting({"e-1": 4_096, "e-2": 12}),
+    Delta(),
+    Delta(
+        ConfigUpdate(13, 12, msgspec.Raw(b'{"upsert":{"routes":[]},"remove":{}}')),
+        [Record(UPSTREAM, "10.0.0.2/0f", 8)],
+        {"10.0.0.2/0f": 8},
+        ["10.0.0.2", "10.0.0.3"],
+        9,
+        {"acme": Statement(-40, 320, True)},
+        {"e-1": 9_000},
+        ["u-2"],
+    ),
+    Delta(ConfigUpdate(3, -1, msgspec.Raw(b'{"generation":4,"routes":[],"services":[]}')), ejected=[]),
+    Heard({"u-1": 42, "u-2": 7}),
+    Forward(5, None),
+    Forward(6, Command("0123456789abcdef01234567", 4, '{"patch":true,"base":4,"body":"{}"}')),
+    Forwarded(5, 200, "", '{"generation":4}'),
+    Forwarded(6, 412, "the version in place is 5, not 4"),
+    Forwarded(7, 0),
+    Place("chat", "6f1d", 5_000.0),
+    Place("chat", "6f1d", 5_000.5, "e-1"),
+    Placed("6f1d", None),
+    Placed("6f1d", "e-1", True),
+]
+
+
+@pytest.mark.parametrize(("message", "line"), zip(MESSAGES, OTHERS, strict=True))
+def test_a_message_is_written_and_read_as_ever(message: Message, line: bytes) -> None:
+    assert msgspec.json.encode(message) == line
+    assert msgspec.json.decode(line, type=Message) == message
+
+
+@pytest.mark.parametrize("line", REPLICATION)
+def test_a_line_of_replication_is_read_and_written_as_ever(line: bytes) -> None:
+    message = msgspec.json.decode(line, type=Message)
+    assert isinstance(message, Replication)
+    assert msgspec.json.encode(message) == line
+
+
+def test_every_kind_has_its_line() -> None:
+    assert {type(message) for message in MESSAGES} | {Replication} == set(get_args(Message))
+    carried = {type(msgspec.json.decode(line, type=Replication).message) for line in REPLICATION}
+    assert carried == set(get_args(ReplicationMessage))
+
+
+def test_fields_that_an_older_or_newer_process_leaves_out_or_adds() -> None:
+    assert msgspec.json.decode(b'{"type":"forwarded","ticket":1,"status":200}', type=Message) == Forwarded(
+        1, 200
+    )
+    assert msgspec.json.decode(b'{"type":"placed","head":"h","engine":null}', type=Message) == Placed(
+        "h", None
+    )
+    assert msgspec.json.decode(b'{"type":"pull","added_later":{"a":[1]}}', type=Message) == Pull()
+
+
+CHANGE = Change(True, 4, '{"generation":5,"upsert":{"tenants":[{"name":"é"}]}}')
+
+
+def test_a_change_of_the_configuration_and_its_identity() -> None:
+    text = '{"patch":true,"base":4,"body":"{\\"generation\\":5,\\"upsert\\":{\\"tenants\\":[{\\"name\\":\\"é\\"}]}}"}'
+    assert CHANGE.encode() == text
+    assert msgspec.json.decode(text, type=Change) == CHANGE
+    assert CHANGE.identity == "2178d9fcc729af6a6dba613f"
+    assert Change(False, 0, "{}").identity == "8b690a83cd7ce51a4c90196e"
+
+
+def test_the_value_that_a_change_makes() -> None:
+    whole = '{"generation":4,"routes":[],"services":[{"name":"s","max_conns":3,"kept":{"as":"it is"}}]}'
+    first = apply_change("", Change(False, 0, whole).encode()).unwrap()
+    assert first == whole
+    assert version_of(whole) == 4
+    assert apply_change(whole, CHANGE.encode()).unwrap() == whole.replace(":4,", ":5,", 1).removesuffix(
+        "}"
+    ) + (',"tenants":[{"name":"é"}]}')
+
+
+def test_the_patch_between_two_configurations() -> None:
+    old = {"generation": 4, "routes": [{"name": "a"}, {"name": "b"}], "limits": {"max_body_bytes": 1}}
+    new = {"generation": 4, "routes": [{"name": "b"}, {"name": "c"}], "limits": {"max_body_bytes": 2}}
+    patch = difference(old, new)
+    assert patch == {
+        "upsert": {"routes": [{"name": "c"}]},
+        "remove": {"routes": ["a"]},
+        "limits": {"max_body_bytes": 2},
+    }
+    assert msgspec.json.encode(difference(old, old)) == b'{"upsert":{},"remove":{}}'
+    assert patched(old, patch) == new
