--- /dev/null
+++ b/tests/system/test_controller_golden.py
@@ -0,0 +1,398 @@
+"""Golden bytes of one controller: its hint files, its HTTP answers and its lines, as literal text.
+
+Nodes have an address of their own in each run, and each start has an incarnation: both are replaced by `IP` and `LIFE`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import re
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+import pytest
+
+from tests.system.loopback import Fleet, ask, play
+
+FIRST_HEARTBEAT = (
+    b'{"backend":"s","address":"10.0.0.9:80","zone":"z1","sequence":5,"state":"ready","slots":4,"new":1}'
+)
+SECOND_HEARTBEAT = b'{"backend":"s","address":"10.0.0.8:80","zone":"z2","sequence":3}'
+DRAINING_HEARTBEAT = (
+    b'{"backend":"s","address":"10.0.0.9:80","zone":"z1","sequence":6,"state":"draining","slots":4}'
+)
+CONFIGURATION = (
+    b'{"generation":3,"routes":[{"name":"r","host":"a.example","path_prefix":"/","kind":"idempotent",'
+    b'"timeout_ms":2000,"backend":"s"}],"services":[{"name":"s","max_conns":10}],'
+    b'"tenants":[{"name":"t","api_keys":["k"],"rate_per_s":30,"burst":12}]}'
+)
+UPSTREAMS_HINT = (
+    b'a3678024 [{"id":"u1","service":"s","address":"10.0.0.9:80","zone":"z1","slots":4,"sequence":5,"state":0,'
+    b'"lapsed":-1},{"id":"u2","service":"s","address":"10.0.0.8:80","zone":"z2","slots":1,"sequence":3,"state":0,'
+    b'"lapsed":-1}]'
+)
+PLACEMENTS_HINT = b'{"h1":"u1","h2":"u2","h3":"u2"}'
+STATUS = (
+    b'{"node":"IP","role":"primary","primary":"IP","epoch":1,"sequence":1,"members":["IP"],'
+    b'"changing_members":false,"linked":[],"configuration":1,"upstreams_ready":2,"routers":[]}'
+)
+UPSTREAMS = (
+    b'[{"id":"u3","service":"","address":"","zone":"","state":"gone","silent":false,"sequence":0,"waiting_tokens":0},'
+    b'{"id":"u1","service":"s","address":"10.0.0.9:80","zone":"z1","state":"draining","silent":false,"sequence":6,'
+    b'"waiting_tokens":0},{"id":"u2","service":"s","address":"10.0.0.8:80","zone":"z2","state":"ready",'
+    b'"silent":false,"sequence":3,"waiting_tokens":0}]'
+)
+RECORDS = (
+    b'"records":[[{"id":"u1","service":"s","address":"10.0.0.9:80","zone":"z1","slots":4,"sequence":5,"state":0,'
+    b'"lapsed":-1},"IP/LIFE",1],[{"id":"u2","service":"s","address":"10.0.0.8:80","zone":"z2","slots":1,"sequence":3,'
+    b'"state":0,"lapsed":-1},"IP/LIFE",2]],"vector":{"IP/LIFE":2}'
+)
+METRICS = b"""\
+# HELP larkweir_primary 1 where this controller is the primary
+# TYPE larkweir_primary gauge
+larkweir_primary 1.0
+# HELP larkweir_epoch epoch that this controller has promised
+# TYPE larkweir_epoch gauge
+larkweir_epoch 1.0
+# HELP larkweir_sequence sequence of the last committed state
+# TYPE larkweir_sequence gauge
+larkweir_sequence 1.0
+# HELP larkweir_members controllers that vote
+# TYPE larkweir_members gauge
+larkweir_members 1.0
+# HELP larkweir_linked_controllers controllers that this one has a connection to
+# TYPE larkweir_linked_controllers gauge
+larkweir_linked_controllers 0.0
+# HELP larkweir_routers routers that are connected
+# TYPE larkweir_routers gauge
+larkweir_routers 0.0
+# HELP larkweir_router_lag_max sequences that the oldest configuration of a router is behind
+# TYPE larkweir_router_lag_max gauge
+larkweir_router_lag_max 0.0
+# HELP larkweir_upstreams_ready upstreams that are ready and heard of
+# TYPE larkweir_upstreams_ready gauge
+larkweir_upstreams_ready 1.0
+# HELP larkweir_upstreams_silent upstreams whose heartbeats have stopped
+# TYPE larkweir_upstreams_silent gauge
+larkweir_upstreams_silent 0.0
+# HELP larkweir_waiting_tokens prompt tokens that wait to be read
+# TYPE larkweir_waiting_tokens gauge
+larkweir_waiting_tokens 0.0
+"""
+
+Scene = Callable[[Fleet], Awaitable[None]]
+
+
+def alone(folder: Path, scene: Scene) -> None:
+    """Plays the scene with one controller that is a majority by itself."""
+    play(folder, scene, controllers=1, routers=0, tolerance=0)
+
+
+def replica_folder(fleet: Fleet) -> Path:
+    return fleet.folder / address_of(fleet) / "replica"
+
+
+def address_of(fleet: Fleet) -> str:
+    return fleet.control[0].partition(":")[0]
+
+
+def neutral(fleet: Fleet, data: bytes) -> bytes:
+    """The same whatever address this run has, and whatever incarnation the controller."""
+    data = data.replace(address_of(fleet).encode(), b"IP")
+    return re.sub(rb"IP/[0-9a-f]{12}", b"IP/LIFE", data)
+
+
+async def answered(
+    fleet: Fleet, method: str, target: str, body: bytes = b"", **headers: str
+) -> tuple[int, bytes]:
+    reply = await ask(fleet.control[0], method, target, body, **headers)
+    return reply.status, neutral(fleet, reply.body)
+
+
+async def leads(fleet: Fleet) -> None:
+    """Until the controller is the primary and its links count."""
+
+    async def found() -> bool:
+        return (await answered(fleet, "GET", "/config"))[0] in (200, 404)
+
+    await fleet.until(found)
+
+
+async def until_file(path: Path, expected: bytes) -> None:
+    """Fails with what is there where the expected bytes do not come."""
+    for _ in range(400):
+        if path.exists() and path.read_bytes() == expected:
+            return
+        await asyncio.sleep(0.01)
+    assert path.read_bytes() == expected
+
+
+class Peer:
+    """A process that has dialled the controller; its lines are literal."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self.fleet = fleet
+
+    async def __aenter__(self) -> Peer:
+        self.reader, self.writer = await asyncio.open_connection(address_of(self.fleet), self.fleet.port)
+        self.pings = asyncio.create_task(self.ping())
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        self.pings.cancel()
+        self.writer.close()
+
+    async def ping(self) -> None:
+        """Keeps the connection from its time-out however slow the test is."""
+        while True:
+            await asyncio.sleep(0.2)
+            self.say(b'{"type":"ping"}')
+
+    def say(self, line: bytes) -> None:
+        self.writer.write(line + b"\n")
+
+    async def hears(self, kind: bytes) -> bytes:
+        """The next line of that type; pings and others are passed over."""
+        async with asyncio.timeout(5.0):
+            while not (line := await self.reader.readline()).startswith(b'{"type":"%s"' % kind):
+                assert line, "the connection ended"
+        return neutral(self.fleet, line)
+
+
+async def heartbeats(fleet: Fleet) -> None:
+    assert await answered(fleet, "PUT", "/instances/u1", FIRST_HEARTBEAT) == (200, b"{}")
+    assert await answered(fleet, "PUT", "/instances/u2", SECOND_HEARTBEAT) == (200, b"{}")
+
+
+async def placements(router: Peer) -> list[bytes]:
+    found = []
+    for head in (b"h1", b"h2", b"h3", b"h3"):
+        known = b',"known":"u2"' if head == b"h3" else b""
+        router.say(b'{"type":"place","service":"s","head":"%s","tokens":5000.0%s}' % (head, known))
+        found.append(await router.hears(b"placed"))
+    router.say(b'{"type":"place","service":"nobody","head":"h9","tokens":5000.0,"known":null}')
+    found.append(await router.hears(b"placed"))
+    return found
+
+
+def test_hint_files_and_placements(tmp_path: Path) -> None:
+    async def scene(fleet: Fleet) -> None:
+        await leads(fleet)
+        await heartbeats(fleet)
+        async with Peer(fleet) as router:
+            router.say(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
+            assert await placements(router) == [
+                b'{"type":"placed","head":"h1","engine":"u1","kept":false}\n',
+                b'{"type":"placed","head":"h2","engine":"u2","kept":false}\n',
+                b'{"type":"placed","head":"h3","engine":"u2","kept":true}\n',
+                b'{"type":"placed","head":"h3","engine":"u2","kept":true}\n',
+                b'{"type":"placed","head":"h9","engine":null,"kept":false}\n',
+            ]
+        folder = replica_folder(fleet)
+        await until_file(folder / "upstreams.hint", UPSTREAMS_HINT)
+        await until_file(folder / "placements.hint", PLACEMENTS_HINT)
+        assert sorted(path.name for path in folder.iterdir()) == [
+            "placements.hint",
+            "replica.log",
+            "upstreams.hint",
+        ]
+
+    alone(tmp_path, scene)
+
+
+def test_hint_files_of_an_earlier_start_are_read(tmp_path: Path) -> None:
+    async def scene(fleet: Fleet) -> None:
+        await leads(fleet)
+        await fleet.kill(fleet.control[0])
+        folder = replica_folder(fleet)
+        (folder / "upstreams.hint").write_bytes(UPSTREAMS_HINT)
+        (folder / "placements.hint").write_bytes(PLACEMENTS_HINT)
+        fleet.start_controller(0)
+        await leads(fleet)
+        async with Peer(fleet) as router:
+            router.say(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
+            router.say(b'{"type":"place","service":"s","head":"h3","tokens":5000.0}')
+            placed = await router.hears(b"placed")
+            assert placed == b'{"type":"placed","head":"h3","engine":"u2","kept":true}\n'
+            router.say(b'{"type":"pull","vector":{}}')
+            delta = await router.hears(b"delta")
+            assert delta == b'{"type":"delta",' + RECORDS + b',"controllers":["IP"]}\n'
+
+    alone(tmp_path, scene)
+
+
+@pytest.mark.parametrize(
+    ("name", "data"),
+    [("upstreams.hint", UPSTREAMS_HINT[:-1]), ("placements.hint", PLACEMENTS_HINT[:-1])],
+    ids=["upstreams", "placements"],
+)
+def test_a_damaged_hint_file_is_passed_over(name: str, data: bytes, tmp_path: Path) -> None:
+    async def scene(fleet: Fleet) -> None:
+        await leads(fleet)
+        await fleet.kill(fleet.control[0])
+        (replica_folder(fleet) / name).write_bytes(data)
+        fleet.start_controller(0)
+        await leads(fleet)
+        assert await answered(fleet, "GET", "/upstreams") == (200, b"[]")
+        await heartbeats(fleet)
+        async with Peer(fleet) as router:
+            router.say(b'{"type":"place","service":"s","head":"h3","tokens":5000.0}')
+            placed = await router.hears(b"placed")
+            assert placed == b'{"type":"placed","head":"h3","engine":"u1","kept":false}\n'
+
+    alone(tmp_path, scene)
+
+
+def test_answers_to_operators(tmp_path: Path) -> None:
+    async def scene(fleet: Fleet) -> None:
+        await leads(fleet)
+        assert await answered(fleet, "GET", "/config") == (404, b'{"error":"there is no configuration yet"}')
+        unbased = b'{"error":"If-Match: the version that the change builds on is needed"}'
+        assert await answered(fleet, "PUT", "/config", CONFIGURATION) == (400, unbased)
+        assert await answered(fleet, "PUT", "/config", b"\xff", If_Match="0") == (
+            400,
+            b'{"error":"the body is no UTF-8"}',
+        )
+        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match='"0"') == (200, b"{}")
+        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
+        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="7") == (
+            412,
+            b'{"error":"the version in place is 3, not 7"}',
+        )
+        assert await answered(fleet, "PATCH", "/config", b"[]", If_Match="3") == (
+            400,
+            b'{"error":"the body is no object"}',
+        )
+        assert await answered(fleet, "GET", "/config?x=1") == (200, CONFIGURATION)
+        for method, target, status in [
+            ("DELETE", "/config", 405),
+            ("POST", "/instances/u1", 405),
+            ("PUT", "/instances/", 404),
+            ("PUT", "/status", 404),
+            ("GET", "/nothing", 404),
+        ]:
+            assert await answered(fleet, method, target) == (status, b"")
+
+    alone(tmp_path, scene)
+
+
+def test_answers_to_upstreams_and_what_is_shown_of_them(tmp_path: Path) -> None:
+    async def scene(fleet: Fleet) -> None:
+        await leads(fleet)
+        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
+        await heartbeats(fleet)
+        assert await answered(fleet, "GET", "/status") == (200, STATUS)
+        assert await answered(fleet, "PUT", "/instances/u1", DRAINING_HEARTBEAT) == (200, b"{}")
+        assert await answered(fleet, "DELETE", "/instances/u3") == (200, b"{}")
+        assert await answered(fleet, "PUT", "/instances/u2", b" " * 5_000) == (413, b"")
+        assert await answered(fleet, "PUT", "/instances/u2", b"{}") == (400, b"")
+        odd = SECOND_HEARTBEAT.replace(b"}", b',"state":"odd"}')
+        assert await answered(fleet, "PUT", "/instances/u2", odd) == (400, b"")
+        assert await answered(fleet, "GET", "/upstreams") == (200, UPSTREAMS)
+        reply = await ask(fleet.control[0], "GET", "/metrics")
+        assert (reply.status, reply.body) == (200, METRICS)
+        assert {name: reply.headers[name] for name in sorted(reply.headers)} == {
+            "content-length": str(len(METRICS)),
+            "content-type": "text/plain; version=0.0.4",
+        }
+
+    alone(tmp_path, scene)
+
+
+def test_answers_without_a_majority(tmp_path: Path) -> None:
+    async def scene(fleet: Fleet) -> None:
+        for address in fleet.control[1:]:
+            await fleet.kill(address)
+
+        async def serves() -> bool:
+            return (await answered(fleet, "GET", "/status"))[0] == 200
+
+        await fleet.until(serves)
+        no_majority = (503, b'{"error":"no majority of controllers is in reach"}')
+        assert await answered(fleet, "PUT", "/instances/u1", FIRST_HEARTBEAT) == no_majority
+        assert await answered(fleet, "PUT", "/instances/u1", DRAINING_HEARTBEAT) == no_majority
+        assert await answered(fleet, "DELETE", "/instances/u1") == no_majority
+        no_primary = (503, b'{"error":"no primary answers"}')
+        assert await answered(fleet, "GET", "/config") == no_primary
+        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == no_primary
+        async with Peer(fleet) as controller:
+            controller.say(b'{"type":"forward","ticket":7,"command":null}')
+            assert await controller.hears(b"forwarded") == (
+                b'{"type":"forwarded","ticket":7,"status":0,"detail":"","value":""}\n'
+            )
+
+    play(tmp_path, scene, controllers=3, routers=0)
+
+
+def test_lines_to_a_router(tmp_path: Path) -> None:
+    async def scene(fleet: Fleet) -> None:
+        await leads(fleet)
+        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
+        await heartbeats(fleet)
+        async with Peer(fleet) as router, Peer(fleet) as other:
+            router.say(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
+            other.say(b'{"type":"hello","node":"o","kind":"router","life":"m"}')
+            other.say(b'{"type":"pull","vector":{},"waiting":{"u1":8000,"u2":4000}}')
+            await other.hears(b"delta")
+            other.say(b'{"type":"waiting","tokens":{"u1":9000,"u2":3999}}')
+            other.say(b'{"type":"place","service":"s","head":"h1","tokens":5.0}')
+            await other.hears(b"placed")  # so that the line before it has been read
+            router.say(b'{"type":"pull","vector":{},"usage":{"t":4.0},"sent_ms":5.0}')
+            assert await router.hears(b"delta") == (
+                b'{"type":"delta","config":{"sequence":1,"base":-1,"body":'
+                + CONFIGURATION
+                + b"},"
+                + RECORDS
+                + b',"controllers":["IP"],"routers":2,"quotas":{"t":[6,0,false]},"waiting":{"u1":9000}}\n'
+            )
+            patch = b'{"generation":4,"upsert":{"services":[{"name":"s2"}]}}'
+            assert await answered(fleet, "PATCH", "/config", patch, If_Match="3") == (200, b"{}")
+            router.say(b'{"type":"pull","config":1}')
+            assert await router.hears(b"delta") == (
+                b'{"type":"delta","config":{"sequence":2,"base":1,"body":{"upsert":{"services":[{"name":"s2"}]},'
+                b'"remove":{},"generation":4}},' + RECORDS + b',"routers":2,"waiting":{"u1":9000}}\n'
+            )
+            router.say(b'{"type":"pull","config":2,"vector":{"x":1}}')
+            assert await router.hears(b"delta") == (
+                b'{"type":"delta",' + RECORDS + b',"routers":2,"waiting":{"u1":9000}}\n'
+            )
+            assert await router.hears(b"ping") == b'{"type":"ping"}\n'
+
+    alone(tmp_path, scene)
+
+
+def test_lines_to_another_controller(tmp_path: Path) -> None:
+    async def scene(fleet: Fleet) -> None:
+        await leads(fleet)
+        async with Peer(fleet) as controller:
+            controller.say(b'{"type":"hello","node":"IP2","kind":"controller","life":"l"}')
+            controller.say(
+                b'{"type":"forward","ticket":5,"command":{"identity":"i","base":0,'
+                b'"text":"{\\"patch\\":false,\\"base\\":0,\\"body\\":\\"[]\\"}"}}'
+            )
+            assert await controller.hears(b"forwarded") == (
+                b'{"type":"forwarded","ticket":5,"status":400,"detail":"the body is no object","value":""}\n'
+            )
+            controller.say(
+                b'{"type":"forward","ticket":6,"command":{"identity":"j","base":0,'
+                b'"text":"{\\"patch\\":false,\\"base\\":0,\\"body\\":\\"{\\\\\\"generation\\\\\\":1,'
+                b'\\\\\\"routes\\\\\\":[],\\\\\\"services\\\\\\":[]}\\"}"}}'
+            )
+            assert await controller.hears(b"forwarded") == (
+                b'{"type":"forwarded","ticket":6,"status":200,"detail":"","value":""}\n'
+            )
+            controller.say(b'{"type":"forward","ticket":7,"command":null}')
+            assert await controller.hears(b"forwarded") == (
+                b'{"type":"forwarded","ticket":7,"status":200,"detail":"",'
+                b'"value":"{\\"generation\\":1,\\"routes\\":[],\\"services\\":[]}"}\n'
+            )
+            controller.say(b'{"type":"heard","sequences":{"u9":4}}')
+            controller.say(
+                b'{"type":"delta","records":[[{"id":"u9","service":"s","address":"10.0.0.7:80","zone":"z",'
+                b'"slots":1,"sequence":4,"state":0,"lapsed":-1},"other/1",8]],"vector":{"other/1":8}}'
+            )
+            assert await controller.hears(b"pull") == b'{"type":"pull","vector":{"other/1":8}}\n'
+            controller.say(b'{"type":"delta"}')
+            assert await controller.hears(b"pull") == b'{"type":"pull"}\n'
+
+    alone(tmp_path, scene)
