--- /dev/null
+++ b/tests/system/test_router_wire.py
@@ -0,0 +1,546 @@
+"""The bytes that a router writes to upstreams and clients, and its debug lines, against a stored transcript.
+
+Each scene below has one. `data/router_wire.txt` was written by the router of 2 December 2026,
+before its modules were renamed.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import re
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from random import Random
+from typing import TypeVar
+
+import msgspec
+import picologging
+import pytest
+from larkweir_quotas.quota import QuotaLimiter
+from larkweir_registry.records import Upstream
+
+from larkweir.system.messages import ConfigUpdate
+from larkweir.system.router.answers import ErrorKind
+from larkweir.system.router.client_connection import ClientConnection
+from larkweir.system.router.data_plane import DataPlane
+from larkweir.system.router.upstream_call import UpstreamConnection
+from larkweir.system.router.upstream_pool import UpstreamPool
+from larkweir.system.settings import Bounds
+from tests.system.router_model import TURNS, FakeTransport
+
+T = TypeVar("T")
+STORED = Path(__file__).parent / "data" / "router_wire.txt"
+ADDRESSES = ("10.0.0.1:1", "10.0.0.2:2", "10.0.0.3:3", "10.0.0.4:4")
+CONFIGURATION = {
+    "generation": 7,
+    "limits": {
+        "max_header_bytes": 2_000,
+        "max_body_bytes": 100,
+        "header_timeout_ms": 3_000,
+        "idle_timeout_ms": 15_000,
+    },
+    "routes": [
+        {"name": "plain", "host": "a.example", "path_prefix": "/plain/", "backend": "s", "max_attempts": 3},
+        {
+            "name": "safe",
+            "host": "a.example",
+            "path_prefix": "/safe/",
+            "backend": "s",
+            "kind": "idempotent",
+            "max_attempts": 3,
+            "timeout_ms": 8_000,
+            "target_latency_ms": 500,
+            "priority": 7,
+        },
+        {
+            "name": "resumable",
+            "host": "a.example",
+            "path_prefix": "/resumable/",
+            "backend": "s",
+            "kind": "streaming",
+            "resumable": True,
+            "max_attempts": 3,
+        },
+        {"name": "empty", "host": "a.example", "path_prefix": "/empty/", "backend": "none"},
+        {"name": "engine", "host": "e.example", "path_prefix": "/", "backend": "e"},
+    ],
+    "services": [{"name": "s"}, {"name": "none"}, {"name": "e", "engine": {}}],
+}
+TENANTS = [
+    {
+        "name": "acme",
+        "api_keys": ["key-1"],
+        "priority": 2,
+        "unit": "token_count",
+        "rate_per_s": 10.0,
+        "burst": 2_000.0,
+    },
+    {"name": "late", "api_keys": ["key-2"], "rate_per_s": 1.0, "burst": 1.0},
+]
+
+
+class Scene:
+    """A router's data plane in a loop whose time the test moves, and all that it writes."""
+
+    def __init__(self) -> None:
+        self.now_s = 1_000.0
+        self.loop = asyncio.new_event_loop()
+        self.loop.time = lambda: self.now_s  # type: ignore[method-assign]
+        self.lines: list[str] = []
+        self.clients: list[FakeTransport] = []
+        self.upstreams: list[FakeTransport] = []
+        self.refusing: set[str] = set()
+        self.plane = self.do(self._make)
+
+    def _make(self) -> DataPlane:
+        plane = DataPlane(Bounds(retry_budget_ratio=10.0, retry_budget_slack=1_000.0), Random(1))
+        plane.pool = Pool(self)
+        plane.quotas = QuotaLimiter(Random(2))
+        return plane
+
+    def do(self, call: Callable[[], T]) -> T:
+        """Calls inside the loop, and lets all happen that follows."""
+
+        async def inside() -> T:
+            found = call()
+            for _ in range(TURNS):
+                await asyncio.sleep(0)
+            return found
+
+        return self.loop.run_until_complete(inside())
+
+    def configure(self, *, tenants: bool = False) -> None:
+        """Puts the configuration in force, and four upstreams of each service."""
+        document = {**CONFIGURATION, "tenants": TENANTS if tenants else []}
+        update = ConfigUpdate(1, -1, msgspec.Raw(msgspec.json.encode(document)))
+        listed = [
+            Upstream(f"{service}{n}", service, address, "z")
+            for service in ("s", "e")
+            for n, address in enumerate(ADDRESSES)
+        ]
+
+        def apply() -> None:
+            self.plane.configuration.apply(update)
+            table = self.plane.configuration.table
+            assert table is not None
+            self.plane.quotas.set_limits(table.quotas)
+            self.plane.update_upstreams(listed, self.now_s * 1000.0)
+
+        self.do(apply)
+
+    def wait(self, seconds: float) -> None:
+        """Time passes, with all that is due in it."""
+        self.now_s += seconds
+        self.do(lambda: None)
+
+    def client(self) -> FakeTransport:
+        """A new connection of a client."""
+        number = len(self.clients)
+
+        def connect() -> FakeTransport:
+            protocol = ClientConnection(self.plane)
+            transport = FakeTransport(
+                lambda data: self.lines.append(f"to client {number}: {data!r}"), protocol
+            )
+            protocol.connection_made(transport)
+            return transport
+
+        transport = self.do(connect)
+        self.clients.append(transport)
+        return transport
+
+    def ask(self, data: bytes, client: FakeTransport | None = None) -> FakeTransport:
+        """A client's bytes, on a connection of its own where none is given."""
+        used = client if client is not None else self.client()
+        self.do(lambda: used.deliver(data))
+        return used
+
+    def answer(self, number: int, data: bytes) -> None:
+        """An upstream's bytes, on the connection that was opened as that one."""
+        self.do(lambda: self.upstreams[number].deliver(data))
+
+    def reset(self, number: int) -> None:
+        """That connection ends."""
+        self.do(lambda: self.upstreams[number].end(ConnectionResetError()))
+
+    def finish(self) -> list[str]:
+        """Who was closed, behind what was written."""
+        for name, transports in (("client", self.clients), ("upstream", self.upstreams)):
+            self.lines += [
+                f"{name} {number} closed" for number, one in enumerate(transports) if one.is_closing()
+            ]
+        counted = {kind.value: count for kind, count in self.plane.counts.items() if count}
+        if counted:
+            self.lines.append(f"counted: {counted}")
+        return self.lines
+
+    def close(self) -> None:
+        async def cancel() -> None:
+            tasks = asyncio.all_tasks() - {asyncio.current_task()}
+            for task in tasks:
+                task.cancel()
+            await asyncio.gather(*tasks, return_exceptions=True)
+
+        self.loop.run_until_complete(cancel())
+        self.loop.close()
+
+
+class Pool(UpstreamPool):
+    """Opens connections to the test."""
+
+    def __init__(self, scene: Scene) -> None:
+        super().__init__()
+        self._scene = scene
+
+    async def connect(self, address: str) -> UpstreamConnection:
+        await asyncio.sleep(0)
+        scene = self._scene
+        if address in scene.refusing:
+            raise ConnectionRefusedError("refused")
+        connection = UpstreamConnection(self._keep, self._lost)
+        self._addresses[connection] = address
+        number = len(scene.upstreams)
+        transport = FakeTransport(
+            lambda data: scene.lines.append(f"to upstream {number} ({address}): {data!r}"), connection
+        )
+        scene.upstreams.append(transport)
+        connection.connection_made(transport)
+        return connection
+
+
+def head(method: str, target: str, *more: str, host: str = "a.example", body: bytes = b"") -> bytes:
+    """A client's request."""
+    length = [f"Content-Length: {len(body)}"] if body else []
+    lines = [f"{method} {target} HTTP/1.1", f"Host: {host}", "X-Request-Id: r-1", *more, *length]
+    return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
+
+
+def reply(status: int = 200, *more: str, body: bytes = b"ok") -> bytes:
+    """An upstream's whole answer."""
+    lines = [f"HTTP/1.1 {status} X", "X-Request-Id: r-1", "X-Server-Signature: sig", *more]
+    return ("\r\n".join(lines) + f"\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
+
+
+STREAM_HEAD = reply(200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked").partition(
+    b"\r\nContent-Length"
+)[0]
+
+
+def chunk(data: bytes) -> bytes:
+    return b"%x\r\n%s\r\n" % (len(data), data)
+
+
+def a_get_without_a_body(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/safe/a?b=c", "Accept: */*"))
+    scene.answer(0, reply(200, "Connection: keep-alive", "Keep-Alive: timeout=5", "X-Server-Load: 1,0,4"))
+
+
+def a_post_with_headers_of_its_connection_alone(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(
+        head(
+            "POST",
+            "/plain/x",
+            "Connection: keep-alive, X-Odd",
+            "X-Odd: 1",
+            "Keep-Alive: 5",
+            "TE: trailers",
+            "Trailer: X-T",
+            "Upgrade: h2c",
+            "Proxy-Connection: x",
+            "Proxy-Authorization: x",
+            "X-Tenant: forged",
+            "Priority: 9",
+            "X-Target-Instance: forged",
+            "X-Deadline-Ms: 2500",
+            "Last-Event-ID: 4",
+            "X-Kept: yes",
+            body=b"hello",
+        )
+    )
+    scene.answer(0, reply(201, "X-More: 1"))
+
+
+def a_put_without_a_body_and_a_second_request_on_both_connections(scene: Scene) -> None:
+    scene.configure()
+    client = scene.ask(head("PUT", "/plain/x"))
+    scene.answer(0, reply(204, body=b""))
+    scene.wait(1.0)
+    scene.ask(head("GET", "/plain/y"), client)
+    scene.answer(0, reply(404, body=b"no such thing"))
+
+
+def a_tenants_request(scene: Scene) -> None:
+    scene.configure(tenants=True)
+    scene.ask(
+        head("POST", "/safe/x", "X-Api-Key: key-1", "X-Token-Usage: 20,30", "X-Tenant: forged", body=b"b")
+    )
+    scene.answer(0, reply())
+
+
+def a_deadline_that_has_partly_passed(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/safe/x", "X-Deadline-Ms: 4000"))
+    scene.wait(1.25)
+    scene.reset(0)
+    scene.answer(1, reply())
+
+
+def a_refusal_and_a_failure_before_the_answer(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("POST", "/safe/x", body=b"again"))
+    scene.answer(0, reply(503, "X-Not-Executed: 1", "X-Server-Load: 1,0,4"))
+    scene.answer(1, reply(500))
+    scene.answer(2, reply())
+
+
+def a_resumed_stream(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("POST", "/resumable/x", "Last-Event-ID: 0", body=b"s"))
+    scene.answer(0, STREAM_HEAD + b"\r\n\r\n" + chunk(b"id: 1\ndata: a\n\nid: 2\nda"))
+    scene.wait(0.5)
+    scene.reset(0)
+    scene.answer(1, STREAM_HEAD + b"\r\n\r\n" + chunk(b"id: 2\ndata: b\n\n") + b"0\r\n\r\n")
+
+
+def a_stream_that_breaks_for_good(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/resumable/x"))
+    for number in range(3):
+        piece = f"id: {number}\ndata: x\n\n".encode()
+        scene.answer(number, STREAM_HEAD + b"\r\n\r\n" + chunk(piece))
+        scene.reset(number)
+
+
+def an_answer_that_breaks(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/plain/x"))
+    scene.answer(0, reply(body=b"whole")[:-2])
+    scene.reset(0)
+
+
+def an_expected_continue(scene: Scene) -> None:
+    scene.configure()
+    client = scene.ask(
+        head("POST", "/plain/x", "Expect: 100-continue", "Content-Length: 2", "Content-Type: text/plain")
+    )
+    scene.ask(b"ok", client)
+    scene.answer(0, reply())
+
+
+def a_router_that_stops(scene: Scene) -> None:
+    scene.configure()
+    client = scene.client()
+    scene.plane.stopping = True
+    scene.ask(head("GET", "/plain/x"), client)
+    scene.answer(0, reply())
+
+
+def a_client_that_goes(scene: Scene) -> None:
+    scene.configure()
+    client = scene.ask(head("GET", "/plain/x"))
+    scene.do(lambda: client.end(None))
+
+
+def a_silent_call_that_goes_elsewhere(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/safe/x"))
+    scene.wait(6.0)
+    scene.answer(1, reply())
+
+
+def a_prompt_for_an_engine(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(
+        head(
+            "POST",
+            "/v1",
+            "X-Token-Usage: 1460,80",
+            "X-Prompt-Prefix: a:800,b:410,c:250",
+            host="e.example:80",
+            body=b"p",
+        )
+    )
+    scene.wait(0.125)
+    scene.answer(0, reply(200, "X-Server-Load: 2,0,16"))
+
+
+# The router's own answers
+
+
+def bad_request(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(b"\x00nonsense\r\n\r\n")
+
+
+def headers_too_large(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/plain/x", "X-Long: " + "x" * 3_000)[:2_500])
+
+
+def body_too_large(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("POST", "/plain/x", body=b"x" * 101))
+    chunked = b"POST /plain/x HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\n"
+    scene.ask(chunked + chunk(b"x" * 60) + chunk(b"x" * 60))
+
+
+def client_too_slow(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(b"GET /plain/x HTTP/1.1\r\n")
+    scene.wait(3.0)
+
+
+def no_configuration(scene: Scene) -> None:
+    scene.ask(head("GET", "/plain/x"))
+
+
+def no_route(scene: Scene) -> None:
+    scene.configure()
+    client = scene.ask(head("GET", "/other"))
+    scene.ask(head("GET", "/plain/x", host="b.example"), client)
+
+
+def unknown_key(scene: Scene) -> None:
+    scene.configure(tenants=True)
+    scene.ask(head("GET", "/plain/x", "X-Api-Key: forged"))
+
+
+def over_quota(scene: Scene) -> None:
+    scene.configure(tenants=True)
+    for _ in range(2):
+        scene.ask(head("GET", "/plain/x", "X-Api-Key: key-1", "X-Token-Usage: 5000,0"))
+    scene.ask(head("GET", "/plain/x", "X-Api-Key: key-2"))
+    scene.ask(head("GET", "/plain/x", "X-Api-Key: key-2"))
+
+
+def no_upstream(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/empty/x"))
+    scene.refusing.update(ADDRESSES)
+    scene.ask(head("GET", "/plain/x"))
+
+
+def turned_away(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("POST", "/plain/x", body=b"x"))
+    scene.answer(0, reply(503, "X-Not-Executed: 1"))
+    scene.answer(1, reply(429, "X-Not-Executed: 1", "X-Server-Load: 4,2,4"))
+    scene.answer(2, reply(421))
+
+
+def upstream_failed(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("POST", "/plain/x", body=b"x"))
+    scene.reset(0)
+    scene.ask(head("POST", "/plain/x", body=b"x"))
+    scene.answer(1, reply(503))
+
+
+def timed_out(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/plain/x"))
+    scene.wait(10.0)
+
+
+def timed_out_unsent(scene: Scene) -> None:
+    scene.configure()
+    scene.ask(head("GET", "/plain/x", "X-Deadline-Ms: 4"))
+
+
+SCENES: list[Callable[[Scene], None]] = [
+    a_get_without_a_body,
+    a_post_with_headers_of_its_connection_alone,
+    a_put_without_a_body_and_a_second_request_on_both_connections,
+    a_tenants_request,
+    a_deadline_that_has_partly_passed,
+    a_refusal_and_a_failure_before_the_answer,
+    a_resumed_stream,
+    a_stream_that_breaks_for_good,
+    an_answer_that_breaks,
+    an_expected_continue,
+    a_router_that_stops,
+    a_client_that_goes,
+    a_silent_call_that_goes_elsewhere,
+    a_prompt_for_an_engine,
+    bad_request,
+    headers_too_large,
+    body_too_large,
+    client_too_slow,
+    no_configuration,
+    no_route,
+    unknown_key,
+    over_quota,
+    no_upstream,
+    turned_away,
+    upstream_failed,
+    timed_out,
+    timed_out_unsent,
+]
+
+
+class Lines(picologging.Handler):
+    """Puts the program's log lines between what it writes, without their time and the process' name."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.scene: Scene | None = None
+
+    def emit(self, record: picologging.LogRecord) -> None:
+        if self.scene is not None:
+            line = re.sub(r'^\{"time":[0-9.e+]+,("node":"[^"]*",)?', "{", str(record.msg))
+            self.scene.lines.append(f"log: {line}")
+
+
+LINES = Lines()
+
+
+@pytest.fixture
+def debugging() -> Iterator[None]:
+    logger = picologging.getLogger("larkweir")
+    before = logger.level
+    logger.addHandler(LINES)
+    logger.setLevel(picologging.DEBUG)
+    yield
+    LINES.scene = None
+    logger.removeHandler(LINES)
+    logger.setLevel(before)
+
+
+def played(scenario: Callable[[Scene], None]) -> list[str]:
+    """What a scene writes."""
+    scene = LINES.scene = Scene()
+    try:
+        scenario(scene)
+        return scene.finish()
+    finally:
+        LINES.scene = None
+        scene.close()
+
+
+def stored() -> dict[str, list[str]]:
+    """The transcripts by the name of their scene."""
+    found: dict[str, list[str]] = {}
+    for line in STORED.read_text().splitlines():
+        if line.startswith("== "):
+            lines = found[line[3:]] = []
+        elif line:
+            lines.append(line)
+    return found
+
+
+def test_each_kind_of_the_routers_own_answers_has_a_scene() -> None:
+    kinds = {kind.value for kind in ErrorKind}
+    assert kinds <= {one.__name__ for one in SCENES}
+    for kind in kinds:
+        assert any(line.startswith("counted: ") and f"'{kind}'" in line for line in stored()[kind]), kind
+
+
+def test_no_transcript_is_left_over() -> None:
+    assert list(stored()) == [one.__name__ for one in SCENES]
+
+
+@pytest.mark.parametrize("scenario", SCENES, ids=lambda one: one.__name__)
+def test_what_a_router_writes(scenario: Callable[[Scene], None], debugging: None) -> None:
+    assert played(scenario) == stored()[scenario.__name__]
