--- /dev/null
+++ b/packages/owners/tests/test_owners_traces.py
@@ -0,0 +1,61 @@
+"""Seeded fleets do the same as in the release before: every message, when it was sent, and every entry flushed."""
+
+from __future__ import annotations
+
+from hashlib import blake2b
+from pathlib import Path
+
+import pytest
+from explore_owners import Explorer
+from fleet_owners import Fleet, Process
+from larkweir_owners.keeper import Step
+from larkweir_owners.keeper_file import frame
+
+TRACES = Path(__file__).parent / "golden" / "traces.txt"
+
+
+def trace_of(seed: int, processes: int, duties: int) -> str:
+    """A hash of all that a fleet sends and flushes while it is played."""
+    fleet = Fleet(seed, processes=processes, duties=duties)
+    digest = blake2b(digest_size=16)
+    send = fleet.network.send
+
+    def sent(source: str, to: str, item: bytes) -> None:
+        digest.update(f"{fleet.network.now_ms:.6f} {source} {to} ".encode() + item)
+        send(source, to, item)
+
+    fleet.network.send = sent  # type: ignore[method-assign]
+    for process in fleet.processes.values():
+        flushed = process._flushed
+
+        def seen(step: Step, process: Process = process, flushed=flushed) -> None:  # type: ignore[no-untyped-def]
+            for number, entry in enumerate(step.flush):
+                digest.update(f"{fleet.network.now_ms:.6f} {process.name} ".encode() + frame(number, entry))
+            flushed(step)
+
+        process._flushed = seen  # type: ignore[method-assign]
+    fleet.play()
+    return f"{digest.hexdigest()} {fleet.network.sent} {sum(fleet.checker.effects.values())}"
+
+
+@pytest.mark.parametrize(
+    ("seed", "processes", "duties"),
+    [*((seed, 5, 1) for seed in range(6)), (100, 5, 3), (101, 7, 4), (102, 3, 2)],
+)
+def test_a_seeded_fleet_sends_and_flushes_the_same(seed: int, processes: int, duties: int) -> None:
+    known = dict(line.split(": ") for line in TRACES.read_text(encoding="ascii").splitlines())
+    assert trace_of(seed, processes, duties) == known[f"{seed} {processes} {duties}"]
+
+
+@pytest.mark.parametrize(
+    ("writes", "rounds", "found"),
+    [
+        ((1, 1), (1, 1), (1283, 10, True)),
+        ((1, 1), (2, 1), (22557, 16, True)),
+        ((1, 2), (1, 1), (4439, 16, True)),
+    ],
+)
+def test_the_explorer_meets_the_same_states(
+    writes: tuple[int, int], rounds: tuple[int, int], found: tuple[int, int, bool]
+) -> None:
+    assert Explorer(writes, rounds).run(100) == found
--- /dev/null
+++ b/packages/peers/tests/test_peers_golden.py
@@ -0,0 +1,110 @@
+"""Datagrams of the release before are read, and the same are written: each frame, its tag, and a whole exchange."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from random import Random
+
+import pytest
+from larkweir_peers.frames import KINDS, Ack, Ask, Frame, Nack, News, Part, Ping, decode, encode
+from larkweir_peers.names import named, packed
+from larkweir_peers.parts import Pieces, cut
+from larkweir_peers.peers import Peers
+from larkweir_peers.seal import Seal
+
+GOLDEN = Path(__file__).parent / "golden"
+A, B, C = (f"127.0.0.1:{7001 + n}" for n in range(3))
+KEY, OLD_KEY = b"sixteen letters!", b"the key of before"
+HEAD = (packed(A), (1_700_000_000_000 << 16) + 2, 0xDEADBEEF, 2**40 + 1)
+NEWS = [
+    News(packed(B), 1, 1_700_000_000_000 << 16),
+    News(packed(C), 2, 5, packed(B)),
+    News(packed(B), 3, 0),
+    News(packed(C), 4, 2**63 - 1),
+]
+FRAMES: dict[str, Frame] = {
+    "ping": Ping(*HEAD, NEWS),
+    "ping_alone": Ping(packed(A), 1 << 16, 0, 0, []),
+    "ack": Ack(*HEAD, NEWS[:1], 77),
+    "ask": Ask(*HEAD, [], packed(C)),
+    "nack": Nack(*HEAD, [], 78),
+    "part": Part(*HEAD, NEWS[1:2], 255, 2**33, 1, 44, bytes(range(40))),
+}
+LARGE = bytes(range(256)) * 2
+
+
+def rows(name: str) -> dict[str, bytes]:
+    """Lines of a name and bytes in hex."""
+    lines = (GOLDEN / name).read_text(encoding="ascii").splitlines()
+    return {key: bytes.fromhex(text) for key, text in (line.split(" ") for line in lines)}
+
+
+FOUND = {name: rows(f"{name}.hex") for name in ("frames", "exchange")}
+
+
+def processes() -> dict[str, Peers]:
+    return {
+        name: Peers(name, (A, B, C), Random(name), 0.0, life, (KEY,))
+        for name, life in ((A, 1_000), (B, 2_000), (C, 3_000))
+    }
+
+
+def exchange() -> list[tuple[str, bytes]]:
+    """Every datagram of three processes that probe, hand over items, suspect one that is silent, and leave."""
+    peers = processes()
+    found: list[tuple[str, bytes]] = []
+    silent = {C}
+    for turn in range(60):
+        now_ms = 100.0 * turn
+        if turn == 5:
+            assert peers[A].post(B, 2, LARGE, now_ms) and peers[A].post(B, 3, b"", now_ms)
+        if turn == 40:
+            silent.clear()
+        if turn == 55:
+            peers[B].leave(now_ms)
+        for name, one in peers.items():
+            one.tick(now_ms)
+            going = [(item.to, item.data) for item in one.datagrams]
+            one.datagrams.clear()
+            for to, data in going:
+                found.append((f"{turn}:{name}>{to}", data))
+                if not silent & {name, to}:
+                    peers[to].came(name, data, now_ms)
+    assert [tuple(item) for item in peers[B].items] == [(A, 2, LARGE), (A, 3, b"")]
+    found += [
+        (f"{name}:{cause}", count.to_bytes(4, "big"))
+        for name, one in peers.items()
+        for cause, count in one.dropped.items()
+    ]
+    return found
+
+
+@pytest.mark.parametrize("name", FRAMES)
+def test_a_frame_is_read_and_written_as_before(name: str) -> None:
+    assert encode(FRAMES[name]) == FOUND["frames"][name]
+    assert decode(FOUND["frames"][name]) == FRAMES[name]
+
+
+def test_every_kind_of_frame_is_here() -> None:
+    assert {type(frame) for frame in FRAMES.values()} == set(KINDS.values())
+
+
+def test_a_name_and_a_tag_are_as_before() -> None:
+    assert packed(A) == FOUND["frames"]["name"] and named(FOUND["frames"]["name"]) == A
+    sealed = FOUND["frames"]["sealed"]
+    assert Seal((KEY, OLD_KEY)).close(packed(B), FOUND["frames"]["ping"]) == sealed
+    assert Seal((OLD_KEY, KEY)).open(packed(B), sealed) == FOUND["frames"]["ping"]
+    assert Seal((KEY,)).open(packed(C), sealed) is None
+
+
+def test_an_item_in_pieces_comes_together() -> None:
+    pieces = [FOUND["frames"][f"piece{number}"] for number in range(3)]
+    assert cut(LARGE) == pieces
+    whole = Pieces()
+    assert [whole.put(A, 1, 2, n, 3, piece, 0.0) for n, piece in enumerate(pieces)] == [None, None, LARGE]
+
+
+def test_an_exchange_is_datagram_by_datagram_as_before() -> None:
+    found = exchange()
+    assert [f"{number}:{what}" for number, (what, _) in enumerate(found)] == list(FOUND["exchange"])
+    assert [data for _, data in found] == list(FOUND["exchange"].values())
