--- /dev/null
+++ b/tests/system/test_dialling.py
@@ -0,0 +1,52 @@
+"""A link of the fleet whose process stands still while it dials."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+import uvloop
+
+from larkweir.system.links import CONNECT_MS, Connection, Link
+from larkweir.system.messages import Hello, Kind, Message
+
+NODE = "127.0.0.1"
+TURNS = 20  # of the event loop after the hold: by then a dial that was cancelled has ended
+
+
+def test_a_link_made_while_its_process_stands_still_is_usable_or_dialled_again() -> None:
+    """The event loop is held from the moment a connection is made until the time of its dial is up.
+
+    The dial may be cancelled then, though it has succeeded. Whatever becomes of that connection, the link does not
+    keep one that is dead: `keep_alive` and `send` go on working, and what is sent later arrives.
+    """
+
+    async def scene() -> None:
+        loop = asyncio.get_running_loop()
+        arrived: list[Message] = []
+        made: list[Connection] = []
+
+        def hold_the_first(connection: Connection) -> None:
+            made.append(connection)
+            end_s = time.monotonic() + CONNECT_MS / 1000.0
+            while len(made) == 1 and time.monotonic() < end_s:
+                pass
+
+        server = await loop.create_server(
+            lambda: Connection(lambda _, message: arrived.append(message), lambda _: None), NODE, 0
+        )
+        port = server.sockets[0].getsockname()[1]
+        link = Link(NODE, port, lambda _, message: None, hold_the_first, lambda _: None)
+        sent: list[Message] = []
+        async with asyncio.timeout(10.0):
+            while not set(arrived) & set(sent[TURNS:]):
+                link.keep_alive()
+                if made:
+                    sent.append(Hello(NODE, Kind.ROUTER, str(len(sent))))
+                    link.send(sent[-1])
+                await asyncio.sleep(0)
+        link.close()
+        server.close()
+
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
+        runner.run(scene())
