--- a/larkweir/system/links.py
+++ b/larkweir/system/links.py
@@ -174,7 +174,12 @@
             self._pause_ms, self.failures = REDIAL_MS, 0
         except (OSError, TimeoutError):
             self.failures += 1
-            self._retry_later()
+            if self.connection is not None:
+                # The dial was cancelled in the loop iteration in which it succeeded. uvloop closes the transport then
+                # without a call of connection_lost, and the link would keep a dead connection.
+                self.connection.connection_lost(None)
+            else:
+                self._retry_later()
         finally:
             self._dialling = None
 
