--- a/larkweir/system/client.py
+++ b/larkweir/cluster/client.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from larkweir.system.settings import split_address
+from larkweir.cluster.settings import split_address
 
 SILENCE_S = 1.5
 PAUSE_S = 0.2
--- a/larkweir/system/configuration/changes.py
+++ b/larkweir/cluster/configuration/changes.py
@@ -8,7 +8,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from larkweir.system.configuration.documents import Document, PatchError, patched
+from larkweir.cluster.configuration.documents import Document, PatchError, patched
 
 IDENTITY_LENGTH = 24
 
@@ -73,7 +73,7 @@
             body = patched(current, body)
         except PatchError as problem:
             return _invalid(str(problem))
-    from larkweir.system.configuration.schema import problem_of  # its library takes long to import
+    from larkweir.cluster.configuration.schema import problem_of  # its library takes long to import
 
     wrong = problem_of(body)
     if wrong is not None:
--- a/larkweir/system/http_server.py
+++ b/larkweir/cluster/http_server.py
@@ -9,8 +9,8 @@
 
 import h11
 
-from larkweir.system import log
-from larkweir.system.links import tune
+from larkweir.cluster import log
+from larkweir.cluster.links import tune
 
 MAX_HEADER_BYTES = 32 * 1024
 USER_TIMEOUT_MS = 5_000.0
--- a/larkweir/system/links.py
+++ b/larkweir/cluster/links.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from larkweir.system.messages import MAX_LINE_BYTES, Message, Ping
+from larkweir.cluster.messages import MAX_LINE_BYTES, Message, Ping
 
 PING_MS = 250.0
 SILENCE_MS = 1_000.0  # after it a connection counts as dead, also where a cut is silent
--- a/larkweir/system/settings_watch.py
+++ b/larkweir/cluster/settings_watch.py
@@ -5,8 +5,8 @@
 import os
 from collections.abc import Callable
 
-from larkweir.system import log
-from larkweir.system.settings import Settings, SettingsError, load, path
+from larkweir.cluster import log
+from larkweir.cluster.settings import Settings, SettingsError, load, path
 
 EVERY_MS = 1_000.0
 
--- a/larkweir/system/controller/distribution.py
+++ b/larkweir/controller/distribution.py
@@ -10,10 +10,10 @@
 from larkweir_quotas.ledger import Ledger, Limit
 from larkweir_registry.registry import Registry
 
-from larkweir.system import log
-from larkweir.system.configuration.documents import Document, difference
-from larkweir.system.links import Connection
-from larkweir.system.messages import ConfigUpdate, Delta, Kind, Pull
+from larkweir.cluster import log
+from larkweir.cluster.configuration.documents import Document, difference
+from larkweir.cluster.links import Connection
+from larkweir.cluster.messages import ConfigUpdate, Delta, Kind, Pull
 from mulleinhitch.ejection import Ejections, Endings, summed
 
 HOLD_MS = 100.0  # a pull is answered after it, with or without news
--- a/larkweir/system/controller/inspection.py
+++ b/larkweir/controller/inspection.py
@@ -7,8 +7,8 @@
 from larkweir_registry.registry import Registry
 from larkweir_replication.replica import Replica
 
-from larkweir.system.controller.distribution import Distribution
-from larkweir.system.http_server import Response
+from larkweir.cluster.http_server import Response
+from larkweir.controller.distribution import Distribution
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
--- a/larkweir/system/controller/instances_api.py
+++ b/larkweir/controller/instances_api.py
@@ -10,8 +10,8 @@
 from larkweir_registry.records import State, Upstream
 from larkweir_registry.registry import Registry
 
-from larkweir.system.controller.distribution import Distribution, Quorum
-from larkweir.system.http_server import Request, Response
+from larkweir.cluster.http_server import Request, Response
+from larkweir.controller.distribution import Distribution, Quorum
 
 PATH = "/instances/"
 MAX_BODY_BYTES = 4_096
--- a/larkweir/system/controller/node.py
+++ b/larkweir/controller/node.py
@@ -15,19 +15,10 @@
 from larkweir_replication.messages import Message as ReplicationMessage
 from larkweir_replication.messages import Snapshot
 
-from larkweir.system import log, settings_watch
-from larkweir.system.controller.distribution import Distribution
-from larkweir.system.controller.hints import Hints
-from larkweir.system.controller.inspection import Inspection
-from larkweir.system.controller.instances_api import PATH, InstancesApi
-from larkweir.system.controller.operator_api import OperatorApi
-from larkweir.system.controller.primary_calls import PrimaryCalls
-from larkweir.system.controller.prompt_placement import PromptPlacement
-from larkweir.system.controller.replication import ReplicaDriver
-from larkweir.system.controller.upstream_watch import UpstreamWatch
-from larkweir.system.http_server import HttpServerConnection, Request, Response
-from larkweir.system.links import Connection, Link
-from larkweir.system.messages import (
+from larkweir.cluster import log, settings_watch
+from larkweir.cluster.http_server import HttpServerConnection, Request, Response
+from larkweir.cluster.links import Connection, Link
+from larkweir.cluster.messages import (
     Delta,
     Forward,
     Forwarded,
@@ -41,7 +32,16 @@
     Replication,
     Waiting,
 )
-from larkweir.system.settings import Settings, split_address
+from larkweir.cluster.settings import Settings, split_address
+from larkweir.controller.distribution import Distribution
+from larkweir.controller.hints import Hints
+from larkweir.controller.inspection import Inspection
+from larkweir.controller.instances_api import PATH, InstancesApi
+from larkweir.controller.operator_api import OperatorApi
+from larkweir.controller.primary_calls import PrimaryCalls
+from larkweir.controller.prompt_placement import PromptPlacement
+from larkweir.controller.replication import ReplicaDriver
+from larkweir.controller.upstream_watch import UpstreamWatch
 
 TICK_S = 0.04
 STANDSTILL_MS = 700.0  # a tick so late means that this process stood still
--- a/larkweir/system/controller/operator_api.py
+++ b/larkweir/controller/operator_api.py
@@ -8,10 +8,10 @@
 import msgspec
 from larkweir_replication.messages import Command
 
-from larkweir.system.configuration.changes import Change
-from larkweir.system.controller.replication import OK, UNKNOWN
-from larkweir.system.http_server import Request, Response
-from larkweir.system.messages import Forwarded
+from larkweir.cluster.configuration.changes import Change
+from larkweir.cluster.http_server import Request, Response
+from larkweir.cluster.messages import Forwarded
+from larkweir.controller.replication import OK, UNKNOWN
 
 ANSWER_S = 0.9  # the operator goes to another controller after a second of silence
 RETRY_S = 0.04
--- a/larkweir/system/controller/primary_calls.py
+++ b/larkweir/controller/primary_calls.py
@@ -10,9 +10,9 @@
 from larkweir_replication.messages import Command
 from larkweir_replication.replica import Status
 
-from larkweir.system.controller.replication import UNKNOWN, ReplicaDriver
-from larkweir.system.links import Connection, Link
-from larkweir.system.messages import Forward, Forwarded
+from larkweir.cluster.links import Connection, Link
+from larkweir.cluster.messages import Forward, Forwarded
+from larkweir.controller.replication import UNKNOWN, ReplicaDriver
 
 FORWARD_S = 0.45  # then the call is tried again, perhaps at another primary
 
--- a/larkweir/system/controller/replication.py
+++ b/larkweir/controller/replication.py
@@ -13,12 +13,12 @@
 from larkweir_replication.messages import Command, Message, Snapshot
 from larkweir_replication.replica import Replica
 
-from larkweir.system import log
-from larkweir.system.birth import born_ms
-from larkweir.system.configuration.changes import Refused, apply_change
-from larkweir.system.controller.storage import DiskThread
-from larkweir.system.messages import Forwarded
-from larkweir.system.settings import Settings
+from larkweir.cluster import log
+from larkweir.cluster.birth import born_ms
+from larkweir.cluster.configuration.changes import Refused, apply_change
+from larkweir.cluster.messages import Forwarded
+from larkweir.cluster.settings import Settings
+from larkweir.controller.storage import DiskThread
 
 FOLDER = "replica"
 OK = 200
--- a/larkweir/system/controller/storage.py
+++ b/larkweir/controller/storage.py
@@ -11,7 +11,7 @@
 from larkweir_replication.journal import Files, Journal
 from larkweir_replication.messages import NO_EPOCH, Durable
 
-from larkweir.system import log
+from larkweir.cluster import log
 
 NEW = ".new"  # behind the name of a file that is being written
 HINT = (0, Durable(NO_EPOCH, None))  # in the queue: there is a hint to write
--- a/larkweir/system/controller/upstream_watch.py
+++ b/larkweir/controller/upstream_watch.py
@@ -9,10 +9,10 @@
 from larkweir_registry.records import State, Upstream
 from larkweir_registry.registry import Registry
 
-from larkweir.system import log
-from larkweir.system.controller.distribution import Distribution
-from larkweir.system.links import Link
-from larkweir.system.messages import Heard
+from larkweir.cluster import log
+from larkweir.cluster.links import Link
+from larkweir.cluster.messages import Heard
+from larkweir.controller.distribution import Distribution
 
 
 class UpstreamWatch:
--- a/larkweir/system/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from larkweir.system.router.request_log import RequestNote
-from larkweir.system.router.upstream_call import UpstreamConnection
+from larkweir.router.request_log import RequestNote
+from larkweir.router.upstream_call import UpstreamConnection
 from mulleinhitch.decision_options import OPTIONS
 from mulleinhitch.engines import Prompt
 from mulleinhitch.interface import Outcome
 
 if TYPE_CHECKING:
-    from larkweir.system.router.data_plane import DataPlane
+    from larkweir.router.data_plane import DataPlane
 
 ANNOUNCED_TOKENS = 4_000.0  # to be read, from which other routers are told at once
 BAD = frozenset((Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR))
--- a/larkweir/system/router/client_connection.py
+++ b/larkweir/router/client_connection.py
@@ -7,14 +7,14 @@
 
 import h11
 
-from larkweir.system.links import tune
-from larkweir.system.router.answers import ANSWERS, ErrorKind
-from larkweir.system.router.client_request import ClientRequest, Headers
-from larkweir.system.router.configuration import Limits
-from larkweir.system.router.exchange import Exchange
+from larkweir.cluster.links import tune
+from larkweir.router.answers import ANSWERS, ErrorKind
+from larkweir.router.client_request import ClientRequest, Headers
+from larkweir.router.configuration import Limits
+from larkweir.router.exchange import Exchange
 
 if TYPE_CHECKING:
-    from larkweir.system.router.data_plane import DataPlane
+    from larkweir.router.data_plane import DataPlane
 
 USER_TIMEOUT_MS = 10_000.0
 UNREAD_MOST_BYTES = 64 * 1024  # sent ahead while a request is being answered
--- a/larkweir/system/router/configuration.py
+++ b/larkweir/router/configuration.py
@@ -8,8 +8,8 @@
 import msgspec
 from larkweir_quotas.ledger import Limit
 
-from larkweir.system.configuration.documents import Document, patched
-from larkweir.system.messages import ConfigUpdate
+from larkweir.cluster.configuration.documents import Document, patched
+from larkweir.cluster.messages import ConfigUpdate
 
 NON_IDEMPOTENT = "non_idempotent"
 IDEMPOTENT = "idempotent"
--- a/larkweir/system/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -10,16 +10,16 @@
 from larkweir_quotas.retries import RetryBudget
 from larkweir_registry.records import State, Upstream
 
-from larkweir.system.router.answers import ErrorKind
-from larkweir.system.router.configuration import ConfigurationStore
-from larkweir.system.router.prompt_keepers import PromptKeepers
-from larkweir.system.router.upstream_pool import UpstreamPool
-from larkweir.system.settings import Bounds
+from larkweir.cluster.settings import Bounds
+from larkweir.router.answers import ErrorKind
+from larkweir.router.configuration import ConfigurationStore
+from larkweir.router.prompt_keepers import PromptKeepers
+from larkweir.router.upstream_pool import UpstreamPool
 from mulleinhitch.ejection import EndingCounts
 from mulleinhitch.engines import EngineBalancer, Listed
 
 if TYPE_CHECKING:
-    from larkweir.system.router.client_connection import ClientConnection
+    from larkweir.router.client_connection import ClientConnection
 
 
 class DataPlane:
--- a/larkweir/system/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -9,21 +9,21 @@
 
 import h11
 
-from larkweir.system import log
-from larkweir.system.router.answers import ANSWERS, Answer, ErrorKind
-from larkweir.system.router.attempt import Attempt
-from larkweir.system.router.client_request import HOP_BY_HOP, ClientRequest, Headers, UpstreamHeaders
-from larkweir.system.router.configuration import Route, Tenant
-from larkweir.system.router.event_stream import EventBuffer
-from larkweir.system.router.prompt_keepers import Keeper
-from larkweir.system.router.request_log import RequestNote
-from larkweir.system.router.upstream_call import Ending, UpstreamConnection
+from larkweir.cluster import log
+from larkweir.router.answers import ANSWERS, Answer, ErrorKind
+from larkweir.router.attempt import Attempt
+from larkweir.router.client_request import HOP_BY_HOP, ClientRequest, Headers, UpstreamHeaders
+from larkweir.router.configuration import Route, Tenant
+from larkweir.router.event_stream import EventBuffer
+from larkweir.router.prompt_keepers import Keeper
+from larkweir.router.request_log import RequestNote
+from larkweir.router.upstream_call import Ending, UpstreamConnection
 from mulleinhitch.decision_options import OPTIONS
 from mulleinhitch.engines import Prompt
 from mulleinhitch.interface import Outcome
 
 if TYPE_CHECKING:
-    from larkweir.system.router.data_plane import DataPlane
+    from larkweir.router.data_plane import DataPlane
 
 CONNECTS_MOST = 3  # upstreams without a connection that are tried for one request
 LEAST_LEFT_MS = 5.0  # of the deadline, under which a request is not sent any more
--- a/larkweir/system/router/fleet_view.py
+++ b/larkweir/router/fleet_view.py
@@ -8,12 +8,12 @@
 from larkweir_registry.records import Vector
 from larkweir_registry.registry import Registry
 
-from larkweir.system import log
-from larkweir.system.links import Connection, Link
-from larkweir.system.messages import Delta, Hello, Kind, Message, Place, Placed, Pull, Waiting
-from larkweir.system.router.data_plane import DataPlane
-from larkweir.system.router.fleet_size import FleetSize
-from larkweir.system.settings import Settings
+from larkweir.cluster import log
+from larkweir.cluster.links import Connection, Link
+from larkweir.cluster.messages import Delta, Hello, Kind, Message, Place, Placed, Pull, Waiting
+from larkweir.cluster.settings import Settings
+from larkweir.router.data_plane import DataPlane
+from larkweir.router.fleet_size import FleetSize
 from mulleinhitch.engines import weight
 
 FORGET_FAILURES = 60  # dials in a row, about a minute
--- a/larkweir/system/router/node.py
+++ b/larkweir/router/node.py
@@ -6,12 +6,12 @@
 import signal
 from random import Random
 
-from larkweir.system import log, settings_watch
-from larkweir.system.http_server import HttpServerConnection, Request, Response
-from larkweir.system.router.client_connection import ClientConnection
-from larkweir.system.router.data_plane import DataPlane
-from larkweir.system.router.fleet_view import FleetView
-from larkweir.system.settings import Settings, split_address
+from larkweir.cluster import log, settings_watch
+from larkweir.cluster.http_server import HttpServerConnection, Request, Response
+from larkweir.cluster.settings import Settings, split_address
+from larkweir.router.client_connection import ClientConnection
+from larkweir.router.data_plane import DataPlane
+from larkweir.router.fleet_view import FleetView
 
 TICK_S = 0.1
 STANDSTILL_MS = 700.0
--- a/larkweir/system/router/prompt_keepers.py
+++ b/larkweir/router/prompt_keepers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from larkweir.system.messages import Place, Placed
+from larkweir.cluster.messages import Place, Placed
 from mulleinhitch.engines import Prompt
 
 ANSWER_S = 0.04  # a controller answers in a few milliseconds; without it the head's own order decides
--- a/larkweir/system/router/upstream_call.py
+++ b/larkweir/router/upstream_call.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from larkweir.system.links import tune
+from larkweir.cluster.links import tune
 
 USER_TIMEOUT_MS = (
     1_200.0  # written bytes that stay unacknowledged for so long: the upstream is gone or cut off
--- a/larkweir/system/router/upstream_pool.py
+++ b/larkweir/router/upstream_pool.py
@@ -5,8 +5,8 @@
 import asyncio
 from dataclasses import dataclass
 
-from larkweir.system.router.upstream_call import UpstreamConnection
-from larkweir.system.settings import split_address
+from larkweir.cluster.settings import split_address
+from larkweir.router.upstream_call import UpstreamConnection
 from mulleinhitch.decision_options import OPTIONS
 
 CONNECT_MOST_S = 0.4  # an upstream that is there answers in milliseconds
--- a/larkweir/system/cli.py
+++ b/larkweir/system/cli.py
@@ -9,7 +9,7 @@
 
 import click
 
-from larkweir.system.settings import Settings, SettingsError, load
+from larkweir.cluster.settings import Settings, SettingsError, load
 
 EXIT_SETTINGS = 2
 EXIT_DATA = 3
@@ -45,7 +45,7 @@
 @click.option("--debug", is_flag=True, help="Write a line for every request to the log.")
 def router(*, debug: bool) -> None:
     """Takes clients' requests and passes them to upstreams."""
-    from larkweir.system.router.node import Router
+    from larkweir.router.node import Router
 
     _run(lambda settings: Router(settings).run(), debug=debug)
 
@@ -53,7 +53,7 @@
 @main.command()
 def controller() -> None:
     """Keeps the configuration and the list of upstreams, and tells routers."""
-    from larkweir.system.controller.node import Controller
+    from larkweir.controller.node import Controller
 
     _run(lambda settings: Controller(settings).run())
 
@@ -70,7 +70,7 @@
     """Reads the settings and serves until told to stop; a bad file is one line and exit code 2."""
     import uvloop
 
-    from larkweir.system import log
+    from larkweir.cluster import log
 
     try:
         settings = load()
--- a/larkweir/system/demo.py
+++ b/larkweir/system/demo.py
@@ -13,8 +13,8 @@
 import h11
 import msgspec
 
-from larkweir.system.client import NobodyAnsweredError, call
-from larkweir.system.settings import VARIABLE
+from larkweir.cluster.client import NobodyAnsweredError, call
+from larkweir.cluster.settings import VARIABLE
 
 CONTROLLERS = 3
 ROUTERS = 2
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -12,9 +12,9 @@
 import msgspec
 from larkweir_replication.journal import FolderFiles, Journal
 
-from larkweir.system.client import Answer, NobodyAnsweredError, call
-from larkweir.system.configuration.documents import difference
-from larkweir.system.configuration.schema import problem_of
+from larkweir.cluster.client import Answer, NobodyAnsweredError, call
+from larkweir.cluster.configuration.documents import difference
+from larkweir.cluster.configuration.schema import problem_of
 
 CONTROLLERS_VARIABLE = "LARKWEIR_CONTROLLERS"
 EXIT_REFUSED = 1
--- a/tests/system/loopback.py
+++ b/tests/system/loopback.py
@@ -15,9 +15,9 @@
 import msgspec
 import uvloop
 
-from larkweir.system.controller.node import Controller
-from larkweir.system.router.node import Router
-from larkweir.system.settings import Settings, parse
+from larkweir.cluster.settings import Settings, parse
+from larkweir.controller.node import Controller
+from larkweir.router.node import Router
 
 _subnets = itertools.count(os.getpid() % 199 + 1)
 
--- a/tests/system/router_model.py
+++ b/tests/system/router_model.py
@@ -12,12 +12,12 @@
 import msgspec
 from larkweir_registry.records import Upstream
 
-from larkweir.system.messages import ConfigUpdate
-from larkweir.system.router.client_connection import ClientConnection
-from larkweir.system.router.data_plane import DataPlane
-from larkweir.system.router.upstream_call import UpstreamConnection
-from larkweir.system.router.upstream_pool import UpstreamPool
-from larkweir.system.settings import Bounds
+from larkweir.cluster.messages import ConfigUpdate
+from larkweir.cluster.settings import Bounds
+from larkweir.router.client_connection import ClientConnection
+from larkweir.router.data_plane import DataPlane
+from larkweir.router.upstream_call import UpstreamConnection
+from larkweir.router.upstream_pool import UpstreamPool
 
 T = TypeVar("T")
 KINDS = {
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -11,11 +11,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larkweir.system.configuration.changes import Change, Refusal, Refused, apply_change
-from larkweir.system.configuration.documents import PatchError, difference, patched
-from larkweir.system.configuration.schema import problem_of
-from larkweir.system.messages import ConfigUpdate
-from larkweir.system.router.configuration import Configuration, ConfigurationStore, RoutingTable
+from larkweir.cluster.configuration.changes import Change, Refusal, Refused, apply_change
+from larkweir.cluster.configuration.documents import PatchError, difference, patched
+from larkweir.cluster.configuration.schema import problem_of
+from larkweir.cluster.messages import ConfigUpdate
+from larkweir.router.configuration import Configuration, ConfigurationStore, RoutingTable
 
 
 def route(name: str, prefix: str, **fields: Any) -> dict[str, Any]:
--- a/tests/system/test_connect_patience.py
+++ b/tests/system/test_connect_patience.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from larkweir.system.router.upstream_pool import CONNECT_LEAST_S, CONNECT_MOST_S, ConnectPatience
+from larkweir.router.upstream_pool import CONNECT_LEAST_S, CONNECT_MOST_S, ConnectPatience
 
 
 def test_nothing_is_known_at_first() -> None:
--- a/tests/system/test_dialling.py
+++ b/tests/system/test_dialling.py
@@ -7,8 +7,8 @@
 
 import uvloop
 
-from larkweir.system.links import CONNECT_MS, Connection, Link
-from larkweir.system.messages import Hello, Kind, Message
+from larkweir.cluster.links import CONNECT_MS, Connection, Link
+from larkweir.cluster.messages import Hello, Kind, Message
 
 NODE = "127.0.0.1"
 TURNS = 20  # of the event loop after the hold: by then a dial that was cancelled has ended
--- a/tests/system/test_golden_messages.py
+++ b/tests/system/test_golden_messages.py
@@ -16,9 +16,9 @@
 from larkweir_replication.messages import Command
 from larkweir_replication.messages import Message as ReplicationMessage
 
-from larkweir.system.configuration.changes import Change, apply_change, version_of
-from larkweir.system.configuration.documents import difference, patched
-from larkweir.system.messages import (
+from larkweir.cluster.configuration.changes import Change, apply_change, version_of
+from larkweir.cluster.configuration.documents import difference, patched
+from larkweir.cluster.messages import (
     ConfigUpdate,
     Delta,
     Forward,
--- a/tests/system/test_right_caller_planted.py
+++ b/tests/system/test_right_caller_planted.py
@@ -10,9 +10,9 @@
 from hypothesis import Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from larkweir.system.router.client_connection import ClientConnection
-from larkweir.system.router.exchange import Exchange
-from larkweir.system.router.upstream_call import UpstreamConnection
+from larkweir.router.client_connection import ClientConnection
+from larkweir.router.exchange import Exchange
+from larkweir.router.upstream_call import UpstreamConnection
 from tests.system import test_right_caller as scenes
 from tests.system.test_right_caller import RightCaller
 
--- a/tests/system/test_router_controller_wire.py
+++ b/tests/system/test_router_controller_wire.py
@@ -10,8 +10,8 @@
 import msgspec
 import uvloop
 
-from larkweir.system.router.node import Router
-from larkweir.system.settings import parse
+from larkweir.cluster.settings import parse
+from larkweir.router.node import Router
 from tests.system.loopback import Client, Seen, Upstream, answer, ask
 
 PING = '{"type":"ping"}'
--- a/tests/system/test_waiting_prompts.py
+++ b/tests/system/test_waiting_prompts.py
@@ -9,9 +9,9 @@
 from larkweir_registry.records import Upstream
 from larkweir_registry.registry import Registry
 
-from larkweir.system.controller.distribution import BUSY_TOKENS, Distribution
-from larkweir.system.links import Connection
-from larkweir.system.messages import Delta, Kind, Message, Pull
+from larkweir.cluster.links import Connection
+from larkweir.cluster.messages import Delta, Kind, Message, Pull
+from larkweir.controller.distribution import BUSY_TOKENS, Distribution
 from mulleinhitch.ejection import BAD_LEAST, Endings
 
 ROUTERS = 3
