--- a/benchmarks/fleet_duties.py
+++ b/benchmarks/fleet_duties.py
@@ -17,8 +17,8 @@
 from statistics import mean, median
 
 from larkweir.config.options import Route
-from larkweir.fleet.duties import ramps as ramp_rules
-from larkweir.fleet.duties.verdicts import Verdicts, read, stake
+from larkweir.coordination.duties import ramps as ramp_rules
+from larkweir.coordination.duties.verdicts import Verdicts, read, stake
 from larkweir.routes.router import Router
 from larkweir.routes.split import Ramp
 from larkweir.routes.trial import FACTORS
--- a/larkweir/fleet/captures/part.py
+++ b/larkweir/coordination/captures/part.py
@@ -20,17 +20,17 @@
 from larkweir.config.options import Operator
 from larkweir.config.peering import capturing
 from larkweir.config.platform import Config, ConfigError
+from larkweir.coordination.captures.scribe import OWNER, Scribe
 from larkweir.core.clock import Clock, Timer
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.stderr_log import StderrLog
-from larkweir.fleet.captures.scribe import OWNER, Scribe
 from larkweir.upstreams.pool import UpstreamPool
 from mulleinhitch.interface import RequestArrived
 
 if TYPE_CHECKING:
     from larkweir_peers.hands import Mail, Socket
 
-    from larkweir.fleet.duties.thresholds import Thresholds
+    from larkweir.coordination.duties.thresholds import Thresholds
     from larkweir.routes.hands import Routes
 
 CAPTURES = 5  # channel of the peers' mail
@@ -142,7 +142,9 @@
 
     def duty(self, life: int, wake: Callable[[], None]) -> Thresholds:
         """The coordinator's work. `life` of this copy's reports; `wake`: it has something to tell."""
-        from larkweir.fleet.duties.thresholds import Thresholds  # not imported where nobody owns duties
+        from larkweir.coordination.duties.thresholds import (
+            Thresholds,  # not imported where nobody owns duties
+        )
 
         found = Thresholds(life, self.node, self._post.take, self.options.hold_ms, self.options.rest)
 
--- a/larkweir/fleet/duties/drill.py
+++ b/larkweir/coordination/duties/drill.py
@@ -4,7 +4,7 @@
 
 from larkweir_owners.messages import Version
 
-from larkweir.fleet.duties.messages import Report
+from larkweir.coordination.duties.messages import Report
 
 STEP_MS = 200.0
 
--- a/larkweir/fleet/duties/ports.py
+++ b/larkweir/coordination/duties/ports.py
@@ -7,7 +7,7 @@
 
 from larkweir_owners.messages import Version
 
-from larkweir.fleet.duties.messages import Report
+from larkweir.coordination.duties.messages import Report
 
 
 class Work(Protocol):
--- a/larkweir/fleet/duties/probers.py
+++ b/larkweir/coordination/duties/probers.py
@@ -19,10 +19,10 @@
 
 import msgspec
 
-from larkweir.fleet.duties.messages import MOST_ROWS, Report, Sighting, SightingReport, batches
-from larkweir.fleet.duties.ports import Known, Scouting
-from larkweir.fleet.duties.replicated import Replicated, encode, keep_only, state_reader
-from larkweir.fleet.duties.timing import (
+from larkweir.coordination.duties.messages import MOST_ROWS, Report, Sighting, SightingReport, batches
+from larkweir.coordination.duties.ports import Known, Scouting
+from larkweir.coordination.duties.replicated import Replicated, encode, keep_only, state_reader
+from larkweir.coordination.duties.timing import (
     FORGET_MS,
     HEARTBEAT_INTERVAL_MS,
     OWNER_TIMEOUT_MS,
--- a/larkweir/fleet/duties/ramps.py
+++ b/larkweir/coordination/duties/ramps.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from larkweir.fleet.duties.messages import MOST_ROWS, Report, Wish, WishReport, batches
-from larkweir.fleet.duties.replicated import Replicated, encode, keep_only, state_reader
-from larkweir.fleet.duties.timing import FORGET_MS, OwnerHeartbeat, Resend, heartbeat_due
+from larkweir.coordination.duties.messages import MOST_ROWS, Report, Wish, WishReport, batches
+from larkweir.coordination.duties.replicated import Replicated, encode, keep_only, state_reader
+from larkweir.coordination.duties.timing import FORGET_MS, OwnerHeartbeat, Resend, heartbeat_due
 from larkweir.routes.split import Ramp
 
 MOST_RAMPS = 64  # at a time; further ones are each copy's own
--- a/larkweir/fleet/duties/table.py
+++ b/larkweir/coordination/duties/table.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from larkweir.fleet.duties.ports import Scouting, Work
+from larkweir.coordination.duties.ports import Scouting, Work
 
 if TYPE_CHECKING:
     from larkweir.routes.hands import Routes
@@ -43,27 +43,27 @@
 
 
 def _drill(seat: Seat) -> Work | None:
-    from larkweir.fleet.duties.drill import Drill
+    from larkweir.coordination.duties.drill import Drill
 
     return Drill()
 
 
 def _verdicts(seat: Seat) -> Work | None:
-    from larkweir.fleet.duties.verdicts import Verdicts
+    from larkweir.coordination.duties.verdicts import Verdicts
 
     routes = seat.routes
     return Verdicts(seat.life, lambda: routes, seat.wake) if routes is not None else None
 
 
 def _ramps(seat: Seat) -> Work | None:
-    from larkweir.fleet.duties.ramps import Ramps
+    from larkweir.coordination.duties.ramps import Ramps
 
     routes = seat.routes
     return Ramps(seat.life, lambda: routes) if routes is not None else None
 
 
 def _probers(seat: Seat) -> Work | None:
-    from larkweir.fleet.duties.probers import Probers
+    from larkweir.coordination.duties.probers import Probers
 
     scout = seat.scout() if seat.scout is not None else None
     return Probers(seat.life, seat.me, scout, scout.probes) if scout is not None else None
--- a/larkweir/fleet/duties/thresholds.py
+++ b/larkweir/coordination/duties/thresholds.py
@@ -17,8 +17,8 @@
 from larkweir_captures.wire import Table, pack, unpack
 from larkweir_owners.messages import Version
 
-from larkweir.fleet.captures.scribe import OWNER
-from larkweir.fleet.duties.messages import CaptureReport, Report
+from larkweir.coordination.captures.scribe import OWNER
+from larkweir.coordination.duties.messages import CaptureReport, Report
 
 
 class Capturing(Protocol):
--- a/larkweir/fleet/duties/verdicts.py
+++ b/larkweir/coordination/duties/verdicts.py
@@ -27,9 +27,23 @@
 
 import msgspec
 
-from larkweir.fleet.duties.messages import MOST_COPIES, MOST_ROWS, Evidence, EvidenceReport, Report, batches
-from larkweir.fleet.duties.replicated import Replicated, encode, keep_only, state_reader
-from larkweir.fleet.duties.timing import FORGET_MS, LOOK_MS, REPORT_MS, OwnerHeartbeat, Resend, heartbeat_due
+from larkweir.coordination.duties.messages import (
+    MOST_COPIES,
+    MOST_ROWS,
+    Evidence,
+    EvidenceReport,
+    Report,
+    batches,
+)
+from larkweir.coordination.duties.replicated import Replicated, encode, keep_only, state_reader
+from larkweir.coordination.duties.timing import (
+    FORGET_MS,
+    LOOK_MS,
+    REPORT_MS,
+    OwnerHeartbeat,
+    Resend,
+    heartbeat_due,
+)
 from larkweir.routes.trial import FACTORS, Trial, nobody, rates
 
 MOST_TRIALS = 24  # at a time; further ones are each copy's own
--- a/larkweir/fleet/edits/ended.py
+++ b/larkweir/coordination/edits/ended.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple, Protocol
 
-from larkweir.fleet.duties.verdicts import read
+from larkweir.coordination.duties.verdicts import read
 
 
 class Fleet(Protocol):
--- a/larkweir/fleet/edits/part.py
+++ b/larkweir/coordination/edits/part.py
@@ -24,15 +24,15 @@
 from larkweir.config.options import Operator
 from larkweir.config.peering import merging
 from larkweir.config.platform import Config, ConfigError
+from larkweir.coordination.edits.journal import Posts, Waiting
+from larkweir.coordination.edits.tables import Checked, Settled, differs, schema, tables_of
+from larkweir.coordination.edits.words import WAITS, Lines, began_line, mark_of, names_of
 from larkweir.core.clock import Clock, Timer
 from larkweir.core.stderr_log import StderrLog
-from larkweir.fleet.edits.journal import Posts, Waiting
-from larkweir.fleet.edits.tables import Checked, Settled, differs, schema, tables_of
-from larkweir.fleet.edits.words import WAITS, Lines, began_line, mark_of, names_of
 from larkweir.routes.hands import Routes
 
 if TYPE_CHECKING:
-    from larkweir.fleet.edits.ended import Ended, Fleet
+    from larkweir.coordination.edits.ended import Ended, Fleet
 
 EDITS = 2  # channel of the peers' mail
 AGAIN_MS = 100.0  # until a folder that a predecessor still has is tried again
@@ -427,7 +427,7 @@
         if owners is None or routes is None or not self.copy.met:
             return
         if self._ended is None:
-            from larkweir.fleet.edits.ended import Ended  # not imported where there are no owners
+            from larkweir.coordination.edits.ended import Ended  # not imported where there are no owners
 
             self._ended = Ended()
         for end in self._ended.due(owners, routes.router.parts_by_key()):
--- a/larkweir/fleet/owners.py
+++ b/larkweir/coordination/owners.py
@@ -25,13 +25,13 @@
 from larkweir.config.options import Operator
 from larkweir.config.peering import keeping
 from larkweir.config.platform import Config, ConfigError
+from larkweir.coordination.duties.messages import Report, pack, unpack
+from larkweir.coordination.duties.ports import Work
+from larkweir.coordination.duties.table import Captured, Scout, Seat, made
 from larkweir.core.clock import Clock, Timer
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.ports import Decisions
 from larkweir.core.stderr_log import StderrLog
-from larkweir.fleet.duties.messages import Report, pack, unpack
-from larkweir.fleet.duties.ports import Work
-from larkweir.fleet.duties.table import Captured, Scout, Seat, made
 from larkweir.routes.hands import Routes
 from mulleinhitch import Balancer
 
@@ -197,7 +197,7 @@
         self._turn()
 
     def _scout(self) -> Scout:
-        from larkweir.fleet.scouting import Scouts  # what is not taken part in is not imported
+        from larkweir.coordination.scouting import Scouts  # what is not taken part in is not imported
 
         dispatcher = self._host.dispatcher
         return Scouts(self._deciding, lambda: dispatcher.upstreams.targets, dispatcher.heard)
--- a/larkweir/fleet/scouting.py
+++ b/larkweir/coordination/scouting.py
@@ -6,9 +6,9 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
+from larkweir.coordination.duties.ports import Known
+from larkweir.coordination.duties.probers import BAD, NOTHING, PROBED, SERVED, key_of
 from larkweir.core.ports import UpstreamInfo
-from larkweir.fleet.duties.ports import Known
-from larkweir.fleet.duties.probers import BAD, NOTHING, PROBED, SERVED, key_of
 from mulleinhitch import Balancer
 from mulleinhitch.hearsay import Hearsay, Told
 from mulleinhitch.interface import Heard
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -32,9 +32,9 @@
     from larkweir_peers.hands import Socket
 
     from larkweir.background.runner import Runner
-    from larkweir.fleet.captures.part import Part as Captures
-    from larkweir.fleet.edits.part import Part as Edits
-    from larkweir.fleet.owners import Part
+    from larkweir.coordination.captures.part import Part as Captures
+    from larkweir.coordination.edits.part import Part as Edits
+    from larkweir.coordination.owners import Part
     from larkweir.lifecycle.channel import HandoverState
     from larkweir.lifecycle.seen import SeenElsewhere, Tell
     from larkweir.membership.remembered.evidence import Evidence
@@ -57,7 +57,7 @@
 # makes the log or the decisions has `begin(node, options)` as well, which comes before the core stands, and may
 # return options that count for all behind it.
 PARTS: tuple[tuple[str, Callable[[Operator], bool]], ...] = (
-    ("larkweir.fleet.edits.part", lambda options: options.edits.on),
+    ("larkweir.coordination.edits.part", lambda options: options.edits.on),
     ("larkweir.routes.part", lambda options: bool(options.routes or options.pools or options.edits.on)),
     ("larkweir.storms.part", lambda options: options.storms.on),
     ("larkweir.logs.part", lambda options: options.log.format == "json"),
@@ -65,10 +65,10 @@
     ("larkweir.membership.remembered.part", lambda options: options.store.on or options.remembered.known),
     ("larkweir.store.part", lambda options: options.store.on),
     ("larkweir.door.part", lambda options: options.door.on),
-    ("larkweir.fleet.part", lambda options: options.peers.on),
-    ("larkweir.fleet.owners", lambda options: options.owners.on),
+    ("larkweir.coordination.part", lambda options: options.peers.on),
+    ("larkweir.coordination.owners", lambda options: options.owners.on),
     ("larkweir.budget.part", lambda options: options.budget.on),
-    ("larkweir.fleet.captures.part", lambda options: options.captures.on),
+    ("larkweir.coordination.captures.part", lambda options: options.captures.on),
 )
 
 
--- a/larkweir/lifecycle/outgoing_handover.py
+++ b/larkweir/lifecycle/outgoing_handover.py
@@ -22,7 +22,7 @@
 from larkweir.lifecycle.replica_handoff import MarkDelivery, ReplicaHandoff
 
 if TYPE_CHECKING:  # imported where they are switched on
-    from larkweir.fleet.owners import Part
+    from larkweir.coordination.owners import Part
     from larkweir.lifecycle.host import Host
     from larkweir.lifecycle.upgrade import UpgradePeer
 
--- a/standins/duties.py
+++ b/standins/duties.py
@@ -16,11 +16,11 @@
 from larkweir_simulated import Due, Network
 
 from larkweir.config.options import Route
-from larkweir.fleet.duties.messages import pack, unpack
-from larkweir.fleet.duties.ports import Work
-from larkweir.fleet.duties.ramps import Ramps
-from larkweir.fleet.duties.verdicts import Verdicts
-from larkweir.fleet.owners import STEP_MS
+from larkweir.coordination.duties.messages import pack, unpack
+from larkweir.coordination.duties.ports import Work
+from larkweir.coordination.duties.ramps import Ramps
+from larkweir.coordination.duties.verdicts import Verdicts
+from larkweir.coordination.owners import STEP_MS
 from larkweir.routes.router import Router
 from larkweir.routes.trial import Trial
 
--- a/standins/probing.py
+++ b/standins/probing.py
@@ -10,9 +10,9 @@
 from random import Random
 
 from larkweir.config.options import Route
-from larkweir.fleet.duties.ports import Work
-from larkweir.fleet.duties.probers import Probers
-from larkweir.fleet.scouting import Scouts
+from larkweir.coordination.duties.ports import Work
+from larkweir.coordination.duties.probers import Probers
+from larkweir.coordination.scouting import Scouts
 from mulleinhitch import Balancer
 from mulleinhitch.interface import (
     AttemptEnded,
--- a/standins/world/system.py
+++ b/standins/world/system.py
@@ -210,11 +210,11 @@
     ("larkweir.lifecycle.handover", "Successor", Successor),
     ("larkweir.lifecycle.upgrade", "socket_path", _no_meeting_place),
     ("larkweir_peers.hands", "socket", SocketModule()),
-    ("larkweir.fleet.part", "Random", drawn),
-    ("larkweir.fleet.owners", "Random", drawn),
-    ("larkweir.fleet.owners", "randbits", randbits),
-    ("larkweir.fleet.owners", "ThreadPoolExecutor", Pool),
-    ("larkweir.fleet.owners", "Folder", _folder),
+    ("larkweir.coordination.part", "Random", drawn),
+    ("larkweir.coordination.owners", "Random", drawn),
+    ("larkweir.coordination.owners", "randbits", randbits),
+    ("larkweir.coordination.owners", "ThreadPoolExecutor", Pool),
+    ("larkweir.coordination.owners", "Folder", _folder),
 )
 
 
--- a/tests/fleet/test_captures_rules.py
+++ b/tests/fleet/test_captures_rules.py
@@ -10,12 +10,12 @@
 from larkweir_captures.wire import Report as Seen
 from larkweir_captures.wire import Table, pack, unpack
 
-from larkweir.fleet.captures.part import _Post
-from larkweir.fleet.captures.scribe import OWNER, Ride, Scribe
-from larkweir.fleet.duties.messages import CaptureReport
-from larkweir.fleet.duties.messages import pack as pack_report
-from larkweir.fleet.duties.messages import unpack as unpack_report
-from larkweir.fleet.duties.thresholds import Thresholds
+from larkweir.coordination.captures.part import _Post
+from larkweir.coordination.captures.scribe import OWNER, Ride, Scribe
+from larkweir.coordination.duties.messages import CaptureReport
+from larkweir.coordination.duties.messages import pack as pack_report
+from larkweir.coordination.duties.messages import unpack as unpack_report
+from larkweir.coordination.duties.thresholds import Thresholds
 from mulleinhitch import Balancer
 from mulleinhitch.interface import (
     AttemptEnded,
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -11,8 +11,8 @@
 
 from benchmarks.fleet_duties import Good, watch
 from larkweir.config.options import Route
-from larkweir.fleet.duties import ramps, verdicts
-from larkweir.fleet.duties.messages import (
+from larkweir.coordination.duties import ramps, verdicts
+from larkweir.coordination.duties.messages import (
     MOST_COPIES,
     Evidence,
     EvidenceReport,
@@ -22,9 +22,9 @@
     pack,
     unpack,
 )
-from larkweir.fleet.duties.ramps import Ramps, Stepped
-from larkweir.fleet.duties.timing import FORGET_MS, OWNER_TIMEOUT_MS
-from larkweir.fleet.duties.verdicts import LOGS, MOST_TRIALS, UNIT, Verdicts, read, stake
+from larkweir.coordination.duties.ramps import Ramps, Stepped
+from larkweir.coordination.duties.timing import FORGET_MS, OWNER_TIMEOUT_MS
+from larkweir.coordination.duties.verdicts import LOGS, MOST_TRIALS, UNIT, Verdicts, read, stake
 from larkweir.routes.router import Router
 from larkweir.routes.split import Ramp
 from larkweir.routes.trial import FACTORS, Trial
--- a/tests/fleet/test_edits_part.py
+++ b/tests/fleet/test_edits_part.py
@@ -16,10 +16,10 @@
 from larkweir.config.operator import decode
 from larkweir.config.options import Operator
 from larkweir.config.platform import decode as decode_platform
+from larkweir.coordination.duties.replicated import encode
+from larkweir.coordination.duties.verdicts import State
+from larkweir.coordination.edits.part import Part, attach, begin
 from larkweir.core.clock import Clock
-from larkweir.fleet.duties.replicated import encode
-from larkweir.fleet.duties.verdicts import State
-from larkweir.fleet.edits.part import Part, attach, begin
 from larkweir.routes.hands import Routes
 from standins.peers import PATIENCE_S
 from tests.fleet.services import platform
@@ -296,7 +296,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The record may be on the disk or not: nothing of it counts before the whole was written once more."""
-    monkeypatch.setattr("larkweir.fleet.edits.part.MEND_MS", 50.0)
+    monkeypatch.setattr("larkweir.coordination.edits.part.MEND_MS", 50.0)
 
     async def play() -> None:
         _, hosts = await fleet(tmp_path, 2)
@@ -328,7 +328,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its file has moved on: an edit on that base would be one that no other can take, for ever."""
-    monkeypatch.setattr("larkweir.fleet.edits.part.FLUSH_MS", 1000.0 * PATIENCE_S)  # a disk may be slow
+    monkeypatch.setattr(
+        "larkweir.coordination.edits.part.FLUSH_MS", 1000.0 * PATIENCE_S
+    )  # a disk may be slow
 
     async def play() -> None:
         post, hosts = await fleet(tmp_path, 2)
@@ -343,7 +345,7 @@
         with (
             monkeypatch.context() as impatient
         ):  # its folder is open: the one thing that it waits for never comes
-            impatient.setattr("larkweir.fleet.edits.part.FLUSH_MS", 100.0)
+            impatient.setattr("larkweir.coordination.edits.part.FLUSH_MS", 100.0)
             assert "no other balancer was heard" in await again.reload(text + '[route.c]\npath = "/c"\n')
         post.cut.clear()
         await until(
--- a/tests/fleet/test_edits_tables.py
+++ b/tests/fleet/test_edits_tables.py
@@ -17,8 +17,8 @@
 from larkweir.config.options import NAMED, Operator, Pool, Route, changed
 from larkweir.config.platform import decode as decode_platform
 from larkweir.config.routing import routing_objections
-from larkweir.fleet.edits.tables import ALL, Checked, Settled, differs, schema, tables_of
-from larkweir.fleet.edits.words import MOST_LINES, Lines, mark_of, names_of
+from larkweir.coordination.edits.tables import ALL, Checked, Settled, differs, schema, tables_of
+from larkweir.coordination.edits.words import MOST_LINES, Lines, mark_of, names_of
 from tests.fleet.services import platform
 from tests.fleet.test_owners import PEERS
 
--- a/tests/fleet/test_golden_duties.py
+++ b/tests/fleet/test_golden_duties.py
@@ -9,9 +9,9 @@
 import pytest
 from larkweir_captures import wire
 
-from larkweir.fleet.duties import probers, ramps, thresholds, verdicts
-from larkweir.fleet.duties.drill import Drill
-from larkweir.fleet.duties.messages import (
+from larkweir.coordination.duties import probers, ramps, thresholds, verdicts
+from larkweir.coordination.duties.drill import Drill
+from larkweir.coordination.duties.messages import (
     CaptureReport,
     Evidence,
     EvidenceReport,
@@ -23,7 +23,7 @@
     pack,
     unpack,
 )
-from larkweir.fleet.duties.replicated import encode
+from larkweir.coordination.duties.replicated import encode
 
 GOLDEN = Path(__file__).parent / "golden"
 LIFE = 1_700_000_000_000
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -16,7 +16,7 @@
 from larkweir.config.fleet_tables import DUTIES
 from larkweir.config.operator import decode
 from larkweir.config.options import Operator, changed
-from larkweir.fleet.duties.table import MAKERS
+from larkweir.coordination.duties.table import MAKERS
 from standins.manager import ROOT
 from standins.peers import PATIENCE_S
 from tests.fleet.services import PEERS_TABLE, peered, platform, shows, status
@@ -65,7 +65,7 @@
 
 def test_nothing_of_it_is_imported_when_it_is_off() -> None:
     code = (
-        "import sys, larkweir.lifecycle.daemon, larkweir.cli.check, larkweir.fleet.part; "
+        "import sys, larkweir.lifecycle.daemon, larkweir.cli.check, larkweir.coordination.part; "
         "print([name for name in sys.modules if 'owners' in name or 'duties' in name])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
@@ -199,9 +199,9 @@
 def test_every_duty_that_may_be_named_has_a_maker_and_is_imported_only_then() -> None:
     assert set(MAKERS) == set(DUTIES)
     code = (
-        "import sys; from larkweir.fleet.duties.table import Seat, made; "
+        "import sys; from larkweir.coordination.duties.table import Seat, made; "
         "found = made(['drill', 'ramps'], Seat(1, None, lambda: None)); "
-        "print(list(found), [n for n in sys.modules if n.startswith('larkweir.fleet.duties.')])"
+        "print(list(found), [n for n in sys.modules if n.startswith('larkweir.coordination.duties.')])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert done.stdout.startswith("['drill']") and "verdicts" not in done.stdout
--- a/tests/fleet/test_part.py
+++ b/tests/fleet/test_part.py
@@ -18,7 +18,7 @@
 from larkweir.config.peering import Peering, peering
 from larkweir.config.platform import ConfigError
 from larkweir.config.platform import decode as decode_platform
-from larkweir.fleet.part import read_keys
+from larkweir.coordination.part import read_keys
 from standins.manager import ROOT
 from standins.peers import PATIENCE_S
 from tests.fleet.services import PEERS_TABLE, peered, platform, shows
@@ -126,7 +126,7 @@
 def test_nothing_of_it_is_imported_when_it_is_off() -> None:
     code = (
         "import sys, larkweir.lifecycle.daemon, larkweir.config.operator, larkweir.cli.check; "
-        "parts = ('larkweir_peers', 'larkweir.fleet', 'larkweir.config.peering'); "
+        "parts = ('larkweir_peers', 'larkweir.coordination', 'larkweir.config.peering'); "
         "print([name for name in sys.modules if name.startswith(parts)])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
--- a/tests/fleet/test_probers.py
+++ b/tests/fleet/test_probers.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from larkweir.config.options import Owners
-from larkweir.fleet.duties.messages import MOST_ROWS, Sighting, SightingReport, pack, unpack
-from larkweir.fleet.duties.ports import Known
-from larkweir.fleet.duties.probers import (
+from larkweir.coordination.duties.messages import MOST_ROWS, Sighting, SightingReport, pack, unpack
+from larkweir.coordination.duties.ports import Known
+from larkweir.coordination.duties.probers import (
     BAD,
     BY_CALL,
     CLOSE_MS,
@@ -34,9 +34,9 @@
     read,
     tag_of,
 )
-from larkweir.fleet.duties.replicated import encode
-from larkweir.fleet.duties.timing import HEARTBEAT_INTERVAL_MS, OWNER_TIMEOUT_MS, REFRESH_MS
-from larkweir.fleet.scouting import Scouts
+from larkweir.coordination.duties.replicated import encode
+from larkweir.coordination.duties.timing import HEARTBEAT_INTERVAL_MS, OWNER_TIMEOUT_MS, REFRESH_MS
+from larkweir.coordination.scouting import Scouts
 from mulleinhitch import Balancer
 from mulleinhitch.hearsay import HOLD_MS, LOOK_MS, SPREAD_MS, TRUST_MS
 from mulleinhitch.interface import (
@@ -489,8 +489,8 @@
 def test_the_duty_is_off_by_default_and_not_imported() -> None:
     assert "probers" not in Owners().duties and not Owners(duties=("probers",)).faults().get("duties")
     code = (
-        "import sys, larkweir.fleet.owners, larkweir.lifecycle.node\n"
-        "off = {'mulleinhitch.hearsay', 'larkweir.fleet.duties.probers', 'larkweir.fleet.scouting'}\n"
+        "import sys, larkweir.coordination.owners, larkweir.lifecycle.node\n"
+        "off = {'mulleinhitch.hearsay', 'larkweir.coordination.duties.probers', 'larkweir.coordination.scouting'}\n"
         "assert not off & set(sys.modules)"
     )
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
--- a/tests/fleet/test_probers_together.py
+++ b/tests/fleet/test_probers_together.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from larkweir.fleet.duties.timing import OWNER_TIMEOUT_MS
+from larkweir.coordination.duties.timing import OWNER_TIMEOUT_MS
 from mulleinhitch.hearsay import LOOK_MS
 from standins.checkers import Ran, Taken, broken
 from standins.fleet import SETTINGS
--- a/tests/lifecycle/test_parts.py
+++ b/tests/lifecycle/test_parts.py
@@ -19,7 +19,7 @@
     "larkweir.membership.remembered.part": replace(Operator(), remembered=Remembered(known=True)),
     "larkweir.door.part": replace(Operator(), door=Door(on=True)),
     "larkweir.budget.part": replace(Operator(), budget=Budget(on=True)),
-    "larkweir.fleet.captures.part": replace(Operator(), captures=Captures(on=True)),
+    "larkweir.coordination.captures.part": replace(Operator(), captures=Captures(on=True)),
 }
 
 
