--- a/benchmarks/fleet_ablation.py
+++ b/benchmarks/fleet_ablation.py
@@ -1,6 +1,6 @@
 """`python -m benchmarks.fleet_ablation BENCH SITE DAY... --copies DIR`: what each mechanism of deciding is worth.
 
-For each switch of `mulleinhitch.decision_options` a copy of the committed text is made below DIR with that one off
+For each switch of `larkweir_balancing.decision_options` a copy of the committed text is made below DIR with that one off
 (`--only NAME` for some of them), and all play the days with each of `--seeds` as `benchmarks.fleet_pairs` does. A
 negative difference is what the mechanism gains. DIR must lie outside of /tmp, where the bench's processes have
 folders of their own.
@@ -14,11 +14,12 @@
 from dataclasses import fields
 from pathlib import Path
 
+from larkweir_balancing.decision_options import DecisionOptions
+
 from benchmarks import fleet_pairs
-from mulleinhitch.decision_options import DecisionOptions
 
 ROOT = Path(__file__).parent.parent
-SWITCHES = ROOT / "mulleinhitch" / "decision_options.py"
+SWITCHES = ROOT / "larkweir_balancing" / "decision_options.py"
 WHOLE = "whole"
 
 
--- a/benchmarks/fleet_losses.py
+++ b/benchmarks/fleet_losses.py
@@ -27,7 +27,7 @@
 from pathlib import Path
 from typing import Any
 
-from mulleinhitch.reading_time import ReadingTime
+from larkweir_balancing.reading_time import ReadingTime
 
 LINE = re.compile(r"^\s*(-?[\d.]+) \S+ (\{.*\"event\":\"request\".*\})\s*$")
 TROUBLE = re.compile(r"^\s+([\d.]+) s to\s+([\d.]+) s\s+(\S+)")
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -21,6 +21,8 @@
 from statistics import median
 from typing import Any
 
+from larkweir_balancing.interface import ListKind, Outcome, ServerEntry
+
 from benchmarks.hot_path import SETTINGS
 from larkweir.config.options import Operator, Pool, Route
 from larkweir.config.platform import decode
@@ -30,7 +32,6 @@
 from larkweir.lifecycle.node import Node
 from larkweir.routes.subsets import WAYS
 from larkweir.routes.trial import Trial
-from mulleinhitch.interface import ListKind, Outcome, ServerEntry
 
 
 class Nobody:
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -143,10 +143,8 @@
 
 def cost() -> None:
     """The rules beside none, on a script of arrivals and answers in calm: microseconds a request."""
-    from larkweir.storms.storm import Storm
-    from larkweir.storms.watch import Watch
-    from mulleinhitch import Balancer, Settings
-    from mulleinhitch.interface import (
+    from larkweir_balancing import Balancer, Settings
+    from larkweir_balancing.interface import (
         AttemptEnded,
         ListKind,
         ListUpdate,
@@ -156,6 +154,9 @@
         ServerEntry,
     )
 
+    from larkweir.storms.storm import Storm
+    from larkweir.storms.watch import Watch
+
     settings = Settings(classes=CLASSES, max_attempts=4, retry_advice=True, max_retry_after_ms=2000.0)
     times: dict[bool, list[float]] = {True: [], False: []}
     for turn in range(6):
--- a/larkweir/__init__.py
+++ b/larkweir/__init__.py
@@ -1,3 +1,3 @@
-"""larkweir: a load balancer on real sockets, round the decisions of mulleinhitch."""
+"""larkweir: a load balancer on real sockets, round the decisions of larkweir_balancing."""
 
 VERSION = "0.2.0"
--- a/larkweir/budget/chain.py
+++ b/larkweir/budget/chain.py
@@ -19,6 +19,8 @@
 from ipaddress import ip_address, ip_network
 from typing import NamedTuple
 
+from larkweir_balancing.interface import NEVER_RAN, Outcome, RequestArrived, Settings
+
 from larkweir.budget.rules import (
     MOST_BUDGET,
     MOST_WORTH,
@@ -34,7 +36,6 @@
 from larkweir.config.options import Budget
 from larkweir.core.message import FramingError, Headers, Message
 from larkweir.core.ports import Baggage, BaggagePropagator
-from mulleinhitch.interface import NEVER_RAN, Outcome, RequestArrived, Settings
 
 BUDGET = b"x-budget"
 WORTH = b"x-budget-worth"
--- a/larkweir/cli/members.py
+++ b/larkweir/cli/members.py
@@ -7,12 +7,13 @@
 import sys
 import time
 
+from larkweir_balancing.proof import FLOOR, SEND_FIRST
+
 from larkweir.cli.state import BAD, WELL, read_store
 from larkweir.membership.remembered.evidence import DAY_MS, HOUR_MS, Source, confidence
 from larkweir.store.keeper import boot
 from larkweir.store.recovery import recover
 from larkweir.store.state import beliefs
-from mulleinhitch.proof import FLOOR, SEND_FIRST
 
 
 def _ago(at_ms: float, now_ms: float) -> str:
--- a/larkweir/cluster/messages.py
+++ b/larkweir/cluster/messages.py
@@ -5,13 +5,12 @@
 from enum import StrEnum
 
 import msgspec
+from larkweir_balancing.ejection import Endings
 from larkweir_quotas.ledger import Statement
 from larkweir_registry.records import Record, Vector
 from larkweir_replication.messages import Command
 from larkweir_replication.messages import Message as ReplicationMessage
 
-from mulleinhitch.ejection import Endings
-
 MAX_LINE_BYTES = 32 * 1024 * 1024
 
 
--- a/larkweir/config/classes.py
+++ b/larkweir/config/classes.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Sequence
 from dataclasses import replace
 
-from mulleinhitch.interface import RequestClass, Settings
+from larkweir_balancing.interface import RequestClass, Settings
 
 MOST_GONE = (
     64  # places of classes that are no more; past that, those that no request uses are given to new classes
--- a/larkweir/config/platform.py
+++ b/larkweir/config/platform.py
@@ -11,8 +11,8 @@
 from ipaddress import AddressValueError, IPv4Address
 from typing import Any
 
-from mulleinhitch.interface import Settings, SettingsError
-from mulleinhitch.wire import decode_settings
+from larkweir_balancing.interface import Settings, SettingsError
+from larkweir_balancing.wire import decode_settings
 
 Address = tuple[str, int]
 
--- a/larkweir/config/policies.py
+++ b/larkweir/config/policies.py
@@ -10,9 +10,10 @@
 from dataclasses import replace
 from typing import NamedTuple
 
+from larkweir_balancing.interface import Effect, RequestClass, Settings, Tenant, Tuning
+
 from larkweir.config.options import ClassPolicy, Operator
 from larkweir.config.platform import Config
-from mulleinhitch.interface import Effect, RequestClass, Settings, Tenant, Tuning
 
 STRICTNESS = {"freely": 0, "by_key": 1, "never": 2}
 EFFECTS = {Effect.SAFE: "freely", Effect.KEYED: "by_key", Effect.UNSAFE: "never"}
--- a/larkweir/config/routing.py
+++ b/larkweir/config/routing.py
@@ -10,10 +10,11 @@
 from dataclasses import fields
 from functools import lru_cache
 
+from larkweir_balancing.interface import Effect
+
 from larkweir.config.options import Operator, Pool, Route
 from larkweir.config.platform import Config, ConfigError, parse_address
 from larkweir.config.policies import Objection
-from mulleinhitch.interface import Effect
 
 DEFAULT = "default"
 METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE")
--- a/larkweir/controller/distribution.py
+++ b/larkweir/controller/distribution.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 
 import msgspec
+from larkweir_balancing.ejection import Ejections, Endings, summed
 from larkweir_quotas.ledger import Ledger, Limit
 from larkweir_registry.registry import Registry
 
@@ -14,7 +15,6 @@
 from larkweir.cluster.configuration.documents import Document, difference
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import ConfigUpdate, Delta, Kind, Pull
-from mulleinhitch.ejection import Ejections, Endings, summed
 
 HOLD_MS = 100.0  # a pull is answered after it, with or without news
 HOLD_MS_PER_ROUTER = 2.0  # where that is longer, so that a controller's work stays the same
--- a/larkweir/controller/prompt_placement.py
+++ b/larkweir/controller/prompt_placement.py
@@ -12,8 +12,7 @@
 from typing import NamedTuple
 
 import msgspec
-
-from mulleinhitch.engines import weight
+from larkweir_balancing.engines import weight
 
 HEADS_MOST = 65_536  # the one that was asked for longest ago is forgotten first
 RECENT_MS = 400.0  # what was placed so lately is not in the reports of waiting prompts yet
--- a/larkweir/coordination/captures/part.py
+++ b/larkweir/coordination/captures/part.py
@@ -13,6 +13,7 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Protocol
 
+from larkweir_balancing.interface import RequestArrived
 from larkweir_captures.node import Node, Options
 from larkweir_captures.writer import Writer
 
@@ -25,7 +26,6 @@
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.stderr_log import StderrLog
 from larkweir.upstreams.pool import UpstreamPool
-from mulleinhitch.interface import RequestArrived
 
 if TYPE_CHECKING:
     from larkweir_peers.hands import Mail, Socket
--- a/larkweir/coordination/captures/scribe.py
+++ b/larkweir/coordination/captures/scribe.py
@@ -11,12 +11,7 @@
 from typing import Any
 
 import msgspec
-from larkweir_captures.node import Node
-from larkweir_captures.thresholds import Verdict
-
-from larkweir.core.ports import Decisions
-from larkweir.logs.follow import Follow, Told, tenths
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     Event,
@@ -25,6 +20,11 @@
     Settings,
     TimerFired,
 )
+from larkweir_captures.node import Node
+from larkweir_captures.thresholds import Verdict
+
+from larkweir.core.ports import Decisions
+from larkweir.logs.follow import Follow, Told, tenths
 
 FIELD = b"X-Capture"
 OWNER = "owner"  # to whom reports go: whoever owns the duty
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -15,6 +15,7 @@
 from secrets import randbits
 from typing import Protocol, TypeVar
 
+from larkweir_balancing import Balancer
 from larkweir_owners.duty import Owners
 from larkweir_owners.keeper import Disk, Keeper, Step
 from larkweir_owners.keeper_file import Folder, KeeperFile
@@ -33,7 +34,6 @@
 from larkweir.core.ports import Decisions
 from larkweir.core.stderr_log import StderrLog
 from larkweir.routes.hands import Routes
-from mulleinhitch import Balancer
 
 T = TypeVar("T")
 OWNERS, REPORTS = 1, 4  # channels of the peers' mail
--- a/larkweir/coordination/scouting.py
+++ b/larkweir/coordination/scouting.py
@@ -6,12 +6,13 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
+from larkweir_balancing import Balancer
+from larkweir_balancing.hearsay import Hearsay, Told
+from larkweir_balancing.interface import Heard
+
 from larkweir.coordination.duties.ports import Known
 from larkweir.coordination.duties.probers import BAD, NOTHING, PROBED, SERVED, key_of
 from larkweir.core.ports import UpstreamInfo
-from mulleinhitch import Balancer
-from mulleinhitch.hearsay import Hearsay, Told
-from mulleinhitch.interface import Heard
 
 
 class Scouts:
--- a/larkweir/core/actions.py
+++ b/larkweir/core/actions.py
@@ -4,14 +4,7 @@
 
 from collections.abc import Callable
 
-from larkweir.core.attempts import AttemptRunner
-from larkweir.core.clock import Clock
-from larkweir.core.extensions import Extensions
-from larkweir.core.health_probes import ProbeSender
-from larkweir.core.message import Headers
-from larkweir.core.ports import Pool
-from larkweir.core.stderr_log import StderrLog
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     Cancel,
     CloseIdle,
@@ -26,9 +19,17 @@
     WatchList,
 )
 
+from larkweir.core.attempts import AttemptRunner
+from larkweir.core.clock import Clock
+from larkweir.core.extensions import Extensions
+from larkweir.core.health_probes import ProbeSender
+from larkweir.core.message import Headers
+from larkweir.core.ports import Pool
+from larkweir.core.stderr_log import StderrLog
+
 
 class ActionExecutor:
-    """Finds an action's handler by its class, which must be one of `mulleinhitch.interface` itself."""
+    """Finds an action's handler by its class, which must be one of `larkweir_balancing.interface` itself."""
 
     def __init__(
         self,
--- a/larkweir/core/active_request.py
+++ b/larkweir/core/active_request.py
@@ -4,11 +4,12 @@
 
 from typing import NamedTuple, Protocol
 
+from larkweir_balancing.interface import Outcome
+
 from larkweir.core.body_stream import BodyStream
 from larkweir.core.clock import Timer
 from larkweir.core.message import Headers, Message
 from larkweir.core.ports import Attempt, RequestBudget
-from mulleinhitch.interface import Outcome
 
 
 class Caller(Protocol):
--- a/larkweir/core/attempts.py
+++ b/larkweir/core/attempts.py
@@ -5,6 +5,8 @@
 import math
 from collections.abc import Callable, Sequence
 
+from larkweir_balancing.interface import NEVER_RAN, AnswerStarted, AttemptEnded, Cancel, Outcome, Send
+
 from larkweir.core.active_request import ActiveRequest, AttemptTime
 from larkweir.core.clock import Clock
 from larkweir.core.extensions import Extensions
@@ -13,7 +15,6 @@
 from larkweir.core.reports import LOAD_HEADER, report_of
 from larkweir.core.request_table import RequestTable
 from larkweir.core.stderr_log import StderrLog
-from mulleinhitch.interface import NEVER_RAN, AnswerStarted, AttemptEnded, Cancel, Outcome, Send
 
 
 class _AttemptObserver:
--- a/larkweir/core/dispatcher.py
+++ b/larkweir/core/dispatcher.py
@@ -1,7 +1,7 @@
 """Passes events to the decisions and has their actions carried out.
 
 Nothing is decided here: which upstream gets a request, whether it is tried again, refused or failed, is up to the
-decisions (`mulleinhitch.Balancer`).
+decisions (`larkweir_balancing.Balancer`).
 """
 
 from __future__ import annotations
@@ -11,20 +11,7 @@
 from collections import deque
 from functools import partial
 
-from larkweir.config.platform import Config
-from larkweir.core.actions import ActionExecutor
-from larkweir.core.active_request import ActiveRequest, Caller
-from larkweir.core.attempts import AttemptRunner
-from larkweir.core.clock import Clock
-from larkweir.core.extensions import Extensions
-from larkweir.core.health_probes import HEALTH_TARGET, LOAD_REPORT_TARGET, ProbeSender
-from larkweir.core.loop_timing import LoopTiming
-from larkweir.core.memory_budget import MemoryBudget
-from larkweir.core.message import Headers, Message
-from larkweir.core.ports import Budgets, Decisions, Listing, Pool
-from larkweir.core.request_table import RequestTable
-from larkweir.core.stderr_log import StderrLog
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     BodyCame,
     ClientGone,
     Effect,
@@ -39,6 +26,20 @@
     TimerFired,
 )
 
+from larkweir.config.platform import Config
+from larkweir.core.actions import ActionExecutor
+from larkweir.core.active_request import ActiveRequest, Caller
+from larkweir.core.attempts import AttemptRunner
+from larkweir.core.clock import Clock
+from larkweir.core.extensions import Extensions
+from larkweir.core.health_probes import HEALTH_TARGET, LOAD_REPORT_TARGET, ProbeSender
+from larkweir.core.loop_timing import LoopTiming
+from larkweir.core.memory_budget import MemoryBudget
+from larkweir.core.message import Headers, Message
+from larkweir.core.ports import Budgets, Decisions, Listing, Pool
+from larkweir.core.request_table import RequestTable
+from larkweir.core.stderr_log import StderrLog
+
 
 class Dispatcher:
     """Owns the table of requests. Times are milliseconds of its clock.
--- a/larkweir/core/health_probes.py
+++ b/larkweir/core/health_probes.py
@@ -4,11 +4,12 @@
 
 from collections.abc import Callable, Sequence
 
+from larkweir_balancing.interface import Outcome, Probe, ProbeEnded
+
 from larkweir.core.clock import Clock
 from larkweir.core.message import Message
 from larkweir.core.ports import Pool
 from larkweir.core.reports import report_of
-from mulleinhitch.interface import Outcome, Probe, ProbeEnded
 
 HEALTH_TARGET = b"/health"
 LOAD_REPORT_TARGET = b"/status/load"
--- a/larkweir/core/ports.py
+++ b/larkweir/core/ports.py
@@ -10,9 +10,18 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from larkweir_balancing.interface import (
+    Action,
+    Event,
+    ListKind,
+    Outcome,
+    RequestArrived,
+    ServerEntry,
+    ServerState,
+)
+
 from larkweir.config.platform import Address as Address
 from larkweir.core.message import Headers, Message
-from mulleinhitch.interface import Action, Event, ListKind, Outcome, RequestArrived, ServerEntry, ServerState
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,7 +35,7 @@
 
 
 class Decisions(Protocol):
-    """The load-balancing decisions: `mulleinhitch.Balancer`."""
+    """The load-balancing decisions: `larkweir_balancing.Balancer`."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take one event; returns the actions to carry out, in order, at the same time."""
--- a/larkweir/core/request_handler.py
+++ b/larkweir/core/request_handler.py
@@ -5,11 +5,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from larkweir_balancing.interface import RequestArrived
+
 from larkweir.core.active_request import Caller
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.message import FramingError, Headers, Message
 from larkweir.core.request_parser import METHODS, RequestParser
-from mulleinhitch.interface import RequestArrived
 
 Check = Callable[[Message], None]
 
--- a/larkweir/core/request_parser.py
+++ b/larkweir/core/request_parser.py
@@ -7,8 +7,9 @@
 import zlib
 from collections.abc import Collection
 
+from larkweir_balancing.interface import Effect, RequestArrived, RequestClass, Settings
+
 from larkweir.core.message import FramingError, Message
-from mulleinhitch.interface import Effect, RequestArrived, RequestClass, Settings
 
 MAX_TRACE = 128  # bytes of a request's id
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))
--- a/larkweir/door/guard.py
+++ b/larkweir/door/guard.py
@@ -9,12 +9,13 @@
 from collections.abc import Callable
 from random import Random
 
+from larkweir_balancing.door import Door
+from larkweir_balancing.interface import Settings
+
 from larkweir.config.options import Door as Options
 from larkweir.core.clock import Clock
 from larkweir.core.message import Headers, Message
 from larkweir.core.request_parser import MAX_TRACE
-from mulleinhitch.door import Door
-from mulleinhitch.interface import Settings
 
 
 class Guard:
--- a/larkweir/lab/balancers.py
+++ b/larkweir/lab/balancers.py
@@ -5,13 +5,8 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from larkweir.core.ports import Decisions
-from larkweir.lab.policies import POLICIES, Policy
-from larkweir.lab.servers import Call
-from larkweir.storms.storm import Storm
-from larkweir.storms.watch import Watch
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import (
     NEVER_RAN,
     Action,
     AttemptEnded,
@@ -32,6 +27,12 @@
     TimerFired,
 )
 
+from larkweir.core.ports import Decisions
+from larkweir.lab.policies import POLICIES, Policy
+from larkweir.lab.servers import Call
+from larkweir.storms.storm import Storm
+from larkweir.storms.watch import Watch
+
 if TYPE_CHECKING:
     from larkweir.lab.model import World
 
--- a/larkweir/lab/model.py
+++ b/larkweir/lab/model.py
@@ -14,6 +14,8 @@
 from random import Random
 from typing import Any
 
+from larkweir_balancing.interface import NEVER_RAN, Outcome
+
 from larkweir.budget.rules import SHARES, Account
 from larkweir.lab.balancers import LarkweirBalancer, PolicyBalancer
 from larkweir.lab.faults import Faults
@@ -22,7 +24,6 @@
 from larkweir.lab.servers import Call, CallOwner, Server
 from larkweir.lab.service_times import mean_of
 from larkweir.lab.traffic import Arrivals, Traffic
-from mulleinhitch.interface import NEVER_RAN, Outcome
 
 MAX_PENDING_EVENTS = 200_000  # past that the fleet is unstable, and the run ends and says so
 REFUSED_CONNECTION_MS = 50.0  # until a call to a crashed server is seen to be refused
--- a/larkweir/lab/runner.py
+++ b/larkweir/lab/runner.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+import larkweir_balancing
 import msgspec
 
-import mulleinhitch
 from larkweir.lab.model import play
 from larkweir.lab.results import Cell, Results
 from larkweir.lab.scenario import Scenario, ScenarioError, arrivals_of, build, fingerprint, variants
@@ -21,7 +21,7 @@
 
 def code_version() -> str:
     """A hash of the code that determines a run's result: the lab, but for its reports, and the decision module."""
-    folders = [Path(__file__).parent, Path(mulleinhitch.__file__).parent]
+    folders = [Path(__file__).parent, Path(larkweir_balancing.__file__).parent]
     whole = hashlib.sha256()
     for folder in folders:
         for path in sorted(folder.glob("*.py")):
--- a/larkweir/lab/servers.py
+++ b/larkweir/lab/servers.py
@@ -7,10 +7,11 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
+from larkweir_balancing.interface import Outcome
+
 from larkweir.budget.rules import Account
 from larkweir.lab.scenario import Service
 from larkweir.lab.service_times import draw
-from mulleinhitch.interface import Outcome
 
 if TYPE_CHECKING:
     from larkweir.lab.model import World
--- a/larkweir/lifecycle/config_loader.py
+++ b/larkweir/lifecycle/config_loader.py
@@ -7,12 +7,13 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
+from larkweir_balancing.interface import fixed_difference
+
 from larkweir.config.classes import in_place
 from larkweir.config.keys import Change
 from larkweir.config.options import Operator, changed
 from larkweir.config.options import keep_fixed as keep_fixed_options
 from larkweir.config.platform import Config, ConfigError, decode_object, read_file, read_object
-from mulleinhitch.interface import fixed_difference
 
 UNREPORTED_KEYS = frozenset(("seed", "known"))  # new with each writing of the file, or of use at a start only
 MAX_READS = 5  # of a file that is being written
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -9,6 +9,8 @@
 from importlib import import_module
 from typing import TYPE_CHECKING, Any
 
+from larkweir_balancing import Balancer
+
 from larkweir.config.classes import in_place
 from larkweir.config.options import Operator
 from larkweir.config.platform import Config
@@ -26,7 +28,6 @@
 from larkweir.protocols.http1.upstreams import UpstreamConnection
 from larkweir.protocols.listener import Listener
 from larkweir.upstreams.pool import UpstreamPool
-from mulleinhitch import Balancer
 
 if TYPE_CHECKING:
     from larkweir_peers.hands import Socket
--- a/larkweir/lifecycle/operator_control.py
+++ b/larkweir/lifecycle/operator_control.py
@@ -8,13 +8,14 @@
 import errno
 from typing import TYPE_CHECKING, Protocol
 
+from larkweir_balancing.interface import ServerState
+
 from larkweir.config.platform import ConfigError
 from larkweir.control.rules import Order
 from larkweir.control.server import ControlServer
 from larkweir.lifecycle.events import PauseRequested, ResumeRequested
 from larkweir.lifecycle.node import Node
 from larkweir.lifecycle.state_machine import ProcessStateMachine
-from mulleinhitch.interface import ServerState
 
 if TYPE_CHECKING:
     from larkweir.lifecycle.events import Event
--- a/larkweir/logs/follow.py
+++ b/larkweir/logs/follow.py
@@ -10,8 +10,7 @@
 from typing import Any
 
 import msgspec
-
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
--- a/larkweir/logs/watch.py
+++ b/larkweir/logs/watch.py
@@ -13,10 +13,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from larkweir.core.ports import Decisions
-from larkweir.logs.follow import Follow, Told, ended_fields
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     Event,
@@ -28,6 +26,9 @@
     Settings,
 )
 
+from larkweir.core.ports import Decisions
+from larkweir.logs.follow import Follow, Told, ended_fields
+
 Say = Callable[[str, dict[str, Any]], None]
 
 
--- a/larkweir/membership/discovery.py
+++ b/larkweir/membership/discovery.py
@@ -10,6 +10,8 @@
 from random import Random
 from typing import Any
 
+from larkweir_balancing.interface import ListKind
+
 from larkweir.config.platform import Config
 from larkweir.core.message import Message
 from larkweir.core.ports import Address, Listing
@@ -22,7 +24,6 @@
     parse_listing,
 )
 from larkweir.membership.names import Names
-from mulleinhitch.interface import ListKind
 
 SILENT = "silent, asked anew"  # in the log
 
--- a/larkweir/membership/listing.py
+++ b/larkweir/membership/listing.py
@@ -8,10 +8,11 @@
 
 from typing import Any, NamedTuple, TypedDict
 
+from larkweir_balancing.interface import ListKind, ServerEntry, ServerState
+
 from larkweir.config.platform import ConfigError, parse_address
 from larkweir.core.ports import Address, Listing
 from larkweir.membership.names import Names
-from mulleinhitch.interface import ListKind, ServerEntry, ServerState
 
 STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 LEFT = "left"  # the lifecycle of an instance that is gone
--- a/larkweir/membership/remembered/entries.py
+++ b/larkweir/membership/remembered/entries.py
@@ -10,6 +10,9 @@
 from math import inf
 from typing import NamedTuple
 
+from larkweir_balancing.interface import Outcome
+from larkweir_balancing.proof import FLOOR, Proof, Seen
+
 from larkweir.membership.remembered.evidence import (
     NEVER_SEEN,
     Churn,
@@ -21,8 +24,6 @@
 )
 from larkweir.membership.remembered.identity import UpstreamIdentity
 from larkweir.membership.remembered.plan import opened, order
-from mulleinhitch.interface import Outcome
-from mulleinhitch.proof import FLOOR, Proof, Seen
 
 PROBE_RETRY_MS = 250.0  # after one that failed, and twice as long after each further one
 MIN_PROBE_PAUSE_MS = 50.0  # after one that has answered and left something open
--- a/larkweir/membership/remembered/restore.py
+++ b/larkweir/membership/remembered/restore.py
@@ -10,6 +10,8 @@
 from math import inf
 from typing import Any, NamedTuple
 
+from larkweir_balancing.interface import ListKind, Outcome, ServerEntry, ServerState
+
 from larkweir.background.rules import Outcome as Step
 from larkweir.background.rules import Task
 from larkweir.background.runner import Runner
@@ -29,7 +31,6 @@
 )
 from larkweir.membership.remembered.evidence import Churn, Evidence, EvidenceKind, Source
 from larkweir.membership.remembered.identity import UpstreamIdentity, parse_identity
-from mulleinhitch.interface import ListKind, Outcome, ServerEntry, ServerState
 
 
 class RestoredState(NamedTuple):
--- a/larkweir/protocols/fastcgi/upstreams.py
+++ b/larkweir/protocols/fastcgi/upstreams.py
@@ -9,6 +9,8 @@
 from contextlib import suppress
 from typing import Literal, cast
 
+from larkweir_balancing.interface import Outcome
+
 from larkweir.core import net
 from larkweir.core.message import FramingError, Message
 from larkweir.core.ports import Address
@@ -27,7 +29,6 @@
 from larkweir.upstreams.attempt_call import AttemptCall, outcome_of
 from larkweir.upstreams.pool import UpstreamPool
 from larkweir.upstreams.upstream import Upstream
-from mulleinhitch.interface import Outcome
 
 EXPIRES = b"x-expires-in-ms"  # the time until the deadline, in milliseconds
 ALL = UNKNOWN._replace(multiplexes=True)  # where operators say so
--- a/larkweir/protocols/http1/upstreams.py
+++ b/larkweir/protocols/http1/upstreams.py
@@ -7,6 +7,8 @@
 import asyncio
 from typing import cast
 
+from larkweir_balancing.interface import Outcome
+
 from larkweir.core import net
 from larkweir.core.body_stream import BodyStream
 from larkweir.core.message import Message
@@ -15,7 +17,6 @@
 from larkweir.upstreams.attempt_call import AttemptCall, outcome_of
 from larkweir.upstreams.pool import UpstreamPool
 from larkweir.upstreams.upstream import Upstream
-from mulleinhitch.interface import Outcome
 
 EXPIRES = b"x-expires-in-ms"  # the time until the deadline, in milliseconds
 
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -6,11 +6,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from larkweir_balancing.decision_options import OPTIONS
+from larkweir_balancing.engines import Prompt
+from larkweir_balancing.interface import Outcome
+
 from larkweir.router.request_log import RequestNote
 from larkweir.router.upstream_call import UpstreamConnection
-from mulleinhitch.decision_options import OPTIONS
-from mulleinhitch.engines import Prompt
-from mulleinhitch.interface import Outcome
 
 if TYPE_CHECKING:
     from larkweir.router.data_plane import DataPlane
--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from mulleinhitch.engines import Prompt
+from larkweir_balancing.engines import Prompt
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -6,6 +6,8 @@
 from random import Random
 from typing import TYPE_CHECKING
 
+from larkweir_balancing.ejection import EndingCounts
+from larkweir_balancing.engines import EngineBalancer, Listed
 from larkweir_quotas.quota import QuotaLimiter
 from larkweir_quotas.retries import RetryBudget
 from larkweir_registry.records import State, Upstream
@@ -15,8 +17,6 @@
 from larkweir.router.configuration import ConfigurationStore
 from larkweir.router.prompt_keepers import PromptKeepers
 from larkweir.router.upstream_pool import UpstreamPool
-from mulleinhitch.ejection import EndingCounts
-from mulleinhitch.engines import EngineBalancer, Listed
 
 if TYPE_CHECKING:
     from larkweir.router.client_connection import ClientConnection
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -8,6 +8,9 @@
 from typing import TYPE_CHECKING, Protocol
 
 import h11
+from larkweir_balancing.decision_options import OPTIONS
+from larkweir_balancing.engines import Prompt
+from larkweir_balancing.interface import Outcome
 
 from larkweir.cluster import log
 from larkweir.router.answers import ANSWERS, Answer, ErrorKind
@@ -18,9 +21,6 @@
 from larkweir.router.prompt_keepers import Keeper
 from larkweir.router.request_log import RequestNote
 from larkweir.router.upstream_call import Ending, UpstreamConnection
-from mulleinhitch.decision_options import OPTIONS
-from mulleinhitch.engines import Prompt
-from mulleinhitch.interface import Outcome
 
 if TYPE_CHECKING:
     from larkweir.router.data_plane import DataPlane
--- a/larkweir/router/fleet_view.py
+++ b/larkweir/router/fleet_view.py
@@ -5,6 +5,7 @@
 import asyncio
 import secrets
 
+from larkweir_balancing.engines import weight
 from larkweir_registry.records import Vector
 from larkweir_registry.registry import Registry
 
@@ -14,7 +15,6 @@
 from larkweir.cluster.settings import Settings
 from larkweir.router.data_plane import DataPlane
 from larkweir.router.fleet_size import FleetSize
-from mulleinhitch.engines import weight
 
 FORGET_FAILURES = 60  # dials in a row, about a minute
 SETTLE_MS = 400.0  # after the first configuration, for another controller to know a newer one
--- a/larkweir/router/prompt_keepers.py
+++ b/larkweir/router/prompt_keepers.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from larkweir_balancing.engines import Prompt
+
 from larkweir.cluster.messages import Place, Placed
-from mulleinhitch.engines import Prompt
 
 ANSWER_S = 0.04  # a controller answers in a few milliseconds; without it the head's own order decides
 BODY_TIMES = (
--- a/larkweir/router/request_log.py
+++ b/larkweir/router/request_log.py
@@ -5,8 +5,7 @@
 from dataclasses import dataclass, field
 
 import msgspec
-
-from mulleinhitch.engines import Reason
+from larkweir_balancing.engines import Reason
 
 
 class AttemptNote(msgspec.Struct, omit_defaults=True):
--- a/larkweir/router/upstream_pool.py
+++ b/larkweir/router/upstream_pool.py
@@ -5,9 +5,10 @@
 import asyncio
 from dataclasses import dataclass
 
+from larkweir_balancing.decision_options import OPTIONS
+
 from larkweir.cluster.settings import split_address
 from larkweir.router.upstream_call import UpstreamConnection
-from mulleinhitch.decision_options import OPTIONS
 
 CONNECT_MOST_S = 0.4  # an upstream that is there answers in milliseconds
 CONNECT_LEAST_S = 0.1  # on a slow link the answer comes behind what that carries already
--- a/larkweir/routes/hands.py
+++ b/larkweir/routes/hands.py
@@ -7,6 +7,9 @@
 from hashlib import blake2b
 from random import Random
 
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import Effect, ListKind, RequestArrived, ServerEntry, ServerState, Settings
+
 from larkweir.config.options import Operator
 from larkweir.config.options import Pool as PoolTable
 from larkweir.config.platform import Config
@@ -25,8 +28,6 @@
 from larkweir.routes.table import Facts
 from larkweir.routes.trial import Trial
 from larkweir.routes.zones import Spill
-from mulleinhitch import Balancer
-from mulleinhitch.interface import Effect, ListKind, RequestArrived, ServerEntry, ServerState, Settings
 
 
 class Place:
--- a/larkweir/routes/part.py
+++ b/larkweir/routes/part.py
@@ -5,6 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from larkweir_balancing import Balancer
+
 from larkweir.config.options import Operator
 from larkweir.config.platform import Config
 from larkweir.core.clock import Clock
@@ -14,7 +16,6 @@
 from larkweir.core.stderr_log import StderrLog
 from larkweir.membership.discovery import Discovery
 from larkweir.routes.hands import Routes
-from mulleinhitch import Balancer
 
 
 class Host(Protocol):
--- a/larkweir/routes/pools.py
+++ b/larkweir/routes/pools.py
@@ -6,11 +6,12 @@
 from dataclasses import replace
 from hashlib import blake2b
 
+from larkweir_balancing.interface import ServerEntry, ServerState, Settings
+
 from larkweir.config.options import Operator, Pool
 from larkweir.config.platform import Config
 from larkweir.config.routing import DEFAULT, inherited, parts
 from larkweir.routes.subsets import ring
-from mulleinhitch.interface import ServerEntry, ServerState, Settings
 
 
 def named(options: Operator) -> list[str]:
--- a/larkweir/routes/switch.py
+++ b/larkweir/routes/switch.py
@@ -13,9 +13,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from larkweir.routes.router import Choice
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import (
     NEVER_RAN,
     Action,
     AnswerStarted,
@@ -46,6 +45,8 @@
     TimerFired,
 )
 
+from larkweir.routes.router import Choice
+
 LIST_COOKIE = 1 << 40  # the decisions' own, for asking for the list: above every request's number
 
 Filter = Callable[[Iterable[ServerEntry]], list[ServerEntry]]
--- a/larkweir/storms/barter.py
+++ b/larkweir/storms/barter.py
@@ -1,6 +1,6 @@
 """Rules: whose request takes the place that the decisions give, and how far they open for a tier that is back.
 
-How much a tier is given is the window's matter (`mulleinhitch/concurrency_limiter.py`), and stays so. A second bound
+How much a tier is given is the window's matter (`larkweir_balancing/concurrency_limiter.py`), and stays so. A second bound
 before it that holds back on its own leaves that window unfilled, which then never opens: measured, it cost two thirds
 of what a recovering tier could serve. So nothing here changes how many are let in, only who: a request that is wanted
 and was not let in takes the place of one that is let in and was not wanted. What is out on credit is bounded, and
--- a/larkweir/storms/gate.py
+++ b/larkweir/storms/gate.py
@@ -5,6 +5,8 @@
 from collections.abc import Callable
 from math import ceil
 
+from larkweir_balancing import Balancer
+
 from larkweir.config.options import Storms as Options
 from larkweir.config.platform import Config
 from larkweir.core.clock import Clock
@@ -16,7 +18,6 @@
 from larkweir.storms.storm import Storm
 from larkweir.storms.watch import Watch
 from larkweir.upstreams.pool import UpstreamPool
-from mulleinhitch import Balancer
 
 # What tells a client and its request from others, beside its address: the same when it asks again.
 NAMED = frozenset((b"x-customer", b"x-qos", b"x-object", b"idempotency-key"))
--- a/larkweir/storms/part.py
+++ b/larkweir/storms/part.py
@@ -5,6 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from larkweir_balancing import Balancer
+
 from larkweir.config.options import Operator
 from larkweir.config.platform import Config
 from larkweir.core.dispatcher import Dispatcher
@@ -13,7 +15,6 @@
 from larkweir.protocols.listener import Listener
 from larkweir.storms.gate import Gate
 from larkweir.upstreams.pool import UpstreamPool
-from mulleinhitch import Balancer
 
 
 class Host(Protocol):
--- a/larkweir/storms/signs.py
+++ b/larkweir/storms/signs.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 from enum import Enum
 
-from mulleinhitch.interface import RequestClass
+from larkweir_balancing.interface import RequestClass
 
 
 class State(Enum):
--- a/larkweir/storms/storm.py
+++ b/larkweir/storms/storm.py
@@ -15,11 +15,12 @@
 from random import Random
 from typing import NamedTuple, Protocol
 
+from larkweir_balancing.interface import Outcome, Settings
+
 from larkweir.storms.advice import Advice
 from larkweir.storms.barter import Barter, Opening
 from larkweir.storms.shares import Kind, Shares
 from larkweir.storms.signs import Course, Decayed, Signs, State
-from mulleinhitch.interface import Outcome, Settings
 
 UNTELLING = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # of the tier's state
 
--- a/larkweir/storms/watch.py
+++ b/larkweir/storms/watch.py
@@ -9,10 +9,9 @@
 
 from collections.abc import Callable
 
-from larkweir.storms.storm import Storm
-from mulleinhitch import Balancer
-from mulleinhitch.concurrency_limiter import Verdict
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.concurrency_limiter import Verdict
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     ClientGone,
@@ -26,6 +25,8 @@
     Send,
 )
 
+from larkweir.storms.storm import Storm
+
 
 class _Open:
     """A request whose end, or an attempt of it, is still to come."""
--- a/larkweir/upstreams/attempt_call.py
+++ b/larkweir/upstreams/attempt_call.py
@@ -9,11 +9,12 @@
 import math
 from typing import TYPE_CHECKING
 
+from larkweir_balancing.interface import Outcome
+
 from larkweir.core.clock import Clock, Timer
 from larkweir.core.message import Headers, Message
 from larkweir.core.ports import CallObserver
 from larkweir.upstreams.upstream import Upstream
-from mulleinhitch.interface import Outcome
 
 if TYPE_CHECKING:
     from larkweir.upstreams.connection import UpstreamConnection
--- a/larkweir/upstreams/pool.py
+++ b/larkweir/upstreams/pool.py
@@ -8,6 +8,8 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol, cast
 
+from larkweir_balancing.interface import Outcome, ServerState, Settings
+
 from larkweir.core.clock import Clock
 from larkweir.core.memory_budget import MemoryBudget
 from larkweir.core.message import Headers, Message
@@ -15,7 +17,6 @@
 from larkweir.upstreams.attempt_call import AttemptCall
 from larkweir.upstreams.connection import UpstreamConnection
 from larkweir.upstreams.upstream import Upstream
-from mulleinhitch.interface import Outcome, ServerState, Settings
 
 
 class ConnectRateLimiter(Protocol):
--- a/larkweir/upstreams/upstream.py
+++ b/larkweir/upstreams/upstream.py
@@ -4,8 +4,9 @@
 
 from dataclasses import dataclass, field
 
+from larkweir_balancing.interface import ServerState
+
 from larkweir.core.ports import Address
-from mulleinhitch.interface import ServerState
 
 
 @dataclass(slots=True)
--- a/mulleinhitch/admission_queue.py
+++ b/packages/balancing/src/larkweir_balancing/admission_queue.py
@@ -7,7 +7,7 @@
 
 from collections import OrderedDict
 
-from mulleinhitch.interface import Settings
+from larkweir_balancing.interface import Settings
 
 
 class AdmissionQueue:
--- a/mulleinhitch/callers.py
+++ b/packages/balancing/src/larkweir_balancing/callers.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from mulleinhitch.interface import RequestArrived, RequestClass, Settings
+from larkweir_balancing.interface import RequestArrived, RequestClass, Settings
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/mulleinhitch/concurrency_limiter.py
+++ b/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from random import Random
 
-from mulleinhitch.interface import Outcome, RequestClass, Settings
+from larkweir_balancing.interface import Outcome, RequestClass, Settings
 
 UNTELLING = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # of the servers' state
 
--- a/mulleinhitch/door.py
+++ b/packages/balancing/src/larkweir_balancing/door.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from mulleinhitch.interface import RequestClass
+from larkweir_balancing.interface import RequestClass
 
 
 class Door:
--- a/mulleinhitch/drawing.py
+++ b/packages/balancing/src/larkweir_balancing/drawing.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from mulleinhitch.concurrency_limiter import UNTELLING
-from mulleinhitch.interface import NEVER_RAN, Effect, Outcome, Settings
-from mulleinhitch.judging import Judge
-from mulleinhitch.legality import Attempt, Request
-from mulleinhitch.links import Links
-from mulleinhitch.probing import DRAWS, MEMORY, odds_late
-from mulleinhitch.servers import DrawList, Fleet, Server, draw
-from mulleinhitch.slow_start import SlowStart
+from larkweir_balancing.concurrency_limiter import UNTELLING
+from larkweir_balancing.interface import NEVER_RAN, Effect, Outcome, Settings
+from larkweir_balancing.judging import Judge
+from larkweir_balancing.legality import Attempt, Request
+from larkweir_balancing.links import Links
+from larkweir_balancing.probing import DRAWS, MEMORY, odds_late
+from larkweir_balancing.servers import DrawList, Fleet, Server, draw
+from larkweir_balancing.slow_start import SlowStart
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/mulleinhitch/engines.py
+++ b/packages/balancing/src/larkweir_balancing/engines.py
@@ -22,10 +22,10 @@
 from hashlib import blake2b
 from random import Random
 
-from mulleinhitch.decision_options import OPTIONS
-from mulleinhitch.interface import ListKind, ListUpdate, Outcome, ServerEntry, ServerState
-from mulleinhitch.reading_time import ReadingTime
-from mulleinhitch.servers import DrawList, Fleet, Server, draw
+from larkweir_balancing.decision_options import OPTIONS
+from larkweir_balancing.interface import ListKind, ListUpdate, Outcome, ServerEntry, ServerState
+from larkweir_balancing.reading_time import ReadingTime
+from larkweir_balancing.servers import DrawList, Fleet, Server, draw
 
 AWAITING_MOST = 4  # own calls before their first event, from which an engine is not believed idle
 IN_TIME_PART = 1.2  # of what is left of its aim: a head whose first event is expected later leaves its keeper
--- a/mulleinhitch/hearsay.py
+++ b/packages/balancing/src/larkweir_balancing/hearsay.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from mulleinhitch.concurrency_limiter import UNTELLING
-from mulleinhitch.interface import Action, Heard, Outcome, Probe, ProbeEnded
-from mulleinhitch.judging import Judge
-from mulleinhitch.servers import Server
+from larkweir_balancing.concurrency_limiter import UNTELLING
+from larkweir_balancing.interface import Action, Heard, Outcome, Probe, ProbeEnded
+from larkweir_balancing.judging import Judge
+from larkweir_balancing.servers import Server
 
 MOST = 256  # servers; of further ones nothing is heard
 TRUST_MS = 12_000.0  # from this age on hearsay counts for nothing
--- a/mulleinhitch/interface.py
+++ b/packages/balancing/src/larkweir_balancing/interface.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from mulleinhitch.proof import Proof
+    from larkweir_balancing.proof import Proof
 
 
 class SettingsError(ValueError):
--- a/mulleinhitch/judging.py
+++ b/packages/balancing/src/larkweir_balancing/judging.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from mulleinhitch.callers import Callers
-from mulleinhitch.concurrency_limiter import UNTELLING, ConcurrencyLimiter
-from mulleinhitch.interface import NEVER_RAN, Outcome, Settings
-from mulleinhitch.legality import Attempt, Request
-from mulleinhitch.probing import Probes
-from mulleinhitch.servers import Fleet, Server
+from larkweir_balancing.callers import Callers
+from larkweir_balancing.concurrency_limiter import UNTELLING, ConcurrencyLimiter
+from larkweir_balancing.interface import NEVER_RAN, Outcome, Settings
+from larkweir_balancing.legality import Attempt, Request
+from larkweir_balancing.probing import Probes
+from larkweir_balancing.servers import Fleet, Server
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/mulleinhitch/legality.py
+++ b/packages/balancing/src/larkweir_balancing/legality.py
@@ -5,9 +5,9 @@
 import math
 from dataclasses import dataclass
 
-from mulleinhitch.interface import NEVER_RAN, Effect, Group, Outcome, RequestArrived, Settings
-from mulleinhitch.proof import admits
-from mulleinhitch.servers import Server
+from larkweir_balancing.interface import NEVER_RAN, Effect, Group, Outcome, RequestArrived, Settings
+from larkweir_balancing.proof import admits
+from larkweir_balancing.servers import Server
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/mulleinhitch/links.py
+++ b/packages/balancing/src/larkweir_balancing/links.py
@@ -4,9 +4,9 @@
 
 import math
 
-from mulleinhitch.interface import Outcome, Settings
-from mulleinhitch.legality import Attempt
-from mulleinhitch.servers import DrawList, Server
+from larkweir_balancing.interface import Outcome, Settings
+from larkweir_balancing.legality import Attempt
+from larkweir_balancing.servers import DrawList, Server
 
 
 class Links:
--- a/mulleinhitch/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -1,4 +1,4 @@
-"""Rules: every decision of mulleinhitch. The types it takes and gives are in `mulleinhitch/interface.py`.
+"""Rules: every decision of larkweir_balancing. The types it takes and gives are in `larkweir_balancing/interface.py`.
 
 The ordinary path is PULL (Stolyar), single-token form: a call goes to a server drawn uniformly from the token
 holders, that is, the ready servers with none of this copy's calls outstanding; if no server holds a token, to
@@ -12,11 +12,11 @@
 from random import Random
 from typing import Any
 
-from mulleinhitch.admission_queue import AdmissionQueue
-from mulleinhitch.callers import Callers
-from mulleinhitch.concurrency_limiter import ConcurrencyLimiter, Verdict
-from mulleinhitch.drawing import Drawing
-from mulleinhitch.interface import (
+from larkweir_balancing.admission_queue import AdmissionQueue
+from larkweir_balancing.callers import Callers
+from larkweir_balancing.concurrency_limiter import ConcurrencyLimiter, Verdict
+from larkweir_balancing.drawing import Drawing
+from larkweir_balancing.interface import (
     NEVER_RAN,
     Action,
     AnswerStarted,
@@ -44,12 +44,12 @@
     WatchList,
     fixed_difference,
 )
-from mulleinhitch.judging import Judge
-from mulleinhitch.legality import Attempt, Request
-from mulleinhitch.links import Links
-from mulleinhitch.probing import Probes
-from mulleinhitch.servers import Fleet, Server
-from mulleinhitch.slow_start import SlowStart
+from larkweir_balancing.judging import Judge
+from larkweir_balancing.legality import Attempt, Request
+from larkweir_balancing.links import Links
+from larkweir_balancing.probing import Probes
+from larkweir_balancing.servers import Fleet, Server
+from larkweir_balancing.slow_start import SlowStart
 
 LIST_COOKIE = 1 << 40  # a timer's, above every request id
 # From call to call for the list, by 0.5 to 1.5: in 6 s have to fit a pause, a call that fails after 2 s, and one more.
@@ -87,7 +87,7 @@
         self._list_asked_ms = -1.0  # when last, after a failure; 0: the last call was good; -1: no list yet
         self._retries = settings.tuning.retry_cap / 2.0
         self._asked: dict[int, list[Request]] = {}
-        self.hearsay: Any = None  # a `mulleinhitch.hearsay.Hearsay`, where copies tell each other
+        self.hearsay: Any = None  # a `larkweir_balancing.hearsay.Hearsay`, where copies tell each other
         self._handlers = {
             RequestArrived: self._on_request,
             AttemptEnded: self._on_attempt_end,
--- a/mulleinhitch/probing.py
+++ b/packages/balancing/src/larkweir_balancing/probing.py
@@ -5,8 +5,8 @@
 import math
 from random import Random
 
-from mulleinhitch.interface import Outcome, ProbeEnded, ReportMode, Settings
-from mulleinhitch.legality import Request
+from larkweir_balancing.interface import Outcome, ProbeEnded, ReportMode, Settings
+from larkweir_balancing.legality import Request
 
 MEMORY = 1.0 / 16.0  # weight of a new sample in the running means
 DRAWS = 8  # tries to draw a server that legality and slow start let through
--- a/mulleinhitch/proof.py
+++ b/packages/balancing/src/larkweir_balancing/proof.py
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from mulleinhitch.interface import Effect, Group, RequestClass
+from larkweir_balancing.interface import Effect, Group, RequestClass
 
 
 class Seen(IntEnum):
--- a/mulleinhitch/servers.py
+++ b/packages/balancing/src/larkweir_balancing/servers.py
@@ -7,8 +7,8 @@
 from heapq import heappop, heappush
 from random import Random
 
-from mulleinhitch.interface import ListKind, ListUpdate, RequestClass, ServerState
-from mulleinhitch.proof import Proof, hopeful
+from larkweir_balancing.interface import ListKind, ListUpdate, RequestClass, ServerState
+from larkweir_balancing.proof import Proof, hopeful
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/mulleinhitch/slow_start.py
+++ b/packages/balancing/src/larkweir_balancing/slow_start.py
@@ -4,8 +4,8 @@
 
 from random import Random
 
-from mulleinhitch.interface import Settings
-from mulleinhitch.servers import DrawList, Fleet, Server
+from larkweir_balancing.interface import Settings
+from larkweir_balancing.servers import DrawList, Fleet, Server
 
 
 class SlowStart:
--- a/mulleinhitch/wire.py
+++ b/packages/balancing/src/larkweir_balancing/wire.py
@@ -9,7 +9,7 @@
 from struct import Struct, error
 from typing import Any
 
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
--- a/mulleinhitch/wirehost.py
+++ b/packages/balancing/src/larkweir_balancing/wirehost.py
@@ -7,9 +7,9 @@
 import traceback
 from typing import BinaryIO
 
-from mulleinhitch.interface import SettingsError
-from mulleinhitch.policy import Balancer
-from mulleinhitch.wire import (
+from larkweir_balancing.interface import SettingsError
+from larkweir_balancing.policy import Balancer
+from larkweir_balancing.wire import (
     HEADER,
     Decoder,
     Destroy,
@@ -19,7 +19,7 @@
     encode_action,
     encode_crash,
 )
-from mulleinhitch.wire import encode_reply as frame_reply
+from larkweir_balancing.wire import encode_reply as frame_reply
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/tests/mulleinhitch/driver.py
+++ b/packages/balancing/tests/balancing_driver.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
@@ -34,7 +34,7 @@
     Settings,
     TimerFired,
 )
-from mulleinhitch.policy import Balancer
+from larkweir_balancing.policy import Balancer
 
 UNRUN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT}
 
--- a/tests/mulleinhitch/test_door.py
+++ b/packages/balancing/tests/test_balancing_door.py
@@ -8,9 +8,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-
-from mulleinhitch.door import Door
-from mulleinhitch.interface import Effect, RequestClass
+from larkweir_balancing.door import Door
+from larkweir_balancing.interface import Effect, RequestClass
 
 AIM_MS = 400.0
 CLASSES = (
--- a/tests/mulleinhitch/test_ejection.py
+++ b/packages/balancing/tests/test_balancing_ejection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mulleinhitch.ejection import (
+from larkweir_balancing.ejection import (
     BAD_LEAST,
     FIRST_MS,
     PROBATION_MS,
--- a/tests/mulleinhitch/test_engines.py
+++ b/packages/balancing/tests/test_balancing_engines.py
@@ -8,8 +8,7 @@
 import pytest
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-
-from mulleinhitch.engines import (
+from larkweir_balancing.engines import (
     AWAITING_MOST,
     BUSY_PARTS,
     FULL_PAUSE_MS,
@@ -19,7 +18,7 @@
     Prompt,
     Reason,
 )
-from mulleinhitch.interface import Outcome
+from larkweir_balancing.interface import Outcome
 
 NO_PROMPT = Prompt()
 IDS = [f"u{n}" for n in range(6)]
--- a/tests/mulleinhitch/test_first_seconds.py
+++ b/packages/balancing/tests/test_balancing_first_seconds.py
@@ -7,9 +7,8 @@
 from random import Random
 
 import pytest
-
-from mulleinhitch import Balancer, Settings
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer, Settings
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     Effect,
--- a/tests/mulleinhitch/test_hearsay.py
+++ b/packages/balancing/tests/test_balancing_hearsay.py
@@ -9,10 +9,9 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-
-from mulleinhitch import Balancer
-from mulleinhitch.hearsay import HOLD_MS, LOOK_MS, MOST, SPREAD_MS, TRUST_MS, Hearsay, trust
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.hearsay import HOLD_MS, LOOK_MS, MOST, SPREAD_MS, TRUST_MS, Hearsay, trust
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     Effect,
--- a/tests/mulleinhitch/test_policy.py
+++ b/packages/balancing/tests/test_balancing_policy.py
@@ -8,9 +8,9 @@
 from random import Random
 
 import pytest
-
-from mulleinhitch.callers import Usual
-from mulleinhitch.interface import (
+from balancing_driver import Driver, Owed
+from larkweir_balancing.callers import Usual
+from larkweir_balancing.interface import (
     AnswerStarted,
     AttemptEnded,
     CloseIdle,
@@ -35,10 +35,9 @@
     Tenant,
     WatchList,
 )
-from mulleinhitch.legality import Attempt, Request
-from mulleinhitch.policy import LIST_PACE_MS, Balancer
-from mulleinhitch.servers import Server
-from tests.mulleinhitch.driver import Driver, Owed
+from larkweir_balancing.legality import Attempt, Request
+from larkweir_balancing.policy import LIST_PACE_MS, Balancer
+from larkweir_balancing.servers import Server
 
 SAFE = RequestClass(100.0, 400.0, Effect.SAFE)
 UNSAFE = RequestClass(100.0, 400.0, Effect.UNSAFE)
--- a/tests/mulleinhitch/test_proof.py
+++ b/packages/balancing/tests/test_balancing_proof.py
@@ -5,9 +5,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import (
     AttemptEnded,
     Effect,
     Group,
@@ -22,7 +21,7 @@
     ServerState,
     Settings,
 )
-from mulleinhitch.proof import FLOOR, SEND_FIRST, Proof, Seen, admits, hopeful, trusted
+from larkweir_balancing.proof import FLOOR, SEND_FIRST, Proof, Seen, admits, hopeful, trusted
 
 LOOK = RequestClass(400.0, 1000.0, Effect.SAFE, name="look")
 MOVE = RequestClass(400.0, 1000.0, Effect.UNSAFE, name="move")
--- a/tests/mulleinhitch/test_reading_time.py
+++ b/packages/balancing/tests/test_balancing_reading_time.py
@@ -5,8 +5,7 @@
 from random import Random
 
 import pytest
-
-from mulleinhitch.reading_time import SAMPLES_LEAST, ReadingTime
+from larkweir_balancing.reading_time import SAMPLES_LEAST, ReadingTime
 
 
 @pytest.mark.parametrize(("fixed_ms", "ms_per_token"), [(30.0, 0.009), (60.0, 0.03), (10.0, 0.002)])
--- a/tests/mulleinhitch/test_rules.py
+++ b/packages/balancing/tests/test_balancing_rules.py
@@ -5,11 +5,11 @@
 import math
 from dataclasses import replace
 
+from balancing_driver import Driver
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     ClientGone,
     Effect,
     Group,
@@ -24,7 +24,6 @@
     Tenant,
     TimerFired,
 )
-from tests.mulleinhitch.driver import Driver
 
 CLASSES = (
     RequestClass(100.0, 400.0, Effect.SAFE),
@@ -175,7 +174,7 @@
 
     @rule()
     def list_fails(self) -> None:
-        from mulleinhitch.interface import ListUpdate
+        from larkweir_balancing.interface import ListUpdate
 
         self.driver.feed(ListUpdate(ListKind.FAILED))
 
--- a/tests/mulleinhitch/test_wire.py
+++ b/packages/balancing/tests/test_balancing_wire.py
@@ -9,8 +9,7 @@
 from typing import Any
 
 import pytest
-
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
@@ -37,7 +36,7 @@
     TimerFired,
     WatchList,
 )
-from mulleinhitch.wire import (
+from larkweir_balancing.wire import (
     Decoder,
     Destroy,
     Hello,
@@ -47,7 +46,7 @@
     encode_crash,
     encode_reply,
 )
-from mulleinhitch.wirehost import serve
+from larkweir_balancing.wirehost import serve
 
 A, B = 0x0A124A07_2BC3, 0x0A9011F2_2BEC
 CATALOG = (
--- a/standins/cold_fleet.py
+++ b/standins/cold_fleet.py
@@ -22,8 +22,8 @@
 from random import Random
 from statistics import median, quantiles
 
-from mulleinhitch import Balancer, Settings
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer, Settings
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     Effect,
--- a/standins/limiters.py
+++ b/standins/limiters.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from random import Random
 
-from mulleinhitch.concurrency_limiter import ConcurrencyLimiter
-from mulleinhitch.interface import Outcome, Settings
+from larkweir_balancing.concurrency_limiter import ConcurrencyLimiter
+from larkweir_balancing.interface import Outcome, Settings
 
 
 class Other(ConcurrencyLimiter):
--- a/standins/probing.py
+++ b/standins/probing.py
@@ -9,12 +9,8 @@
 from functools import partial
 from random import Random
 
-from larkweir.config.options import Route
-from larkweir.coordination.duties.ports import Work
-from larkweir.coordination.duties.probers import Probers
-from larkweir.coordination.scouting import Scouts
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import (
     AttemptEnded,
     Effect,
     Event,
@@ -33,7 +29,12 @@
     Settings,
     TimerFired,
 )
-from mulleinhitch.interface import Fail as Failed
+from larkweir_balancing.interface import Fail as Failed
+
+from larkweir.config.options import Route
+from larkweir.coordination.duties.ports import Work
+from larkweir.coordination.duties.probers import Probers
+from larkweir.coordination.scouting import Scouts
 from standins.duties import Copy, Fleet
 
 DEADLINE_MS = 4_000.0
--- a/standins/returning.py
+++ b/standins/returning.py
@@ -14,11 +14,9 @@
 from random import Random
 from typing import Any
 
-from larkweir.storms.storm import Storm
-from larkweir.storms.watch import Watch
-from mulleinhitch import Balancer, Settings
-from mulleinhitch.concurrency_limiter import ConcurrencyLimiter
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer, Settings
+from larkweir_balancing.concurrency_limiter import ConcurrencyLimiter
+from larkweir_balancing.interface import (
     Effect,
     ListKind,
     ListUpdate,
@@ -30,6 +28,9 @@
     ServerState,
     Tenant,
 )
+
+from larkweir.storms.storm import Storm
+from larkweir.storms.watch import Watch
 from standins import tier
 
 COLD_SHARE, COLD_MS = 0.32, 8_900.0
--- a/standins/tier.py
+++ b/standins/tier.py
@@ -16,9 +16,9 @@
 from random import Random
 from typing import Any
 
-from mulleinhitch import Balancer, Settings
-from mulleinhitch.concurrency_limiter import ConcurrencyLimiter
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer, Settings
+from larkweir_balancing.concurrency_limiter import ConcurrencyLimiter
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     Effect,
--- a/standins/world/balancers.py
+++ b/standins/world/balancers.py
@@ -14,6 +14,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from larkweir_balancing.interface import ServerState
+
 from larkweir.config.operator import decode as decode_options
 from larkweir.config.options import Operator
 from larkweir.config.platform import decode, read_object
@@ -22,7 +24,6 @@
 from larkweir.lifecycle.config_loader import ConfigGeneration
 from larkweir.lifecycle.daemon import Daemon
 from larkweir.lifecycle.handover import Channel, OnEnd, OnMessage
-from mulleinhitch.interface import ServerState
 from standins.checkers import GivenUp, Hit, Owned, Taken
 from standins.world.agents import PORT, Agent
 from standins.world.disk import Drive
--- a/standins/world/planted.py
+++ b/standins/world/planted.py
@@ -38,13 +38,13 @@
 
 def _unlisted(real: Any) -> Any:
     """It forgets to tell."""
-    from mulleinhitch.interface import ServerState
+    from larkweir_balancing.interface import ServerState
 
     return real | {"leaving": ServerState.READY}
 
 
 def _all_outcomes(real: Any) -> Any:
-    from mulleinhitch.interface import Outcome
+    from larkweir_balancing.interface import Outcome
 
     return frozenset(Outcome)
 
@@ -205,7 +205,7 @@
     """A keyed request is repeated for as long as its client waits."""
 
     def write_by_ms(self: Any) -> float:
-        from mulleinhitch.interface import Effect
+        from larkweir_balancing.interface import Effect
 
         return float("inf") if self.cls.effect is Effect.KEYED else float(real(self))
 
@@ -225,7 +225,7 @@
     """A whole list says nothing of those that it leaves out."""
 
     def on_listing(self: Any, listing: Any) -> None:
-        from mulleinhitch.interface import ListKind
+        from larkweir_balancing.interface import ListKind
 
         whole = listing.kind is ListKind.FULL
         real(self, replace(listing, kind=ListKind.DELTA) if whole else listing)
@@ -237,12 +237,12 @@
     return lambda real: property(lambda self: value, lambda self, other: None)
 
 
-POOL, LEGAL, DISPATCHER = "larkweir.upstreams.pool", "mulleinhitch.legality", "larkweir.core.dispatcher"
+POOL, LEGAL, DISPATCHER = "larkweir.upstreams.pool", "larkweir_balancing.legality", "larkweir.core.dispatcher"
 REQUEST, TABLE = "larkweir.core.active_request", "larkweir.core.request_table"
 HTTP, LISTENER = "larkweir.protocols.http1.upstreams", "larkweir.protocols.listener"
 
 CALLERS = "larkweir.protocols.http1.callers"
-POLICY, STATES = "mulleinhitch.policy", "larkweir.lifecycle.state_machine"
+POLICY, STATES = "larkweir_balancing.policy", "larkweir.lifecycle.state_machine"
 DAEMON, CALL, REGISTER = (
     "larkweir.lifecycle.daemon",
     "larkweir.upstreams.attempt_call",
@@ -286,7 +286,11 @@
     ),
     Planted("a connection does not rest", "spoilt", POOL, "UpstreamPool.REST_MS", lambda real: 0.0),
     Planted(
-        "a cold upstream is not spared", "cold", "mulleinhitch.slow_start", "SlowStart.admits", _always(True)
+        "a cold upstream is not spared",
+        "cold",
+        "larkweir_balancing.slow_start",
+        "SlowStart.admits",
+        _always(True),
     ),
     Planted("the process ends at once when told to", "stops", DAEMON, "Daemon._poll_drained", _at_once),
     Planted("connections close with requests unread", "busy", CALLERS, "CallerConnection.is_idle", _idle),
--- a/tests/mulleinhitch/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -9,11 +9,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-
-from mulleinhitch import Balancer
-from mulleinhitch.admission_queue import AdmissionQueue
-from mulleinhitch.concurrency_limiter import ConcurrencyLimiter
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.admission_queue import AdmissionQueue
+from larkweir_balancing.concurrency_limiter import ConcurrencyLimiter
+from larkweir_balancing.interface import (
     AttemptEnded,
     Effect,
     ListKind,
@@ -25,6 +24,7 @@
     ServerEntry,
     Settings,
 )
+
 from standins.tier import AIM_MS, DEADLINE_MS, World, jain, quantile
 
 FREE = 100_000  # slots: upstreams that are never full
--- a/tests/mulleinhitch/test_asking.py
+++ b/tests/balancing/test_asking.py
@@ -8,11 +8,11 @@
 from itertools import count
 
 import pytest
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import ListKind, ListUpdate, ServerEntry, SetTimer, TimerFired, WatchList
+from larkweir_balancing.policy import LIST_COOKIE
 
-from mulleinhitch import Balancer
-from mulleinhitch.interface import ListKind, ListUpdate, ServerEntry, SetTimer, TimerFired, WatchList
-from mulleinhitch.policy import LIST_COOKIE
-from tests.mulleinhitch.test_second_deployment import figures
+from tests.balancing.test_second_deployment import figures
 
 TOLD_MS = 6_000.0  # after discovery had a change and could be reached it counts as told
 MARGIN_MS = 100.0  # of that, for this process and the way
--- a/tests/mulleinhitch/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -20,13 +20,12 @@
 from typing import Any, cast
 
 import pytest
-
-from mulleinhitch import Balancer
-from mulleinhitch.door import Door
-from mulleinhitch.ejection import Ejections, EndingCounts, Endings, summed
-from mulleinhitch.engines import EngineBalancer, Listed, Prompt
-from mulleinhitch.hearsay import Hearsay
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.door import Door
+from larkweir_balancing.ejection import Ejections, EndingCounts, Endings, summed
+from larkweir_balancing.engines import EngineBalancer, Listed, Prompt
+from larkweir_balancing.hearsay import Hearsay
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     BodyCame,
@@ -51,10 +50,10 @@
     Tenant,
     TimerFired,
 )
-from mulleinhitch.proof import Proof, Seen
-from mulleinhitch.reading_time import ReadingTime
-from mulleinhitch.wire import decode_settings, encode_action
-from mulleinhitch.wirehost import serve
+from larkweir_balancing.proof import Proof, Seen
+from larkweir_balancing.reading_time import ReadingTime
+from larkweir_balancing.wire import decode_settings, encode_action
+from larkweir_balancing.wirehost import serve
 
 CLASSES = [
     {"AimMs": 100.0, "HardLimitMs": 400.0, "Effect": "read_like", "Name": "read", "Worth": 2.0},
--- a/tests/mulleinhitch/test_second_deployment.py
+++ b/tests/balancing/test_second_deployment.py
@@ -12,9 +12,8 @@
 from typing import Any
 
 import pytest
-
-from mulleinhitch import Balancer, Settings
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer, Settings
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     ClientGone,
@@ -32,6 +31,7 @@
     TimerFired,
     WatchList,
 )
+
 from standins.tier import World
 from tests.fakes import Caller, FakeUpstream, Incoming, Talk, pass_time, running
 from tests.lifecycle.service import until
--- a/tests/mulleinhitch/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 import pytest
-
-from mulleinhitch import Balancer, Settings
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer, Settings
+from larkweir_balancing.interface import (
     AttemptEnded,
     Effect,
     ListKind,
@@ -16,7 +15,8 @@
     Send,
     ServerEntry,
 )
-from mulleinhitch.slow_start import SlowStart
+from larkweir_balancing.slow_start import SlowStart
+
 from standins import cold_fleet
 
 CLASSES = (RequestClass(410.0, 1000.0, Effect.SAFE, name="look"),)
--- a/tests/budget/test_tickets.py
+++ b/tests/budget/test_tickets.py
@@ -4,11 +4,12 @@
 
 from typing import Any
 
+from larkweir_balancing.interface import Effect, Outcome, RequestArrived, RequestClass, Settings, Tenant
+
 from larkweir.budget.chain import Chain, Ticket
 from larkweir.budget.rules import Useful
 from larkweir.config.options import Budget
 from larkweir.core.message import Message
-from mulleinhitch.interface import Effect, Outcome, RequestArrived, RequestClass, Settings, Tenant
 
 CLASSES = (
     RequestClass(400.0, 1000.0, Effect.SAFE, worth=1.0),
--- a/tests/config/test_changes.py
+++ b/tests/config/test_changes.py
@@ -8,11 +8,11 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from larkweir_balancing.interface import fixed_difference
 
 from larkweir.config.changes import differences, keep_fixed, rule_of
 from larkweir.config.keys import Change
 from larkweir.config.platform import decode_object
-from mulleinhitch.interface import fixed_difference
 from tests.fakes import SETTINGS, config_data
 
 BASE = config_data([], 9)
--- a/tests/config/test_classes.py
+++ b/tests/config/test_classes.py
@@ -4,9 +4,9 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
+from larkweir_balancing.interface import Effect, RequestClass
 
 from larkweir.config.classes import MOST_GONE, places
-from mulleinhitch.interface import Effect, RequestClass
 
 
 def cls(name: str, aim: float = 400.0) -> RequestClass:
--- a/tests/core/test_own_time.py
+++ b/tests/core/test_own_time.py
@@ -8,8 +8,8 @@
 import time
 
 import uvloop
+from larkweir_balancing.interface import Action, Event, RequestArrived
 
-from mulleinhitch.interface import Action, Event, RequestArrived
 from tests.fakes import PATIENCE_S, Caller, Script, entry, ok, running
 
 OWN_S = 0.2
--- a/tests/door/test_guard.py
+++ b/tests/door/test_guard.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import Action, Event, RequestArrived
 
 from larkweir.config.classes import MOST_GONE
 from larkweir.config.operator import decode as decode_operator
 from larkweir.config.options import Door as Options
 from larkweir.lifecycle.channel import TakenIds
-from mulleinhitch.interface import Action, Event, RequestArrived
 from tests.fakes import Caller, FakeUpstream, Incoming, Script, Talk, ok, running
 
 ON = Options(on=True)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -9,6 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from larkweir_balancing.interface import Action, AttemptEnded, Event, Fail, RequestArrived, Send
+
 from larkweir.config.options import Door, Fastcgi, Operator, Pool, Route, Storms
 from larkweir.config.platform import decode
 from larkweir.core.clock import Clock
@@ -17,7 +19,6 @@
 from larkweir.core.ports import Decisions
 from larkweir.lifecycle.node import Node
 from larkweir.protocols.listener import Listener
-from mulleinhitch.interface import Action, AttemptEnded, Event, Fail, RequestArrived, Send
 from standins.peers import PATIENCE_S as PATIENCE_S
 from standins.peers import TRACES as TRACES
 from standins.peers import Answer as Answer
--- a/tests/fleet/test_captures_rules.py
+++ b/tests/fleet/test_captures_rules.py
@@ -6,18 +6,8 @@
 from typing import Any
 
 import pytest
-from larkweir_captures.node import Node, Options
-from larkweir_captures.wire import Report as Seen
-from larkweir_captures.wire import Table, pack, unpack
-
-from larkweir.coordination.captures.part import _Post
-from larkweir.coordination.captures.scribe import OWNER, Ride, Scribe
-from larkweir.coordination.duties.messages import CaptureReport
-from larkweir.coordination.duties.messages import pack as pack_report
-from larkweir.coordination.duties.messages import unpack as unpack_report
-from larkweir.coordination.duties.thresholds import Thresholds
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import (
     AttemptEnded,
     ClientGone,
     Effect,
@@ -31,6 +21,16 @@
     Settings,
     Tenant,
 )
+from larkweir_captures.node import Node, Options
+from larkweir_captures.wire import Report as Seen
+from larkweir_captures.wire import Table, pack, unpack
+
+from larkweir.coordination.captures.part import _Post
+from larkweir.coordination.captures.scribe import OWNER, Ride, Scribe
+from larkweir.coordination.duties.messages import CaptureReport
+from larkweir.coordination.duties.messages import pack as pack_report
+from larkweir.coordination.duties.messages import unpack as unpack_report
+from larkweir.coordination.duties.thresholds import Thresholds
 
 
 class Nowhere:
--- a/tests/fleet/test_golden_captures.py
+++ b/tests/fleet/test_golden_captures.py
@@ -4,7 +4,8 @@
 
 from pathlib import Path
 
-from mulleinhitch.interface import AttemptEnded, ClientGone, Outcome, RequestArrived
+from larkweir_balancing.interface import AttemptEnded, ClientGone, Outcome, RequestArrived
+
 from tests.fleet.test_captures_rules import One
 
 GOLDEN = Path(__file__).parent / "golden" / "captures.jsonl"
--- a/tests/fleet/test_probers.py
+++ b/tests/fleet/test_probers.py
@@ -9,6 +9,19 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from larkweir_balancing import Balancer
+from larkweir_balancing.hearsay import HOLD_MS, LOOK_MS, SPREAD_MS, TRUST_MS
+from larkweir_balancing.interface import (
+    Effect,
+    Heard,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    RequestClass,
+    ServerEntry,
+    ServerState,
+    Settings,
+)
 
 from larkweir.config.options import Owners
 from larkweir.coordination.duties.messages import MOST_ROWS, Sighting, SightingReport, pack, unpack
@@ -37,19 +50,6 @@
 from larkweir.coordination.duties.replicated import encode
 from larkweir.coordination.duties.timing import HEARTBEAT_INTERVAL_MS, OWNER_TIMEOUT_MS, REFRESH_MS
 from larkweir.coordination.scouting import Scouts
-from mulleinhitch import Balancer
-from mulleinhitch.hearsay import HOLD_MS, LOOK_MS, SPREAD_MS, TRUST_MS
-from mulleinhitch.interface import (
-    Effect,
-    Heard,
-    ListKind,
-    ListUpdate,
-    Outcome,
-    RequestClass,
-    ServerEntry,
-    ServerState,
-    Settings,
-)
 from standins.probing import Copier, Server, World
 
 KEY_A = key_of("10.9.1.1:8080")
@@ -490,7 +490,7 @@
     assert "probers" not in Owners().duties and not Owners(duties=("probers",)).faults().get("duties")
     code = (
         "import sys, larkweir.coordination.owners, larkweir.lifecycle.node\n"
-        "off = {'mulleinhitch.hearsay', 'larkweir.coordination.duties.probers', 'larkweir.coordination.scouting'}\n"
+        "off = {'larkweir_balancing.hearsay', 'larkweir.coordination.duties.probers', 'larkweir.coordination.scouting'}\n"
         "assert not off & set(sys.modules)"
     )
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
--- a/tests/fleet/test_probers_together.py
+++ b/tests/fleet/test_probers_together.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
+from larkweir_balancing.hearsay import LOOK_MS
 
 from larkweir.coordination.duties.timing import OWNER_TIMEOUT_MS
-from mulleinhitch.hearsay import LOOK_MS
 from standins.checkers import Ran, Taken, broken
 from standins.fleet import SETTINGS
 from standins.peers import Incoming, Talk, ok
--- a/tests/language/test_properties.py
+++ b/tests/language/test_properties.py
@@ -12,6 +12,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from larkweir_balancing.interface import Effect, RequestClass, Settings, Tenant
 
 from larkweir.config.keys import Unit
 from larkweir.config.options import NAMED, TABLES, Operator, changed
@@ -24,7 +25,6 @@
 from larkweir.language.grammar import decoded, parse
 from larkweir.language.model import Key, Model, keys_of
 from larkweir.language.reading import read
-from mulleinhitch.interface import Effect, RequestClass, Settings, Tenant
 from tests.counting import calls_of
 
 SPACES = st.sampled_from([" ", "  ", "\n", "\t", "\n\n\n", " # why\n", "\r\n", "\n# a line\n\n"])
--- a/tests/lifecycle/test_reload_crossings.py
+++ b/tests/lifecycle/test_reload_crossings.py
@@ -11,15 +11,15 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing import Balancer
+from larkweir_balancing.concurrency_limiter import ConcurrencyLimiter
+from larkweir_balancing.interface import Effect, RequestArrived, RequestClass, Settings
 
 from larkweir.config.classes import MOST_GONE
 from larkweir.config.platform import Config, decode
 from larkweir.core.message import Message
 from larkweir.core.request_parser import RequestParser
 from larkweir.protocols.http1.codec import MAX_REPLAYABLE_BODY
-from mulleinhitch import Balancer
-from mulleinhitch.concurrency_limiter import ConcurrencyLimiter
-from mulleinhitch.interface import Effect, RequestArrived, RequestClass, Settings
 from standins.peers import PATIENCE_S, Caller, FakeUpstream, Incoming, Talk, ok, request_bytes, status
 from tests.fakes import SETTINGS, Running, Script, config_data, pass_time, running
 from tests.lifecycle.service import service, until
--- a/tests/lifecycle/test_standing.py
+++ b/tests/lifecycle/test_standing.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import ServerState
 
 from larkweir.config.platform import decode
 from larkweir.lifecycle.node import Node
 from larkweir.membership.discovery import Discovery
 from larkweir.protocols.http1.lingering_close import LingeringClose
-from mulleinhitch.interface import ServerState
 from standins.peers import (
     PATIENCE_S,
     Caller,
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -12,12 +12,8 @@
 from typing import Any
 
 import pytest
-
-from larkweir.logs.follow import Follow, tenths
-from larkweir.logs.lines import JsonJournal
-from larkweir.logs.watch import Watch, drawn
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import (
     AnswerStarted,
     AttemptEnded,
     BodyCame,
@@ -34,6 +30,10 @@
     Settings,
     Tenant,
 )
+
+from larkweir.logs.follow import Follow, tenths
+from larkweir.logs.lines import JsonJournal
+from larkweir.logs.watch import Watch, drawn
 from standins.peers import FakeUpstream, Incoming, Talk, ok, status
 from tests.lifecycle.service import service, until
 from tests.store.test_service import status_of
--- a/tests/membership/scripted.py
+++ b/tests/membership/scripted.py
@@ -11,10 +11,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from larkweir_balancing.interface import ListKind
+
 from larkweir.config.platform import decode
 from larkweir.core.ports import Listing
 from larkweir.membership.discovery import Discovery
-from mulleinhitch.interface import ListKind
 from tests.fakes import PATIENCE_S, SETTINGS, config_data, entry, ok, read_head
 
 WHOLE = "/v1/endpoints"
--- a/tests/membership/test_crossings.py
+++ b/tests/membership/test_crossings.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import ListKind, Outcome
 
 from larkweir.config.platform import decode
 from larkweir.core.message import Message
@@ -19,7 +20,6 @@
 from larkweir.membership.agent_client import AgentClient
 from larkweir.membership.agent_connection import MAX_LIST, AgentConnection
 from larkweir.membership.discovery import Discovery
-from mulleinhitch.interface import ListKind, Outcome
 from tests.fakes import (
     SETTINGS,
     Caller,
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import ListKind, ListUpdate, WatchList
 
 from larkweir.membership.agent_client import AgentClient
 from larkweir.membership.discovery import Discovery
 from larkweir.membership.listing import DiscoveryError, parse_listing
 from larkweir.membership.names import Names
-from mulleinhitch.interface import ListKind, ListUpdate, WatchList
 from tests.fakes import PATIENCE_S, SETTINGS, Caller, FakeDiscovery, FakeUpstream, Script, entry, ok, running
 from tests.lifecycle.service import until
 from tests.upstreams.test_attempts import run
--- a/tests/membership/test_remembered_rules.py
+++ b/tests/membership/test_remembered_rules.py
@@ -9,6 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
+from larkweir_balancing.interface import Outcome
+from larkweir_balancing.proof import FLOOR, SEND_FIRST, Proof, Seen
 
 from larkweir.membership.remembered.entries import (
     MAX_ANONYMOUS_ANSWERS,
@@ -29,8 +31,6 @@
 )
 from larkweir.membership.remembered.identity import UpstreamIdentity, parse_identity
 from larkweir.membership.remembered.plan import FIRST, opened, order
-from mulleinhitch.interface import Outcome
-from mulleinhitch.proof import FLOOR, SEND_FIRST, Proof, Seen
 
 NOW = 1e12
 QUIET = Churn(0.0, 100.0 * DAY_MS)  # a hundred for a day, and none went
--- a/tests/protocols/fastcgi/test_client_gone.py
+++ b/tests/protocols/fastcgi/test_client_gone.py
@@ -9,11 +9,7 @@
 from fcntl import ioctl
 
 import pytest
-
-from larkweir.protocols.caller_writer import CallerWriter
-from larkweir.protocols.fastcgi.callers import FastcgiCaller
-from larkweir.protocols.listener import Listener
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     ClientGone,
     Event,
@@ -22,6 +18,10 @@
     Send,
     TimerFired,
 )
+
+from larkweir.protocols.caller_writer import CallerWriter
+from larkweir.protocols.fastcgi.callers import FastcgiCaller
+from larkweir.protocols.listener import Listener
 from standins import fastcgi
 from tests.fakes import (
     PATIENCE_S,
--- a/tests/protocols/fastcgi/test_hard_cases.py
+++ b/tests/protocols/fastcgi/test_hard_cases.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import AttemptEnded, Outcome, RequestArrived, Send
 
 from larkweir.config.options import Fastcgi
 from larkweir.core.peer_progress import PeerProgress
 from larkweir.protocols.caller_writer import CallerWriter
 from larkweir.protocols.fastcgi.callers import FastcgiCaller
 from larkweir.protocols.listener import Listener
-from mulleinhitch.interface import AttemptEnded, Outcome, RequestArrived, Send
 from standins import fastcgi as f
 from standins.peers import PATIENCE_S, Answer, Caller, FakeUpstream, Incoming, Talk, ok, request_bytes
 from tests.fakes import Running, Script, pass_time, running
@@ -877,7 +877,7 @@
             if isinstance(event, RequestArrived) and event.class_index == 0 and event.key:
                 return [Send(event.request, 1, 0.0), Send(event.request, 2, 0.0)]
             if isinstance(event, AttemptEnded) and event.outcome is Outcome.OK and event.attempt == 1:
-                from mulleinhitch.interface import Cancel
+                from larkweir_balancing.interface import Cancel
 
                 return [Cancel(event.request, 0)]
             return None
--- a/tests/protocols/http1/test_callers.py
+++ b/tests/protocols/http1/test_callers.py
@@ -8,6 +8,16 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import (
+    Action,
+    ClientGone,
+    Event,
+    Fail,
+    Outcome,
+    Refuse,
+    RequestArrived,
+    Send,
+)
 
 from larkweir.core.active_request import ActiveRequest
 from larkweir.protocols.http1.caller_input import CallerInput
@@ -16,7 +26,6 @@
 from larkweir.protocols.http1.upstreams import UpstreamConnection
 from larkweir.protocols.listener import Listener
 from larkweir.upstreams.attempt_call import AttemptCall
-from mulleinhitch.interface import Action, ClientGone, Event, Fail, Outcome, Refuse, RequestArrived, Send
 from tests.fakes import (
     PATIENCE_S,
     Caller,
--- a/tests/protocols/http1/test_client_gone.py
+++ b/tests/protocols/http1/test_client_gone.py
@@ -10,14 +10,7 @@
 from typing import Any, cast
 
 import pytest
-
-from larkweir.core.ports import DurableState
-from larkweir.protocols.http1.caller_input import CallerInput
-from larkweir.protocols.http1.codec import MAX_REPLAYABLE_BODY
-from larkweir.protocols.http1.upstreams import UpstreamConnection
-from larkweir.protocols.listener import Listener
-from larkweir.upstreams.pool import UpstreamPool
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     ClientGone,
@@ -30,6 +23,13 @@
     SetTimer,
     TimerFired,
 )
+
+from larkweir.core.ports import DurableState
+from larkweir.protocols.http1.caller_input import CallerInput
+from larkweir.protocols.http1.codec import MAX_REPLAYABLE_BODY
+from larkweir.protocols.http1.upstreams import UpstreamConnection
+from larkweir.protocols.listener import Listener
+from larkweir.upstreams.pool import UpstreamPool
 from standins import fastcgi
 from tests.fakes import (
     PATIENCE_S,
--- a/tests/routes/test_leaving.py
+++ b/tests/routes/test_leaving.py
@@ -7,13 +7,13 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from larkweir_balancing.interface import ServerState
 
 from larkweir.config.options import Pool
 from larkweir.config.platform import decode
 from larkweir.membership.listing import parse_listing
 from larkweir.membership.names import Names
 from larkweir.routes.pools import Members, leaving
-from mulleinhitch.interface import ServerState
 from tests.fleet.services import platform
 
 
--- a/tests/routes/test_loopback.py
+++ b/tests/routes/test_loopback.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import Outcome
 
 from larkweir.config.fleet_tables import Owners
 from larkweir.config.options import Operator, Pool, Route
 from larkweir.config.platform import decode
-from mulleinhitch.interface import Outcome
 from standins.peers import PATIENCE_S, Caller, FakeUpstream, Incoming, Talk, ok, status
 from tests.fakes import Running, config_data, running
 from tests.lifecycle.service import until
@@ -400,9 +400,17 @@
 
 def test_outcomes_of_the_platform_are_as_they_were() -> None:
     """With one route over all, a pool decides as the decisions alone do: the same sends, event for event."""
+    from larkweir_balancing import Balancer
+    from larkweir_balancing.interface import (
+        AttemptEnded,
+        ListKind,
+        ListUpdate,
+        RequestArrived,
+        Send,
+        ServerEntry,
+    )
+
     from larkweir.routes.hands import Routes
-    from mulleinhitch import Balancer
-    from mulleinhitch.interface import AttemptEnded, ListKind, ListUpdate, RequestArrived, Send, ServerEntry
 
     config = decode(json.dumps(config_data([], 1)), {})
 
--- a/tests/routes/test_reload_crossings.py
+++ b/tests/routes/test_reload_crossings.py
@@ -7,8 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from larkweir.config.options import Operator, Pool, Route
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     Effect,
     Event,
@@ -19,6 +18,8 @@
     Settings,
     Tenant,
 )
+
+from larkweir.config.options import Operator, Pool, Route
 from standins.peers import PATIENCE_S, Caller, FakeUpstream, Incoming, Talk, ok, status
 from tests.fakes import SETTINGS, Running, running
 from tests.upstreams.test_attempts import run
--- a/tests/routes/test_switch.py
+++ b/tests/routes/test_switch.py
@@ -8,11 +8,8 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-
-from larkweir.routes.router import Choice
-from larkweir.routes.switch import Coming, Pool, Switch
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer
+from larkweir_balancing.interface import (
     NEVER_RAN,
     Action,
     AttemptEnded,
@@ -37,6 +34,9 @@
     TimerFired,
 )
 
+from larkweir.routes.router import Choice
+from larkweir.routes.switch import Coming, Pool, Switch
+
 CLASSES = (
     RequestClass(500.0, 1_000.0, Effect.SAFE, name="look"),
     RequestClass(500.0, 1_000.0, Effect.KEYED, group=Group.ZONE, memory_ms=800.0, name="post"),
--- a/tests/storms/test_pace.py
+++ b/tests/storms/test_pace.py
@@ -7,9 +7,9 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from larkweir_balancing.interface import Outcome
 
 from larkweir.storms.pace import Accepting, Bucket, Opening
-from mulleinhitch.interface import Outcome
 from tests.fakes import PATIENCE_S, Caller, FakeUpstream, Incoming, Script, Talk, ok, running
 from tests.upstreams.test_attempts import run
 
--- a/tests/storms/test_signs.py
+++ b/tests/storms/test_signs.py
@@ -6,9 +6,9 @@
 from random import Random
 
 import pytest
+from larkweir_balancing.interface import Effect, RequestClass
 
 from larkweir.storms.signs import Course, Signs, State
-from mulleinhitch.interface import Effect, RequestClass
 
 CLASSES = (RequestClass(410.0, 1000.0, Effect.SAFE, name="look"),)
 TENANTS = 6
--- a/tests/storms/test_watch.py
+++ b/tests/storms/test_watch.py
@@ -7,13 +7,8 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-
-from larkweir.storms.barter import Barter
-from larkweir.storms.signs import State
-from larkweir.storms.storm import Storm
-from larkweir.storms.watch import Watch
-from mulleinhitch import Balancer, Settings
-from mulleinhitch.interface import (
+from larkweir_balancing import Balancer, Settings
+from larkweir_balancing.interface import (
     NEVER_RAN,
     AttemptEnded,
     ClientGone,
@@ -34,6 +29,11 @@
     TimerFired,
 )
 
+from larkweir.storms.barter import Barter
+from larkweir.storms.signs import State
+from larkweir.storms.storm import Storm
+from larkweir.storms.watch import Watch
+
 CLASSES = (
     RequestClass(400.0, 1000.0, Effect.SAFE, worth=1.0, name="look"),
     RequestClass(400.0, 1000.0, Effect.KEYED, worth=8.0, memory_ms=4000.0, name="publish"),
--- a/tests/system/test_build.py
+++ b/tests/system/test_build.py
@@ -25,7 +25,13 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.calls = folder / "calls"
-        for name in ("deploy", "packages/replication", "packages/registry", "packages/quotas"):
+        for name in (
+            "deploy",
+            "packages/balancing",
+            "packages/replication",
+            "packages/registry",
+            "packages/quotas",
+        ):
             copytree(ROOT / name, folder / name)
         for name in ("requirements-system.txt", "dependencies-system.txt"):
             (folder / name).write_bytes((ROOT / name).read_bytes())
--- a/tests/system/test_golden_messages.py
+++ b/tests/system/test_golden_messages.py
@@ -11,6 +11,7 @@
 
 import msgspec
 import pytest
+from larkweir_balancing.ejection import Endings
 from larkweir_quotas.ledger import Statement
 from larkweir_registry.records import Record, State, Upstream
 from larkweir_replication.messages import Command
@@ -34,7 +35,6 @@
     Replication,
     Waiting,
 )
-from mulleinhitch.ejection import Endings
 
 LINES = (Path(__file__).parent / "golden_messages.jsonl").read_bytes().splitlines()
 REPLICATION = [line for line in LINES if line.startswith(b'{"type":"replication"')]
--- a/tests/system/test_measurements.py
+++ b/tests/system/test_measurements.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.decision_options import DecisionOptions
+from larkweir_balancing.reading_time import ReadingTime
 
 from benchmarks.fleet_ablation import SWITCHES, switched_off
 from benchmarks.fleet_losses import Cause, Request, cause_of, picture, read, table
 from benchmarks.fleet_pairs import Play, Played, compare, difference, figures_of
 from benchmarks.fleet_sites import make
-from mulleinhitch.decision_options import DecisionOptions
-from mulleinhitch.reading_time import ReadingTime
 
 REPORT: dict[str, Any] = {
     "G": 0.9,
--- a/tests/system/test_right_caller_planted.py
+++ b/tests/system/test_right_caller_planted.py
@@ -46,7 +46,7 @@
 
 def what_may_have_run_is_sent_again(patch: pytest.MonkeyPatch) -> None:
     def failed(self: Exchange, ending: Any) -> None:
-        from mulleinhitch.interface import Outcome
+        from larkweir_balancing.interface import Outcome
 
         self._release(Outcome.RESET)
         if self._head_sent:
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -7,6 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from larkweir_balancing.engines import DEFAULT_AIM_MS, Prompt
 
 from larkweir.cluster.settings import SettingsError, parse
 from larkweir.controller.prompt_placement import BUSIER_TOKENS, RECENT_MS, PromptPlacement
@@ -14,7 +15,6 @@
 from larkweir.router.client_request import ClientRequest, UpstreamHeaders
 from larkweir.router.event_stream import EventBuffer
 from larkweir.router.fleet_size import REMEMBERED_MS, FleetSize
-from mulleinhitch.engines import DEFAULT_AIM_MS, Prompt
 
 STREAM = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
 
--- a/tests/system/test_silent_upstreams.py
+++ b/tests/system/test_silent_upstreams.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator
 
 import pytest
+from larkweir_balancing.ejection import Endings
+from larkweir_balancing.engines import EngineBalancer, Prompt
 from larkweir_registry.records import State, Upstream
 
-from mulleinhitch.ejection import Endings
-from mulleinhitch.engines import EngineBalancer, Prompt
 from tests.system.router_model import KINDS, REPEATABLE, FakeUpstream, Play, answer_of
 
 NOT_IN_THIS_TEST_MS = 1_000_000.0
--- a/tests/system/test_waiting_prompts.py
+++ b/tests/system/test_waiting_prompts.py
@@ -5,6 +5,7 @@
 import asyncio
 import random
 
+from larkweir_balancing.ejection import BAD_LEAST, Endings
 from larkweir_quotas.ledger import Ledger
 from larkweir_registry.records import Upstream
 from larkweir_registry.registry import Registry
@@ -12,7 +13,6 @@
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import Delta, Kind, Message, Pull
 from larkweir.controller.distribution import BUSY_TOKENS, Distribution
-from mulleinhitch.ejection import BAD_LEAST, Endings
 
 ROUTERS = 3
 
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -38,6 +38,8 @@
 
 # Modules of packages that do input or output, or import one that does. Every other one is held to do none.
 IO_MODULES = {
+    "larkweir_balancing",
+    "larkweir_balancing.wirehost",
     "larkweir_captures",
     "larkweir_captures.writer",
     "larkweir_edits",
--- a/tests/upstreams/test_attempts.py
+++ b/tests/upstreams/test_attempts.py
@@ -9,10 +9,7 @@
 
 import pytest
 import uvloop
-
-from larkweir.core.reports import parse_report
-from larkweir.protocols.http1.codec import MAX_ANSWER, MAX_BODY
-from mulleinhitch.interface import (
+from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -26,6 +23,9 @@
     RequestArrived,
     Send,
 )
+
+from larkweir.core.reports import parse_report
+from larkweir.protocols.http1.codec import MAX_ANSWER, MAX_BODY
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
--- a/tests/upstreams/test_broken_answers.py
+++ b/tests/upstreams/test_broken_answers.py
@@ -6,11 +6,11 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
+from larkweir_balancing.interface import Outcome
 
 from larkweir.protocols.http1 import codec, encoding
 from larkweir.protocols.http1.callers import CallerConnection
 from larkweir.protocols.http1.upstreams import UpstreamConnection
-from mulleinhitch.interface import Outcome
 from standins.peers import PATIENCE_S, read_head
 from tests.fakes import (
     Caller,
--- a/tests/upstreams/test_idle_connections.py
+++ b/tests/upstreams/test_idle_connections.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import Outcome
 
 from larkweir.upstreams.connection import UpstreamConnection
-from mulleinhitch.interface import Outcome
 from standins.peers import PATIENCE_S
 from tests.fakes import Caller, FakeUpstream, Incoming, Script, Talk, ok, running, status
 from tests.lifecycle.service import until
--- a/tests/upstreams/test_late_connections.py
+++ b/tests/upstreams/test_late_connections.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.interface import Action, Event, ListUpdate, Outcome, RequestArrived, Send
 
-from mulleinhitch.interface import Action, Event, ListUpdate, Outcome, RequestArrived, Send
 from standins.peers import PATIENCE_S
 from tests.fakes import (
     SETTINGS,
