--- a/benchmarks/readability.py
+++ b/benchmarks/readability.py
@@ -1,6 +1,11 @@
 """`python -m benchmarks.readability [--no-tests] [--no-duplicates] [ROOT]`: a tree's readability as counts by folder.
 
-Prints one Markdown table with a row for each top-level folder that holds Python files known to git, and a row of sums:
+With `--folders` it prints names and shape of each package instead (`benchmarks.house_names`). With `--check` it prints
+what stands against the folders that `benchmarks/readability.toml` lists as done, and exits with 1 where something does;
+`--done FOLDER` holds one more folder or module to it.
+
+Without these it prints one Markdown table with a row for each top-level folder that holds Python files known to git,
+and a row of sums:
 
 - files, lines: `.py` files and their lines.
 - long modules: modules of more than 500 lines.
@@ -25,9 +30,11 @@
 import subprocess
 import sys
 from collections.abc import Iterator, Sequence
-from dataclasses import astuple, dataclass, fields
+from dataclasses import astuple, dataclass, fields, replace
 from pathlib import Path
 
+from benchmarks import house_names
+
 ROOT = Path(__file__).resolve().parent.parent
 MAX_MODULE_LINES = 500
 MAX_FUNCTION_LINES = 40
@@ -169,25 +176,58 @@
     return "\n".join(lines)
 
 
-def main(arguments: Sequence[str] | None = None) -> int:
-    """Print the table for a tree; the exit code is 0."""
-    parser = argparse.ArgumentParser(prog="python -m benchmarks.readability")
-    parser.add_argument("root", nargs="?", type=Path, default=ROOT)
-    parser.add_argument("--no-tests", action="store_true", help="do not collect tests")
-    parser.add_argument("--no-duplicates", action="store_true", help="do not run `duplicates`")
-    options = parser.parse_args(arguments)
-    root = options.root.resolve()
+def _find(root: Path, more_done: Sequence[str] = ()) -> house_names.TreeFindings:
+    texts = {str(path.relative_to(root)): path.read_text() for path in tracked_modules(root)}
+    file = root / "benchmarks" / house_names.SETTINGS_FILE.name
+    settings = house_names.read_settings(file.read_text()) if file.exists() else house_names.Settings()
+    settings = replace(settings, done=(*settings.done, *more_done))
+    return house_names.find_in_tree(texts, settings)
+
+
+def _check(root: Path, more_done: Sequence[str]) -> int:
+    found = _find(root, more_done)
+    faults = house_names.faults_of(found)
+    for line in faults:
+        print(line)
+    print(f"{len(faults)} findings in {len(found.settings.done)} folders and modules that are done")
+    return int(bool(faults))
+
+
+def _print_counts(root: Path, count_tests: bool, count_duplicates: bool) -> None:
     rows = count_tree(root, tracked_modules(root))
-    tests = {} if options.no_tests else _count_tests(root)
+    tests = _count_tests(root) if count_tests else {}
     total = Counts()
     for folder, counts in rows.items():
         counts.tests = tests.get(folder)
         total.add(counts)
-        if not options.no_duplicates and folder != ".":
+        if count_duplicates and folder != ".":
             counts.duplicates = _count_duplicates(root / folder)
-    if not options.no_duplicates:
+    if count_duplicates:
         total.duplicates = _count_duplicates(root)
     print(table({**rows, "all": total}))
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Print the table for a tree, or check it; the exit code is 1 where the check found something."""
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.readability")
+    parser.add_argument("root", nargs="?", type=Path, default=ROOT)
+    parser.add_argument("--no-tests", action="store_true", help="do not collect tests")
+    parser.add_argument("--no-duplicates", action="store_true", help="do not run `duplicates`")
+    parser.add_argument(
+        "--folders", action="store_true", help="names and shape of each package, without these two"
+    )
+    parser.add_argument("--check", action="store_true", help="fail where a folder that is done has findings")
+    parser.add_argument(
+        "--done", action="append", default=[], metavar="FOLDER", help="with --check: one more is done"
+    )
+    options = parser.parse_args(arguments)
+    root = options.root.resolve()
+    if options.check:
+        return _check(root, options.done)
+    if options.folders:
+        print(house_names.folder_table(house_names.count_folders(_find(root))))
+    else:
+        _print_counts(root, not options.no_tests, not options.no_duplicates)
     return 0
 
 
