--- a/benchmarks/fleet_sites.py
+++ b/benchmarks/fleet_sites.py
@@ -50,10 +50,9 @@
 
 def quick_narrow_engines(text: str) -> str:
     """Prompts are read at three times the speed, in small batches."""
-    narrow = re.sub(
+    return re.sub(
         r"\b(slots|batch) = \d+", rf"\1 = {NARROW_BATCH}", scaled(text, "prefill_tokens_per_ms", QUICKER)
     )
-    return narrow
 
 
 def few_wide_engines(text: str) -> str:
--- a/benchmarks/house_names.py
+++ b/benchmarks/house_names.py
@@ -322,9 +322,11 @@
     for module in found.modules:
         if any(is_below(module.path, folder) for folder in settings.done):
             lines.extend(_faults_of_module(module, settings))
-    for circle in found.circles:
-        if any(is_below(path, folder) for path in circle for folder in settings.done):
-            lines.append(f"{circle[0]}: circle of imports: {', '.join(circle)}")
+    lines.extend(
+        f"{circle[0]}: circle of imports: {', '.join(circle)}"
+        for circle in found.circles
+        if any(is_below(path, folder) for path in circle for folder in settings.done)
+    )
     return [*lines, *_idle_settings(found)]
 
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -169,9 +169,8 @@
             now, out = 0.0, []
             for number in range(1, 20_001):
                 now += 1.0
-                for action in decisions.handle(now, RequestArrived(number, number % 3, 1000.0)):
-                    if isinstance(action, Send):
-                        out.append(action)
+                actions = decisions.handle(now, RequestArrived(number, number % 3, 1000.0))
+                out.extend(action for action in actions if isinstance(action, Send))
                 while len(out) > 6:
                     send = out.pop(0)
                     decisions.handle(now, AttemptEnded(send.request, 0, send.server, Outcome.OK, True, 6.0))
--- a/larkweir/language/resolve.py
+++ b/larkweir/language/resolve.py
@@ -135,8 +135,8 @@
             for statement in parse(text, path, self._faults).statements:
                 if isinstance(statement, Include):
                     target = statement.target
-                    for other in self._library.matches(path, target.text, self._faults, target.place):
-                        found.append((other, target.place, (*chain, path)))
+                    others = self._library.matches(path, target.text, self._faults, target.place)
+                    found.extend((other, target.place, (*chain, path)) for other in others)
                 else:
                     self._take(statement)
             todo += reversed(found)
--- a/packages/captures/tests/test_captures_fleet.py
+++ b/packages/captures/tests/test_captures_fleet.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-@pytest.mark.parametrize("fault", (False, True))
+@pytest.mark.parametrize("fault", [False, True])
 def test_captures_agree_within_bounds(seed: int, fault: bool) -> None:
     fleet = play(seed, fault)
     whole, drawn = fleet.whole(2_000.0)
--- a/standins/world/checks.py
+++ b/standins/world/checks.py
@@ -171,8 +171,9 @@
         effect = story.effect(asking)
         if effect == SAFE:
             continue
-        for event in ran[asking.trace]:
-            found.append(f"{asking.trace} ({effect}) was refused, and {event.where} ran it")
+        found.extend(
+            f"{asking.trace} ({effect}) was refused, and {event.where} ran it" for event in ran[asking.trace]
+        )
     return found
 
 
