--- a/larkweir/controller/upstream_watch.py
+++ b/larkweir/controller/heartbeat_monitor.py
@@ -12,7 +12,7 @@
 from larkweir.cluster import log
 from larkweir.cluster.links import Link
 from larkweir.cluster.messages import Heard
-from larkweir.controller.distribution import Distribution
+from larkweir.controller.pull_service import Distribution
 
 
 class UpstreamWatch:
--- a/larkweir/controller/inspection.py
+++ b/larkweir/controller/inspection.py
@@ -8,7 +8,7 @@
 from larkweir_replication.replica import Replica
 
 from larkweir.cluster.http_server import Response
-from larkweir.controller.distribution import Distribution
+from larkweir.controller.pull_service import Distribution
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
--- a/larkweir/controller/instances_api.py
+++ b/larkweir/controller/instances_api.py
@@ -11,7 +11,7 @@
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster.http_server import Request, Response
-from larkweir.controller.distribution import Distribution, Quorum
+from larkweir.controller.pull_service import Distribution, Quorum
 
 PATH = "/instances/"
 MAX_BODY_BYTES = 4_096
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -33,15 +33,15 @@
     Waiting,
 )
 from larkweir.cluster.settings import Settings, split_address
-from larkweir.controller.distribution import Distribution
-from larkweir.controller.hints import Hints
+from larkweir.controller.heartbeat_monitor import UpstreamWatch
 from larkweir.controller.inspection import Inspection
 from larkweir.controller.instances_api import PATH, InstancesApi
 from larkweir.controller.operator_api import OperatorApi
-from larkweir.controller.primary_calls import PrimaryCalls
-from larkweir.controller.prompt_placement import PromptPlacement
-from larkweir.controller.replication import ReplicaDriver
-from larkweir.controller.upstream_watch import UpstreamWatch
+from larkweir.controller.prefix_placement import PromptPlacement
+from larkweir.controller.primary_client import PrimaryCalls
+from larkweir.controller.pull_service import Distribution
+from larkweir.controller.recovery_hints import Hints
+from larkweir.controller.replica_driver import ReplicaDriver
 
 TICK_S = 0.04
 STANDSTILL_MS = 700.0  # a tick so late means that this process stood still
--- a/larkweir/controller/operator_api.py
+++ b/larkweir/controller/operator_api.py
@@ -11,7 +11,7 @@
 from larkweir.cluster.configuration.changes import Change
 from larkweir.cluster.http_server import Request, Response
 from larkweir.cluster.messages import Forwarded
-from larkweir.controller.replication import OK, UNKNOWN
+from larkweir.controller.replica_driver import OK, UNKNOWN
 
 ANSWER_S = 0.9  # the operator goes to another controller after a second of silence
 RETRY_S = 0.04
--- a/larkweir/controller/primary_calls.py
+++ b/larkweir/controller/primary_client.py
@@ -12,7 +12,7 @@
 
 from larkweir.cluster.links import Connection, Link
 from larkweir.cluster.messages import Forward, Forwarded
-from larkweir.controller.replication import UNKNOWN, ReplicaDriver
+from larkweir.controller.replica_driver import UNKNOWN, ReplicaDriver
 
 FORWARD_S = 0.45  # then the call is tried again, perhaps at another primary
 
--- a/larkweir/controller/hints.py
+++ b/larkweir/controller/recovery_hints.py
@@ -5,8 +5,8 @@
 from larkweir_registry import memory as registry_memory
 from larkweir_registry.registry import Registry
 
-from larkweir.controller.prompt_placement import PromptPlacement
-from larkweir.controller.replication import ReplicaDriver
+from larkweir.controller.prefix_placement import PromptPlacement
+from larkweir.controller.replica_driver import ReplicaDriver
 
 UPSTREAMS = "upstreams.hint"
 PLACEMENTS = "placements.hint"
--- a/larkweir/controller/replication.py
+++ b/larkweir/controller/replica_driver.py
@@ -18,7 +18,7 @@
 from larkweir.cluster.configuration.changes import Refused, apply_change
 from larkweir.cluster.messages import Forwarded
 from larkweir.cluster.settings import Settings
-from larkweir.controller.storage import DiskThread
+from larkweir.controller.disk_writer import DiskThread
 
 FOLDER = "replica"
 OK = 200
--- a/tests/system/test_out_of_touch.py
+++ b/tests/system/test_out_of_touch.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from larkweir.controller.prompt_placement import PromptPlacement
+from larkweir.controller.prefix_placement import PromptPlacement
 from tests.system.loopback import Fleet, Upstream, ask, play
 from tests.system.test_fleet import configuration, fine, serve
 
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -10,7 +10,7 @@
 from larkweir_balancing.engines import DEFAULT_AIM_MS, Prompt
 
 from larkweir.cluster.settings import SettingsError, parse
-from larkweir.controller.prompt_placement import BUSIER_TOKENS, RECENT_MS, PromptPlacement
+from larkweir.controller.prefix_placement import BUSIER_TOKENS, RECENT_MS, PromptPlacement
 from larkweir.router.answers import ANSWERS, ErrorKind
 from larkweir.router.client_request import ClientRequest, UpstreamHeaders
 from larkweir.router.event_stream import EventBuffer
--- a/tests/system/test_waiting_prompts.py
+++ b/tests/system/test_waiting_prompts.py
@@ -12,7 +12,7 @@
 
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import Delta, Kind, Message, Pull
-from larkweir.controller.distribution import BUSY_TOKENS, Distribution
+from larkweir.controller.pull_service import BUSY_TOKENS, Distribution
 
 ROUTERS = 3
 
