--- a/larkweir/controller/heartbeat_monitor.py
+++ b/larkweir/controller/heartbeat_monitor.py
@@ -12,26 +12,26 @@
 from larkweir.cluster import log
 from larkweir.cluster.links import Link
 from larkweir.cluster.messages import Heard
-from larkweir.controller.pull_service import Distribution
+from larkweir.controller.pull_service import PullService
 
 
-class UpstreamWatch:
+class HeartbeatMonitor:
     """Tells the other controllers what is heard here, and marks upstreams that nobody hears."""
 
-    def __init__(self, registry: Registry, liveness: Liveness, distribution: Distribution) -> None:
+    def __init__(self, registry: Registry, liveness: Liveness, pulls: PullService) -> None:
         """All three are the controller's own."""
         self._registry = registry
         self._liveness = liveness
-        self._distribution = distribution
+        self._pulls = pulls
 
-    def report(self, links: Iterable[Link]) -> None:
+    def share(self, links: Iterable[Link]) -> None:
         """Tells what was heard since the last call."""
         report = self._liveness.take_report()
         if report:
             for link in links:
                 link.send(Heard(report))
 
-    def judge(self, now_ms: float, *, connected: bool) -> None:
+    def evaluate(self, now_ms: float, *, connected: bool) -> None:
         """`connected`: a majority of controllers can be heard; without it silence proves nothing."""
         if not connected:
             self._liveness.blinded(now_ms)
@@ -42,11 +42,11 @@
             if upstream.state is not State.GONE and not upstream.silent
         ]
         for id_ in self._liveness.silent(watched, now_ms):
-            self._lapse(self._registry.upstreams[id_], now_ms)
+            self._mark_silent(self._registry.upstreams[id_], now_ms)
 
-    def _lapse(self, upstream: Upstream, now_ms: float) -> None:
+    def _mark_silent(self, upstream: Upstream, now_ms: float) -> None:
         sequence = max(upstream.sequence, self._liveness.sequence(upstream.id))
         log.event("upstream_silent", id=upstream.id, sequence=sequence)
         silent = msgspec.structs.replace(upstream, sequence=sequence, lapsed=sequence)
         if self._registry.note(silent, now_ms):
-            self._distribution.wake()
+            self._pulls.wake()
--- a/larkweir/controller/inspection.py
+++ b/larkweir/controller/inspection.py
@@ -8,18 +8,18 @@
 from larkweir_replication.replica import Replica
 
 from larkweir.cluster.http_server import Response
-from larkweir.controller.pull_service import Distribution
+from larkweir.controller.pull_service import PullService
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
     """A router that is connected. `behind`: how many sequences its configuration is older than this controller's."""
 
     node: str
-    configuration: int
-    behind: int
+    configuration_sequence: int = msgspec.field(name="configuration")
+    sequences_behind: int = msgspec.field(name="behind")
 
 
-class Status(msgspec.Struct, frozen=True):
+class ControllerStatus(msgspec.Struct, frozen=True):
     """What `/status` gives."""
 
     node: str
@@ -28,9 +28,9 @@
     epoch: int
     sequence: int
     members: list[str]
-    changing_members: bool
-    linked: list[str]
-    configuration: int
+    is_changing_members: bool = msgspec.field(name="changing_members")
+    linked_controllers: list[str] = msgspec.field(name="linked")
+    configuration_sequence: int = msgspec.field(name="configuration")
     upstreams_ready: int
     routers: list[RouterStatus]
 
@@ -43,39 +43,39 @@
     address: str
     zone: str
     state: str
-    silent: bool
-    sequence: int
+    is_silent: bool = msgspec.field(name="silent")
+    heartbeat_sequence: int = msgspec.field(name="sequence")
     waiting_tokens: int
 
 
 class Inspection:
     """Reads the parts of a controller; changes nothing."""
 
-    def __init__(self, node: str, replica: Replica, registry: Registry, distribution: Distribution) -> None:
+    def __init__(self, node: str, replica: Replica, registry: Registry, pulls: PullService) -> None:
         """All are the controller's own."""
         self._node = node
         self._replica = replica
         self._registry = registry
-        self._distribution = distribution
+        self._pulls = pulls
 
-    def status(self, linked: list[str]) -> Status:
+    def status(self, linked: list[str]) -> ControllerStatus:
         """`linked`: the controllers to which there is a connection."""
-        replica, distribution = self._replica, self._distribution
+        replica, pulls = self._replica, self._pulls
         accepted, committed = replica.accepted, replica.committed
         routers = [
-            RouterStatus(node, sequence, distribution.sequence - sequence)
-            for node, sequence in sorted(distribution.router_sequences().items())
+            RouterStatus(node, sequence, pulls.sequence - sequence)
+            for node, sequence in sorted(pulls.router_sequences().items())
         ]
-        return Status(
+        return ControllerStatus(
             node=self._node,
             role=replica.status.value,
             primary=replica.primary,
             epoch=replica.promised.number,
             sequence=committed.sequence if committed else -1,
             members=list(accepted.members) if accepted else [],
-            changing_members=bool(accepted and accepted.previous_members),
-            linked=linked,
-            configuration=distribution.sequence,
+            is_changing_members=bool(accepted and accepted.previous_members),
+            linked_controllers=linked,
+            configuration_sequence=pulls.sequence,
             upstreams_ready=self._count(State.READY),
             routers=routers,
         )
@@ -94,7 +94,7 @@
                 one.state.name.lower(),
                 one.silent,
                 one.sequence,
-                self._distribution.waiting.get(one.id, 0),
+                self._pulls.prefill_load.get(one.id, 0),
             )
             for one in sorted(self._registry.upstreams.values(), key=lambda one: (one.service, one.id))
         ]
@@ -121,11 +121,14 @@
             "epoch": ("epoch that this controller has promised", status.epoch),
             "sequence": ("sequence of the last committed state", status.sequence),
             "members": ("controllers that vote", len(status.members)),
-            "linked_controllers": ("controllers that this one has a connection to", len(status.linked)),
+            "linked_controllers": (
+                "controllers that this one has a connection to",
+                len(status.linked_controllers),
+            ),
             "routers": ("routers that are connected", len(status.routers)),
             "router_lag_max": (
                 "sequences that the oldest configuration of a router is behind",
-                max((router.behind for router in status.routers), default=0),
+                max((router.sequences_behind for router in status.routers), default=0),
             ),
             "upstreams_ready": ("upstreams that are ready and heard of", status.upstreams_ready),
             "upstreams_silent": (
@@ -134,7 +137,7 @@
             ),
             "waiting_tokens": (
                 "prompt tokens that wait to be read",
-                sum(self._distribution.waiting.values()),
+                sum(self._pulls.prefill_load.values()),
             ),
         }
         registry = CollectorRegistry()
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -33,24 +33,26 @@
     Waiting,
 )
 from larkweir.cluster.settings import Settings, split_address
-from larkweir.controller.heartbeat_monitor import UpstreamWatch
+from larkweir.controller.heartbeat_monitor import HeartbeatMonitor
 from larkweir.controller.inspection import Inspection
-from larkweir.controller.instances_api import PATH, InstancesApi
+from larkweir.controller.instances_api import PATH_PREFIX, InstancesApi
 from larkweir.controller.operator_api import OperatorApi
-from larkweir.controller.prefix_placement import PromptPlacement
-from larkweir.controller.primary_client import PrimaryCalls
-from larkweir.controller.pull_service import Distribution
-from larkweir.controller.recovery_hints import Hints
+from larkweir.controller.prefix_placement import PrefixPlacement
+from larkweir.controller.primary_client import PrimaryClient
+from larkweir.controller.pull_service import PullService
+from larkweir.controller.recovery_hints import RecoveryHints
 from larkweir.controller.replica_driver import ReplicaDriver
 
 TICK_S = 0.04
-STANDSTILL_MS = 700.0  # a tick so late means that this process stood still
-HEARD_EVERY_TICKS = 8
+PAUSE_MS = 700.0  # a tick so late means that this process stood still
+HEARTBEATS_EVERY_TICKS = 8
 PLACEMENTS_EVERY_TICKS = 25
 PLACEMENTS_PER_TICK = 100  # the more there are, the less often they are written, as the file is written whole
-TIDY_EVERY_TICKS = 250
-FORGET_FAILURES = 60  # dials in a row, about a minute, until a node that is no member is forgotten
-LEAVE_S = 1.5  # the longest that a planned end waits for a machine that has just started to take its place
+CLEAN_UP_EVERY_TICKS = 250
+FORGET_AFTER_FAILURES = 60  # dials in a row, about a minute, until a node that is no member is forgotten
+LEAVE_TIMEOUT_S = (
+    1.5  # the longest that a planned end waits for a machine that has just started to take its place
+)
 MAX_BODY_BYTES = 8 * 1024 * 1024
 BACKLOG = 1_024
 
@@ -62,30 +64,30 @@
         """Opens nothing yet but the data folder. OSError where that can't be read."""
         self.settings = settings
         self._loop = asyncio.get_running_loop()
-        self._life = secrets.token_hex(6)
-        self._registry = Registry(f"{settings.ip}/{self._life}")
+        self._incarnation = secrets.token_hex(6)
+        self._registry = Registry(f"{settings.ip}/{self._incarnation}")
         self._ledger = Ledger()
         self._liveness = Liveness(settings.heartbeat_ms, self._now_ms())
         self._links: dict[str, Link] = {}
-        self._distribution = Distribution(
-            self._registry, self._ledger, self._controllers, quota_over=settings.bounds.quota_over
+        self._pulls = PullService(
+            self._registry, self._ledger, self._controllers, overuse_fraction=settings.bounds.quota_over
         )
         self._driver = ReplicaDriver(settings, self._send_replication, self._committed)
-        self._primary = PrimaryCalls(self._driver, self._links)
+        self._primary = PrimaryClient(self._driver, self._links)
         self._operator = OperatorApi(self._primary.call)
-        self._upstreams = UpstreamWatch(self._registry, self._liveness, self._distribution)
+        self._heartbeats = HeartbeatMonitor(self._registry, self._liveness, self._pulls)
         self._instances = InstancesApi(
             self._registry,
             self._liveness,
-            self._distribution,
-            in_touch=self._is_connected,
+            self._pulls,
+            is_connected=self._is_connected,
             quorum=self._is_quorum,
         )
         replica = self._driver.replica
-        self._inspection = Inspection(settings.ip, replica, self._registry, self._distribution)
-        self._placement = PromptPlacement()
-        self._hints = Hints(self._driver, self._registry, self._placement, self._now_ms())
-        self._in_touch = True
+        self._inspection = Inspection(settings.ip, replica, self._registry, self._pulls)
+        self._placement = PrefixPlacement()
+        self._hints = RecoveryHints(self._driver, self._registry, self._placement, self._now_ms())
+        self._was_connected = True
         self._stopping = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._servers: list[asyncio.Server] = []
@@ -103,7 +105,7 @@
         assert self.settings.listen.control is not None
         control = split_address(self.settings.listen.control)
         await self._listen(self._accept_peer, self.settings.ip, self.settings.peer_port)
-        await self._listen(self._accept_caller, *control)
+        await self._listen(self._accept_http, *control)
         log.event("controller_started", control=self.settings.listen.control)
         self._start(self._tick_forever(watch))
         await self._stopping.wait()
@@ -114,7 +116,7 @@
     async def _leave(self) -> None:
         """Goes on as a member until another has taken its place, where one stands by for that."""
         self._driver.leave()
-        end_s = self._loop.time() + LEAVE_S
+        end_s = self._loop.time() + LEAVE_TIMEOUT_S
         while not self._driver.replica.has_left and self._loop.time() < end_s:
             await asyncio.sleep(TICK_S)
         self._driver.resign()
@@ -124,11 +126,11 @@
         self._servers.append(await self._loop.create_server(accept, host, port, backlog=BACKLOG))
 
     def _accept_peer(self) -> Connection:
-        connection = Connection(self._came, self._distribution.left)
+        connection = Connection(self._received, self._pulls.disconnected)
         self._accepted.add(connection)
         return connection
 
-    def _accept_caller(self) -> HttpServerConnection:
+    def _accept_http(self) -> HttpServerConnection:
         connection = HttpServerConnection(self._handle, MAX_BODY_BYTES)
         self._accepted.add(connection)
         return connection
@@ -150,17 +152,17 @@
         for count in itertools.count():
             await asyncio.sleep(TICK_S)
             now_ms = self._now_ms()
-            if now_ms >= last_ms + STANDSTILL_MS:
-                self._woke(now_ms)
+            if now_ms >= last_ms + PAUSE_MS:
+                self._process_paused(now_ms)
             last_ms = now_ms
             self._tick(count)
             watch.tick(now_ms)
 
-    def _woke(self, now_ms: float) -> None:
+    def _process_paused(self, now_ms: float) -> None:
         """After a standstill: nobody's silence in that time means anything."""
-        log.event("stood_still")
+        log.event("process_paused")
         self._liveness.blinded(now_ms)
-        self._placement.was_away()
+        self._placement.mark_outdated()
         for link in self._links.values():
             if link.connection is not None:
                 link.connection.excuse_silence()
@@ -171,20 +173,20 @@
         for node in self._controllers():
             if node != self.settings.ip and node not in self._links:
                 self._links[node] = Link(
-                    node, self.settings.peer_port, self._came, self._link_made, self._link_lost
+                    node, self.settings.peer_port, self._received, self._link_connected, self._link_lost
                 )
         for link in self._links.values():
             link.keep_alive()
-        self._distribution.tick()
-        if count % HEARD_EVERY_TICKS == 0:
-            self._upstreams.report(self._links.values())
-            self._watch_contact()
-        if count % TIDY_EVERY_TICKS == 0:
-            self._tidy()
+        self._pulls.tick()
+        if count % HEARTBEATS_EVERY_TICKS == 0:
+            self._heartbeats.share(self._links.values())
+            self._update_contact()
+        if count % CLEAN_UP_EVERY_TICKS == 0:
+            self._clean_up()
         self._hints.write_upstreams()
         if count % max(PLACEMENTS_EVERY_TICKS, len(self._placement) // PLACEMENTS_PER_TICK) == 0:
             self._hints.write_placements()
-        self._placement.busy_with(self._distribution.waiting)
+        self._placement.update_load(self._pulls.prefill_load)
 
     def _notice_large_messages(self) -> None:
         """Heartbeats wait behind a large state on a slow link: whoever sends that is alive."""
@@ -192,22 +194,26 @@
             if isinstance(connection, Connection) and connection.is_receiving:
                 self._driver.replica.receiving(connection.node, self._now_ms())
 
-    def _watch_contact(self) -> None:
+    def _update_contact(self) -> None:
         """What this controller knows by itself counts for less while, and after, no majority is in reach."""
-        was_in_touch, self._in_touch = self._in_touch, self._is_connected()
-        if self._in_touch and not was_in_touch:
-            self._placement.was_away()
-        self._upstreams.judge(self._now_ms(), connected=self._in_touch)
+        was_connected, self._was_connected = self._was_connected, self._is_connected()
+        if self._was_connected and not was_connected:
+            self._placement.mark_outdated()
+        self._heartbeats.evaluate(self._now_ms(), connected=self._was_connected)
 
-    def _tidy(self) -> None:
+    def _clean_up(self) -> None:
         """Drops what nobody needs any more: upstreams long gone, nodes that were controllers once."""
         self._registry.prune(self._now_ms())
         replica = self._driver.replica
         if replica.accepted is None:
             return
-        named = {*replica.accepted.members, *replica.accepted.previous_members, *self.settings.seed_nodes}
+        referenced = {
+            *replica.accepted.members,
+            *replica.accepted.previous_members,
+            *self.settings.seed_nodes,
+        }
         for node, link in list(self._links.items()):
-            if node not in named and link.connection is None and link.failures >= FORGET_FAILURES:
+            if node not in referenced and link.connection is None and link.failures >= FORGET_AFTER_FAILURES:
                 link.close()
                 del self._links[node]
                 replica.known.discard(node)
@@ -224,8 +230,8 @@
         members = accepted.members if accepted is not None else ()
         return sorted({*members, *self._driver.replica.known, self.settings.ip})
 
-    def _link_made(self, connection: Connection) -> None:
-        connection.send(Hello(self.settings.ip, Kind.CONTROLLER, self._life))
+    def _link_connected(self, connection: Connection) -> None:
+        connection.send(Hello(self.settings.ip, Kind.CONTROLLER, self._incarnation))
         connection.send(Pull(vector=dict(self._registry.vector)))
         self._driver.replica.reconnected(connection.node)
 
@@ -237,19 +243,19 @@
         if link is not None:
             link.send(Replication(message))
 
-    def _came(self, connection: Connection, message: Message) -> None:
+    def _received(self, connection: Connection, message: Message) -> None:
         match message:
             case Hello():
                 connection.node, connection.life = message.node, message.life
-                self._distribution.joined(connection, message.kind)
+                self._pulls.connected(connection, message.kind)
                 if message.kind is Kind.CONTROLLER:
                     self._driver.replica.known.add(message.node)
             case Pull():
-                self._distribution.pulled(connection, message)
+                self._pulls.pull(connection, message)
             case Waiting():
-                self._distribution.told_waiting(connection, message.tokens)
+                self._pulls.report_prefill(connection, message.tokens)
             case Delta():
-                self._pulled(connection, message)
+                self._merge(connection, message)
             case Replication():
                 if connection.node:
                     self._driver.receive(connection.node, message.message)
@@ -258,7 +264,7 @@
             case Heard():
                 self._liveness.heard_elsewhere(message.sequences, self._now_ms())
             case Forward():
-                self._start(self._primary.answer(connection, message))
+                self._start(self._primary.serve(connection, message))
             case Forwarded():
                 self._primary.answered(message)
 
@@ -267,12 +273,12 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _pulled(self, connection: Connection, delta: Delta) -> None:
+    def _merge(self, connection: Connection, delta: Delta) -> None:
         now_ms = self._now_ms()
         for upstream in self._registry.merge(delta.records, delta.vector, now_ms):
             self._liveness.heard_elsewhere({upstream.id: upstream.sequence}, now_ms)
         if delta.records:
-            self._distribution.wake()
+            self._pulls.wake()
         connection.send(Pull(vector=dict(self._registry.vector) if delta.vector else None))
 
     # The configuration
@@ -281,16 +287,16 @@
         log.event(
             "committed", sequence=snapshot.sequence, epoch=snapshot.epoch.number, members=snapshot.members
         )
-        self._distribution.publish(snapshot.sequence, snapshot.value)
+        self._pulls.publish(snapshot.sequence, snapshot.value)
 
     # Upstreams
 
     def _place(self, message: Place) -> Placed:
         ready = self._registry.ready(message.service)
-        if self._distribution.ejected:
-            ready = [id_ for id_ in ready if id_ not in self._distribution.ejected] or ready
-        found = self._placement.place(message.head, message.tokens, ready, message.known, self._now_ms())
-        return Placed(message.head, None) if found is None else Placed(message.head, *found)
+        if self._pulls.ejected:
+            ready = [id_ for id_ in ready if id_ not in self._pulls.ejected] or ready
+        placement = self._placement.place(message.head, message.tokens, ready, message.known, self._now_ms())
+        return Placed(message.head, None) if placement is None else Placed(message.head, *placement)
 
     def _is_connected(self) -> bool:
         """Whether a majority of controllers can be heard."""
@@ -305,7 +311,7 @@
 
     async def _handle(self, request: Request) -> Response:
         path = request.target.partition("?")[0]
-        if path.startswith(PATH) and len(path) > len(PATH):
+        if path.startswith(PATH_PREFIX) and len(path) > len(PATH_PREFIX):
             if request.method == "PUT":
                 return await self._instances.put(request)
             if request.method == "DELETE":
--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -14,10 +14,10 @@
 from larkweir.cluster.messages import Forward, Forwarded
 from larkweir.controller.replica_driver import UNKNOWN, ReplicaDriver
 
-FORWARD_S = 0.45  # then the call is tried again, perhaps at another primary
+FORWARD_TIMEOUT_S = 0.45  # then the call is tried again, perhaps at another primary
 
 
-class PrimaryCalls:
+class PrimaryClient:
     """Calls the replica of this controller, or the one that it follows."""
 
     def __init__(self, driver: ReplicaDriver, links: Mapping[str, Link]) -> None:
@@ -26,7 +26,7 @@
         self._links = links
         self._loop = asyncio.get_running_loop()
         self._tickets = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[Forwarded]] = {}
+        self._forwarded: dict[int, asyncio.Future[Forwarded]] = {}
 
     async def call(self, command: Command | None) -> Forwarded:
         """One try: a command, or a read where there is none. Unknown where there is no primary in reach."""
@@ -37,24 +37,24 @@
         if link is None or link.connection is None:
             return Forwarded(0, UNKNOWN)
         ticket = next(self._tickets)
-        waiter: asyncio.Future[Forwarded] = self._loop.create_future()
-        self._waiting[ticket] = waiter
+        answer: asyncio.Future[Forwarded] = self._loop.create_future()
+        self._forwarded[ticket] = answer
         try:
             link.send(Forward(ticket, command))
-            async with asyncio.timeout(FORWARD_S):
-                return await waiter
+            async with asyncio.timeout(FORWARD_TIMEOUT_S):
+                return await answer
         except TimeoutError:
             return Forwarded(ticket, UNKNOWN)
         finally:
-            self._waiting.pop(ticket, None)
+            self._forwarded.pop(ticket, None)
 
-    async def answer(self, connection: Connection, forward: Forward) -> None:
+    async def serve(self, connection: Connection, forward: Forward) -> None:
         """Another controller takes this one for the primary."""
         answer = await self._driver.call(forward.command)
         connection.send(msgspec.structs.replace(answer, ticket=forward.ticket))
 
     def answered(self, message: Forwarded) -> None:
         """The primary's answer to a call that was sent on; one that is late is passed over."""
-        waiter = self._waiting.pop(message.ticket, None)
-        if waiter is not None and not waiter.done():
-            waiter.set_result(message)
+        answer = self._forwarded.pop(message.ticket, None)
+        if answer is not None and not answer.done():
+            answer.set_result(message)
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -18,12 +18,12 @@
 from larkweir.cluster.configuration.changes import Refused, apply_change
 from larkweir.cluster.messages import Forwarded
 from larkweir.cluster.settings import Settings
-from larkweir.controller.disk_writer import DiskThread
+from larkweir.controller.disk_writer import DiskWriter
 
 FOLDER = "replica"
 OK = 200
 UNKNOWN = 0
-TOO_OLD = 503
+STATUS_TOO_OLD = 503
 
 
 class ReplicaDriver:
@@ -40,7 +40,7 @@
         self._send = send
         self._on_committed = on_committed
         self._tickets = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[Forwarded]] = {}
+        self._calls: dict[int, asyncio.Future[Forwarded]] = {}
         assert settings.data_dir is not None
         self._files = FolderFiles(os.path.join(settings.data_dir, FOLDER))
         journal = Journal(self._files)
@@ -55,7 +55,7 @@
             members_wanted=2 * settings.fault_tolerance.machines + 1,
             born_ms=born_ms(self._now_ms()),
         )
-        self._disk = DiskThread(journal, self._files, self._loop, self._persisted, self._persist_failed)
+        self._disk = DiskWriter(journal, self._files, self._loop, self._persisted, self._persist_failed)
         self._status = self.replica.status
         log.event(
             "replica_started",
@@ -94,24 +94,24 @@
                 case Send(node, message):
                     self._send(node, message)
                 case Persist(token, durable):
-                    self._disk.write(token, durable)
+                    self._disk.write_record(token, durable)
                 case Committed(snapshot):
                     self._on_committed(snapshot)
                 case Decided(ticket, verdict, reason):
-                    self._answer(ticket, _answer_of(ticket, verdict, reason))
+                    self._complete(ticket, _answer_of(ticket, verdict, reason))
                 case ReadDone(ticket, snapshot):
                     found = Forwarded(ticket, UNKNOWN if snapshot is None else OK)
                     if snapshot is not None:
                         found = Forwarded(ticket, OK, value=snapshot.value)
-                    self._answer(ticket, found)
+                    self._complete(ticket, found)
         if self.replica.status is not self._status:
             self._status = self.replica.status
             log.event("replica_status", status=self._status, epoch=self.replica.promised.number)
 
-    def _answer(self, ticket: int, answer: Forwarded) -> None:
-        waiter = self._waiting.pop(ticket, None)
-        if waiter is not None and not waiter.done():
-            waiter.set_result(answer)
+    def _complete(self, ticket: int, answer: Forwarded) -> None:
+        call = self._calls.pop(ticket, None)
+        if call is not None and not call.done():
+            call.set_result(answer)
 
     async def call(self, command: Command | None) -> Forwarded:
         """A command, or a read where there is none, at this replica as the primary; unknown where it is not.
@@ -119,18 +119,18 @@
         The caller bounds the time.
         """
         ticket = next(self._tickets)
-        waiter: asyncio.Future[Forwarded] = self._loop.create_future()
-        self._waiting[ticket] = waiter
+        call: asyncio.Future[Forwarded] = self._loop.create_future()
+        self._calls[ticket] = call
         try:
             now_ms = self._now_ms()
             if command is not None:
-                taken = self.replica.submit(ticket, command, now_ms)
+                is_accepted = self.replica.submit(ticket, command, now_ms)
             else:
-                taken = self.replica.read(ticket, now_ms)
+                is_accepted = self.replica.read(ticket, now_ms)
             self.carry_out()
-            return await waiter if taken else Forwarded(ticket, UNKNOWN)
+            return await call if is_accepted else Forwarded(ticket, UNKNOWN)
         finally:
-            self._waiting.pop(ticket, None)
+            self._calls.pop(ticket, None)
 
     def read_hint(self, name: str) -> bytes | None:
         """What `write_hint` left in an earlier life; None for nothing."""
@@ -172,4 +172,6 @@
         case Verdict.UNKNOWN:
             return Forwarded(ticket, UNKNOWN)
         case Verdict.FORGOTTEN:
-            return Forwarded(ticket, TOO_OLD, "it builds on a version too old to tell whether it was taken")
+            return Forwarded(
+                ticket, STATUS_TOO_OLD, "it builds on a version too old to tell whether it was taken"
+            )
--- a/tests/system/test_waiting_prompts.py
+++ b/tests/system/test_waiting_prompts.py
@@ -12,7 +12,7 @@
 
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import Delta, Kind, Message, Pull
-from larkweir.controller.pull_service import BUSY_TOKENS, Distribution
+from larkweir.controller.pull_service import MIN_REPORTED_TOKENS, PullService
 
 ROUTERS = 3
 
@@ -31,20 +31,20 @@
 
 
 class Scene:
-    """A controller's distribution and some routers. To be made inside a loop."""
+    """A controller's pulls and some routers. To be made inside a loop."""
 
     def __init__(self) -> None:
         self.registry = Registry("c/1")
-        self.distribution = Distribution(self.registry, Ledger(), lambda: ["c"])
+        self.pulls = PullService(self.registry, Ledger(), lambda: ["c"])
         self.routers = [Recorded(f"r{n}") for n in range(ROUTERS)]
         for router in self.routers:
-            self.distribution.joined(router, Kind.ROUTER)
+            self.pulls.connected(router, Kind.ROUTER)
 
     def answer(self, router: Recorded, pull: Pull) -> Delta:
         """What a pull is answered that lacks the list of upstreams."""
         self.registry.note(Upstream(f"u{random.random()}", "other", "127.0.0.1:1", "z"), 0.0)
         router.sent.clear()
-        self.distribution.pulled(router, pull)
+        self.pulls.pull(router, pull)
         return router.sent[-1]
 
 
@@ -52,13 +52,13 @@
     async def scene() -> None:
         made = Scene()
         one, two, three = made.routers
-        made.distribution.told_waiting(one, {"e": BUSY_TOKENS, "f": 10})
-        made.distribution.told_waiting(two, {"e": 500})
-        assert made.distribution.waiting == {"e": BUSY_TOKENS + 500, "f": 10}
-        assert made.answer(three, Pull(vector={})).waiting == {"e": BUSY_TOKENS + 500}
-        assert made.answer(one, Pull(vector={}, waiting={"e": BUSY_TOKENS})).waiting == {"e": 500}
-        made.distribution.told_waiting(one, {})
-        assert made.distribution.waiting == {"e": 500}
+        made.pulls.report_prefill(one, {"e": MIN_REPORTED_TOKENS, "f": 10})
+        made.pulls.report_prefill(two, {"e": 500})
+        assert made.pulls.prefill_load == {"e": MIN_REPORTED_TOKENS + 500, "f": 10}
+        assert made.answer(three, Pull(vector={})).waiting == {"e": MIN_REPORTED_TOKENS + 500}
+        assert made.answer(one, Pull(vector={}, waiting={"e": MIN_REPORTED_TOKENS})).waiting == {"e": 500}
+        made.pulls.report_prefill(one, {})
+        assert made.pulls.prefill_load == {"e": 500}
         assert made.answer(three, Pull(vector={})).waiting == {}
 
     asyncio.run(scene())
@@ -67,11 +67,11 @@
 def test_what_a_lost_router_had_waiting_counts_no_longer() -> None:
     async def scene() -> None:
         made = Scene()
-        made.distribution.told_waiting(made.routers[0], {"e": 9_000})
-        made.distribution.left(made.routers[0])
-        assert made.distribution.waiting == {}
-        made.distribution.told_waiting(made.routers[0], {"e": 9_000})
-        assert made.distribution.waiting == {}
+        made.pulls.report_prefill(made.routers[0], {"e": 9_000})
+        made.pulls.disconnected(made.routers[0])
+        assert made.pulls.prefill_load == {}
+        made.pulls.report_prefill(made.routers[0], {"e": 9_000})
+        assert made.pulls.prefill_load == {}
 
     asyncio.run(scene())
 
@@ -84,10 +84,10 @@
         for _ in range(500):
             router = rng.choice(made.routers)
             told = {engine: rng.randrange(1, 9_000) for engine in "efgh" if rng.random() < 0.5}
-            made.distribution.told_waiting(router, told)
+            made.pulls.report_prefill(router, told)
             last[router.node] = told
             total = {engine: sum(one.get(engine, 0) for one in last.values()) for engine in "efgh"}
-            assert made.distribution.waiting == {engine: tokens for engine, tokens in total.items() if tokens}
+            assert made.pulls.prefill_load == {engine: tokens for engine, tokens in total.items() if tokens}
 
     asyncio.run(scene())
 
@@ -100,8 +100,8 @@
         made.registry.note(Upstream("bad", "s", "127.0.0.1:9", "z"), 0.0)
         for router in made.routers:
             made.answer(router, Pull(vector={}, endings={"bad": Endings(0, BAD_LEAST)}))
-        made.distribution.tick()
-        assert made.distribution.ejected == {"bad"}
+        made.pulls.tick()
+        assert made.pulls.ejected == {"bad"}
         assert made.answer(made.routers[0], Pull(vector={})).ejected == ["bad"]
         assert made.answer(made.routers[0], Pull(vector={})).ejected is None, "told once"
 
