--- /dev/null
+++ b/larkweir/controller/call_outcome.py
@@ -0,0 +1,54 @@
+"""How a call of the primary ended: one type for each outcome, and its form on the wire."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from larkweir.cluster.messages import Forwarded
+
+STATUS_COMPLETED = 200
+STATUS_UNKNOWN = 0  # on the wire only
+
+
+@dataclass(frozen=True, slots=True)
+class Completed:
+    """The command was carried out, or the read was confirmed. `value`: the configuration that was read, as JSON."""
+
+    value: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class Rejected:
+    """The primary rejected the call. `status`: the HTTP status for the operator."""
+
+    status: int
+    detail: str
+
+
+@dataclass(frozen=True, slots=True)
+class Unknown:
+    """The call may or may not have taken effect; a retry finds out."""
+
+
+CallOutcome = Completed | Rejected | Unknown
+UNKNOWN = Unknown()
+
+
+def to_message(ticket: int, outcome: CallOutcome) -> Forwarded:
+    """The answer to the controller that forwarded the call under this ticket."""
+    match outcome:
+        case Completed(value):
+            return Forwarded(ticket, STATUS_COMPLETED, value=value)
+        case Rejected(status, detail):
+            return Forwarded(ticket, status, detail)
+        case Unknown():
+            return Forwarded(ticket, STATUS_UNKNOWN)
+
+
+def from_message(message: Forwarded) -> CallOutcome:
+    """The outcome that a primary's answer states."""
+    if message.status == STATUS_COMPLETED:
+        return Completed(message.value)
+    if message.status == STATUS_UNKNOWN:
+        return UNKNOWN
+    return Rejected(message.status, message.detail)
--- a/larkweir/controller/disk_writer.py
+++ b/larkweir/controller/disk_writer.py
@@ -7,18 +7,39 @@
 import queue
 import threading
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from larkweir_replication.journal import Files, Journal
-from larkweir_replication.messages import NO_EPOCH, Durable
+from larkweir_replication.messages import Durable
 
 from larkweir.cluster import log
 
-NEW_SUFFIX = ".new"  # behind the name of a file that is being written
-HINT = (0, Durable(NO_EPOCH, None))  # in the queue: there is a hint to write
+NEW_SUFFIX = ".new"  # of a file that is being written
+
+
+@dataclass(frozen=True, slots=True)
+class _Record:
+    """A journal record to write."""
+
+    token: int
+    durable: Durable
+
+
+@dataclass(frozen=True, slots=True)
+class _HintsChanged:
+    """There is a hint file to write."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Stop:
+    """The thread is to end; what is still queued is not written."""
+
+
+_Entry = _Record | _HintsChanged | _Stop
 
 
 class DiskWriter:
-    """Writes the newest of the records that wait; the earlier ones are covered by it."""
+    """Writes the newest of the records that are queued; it supersedes the earlier ones."""
 
     def __init__(
         self,
@@ -34,45 +55,55 @@
         self._loop = loop
         self._on_persisted = on_persisted
         self._on_failed = on_failed
-        self._entries: queue.SimpleQueue[tuple[int, Durable] | None] = queue.SimpleQueue()
-        self._hints: dict[str, bytes] = {}  # by file; put by the loop's thread, taken by the other
+        self._entries: queue.SimpleQueue[_Entry] = queue.SimpleQueue()
+        self._hints: dict[str, bytes] = {}  # by file; added by the loop's thread, removed by this one
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self._thread.start()
 
     def write_record(self, token: int, durable: Durable) -> None:
-        """Queues a record."""
-        self._entries.put((token, durable))
+        """Queues a journal record; one of the callbacks follows unless a newer record supersedes it."""
+        self._entries.put(_Record(token, durable))
 
     def write_hint(self, name: str, data: bytes) -> None:
-        """Replaces that file, when no record waits. Nobody is told when, or whether, that is done."""
+        """Replaces that file after the record that is being written. Nobody is notified whether that is done."""
         self._hints[name] = data
-        self._entries.put(HINT)
+        self._entries.put(_HintsChanged())
+
+    def read_hint(self, name: str) -> bytes | None:
+        """What `write_hint` left in an earlier incarnation, read at once; None where it can't be read."""
+        try:
+            return self._files.read(name)
+        except OSError:
+            return None
 
     def close(self) -> None:
-        """Ends the thread behind what is queued; does not wait for it."""
-        self._entries.put(None)
+        """Ends the thread; does not wait for it."""
+        self._entries.put(_Stop())
 
     def _run(self) -> None:
-        while (record := self._entries.get()) is not None:
-            newest = record
-            while not self._entries.empty():
-                newer = self._entries.get()
-                if newer is None:
+        while True:
+            record: _Record | None = None
+            entry = self._entries.get()
+            while True:
+                if isinstance(entry, _Stop):
                     return
-                if newer is not HINT or newest is HINT:
-                    newest = newer
-            if newest is not HINT:
-                self._write_record(*newest)
+                if isinstance(entry, _Record):
+                    record = entry
+                if self._entries.empty():
+                    break
+                entry = self._entries.get()
+            if record is not None:
+                self._write_record(record)
             self._write_hints()
 
-    def _write_record(self, token: int, durable: Durable) -> None:
+    def _write_record(self, record: _Record) -> None:
         try:
-            self._journal.write(durable)
+            self._journal.write(record.durable)
         except OSError as problem:
             log.event("disk_write_failed", error=problem.strerror)
-            self._notify(self._on_failed, token)
+            self._notify(self._on_failed, record.token)
         else:
-            self._notify(self._on_persisted, token)
+            self._notify(self._on_persisted, record.token)
 
     def _write_hints(self) -> None:
         while self._hints:
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -46,13 +46,8 @@
 TICK_S = 0.04
 PAUSE_MS = 700.0  # a tick so late means that this process stood still
 HEARTBEATS_EVERY_TICKS = 8
-PLACEMENTS_EVERY_TICKS = 25
-PLACEMENTS_PER_TICK = 100  # the more there are, the less often they are written, as the file is written whole
 CLEAN_UP_EVERY_TICKS = 250
 FORGET_AFTER_FAILURES = 60  # dials in a row, about a minute, until a node that is no member is forgotten
-LEAVE_TIMEOUT_S = (
-    1.5  # the longest that a planned end waits for a machine that has just started to take its place
-)
 MAX_BODY_BYTES = 8 * 1024 * 1024
 BACKLOG = 1_024
 
@@ -86,7 +81,7 @@
         replica = self._driver.replica
         self._inspection = Inspection(settings.ip, replica, self._registry, self._pulls)
         self._placement = PrefixPlacement()
-        self._hints = RecoveryHints(self._driver, self._registry, self._placement, self._now_ms())
+        self._hints = RecoveryHints(self._driver.disk, self._registry, self._placement)
         self._was_connected = True
         self._stopping = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -110,18 +105,9 @@
         self._start(self._tick_forever(watch))
         await self._stopping.wait()
         log.event("controller_stopping")
-        await self._leave()
+        await self._driver.leave()
         self.close()
 
-    async def _leave(self) -> None:
-        """Goes on as a member until another has taken its place, where one stands by for that."""
-        self._driver.leave()
-        end_s = self._loop.time() + LEAVE_TIMEOUT_S
-        while not self._driver.replica.has_left and self._loop.time() < end_s:
-            await asyncio.sleep(TICK_S)
-        self._driver.resign()
-        await asyncio.sleep(TICK_S)  # what is written goes out
-
     async def _listen(self, accept: Callable[[], asyncio.Protocol], host: str, port: int) -> None:
         self._servers.append(await self._loop.create_server(accept, host, port, backlog=BACKLOG))
 
@@ -184,7 +170,7 @@
         if count % CLEAN_UP_EVERY_TICKS == 0:
             self._clean_up()
         self._hints.write_upstreams()
-        if count % max(PLACEMENTS_EVERY_TICKS, len(self._placement) // PLACEMENTS_PER_TICK) == 0:
+        if count % self._hints.placements_period_ticks() == 0:
             self._hints.write_placements()
         self._placement.update_load(self._pulls.prefill_load)
 
--- a/larkweir/controller/operator_api.py
+++ b/larkweir/controller/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls: the configuration read, replaced and changed, through whoever is the primary."""
+"""The operator's calls: the configuration read, replaced and changed, by the primary wherever it is."""
 
 from __future__ import annotations
 
@@ -10,34 +10,38 @@
 
 from larkweir.cluster.configuration.changes import Change
 from larkweir.cluster.http_server import Request, Response
-from larkweir.cluster.messages import Forwarded
-from larkweir.controller.replica_driver import OK, UNKNOWN
+from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, Completed, Rejected, Unknown
 
-ANSWER_TIMEOUT_S = 0.9  # the operator goes to another controller after a second of silence
+ANSWER_TIMEOUT_S = 0.9  # the operator goes to another controller after a second without an answer
 RETRY_PAUSE_S = 0.04
+NO_PRIMARY = "no primary answers"
 
-CallPrimary = Callable[[Command | None], Awaitable[Forwarded]]
-"""A command, or a read where there is none, to the primary wherever it is."""
+CallPrimary = Callable[[Command | None], Awaitable[CallOutcome]]
+"""One attempt of a command, or of a read where there is none, at the primary wherever it is."""
 
 
 class OperatorApi:
     """`/config` of a controller."""
 
     def __init__(self, call: CallPrimary) -> None:
-        """`call`: tries the primary once."""
+        """`call` is retried while its outcome is unknown."""
         self._call = call
 
     async def get(self) -> Response:
         """The newest configuration, confirmed by the primary."""
-        answer = await self._call_until_known(None)
-        if answer.status != OK:
-            return _error(503, answer.detail or "no primary answers")
-        if not answer.value:
-            return _error(404, "there is no configuration yet")
-        return Response(200, answer.value.encode())
+        outcome = await self._call_until_known(None)
+        match outcome:
+            case Completed(value) if value:
+                return Response(200, value.encode())
+            case Completed():
+                return _error(404, "there is no configuration yet")
+            case Rejected(detail=detail):
+                return _error(503, detail or NO_PRIMARY)
+            case Unknown():
+                return _error(503, NO_PRIMARY)
 
     async def change(self, request: Request) -> Response:
-        """PUT of a whole configuration or PATCH of named items."""
+        """PUT of a complete configuration or PATCH of named items."""
         base = request.headers.get("if-match", "").strip().strip('"')
         if not base.isdigit():
             return _error(400, "If-Match: the version that the change builds on is needed")
@@ -46,23 +50,26 @@
         except UnicodeDecodeError:
             return _error(400, "the body is no UTF-8")
         change = Change(request.method == "PATCH", int(base), body)
-        answer = await self._call_until_known(Command(change.identity, change.base, change.encode()))
-        if answer.status == OK:
-            return Response(200, b"{}")
-        return _error(answer.status or 503, answer.detail or "no primary answers")
+        outcome = await self._call_until_known(Command(change.identity, change.base, change.encode()))
+        match outcome:
+            case Completed():
+                return Response(200, b"{}")
+            case Rejected(status, detail):
+                return _error(status, detail or NO_PRIMARY)
+            case Unknown():
+                return _error(503, NO_PRIMARY)
 
-    async def _call_until_known(self, command: Command | None) -> Forwarded:
-        """Tries again while the outcome is unknown: a command that was carried out is known by its identity."""
-        answer = Forwarded(0, UNKNOWN)
+    async def _call_until_known(self, command: Command | None) -> CallOutcome:
+        """Retries while the outcome is unknown; a command that was carried out is recognised by its identity."""
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 while True:
-                    answer = await self._call(command)
-                    if answer.status != UNKNOWN:
-                        return answer
+                    outcome = await self._call(command)
+                    if not isinstance(outcome, Unknown):
+                        return outcome
                     await asyncio.sleep(RETRY_PAUSE_S)
         except TimeoutError:
-            return Forwarded(0, UNKNOWN)
+            return UNKNOWN
 
 
 def _error(status: int, detail: str) -> Response:
--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -6,15 +6,15 @@
 import itertools
 from collections.abc import Mapping
 
-import msgspec
 from larkweir_replication.messages import Command
 from larkweir_replication.replica import Status
 
 from larkweir.cluster.links import Connection, Link
 from larkweir.cluster.messages import Forward, Forwarded
-from larkweir.controller.replica_driver import UNKNOWN, ReplicaDriver
+from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, from_message, to_message
+from larkweir.controller.replica_driver import ReplicaDriver
 
-FORWARD_TIMEOUT_S = 0.45  # then the call is tried again, perhaps at another primary
+FORWARD_TIMEOUT_S = 0.45  # then the call is retried, perhaps at another primary
 
 
 class PrimaryClient:
@@ -24,37 +24,39 @@
         """`links`: to the other controllers, by node."""
         self._driver = driver
         self._links = links
-        self._loop = asyncio.get_running_loop()
         self._tickets = itertools.count(1)
-        self._forwarded: dict[int, asyncio.Future[Forwarded]] = {}
+        self._forwarded: dict[int, asyncio.Future[CallOutcome]] = {}  # by ticket
 
-    async def call(self, command: Command | None) -> Forwarded:
-        """One try: a command, or a read where there is none. Unknown where there is no primary in reach."""
+    async def call(self, command: Command | None) -> CallOutcome:
+        """One attempt: a command, or a read where there is none. Unknown where no primary can be reached.
+
+        At another controller it takes `FORWARD_TIMEOUT_S` at most; at this one the caller bounds the time.
+        """
         replica = self._driver.replica
         if replica.status is Status.PRIMARY:
             return await self._driver.call(command)
         link = self._links.get(replica.primary or "")
         if link is None or link.connection is None:
-            return Forwarded(0, UNKNOWN)
+            return UNKNOWN
         ticket = next(self._tickets)
-        answer: asyncio.Future[Forwarded] = self._loop.create_future()
+        answer: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
         self._forwarded[ticket] = answer
         try:
             link.send(Forward(ticket, command))
             async with asyncio.timeout(FORWARD_TIMEOUT_S):
                 return await answer
         except TimeoutError:
-            return Forwarded(ticket, UNKNOWN)
+            return UNKNOWN
         finally:
             self._forwarded.pop(ticket, None)
 
     async def serve(self, connection: Connection, forward: Forward) -> None:
-        """Another controller takes this one for the primary."""
-        answer = await self._driver.call(forward.command)
-        connection.send(msgspec.structs.replace(answer, ticket=forward.ticket))
+        """Another controller takes this one for the primary: carries out its call and answers."""
+        outcome = await self._driver.call(forward.command)
+        connection.send(to_message(forward.ticket, outcome))
 
     def answered(self, message: Forwarded) -> None:
-        """The primary's answer to a call that was sent on; one that is late is passed over."""
+        """The primary's answer to a forwarded call; one that comes after the time-out is ignored."""
         answer = self._forwarded.pop(message.ticket, None)
         if answer is not None and not answer.done():
-            answer.set_result(message)
+            answer.set_result(from_message(message))
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -1,11 +1,11 @@
-"""Drives a replica: its messages over links, its records to the disk, its answers to those who wait."""
+"""Drives a replica: its messages over links, its records to the disk, its outcomes to those who wait."""
 
 from __future__ import annotations
 
 import asyncio
 import itertools
 import os
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from random import Random
 
 from larkweir_replication.effects import Committed, Decided, Persist, ReadDone, Send, Verdict
@@ -16,14 +16,15 @@
 from larkweir.cluster import log
 from larkweir.cluster.birth import born_ms
 from larkweir.cluster.configuration.changes import Refused, apply_change
-from larkweir.cluster.messages import Forwarded
 from larkweir.cluster.settings import Settings
+from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, Completed, Rejected
+from larkweir.controller.clock import now_ms
 from larkweir.controller.disk_writer import DiskWriter
 
 FOLDER = "replica"
-OK = 200
-UNKNOWN = 0
 STATUS_TOO_OLD = 503
+LEAVE_TIMEOUT_S = 1.5  # for a machine that has just started and takes this one's place
+LEAVE_POLL_S = 0.04
 
 
 class ReplicaDriver:
@@ -35,27 +36,27 @@
         send: Callable[[str, Message], None],
         on_committed: Callable[[Snapshot], None],
     ) -> None:
-        """Reads the disk; OSError where it can't be read."""
-        self._loop = asyncio.get_running_loop()
+        """Reads the journal; OSError where it can't be read. Both callbacks may be called at once."""
         self._send = send
         self._on_committed = on_committed
         self._tickets = itertools.count(1)
-        self._calls: dict[int, asyncio.Future[Forwarded]] = {}
+        self._calls: dict[int, asyncio.Future[CallOutcome]] = {}  # by ticket
         assert settings.data_dir is not None
-        self._files = FolderFiles(os.path.join(settings.data_dir, FOLDER))
-        journal = Journal(self._files)
+        files = FolderFiles(os.path.join(settings.data_dir, FOLDER))
+        journal = Journal(files)
         self.replica = Replica(
             settings.ip,
             apply_change,
             Random(),
-            self._now_ms(),
+            now_ms(),
             stored=journal.newest,
             first_members=settings.seed_nodes if settings.bootstrap and journal.is_blank else None,
             known=(*settings.seed_nodes, *journal.members_once),
             members_wanted=2 * settings.fault_tolerance.machines + 1,
-            born_ms=born_ms(self._now_ms()),
+            born_ms=born_ms(now_ms()),
         )
-        self._disk = DiskWriter(journal, self._files, self._loop, self._persisted, self._persist_failed)
+        loop = asyncio.get_running_loop()
+        self.disk = DiskWriter(journal, files, loop, self._persisted, self._persist_failed)
         self._status = self.replica.status
         log.event(
             "replica_started",
@@ -64,114 +65,104 @@
             dropped=journal.dropped,
             damaged=journal.damaged,
         )
-        self.carry_out()
-
-    def _now_ms(self) -> float:
-        return self._loop.time() * 1000.0
+        self._carry_out()
 
     def tick(self) -> None:
         """To be called every few tens of milliseconds."""
-        self.replica.tick(self._now_ms())
-        self.carry_out()
+        self.replica.tick(now_ms())
+        self._carry_out()
 
     def receive(self, sender: str, message: Message) -> None:
-        """From another controller."""
-        self.replica.receive(sender, message, self._now_ms())
-        self.carry_out()
+        """A message from another controller."""
+        self.replica.receive(sender, message, now_ms())
+        self._carry_out()
+
+    def receiving(self, senders: Iterable[str]) -> None:
+        """Large messages are arriving: heartbeats are queued behind them, and these senders are alive."""
+        for sender in senders:
+            self.replica.receiving(sender, now_ms())
 
     def _persisted(self, token: int) -> None:
-        self.replica.persisted(token, self._now_ms())
-        self.carry_out()
+        self.replica.persisted(token, now_ms())
+        self._carry_out()
 
     def _persist_failed(self, token: int) -> None:
         self.replica.persist_failed(token)
-        self.carry_out()
+        self._carry_out()
 
-    def carry_out(self) -> None:
-        """Does what the replica wants done."""
+    def _carry_out(self) -> None:
+        """Performs the effects that the replica has requested."""
         for effect in self.replica.take_effects():
             match effect:
                 case Send(node, message):
                     self._send(node, message)
                 case Persist(token, durable):
-                    self._disk.write_record(token, durable)
+                    self.disk.write_record(token, durable)
                 case Committed(snapshot):
                     self._on_committed(snapshot)
                 case Decided(ticket, verdict, reason):
-                    self._complete(ticket, _answer_of(ticket, verdict, reason))
-                case ReadDone(ticket, snapshot):
-                    found = Forwarded(ticket, UNKNOWN if snapshot is None else OK)
-                    if snapshot is not None:
-                        found = Forwarded(ticket, OK, value=snapshot.value)
-                    self._complete(ticket, found)
+                    self._complete(ticket, _outcome_of(verdict, reason))
+                case ReadDone(ticket, None):
+                    self._complete(ticket, UNKNOWN)
+                case ReadDone(ticket, Snapshot(value=value)):
+                    self._complete(ticket, Completed(value))
         if self.replica.status is not self._status:
             self._status = self.replica.status
             log.event("replica_status", status=self._status, epoch=self.replica.promised.number)
 
-    def _complete(self, ticket: int, answer: Forwarded) -> None:
+    def _complete(self, ticket: int, outcome: CallOutcome) -> None:
         call = self._calls.pop(ticket, None)
         if call is not None and not call.done():
-            call.set_result(answer)
+            call.set_result(outcome)
 
-    async def call(self, command: Command | None) -> Forwarded:
+    async def call(self, command: Command | None) -> CallOutcome:
         """A command, or a read where there is none, at this replica as the primary; unknown where it is not.
 
-        The caller bounds the time.
+        There is no time-out: the caller bounds the time.
         """
         ticket = next(self._tickets)
-        call: asyncio.Future[Forwarded] = self._loop.create_future()
+        call: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
         self._calls[ticket] = call
         try:
-            now_ms = self._now_ms()
             if command is not None:
-                is_accepted = self.replica.submit(ticket, command, now_ms)
+                is_accepted = self.replica.submit(ticket, command, now_ms())
             else:
-                is_accepted = self.replica.read(ticket, now_ms)
-            self.carry_out()
-            return await call if is_accepted else Forwarded(ticket, UNKNOWN)
+                is_accepted = self.replica.read(ticket, now_ms())
+            self._carry_out()
+            return await call if is_accepted else UNKNOWN
         finally:
             self._calls.pop(ticket, None)
 
-    def read_hint(self, name: str) -> bytes | None:
-        """What `write_hint` left in an earlier life; None for nothing."""
-        try:
-            return self._files.read(name)
-        except OSError:
-            return None
-
-    def write_hint(self, name: str, data: bytes) -> None:
-        """Leaves something on disk that may be lost."""
-        self._disk.write_hint(name, data)
-
-    def leave(self) -> None:
-        """Prepares a planned end: another leads, and takes this one's place where it can."""
-        self.replica.leave(self._now_ms())
-        self.carry_out()
-
-    def resign(self) -> None:
-        """Gives leadership back."""
-        self.replica.resign(self._now_ms())
-        self.carry_out()
+    async def leave(self) -> None:
+        """Prepares a planned end: another replica leads, and takes this one's place where one stands by for that."""
+        loop = asyncio.get_running_loop()
+        self.replica.leave(now_ms())
+        self._carry_out()
+        end_s = loop.time() + LEAVE_TIMEOUT_S
+        while not self.replica.has_left and loop.time() < end_s:
+            await asyncio.sleep(LEAVE_POLL_S)
+        self.replica.resign(now_ms())
+        self._carry_out()
+        await asyncio.sleep(LEAVE_POLL_S)  # so that the last messages are sent
 
     def close(self) -> None:
         """Ends the disk's thread."""
-        self._disk.close()
+        self.disk.close()
 
 
 def _sequence(journal: Journal) -> int:
     return journal.newest.snapshot.sequence if journal.newest and journal.newest.snapshot else -1
 
 
-def _answer_of(ticket: int, verdict: Verdict, reason: object) -> Forwarded:
+def _outcome_of(verdict: Verdict, reason: object) -> CallOutcome:
     match verdict:
         case Verdict.ACCEPTED:
-            return Forwarded(ticket, OK)
+            return Completed()
         case Verdict.REJECTED:
             assert isinstance(reason, Refused)
-            return Forwarded(ticket, int(reason.refusal), reason.detail)
+            return Rejected(int(reason.refusal), reason.detail)
         case Verdict.UNKNOWN:
-            return Forwarded(ticket, UNKNOWN)
+            return UNKNOWN
         case Verdict.FORGOTTEN:
-            return Forwarded(
-                ticket, STATUS_TOO_OLD, "it builds on a version too old to tell whether it was taken"
-            )
+            detail = "it builds on a version too old to tell whether it was taken"
+            return Rejected(STATUS_TOO_OLD, detail)
