--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -17,7 +17,7 @@
 
 from larkweir.cluster import log, settings_watch
 from larkweir.cluster.http_server import HttpServerConnection, Request, Response
-from larkweir.cluster.links import Connection, Link
+from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import (
     Delta,
     Forward,
@@ -33,21 +33,24 @@
     Waiting,
 )
 from larkweir.cluster.settings import Settings, split_address
+from larkweir.controller.controller_links import ControllerLinks
 from larkweir.controller.heartbeat_monitor import HeartbeatMonitor
 from larkweir.controller.inspection import Inspection
 from larkweir.controller.instances_api import PATH_PREFIX, InstancesApi
+from larkweir.controller.known_controllers import KnownControllers
 from larkweir.controller.operator_api import OperatorApi
 from larkweir.controller.prefix_placement import PrefixPlacement
 from larkweir.controller.primary_client import PrimaryClient
 from larkweir.controller.pull_service import PullService
+from larkweir.controller.quorum_contact import QuorumContact
 from larkweir.controller.recovery_hints import RecoveryHints
+from larkweir.controller.registry_sync import RegistrySync
 from larkweir.controller.replica_driver import ReplicaDriver
 
 TICK_S = 0.04
 PAUSE_MS = 700.0  # a tick so late means that this process stood still
 HEARTBEATS_EVERY_TICKS = 8
 CLEAN_UP_EVERY_TICKS = 250
-FORGET_AFTER_FAILURES = 60  # dials in a row, about a minute, until a node that is no member is forgotten
 MAX_BODY_BYTES = 8 * 1024 * 1024
 BACKLOG = 1_024
 
@@ -63,26 +66,35 @@
         self._registry = Registry(f"{settings.ip}/{self._incarnation}")
         self._ledger = Ledger()
         self._liveness = Liveness(settings.heartbeat_ms, self._now_ms())
-        self._links: dict[str, Link] = {}
+        self._links = ControllerLinks(lambda: self.settings.peer_port, self._received, self._link_connected)
         self._pulls = PullService(
-            self._registry, self._ledger, self._controllers, overuse_fraction=settings.bounds.quota_over
+            self._registry,
+            self._ledger,
+            lambda: self._known_controllers.nodes(),
+            overuse_fraction=settings.bounds.quota_over,
         )
         self._driver = ReplicaDriver(settings, self._send_replication, self._committed)
+        self._known_controllers = KnownControllers(settings, self._driver.replica)
+        self._placement = PrefixPlacement()
+        self._contact = QuorumContact(
+            self._known_controllers, self._driver.replica, self._links, self._placement.mark_outdated
+        )
         self._primary = PrimaryClient(self._driver, self._links)
         self._operator = OperatorApi(self._primary.call)
-        self._heartbeats = HeartbeatMonitor(self._registry, self._liveness, self._pulls)
+        self._heartbeats = HeartbeatMonitor(
+            self._registry, self._liveness, self._links, self._contact, self._pulls.wake
+        )
+        self._registry_sync = RegistrySync(self._registry, self._liveness, self._pulls.wake)
         self._instances = InstancesApi(
             self._registry,
             self._liveness,
             self._pulls,
-            is_connected=self._is_connected,
-            quorum=self._is_quorum,
+            is_connected=self._contact.is_connected,
+            quorum=self._contact.is_quorum,
         )
         replica = self._driver.replica
         self._inspection = Inspection(settings.ip, replica, self._registry, self._pulls)
-        self._placement = PrefixPlacement()
         self._hints = RecoveryHints(self._driver.disk, self._registry, self._placement)
-        self._was_connected = True
         self._stopping = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._servers: list[asyncio.Server] = []
@@ -125,8 +137,7 @@
         """Ends all at once, as a kill would; what was acknowledged is on disk."""
         for server in self._servers:
             server.close()
-        for link in self._links.values():
-            link.close()
+        self._links.close()
         for connection in list(self._accepted):
             connection.close()
         for task in list(self._tasks):
@@ -149,26 +160,20 @@
         log.event("process_paused")
         self._liveness.blinded(now_ms)
         self._placement.mark_outdated()
-        for link in self._links.values():
-            if link.connection is not None:
-                link.connection.excuse_silence()
+        self._links.excuse_silence()
 
     def _tick(self, count: int) -> None:
         self._notice_large_messages()
         self._driver.tick()
-        for node in self._controllers():
-            if node != self.settings.ip and node not in self._links:
-                self._links[node] = Link(
-                    node, self.settings.peer_port, self._received, self._link_connected, self._link_lost
-                )
-        for link in self._links.values():
-            link.keep_alive()
+        self._links.keep_alive(self._known_controllers.others())
         self._pulls.tick()
         if count % HEARTBEATS_EVERY_TICKS == 0:
-            self._heartbeats.share(self._links.values())
-            self._update_contact()
+            self._heartbeats.share()
+            self._contact.update()
+            self._heartbeats.evaluate()
         if count % CLEAN_UP_EVERY_TICKS == 0:
-            self._clean_up()
+            self._registry.prune(self._now_ms())
+            self._known_controllers.forget_unreachable(self._links)
         self._hints.write_upstreams()
         if count % self._hints.placements_period_ticks() == 0:
             self._hints.write_placements()
@@ -180,54 +185,19 @@
             if isinstance(connection, Connection) and connection.is_receiving:
                 self._driver.replica.receiving(connection.node, self._now_ms())
 
-    def _update_contact(self) -> None:
-        """What this controller knows by itself counts for less while, and after, no majority is in reach."""
-        was_connected, self._was_connected = self._was_connected, self._is_connected()
-        if self._was_connected and not was_connected:
-            self._placement.mark_outdated()
-        self._heartbeats.evaluate(self._now_ms(), connected=self._was_connected)
-
-    def _clean_up(self) -> None:
-        """Drops what nobody needs any more: upstreams long gone, nodes that were controllers once."""
-        self._registry.prune(self._now_ms())
-        replica = self._driver.replica
-        if replica.accepted is None:
-            return
-        referenced = {
-            *replica.accepted.members,
-            *replica.accepted.previous_members,
-            *self.settings.seed_nodes,
-        }
-        for node, link in list(self._links.items()):
-            if node not in referenced and link.connection is None and link.failures >= FORGET_AFTER_FAILURES:
-                link.close()
-                del self._links[node]
-                replica.known.discard(node)
-
     def _settings_changed(self, settings: Settings) -> None:
         self.settings = settings
-        self._driver.replica.known.update(settings.seed_nodes)
+        self._known_controllers.update_settings(settings)
 
     # Other processes
 
-    def _controllers(self) -> list[str]:
-        """All that may be controllers, as far as this one knows."""
-        accepted = self._driver.replica.accepted
-        members = accepted.members if accepted is not None else ()
-        return sorted({*members, *self._driver.replica.known, self.settings.ip})
-
     def _link_connected(self, connection: Connection) -> None:
-        connection.send(Hello(self.settings.ip, Kind.CONTROLLER, self._incarnation))
-        connection.send(Pull(vector=dict(self._registry.vector)))
+        connection.send(Hello(self._known_controllers.own_node, Kind.CONTROLLER, self._incarnation))
+        self._registry_sync.begin(connection)
         self._driver.replica.reconnected(connection.node)
 
-    def _link_lost(self, node: str) -> None:
-        log.detail("link_lost", to=node)
-
     def _send_replication(self, node: str, message: ReplicationMessage) -> None:
-        link = self._links.get(node)
-        if link is not None:
-            link.send(Replication(message))
+        self._links.send(node, Replication(message))
 
     def _received(self, connection: Connection, message: Message) -> None:
         match message:
@@ -235,13 +205,13 @@
                 connection.node, connection.life = message.node, message.life
                 self._pulls.connected(connection, message.kind)
                 if message.kind is Kind.CONTROLLER:
-                    self._driver.replica.known.add(message.node)
+                    self._known_controllers.add(message.node)
             case Pull():
                 self._pulls.pull(connection, message)
             case Waiting():
                 self._pulls.report_prefill(connection, message.tokens)
             case Delta():
-                self._merge(connection, message)
+                self._registry_sync.received(connection, message)
             case Replication():
                 if connection.node:
                     self._driver.receive(connection.node, message.message)
@@ -259,14 +229,6 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _merge(self, connection: Connection, delta: Delta) -> None:
-        now_ms = self._now_ms()
-        for upstream in self._registry.merge(delta.records, delta.vector, now_ms):
-            self._liveness.heard_elsewhere({upstream.id: upstream.sequence}, now_ms)
-        if delta.records:
-            self._pulls.wake()
-        connection.send(Pull(vector=dict(self._registry.vector) if delta.vector else None))
-
     # The configuration
 
     def _committed(self, snapshot: Snapshot) -> None:
@@ -284,15 +246,6 @@
         placement = self._placement.place(message.head, message.tokens, ready, message.known, self._now_ms())
         return Placed(message.head, None) if placement is None else Placed(message.head, *placement)
 
-    def _is_connected(self) -> bool:
-        """Whether a majority of controllers can be heard."""
-        return self._is_quorum({node for node, link in self._links.items() if link.connection is not None})
-
-    def _is_quorum(self, others: set[str]) -> bool:
-        """Whether this controller and these others are a majority."""
-        accepted = self._driver.replica.accepted
-        return accepted is not None and accepted.has_quorum(others | {self.settings.ip})
-
     # The control interface
 
     async def _handle(self, request: Request) -> Response:
@@ -314,7 +267,7 @@
         return Response(404)
 
     def _inspect(self, path: str) -> Response:
-        linked = sorted(node for node, link in self._links.items() if link.connection is not None)
+        linked = sorted(self._links.connected_nodes())
         if path == "/status":
             return self._inspection.answer_status(linked)
         if path == "/upstreams":
--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -4,14 +4,14 @@
 
 import asyncio
 import itertools
-from collections.abc import Mapping
 
 from larkweir_replication.messages import Command
 from larkweir_replication.replica import Status
 
-from larkweir.cluster.links import Connection, Link
+from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import Forward, Forwarded
 from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, from_message, to_message
+from larkweir.controller.controller_links import ControllerLinks
 from larkweir.controller.replica_driver import ReplicaDriver
 
 FORWARD_TIMEOUT_S = 0.45  # then the call is retried, perhaps at another primary
@@ -20,8 +20,8 @@
 class PrimaryClient:
     """Calls the replica of this controller, or the one that it follows."""
 
-    def __init__(self, driver: ReplicaDriver, links: Mapping[str, Link]) -> None:
-        """`links`: to the other controllers, by node."""
+    def __init__(self, driver: ReplicaDriver, links: ControllerLinks) -> None:
+        """Both are the controller's own."""
         self._driver = driver
         self._links = links
         self._tickets = itertools.count(1)
@@ -35,14 +35,13 @@
         replica = self._driver.replica
         if replica.status is Status.PRIMARY:
             return await self._driver.call(command)
-        link = self._links.get(replica.primary or "")
-        if link is None or link.connection is None:
+        if replica.primary is None or not self._links.is_connected(replica.primary):
             return UNKNOWN
         ticket = next(self._tickets)
         answer: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
         self._forwarded[ticket] = answer
         try:
-            link.send(Forward(ticket, command))
+            self._links.send(replica.primary, Forward(ticket, command))
             async with asyncio.timeout(FORWARD_TIMEOUT_S):
                 return await answer
         except TimeoutError:
