--- /dev/null
+++ b/larkweir/controller/configuration_history.py
@@ -0,0 +1,52 @@
+"""The latest committed configurations, and the update from an older one to the newest."""
+
+from __future__ import annotations
+
+import msgspec
+
+from larkweir.cluster.configuration.documents import Document, difference
+from larkweir.cluster.messages import ConfigUpdate
+
+MAX_VERSIONS = 32  # that a patch can build on; a process with an older one is sent the complete configuration
+
+
+class ConfigurationHistory:
+    """Configurations by the sequence number under which they were committed."""
+
+    def __init__(self) -> None:
+        """No configuration is known."""
+        self._versions: list[tuple[int, Document]] = []
+        self._newest_json: bytes = b""
+        self._patches: dict[int, bytes] = {}  # to the newest, by the sequence that they build on
+
+    @property
+    def sequence(self) -> int:
+        """Of the newest configuration; -1 for none."""
+        return self._versions[-1][0] if self._versions else -1
+
+    def add(self, sequence: int, value: str) -> Document | None:
+        """Takes a committed value; its document where it is newer and differs, None otherwise.
+
+        Raises msgspec.DecodeError for a value that is not JSON.
+        """
+        if not value or sequence <= self.sequence:
+            return None
+        document: Document = msgspec.json.decode(value)
+        if self._versions and self._versions[-1][1] == document:
+            return None
+        self._versions.append((sequence, document))
+        del self._versions[:-MAX_VERSIONS]
+        self._newest_json = value.encode()
+        self._patches = {}
+        return document
+
+    def update_from(self, known: int) -> ConfigUpdate | None:
+        """What turns the configuration of sequence `known` into the newest; None where it is the newest."""
+        if known >= self.sequence:
+            return None
+        if known not in self._patches:
+            base = next((document for sequence, document in self._versions if sequence == known), None)
+            if base is None:
+                return ConfigUpdate(self.sequence, -1, msgspec.Raw(self._newest_json))
+            self._patches[known] = msgspec.json.encode(difference(base, self._versions[-1][1]))
+        return ConfigUpdate(self.sequence, known, msgspec.Raw(self._patches[known]))
--- a/larkweir/controller/inspection.py
+++ b/larkweir/controller/inspection.py
@@ -1,18 +1,23 @@
-"""What a controller tells operators of itself: `/status`, `/upstreams`, `/metrics` of the control address."""
+"""What a controller shows operators of itself: `/status`, `/upstreams`, `/metrics` of the control address."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from dataclasses import dataclass
+
 import msgspec
 from larkweir_registry.records import State
-from larkweir_registry.registry import Registry
 from larkweir_replication.replica import Replica
 
 from larkweir.cluster.http_server import Response
-from larkweir.controller.pull_service import PullService
+from larkweir.controller.pull_service import PublishedState
+from larkweir.controller.subscriptions import Subscriptions
+
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4"
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
-    """A router that is connected. `behind`: how many sequences its configuration is older than this controller's."""
+    """A router that is connected, and how many sequence numbers its configuration is older than this controller's."""
 
     node: str
     configuration_sequence: int = msgspec.field(name="configuration")
@@ -20,7 +25,7 @@
 
 
 class ControllerStatus(msgspec.Struct, frozen=True):
-    """What `/status` gives."""
+    """The body of `GET /status`. `sequence`: of the last committed state; -1 for none."""
 
     node: str
     role: str
@@ -36,7 +41,7 @@
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True):
-    """What `/upstreams` gives of each."""
+    """One item of the body of `GET /upstreams`."""
 
     id: str
     service: str
@@ -48,23 +53,35 @@
     waiting_tokens: int
 
 
+@dataclass(frozen=True, slots=True)
+class Metric:
+    """One gauge of `GET /metrics`; its name is prefixed with `larkweir_`."""
+
+    name: str
+    help: str
+    value: float
+
+
 class Inspection:
     """Reads the parts of a controller; changes nothing."""
 
-    def __init__(self, node: str, replica: Replica, registry: Registry, pulls: PullService) -> None:
+    def __init__(
+        self, node: str, replica: Replica, state: PublishedState, subscriptions: Subscriptions
+    ) -> None:
         """All are the controller's own."""
         self._node = node
         self._replica = replica
-        self._registry = registry
-        self._pulls = pulls
+        self._state = state
+        self._subscriptions = subscriptions
 
     def status(self, linked: list[str]) -> ControllerStatus:
         """`linked`: the controllers to which there is a connection."""
-        replica, pulls = self._replica, self._pulls
+        replica = self._replica
         accepted, committed = replica.accepted, replica.committed
+        newest = self._state.configuration.sequence
         routers = [
-            RouterStatus(node, sequence, pulls.sequence - sequence)
-            for node, sequence in sorted(pulls.router_sequences().items())
+            RouterStatus(node, sequence, newest - sequence)
+            for node, sequence in sorted(self._subscriptions.router_sequences().items())
         ]
         return ControllerStatus(
             node=self._node,
@@ -75,16 +92,19 @@
             members=list(accepted.members) if accepted else [],
             is_changing_members=bool(accepted and accepted.previous_members),
             linked_controllers=linked,
-            configuration_sequence=pulls.sequence,
-            upstreams_ready=self._count(State.READY),
+            configuration_sequence=newest,
+            upstreams_ready=self._count_ready(),
             routers=routers,
         )
 
-    def _count(self, state: State) -> int:
-        return sum(1 for one in self._registry.upstreams.values() if one.state is state and not one.silent)
+    def _count_ready(self) -> int:
+        upstreams = self._state.registry.upstreams.values()
+        return sum(1 for one in upstreams if one.state is State.READY and not one.silent)
 
     def upstreams(self) -> list[UpstreamStatus]:
-        """All that are known, those that have gone included for a while."""
+        """All that are known, by service and id; those that have gone stay in the list for a while."""
+        waiting = self._state.prefill_load.tokens_by_engine
+        upstreams = self._state.registry.upstreams.values()
         return [
             UpstreamStatus(
                 one.id,
@@ -94,11 +114,30 @@
                 one.state.name.lower(),
                 one.silent,
                 one.sequence,
-                self._pulls.prefill_load.get(one.id, 0),
+                waiting.get(one.id, 0),
             )
-            for one in sorted(self._registry.upstreams.values(), key=lambda one: (one.service, one.id))
+            for one in sorted(upstreams, key=lambda one: (one.service, one.id))
         ]
 
+    def metrics(self, linked: list[str]) -> Sequence[Metric]:
+        """All gauges, in the order in which they are printed."""
+        status = self.status(linked)
+        lag = max((router.sequences_behind for router in status.routers), default=0)
+        silent = sum(one.silent for one in self._state.registry.upstreams.values())
+        waiting = sum(self._state.prefill_load.tokens_by_engine.values())
+        return (
+            Metric("primary", "1 where this controller is the primary", status.primary == self._node),
+            Metric("epoch", "epoch that this controller has promised", status.epoch),
+            Metric("sequence", "sequence of the last committed state", status.sequence),
+            Metric("members", "controllers that vote", len(status.members)),
+            Metric("linked_controllers", "controllers that this one has a connection to", len(linked)),
+            Metric("routers", "routers that are connected", len(status.routers)),
+            Metric("router_lag_max", "sequences that the oldest configuration of a router is behind", lag),
+            Metric("upstreams_ready", "upstreams that are ready and heard of", status.upstreams_ready),
+            Metric("upstreams_silent", "upstreams whose heartbeats have stopped", silent),
+            Metric("waiting_tokens", "prompt tokens that wait to be read", waiting),
+        )
+
     def answer_status(self, linked: list[str]) -> Response:
         """For `GET /status`."""
         return Response(200, msgspec.json.encode(self.status(linked)))
@@ -109,38 +148,10 @@
 
     def answer_metrics(self, linked: list[str]) -> Response:
         """For `GET /metrics`, in the text format of Prometheus."""
-        from prometheus_client import (
-            CollectorRegistry,
-            Gauge,
-            generate_latest,
-        )  # only whoever asks pays for it
+        # Imported here: a controller that nobody monitors starts without it.
+        from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
-        status = self.status(linked)
-        figures = {
-            "primary": ("1 where this controller is the primary", status.primary == self._node),
-            "epoch": ("epoch that this controller has promised", status.epoch),
-            "sequence": ("sequence of the last committed state", status.sequence),
-            "members": ("controllers that vote", len(status.members)),
-            "linked_controllers": (
-                "controllers that this one has a connection to",
-                len(status.linked_controllers),
-            ),
-            "routers": ("routers that are connected", len(status.routers)),
-            "router_lag_max": (
-                "sequences that the oldest configuration of a router is behind",
-                max((router.sequences_behind for router in status.routers), default=0),
-            ),
-            "upstreams_ready": ("upstreams that are ready and heard of", status.upstreams_ready),
-            "upstreams_silent": (
-                "upstreams whose heartbeats have stopped",
-                sum(one.silent for one in self._registry.upstreams.values()),
-            ),
-            "waiting_tokens": (
-                "prompt tokens that wait to be read",
-                sum(self._pulls.prefill_load.values()),
-            ),
-        }
-        registry = CollectorRegistry()
-        for name, (text, value) in figures.items():
-            Gauge(f"larkweir_{name}", text, registry=registry).set(float(value))
-        return Response(200, generate_latest(registry), "text/plain; version=0.0.4")
+        collectors = CollectorRegistry()
+        for metric in self.metrics(linked):
+            Gauge(f"larkweir_{metric.name}", metric.help, registry=collectors).set(float(metric.value))
+        return Response(200, generate_latest(collectors), METRICS_CONTENT_TYPE)
--- a/larkweir/controller/instances_api.py
+++ b/larkweir/controller/instances_api.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Callable
+from enum import StrEnum
 
 import msgspec
 from larkweir_registry.liveness import Liveness
@@ -11,31 +10,54 @@
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster.http_server import Request, Response
-from larkweir.controller.pull_service import PullService, Quorum
+from larkweir.controller.clock import now_ms
+from larkweir.controller.delivery_confirmation import DeliveryConfirmation
+from larkweir.controller.pull_service import PullService
+from larkweir.controller.quorum_contact import QuorumContact
 
 PATH_PREFIX = "/instances/"
 MAX_HEARTBEAT_BYTES = 4_096
 CONFIRM_TIMEOUT_S = 0.4  # an upstream that leaves waits a second for its acknowledgement
+ACKNOWLEDGED = Response(200, b"{}")
 NO_MAJORITY = Response(503, b'{"error":"no majority of controllers is in reach"}')
-STATES = {"ready": State.READY, "draining": State.DRAINING}
+
+
+class ReportedState(StrEnum):
+    """What an upstream can report of itself."""
+
+    READY = "ready"
+    DRAINING = "draining"
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
     """The body of `PUT /instances/ID`. Unknown fields are ignored."""
 
-    backend: str
+    service: str = msgspec.field(name="backend")
     address: str
     zone: str
     sequence: int
-    state: str = "ready"
+    state: ReportedState = ReportedState.READY
     slots: int = 1
 
+    def upstream(self, id_: str) -> Upstream:
+        """The upstream of that id as it describes itself."""
+        return Upstream(
+            id=id_,
+            service=self.service,
+            address=self.address,
+            zone=self.zone,
+            slots=self.slots,
+            sequence=self.sequence,
+            state=State.READY if self.state is ReportedState.READY else State.DRAINING,
+        )
+
 
 class InstancesApi:
     """`/instances/` of a controller.
 
-    What an upstream says is noted whatever comes of it, but acknowledged only by a controller in touch with a majority:
-    an upstream that has its acknowledgement tells nobody else, so that the routers in touch must hear of it from here.
+    What an upstream reports is noted in any case, but acknowledged only by a controller that is in contact with a
+    majority: an upstream that has its acknowledgement informs no other controller, so that the routers must get it from
+    this one.
     """
 
     def __init__(
@@ -43,51 +65,36 @@
         registry: Registry,
         liveness: Liveness,
         pulls: PullService,
-        *,
-        is_connected: Callable[[], bool],
-        quorum: Quorum,
+        confirmation: DeliveryConfirmation,
+        contact: QuorumContact,
     ) -> None:
-        """The first three are the controller's own.
-
-        `is_connected`: whether it has links to a majority. `quorum`: whether it and these others are one.
-        """
+        """All are the controller's own."""
         self._registry = registry
         self._liveness = liveness
         self._pulls = pulls
-        self._is_connected = is_connected
-        self._quorum = quorum
+        self._confirmation = confirmation
+        self._contact = contact
 
     async def put(self, request: Request) -> Response:
-        """A heartbeat. One that changes what routers must know is acknowledged once they have it."""
+        """A heartbeat. One of a draining upstream is acknowledged once the routers have it."""
         if len(request.body) > MAX_HEARTBEAT_BYTES:
             return Response(413)
         try:
             heartbeat: Heartbeat = msgspec.json.decode(request.body, type=Heartbeat)
-            state = STATES[heartbeat.state]
-        except (msgspec.DecodeError, KeyError):
+        except msgspec.DecodeError:
             return Response(400)
-        id_ = request.target.removeprefix(PATH_PREFIX)
-        upstream = Upstream(
-            id=id_,
-            service=heartbeat.backend,
-            address=heartbeat.address,
-            zone=heartbeat.zone,
-            slots=heartbeat.slots,
-            sequence=heartbeat.sequence,
-            state=state,
-        )
-        now_ms = asyncio.get_running_loop().time() * 1000.0
-        self._liveness.heard(id_, heartbeat.sequence, now_ms)
-        self._registry.note(upstream, now_ms)
-        if state is State.READY:
+        upstream = heartbeat.upstream(request.target.removeprefix(PATH_PREFIX))
+        present_ms = now_ms()
+        self._liveness.heard(upstream.id, upstream.sequence, present_ms)
+        self._registry.note(upstream, present_ms)
+        if upstream.state is State.READY:
             self._pulls.wake()
-            return Response(200, b"{}") if self._is_connected() else NO_MAJORITY
+            return ACKNOWLEDGED if self._contact.is_connected() else NO_MAJORITY
         return await self._acknowledge_departure()
 
     async def delete(self, request: Request) -> Response:
         """The upstream has ended, or is about to."""
         id_ = request.target.removeprefix(PATH_PREFIX)
-        now_ms = asyncio.get_running_loop().time() * 1000.0
         known = self._registry.upstreams.get(id_)
         gone = (
             msgspec.structs.replace(known, state=State.GONE)
@@ -95,10 +102,11 @@
             else Upstream(id=id_, service="", address="", zone="", state=State.GONE)
         )
         self._liveness.forget(id_)
-        self._registry.note(gone, now_ms)
+        self._registry.note(gone, now_ms())
         return await self._acknowledge_departure()
 
     async def _acknowledge_departure(self) -> Response:
-        """An upstream drains or has gone: `drain_ms` run from the acknowledgement for all routers in touch."""
-        known = await self._pulls.wait_until_delivered(CONFIRM_TIMEOUT_S, self._quorum)
-        return Response(200, b"{}") if known else NO_MAJORITY
+        """An upstream drains or has gone: `drain_ms` runs from the acknowledgement for all routers in contact."""
+        self._pulls.wake()
+        informed = await self._confirmation.wait(CONFIRM_TIMEOUT_S)
+        return ACKNOWLEDGED if self._contact.is_quorum(informed) else NO_MAJORITY
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -27,25 +27,31 @@
     Kind,
     Message,
     Place,
-    Placed,
     Pull,
     Replication,
     Waiting,
 )
 from larkweir.cluster.settings import Settings, split_address
+from larkweir.controller.configuration_history import ConfigurationHistory
 from larkweir.controller.controller_links import ControllerLinks
+from larkweir.controller.delivery_confirmation import DeliveryConfirmation
 from larkweir.controller.heartbeat_monitor import HeartbeatMonitor
 from larkweir.controller.inspection import Inspection
 from larkweir.controller.instances_api import PATH_PREFIX, InstancesApi
 from larkweir.controller.known_controllers import KnownControllers
 from larkweir.controller.operator_api import OperatorApi
+from larkweir.controller.placement_requests import PlacementRequests
+from larkweir.controller.prefill_load import PrefillLoad
 from larkweir.controller.prefix_placement import PrefixPlacement
 from larkweir.controller.primary_client import PrimaryClient
-from larkweir.controller.pull_service import PullService
+from larkweir.controller.pull_service import PublishedState, PullService
 from larkweir.controller.quorum_contact import QuorumContact
+from larkweir.controller.quota_accounting import QuotaAccounting
 from larkweir.controller.recovery_hints import RecoveryHints
 from larkweir.controller.registry_sync import RegistrySync
 from larkweir.controller.replica_driver import ReplicaDriver
+from larkweir.controller.subscriptions import Subscriptions
+from larkweir.controller.upstream_ejection import UpstreamEjection
 
 TICK_S = 0.04
 PAUSE_MS = 700.0  # a tick so late means that this process stood still
@@ -64,14 +70,19 @@
         self._loop = asyncio.get_running_loop()
         self._incarnation = secrets.token_hex(6)
         self._registry = Registry(f"{settings.ip}/{self._incarnation}")
-        self._ledger = Ledger()
         self._liveness = Liveness(settings.heartbeat_ms, self._now_ms())
         self._links = ControllerLinks(lambda: self.settings.peer_port, self._received, self._link_connected)
+        self._subscriptions = Subscriptions()
+        self._state = PublishedState(
+            registry=self._registry,
+            configuration=ConfigurationHistory(),
+            quotas=QuotaAccounting(Ledger(), overuse_fraction=settings.bounds.quota_over),
+            prefill_load=PrefillLoad(),
+            ejection=UpstreamEjection(self._registry, self._subscriptions),
+        )
+        self._confirmation = DeliveryConfirmation(self._registry, self._subscriptions)
         self._pulls = PullService(
-            self._registry,
-            self._ledger,
-            lambda: self._known_controllers.nodes(),
-            overuse_fraction=settings.bounds.quota_over,
+            self._state, self._subscriptions, self._confirmation, lambda: self._known_controllers.nodes()
         )
         self._driver = ReplicaDriver(settings, self._send_replication, self._committed)
         self._known_controllers = KnownControllers(settings, self._driver.replica)
@@ -86,14 +97,11 @@
         )
         self._registry_sync = RegistrySync(self._registry, self._liveness, self._pulls.wake)
         self._instances = InstancesApi(
-            self._registry,
-            self._liveness,
-            self._pulls,
-            is_connected=self._contact.is_connected,
-            quorum=self._contact.is_quorum,
+            self._registry, self._liveness, self._pulls, self._confirmation, self._contact
         )
+        self._placements = PlacementRequests(self._registry, self._state.ejection, self._placement)
         replica = self._driver.replica
-        self._inspection = Inspection(settings.ip, replica, self._registry, self._pulls)
+        self._inspection = Inspection(settings.ip, replica, self._state, self._subscriptions)
         self._hints = RecoveryHints(self._driver.disk, self._registry, self._placement)
         self._stopping = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -177,7 +185,7 @@
         self._hints.write_upstreams()
         if count % self._hints.placements_period_ticks() == 0:
             self._hints.write_placements()
-        self._placement.update_load(self._pulls.prefill_load)
+        self._placement.update_load(self._state.prefill_load.tokens_by_engine)
 
     def _notice_large_messages(self) -> None:
         """Heartbeats wait behind a large state on a slow link: whoever sends that is alive."""
@@ -216,7 +224,7 @@
                 if connection.node:
                     self._driver.receive(connection.node, message.message)
             case Place():
-                connection.send(self._place(message))
+                connection.send(self._placements.answer(message))
             case Heard():
                 self._liveness.heard_elsewhere(message.sequences, self._now_ms())
             case Forward():
@@ -237,15 +245,6 @@
         )
         self._pulls.publish(snapshot.sequence, snapshot.value)
 
-    # Upstreams
-
-    def _place(self, message: Place) -> Placed:
-        ready = self._registry.ready(message.service)
-        if self._pulls.ejected:
-            ready = [id_ for id_ in ready if id_ not in self._pulls.ejected] or ready
-        placement = self._placement.place(message.head, message.tokens, ready, message.known, self._now_ms())
-        return Placed(message.head, None) if placement is None else Placed(message.head, *placement)
-
     # The control interface
 
     async def _handle(self, request: Request) -> Response:
--- a/larkweir/controller/prefix_placement.py
+++ b/larkweir/controller/prefix_placement.py
@@ -1,8 +1,8 @@
-"""Which engine keeps the prefix of a prompt that many requests share.
+"""Which engine owns a prompt prefix that many requests share, so that its prefix cache is filled once.
 
 Each prefix has one controller that places it (routers agree on it by the same hash), so that routers send it to one
-engine and it is read once. A prefix goes to the first engine of its own order that is not much busier than the idlest
-one: in calm times that order alone decides, and a start with empty engines spreads what must be read.
+engine. A prefix goes to the first engine of its own order (highest random weight hashing) that is not much busier than
+the idlest one: under low load that order alone decides, and a start with empty engines spreads the prefills.
 """
 
 from __future__ import annotations
@@ -14,40 +14,46 @@
 import msgspec
 from larkweir_balancing.engines import weight
 
-MAX_PREFIXES = 65_536  # the one that was asked for longest ago is dropped first
-REPORT_DELAY_MS = 400.0  # what was placed so lately is not in the reports of waiting prompts yet
-MAX_EXCESS_TOKENS = (
-    12_000.0  # that an engine may have waiting above the idlest and still be taken in its turn
-)
+MAX_PREFIXES = 65_536  # the one that was requested least recently is dropped first
+REPORT_DELAY_MS = 400.0  # a prefix placed so recently is not in the reports of waiting prefill yet
+MAX_EXCESS_TOKENS = 12_000.0  # waiting at an engine above the idlest one, up to which it is taken in its turn
 
 EngineByPrefix = dict[str, str]
 _decoder: msgspec.json.Decoder[EngineByPrefix] = msgspec.json.Decoder(EngineByPrefix)
 
 
 class Placement(NamedTuple):
-    """Where a prefix is kept, and whether it was there before."""
+    """The engine that owns a prefix. `is_cached`: it was placed there before, so that it is in the prefix cache."""
 
     engine: str
     is_cached: bool
 
 
+class _RecentPlacement(NamedTuple):
+    """A prefill that the reports of waiting tokens do not include yet."""
+
+    placed_ms: float
+    engine: str
+    tokens: float
+
+
 class PrefixPlacement:
-    """The heads that this controller has placed. Times are milliseconds that only rise."""
+    """The prefixes that this controller has placed. Times are milliseconds that only rise."""
 
     def __init__(self) -> None:
         """Nothing is placed yet."""
-        self._engines: OrderedDict[str, str] = OrderedDict()  # by prefix
+        self._engines: OrderedDict[str, str] = OrderedDict()  # by prefix, least recently requested first
         self._waiting_tokens: Mapping[str, int] = {}
-        self._recent: list[tuple[float, str, float]] = []
-        self._outdated: set[str] = set()  # heads that others may have placed anew meanwhile
-        self.revision = 0
+        self._recent: list[_RecentPlacement] = []
+        self._outdated: set[str] = set()  # prefixes that routers may have placed elsewhere meanwhile
+        self.revision = 0  # rises with each change of a placement
 
     def __len__(self) -> int:
-        """Heads that are placed."""
+        """Prefixes that are placed."""
         return len(self._engines)
 
     def update_load(self, waiting_tokens: Mapping[str, int]) -> None:
-        """By engine, the prompt tokens that wait to be read there, over all routers."""
+        """By engine, the prompt tokens that wait for prefill there, over all routers."""
         self._waiting_tokens = waiting_tokens
 
     def mark_outdated(self) -> None:
@@ -57,9 +63,9 @@
     def place(
         self, prefix: str, prompt_tokens: float, ready: Sequence[str], last_engine: str | None, now_ms: float
     ) -> Placement | None:
-        """The engine that keeps the prefix; None where none is ready.
+        """The engine that owns the prefix; None where none is ready.
 
-        `tokens`: of the prompt. `last_engine`: where the router that asks has sent it before.
+        `ready`: engines of the service. `last_engine`: where the router that asks has sent the prefix before.
         """
         engine = self._engines.get(prefix)
         if prefix in self._outdated:
@@ -71,15 +77,18 @@
             engine = last_engine if last_engine in ready else self._select(prefix, ready, now_ms)
             if engine is None:
                 return None
-            self._engines[prefix] = engine
-            self._recent.append((now_ms, engine, prompt_tokens))
-            self.revision += 1
-            if len(self._engines) > MAX_PREFIXES:
-                dropped, _ = self._engines.popitem(last=False)
-                self._outdated.discard(dropped)
+            self._add(prefix, engine)
+            self._recent.append(_RecentPlacement(now_ms, engine, prompt_tokens))
         self._engines.move_to_end(prefix)
         return Placement(engine, is_cached)
 
+    def _add(self, prefix: str, engine: str) -> None:
+        self._engines[prefix] = engine
+        self.revision += 1
+        if len(self._engines) > MAX_PREFIXES:
+            dropped, _ = self._engines.popitem(last=False)
+            self._outdated.discard(dropped)
+
     def _corrected(
         self, prefix: str, engine: str | None, last_engine: str | None, ready: Sequence[str]
     ) -> str | None:
@@ -98,19 +107,20 @@
         return min((one for one in ready if load[one] <= bound), key=lambda one: weight(prefix, one))
 
     def _load(self, ready: Sequence[str], now_ms: float) -> dict[str, float]:
-        self._recent = [one for one in self._recent if one[0] > now_ms - REPORT_DELAY_MS]
+        """By engine, the tokens that wait there, recent placements included."""
+        self._recent = [one for one in self._recent if one.placed_ms > now_ms - REPORT_DELAY_MS]
         load = {engine: float(self._waiting_tokens.get(engine, 0)) for engine in ready}
-        for _, engine, tokens in self._recent:
-            if engine in load:
-                load[engine] += tokens
+        for recent in self._recent:
+            if recent.engine in load:
+                load[recent.engine] += recent.tokens
         return load
 
     def encode(self) -> bytes:
-        """All placements, for a later life."""
+        """All placements, for a later incarnation."""
         return msgspec.json.encode(dict(self._engines))
 
     def restore(self, data: bytes) -> bool:
-        """Takes what `encode` gave; False where it can't be read."""
+        """Takes what `encode` returned; False where it can't be decoded."""
         try:
             self._engines.update(_decoder.decode(data))
         except msgspec.DecodeError:
--- /dev/null
+++ b/larkweir/controller/upstream_ejection.py
@@ -0,0 +1,41 @@
+"""Upstreams that routers leave out because calls of many routers fail there (outlier ejection)."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from larkweir_balancing.ejection import Ejections, summed
+from larkweir_registry.registry import Registry
+
+from larkweir.cluster import log
+from larkweir.controller.subscriptions import Subscriptions
+
+
+class UpstreamEjection:
+    """Judges upstreams by the outcome counts that all connected routers have reported."""
+
+    def __init__(self, registry: Registry, subscriptions: Subscriptions) -> None:
+        """Both are the controller's own."""
+        self._registry = registry
+        self._subscriptions = subscriptions
+        self._ejections = Ejections()
+
+    @property
+    def ejected(self) -> frozenset[str]:
+        """Upstreams that routers leave out while others are left."""
+        return self._ejections.ejected
+
+    def evaluate(self, now_ms: float) -> bool:
+        """Ejects upstreams and takes them back; whether anything has changed. Several times a second."""
+        outcome_counts = summed(one.outcome_counts for one in self._subscriptions if one.outcome_counts)
+        services = self._registry.ready_by_service().values()
+        has_changed = self._ejections.judge(services, outcome_counts, now_ms)
+        if has_changed:
+            log.event("ejected", upstreams=sorted(self.ejected))
+        return has_changed
+
+    def without_ejected(self, upstreams: Sequence[str]) -> Sequence[str]:
+        """The upstreams that are not ejected; all of them where every one is."""
+        if not self.ejected:
+            return upstreams
+        return [id_ for id_ in upstreams if id_ not in self.ejected] or upstreams
--- /dev/null
+++ b/tests/controller/test_configuration_history.py
@@ -0,0 +1,76 @@
+"""Which update a process is sent, by the configuration that it has."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+
+from larkweir.controller.configuration_history import MAX_VERSIONS, ConfigurationHistory
+
+
+def version(number: int) -> str:
+    return msgspec.json.encode({"generation": number, "services": [{"name": f"s{number}"}]}).decode()
+
+
+@pytest.fixture
+def history() -> ConfigurationHistory:
+    made = ConfigurationHistory()
+    for number in (1, 2, 3):
+        made.add(number, version(number))
+    return made
+
+
+def test_without_a_configuration_there_is_no_update() -> None:
+    empty = ConfigurationHistory()
+    assert empty.sequence == -1
+    assert empty.update_from(-1) is None
+
+
+def test_a_process_without_a_configuration_is_sent_the_complete_newest(history: ConfigurationHistory) -> None:
+    update = history.update_from(-1)
+    assert update is not None
+    assert (update.sequence, update.base, bytes(update.body)) == (3, -1, version(3).encode())
+
+
+def test_a_process_with_an_older_configuration_is_sent_a_patch(history: ConfigurationHistory) -> None:
+    update = history.update_from(2)
+    assert update is not None
+    assert (update.sequence, update.base) == (3, 2)
+    assert msgspec.json.decode(update.body) == {
+        "upsert": {"services": [{"name": "s3"}]},
+        "remove": {"services": ["s2"]},
+        "generation": 3,
+    }
+
+
+def test_a_process_with_the_newest_configuration_is_sent_none(history: ConfigurationHistory) -> None:
+    assert history.update_from(3) is None
+
+
+def test_a_patch_is_to_the_newest_configuration_also_after_it_was_made_before(
+    history: ConfigurationHistory,
+) -> None:
+    history.update_from(1)
+    history.add(4, version(4))
+    update = history.update_from(1)
+    assert update is not None
+    assert (update.sequence, update.base) == (4, 1)
+    assert msgspec.json.decode(update.body)["generation"] == 4
+
+
+@pytest.mark.parametrize(("sequence", "value"), [(4, ""), (3, version(9)), (2, version(9)), (4, version(3))])
+def test_what_is_empty_or_not_newer_or_equal_is_not_taken(
+    sequence: int, value: str, history: ConfigurationHistory
+) -> None:
+    assert history.add(sequence, value) is None
+    assert history.sequence == 3
+
+
+def test_the_oldest_versions_are_dropped(history: ConfigurationHistory) -> None:
+    for number in range(4, MAX_VERSIONS + 2):
+        assert history.add(number, version(number)) is not None
+    dropped, kept = history.update_from(1), history.update_from(2)
+    assert dropped is not None
+    assert dropped.base == -1
+    assert kept is not None
+    assert kept.base == 2
--- /dev/null
+++ b/tests/controller/test_delivery_confirmation.py
@@ -0,0 +1,104 @@
+"""Waiting until connected processes have what the registry has noted."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+import pytest
+from larkweir_registry.records import Upstream
+from larkweir_registry.registry import Registry
+
+from larkweir.cluster.links import Connection
+from larkweir.cluster.messages import Kind
+from larkweir.controller.delivery_confirmation import DeliveryConfirmation
+from larkweir.controller.subscriptions import Subscriber, Subscriptions
+
+NEVER_S = 1_000.0
+
+
+class Scene:
+    """A registry that has noted one upstream, and a router and a controller that lack it. Made inside a loop."""
+
+    def __init__(self) -> None:
+        self.registry = Registry("c/1")
+        self.registry.note(Upstream("u", "s", "127.0.0.1:1", "z"), 0.0)
+        self.subscriptions = Subscriptions()
+        self.confirmation = DeliveryConfirmation(self.registry, self.subscriptions)
+        self.router = self.subscribe("r", Kind.ROUTER)
+        self.controller = self.subscribe("d", Kind.CONTROLLER)
+
+    def subscribe(self, node: str, kind: Kind) -> Subscriber:
+        connection = Connection(lambda connection, message: None, lambda connection: None)
+        connection.node = node
+        self.subscriptions.add(connection, kind)
+        subscriber = self.subscriptions.get(connection)
+        assert subscriber is not None
+        return subscriber
+
+    def has_it(self, subscriber: Subscriber) -> None:
+        subscriber.vector = dict(self.registry.vector)
+        self.confirmation.check()
+
+
+Play = Callable[[Scene], Awaitable[None]]
+
+
+def play(scene: Play) -> None:
+    async def run() -> None:
+        await scene(Scene())
+
+    asyncio.run(run())
+
+
+def test_it_waits_for_every_subscriber() -> None:
+    async def scene(made: Scene) -> None:
+        waiting = asyncio.ensure_future(made.confirmation.wait(NEVER_S))
+        await asyncio.sleep(0)
+        made.has_it(made.controller)
+        await asyncio.sleep(0)
+        assert not waiting.done()
+        made.has_it(made.router)
+        assert await waiting == {"d"}
+
+    play(scene)
+
+
+def test_after_the_time_out_it_returns_the_controllers_that_have_it() -> None:
+    async def scene(made: Scene) -> None:
+        made.has_it(made.controller)
+        assert await made.confirmation.wait(0.01) == {"d"}
+
+    play(scene)
+
+
+def test_a_router_that_has_it_is_no_controller_that_has_it() -> None:
+    async def scene(made: Scene) -> None:
+        made.has_it(made.router)
+        assert await made.confirmation.wait(0.01) == set()
+
+    play(scene)
+
+
+def test_it_does_not_wait_for_a_subscriber_that_was_removed() -> None:
+    async def scene(made: Scene) -> None:
+        made.subscriptions.remove(made.router.connection)
+        made.has_it(made.controller)
+        async with asyncio.timeout(5.0):
+            assert await made.confirmation.wait(NEVER_S) == {"d"}
+
+    play(scene)
+
+
+def test_a_cancelled_wait_is_forgotten() -> None:
+    async def scene(made: Scene) -> None:
+        waiting = asyncio.ensure_future(made.confirmation.wait(NEVER_S))
+        await asyncio.sleep(0)
+        waiting.cancel()
+        with pytest.raises(asyncio.CancelledError):
+            await waiting
+        made.has_it(made.controller)
+        made.has_it(made.router)
+        assert await made.confirmation.wait(NEVER_S) == {"d"}
+
+    play(scene)
--- a/tests/system/test_waiting_prompts.py
+++ b/tests/system/test_waiting_prompts.py
@@ -12,7 +12,13 @@
 
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import Delta, Kind, Message, Pull
-from larkweir.controller.pull_service import MIN_REPORTED_TOKENS, PullService
+from larkweir.controller.configuration_history import ConfigurationHistory
+from larkweir.controller.delivery_confirmation import DeliveryConfirmation
+from larkweir.controller.prefill_load import MIN_REPORTED_TOKENS, PrefillLoad
+from larkweir.controller.pull_service import PublishedState, PullService
+from larkweir.controller.quota_accounting import QuotaAccounting
+from larkweir.controller.subscriptions import Subscriptions
+from larkweir.controller.upstream_ejection import UpstreamEjection
 
 ROUTERS = 3
 
@@ -35,7 +41,18 @@
 
     def __init__(self) -> None:
         self.registry = Registry("c/1")
-        self.pulls = PullService(self.registry, Ledger(), lambda: ["c"])
+        subscriptions = Subscriptions()
+        self.prefill_load = PrefillLoad()
+        self.ejection = UpstreamEjection(self.registry, subscriptions)
+        state = PublishedState(
+            registry=self.registry,
+            configuration=ConfigurationHistory(),
+            quotas=QuotaAccounting(Ledger()),
+            prefill_load=self.prefill_load,
+            ejection=self.ejection,
+        )
+        confirmation = DeliveryConfirmation(self.registry, subscriptions)
+        self.pulls = PullService(state, subscriptions, confirmation, lambda: ["c"])
         self.routers = [Recorded(f"r{n}") for n in range(ROUTERS)]
         for router in self.routers:
             self.pulls.connected(router, Kind.ROUTER)
@@ -54,11 +71,11 @@
         one, two, three = made.routers
         made.pulls.report_prefill(one, {"e": MIN_REPORTED_TOKENS, "f": 10})
         made.pulls.report_prefill(two, {"e": 500})
-        assert made.pulls.prefill_load == {"e": MIN_REPORTED_TOKENS + 500, "f": 10}
+        assert made.prefill_load.tokens_by_engine == {"e": MIN_REPORTED_TOKENS + 500, "f": 10}
         assert made.answer(three, Pull(vector={})).waiting == {"e": MIN_REPORTED_TOKENS + 500}
         assert made.answer(one, Pull(vector={}, waiting={"e": MIN_REPORTED_TOKENS})).waiting == {"e": 500}
         made.pulls.report_prefill(one, {})
-        assert made.pulls.prefill_load == {"e": 500}
+        assert made.prefill_load.tokens_by_engine == {"e": 500}
         assert made.answer(three, Pull(vector={})).waiting == {}
 
     asyncio.run(scene())
@@ -69,9 +86,9 @@
         made = Scene()
         made.pulls.report_prefill(made.routers[0], {"e": 9_000})
         made.pulls.disconnected(made.routers[0])
-        assert made.pulls.prefill_load == {}
+        assert made.prefill_load.tokens_by_engine == {}
         made.pulls.report_prefill(made.routers[0], {"e": 9_000})
-        assert made.pulls.prefill_load == {}
+        assert made.prefill_load.tokens_by_engine == {}
 
     asyncio.run(scene())
 
@@ -87,7 +104,9 @@
             made.pulls.report_prefill(router, told)
             last[router.node] = told
             total = {engine: sum(one.get(engine, 0) for one in last.values()) for engine in "efgh"}
-            assert made.pulls.prefill_load == {engine: tokens for engine, tokens in total.items() if tokens}
+            assert made.prefill_load.tokens_by_engine == {
+                engine: tokens for engine, tokens in total.items() if tokens
+            }
 
     asyncio.run(scene())
 
@@ -101,7 +120,7 @@
         for router in made.routers:
             made.answer(router, Pull(vector={}, endings={"bad": Endings(0, BAD_LEAST)}))
         made.pulls.tick()
-        assert made.pulls.ejected == {"bad"}
+        assert made.ejection.ejected == {"bad"}
         assert made.answer(made.routers[0], Pull(vector={})).ejected == ["bad"]
         assert made.answer(made.routers[0], Pull(vector={})).ejected is None, "told once"
 
