--- /dev/null
+++ b/larkweir/controller/control_api.py
@@ -0,0 +1,67 @@
+"""The HTTP interface at the control address: which part answers which request."""
+
+from __future__ import annotations
+
+from larkweir.cluster.http_server import Request, Response
+from larkweir.controller.controller_links import ControllerLinks
+from larkweir.controller.inspection import Inspection
+from larkweir.controller.instances_api import PATH_PREFIX as INSTANCES_PREFIX
+from larkweir.controller.instances_api import InstancesApi
+from larkweir.controller.operator_api import OperatorApi
+
+MAX_BODY_BYTES = 8 * 1024 * 1024
+METHOD_NOT_ALLOWED = Response(405)
+NOT_FOUND = Response(404)
+
+
+class ControlApi:
+    """Dispatches by path and method."""
+
+    def __init__(
+        self, operator: OperatorApi, instances: InstancesApi, inspection: Inspection, links: ControllerLinks
+    ) -> None:
+        """All are the controller's own."""
+        self._operator = operator
+        self._instances = instances
+        self._inspection = inspection
+        self._links = links
+
+    async def handle(self, request: Request) -> Response:
+        """The answer of whichever part is responsible; 404 or 405 for none."""
+        path = request.target.partition("?")[0]
+        if path.startswith(INSTANCES_PREFIX) and len(path) > len(INSTANCES_PREFIX):
+            return await self._handle_instance(request)
+        if path == "/config":
+            return await self._handle_configuration(request)
+        if request.method == "GET":
+            return self._inspect(path)
+        return NOT_FOUND
+
+    async def _handle_instance(self, request: Request) -> Response:
+        match request.method:
+            case "PUT":
+                return await self._instances.put(request)
+            case "DELETE":
+                return await self._instances.delete(request)
+            case _:
+                return METHOD_NOT_ALLOWED
+
+    async def _handle_configuration(self, request: Request) -> Response:
+        match request.method:
+            case "GET":
+                return await self._operator.get()
+            case "PUT" | "PATCH":
+                return await self._operator.change(request)
+            case _:
+                return METHOD_NOT_ALLOWED
+
+    def _inspect(self, path: str) -> Response:
+        match path:
+            case "/status":
+                return self._inspection.answer_status(sorted(self._links.connected_nodes()))
+            case "/upstreams":
+                return self._inspection.answer_upstreams()
+            case "/metrics":
+                return self._inspection.answer_metrics(sorted(self._links.connected_nodes()))
+            case _:
+                return NOT_FOUND
--- /dev/null
+++ b/larkweir/controller/message_dispatch.py
@@ -0,0 +1,73 @@
+"""Which part of a controller receives which message of another process."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from larkweir_registry.liveness import Liveness
+
+from larkweir.cluster.links import Connection
+from larkweir.cluster.messages import (
+    Delta,
+    Forward,
+    Forwarded,
+    Heard,
+    Hello,
+    Kind,
+    Message,
+    Place,
+    Pull,
+    Replication,
+    Waiting,
+)
+from larkweir.controller.background_tasks import BackgroundTasks
+from larkweir.controller.clock import now_ms
+from larkweir.controller.known_controllers import KnownControllers
+from larkweir.controller.placement_requests import PlacementRequests
+from larkweir.controller.primary_client import PrimaryClient
+from larkweir.controller.pull_service import PullService
+from larkweir.controller.registry_sync import RegistrySync
+from larkweir.controller.replica_driver import ReplicaDriver
+
+
+@dataclass(frozen=True, slots=True)
+class MessageDispatch:
+    """The receivers of messages; all are the controller's own."""
+
+    known_controllers: KnownControllers
+    pulls: PullService
+    registry_sync: RegistrySync
+    liveness: Liveness
+    driver: ReplicaDriver
+    placements: PlacementRequests
+    primary: PrimaryClient
+    tasks: BackgroundTasks
+
+    def receive(self, connection: Connection, message: Message) -> None:
+        """One message, of whatever kind; kinds that only routers receive are ignored."""
+        match message:
+            case Hello():
+                self._introduced(connection, message)
+            case Pull():
+                self.pulls.pull(connection, message)
+            case Waiting():
+                self.pulls.report_prefill(connection, message.tokens)
+            case Delta():
+                self.registry_sync.received(connection, message)
+            case Replication():
+                if connection.node:
+                    self.driver.receive(connection.node, message.message)
+            case Place():
+                connection.send(self.placements.answer(message))
+            case Heard():
+                self.liveness.heard_elsewhere(message.sequences, now_ms())
+            case Forward():
+                self.tasks.start(self.primary.serve(connection, message))
+            case Forwarded():
+                self.primary.answered(message)
+
+    def _introduced(self, connection: Connection, hello: Hello) -> None:
+        connection.node, connection.life = hello.node, hello.life
+        self.pulls.connected(connection, hello.kind)
+        if hello.kind is Kind.CONTROLLER:
+            self.known_controllers.add(hello.node)
