--- a/larkweir/controller/disk_writer.py
+++ b/larkweir/controller/disk_writer.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkweir_replication.journal import Files, Journal
-from larkweir_replication.messages import Durable
+from larkweir_replication.journal import Journal, JournalFiles
+from larkweir_replication.messages import DurableState
 
 from larkweir.cluster import log
 
@@ -22,7 +22,7 @@
     """A journal record to write."""
 
     token: int
-    durable: Durable
+    durable: DurableState
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     def __init__(
         self,
         journal: Journal,
-        files: Files,
+        files: JournalFiles,
         loop: asyncio.AbstractEventLoop,
         on_persisted: Callable[[int], None],
         on_failed: Callable[[int], None],
@@ -60,7 +60,7 @@
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self._thread.start()
 
-    def write_record(self, token: int, durable: Durable) -> None:
+    def write_record(self, token: int, durable: DurableState) -> None:
         """Queues a journal record; one of the callbacks follows unless a newer record supersedes it."""
         self._entries.put(_Record(token, durable))
 
--- a/larkweir/controller/known_controllers.py
+++ b/larkweir/controller/known_controllers.py
@@ -24,17 +24,17 @@
     def update_settings(self, settings: Settings) -> None:
         """The settings file has changed: its seeds are known from now on."""
         self._settings = settings
-        self._replica.known.update(settings.seed_nodes)
+        self._replica.known_nodes.update(settings.seed_nodes)
 
     def add(self, node: str) -> None:
         """A controller has introduced itself."""
-        self._replica.known.add(node)
+        self._replica.known_nodes.add(node)
 
     def nodes(self) -> list[str]:
         """All of them, this one included, in order."""
         accepted = self._replica.accepted
         members = accepted.members if accepted is not None else ()
-        return sorted({*members, *self._replica.known, self.own_node})
+        return sorted({*members, *self._replica.known_nodes, self.own_node})
 
     def others(self) -> list[str]:
         """All but this one, in order."""
@@ -46,4 +46,4 @@
         if accepted is None:
             return
         referenced = {*accepted.members, *accepted.previous_members, *self._settings.seed_nodes}
-        self._replica.known.difference_update(links.drop_unreachable(referenced))
+        self._replica.known_nodes.difference_update(links.drop_unreachable(referenced))
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -183,7 +183,7 @@
     def _link_connected(self, connection: Connection) -> None:
         connection.send(Hello(self._known_controllers.own_node, Kind.CONTROLLER, self._incarnation))
         self._registry_sync.begin(connection)
-        self._driver.replica.reconnected(connection.node)
+        self._driver.replica.on_reconnected(connection.node)
 
     def _send_replication(self, node: str, message: ReplicationMessage) -> None:
         self._links.send(node, Replication(message))
--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -6,7 +6,7 @@
 import itertools
 
 from larkweir_replication.messages import Command
-from larkweir_replication.replica import Status
+from larkweir_replication.replica import ReplicaStatus
 
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import Forward, Forwarded
@@ -33,7 +33,7 @@
         At another controller it takes `FORWARD_TIMEOUT_S` at most; at this one the caller bounds the time.
         """
         replica = self._driver.replica
-        if replica.status is Status.PRIMARY:
+        if replica.status is ReplicaStatus.PRIMARY:
             return await self._driver.call(command)
         if replica.primary is None or not self._links.is_connected(replica.primary):
             return UNKNOWN
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -8,7 +8,14 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from larkweir_replication.effects import Committed, Decided, Persist, ReadDone, Send, Verdict
+from larkweir_replication.effects import (
+    CommandFinished,
+    CommandOutcome,
+    Committed,
+    Persist,
+    ReadFinished,
+    Send,
+)
 from larkweir_replication.journal import FolderFiles, Journal
 from larkweir_replication.messages import Command, Message, Snapshot
 from larkweir_replication.replica import Replica
@@ -49,11 +56,11 @@
             apply_change,
             Random(),
             now_ms(),
-            stored=journal.newest,
+            stored_state=journal.newest,
             first_members=settings.seed_nodes if settings.bootstrap and journal.is_blank else None,
-            known=(*settings.seed_nodes, *journal.members_once),
-            members_wanted=2 * settings.fault_tolerance.machines + 1,
-            born_ms=born_ms(now_ms()),
+            known_nodes=(*settings.seed_nodes, *journal.last_known_members),
+            target_member_count=2 * settings.fault_tolerance.machines + 1,
+            process_start_ms=born_ms(now_ms()),
         )
         loop = asyncio.get_running_loop()
         self.disk = DiskWriter(journal, files, loop, self._persisted, self._persist_failed)
@@ -62,8 +69,8 @@
             "replica_started",
             status=self._status,
             sequence=_sequence(journal),
-            dropped=journal.dropped,
-            damaged=journal.damaged,
+            dropped=journal.unreadable_bytes,
+            damaged=journal.is_damaged,
         )
         self._carry_out()
 
@@ -80,14 +87,14 @@
     def receiving(self, senders: Iterable[str]) -> None:
         """Large messages are arriving: heartbeats are queued behind them, and these senders are alive."""
         for sender in senders:
-            self.replica.receiving(sender, now_ms())
+            self.replica.on_partial_message(sender, now_ms())
 
     def _persisted(self, token: int) -> None:
-        self.replica.persisted(token, now_ms())
+        self.replica.on_persisted(token, now_ms())
         self._carry_out()
 
     def _persist_failed(self, token: int) -> None:
-        self.replica.persist_failed(token)
+        self.replica.on_persist_failed(token)
         self._carry_out()
 
     def _carry_out(self) -> None:
@@ -100,11 +107,11 @@
                     self.disk.write_record(token, durable)
                 case Committed(snapshot):
                     self._on_committed(snapshot)
-                case Decided(ticket, verdict, reason):
+                case CommandFinished(ticket, verdict, reason):
                     self._complete(ticket, _outcome_of(verdict, reason))
-                case ReadDone(ticket, None):
+                case ReadFinished(ticket, None):
                     self._complete(ticket, UNKNOWN)
-                case ReadDone(ticket, Snapshot(value=value)):
+                case ReadFinished(ticket, Snapshot(value=value)):
                     self._complete(ticket, Completed(value))
         if self.replica.status is not self._status:
             self._status = self.replica.status
@@ -154,15 +161,15 @@
     return journal.newest.snapshot.sequence if journal.newest and journal.newest.snapshot else -1
 
 
-def _outcome_of(verdict: Verdict, reason: object) -> CallOutcome:
+def _outcome_of(verdict: CommandOutcome, reason: object) -> CallOutcome:
     match verdict:
-        case Verdict.ACCEPTED:
+        case CommandOutcome.COMMITTED:
             return Completed()
-        case Verdict.REJECTED:
+        case CommandOutcome.REJECTED:
             assert isinstance(reason, Refused)
             return Rejected(int(reason.refusal), reason.detail)
-        case Verdict.UNKNOWN:
+        case CommandOutcome.UNKNOWN:
             return UNKNOWN
-        case Verdict.FORGOTTEN:
+        case CommandOutcome.TOO_OLD:
             detail = "it builds on a version too old to tell whether it was taken"
             return Rejected(STATUS_TOO_OLD, detail)
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -176,17 +176,17 @@
     journal = Journal(FolderFiles(os.path.join(folder, "replica")))
     newest = journal.newest
     if newest is None or newest.snapshot is None:
-        found_instead = "its memory is damaged" if journal.damaged else "nothing whole is there"
-        click.echo(f"{folder}: {found_instead}, {journal.dropped} bytes can't be read", err=True)
+        found_instead = "its memory is damaged" if journal.is_damaged else "nothing whole is there"
+        click.echo(f"{folder}: {found_instead}, {journal.unreadable_bytes} bytes can't be read", err=True)
         sys.exit(EXIT_DAMAGED)
     found = {
         "promised": newest.promised.number,
         "epoch": newest.snapshot.epoch.number,
         "sequence": newest.snapshot.sequence,
         "members": newest.snapshot.members,
-        "changes_remembered": len(newest.snapshot.taken),
+        "changes_remembered": len(newest.snapshot.applied_commands),
         "value_bytes": len(newest.snapshot.value),
-        "damaged_bytes": journal.dropped,
+        "damaged_bytes": journal.unreadable_bytes,
     }
     if raw:
         _print_json(found)
--- a/packages/replication/src/larkweir_replication/effects.py
+++ b/packages/replication/src/larkweir_replication/effects.py
@@ -5,18 +5,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from larkweir_replication.messages import Durable, Message, Snapshot
+from larkweir_replication.messages import DurableState, Message, Snapshot
 
 
-class Verdict(Enum):
+class CommandOutcome(Enum):
     """How a change ended."""
 
-    ACCEPTED = "accepted"  # durable on a majority, now or earlier
+    COMMITTED = "committed"  # durable on a majority, now or earlier
     REJECTED = "rejected"  # by the rules of the value, as a confirmed primary
     UNKNOWN = "unknown"  # leadership was lost: it may or may not take effect
-    FORGOTTEN = (
-        "forgotten"  # it builds on a version so old that nobody knows any more whether it was carried out
-    )
+    TOO_OLD = "too_old"  # it builds on a version so old that nobody knows any more whether it was carried out
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +30,7 @@
     """Make the record durable, then call `Replica.persisted(token)`, or `persist_failed(token)`."""
 
     token: int
-    durable: Durable
+    durable: DurableState
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,20 +41,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Decided:
+class CommandFinished:
     """The outcome of the change that was submitted under `ticket`; `reason` is what the rules said."""
 
     ticket: int
-    verdict: Verdict
+    outcome: CommandOutcome
     reason: object = None
 
 
 @dataclass(frozen=True, slots=True)
-class ReadDone:
+class ReadFinished:
     """The value of the read under `ticket`; None where leadership was lost before it was confirmed."""
 
     ticket: int
     snapshot: Snapshot | None
 
 
-Effect = Send | Persist | Committed | Decided | ReadDone
+Effect = Send | Persist | Committed | CommandFinished | ReadFinished
--- a/packages/replication/src/larkweir_replication/journal.py
+++ b/packages/replication/src/larkweir_replication/journal.py
@@ -15,19 +15,19 @@
 
 import msgspec
 
-from larkweir_replication.messages import Durable
+from larkweir_replication.messages import DurableState
 
-NAME = "replica.log"
-NEW_NAME = "replica.log.new"
-DAMAGED_NAME = "replica.log.damaged"
+JOURNAL_FILE = "replica.log"
+NEW_JOURNAL_FILE = "replica.log.new"
+DAMAGED_JOURNAL_FILE = "replica.log.damaged"
 # Past the first, and past so many times what one record takes, the file is rewritten. With records of 4 MB the file,
 # a damaged one beside it and the new one stay under 70 MB, about half of a machine's disk.
-REWRITE_BYTES = 2 * 1024 * 1024
-REWRITE_RECORDS = 8
+MIN_REWRITE_BYTES = 2 * 1024 * 1024
+REWRITE_SIZE_FACTOR = 8
 RECORD_START = re.compile(rb"[0-9a-f]{8} [0-9]+ \{")
 
 
-class Files(Protocol):
+class JournalFiles(Protocol):
     """Files of one folder. All raise OSError."""
 
     def read(self, name: str) -> bytes:
@@ -95,36 +95,36 @@
 class Journal:
     """The newest `Durable` of a replica on disk. Used by one thread at a time; it waits for the disk."""
 
-    def __init__(self, files: Files) -> None:
+    def __init__(self, files: JournalFiles) -> None:
         """Reads what is there; `newest` is None where there is nothing whole."""
         self._files = files
-        self.newest: Durable | None = None
-        self.size = 0  # of the part that is known to be whole, bytes
-        self.dropped = 0  # bytes behind it
-        self.damaged = False  # its memory is lost: what was read may be older than what was promised
-        self.members_once: tuple[str, ...] = ()  # by what can be read of a damaged file; whom to ask
+        self.newest: DurableState | None = None
+        self.size_bytes = 0  # of the part that is known to be whole, bytes
+        self.unreadable_bytes = 0  # bytes behind it
+        self.is_damaged = False  # its memory is lost: what was read may be older than what was promised
+        self.last_known_members: tuple[str, ...] = ()  # by what can be read of a damaged file; whom to ask
         self._serial = 0
         self._load()
 
     @property
     def is_blank(self) -> bool:
         """Whether there has never been a record here, as far as the disk tells."""
-        return self.newest is None and not self.damaged
+        return self.newest is None and not self.is_damaged
 
     def _load(self) -> None:
-        data = self._read(NAME)
+        data = self._read(JOURNAL_FILE)
         if data is None:
-            self.damaged = self._read(DAMAGED_NAME) is not None
+            self.is_damaged = self._read(DAMAGED_JOURNAL_FILE) is not None
             return
         for line in data.split(b"\n"):
             durable = _decode(line, self._serial + 1 if self._serial else None)
-            if durable is None or self.size + len(line) == len(data):  # the last one has no end
+            if durable is None or self.size_bytes + len(line) == len(data):  # the last one has no end
                 break
             self._serial, self.newest = durable
-            self.size += len(line) + 1
-        self.dropped = len(data) - self.size
-        if _holds_record(data[self.size :]):
-            self._distrust()
+            self.size_bytes += len(line) + 1
+        self.unreadable_bytes = len(data) - self.size_bytes
+        if _contains_record(data[self.size_bytes :]):
+            self._discard_untrusted()
 
     def _read(self, name: str) -> bytes | None:
         try:
@@ -132,48 +132,48 @@
         except FileNotFoundError:
             return None
 
-    def _distrust(self) -> None:
+    def _discard_untrusted(self) -> None:
         """A whole record stands behind what can't be read: records were lost that had been synced."""
         if self.newest is not None and self.newest.snapshot is not None:
-            self.members_once = self.newest.snapshot.members
-        self.damaged, self.newest = True, None
+            self.last_known_members = self.newest.snapshot.members
+        self.is_damaged, self.newest = True, None
 
-    def write(self, durable: Durable) -> None:
+    def write(self, durable: DurableState) -> None:
         """Returns once the record will be found after a loss of power. Raises OSError: then it may or may not be, and
         what was written before it is there still.
         """
         line = _encode(self._serial + 1, durable)
-        if self.damaged:
-            self._begin_anew(line)
-        elif self.size + len(line) > max(REWRITE_BYTES, REWRITE_RECORDS * len(line)):
+        if self.is_damaged:
+            self._start_new_file(line)
+        elif self.size_bytes + len(line) > max(MIN_REWRITE_BYTES, REWRITE_SIZE_FACTOR * len(line)):
             self._rewrite(line)
         else:
-            self._files.append(NAME, self.size, line)
+            self._files.append(JOURNAL_FILE, self.size_bytes, line)
         self._serial += 1
-        self.size += len(line)
+        self.size_bytes += len(line)
         self.newest = durable
 
     def _rewrite(self, line: bytes) -> None:
-        self._files.append(NEW_NAME, 0, line)
-        self._files.replace(NEW_NAME, NAME)
-        self.size = 0
+        self._files.append(NEW_JOURNAL_FILE, 0, line)
+        self._files.replace(NEW_JOURNAL_FILE, JOURNAL_FILE)
+        self.size_bytes = 0
 
-    def _begin_anew(self, line: bytes) -> None:
+    def _start_new_file(self, line: bytes) -> None:
         """The damaged file is kept aside, never cut. A crash between the two names leaves the folder damaged still."""
-        self._files.append(NEW_NAME, 0, line)
-        if self._read(NAME) is not None:
-            self._files.replace(NAME, DAMAGED_NAME)
-        self._files.replace(NEW_NAME, NAME)
-        self.size = 0
-        self.damaged = False
+        self._files.append(NEW_JOURNAL_FILE, 0, line)
+        if self._read(JOURNAL_FILE) is not None:
+            self._files.replace(JOURNAL_FILE, DAMAGED_JOURNAL_FILE)
+        self._files.replace(NEW_JOURNAL_FILE, JOURNAL_FILE)
+        self.size_bytes = 0
+        self.is_damaged = False
 
 
-def _encode(serial: int, durable: Durable) -> bytes:
+def _encode(serial: int, durable: DurableState) -> bytes:
     body = b"%d %s" % (serial, msgspec.json.encode(durable))
     return b"%08x %s\n" % (zlib.crc32(body), body)
 
 
-def _decode(line: bytes, serial: int | None) -> tuple[int, Durable] | None:
+def _decode(line: bytes, serial: int | None) -> tuple[int, DurableState] | None:
     """Serial and record of a line; None where it is torn, damaged or not the next one (`serial`, if given)."""
     if line[8:9] != b" ":
         return None
@@ -184,12 +184,12 @@
     if serial is not None and int(number) != serial:
         return None
     try:
-        return int(number), msgspec.json.decode(text, type=Durable)
+        return int(number), msgspec.json.decode(text, type=DurableState)
     except msgspec.DecodeError:
         return None
 
 
-def _holds_record(rest: bytes) -> bool:
+def _contains_record(rest: bytes) -> bool:
     """Whether a whole record stands anywhere behind the first that can't be read, be its line's start lost or not."""
     for start in RECORD_START.finditer(rest, 1):
         end = rest.find(b"\n", start.start())
--- a/packages/replication/src/larkweir_replication/leadership.py
+++ b/packages/replication/src/larkweir_replication/leadership.py
@@ -9,9 +9,10 @@
 import msgspec
 from result import Err
 
-from larkweir_replication.effects import Decided, ReadDone, Send, Verdict
+from larkweir_replication.effects import CommandFinished, CommandOutcome, ReadFinished, Send
 from larkweir_replication.membership import Candidates, Step, next_step
 from larkweir_replication.messages import (
+    AppliedCommand,
     Command,
     Epoch,
     Heartbeat,
@@ -19,22 +20,21 @@
     Message,
     Replicate,
     Snapshot,
-    Taken,
 )
 
 if TYPE_CHECKING:
     from larkweir_replication.replica import Replica
 
-TAKEN_MOST = 8_192  # commands that are remembered, to acknowledge them again: more than a day has
-RESEND_MS = 300.0  # a state that is not acknowledged is sent again
-BYTES_PER_MS = 2_000  # after this much more for a large one: what a slow link and disk take in
-LOST_LEASES = 3.0  # without an answer of a majority for so many leases, a term ends
-ASKED_FOR = 3.0  # intervals after which a node that has not asked again is forgotten
-GROWTH_WAIT_MS = 4_000.0  # changes wait so long for a group of the wanted size
+MAX_APPLIED_COMMANDS = 8_192  # commands that are remembered, to acknowledge them again: more than a day has
+RESEND_INTERVAL_MS = 300.0  # a state that is not acknowledged is sent again
+TRANSFER_BYTES_PER_MS = 2_000  # after this much more for a large one: what a slow link and disk take in
+MAX_LEASES_WITHOUT_QUORUM = 3.0  # without an answer of a majority for so many leases, a term ends
+REQUEST_EXPIRY_INTERVALS = 3.0  # intervals after which a node that has not asked again is forgotten
+MAX_GROWTH_WAIT_MS = 4_000.0  # changes wait so long for a group of the wanted size
 
 
 @dataclass(frozen=True, slots=True)
-class _Submitted:
+class _PendingCommand:
     ticket: int
     command: Command
 
@@ -49,11 +49,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Unconfirmed:
+class _AwaitingConfirmation:
     """An answer that holds only if this was still the primary after `round` was sent."""
 
     round: int
-    decided: Decided | None
+    decided: CommandFinished | None
     read: int | None
 
 
@@ -66,18 +66,18 @@
         self._timing = replica.timing
         self._epoch = replica.promised
         self._begun_ms = now_ms
-        self._queue: deque[_Submitted] = deque()
-        self._unconfirmed: deque[_Unconfirmed] = deque()
+        self._queue: deque[_PendingCommand] = deque()
+        self._awaiting_confirmation: deque[_AwaitingConfirmation] = deque()
         self._proposal: _Proposal | None = None
         self._round = 0
         self._round_sent_ms: dict[int, float] = {}
         self._acked_rounds: dict[str, int] = {}
-        self._heard_ms: dict[str, float] = {}
+        self._last_contact_ms: dict[str, float] = {}
         self._sent_ms: dict[str, float] = {}
-        self._lease_from_ms = now_ms - self._timing.lease_ms
+        self._lease_from_ms = now_ms - self._timing.lease_duration_ms
         self._next_heartbeat_ms = now_ms
-        self._standing_by: dict[str, float] = {}  # nodes that are no members, by when they asked last
-        self._leaving: dict[str, float] = {}  # the same of nodes that are about to end
+        self._standby_nodes: dict[str, float] = {}  # nodes that are no members, by when they asked last
+        self._leaving_nodes: dict[str, float] = {}  # the same of nodes that are about to end
         self._propose(replica.accepted, None, now_ms, persist=False)
 
     # Time
@@ -88,17 +88,17 @@
             self._heartbeat(now_ms)
         self._resend(now_ms)
         self._change_members(now_ms)
-        self._pump(now_ms)
-        if self._is_replaced():
+        self._process_queue(now_ms)
+        if self._is_removed():
             return False
         silent_ms = now_ms - max(self._lease_from_ms, self._begun_ms)
-        return silent_ms < LOST_LEASES * self._timing.lease_ms + self._transfer_ms()
+        return silent_ms < MAX_LEASES_WITHOUT_QUORUM * self._timing.lease_duration_ms + self._transfer_ms()
 
     def _transfer_ms(self) -> float:
         """How long a state under way may hold up the heartbeats behind it."""
-        return 0.0 if self._proposal is None else self._proposal.snapshot.bytes / BYTES_PER_MS
+        return 0.0 if self._proposal is None else self._proposal.snapshot.size_bytes / TRANSFER_BYTES_PER_MS
 
-    def _is_replaced(self) -> bool:
+    def _is_removed(self) -> bool:
         """Whether a group without this node has been committed."""
         current = self._replica.accepted
         assert current is not None
@@ -107,26 +107,26 @@
             *current.previous_members,
         )
 
-    def lease_holds(self, now_ms: float) -> bool:
+    def is_lease_valid(self, now_ms: float) -> bool:
         """Whether no other can have been elected: the majority's lease, less a margin."""
-        return now_ms < self._lease_from_ms + self._timing.lease_ms - self._timing.lease_margin_ms
+        return now_ms < self._lease_from_ms + self._timing.lease_duration_ms - self._timing.lease_margin_ms
 
     def _heartbeat(self, now_ms: float) -> None:
         self._round += 1
         self._round_sent_ms[self._round] = now_ms
         for old in [one for one in self._round_sent_ms if one < self._round - 64]:
             del self._round_sent_ms[old]
-        self._next_heartbeat_ms = now_ms + self._timing.heartbeat_ms
+        self._next_heartbeat_ms = now_ms + self._timing.heartbeat_interval_ms
         committed = self._replica.committed
         message = Heartbeat(self._epoch, committed.sequence if committed else -1, self._round)
-        for node in self._audience():
+        for node in self._recipients():
             self._send(node, message)
         self._acked_rounds[self._replica.node] = self._round
         self._count_rounds(now_ms)
 
-    def heartbeat_acked(self, node: str, ack: HeartbeatAck, now_ms: float) -> None:
+    def on_heartbeat_ack(self, node: str, ack: HeartbeatAck, now_ms: float) -> None:
         """A member grants the lease from when that round was sent, and tells what it has on disk."""
-        self._heard_ms[node] = now_ms
+        self._last_contact_ms[node] = now_ms
         self._acked_rounds[node] = max(ack.round, self._acked_rounds.get(node, 0))
         self.accepted(node, ack.accepted, ack.sequence, now_ms)
         self._count_rounds(now_ms)
@@ -150,12 +150,15 @@
         self._proposal = _Proposal(snapshot, ticket, set())
         if persist:
             self._replica._persist()
-        for node in self._audience():
+        for node in self._recipients():
             self._replicate(node, snapshot, now_ms)
 
-    def _audience(self) -> list[str]:
+    def _recipients(self) -> list[str]:
         """All that are to know the newest state: members, and whoever stands by or waits to be let go."""
-        return sorted({*self._replica.others(), *self._standing_by, *self._leaving} - {self._replica.node})
+        return sorted(
+            {*self._replica.other_members(), *self._standby_nodes, *self._leaving_nodes}
+            - {self._replica.node}
+        )
 
     def _replicate(self, node: str, snapshot: Snapshot, now_ms: float) -> None:
         committed = self._replica.committed
@@ -165,29 +168,34 @@
     def _resend(self, now_ms: float) -> None:
         if self._proposal is None:
             return
-        self._replica.persist_again(self._proposal.snapshot)  # a disk that was full has refused it, perhaps
-        for node in self._audience():
-            if node not in self._proposal.accepted and self._may_resend(node, now_ms):
+        self._replica.persist_if_missing(
+            self._proposal.snapshot
+        )  # a disk that was full has refused it, perhaps
+        for node in self._recipients():
+            if node not in self._proposal.accepted and self._can_resend(node, now_ms):
                 self._replicate(node, self._proposal.snapshot, now_ms)
 
-    def _may_resend(self, node: str, now_ms: float) -> bool:
+    def _can_resend(self, node: str, now_ms: float) -> bool:
         current = self._replica.accepted
         assert current is not None
         sent_ms = self._sent_ms.get(node)
-        return sent_ms is None or now_ms >= sent_ms + RESEND_MS + current.bytes / BYTES_PER_MS
+        return (
+            sent_ms is None
+            or now_ms >= sent_ms + RESEND_INTERVAL_MS + current.size_bytes / TRANSFER_BYTES_PER_MS
+        )
 
-    def reconnected(self, node: str) -> None:
+    def on_reconnected(self, node: str) -> None:
         """A new connection to that node: what was sent on the one before may not have arrived."""
         self._sent_ms.pop(node, None)
 
     def accepted(self, node: str, epoch: Epoch, sequence: int, now_ms: float) -> None:
         """A member has that state on disk."""
-        self._heard_ms[node] = now_ms
+        self._last_contact_ms[node] = now_ms
         current = self._replica.accepted
         assert current is not None
         if (epoch, sequence) != current.rank:
             behind = (epoch, sequence) < current.rank and node != self._replica.node
-            if behind and self._may_resend(node, now_ms):
+            if behind and self._can_resend(node, now_ms):
                 self._replicate(node, current, now_ms)
             return
         proposal = self._proposal
@@ -198,12 +206,12 @@
             self._proposal = None
             self._replica.commit(proposal.snapshot)
             if proposal.ticket is not None:
-                self._replica.effects.append(Decided(proposal.ticket, Verdict.ACCEPTED))
+                self._replica.effects.append(CommandFinished(proposal.ticket, CommandOutcome.COMMITTED))
             self._heartbeat(now_ms)
             self._change_members(now_ms)
-            self._pump(now_ms)
+            self._process_queue(now_ms)
 
-    def inform(self, node: str, now_ms: float) -> None:
+    def send_newest_state(self, node: str, now_ms: float) -> None:
         """Tells the newest state to a node that was taken out while it was away, so that it asks to join."""
         assert self._replica.accepted is not None
         self._replicate(node, self._replica.accepted, now_ms)
@@ -212,114 +220,119 @@
 
     def submit(self, ticket: int, command: Command, now_ms: float) -> None:
         """Queues a command behind those before it."""
-        self._queue.append(_Submitted(ticket, command))
-        self._pump(now_ms)
+        self._queue.append(_PendingCommand(ticket, command))
+        self._process_queue(now_ms)
 
     def read(self, ticket: int, now_ms: float) -> None:
         """Answers with the newest value once a majority confirms that this is the primary still."""
         if self._replica.committed is None or self._replica.committed.epoch != self._epoch:
-            self._replica.effects.append(ReadDone(ticket, None))  # the state taken over is not committed yet
+            self._replica.effects.append(
+                ReadFinished(ticket, None)
+            )  # the state taken over is not committed yet
             return
-        self._unconfirmed.append(_Unconfirmed(self._round + 1, None, ticket))
+        self._awaiting_confirmation.append(_AwaitingConfirmation(self._round + 1, None, ticket))
         self._heartbeat(now_ms)
 
-    def _pump(self, now_ms: float) -> None:
+    def _process_queue(self, now_ms: float) -> None:
         """Takes up waiting commands while no state is on its way."""
         refused = False
-        while self._queue and self._proposal is None and self._large_enough(now_ms):
+        while self._queue and self._proposal is None and self._can_accept_changes(now_ms):
             submitted = self._queue.popleft()
-            refused |= self._take_up(submitted, now_ms)
+            refused |= self._start_command(submitted, now_ms)
         if refused:
             self._heartbeat(now_ms)
 
-    def _take_up(self, submitted: _Submitted, now_ms: float) -> bool:
+    def _start_command(self, submitted: _PendingCommand, now_ms: float) -> bool:
         """Whether it is refused, which holds once a majority has confirmed that this is still the primary."""
         ticket, command = submitted.ticket, submitted.command
         current = self._replica.accepted
         assert current is not None
-        if Taken(command.base, command.identity) in current.taken:
-            self._replica.effects.append(Decided(ticket, Verdict.ACCEPTED))
+        if AppliedCommand(command.base, command.identity) in current.applied_commands:
+            self._replica.effects.append(CommandFinished(ticket, CommandOutcome.COMMITTED))
             return False
         outcome = self._replica.apply(current.value, command.text)
         if not isinstance(outcome, Err):
-            self._propose(_with_value(current, outcome.ok_value, command), ticket, now_ms)
+            self._propose(_with_command_applied(current, outcome.ok_value, command), ticket, now_ms)
             return False
-        if command.base <= current.forgotten:
-            self._replica.effects.append(Decided(ticket, Verdict.FORGOTTEN))
+        if command.base <= current.latest_forgotten_base:
+            self._replica.effects.append(CommandFinished(ticket, CommandOutcome.TOO_OLD))
             return False
-        decided = Decided(ticket, Verdict.REJECTED, outcome.err_value)
-        self._unconfirmed.append(_Unconfirmed(self._round + 1, decided, None))
+        decided = CommandFinished(ticket, CommandOutcome.REJECTED, outcome.err_value)
+        self._awaiting_confirmation.append(_AwaitingConfirmation(self._round + 1, decided, None))
         return True
 
-    def _large_enough(self, now_ms: float) -> bool:
+    def _can_accept_changes(self, now_ms: float) -> bool:
         current = self._replica.accepted
         assert current is not None
-        waited = now_ms >= self._begun_ms + GROWTH_WAIT_MS
-        return len(current.members) >= self._replica.members_wanted or waited
+        waited = now_ms >= self._begun_ms + MAX_GROWTH_WAIT_MS
+        return len(current.members) >= self._replica.target_member_count or waited
 
     def _confirm(self, number: int) -> None:
-        while self._unconfirmed and self._unconfirmed[0].round <= number:
-            answer = self._unconfirmed.popleft()
+        while self._awaiting_confirmation and self._awaiting_confirmation[0].round <= number:
+            answer = self._awaiting_confirmation.popleft()
             if answer.decided is not None:
                 self._replica.effects.append(answer.decided)
             if answer.read is not None:
-                self._replica.effects.append(ReadDone(answer.read, self._replica.committed))
+                self._replica.effects.append(ReadFinished(answer.read, self._replica.committed))
 
     def abandon(self) -> None:
         """The term is over: whoever waits is told that the outcome is unknown."""
         effects = self._replica.effects
         if self._proposal is not None and self._proposal.ticket is not None:
-            effects.append(Decided(self._proposal.ticket, Verdict.UNKNOWN))
-        effects.extend(Decided(submitted.ticket, Verdict.UNKNOWN) for submitted in self._queue)
-        for answer in self._unconfirmed:
+            effects.append(CommandFinished(self._proposal.ticket, CommandOutcome.UNKNOWN))
+        effects.extend(CommandFinished(submitted.ticket, CommandOutcome.UNKNOWN) for submitted in self._queue)
+        for answer in self._awaiting_confirmation:
             if answer.decided is not None:
-                effects.append(Decided(answer.decided.ticket, Verdict.UNKNOWN))
+                effects.append(CommandFinished(answer.decided.ticket, CommandOutcome.UNKNOWN))
             if answer.read is not None:
-                effects.append(ReadDone(answer.read, None))
+                effects.append(ReadFinished(answer.read, None))
 
     # Members
 
-    def joining(self, node: str, now_ms: float) -> None:
+    def on_join(self, node: str, now_ms: float) -> None:
         """A replica with a recovered memory would be a member."""
-        self._standing_by[node] = now_ms
+        self._standby_nodes[node] = now_ms
         self._change_members(now_ms)
 
     def leaving(self, node: str, now_ms: float) -> None:
         """A node is about to end."""
-        self._leaving[node] = now_ms
+        self._leaving_nodes[node] = now_ms
         self._change_members(now_ms)
 
     def _change_members(self, now_ms: float) -> None:
         """One step of a change of members at a time, each committed before the next."""
-        self._forget_askers(now_ms)
+        self._drop_expired_requests(now_ms)
         current = self._replica.accepted
         assert current is not None
         if self._proposal is not None:
             return
         candidates = Candidates(
-            standing_by=list(self._standing_by),
-            leaving=list(self._leaving),
-            lost=self._silent(current, self._timing.dead_ms, now_ms),
-            gone=self._silent(current, self._timing.remove_ms, now_ms),
+            standing_by=list(self._standby_nodes),
+            leaving=list(self._leaving_nodes),
+            lost=self._silent(current, self._timing.replace_after_silence_ms, now_ms),
+            gone=self._silent(current, self._timing.remove_after_silence_ms, now_ms),
         )
-        step = next_step(current, self._replica.members_wanted, self._replica.node, candidates)
+        step = next_step(current, self._replica.target_member_count, self._replica.node, candidates)
         if step is not None:
             self._propose_members(step, now_ms)
 
-    def _forget_askers(self, now_ms: float) -> None:
+    def _drop_expired_requests(self, now_ms: float) -> None:
         """Those that have not asked again for long, and newcomers that have become members."""
         current = self._replica.accepted
         assert current is not None
-        for node, asked_ms in list(self._standing_by.items()):
-            if node in current.members or now_ms > asked_ms + ASKED_FOR * self._timing.join_ms:
-                del self._standing_by[node]
-        for node, asked_ms in list(self._leaving.items()):
-            if now_ms > asked_ms + ASKED_FOR * self._timing.leave_ms:
-                del self._leaving[node]
+        for node, asked_ms in list(self._standby_nodes.items()):
+            if (
+                node in current.members
+                or now_ms > asked_ms + REQUEST_EXPIRY_INTERVALS * self._timing.join_interval_ms
+            ):
+                del self._standby_nodes[node]
+        for node, asked_ms in list(self._leaving_nodes.items()):
+            if now_ms > asked_ms + REQUEST_EXPIRY_INTERVALS * self._timing.leave_interval_ms:
+                del self._leaving_nodes[node]
 
     def _silent(self, current: Snapshot, for_ms: float, now_ms: float) -> list[str]:
         """Members not heard for so long, the longest first."""
-        heard = {node: self._heard_ms.get(node, self._begun_ms) for node in current.members}
+        heard = {node: self._last_contact_ms.get(node, self._begun_ms) for node in current.members}
         heard.pop(self._replica.node, None)
         silent = [node for node, when_ms in heard.items() if now_ms >= when_ms + for_ms]
         return sorted(silent, key=lambda node: heard[node])
@@ -339,11 +352,15 @@
         self._replica.effects.append(Send(node, message))
 
 
-def _with_value(current: Snapshot, value: str, command: Command) -> Snapshot:
+def _with_command_applied(current: Snapshot, value: str, command: Command) -> Snapshot:
     """The next state: that value, and the command among those that were carried out."""
-    taken = (*current.taken, Taken(command.base, command.identity))
-    dropped, kept = taken[:-TAKEN_MOST], taken[-TAKEN_MOST:]
-    forgotten = max((current.forgotten, *(one.base for one in dropped)))
+    taken = (*current.applied_commands, AppliedCommand(command.base, command.identity))
+    dropped, kept = taken[:-MAX_APPLIED_COMMANDS], taken[-MAX_APPLIED_COMMANDS:]
+    latest_forgotten_base = max((current.latest_forgotten_base, *(one.base for one in dropped)))
     return msgspec.structs.replace(
-        current, sequence=current.sequence + 1, value=value, taken=kept, forgotten=forgotten
+        current,
+        sequence=current.sequence + 1,
+        value=value,
+        applied_commands=kept,
+        latest_forgotten_base=latest_forgotten_base,
     )
--- a/packages/replication/src/larkweir_replication/messages.py
+++ b/packages/replication/src/larkweir_replication/messages.py
@@ -12,7 +12,7 @@
     node: str
 
 
-TAKEN_BYTES = 32  # of one remembered command in a message, about
+APPLIED_COMMAND_BYTES = 32  # of one remembered command in a message, about
 NO_EPOCH = Epoch(0, "")
 
 
@@ -27,7 +27,7 @@
     text: str
 
 
-class Taken(msgspec.Struct, frozen=True, array_like=True):
+class AppliedCommand(msgspec.Struct, frozen=True, array_like=True):
     """A command that was carried out. Of those on one base there is one."""
 
     base: int
@@ -47,13 +47,13 @@
     members: tuple[str, ...]
     previous_members: tuple[str, ...] = ()
     value: str = ""
-    taken: tuple[Taken, ...] = ()
-    forgotten: int = -1
+    applied_commands: tuple[AppliedCommand, ...] = msgspec.field(default=(), name="taken")
+    latest_forgotten_base: int = msgspec.field(default=-1, name="forgotten")
 
     @property
-    def bytes(self) -> int:
+    def size_bytes(self) -> int:
         """About how long its message is."""
-        return len(self.value) + TAKEN_BYTES * len(self.taken)
+        return len(self.value) + APPLIED_COMMAND_BYTES * len(self.applied_commands)
 
     @property
     def rank(self) -> tuple[Epoch, int]:
@@ -66,20 +66,20 @@
         return all(2 * len(nodes.intersection(group)) > len(group) for group in groups)
 
 
-class Durable(msgspec.Struct, frozen=True):
+class DurableState(msgspec.Struct, frozen=True):
     """What a replica must find again after a crash."""
 
     promised: Epoch
     snapshot: Snapshot | None
 
 
-class Canvass(msgspec.Struct, frozen=True, tag="canvass"):
+class PreVote(msgspec.Struct, frozen=True, tag="canvass"):
     """Asks whether a candidacy would find a majority; changes nothing at the one asked."""
 
     round: int
 
 
-class CanvassReply(msgspec.Struct, frozen=True, tag="canvass_reply"):
+class PreVoteReply(msgspec.Struct, frozen=True, tag="canvass_reply"):
     """`promised`: the highest epoch known, so that a candidate goes above it.
 
     `members` as its sender knows them: the one who asks may have been replaced, by nodes of which it never heard.
@@ -118,7 +118,7 @@
     sequence: int
 
 
-class Refused(msgspec.Struct, frozen=True, tag="refused"):
+class StaleEpoch(msgspec.Struct, frozen=True, tag="refused"):
     """The message was of a lower epoch than its receiver has promised."""
 
     promised: Epoch
@@ -170,13 +170,13 @@
 
 
 Message = (
-    Canvass
-    | CanvassReply
+    PreVote
+    | PreVoteReply
     | Prepare
     | Promise
     | Replicate
     | Accepted
-    | Refused
+    | StaleEpoch
     | Heartbeat
     | HeartbeatAck
     | Resign
--- a/packages/replication/src/larkweir_replication/recovery.py
+++ b/packages/replication/src/larkweir_replication/recovery.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from larkweir_replication.messages import Durable, Recover, RecoverReply
+from larkweir_replication.messages import DurableState, Recover, RecoverReply
 
 NONCE_BITS = 48
 
@@ -25,18 +25,18 @@
         self._replies = {}
         return Recover(self._nonce)
 
-    def learn(self, sender: str, reply: RecoverReply) -> Durable | None:
+    def learn(self, sender: str, reply: RecoverReply) -> DurableState | None:
         """One answer. What this replica is to hold, once enough have answered."""
         if reply.nonce != self._nonce:
             return None
         self._replies[sender] = reply
         newest = max((reply.snapshot for reply in self._replies.values()), key=lambda one: one.rank)
         groups = [group for group in (newest.members, newest.previous_members) if group]
-        if not all(self._heard_enough(group) for group in groups):
+        if not all(self._has_enough_replies(group) for group in groups):
             return None
-        return Durable(max(reply.promised for reply in self._replies.values()), newest)
+        return DurableState(max(reply.promised for reply in self._replies.values()), newest)
 
-    def _heard_enough(self, group: tuple[str, ...]) -> bool:
+    def _has_enough_replies(self, group: tuple[str, ...]) -> bool:
         """Whether every majority that the forgotten vote was part of has another member among the replies."""
         majority = len(group) // 2 + 1
         heard = len(set(group).intersection(self._replies) - {self._node})
--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -6,10 +6,18 @@
 from random import Random
 
 import msgspec
-from larkweir_replication.effects import Committed, Decided, Effect, Persist, ReadDone, Send, Verdict
+from larkweir_replication.effects import (
+    CommandFinished,
+    CommandOutcome,
+    Committed,
+    Effect,
+    Persist,
+    ReadFinished,
+    Send,
+)
 from larkweir_replication.journal import Journal
-from larkweir_replication.messages import Command, Durable, Message, Snapshot
-from larkweir_replication.replica import Replica, Status
+from larkweir_replication.messages import Command, DurableState, Message, Snapshot
+from larkweir_replication.replica import Replica, ReplicaStatus
 from larkweir_replication.timing import Timing
 from larkweir_simulated.network import Network
 from replication_disk import Disk
@@ -30,7 +38,7 @@
     """How it ended; `verdict` is None for a read."""
 
     ticket: int
-    verdict: str | None
+    outcome: str | None
     value: str | None
 
 
@@ -67,8 +75,8 @@
         self.published = ""  # the newest value of this life
         self.seeds: Iterable[str] = cluster.seeds
         self._journal = Journal(self.disk.files)
-        self._writing: Durable | None = None
-        self._waiting: tuple[int, Durable] | None = None
+        self._writing: DurableState | None = None
+        self._waiting: tuple[int, DurableState] | None = None
         self._life = 0
 
     @property
@@ -90,10 +98,10 @@
             append_change,
             Random(cluster.rng.random()),
             cluster.network.now_ms,
-            stored=journal.newest,
+            stored_state=journal.newest,
             first_members=cluster.first_members if self.bootstrap and journal.is_blank else None,
-            known=(*self.seeds, *journal.members_once),
-            members_wanted=cluster.members_wanted,
+            known_nodes=(*self.seeds, *journal.last_known_members),
+            target_member_count=cluster.target_member_count,
             timing=Timing(),
         )
         self.published = ""
@@ -153,7 +161,7 @@
         """An operator's call here: carried out, or sent on to the primary that this machine knows."""
         if self.replica is None or self.name in self.cluster.frozen:
             return
-        if self.replica.status is Status.PRIMARY:
+        if self.replica.status is ReplicaStatus.PRIMARY:
             self._take(self.name, Call(ticket, order))
         elif self.replica.primary is not None:
             self._send(self.replica.primary, Call(ticket, order))
@@ -187,12 +195,12 @@
                     self._write(token, durable)
                 case Committed(snapshot):
                     self.cluster.published(self, snapshot)
-                case Decided(ticket, verdict, _):
-                    self._answer(Answer(ticket, verdict.value, None))
-                case ReadDone(ticket, found):
+                case CommandFinished(ticket, outcome, _):
+                    self._answer(Answer(ticket, outcome.value, None))
+                case ReadFinished(ticket, found):
                     self._answer(Answer(ticket, None, None if found is None else found.value))
 
-    def _write(self, token: int, durable: Durable) -> None:
+    def _write(self, token: int, durable: DurableState) -> None:
         """One write at a time, and then the newest that waits: it covers the earlier ones, as in the program."""
         self._waiting = (token, durable)
         if self._writing is None:
@@ -210,14 +218,14 @@
 
         self.cluster.network.after(self.disk.sync_ms, lambda: self.disk.when_it_answers(synced), self.name)
 
-    def _synced(self, token: int, durable: Durable) -> None:
+    def _synced(self, token: int, durable: DurableState) -> None:
         replica = self.running
         self._writing = None
         if self.disk.full:
-            replica.persist_failed(token)
+            replica.on_persist_failed(token)
         else:
             self._journal.write(durable)
-            replica.persisted(token, self.cluster.network.now_ms)
+            replica.on_persisted(token, self.cluster.network.now_ms)
         if self._waiting is not None:
             self._begin_write()
         self._carry_out(replica.take_effects())
@@ -234,7 +242,7 @@
         names = [f"m{n}" for n in range(size)]
         self.seeds = tuple(names[:3])
         self.first_members = tuple(names[:first])
-        self.members_wanted = 2 * tolerance + 1
+        self.target_member_count = 2 * tolerance + 1
         self.machines = {name: Machine(self, name, bootstrap=True) for name in names}
         self.frozen: set[str] = set()
         self.callers: dict[int, tuple[str, str]] = {}  # by ticket: who asked, and who answers
@@ -288,11 +296,11 @@
             self._read_done(answer.ticket, answer.value)
             return
         text = self.commands[answer.ticket]
-        match Verdict(answer.verdict):
-            case Verdict.ACCEPTED:
+        match CommandOutcome(answer.outcome):
+            case CommandOutcome.COMMITTED:
                 assert text not in self.rejected, f"{text} was refused, then acknowledged"
                 self.acknowledged.setdefault(text, self.network.now_ms)
-            case Verdict.REJECTED:
+            case CommandOutcome.REJECTED:
                 assert text not in self.acknowledged, f"{text} was acknowledged, then refused"
                 self.rejected.add(text)
             case _:
@@ -322,7 +330,7 @@
             (machine.replica.promised, name)
             for name, machine in self.machines.items()
             if machine.replica is not None
-            and machine.replica.status is Status.PRIMARY
+            and machine.replica.status is ReplicaStatus.PRIMARY
             and name not in self.frozen
         ]
         return max(found)[1] if found else None
--- a/packages/replication/tests/replication_disk.py
+++ b/packages/replication/tests/replication_disk.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from random import Random
 
-from larkweir_replication.journal import NAME, Journal
-from larkweir_replication.messages import Durable
+from larkweir_replication.journal import JOURNAL_FILE, Journal
+from larkweir_replication.messages import DurableState
 
 
 class MemoryFiles:
@@ -48,16 +48,16 @@
 
     def flip_bit(self) -> bool:
         """Damages a record that is not the last one; False where there is none."""
-        data = self.files.files.get(NAME, b"")
+        data = self.files.files.get(JOURNAL_FILE, b"")
         last = data.rfind(b"\n", 0, len(data) - 1) + 1
         if last <= 0:
             return False
         damaged = bytearray(data)
         damaged[self.rng.randrange(last)] ^= 1 << self.rng.randrange(8)
-        self.files.files[NAME] = bytes(damaged)
+        self.files.files[JOURNAL_FILE] = bytes(damaged)
         return True
 
-    def crash_during(self, journal: Journal, durable: Durable) -> None:
+    def crash_during(self, journal: Journal, durable: DurableState) -> None:
         """The process or the power went while this record was written: it is there, torn, or missing."""
         if self.full or self.stalled:
             return
@@ -66,11 +66,13 @@
         if outcome < 0.3:
             return
         journal.write(durable)
-        if outcome < 0.6 and len(self.files.files.get(NAME, b"")) > len(before.get(NAME, b"")):
-            whole = self.files.files[NAME]
-            kept = len(before.get(NAME, b""))
+        if outcome < 0.6 and len(self.files.files.get(JOURNAL_FILE, b"")) > len(
+            before.get(JOURNAL_FILE, b"")
+        ):
+            whole = self.files.files[JOURNAL_FILE]
+            kept = len(before.get(JOURNAL_FILE, b""))
             cut = self.rng.randrange(kept, len(whole))
-            self.files.files = {**before, NAME: whole[:cut]}
+            self.files.files = {**before, JOURNAL_FILE: whole[:cut]}
 
     def when_it_answers(self, then: Callable[[], None]) -> None:
         """At once, or once it has ceased to stall."""
--- a/packages/replication/tests/replication_trouble.py
+++ b/packages/replication/tests/replication_trouble.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from larkweir_replication.replica import Status
+from larkweir_replication.replica import ReplicaStatus
 from replication_cluster import Cluster, Machine, isolate, names_of
 
 CATCH_UP_MS = 4_000.0
@@ -68,7 +68,11 @@
 
     def _is_member(self, machine: Machine) -> bool:
         replica = machine.running
-        return replica.status is not Status.RECOVERING and replica.is_member and replica.committed is not None
+        return (
+            replica.status is not ReplicaStatus.RECOVERING
+            and replica.is_member
+            and replica.committed is not None
+        )
 
     def _lose_disk(self, name: str) -> None:
         self._lost_until[name] = self.cluster.network.now_ms + CATCH_UP_MS
@@ -163,7 +167,7 @@
 
     def _replace_crashed(self, machine: Machine, for_ms: float) -> None:
         """Gone for good; an empty one comes later. Every third time the machine that comes is lost again."""
-        if len(self.cluster.machines) <= self.cluster.members_wanted - 1:
+        if len(self.cluster.machines) <= self.cluster.target_member_count - 1:
             return
         self.cluster.forget_machine(machine.name)
         newcomer = self.cluster.add_machine()
@@ -263,7 +267,7 @@
             _calm_down(cluster, trouble)
     _calm_down(cluster, trouble)
     cluster.check()
-    assert len(cluster.committed().members) == cluster.members_wanted, cluster.committed().members
+    assert len(cluster.committed().members) == cluster.target_member_count, cluster.committed().members
     return cluster
 
 
--- a/packages/replication/tests/test_replication_cluster.py
+++ b/packages/replication/tests/test_replication_cluster.py
@@ -6,7 +6,7 @@
 
 import pytest
 from larkweir_replication import leadership
-from larkweir_replication.replica import Status
+from larkweir_replication.replica import ReplicaStatus
 from replication_cluster import Cluster, isolate, names_of, started
 from replication_trouble import Day, play
 
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("seed", range(SEEDS // 6))
 def test_hundreds_of_changes_with_repeats_long_after(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(leadership, "TAKEN_MOST", [40, 1_000][seed % 2])
+    monkeypatch.setattr(leadership, "MAX_APPLIED_COMMANDS", [40, 1_000][seed % 2])
     cluster = play(Day(seed + 300_000, steps=600, storm=True, trouble_chance=0.012))
     assert len(cluster.history) > 100
 
@@ -222,7 +222,7 @@
     assert len(members) == 3
     assert cut_off not in members
     replica = cluster.machines[cut_off].running
-    assert replica.status is Status.FOLLOWER
+    assert replica.status is ReplicaStatus.FOLLOWER
     cluster.must_acknowledge()
     cluster.run(300.0)
     assert replica.committed == cluster.committed(), "it has the state, and sends calls on"
@@ -363,10 +363,10 @@
     for _ in range(50):
         cluster.run(20.0)
         for name in others:
-            cluster.machines[name].running.receiving(primary, cluster.network.now_ms)
+            cluster.machines[name].running.on_partial_message(primary, cluster.network.now_ms)
     cluster.network.heal()
     for name in others:
-        cluster.machines[primary].running.reconnected(name)
+        cluster.machines[primary].running.on_reconnected(name)
     cluster.run(100.0)
     assert cluster.acknowledged, "the first transfer was enough"
     assert cluster.primary() == primary
@@ -392,13 +392,13 @@
 
 
 def test_an_order_older_than_memory_gets_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(leadership, "TAKEN_MOST", 10)
+    monkeypatch.setattr(leadership, "MAX_APPLIED_COMMANDS", 10)
     cluster = calm(8)
     primary = primary_of(cluster)
     for number in range(30):
         cluster.submit(primary, f"{number}:x{number}")
         cluster.run(15.0)
-    assert cluster.committed().forgotten == 19
+    assert cluster.committed().latest_forgotten_base == 19
     for text in ("3:x3", "3:other"):
         cluster.submit(primary, text)
     cluster.run(50.0)
--- a/packages/replication/tests/test_replication_golden_bytes.py
+++ b/packages/replication/tests/test_replication_golden_bytes.py
@@ -17,10 +17,9 @@
 from larkweir_replication.messages import (
     NO_EPOCH,
     Accepted,
-    Canvass,
-    CanvassReply,
+    AppliedCommand,
     Command,
-    Durable,
+    DurableState,
     Epoch,
     Heartbeat,
     HeartbeatAck,
@@ -28,14 +27,15 @@
     Leave,
     Message,
     Prepare,
+    PreVote,
+    PreVoteReply,
     Promise,
     Recover,
     RecoverReply,
-    Refused,
     Replicate,
     Resign,
     Snapshot,
-    Taken,
+    StaleEpoch,
 )
 
 EPOCH = Epoch(3, "10.0.0.1")
@@ -50,7 +50,7 @@
     ("10.0.0.1", "10.0.0.2", "10.0.0.3"),
     ("10.0.0.1", "10.0.0.2", "10.0.0.4"),
     '{"services": ["é"]}',
-    (Taken(6, "sha-a"), Taken(7, "sha-b")),
+    (AppliedCommand(6, "sha-a"), AppliedCommand(7, "sha-b")),
     5,
 )
 STANDBY_COMES_BYTES = (
@@ -60,13 +60,13 @@
 )
 
 MESSAGES: list[tuple[Message, bytes]] = [
-    (Canvass(7), b'{"type":"canvass","round":7}'),
+    (PreVote(7), b'{"type":"canvass","round":7}'),
     (
-        CanvassReply(7, True, EPOCH, ("10.0.0.1", "10.0.0.2")),
+        PreVoteReply(7, True, EPOCH, ("10.0.0.1", "10.0.0.2")),
         b'{"type":"canvass_reply","round":7,"granted":true,"promised":[3,"10.0.0.1"],"members":["10.0.0.1","10.0.0.2"]}',
     ),
     (
-        CanvassReply(7, False, NO_EPOCH),
+        PreVoteReply(7, False, NO_EPOCH),
         b'{"type":"canvass_reply","round":7,"granted":false,"promised":[0,""],"members":[]}',
     ),
     (Prepare(EPOCH), b'{"type":"prepare","epoch":[3,"10.0.0.1"]}'),
@@ -81,7 +81,7 @@
     ),
     (Replicate(FIRST, -1), b'{"type":"replicate","snapshot":' + FIRST_BYTES + b',"committed":-1}'),
     (Accepted(EPOCH, 41), b'{"type":"accepted","epoch":[3,"10.0.0.1"],"sequence":41}'),
-    (Refused(EPOCH), b'{"type":"refused","promised":[3,"10.0.0.1"]}'),
+    (StaleEpoch(EPOCH), b'{"type":"refused","promised":[3,"10.0.0.1"]}'),
     (Heartbeat(EPOCH, 40, 12), b'{"type":"heartbeat","epoch":[3,"10.0.0.1"],"committed":40,"round":12}'),
     (
         HeartbeatAck(EPOCH, 12, NO_EPOCH, -1),
@@ -110,7 +110,7 @@
 
 def test_a_reply_without_members_is_read() -> None:
     written = b'{"type":"canvass_reply","round":7,"granted":false,"promised":[0,""]}'
-    assert msgspec.json.decode(written, type=Message) == CanvassReply(7, False, NO_EPOCH)
+    assert msgspec.json.decode(written, type=Message) == PreVoteReply(7, False, NO_EPOCH)
 
 
 def test_a_command_is_these_bytes() -> None:
@@ -122,9 +122,9 @@
 FIRST_LINE = b'8aec8294 1 {"promised":[0,""],"snapshot":' + FIRST_BYTES + b"}\n"
 PROMISE_LINE = b'bb270550 2 {"promised":[1,"10.0.0.2"],"snapshot":' + FIRST_BYTES + b"}\n"
 STANDBY_LINE = b'cd14f761 3 {"promised":[3,"10.0.0.1"],"snapshot":' + STANDBY_COMES_BYTES + b"}\n"
-FIRST_RECORD = Durable(NO_EPOCH, FIRST)
-PROMISE_RECORD = Durable(Epoch(1, "10.0.0.2"), FIRST)
-STANDBY_RECORD = Durable(EPOCH, STANDBY_COMES)
+FIRST_RECORD = DurableState(NO_EPOCH, FIRST)
+PROMISE_RECORD = DurableState(Epoch(1, "10.0.0.2"), FIRST)
+STANDBY_RECORD = DurableState(EPOCH, STANDBY_COMES)
 WHOLE = FIRST_LINE + PROMISE_LINE + STANDBY_LINE
 
 
@@ -149,10 +149,10 @@
         (WHOLE, STANDBY_RECORD),
     ],
 )
-def test_a_file_is_read(tmp_path: Path, written: bytes, record: Durable) -> None:
+def test_a_file_is_read(tmp_path: Path, written: bytes, record: DurableState) -> None:
     (tmp_path / "replica.log").write_bytes(written)
     journal = Journal(FolderFiles(str(tmp_path)))
-    assert (journal.newest, journal.size, journal.dropped, journal.damaged) == (
+    assert (journal.newest, journal.size_bytes, journal.unreadable_bytes, journal.is_damaged) == (
         record,
         len(written),
         0,
@@ -163,14 +163,14 @@
 
 def test_a_record_without_a_state_is_read(tmp_path: Path) -> None:
     (tmp_path / "replica.log").write_bytes(b'369571db 1 {"promised":[2,"10.0.0.3"],"snapshot":null}\n')
-    assert Journal(FolderFiles(str(tmp_path))).newest == Durable(Epoch(2, "10.0.0.3"), None)
+    assert Journal(FolderFiles(str(tmp_path))).newest == DurableState(Epoch(2, "10.0.0.3"), None)
 
 
 def test_a_torn_tail_is_cut_off_by_the_next_record(tmp_path: Path) -> None:
     torn = FIRST_LINE + PROMISE_LINE + STANDBY_LINE[:-1]
     (tmp_path / "replica.log").write_bytes(torn)
     journal = Journal(FolderFiles(str(tmp_path)))
-    assert (journal.newest, journal.dropped) == (PROMISE_RECORD, len(STANDBY_LINE) - 1)
+    assert (journal.newest, journal.unreadable_bytes) == (PROMISE_RECORD, len(STANDBY_LINE) - 1)
     assert found(tmp_path) == {"replica.log": torn}
     journal.write(STANDBY_RECORD)
     assert found(tmp_path) == {"replica.log": WHOLE}
@@ -180,8 +180,8 @@
     damaged = FIRST_LINE + PROMISE_LINE.replace(b"bb", b"bc", 1) + STANDBY_LINE
     (tmp_path / "replica.log").write_bytes(damaged)
     journal = Journal(FolderFiles(str(tmp_path)))
-    assert (journal.newest, journal.damaged, journal.members_once) == (None, True, FIRST.members)
-    assert journal.dropped == len(PROMISE_LINE) + len(STANDBY_LINE)
+    assert (journal.newest, journal.is_damaged, journal.last_known_members) == (None, True, FIRST.members)
+    assert journal.unreadable_bytes == len(PROMISE_LINE) + len(STANDBY_LINE)
     assert found(tmp_path) == {"replica.log": damaged}
     journal.write(PROMISE_RECORD)
     assert found(tmp_path) == {"replica.log": PROMISE_LINE, "replica.log.damaged": damaged}
@@ -190,14 +190,14 @@
 def test_a_folder_with_the_damaged_file_alone_has_lost_its_memory(tmp_path: Path) -> None:
     (tmp_path / "replica.log.damaged").write_bytes(WHOLE)
     journal = Journal(FolderFiles(str(tmp_path)))
-    assert (journal.newest, journal.damaged, journal.members_once) == (None, True, ())
+    assert (journal.newest, journal.is_damaged, journal.last_known_members) == (None, True, ())
     journal.write(FIRST_RECORD)
     assert found(tmp_path) == {"replica.log": FIRST_LINE, "replica.log.damaged": WHOLE}
 
 
 def test_a_long_file_is_rewritten_as_its_newest_record(tmp_path: Path) -> None:
     journal = Journal(FolderFiles(str(tmp_path)))
-    large = Durable(EPOCH, Snapshot(EPOCH, 8, ("10.0.0.1",), value="v" * 300_000))
+    large = DurableState(EPOCH, Snapshot(EPOCH, 8, ("10.0.0.1",), value="v" * 300_000))
     body = (
         b'{"promised":[3,"10.0.0.1"],"snapshot":{"epoch":[3,"10.0.0.1"],"sequence":8,"members":["10.0.0.1"],'
         b'"previous_members":[],"value":"' + b"v" * 300_000 + b'","taken":[],"forgotten":-1}}\n'
--- a/packages/replication/tests/test_replication_journal.py
+++ b/packages/replication/tests/test_replication_journal.py
@@ -8,12 +8,18 @@
 
 import pytest
 from larkweir_replication import journal as module
-from larkweir_replication.journal import DAMAGED_NAME, NAME, NEW_NAME, FolderFiles, Journal
-from larkweir_replication.messages import Durable, Epoch, Snapshot
+from larkweir_replication.journal import (
+    DAMAGED_JOURNAL_FILE,
+    JOURNAL_FILE,
+    NEW_JOURNAL_FILE,
+    FolderFiles,
+    Journal,
+)
+from larkweir_replication.messages import DurableState, Epoch, Snapshot
 
 
-def durable(number: int, size: int = 10) -> Durable:
-    return Durable(Epoch(number, "m0"), Snapshot(Epoch(number, "m0"), number, ("m0",), value="v" * size))
+def durable(number: int, size: int = 10) -> DurableState:
+    return DurableState(Epoch(number, "m0"), Snapshot(Epoch(number, "m0"), number, ("m0",), value="v" * size))
 
 
 class PowerCutError(Exception):
@@ -109,7 +115,7 @@
     journal = Journal(files)
     starts = []
     for number in range(1, count + 1):
-        starts.append(journal.size)
+        starts.append(journal.size_bytes)
         journal.write(durable(number))
     return files, starts
 
@@ -117,51 +123,51 @@
 def test_a_bit_flipped_before_the_last_record_loses_the_memory() -> None:
     """Whichever bit it is: no older record is taken for the newest."""
     files, starts = written(4)
-    whole = files.files[NAME]
+    whole = files.files[JOURNAL_FILE]
     for at in range(starts[-1]):
         for bit in range(8):
             damaged = bytearray(whole)
             damaged[at] ^= 1 << bit
-            files.files[NAME] = bytes(damaged)
+            files.files[JOURNAL_FILE] = bytes(damaged)
             journal = Journal(files)
             assert journal.newest is None
-            assert journal.damaged
+            assert journal.is_damaged
             assert not journal.is_blank
 
 
 def test_a_bit_flipped_in_the_last_record_cannot_be_told_from_a_torn_one() -> None:
     files, starts = written(4)
-    whole = files.files[NAME]
+    whole = files.files[JOURNAL_FILE]
     for seed in range(60):
         rng = Random(seed)
         damaged = bytearray(whole)
         damaged[rng.randrange(starts[-1], len(whole))] ^= 1 << rng.randrange(8)
-        files.files[NAME] = bytes(damaged)
+        files.files[JOURNAL_FILE] = bytes(damaged)
         assert Journal(files).newest == durable(3)
 
 
 def test_a_block_lost_in_the_middle_loses_the_memory() -> None:
     files, starts = written(6)
-    whole = files.files[NAME]
+    whole = files.files[JOURNAL_FILE]
     for start in range(0, starts[-1] - 40, 7):
         for fill in (b"", bytes(40)):
-            files.files[NAME] = whole[:start] + fill + whole[start + 40 :]
+            files.files[JOURNAL_FILE] = whole[:start] + fill + whole[start + 40 :]
             journal = Journal(files)
             assert journal.newest is None
-            assert journal.damaged
+            assert journal.is_damaged
 
 
 def test_a_damaged_file_is_kept_aside_and_the_next_record_is_found() -> None:
     files, starts = written(4)
-    damaged = bytearray(files.files[NAME])
+    damaged = bytearray(files.files[JOURNAL_FILE])
     damaged[starts[2] + 20] ^= 1
-    files.files[NAME] = bytes(damaged)
+    files.files[JOURNAL_FILE] = bytes(damaged)
     journal = Journal(files)
-    assert journal.members_once == ("m0",)
+    assert journal.last_known_members == ("m0",)
     journal.write(durable(9))
-    assert files.files[DAMAGED_NAME] == bytes(damaged)
+    assert files.files[DAMAGED_JOURNAL_FILE] == bytes(damaged)
     again = Journal(files)
-    assert (again.newest, again.damaged) == (durable(9), False)
+    assert (again.newest, again.is_damaged) == (durable(9), False)
     again.write(durable(10))
     assert Journal(files).newest == durable(10)
 
@@ -169,9 +175,9 @@
 @pytest.mark.parametrize("steps", range(4))
 def test_a_crash_at_each_step_of_beginning_anew(steps: int) -> None:
     files, starts = written(4)
-    damaged = bytearray(files.files[NAME])
+    damaged = bytearray(files.files[JOURNAL_FILE])
     damaged[starts[2] + 20] ^= 1
-    files.files[NAME] = bytes(damaged)
+    files.files[JOURNAL_FILE] = bytes(damaged)
     journal = Journal(files)
     files.calls_left = steps
     if steps < 3:
@@ -190,21 +196,21 @@
 def test_a_record_of_another_format_is_no_record() -> None:
     files, _ = written(1)
     body = b'2 {"neither": 1}'
-    files.files[NAME] += b"%08x %s\n" % (zlib.crc32(body), body)
+    files.files[JOURNAL_FILE] += b"%08x %s\n" % (zlib.crc32(body), body)
     journal = Journal(files)
     assert journal.newest == durable(1)
 
 
 def test_a_long_file_is_rewritten_and_power_lost_then_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "REWRITE_BYTES", 500)
-    monkeypatch.setattr(module, "REWRITE_RECORDS", 2)
+    monkeypatch.setattr(module, "MIN_REWRITE_BYTES", 500)
+    monkeypatch.setattr(module, "REWRITE_SIZE_FACTOR", 2)
     files = MemoryFiles()
     journal = Journal(files)
     for number in range(1, 40):
         journal.write(durable(number))
         assert Journal(files).newest == durable(number)
-    assert len(files.files[NAME]) < 1_000
-    while journal.size + 300 <= 500:
+    assert len(files.files[JOURNAL_FILE]) < 1_000
+    while journal.size_bytes + 300 <= 500:
         journal.write(durable(50))
     files.fail_at = 20
     newest = Journal(files).newest
@@ -220,7 +226,7 @@
     journal.write(durable(1))
     journal.write(durable(2))
     assert Journal(FolderFiles(str(tmp_path / "replica"))).newest == durable(2)
-    files.append(NEW_NAME, 0, b"x")
-    files.replace(NEW_NAME, NAME)
+    files.append(NEW_JOURNAL_FILE, 0, b"x")
+    files.replace(NEW_JOURNAL_FILE, JOURNAL_FILE)
     assert Journal(files).newest is None
-    assert Journal(files).dropped == 1
+    assert Journal(files).unreadable_bytes == 1
--- a/packages/replication/tests/test_replication_planted.py
+++ b/packages/replication/tests/test_replication_planted.py
@@ -13,12 +13,12 @@
 import pytest
 import test_replication_cluster as scenes
 from larkweir_replication import leadership
-from larkweir_replication.effects import Decided, ReadDone, Verdict
+from larkweir_replication.effects import CommandFinished, CommandOutcome, ReadFinished
 from larkweir_replication.journal import Journal
 from larkweir_replication.leadership import Leadership
 from larkweir_replication.messages import Accepted, Epoch, Prepare, Promise, Replicate, Snapshot
 from larkweir_replication.recovery import Recovery
-from larkweir_replication.replica import Replica, Status
+from larkweir_replication.replica import Replica, ReplicaStatus
 from replication_trouble import Day, play
 
 DAYS_MOST = 150
@@ -66,7 +66,7 @@
 
 def promises_are_given_before_they_are_durable(patch: pytest.MonkeyPatch) -> None:
     def on_prepare(self: Replica, sender: str, message: Prepare, now_ms: float) -> None:
-        if message.epoch >= self.promised and not self._lease_runs(now_ms):
+        if message.epoch >= self.promised and not self._is_lease_valid(now_ms):
             self._raise_promise(message.epoch, now_ms)
             self._send(sender, Promise(message.epoch, self.accepted))
             self._persist()
@@ -90,7 +90,7 @@
         self.promised = epoch
 
     def on_replicate(self: Replica, sender: str, message: Replicate, now_ms: float) -> None:
-        self._hear_primary(sender, message.snapshot.epoch, now_ms)
+        self._on_primary_contact(sender, message.snapshot.epoch, now_ms)
         self.accepted = message.snapshot
         self._persist()
 
@@ -102,61 +102,61 @@
     def count_promise(self: Replica, node: str, snapshot: Snapshot | None, now_ms: float) -> None:
         assert self.accepted is not None
         self._promises[node] = snapshot
-        if self.status is Status.CANDIDATE and self.accepted.has_quorum(set(self._promises)):
+        if self.status is ReplicaStatus.CANDIDATE and self.accepted.has_quorum(set(self._promises)):
             self.accepted = msgspec.structs.replace(self.accepted, epoch=self.promised)
             self._persist()
-            self._become(Status.PRIMARY, now_ms)
+            self._become(ReplicaStatus.PRIMARY, now_ms)
 
     patch.setattr(Replica, "_count_promise", count_promise)
 
 
 def reads_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
     def read(self: Leadership, ticket: int, now_ms: float) -> None:
-        self._replica.effects.append(ReadDone(ticket, self._replica.committed))
+        self._replica.effects.append(ReadFinished(ticket, self._replica.committed))
 
     patch.setattr(Leadership, "read", read)
 
 
 def refusals_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
-    original = Leadership._take_up
+    original = Leadership._start_command
 
     def take_up(self: Leadership, submitted: Any, now_ms: float) -> bool:
         refused = original(self, submitted, now_ms)
         if refused:
-            self._replica.effects.append(Decided(submitted.ticket, Verdict.REJECTED))
-            self._unconfirmed.pop()
+            self._replica.effects.append(CommandFinished(submitted.ticket, CommandOutcome.REJECTED))
+            self._awaiting_confirmation.pop()
         return False
 
-    patch.setattr(Leadership, "_take_up", take_up)
+    patch.setattr(Leadership, "_start_command", take_up)
 
 
 def one_answer_recovers_a_memory(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Recovery, "_heard_enough", lambda self, group: bool(self._replies))
+    patch.setattr(Recovery, "_has_enough_replies", lambda self, group: bool(self._replies))
 
 
 def damage_is_taken_for_a_torn_tail(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Journal, "_distrust", lambda self: None)
+    patch.setattr(Journal, "_discard_untrusted", lambda self: None)
 
 
 def commands_are_not_remembered(patch: pytest.MonkeyPatch) -> None:
-    original = leadership._with_value
+    original = leadership._with_command_applied
     patch.setattr(
         leadership,
-        "_with_value",
+        "_with_command_applied",
         lambda current, value, command: msgspec.structs.replace(
-            original(current, value, command), taken=current.taken
+            original(current, value, command), applied_commands=current.applied_commands
         ),
     )
 
 
 def what_is_forgotten_is_refused(patch: pytest.MonkeyPatch) -> None:
-    original = leadership._with_value
-    patch.setattr(leadership, "TAKEN_MOST", 10)
+    original = leadership._with_command_applied
+    patch.setattr(leadership, "MAX_APPLIED_COMMANDS", 10)
     patch.setattr(
         leadership,
-        "_with_value",
+        "_with_command_applied",
         lambda current, value, command: msgspec.structs.replace(
-            original(current, value, command), forgotten=-1
+            original(current, value, command), latest_forgotten_base=-1
         ),
     )
 
@@ -176,9 +176,9 @@
 def an_epoch_is_used_twice(patch: pytest.MonkeyPatch) -> None:
     original = Replica._become
 
-    def become(self: Replica, status: Status, now_ms: float) -> None:
+    def become(self: Replica, status: ReplicaStatus, now_ms: float) -> None:
         original(self, status, now_ms)
-        if status is Status.CANDIDATE:
+        if status is ReplicaStatus.CANDIDATE:
             self.promised = Epoch(max(0, self.promised.number - 1), "")
 
     patch.setattr(Replica, "_become", become)
@@ -187,7 +187,7 @@
 def a_wiped_disk_votes(patch: pytest.MonkeyPatch) -> None:
     def start(self: Replica, stored: Any, first_members: Any, now_ms: float) -> None:
         if stored is None and first_members is None:
-            first_members = tuple(sorted(self.known))[:3]
+            first_members = tuple(sorted(self.known_nodes))[:3]
             first_members = first_members if self.node in first_members else None
         original(self, stored, first_members, now_ms)
 
@@ -196,11 +196,11 @@
 
 
 def the_own_disk_is_not_asked_again(patch: pytest.MonkeyPatch) -> None:
-    def persist_again(self: Replica, snapshot: Snapshot) -> None:
+    def persist_if_missing(self: Replica, snapshot: Snapshot) -> None:
         if self.leadership is None and self._durable.snapshot != snapshot and not self._is_writing(snapshot):
             self._persist()
 
-    patch.setattr(Replica, "persist_again", persist_again)
+    patch.setattr(Replica, "persist_if_missing", persist_if_missing)
 
 
 FAULTS = [
--- a/tests/controller/test_disk_writer.py
+++ b/tests/controller/test_disk_writer.py
@@ -8,7 +8,7 @@
 from contextlib import asynccontextmanager
 
 from larkweir_replication.journal import Journal
-from larkweir_replication.messages import Durable, Epoch
+from larkweir_replication.messages import DurableState, Epoch
 
 from larkweir.controller.disk_writer import DiskWriter
 
@@ -68,8 +68,8 @@
         scene.writer.close()
 
 
-def durable(number: int) -> Durable:
-    return Durable(Epoch(number, "n"), None)
+def durable(number: int) -> DurableState:
+    return DurableState(Epoch(number, "n"), None)
 
 
 def test_the_newest_queued_record_supersedes_the_earlier_ones() -> None:
