--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -6,7 +6,7 @@
 import itertools
 
 from larkweir_replication.messages import Command
-from larkweir_replication.replica import ReplicaStatus
+from larkweir_replication.status import ReplicaStatus
 
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import Forward, Forwarded
--- /dev/null
+++ b/packages/replication/src/larkweir_replication/leader_lease.py
@@ -0,0 +1,59 @@
+"""The primary's lease: rounds of heartbeats, and the newest round that a majority has acknowledged.
+
+A round that a majority acknowledges shows that the primary was still the primary when the round was sent (read index:
+Ongaro's dissertation 2014, section 6.4), and grants a lease from that time on (leases: Gray and Cheriton 1989).
+"""
+
+from __future__ import annotations
+
+from larkweir_replication.messages import Snapshot
+from larkweir_replication.timing import Timing
+
+MAX_OPEN_ROUNDS = 64  # rounds whose sending time is kept
+
+
+class LeaderLease:
+    """Numbers the rounds of one term, and counts their acknowledgements."""
+
+    def __init__(self, timing: Timing, now_ms: float) -> None:
+        """A term begins without a lease, and with a heartbeat that is due."""
+        self._timing = timing
+        self.round = 0  # the last one that was sent
+        self.granted_from_ms = now_ms - timing.lease_duration_ms
+        self._sent_ms: dict[int, float] = {}  # by round
+        self._acknowledged_rounds: dict[str, int] = {}  # by node, the newest
+        self._next_heartbeat_ms = now_ms
+
+    def is_heartbeat_due(self, now_ms: float) -> bool:
+        """Whether the next round is to be sent."""
+        return now_ms >= self._next_heartbeat_ms
+
+    def begin_round(self, now_ms: float) -> int:
+        """The number of the round that is sent now."""
+        self.round += 1
+        self._sent_ms[self.round] = now_ms
+        for old in [one for one in self._sent_ms if one < self.round - MAX_OPEN_ROUNDS]:
+            del self._sent_ms[old]
+        self._next_heartbeat_ms = now_ms + self._timing.heartbeat_interval_ms
+        return self.round
+
+    def acknowledge(self, node: str, number: int) -> None:
+        """That member, or this node itself, grants the lease from when that round was sent."""
+        self._acknowledged_rounds[node] = max(number, self._acknowledged_rounds.get(node, 0))
+
+    def renew(self, snapshot: Snapshot) -> int | None:
+        """Renews the lease by the newest round that a majority of the state's members has acknowledged.
+
+        Returns the number of that round, None where there is none.
+        """
+        for number in sorted(set(self._acknowledged_rounds.values()), reverse=True):
+            nodes = {node for node, newest in self._acknowledged_rounds.items() if newest >= number}
+            if snapshot.has_quorum(nodes):
+                sent_ms = self._sent_ms.get(number, self.granted_from_ms)
+                self.granted_from_ms = max(self.granted_from_ms, sent_ms)
+                return number
+        return None
+
+    def is_valid(self, now_ms: float) -> bool:
+        """Whether no other primary can have been elected: the majority's lease, less a margin for clocks' rates."""
+        return now_ms < self.granted_from_ms + self._timing.lease_duration_ms - self._timing.lease_margin_ms
--- a/packages/replication/src/larkweir_replication/membership.py
+++ b/packages/replication/src/larkweir_replication/membership.py
@@ -1,6 +1,6 @@
 """Which members the group is to have next: a rule of what the primary knows, one step at a time.
 
-A group has the wanted size, which bears the losses that are to be borne. Further machines stand by: they hold the
+A group has the target_count size, which bears the losses that are to be borne. Further machines stand by: they hold the
 state and take the place of a member that leaves or is lost, in one step that needs a majority before and after it.
 """
 
@@ -16,10 +16,10 @@
 class Candidates:
     """What the primary knows of machines that may come or go. All in the order in which they are to be taken."""
 
-    standing_by: Sequence[str]
+    standby: Sequence[str]
     leaving: Sequence[str]
-    lost: Sequence[str]  # silent for so long that they are replaced
-    gone: Sequence[str]  # silent for so long that a group that is too large does without them
+    replaceable: Sequence[str]  # silent for so long that a node that stands by replaces them
+    removable: Sequence[str]  # silent for so long that a group that is too large does without them
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,16 +30,16 @@
     previous_members: tuple[str, ...] = ()
 
 
-def next_step(current: Snapshot, wanted: int, primary: str, candidates: Candidates) -> Step | None:
+def next_step(current: Snapshot, target_count: int, primary: str, candidates: Candidates) -> Step | None:
     """The next step from a committed state; None where the members are to stay."""
     if current.previous_members:
         return Step(current.members)
-    newcomers = [node for node in candidates.standing_by if node not in current.members]
-    if len(current.members) < wanted:
+    newcomers = [node for node in candidates.standby if node not in current.members]
+    if len(current.members) < target_count:
         return _changed(current, leaving=None, newcomer=newcomers[0]) if newcomers else None
-    if len(current.members) > wanted:
+    if len(current.members) > target_count:
         return _changed(current, leaving=_superfluous(current, primary, candidates), newcomer=None)
-    leaving = _first_member(current, [*candidates.leaving, *candidates.lost])
+    leaving = _first_member(current, [*candidates.leaving, *candidates.replaceable])
     if leaving is None or not newcomers:
         return None
     return _changed(current, leaving, newcomers[0])
@@ -51,7 +51,7 @@
 
 def _superfluous(current: Snapshot, primary: str, candidates: Candidates) -> str:
     """Whoever leaves or is gone, else the last by name that does not lead."""
-    named = _first_member(current, [*candidates.leaving, *candidates.gone])
+    named = _first_member(current, [*candidates.leaving, *candidates.removable])
     return named or max(node for node in current.members if node != primary)
 
 
--- /dev/null
+++ b/packages/replication/src/larkweir_replication/membership_requests.py
@@ -0,0 +1,36 @@
+"""What a replica asks of the group: to become a member, or to be replaced before it stops."""
+
+from __future__ import annotations
+
+from larkweir_replication.messages import Join, Leave
+from larkweir_replication.state import ReplicaState
+from larkweir_replication.timing import Timing
+
+
+class MembershipRequests:
+    """Repeats a request at its interval: the primary forgets a node that stops asking."""
+
+    def __init__(self, state: ReplicaState, timing: Timing, now_ms: float) -> None:
+        """`state`: of the replica that asks."""
+        self._state = state
+        self._timing = timing
+        self._last_join_ms = now_ms
+        self._last_leave_ms = now_ms - timing.leave_interval_ms
+
+    def request_join_if_due(self, now_ms: float) -> None:
+        """Asks all known nodes, whichever the primary is."""
+        if now_ms < self._last_join_ms + self._timing.join_interval_ms:
+            return
+        self._last_join_ms = now_ms
+        for node in sorted(self._state.known_nodes - {self._state.node}):
+            self._state.send(node, Join())
+
+    def is_leave_due(self, now_ms: float) -> bool:
+        """Whether the request to leave is to be sent (again)."""
+        return now_ms >= self._last_leave_ms + self._timing.leave_interval_ms and not self._state.has_left
+
+    def request_leave(self, now_ms: float) -> None:
+        """Asks all other members."""
+        self._last_leave_ms = now_ms
+        for node in self._state.other_members():
+            self._state.send(node, Leave())
--- a/packages/replication/src/larkweir_replication/messages.py
+++ b/packages/replication/src/larkweir_replication/messages.py
@@ -60,6 +60,10 @@
         """The order in which snapshots supersede each other."""
         return (self.epoch, self.sequence)
 
+    def has_member(self, node: str) -> bool:
+        """Whether the node is a member, or was one before a change that is under way."""
+        return node in self.members or node in self.previous_members
+
     def has_quorum(self, nodes: set[str]) -> bool:
         """Whether these nodes are a majority of the members, and of the previous ones during a change."""
         groups = [group for group in (self.members, self.previous_members) if group]
--- /dev/null
+++ b/packages/replication/src/larkweir_replication/state_replicator.py
@@ -0,0 +1,94 @@
+"""The primary's newest state on its way to a majority of disks, one state at a time.
+
+Phase 2 of Paxos (Lamport 2001), for the state as a whole: there is no log of commands.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from larkweir_replication.member_tracker import MemberTracker
+from larkweir_replication.messages import Epoch, Replicate, Snapshot
+from larkweir_replication.state import ReplicaState
+
+RESEND_INTERVAL_MS = 300.0  # a state that is not acknowledged is sent again
+TRANSFER_BYTES_PER_MS = 2_000  # of a slow link and disk: a large state has so much more time
+
+
+@dataclass(slots=True)
+class Proposal:
+    """A state that is not committed yet; `ticket` is that of the command that made it, if one did."""
+
+    snapshot: Snapshot
+    ticket: int | None
+    accepted_by: set[str] = field(default_factory=set)
+
+
+class StateReplicator:
+    """Sends states until a majority has them on disk."""
+
+    def __init__(self, state: ReplicaState, members: MemberTracker) -> None:
+        """`members`: who is to have the states."""
+        self._state = state
+        self._members = members
+        self._sent_ms: dict[str, float] = {}  # by node
+        self.proposal: Proposal | None = None
+
+    def propose(self, snapshot: Snapshot, ticket: int | None, now_ms: float, *, persist: bool = True) -> None:
+        """Accepts the state here and sends it to all. `persist`: whether it is not yet on its way to the own disk."""
+        self._state.accepted = snapshot
+        self.proposal = Proposal(snapshot, ticket)
+        if persist:
+            self._state.persist()
+        for node in self._members.recipients():
+            self._replicate(node, snapshot, now_ms)
+
+    def send_newest(self, node: str, now_ms: float) -> None:
+        """Sends the newest state to a node, whether it has it or not."""
+        self._replicate(node, self._state.newest(), now_ms)
+
+    def resend(self, now_ms: float) -> None:
+        """Repeats what has not been acknowledged in time, and the own write where the disk has refused it."""
+        if self.proposal is None:
+            return
+        self._state.persist_if_missing(self.proposal.snapshot)
+        for node in self._members.recipients():
+            if node not in self.proposal.accepted_by and self._can_resend(node, now_ms):
+                self._replicate(node, self.proposal.snapshot, now_ms)
+
+    def on_reconnected(self, node: str) -> None:
+        """A new connection to that node: what was sent on the previous one may not have arrived."""
+        self._sent_ms.pop(node, None)
+
+    def on_accepted(self, node: str, epoch: Epoch, sequence: int, now_ms: float) -> Proposal | None:
+        """Counts a state that is durable at that node; sends the newest to a node that is behind.
+
+        Returns the proposal that a majority has now.
+        """
+        newest = self._state.newest()
+        if (epoch, sequence) != newest.rank:
+            is_behind = (epoch, sequence) < newest.rank and node != self._state.node
+            if is_behind and self._can_resend(node, now_ms):
+                self._replicate(node, newest, now_ms)
+            return None
+        proposal = self.proposal
+        if proposal is None:
+            return None
+        proposal.accepted_by.add(node)
+        if not proposal.snapshot.has_quorum(proposal.accepted_by):
+            return None
+        self.proposal = None
+        return proposal
+
+    def transfer_ms(self) -> float:
+        """How long a state under way may hold up the heartbeats behind it."""
+        return 0.0 if self.proposal is None else self.proposal.snapshot.size_bytes / TRANSFER_BYTES_PER_MS
+
+    def _can_resend(self, node: str, now_ms: float) -> bool:
+        sent_ms = self._sent_ms.get(node)
+        transfer_ms = self._state.newest().size_bytes / TRANSFER_BYTES_PER_MS
+        return sent_ms is None or now_ms >= sent_ms + RESEND_INTERVAL_MS + transfer_ms
+
+    def _replicate(self, node: str, snapshot: Snapshot, now_ms: float) -> None:
+        self._sent_ms[node] = now_ms
+        self._state.send(node, Replicate(snapshot, self._state.committed_sequence))
--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -17,7 +17,8 @@
 )
 from larkweir_replication.journal import Journal
 from larkweir_replication.messages import Command, DurableState, Message, Snapshot
-from larkweir_replication.replica import Replica, ReplicaStatus
+from larkweir_replication.replica import Replica
+from larkweir_replication.status import ReplicaStatus
 from larkweir_replication.timing import Timing
 from larkweir_simulated.network import Network
 from replication_disk import Disk
--- a/packages/replication/tests/replication_trouble.py
+++ b/packages/replication/tests/replication_trouble.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from larkweir_replication.replica import ReplicaStatus
+from larkweir_replication.status import ReplicaStatus
 from replication_cluster import Cluster, Machine, isolate, names_of
 
 CATCH_UP_MS = 4_000.0
--- a/packages/replication/tests/test_replication_cluster.py
+++ b/packages/replication/tests/test_replication_cluster.py
@@ -5,8 +5,8 @@
 import os
 
 import pytest
-from larkweir_replication import leadership
-from larkweir_replication.replica import ReplicaStatus
+from larkweir_replication import commands
+from larkweir_replication.status import ReplicaStatus
 from replication_cluster import Cluster, isolate, names_of, started
 from replication_trouble import Day, play
 
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("seed", range(SEEDS // 6))
 def test_hundreds_of_changes_with_repeats_long_after(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(leadership, "MAX_APPLIED_COMMANDS", [40, 1_000][seed % 2])
+    monkeypatch.setattr(commands, "MAX_APPLIED_COMMANDS", [40, 1_000][seed % 2])
     cluster = play(Day(seed + 300_000, steps=600, storm=True, trouble_chance=0.012))
     assert len(cluster.history) > 100
 
@@ -392,7 +392,7 @@
 
 
 def test_an_order_older_than_memory_gets_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(leadership, "MAX_APPLIED_COMMANDS", 10)
+    monkeypatch.setattr(commands, "MAX_APPLIED_COMMANDS", 10)
     cluster = calm(8)
     primary = primary_of(cluster)
     for number in range(30):
--- a/packages/replication/tests/test_replication_planted.py
+++ b/packages/replication/tests/test_replication_planted.py
@@ -12,13 +12,29 @@
 import msgspec
 import pytest
 import test_replication_cluster as scenes
-from larkweir_replication import leadership
+from larkweir_replication import commands, member_tracker
+from larkweir_replication.acceptor import Acceptor
+from larkweir_replication.commands import PendingCommand
 from larkweir_replication.effects import CommandFinished, CommandOutcome, ReadFinished
+from larkweir_replication.election import Election
 from larkweir_replication.journal import Journal
 from larkweir_replication.leadership import Leadership
-from larkweir_replication.messages import Accepted, Epoch, Prepare, Promise, Replicate, Snapshot
+from larkweir_replication.membership import Step
+from larkweir_replication.messages import (
+    Accepted,
+    Epoch,
+    Message,
+    Prepare,
+    Promise,
+    Replicate,
+    Snapshot,
+    StaleEpoch,
+)
 from larkweir_replication.recovery import Recovery
-from larkweir_replication.replica import Replica, ReplicaStatus
+from larkweir_replication.replica import Replica
+from larkweir_replication.state import ReplicaState
+from larkweir_replication.state_replicator import StateReplicator
+from larkweir_replication.status import ReplicaStatus
 from replication_trouble import Day, play
 
 DAYS_MOST = 150
@@ -51,68 +67,78 @@
 
     patch.setattr(Snapshot, "has_quorum", has_quorum)
     # One step less: the next members alone decide on their own coming.
-    patch.setattr(leadership, "next_step", _several_at_once)
+    patch.setattr(member_tracker, "next_step", _several_at_once)
 
 
 def _several_at_once(current: Snapshot, wanted: int, primary: str, candidates: Any) -> Any:
-    newcomers = [node for node in candidates.standing_by if node not in current.members]
-    members = sorted({primary, *newcomers, *current.members} - {*candidates.lost, *candidates.leaving})[
-        :wanted
-    ]
+    newcomers = [node for node in candidates.standby if node not in current.members]
+    members = sorted(
+        {primary, *newcomers, *current.members} - {*candidates.replaceable, *candidates.leaving}
+    )[:wanted]
     if not newcomers or primary not in members or tuple(members) == current.members:
         return None
-    return leadership.Step(tuple(members))
+    return Step(tuple(members))
 
 
 def promises_are_given_before_they_are_durable(patch: pytest.MonkeyPatch) -> None:
     def on_prepare(self: Replica, sender: str, message: Prepare, now_ms: float) -> None:
         if message.epoch >= self.promised and not self._is_lease_valid(now_ms):
             self._raise_promise(message.epoch, now_ms)
-            self._send(sender, Promise(message.epoch, self.accepted))
-            self._persist()
+            self._state.send(sender, Promise(message.epoch, self.accepted))
+            self._state.persist()
 
     patch.setattr(Replica, "_on_prepare", on_prepare)
 
 
 def states_are_confirmed_before_they_are_durable(patch: pytest.MonkeyPatch) -> None:
-    original = Replica._on_replicate
+    original = Acceptor.on_replicate
 
-    def on_replicate(self: Replica, sender: str, message: Replicate, now_ms: float) -> None:
-        original(self, sender, message, now_ms)
-        if message.snapshot.epoch >= self.promised:
-            self._send(sender, Accepted(message.snapshot.epoch, message.snapshot.sequence))
+    def on_replicate(self: Acceptor, sender: str, message: Replicate) -> None:
+        original(self, sender, message)
+        self._state.send(sender, Accepted(message.snapshot.epoch, message.snapshot.sequence))
 
-    patch.setattr(Replica, "_on_replicate", on_replicate)
+    patch.setattr(Acceptor, "on_replicate", on_replicate)
 
 
 def lower_epochs_are_served(patch: pytest.MonkeyPatch) -> None:
     def raise_promise(self: Replica, epoch: Epoch, now_ms: float) -> None:
-        self.promised = epoch
-
-    def on_replicate(self: Replica, sender: str, message: Replicate, now_ms: float) -> None:
-        self._on_primary_contact(sender, message.snapshot.epoch, now_ms)
-        self.accepted = message.snapshot
-        self._persist()
-
+        self._state.promised = epoch
+
+    def receive(self: Replica, sender: str, message: Message, now_ms: float) -> None:
+        is_recovering = self.status is ReplicaStatus.RECOVERING
+        if isinstance(message, Replicate) and not is_recovering:
+            self._state.promised = min(self.promised, message.snapshot.epoch)  # no epoch is stale
+            self._follow_sender(sender, message.snapshot.epoch, now_ms)
+            self._state.accepted = message.snapshot
+            self._state.persist()
+        elif isinstance(message, StaleEpoch) and not is_recovering:
+            if message.promised > self.promised:
+                self._state.promised = message.promised
+                self.step_down(now_ms)
+        else:
+            original(self, sender, message, now_ms)
+
+    original = Replica.receive
     patch.setattr(Replica, "_raise_promise", raise_promise)
-    patch.setattr(Replica, "_on_replicate", on_replicate)
+    patch.setattr(Replica, "receive", receive)
 
 
 def a_candidate_keeps_its_own_state(patch: pytest.MonkeyPatch) -> None:
-    def count_promise(self: Replica, node: str, snapshot: Snapshot | None, now_ms: float) -> None:
-        assert self.accepted is not None
+    def add_promise(self: Election, node: str, snapshot: Snapshot | None) -> bool:
+        own = self._state.newest()
         self._promises[node] = snapshot
-        if self.status is ReplicaStatus.CANDIDATE and self.accepted.has_quorum(set(self._promises)):
-            self.accepted = msgspec.structs.replace(self.accepted, epoch=self.promised)
-            self._persist()
-            self._become(ReplicaStatus.PRIMARY, now_ms)
+        if own.has_quorum(set(self._promises)):
+            self._state.accepted = msgspec.structs.replace(own, epoch=self._state.promised)
+            self._state.persist()
+            return True
+        return False
 
-    patch.setattr(Replica, "_count_promise", count_promise)
+    patch.setattr(Election, "add_promise", add_promise)
 
 
 def reads_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
     def read(self: Leadership, ticket: int, now_ms: float) -> None:
-        self._replica.effects.append(ReadFinished(ticket, self._replica.committed))
+        self._state.emit(ReadFinished(ticket, self._state.committed))
 
     patch.setattr(Leadership, "read", read)
 
@@ -120,14 +146,13 @@
 def refusals_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
     original = Leadership._start_command
 
-    def take_up(self: Leadership, submitted: Any, now_ms: float) -> bool:
-        refused = original(self, submitted, now_ms)
-        if refused:
-            self._replica.effects.append(CommandFinished(submitted.ticket, CommandOutcome.REJECTED))
-            self._awaiting_confirmation.pop()
+    def start_command(self: Leadership, pending: PendingCommand, now_ms: float) -> bool:
+        if original(self, pending, now_ms):
+            self._state.emit(CommandFinished(pending.ticket, CommandOutcome.REJECTED))
+            self._confirmations._queue.pop()
         return False
 
-    patch.setattr(Leadership, "_start_command", take_up)
+    patch.setattr(Leadership, "_start_command", start_command)
 
 
 def one_answer_recovers_a_memory(patch: pytest.MonkeyPatch) -> None:
@@ -139,10 +164,10 @@
 
 
 def commands_are_not_remembered(patch: pytest.MonkeyPatch) -> None:
-    original = leadership._with_command_applied
+    original = commands.with_command_applied
     patch.setattr(
-        leadership,
-        "_with_command_applied",
+        commands,
+        "with_command_applied",
         lambda current, value, command: msgspec.structs.replace(
             original(current, value, command), applied_commands=current.applied_commands
         ),
@@ -150,11 +175,11 @@
 
 
 def what_is_forgotten_is_refused(patch: pytest.MonkeyPatch) -> None:
-    original = leadership._with_command_applied
-    patch.setattr(leadership, "MAX_APPLIED_COMMANDS", 10)
+    original = commands.with_command_applied
+    patch.setattr(commands, "MAX_APPLIED_COMMANDS", 10)
     patch.setattr(
-        leadership,
-        "_with_command_applied",
+        commands,
+        "with_command_applied",
         lambda current, value, command: msgspec.structs.replace(
             original(current, value, command), latest_forgotten_base=-1
         ),
@@ -162,15 +187,15 @@
 
 
 def committed_without_a_majority(patch: pytest.MonkeyPatch) -> None:
-    original = Leadership._propose
+    original = StateReplicator.propose
 
     def propose(
-        self: Leadership, snapshot: Snapshot, ticket: int | None, now_ms: float, persist: bool = True
+        self: StateReplicator, snapshot: Snapshot, ticket: int | None, now_ms: float, *, persist: bool = True
     ) -> None:
-        original(self, snapshot, ticket, now_ms, persist)
-        self._replica.commit(snapshot)
+        original(self, snapshot, ticket, now_ms, persist=persist)
+        self._state.commit(snapshot)
 
-    patch.setattr(Leadership, "_propose", propose)
+    patch.setattr(StateReplicator, "propose", propose)
 
 
 def an_epoch_is_used_twice(patch: pytest.MonkeyPatch) -> None:
@@ -179,7 +204,7 @@
     def become(self: Replica, status: ReplicaStatus, now_ms: float) -> None:
         original(self, status, now_ms)
         if status is ReplicaStatus.CANDIDATE:
-            self.promised = Epoch(max(0, self.promised.number - 1), "")
+            self._state.promised = Epoch(max(0, self.promised.number - 1), "")
 
     patch.setattr(Replica, "_become", become)
 
@@ -196,11 +221,13 @@
 
 
 def the_own_disk_is_not_asked_again(patch: pytest.MonkeyPatch) -> None:
-    def persist_if_missing(self: Replica, snapshot: Snapshot) -> None:
-        if self.leadership is None and self._durable.snapshot != snapshot and not self._is_writing(snapshot):
-            self._persist()
+    original = ReplicaState.persist_if_missing
+
+    def persist_if_missing(self: ReplicaState, snapshot: Snapshot) -> None:
+        if self.promised.node != self.node:
+            original(self, snapshot)
 
-    patch.setattr(Replica, "persist_if_missing", persist_if_missing)
+    patch.setattr(ReplicaState, "persist_if_missing", persist_if_missing)
 
 
 FAULTS = [
