--- a/tests/system/loopback.py
+++ b/tests/system/loopback.py
@@ -212,26 +212,27 @@
     def _ip(self, host: int) -> str:
         return f"127.77.{self.subnet}.{host}"
 
-    def _settings(self, ip: str, listen: dict[str, str], bootstrap: bool) -> Settings:
+    def _settings_text(self, ip: str, listen: dict[str, str], bootstrap: bool) -> bytes:
         control = "control" in listen
-        return parse(
-            msgspec.json.encode(
-                {
-                    "node": ip,
-                    "ip": ip,
-                    "zone": "z",
-                    "port_range": [self.port, self.port],
-                    "seeds": self.control[:3],
-                    "listen": listen,
-                    "bootstrap": bootstrap,
-                    "counts_for_quorum": control,
-                    "data_dir": str(self.folder / ip) if control else None,
-                    "bounds": {"grace_s": 1.5},
-                    "fault_tolerance": {"machines": self.tolerance},
-                }
-            )
+        return msgspec.json.encode(
+            {
+                "node": ip,
+                "ip": ip,
+                "zone": "z",
+                "port_range": [self.port, self.port],
+                "seeds": self.control[:3],
+                "listen": listen,
+                "bootstrap": bootstrap,
+                "counts_for_quorum": control,
+                "data_dir": str(self.folder / ip) if control else None,
+                "bounds": {"grace_s": 1.5},
+                "fault_tolerance": {"machines": self.tolerance},
+            }
         )
 
+    def _settings(self, ip: str, listen: dict[str, str], bootstrap: bool) -> Settings:
+        return parse(self._settings_text(ip, listen, bootstrap))
+
     async def start(self) -> None:
         for number in range(len(self.control)):
             self.start_controller(number, bootstrap=True)
--- /dev/null
+++ b/tests/system/test_mixed_versions.py
@@ -0,0 +1,415 @@
+"""Processes of this text beside those of an earlier one: they serve together, and read each other's data folders."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import shutil
+import subprocess
+import sys
+import tarfile
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from tests.system.loopback import Client, Fleet, Reply, Seen, Upstream, answer, ask, events
+from tests.system.test_fleet import configuration, fine
+
+ROOT = Path(__file__).parent.parent.parent
+EARLIER_COMMIT = (
+    "4a677a78961aecde9dd15f9abe2cbd93d0d4822a"  # before the words of the fleet's text were changed
+)
+SCENE_S = 90.0
+OLD, NEW = "old", "new"
+HEAD = "a-shared-head"
+FEW = 40  # requests, of a tenant with a small quota
+
+
+@pytest.fixture(scope="module")
+def earlier(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    """The root of the earlier text."""
+    if not (ROOT / ".git").exists() or shutil.which("git") is None:
+        pytest.skip(f"no git clone here that could have {EARLIER_COMMIT[:7]}")
+    found = _git("rev-parse", "--verify", "--quiet", EARLIER_COMMIT + "^{commit}")
+    if found.returncode == 1:
+        pytest.skip(f"this clone does not have {EARLIER_COMMIT[:7]}")
+    assert found.returncode == 0, found.stderr.decode()
+    root = tmp_path_factory.mktemp("earlier")
+    packed = root / "text.tar"
+    made = _git("archive", f"--output={packed}", EARLIER_COMMIT, "larkweir", "mulleinhitch", "packages")
+    assert made.returncode == 0, made.stderr.decode()
+    with tarfile.open(packed) as archive:
+        archive.extractall(root, filter="data")
+    return root
+
+
+def _git(*arguments: str) -> subprocess.CompletedProcess[bytes]:
+    return subprocess.run(["git", "-C", str(ROOT), *arguments], capture_output=True, check=False)
+
+
+def _environment(root: Path) -> dict[str, str]:
+    """In which Python finds that text before any that is installed."""
+    sources = [root, *sorted(root.glob("packages/*/src"))]
+    return {**os.environ, "PYTHONPATH": os.pathsep.join(map(str, sources))}
+
+
+class MixedFleet(Fleet):
+    """A fleet of real processes, each of the old or the new text."""
+
+    def __init__(self, folder: Path, earlier: Path, controllers: list[str], routers: list[str]) -> None:
+        super().__init__(folder, len(controllers), len(routers), tolerance=len(controllers) // 2)
+        self._roots = {OLD: earlier, NEW: ROOT}
+        self.texts = dict(zip([*self.control, *self.fronts], [*controllers, *routers], strict=True))
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+
+    def start_controller(self, number: int, bootstrap: bool = False) -> None:
+        self._spawn("controller", self.control[number], {"control": self.control[number]}, bootstrap)
+
+    def start_router(self, number: int) -> None:
+        front = self.fronts[number]
+        self._spawn("router", front, {"front": front, "ready": self.ready[number]}, False)
+
+    def _spawn(self, role: str, address: str, listen: dict[str, str], bootstrap: bool) -> None:
+        ip = address.partition(":")[0]
+        root = self._roots[self.texts[address]]
+        settings = self.folder / f"{ip}.yaml"
+        settings.write_bytes(self._settings_text(ip, listen, bootstrap))  # JSON is YAML
+        with self._log(address).open("ab") as log:
+            self.processes[address] = subprocess.Popen(
+                [sys.executable, "-m", "larkweir.system", role],
+                cwd=root,
+                env={**_environment(root), "LARKWEIR_CONFIG": str(settings)},
+                stdout=log,
+                stderr=log,
+            )
+
+    def _log(self, address: str) -> Path:
+        return self.folder / f"{address.partition(':')[0]}.log"
+
+    async def kill(self, address: str) -> None:
+        process = self.processes.pop(address)
+        process.kill()
+        process.wait()
+
+    async def stop(self) -> None:
+        for address in list(self.processes):
+            await self.kill(address)
+        for upstream in self.upstreams:
+            upstream.close()
+
+    def ends_of_logs(self) -> str:
+        """For whoever reads of a failure."""
+        return "\n".join(
+            f"{self.texts[address]} {address}: {self._log(address).read_text()[-2_000:]}"
+            for address in self.texts
+        )
+
+    async def until_ready(self, number: int = 0) -> None:
+        async def ready() -> bool:
+            return (await ask(self.ready[number], "GET", "/ready")).status == 200
+
+        await self.until(ready)
+
+    async def beat(self, service: str) -> None:
+        """One heartbeat of each upstream: none is silent for long."""
+        for upstream in self.upstreams:
+            await self.register(upstream, service)
+
+    async def until_known(self) -> None:
+        """Every controller knows every upstream that was registered."""
+        ids = {upstream.id for upstream in self.upstreams}
+
+        async def known() -> bool:
+            lists = [await self.read(number, "/upstreams") for number in range(len(self.control))]
+            return all({one["id"] for one in known if one["state"] == "ready"} >= ids for known in lists)
+
+        await self.until(known)
+
+    async def read(self, number: int, target: str) -> Any:
+        """What a controller tells of itself, as soon as it does."""
+        replies: list[Reply] = []
+
+        async def told() -> bool:
+            replies.append(await ask(self.control[number], "GET", target))
+            return replies[-1].status == 200
+
+        await self.until(told)
+        return msgspec.json.decode(replies[-1].body)
+
+    async def post(self, router: int, target: str, **headers: str) -> Reply:
+        """A request of the tenant that the configuration names."""
+        named = {"X_Request_Id": "r", "X_Api_Key": "key", **headers}
+        return await ask(self.fronts[router], "POST", target, b"a question", **named)
+
+
+def play(fleet: MixedFleet, scene: Callable[[], Awaitable[None]]) -> None:
+    """Runs a scene, and ends all processes behind it."""
+
+    async def whole() -> None:
+        try:
+            async with asyncio.timeout(SCENE_S):
+                await scene()
+        except BaseException as problem:
+            problem.add_note(fleet.ends_of_logs())
+            raise
+        finally:
+            await fleet.stop()
+
+    asyncio.run(whole())
+
+
+def test_each_text_is_run_from_its_own_folder(earlier: Path) -> None:
+    script = (
+        "import larkweir.system.cli, larkweir_quotas, larkweir_registry, larkweir_replication as last, sys;"
+        "print(*{m.__file__ for n, m in sys.modules.items() if n.startswith(('larkweir', 'mulleinhitch'))}, sep='\\n')"
+    )
+    for root in (earlier, ROOT):
+        done = subprocess.run(
+            [sys.executable, "-c", script], cwd=root, env=_environment(root), capture_output=True, check=True
+        )
+        files = [Path(line) for line in done.stdout.decode().split("\n") if line]
+        assert len(files) >= 4
+        assert all(file.is_relative_to(root) for file in files), files
+        assert not any("site-packages" in file.parts for file in files), files
+
+
+def behave(seen: Seen) -> tuple[bytes, bool]:
+    """Plain answers, or none; a stream that breaks off, and goes on where its second event was the last."""
+    if seen.target == "/plain/unanswered":
+        return b"", False
+    if not seen.target.startswith("/resumable/"):
+        return answer(seen), False
+    last = int(seen.headers.get("last-event-id", "0"))
+    if last:
+        return events(seen, range(last + 1, 6)), False
+    return events(seen, range(1, 3), whole=False), True
+
+
+def with_engines(generation: int, **fields: Any) -> dict[str, Any]:
+    """The usual configuration, where its upstreams are engines, and its tenant has a quota."""
+    return configuration(
+        generation,
+        services=[{"name": "s", "max_conns": 10, "engine": {"slots": 4}}],
+        tenants=[
+            {"name": "t", "api_keys": ["key"], "priority": 2, "rate_per_s": 1_000, "burst": 2_000_000},
+            {"name": "few", "api_keys": ["few"], "rate_per_s": 0.001, "burst": FEW},
+        ],
+        **fields,
+    )
+
+
+async def check_service(fleet: MixedFleet, router: int) -> None:
+    """A request, a stream that breaks and goes on, prompts and their places, through one router."""
+    reply = await fleet.post(router, "/plain/x")
+    assert (reply.status, reply.body) == (200, b"ok")
+    seen = next(one.seen[-1] for one in fleet.upstreams if one.seen and one.seen[-1].target == "/plain/x")
+    assert (seen.body, seen.headers["x-tenant"], seen.headers["priority"]) == (b"a question", "t", "2")
+    await check_places(fleet, router)
+    await check_waiting(fleet, router)
+    reply = await fleet.post(router, "/resumable/x")
+    assert (reply.status, reply.whole) == (200, True)
+    ids = [line for line in reply.body.splitlines() if line.startswith(b"id")]
+    assert ids == [b"id: %d" % number for number in range(1, 6)]
+
+
+async def place(fleet: Fleet, number: int, head: str, known: str | None = None) -> tuple[str | None, bool]:
+    """Where a controller says that the head of a prompt is kept, and whether it was placed there before."""
+    question = {"type": "place", "service": "s", "head": head, "tokens": 5_000.0, "known": known}
+    reader, writer = await asyncio.open_connection(fleet.control[number].partition(":")[0], fleet.port)
+    writer.write(msgspec.json.encode(question) + b"\n")
+    while True:
+        message = msgspec.json.decode(await reader.readline())
+        if message["type"] == "placed":
+            writer.close()
+            return message["engine"], message.get("kept", False)
+
+
+async def check_places(fleet: MixedFleet, router: int) -> None:
+    """Prompts go where the controllers keep their heads, be it against the heads' own order."""
+    for number, upstream in enumerate(fleet.upstreams * 2):
+        head = f"{HEAD}-{router}-{number}"
+        for controller in range(len(fleet.control)):
+            assert await place(fleet, controller, head, upstream.id) == (upstream.id, True)
+        await until_goes_to(fleet, router, head, upstream)
+
+
+async def until_goes_to(fleet: MixedFleet, router: int, head: str, upstream: Upstream) -> None:
+    prefix = f"{head}:5000,own:1000"
+
+    async def went_there() -> bool:
+        before = len(upstream.seen)
+        reply = await fleet.post(router, "/plain/x", X_Token_Usage="6000,10", X_Prompt_Prefix=prefix)
+        return reply.status == 200 and len(upstream.seen) > before
+
+    await fleet.until(went_there)
+
+
+async def check_waiting(fleet: MixedFleet, router: int) -> None:
+    """A long prompt that an engine has not answered is known to every controller, until it is over."""
+    client = Client(fleet.fronts[router])
+    call = asyncio.ensure_future(
+        client.request(
+            "POST", "/plain/unanswered", X_Request_Id="r", X_Api_Key="key", X_Token_Usage="70000,10"
+        )
+    )
+
+    async def known() -> bool:
+        return all([await waiting(controller) for controller in range(len(fleet.control))])
+
+    async def over() -> bool:
+        return not any([await waiting(controller) for controller in range(len(fleet.control))])
+
+    async def waiting(controller: int) -> bool:
+        return any(one["waiting_tokens"] for one in await fleet.read(controller, "/upstreams"))
+
+    await fleet.until(known)
+    call.cancel()
+    client.close()
+    await fleet.until(over)
+
+
+async def check_quota(fleet: MixedFleet) -> None:
+    """One of two routers may admit half of a burst where a controller counts for both, and a quarter by itself."""
+    admitted = 0
+
+    async def more_than_alone() -> bool:
+        nonlocal admitted
+        reply = await fleet.post(0, "/plain/x", X_Api_Key="few")
+        assert reply.status in (200, 429)
+        admitted += reply.status == 200
+        return admitted > FEW / 4 + 1
+
+    await fleet.until(more_than_alone)
+
+
+async def until_in_force(fleet: MixedFleet, router: int, path: str) -> None:
+    async def in_force() -> bool:
+        return (await fleet.post(router, path)).status == 200
+
+    await fleet.until(in_force)
+
+
+async def change_and_drain(fleet: MixedFleet, document: dict[str, Any], path: str) -> None:
+    """A change that adds a path comes into force, and an upstream that leaves gets nothing more, at every router."""
+    assert (await fleet.put(document, document["generation"] - 1)).status == 200
+    for router in range(len(fleet.fronts)):
+        await until_in_force(fleet, router, path)
+    first, second = fleet.upstreams
+    await fleet.beat("s")
+    await fleet.register(first, "s", "draining")
+    before = len(first.seen), len(second.seen)
+    for router in range(len(fleet.fronts)):
+        for _ in range(5):
+            assert (await fleet.post(router, "/plain/x")).status == 200
+    assert (len(first.seen) - before[0], len(second.seen) - before[1]) == (0, 5 * len(fleet.fronts))
+
+
+def route_to(path: str) -> dict[str, Any]:
+    return {
+        "name": path.strip("/"),
+        "host": "a.example",
+        "path_prefix": path,
+        "kind": "idempotent",
+        "timeout_ms": 2_000,
+        "backend": "s",
+    }
+
+
+@pytest.mark.parametrize(
+    ("controllers", "routers"),
+    [
+        ([OLD], [NEW, NEW]),
+        ([NEW], [OLD, OLD]),
+        ([OLD, NEW, NEW], [OLD, NEW]),
+        ([NEW, OLD, OLD], [NEW, OLD]),
+    ],
+    ids="-".join,
+)
+def test_a_fleet_of_both_texts_serves(
+    tmp_path: Path, earlier: Path, controllers: list[str], routers: list[str]
+) -> None:
+    fleet = MixedFleet(tmp_path, earlier, controllers, routers)
+
+    async def scene() -> None:
+        await fleet.start()
+        first = with_engines(1)
+        assert (await fleet.put(first, 0)).status == 200
+        for _ in range(2):
+            await fleet.upstream("s", behave)
+        await fleet.until_known()
+        for router in range(len(routers)):
+            await fleet.until_ready(router)
+            await fleet.beat("s")
+            await check_service(fleet, router)
+        await check_quota(fleet)
+        # Routers have told of usage and of broken calls by now: it is taken, or the change would not come through.
+        second = {**first, "generation": 2, "routes": [*first["routes"], route_to("/later/")]}
+        await change_and_drain(fleet, second, "/later/x")
+        await fleet.beat("s")
+        for number in range(len(controllers) if len(controllers) > 1 else 0):
+            await fleet.kill(fleet.control[number])
+            generation = 3 + number
+            routes = [*first["routes"], route_to(f"/later-{generation}/")]
+            assert (
+                await fleet.put({**first, "generation": generation, "routes": routes}, generation - 1)
+            ).status == 200
+            await fleet.beat("s")
+            for router in range(len(routers)):
+                await until_in_force(fleet, router, f"/later-{generation}/x")
+            fleet.start_controller(number)
+
+    play(fleet, scene)
+
+
+@pytest.mark.parametrize(("writer", "reader"), [(OLD, NEW), (NEW, OLD)])
+def test_a_data_folder_is_read_by_the_other_text_and_by_its_own_again(
+    tmp_path: Path, earlier: Path, writer: str, reader: str
+) -> None:
+    fleet = MixedFleet(tmp_path, earlier, [writer], [])
+    files = tmp_path / fleet.control[0].partition(":")[0] / "replica"
+
+    async def replace(text: str) -> None:
+        await fleet.kill(fleet.control[0])
+        fleet.texts[fleet.control[0]] = text
+        fleet.start_controller(0)
+
+    async def written() -> bool:
+        await ask(fleet.control[0], "GET", "/status")
+        hints = files / "upstreams.hint", files / "placements.hint"
+        if not all(hint.exists() for hint in hints):
+            return False
+        upstreams, placements = (hint.read_bytes() for hint in hints)
+        return all(one.id.encode() in upstreams for one in fleet.upstreams) and HEAD.encode() in placements
+
+    async def upstreams_known() -> list[tuple[str, str, str, int]]:
+        known = await fleet.read(0, "/upstreams")
+        return [(one["id"], one["service"], one["address"], one["sequence"]) for one in known]
+
+    async def scene() -> None:
+        fleet.start_controller(0, bootstrap=True)
+        assert (await fleet.put(with_engines(1), 0)).status == 200
+        change = {"generation": 2, "routes": [route_to("/later/")]}
+        assert (await fleet.put(change, 1, "PATCH")).status == 200
+        fleet.upstreams = [Upstream(f"i-{n}", f"127.0.0.1:{n + 1}", fine) for n in range(3)]
+        await fleet.beat("s")
+        engine, kept = await place(fleet, 0, HEAD)
+        assert engine in ("i-0", "i-1", "i-2")
+        assert not kept
+        await fleet.until(written)
+        left = await fleet.read(0, "/config"), await upstreams_known(), (engine, True)
+        assert left[0]["generation"] == 2
+        assert [one[0] for one in left[1]] == ["i-0", "i-1", "i-2"]
+        sequence = (await fleet.read(0, "/status"))["sequence"]
+        await replace(reader)
+        assert (await fleet.read(0, "/config"), await upstreams_known(), await place(fleet, 0, HEAD)) == left
+        assert (await fleet.read(0, "/status"))["sequence"] >= sequence
+        third = {**left[0], "generation": 3}
+        assert (await fleet.put(third, 2)).status == 200
+        await replace(writer)
+        assert await fleet.read(0, "/config") == third
+        assert (await upstreams_known(), await place(fleet, 0, HEAD)) == left[1:]
+
+    play(fleet, scene)
