--- a/benchmarks/fleet_duties.py
+++ b/benchmarks/fleet_duties.py
@@ -81,7 +81,7 @@
 
     def _told(self) -> None:
         for work in self.works:
-            work.took(self.state, self.version)
+            work.on_committed(self.state, self.version)
 
     def beat(self, change: bool) -> None:
         """All copies report, the owner steps; with `change` another owner takes the next term first."""
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -31,7 +31,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "packages" / "owners" / "tests"))
 
 from fleet_owners import BrokenError, Fleet, Process
-from larkweir_owners.terms import Times
+from larkweir_owners.terms import LeaseTiming
 
 KEY = "duty0"
 
@@ -121,7 +121,7 @@
 
 def traffic(processes: int) -> str:
     duties = max(20, processes // 10)
-    fleet = Fleet(1, processes, 3, duties, 0.02, 0.0, Times(lease_ms=3000.0, step_ms=1000.0))
+    fleet = Fleet(1, processes, 3, duties, 0.02, 0.0, LeaseTiming(lease_ms=3000.0, step_ms=1000.0))
     fleet.run(8000.0)
     sent = {name: process.sent for name, process in fleet.processes.items()}
     size = fleet.network.sent_bytes
--- a/larkweir/coordination/duties/drill.py
+++ b/larkweir/coordination/duties/drill.py
@@ -26,7 +26,7 @@
         self._due_ms = now_ms + STEP_MS
         return b"%d" % ((int(state) if state.isdigit() else 0) + 1)
 
-    def took(self, state: bytes, version: Version) -> None:
+    def on_committed(self, state: bytes, version: Version) -> None:
         """Follow the count."""
         self.count = int(state) if state.isdigit() else 0
         self.next_ms = 0.0
--- a/larkweir/coordination/duties/ports.py
+++ b/larkweir/coordination/duties/ports.py
@@ -22,7 +22,7 @@
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         """As the owner: the next state of the register, or None."""
 
-    def took(self, state: bytes, version: Version) -> None:
+    def on_committed(self, state: bytes, version: Version) -> None:
         """A majority of the register's replicas has a state."""
 
     def came(self, source: str, report: Report, now_ms: float) -> None:
--- a/larkweir/coordination/duties/replicated.py
+++ b/larkweir/coordination/duties/replicated.py
@@ -48,7 +48,7 @@
         self._term = 0  # of the state
         self._news = False
 
-    def took(self, state: bytes, version: Version) -> None:
+    def on_committed(self, state: bytes, version: Version) -> None:
         """Follow a state that a majority of the register's replicas has."""
         before, self.state = self.state, self._read(state)
         self._term, self.next_ms = version[0], 0.0
--- a/larkweir/coordination/duties/thresholds.py
+++ b/larkweir/coordination/duties/thresholds.py
@@ -80,7 +80,7 @@
 
     # ------------------------------------------------ every copy
 
-    def took(self, state: bytes, version: Version) -> None:
+    def on_committed(self, state: bytes, version: Version) -> None:
         """Keep a table until the next `tick`; a new term ends this process's coordinator."""
         self._news = version[0] != self._term
         if self._news:
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -16,11 +16,11 @@
 from typing import Protocol, TypeVar
 
 from larkweir_balancing import Balancer
-from larkweir_owners.duty import Owners
-from larkweir_owners.keeper import Disk, Keeper, Step
-from larkweir_owners.keeper_file import Folder, KeeperFile
-from larkweir_owners.messages import KeeperSet, Life, Version
-from larkweir_owners.terms import Times
+from larkweir_owners.duty import DutyManager
+from larkweir_owners.keeper import Acceptor, AcceptorOutput, AcceptorState
+from larkweir_owners.keeper_file import AcceptorFile, LockedFolder
+from larkweir_owners.messages import Incarnation, ReplicaSet, Version
+from larkweir_owners.terms import LeaseTiming
 from larkweir_peers.hands import Socket
 
 from larkweir.config.options import Operator
@@ -71,8 +71,8 @@
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         return self.work.step(state, now_ms)
 
-    def took(self, state: bytes, version: Version) -> None:
-        self.work.took(state, version)
+    def on_committed(self, state: bytes, version: Version) -> None:
+        self.work.on_committed(state, version)
         if state and self.work.notable():
             self._say(f"owners: {self.name} {version[0]}.{version[1]} taken")
 
@@ -84,7 +84,7 @@
         own = options.owners
         self.me = me
         self.options = own
-        self.keepers = KeeperSet(1, own.keepers)
+        self.keepers = ReplicaSet(1, own.keepers)
         self.keeps = me in own.keepers
         self._clock, self._log, self._routes = host.clock, host.log, host.routes
         self._socket = socket
@@ -93,8 +93,8 @@
         self._rng = Random()
         self._mail = socket.mail(OWNERS, self._came)
         self._reports = socket.mail(REPORTS, self._reported)
-        self._times = Times(lease_ms=own.lease_ms, step_ms=STEP_MS)
-        self.owners: Owners | None = None
+        self._times = LeaseTiming(lease_ms=own.lease_ms, step_ms=STEP_MS)
+        self.owners: DutyManager | None = None
         self.works: dict[str, Work] = {}
         self._timer: Timer | None = None
         self._due_ms = 0.0
@@ -106,10 +106,10 @@
         )  # told of the file once it is closed for a successor
         self._expects = False  # a predecessor may tell that
         self._mark = ""
-        self._found: Disk | None = None  # waits for it
+        self._found: AcceptorState | None = None  # waits for it
         self._holds = 0  # how often this life has given the name to a successor, or taken it back
         self._thread: ThreadPoolExecutor | None = None
-        self._file: KeeperFile | None = None
+        self._file: AcceptorFile | None = None
         self._flushing = False
         self._trouble = ""
         self._mode = ""  # of the keeper, as the log has it
@@ -131,10 +131,10 @@
             self._build(None)
             return
         self._thread = self._thread or ThreadPoolExecutor(1, "keeper")
-        file = KeeperFile(Folder(self.options.folder), self.keepers, lambda: randbits(63))
+        file = AcceptorFile(LockedFolder(self.options.folder), self.keepers, lambda: randbits(63))
         self._then(self._thread.submit(_opened, file), lambda found: self._opened(file, found))
 
-    def _opened(self, file: KeeperFile, found: Disk | str) -> None:
+    def _opened(self, file: AcceptorFile, found: AcceptorState | str) -> None:
         if self._closed or self._leaving or self.owners is not None:
             self._shut(file)
         elif isinstance(found, str):
@@ -170,17 +170,17 @@
             self._fired = None
         found, self._found = self._found, None
         if found is not None:
-            self._build(Keeper(self.me, found, self._mark))
+            self._build(Acceptor(self.me, found, self._mark))
         self._expects, self._mark = False, ""
 
-    def _build(self, keeper: Keeper | None) -> None:
+    def _build(self, keeper: Acceptor | None) -> None:
         life = randbits(31)
         # The clock, by which lives of reports count, goes on over this process's lives.
         seat = Seat(
             int(self._clock.now_ms()), self._routes, self._settle, self._host.captures, self.me, self._scout
         )
         self.works = made(self.options.duties, seat)
-        self.owners = Owners(
+        self.owners = DutyManager(
             self.me,
             life,
             self.keepers,
@@ -218,8 +218,8 @@
         for name in self._owned:
             self._say(f"owners: {name} given up: not handed over in time")
         works, self.works = self.works, {}
-        keeper = self.owners.keeper if self.owners is not None else None
-        votes_as = keeper.votes_as if keeper is not None else None
+        keeper = self.owners.acceptor if self.owners is not None else None
+        votes_as = keeper.voting_incarnation if keeper is not None else None
         self.owners, self._owned, self._mode, self._found = (
             None,
             {},
@@ -232,7 +232,7 @@
         for work in works.values():
             work.alone()
 
-    def _shut(self, file: KeeperFile, votes_as: Life | None = None) -> None:
+    def _shut(self, file: AcceptorFile, votes_as: Incarnation | None = None) -> None:
         assert self._thread is not None
         holds, done = self._holds, self._thread.submit(file.close, votes_as)
         if votes_as is not None and self._leaving:
@@ -252,7 +252,7 @@
             self.owners.drain(now)
         else:
             self._why = ""
-            self.owners.go_on(now)
+            self.owners.resume(now)
         self._settle()
 
     def hold(self, held: bool) -> None:
@@ -274,7 +274,7 @@
     def _left(self, until_ms: float) -> None:
         if not self._leaving or self._closed:
             return
-        if self.owners is not None and self.owners.owned and self._clock.now_ms() < until_ms:
+        if self.owners is not None and self.owners.owned_duties and self._clock.now_ms() < until_ms:
             self._clock.after(5.0, lambda: self._left(until_ms))
             return
         self._stop()
@@ -293,7 +293,7 @@
 
     def _came(self, source: str, item: bytes, now_ms: float) -> None:
         if self.owners is not None:
-            self.owners.came(source, item, now_ms)
+            self.owners.on_message(source, item, now_ms)
             self._settle()
 
     def _reported(self, source: str, item: bytes, now_ms: float) -> None:
@@ -309,27 +309,27 @@
         if owners is None:
             return
         now = self._clock.now_ms()
-        if now - self._due_ms > self._times.lag_ms:
+        if now - self._due_ms > self._times.max_lag_ms:
             self._why = f"{now - self._due_ms:.0f} ms late"
-        owners.lagged(now - self._due_ms, now)
+        owners.on_lag(now - self._due_ms, now)
         for name, work in self.works.items():
             if now >= work.next_ms:
                 for report in work.tick(now):
                     self._report(name, report, now)
-                owners.poke(name, now)
+                owners.wake(name, now)
         owners.tick(now)
         self._settle()
 
     def _poke(self, now_ms: float) -> None:
         """Something has come that an owner's next step may rest on."""
         if self.owners is not None:
-            for name in self.owners.owned:
-                self.owners.poke(name, now_ms)
+            for name in self.owners.owned_duties:
+                self.owners.wake(name, now_ms)
             self._settle()
 
     def _report(self, name: str, report: Report, now_ms: float) -> None:
         assert self.owners is not None
-        record = self.owners.followers.held.get(name)
+        record = self.owners.replicator.records.get(name)
         if record is None or not record.owner:
             return
         if record.owner == self.me:
@@ -343,8 +343,8 @@
         if owners is None:
             return
         self._flush()
-        if owners.keeper is not None and owners.keeper.mode != self._mode:
-            self._mode = owners.keeper.mode
+        if owners.acceptor is not None and owners.acceptor.mode != self._mode:
+            self._mode = owners.acceptor.mode
             self._say(f"owners: keeper: {self._mode}")
         self._compare(owners)
         due = min(owners.next_ms, *(work.next_ms for work in self.works.values()), float("inf"))
@@ -357,16 +357,16 @@
         self._due_ms = due
         self._timer = self._clock.at(due, self._turn)
 
-    def _compare(self, owners: Owners) -> None:
+    def _compare(self, owners: DutyManager) -> None:
         owned = {}
-        for name in owners.owned:
-            record = owners.terms[name].record
+        for name in owners.owned_duties:
+            record = owners.leaderships[name].record
             owned[name] = record.term if record is not None else 0
         if owned == self._owned:
             return
         for name in self._owned:
             if name not in owned:
-                record = owners.terms[name].record
+                record = owners.leaderships[name].record
                 by = f"{record.owner} has it" if record is not None and record.owner else "handed over"
                 self._say(f"owners: {name} given up: {self._why or by}")
                 self._why = self._why if self._rests else ""
@@ -381,24 +381,26 @@
         """All that waits in one flush, behind the one that is under way."""
         if self._flushing or self.owners is None or self._file is None or self._thread is None:
             return
-        steps = self.owners.take()
+        steps = self.owners.take_outputs()
         if not steps:
             return
         self._flushing = True
         owners, file = self.owners, self._file
-        entries = [entry for step in steps for entry in step.flush]
-        done = self._thread.submit(file.put, entries)
+        entries = [entry for step in steps for entry in step.entries]
+        done = self._thread.submit(file.append, entries)
         self._then(done, lambda well: self._flushed(owners, file, steps, well))
 
-    def _flushed(self, owners: Owners, file: KeeperFile, steps: list[Step], well: bool) -> None:
+    def _flushed(
+        self, owners: DutyManager, file: AcceptorFile, steps: list[AcceptorOutput], well: bool
+    ) -> None:
         self._flushing = False
         if owners is self.owners:
             if well:
                 now = self._clock.now_ms()
-                owners.all_flushed(steps, now)
+                owners.on_all_flushed(steps, now)
             else:
                 self._say(f"owners: {self.options.folder}: {file.fault}; no keeper until the next start")
-                owners.flush_failed()
+                owners.on_flush_failed()
         self._settle()
 
     def _then(self, done: Future[T], then: Callable[[T], None]) -> None:
@@ -426,9 +428,9 @@
 
     def holds(self, name: str) -> tuple[int, int, bytes] | None:
         """Term, number and state of a duty that is owned here."""
-        if self.owners is None or name not in self.owners.owned:
+        if self.owners is None or name not in self.owners.owned_duties:
             return None
-        record = self.owners.terms[name].record
+        record = self.owners.leaderships[name].record
         return (*record.version, record.value) if record is not None else None
 
     def facts(self) -> dict[str, object]:
@@ -451,7 +453,7 @@
         return found | {"owners_dropped": ",".join(f"{name}:{n}" for name, n in wrong.items()) or "0"}
 
 
-def _opened(file: KeeperFile) -> Disk | str:
+def _opened(file: AcceptorFile) -> AcceptorState | str:
     """On the keeper's thread: the disk, or why not."""
     try:
         return file.open()
--- a/packages/owners/src/larkweir_owners/duty.py
+++ b/packages/owners/src/larkweir_owners/duty.py
@@ -10,323 +10,338 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from larkweir_owners.effects import Followers, Pick
-from larkweir_owners.keeper import Keeper, Step
+from larkweir_owners.effects import Sampler, StateReplicator
+from larkweir_owners.keeper import Acceptor, AcceptorOutput
 from larkweir_owners.messages import (
     Accept,
     Accepted,
-    Adopt,
-    Adopted,
-    AnyItem,
-    Ask,
+    AdoptSet,
+    AnyMessage,
     Batch,
-    Catch,
+    CatchUpPage,
+    CatchUpRequest,
     Digest,
-    Effects,
-    Held,
-    KeeperSet,
-    Known,
-    Page,
     Prepare,
     Promised,
+    ReadReply,
+    ReadRequest,
     Record,
-    Refused,
-    Who,
+    RecoveryQuery,
+    RecoveryReply,
+    Rejected,
+    ReplicaSet,
+    SetAdopted,
+    StateUpdates,
     batched,
-    pack,
-    unpack,
+    decode,
+    encode,
 )
-from larkweir_owners.place import ranked
-from larkweir_owners.ports import Duty, Mail
+from larkweir_owners.place import preference_order
+from larkweir_owners.ports import Duty, Transport
 from larkweir_owners.register import Proposer
-from larkweir_owners.sets import Change
-from larkweir_owners.terms import Phase, Term, Times
+from larkweir_owners.sets import ReplicaSetChange
+from larkweir_owners.terms import Leadership, LeaseTiming, Phase
 
 CANDIDATES = 3  # processes that watch a duty
-PLACE_MS = 1000.0  # between two looks at who is alive
-MOST_BATCHED = 64  # small items in one
-MOST_INBOX = 1024  # items from this process to itself, and steps not flushed yet
+PLACEMENT_INTERVAL_MS = 1000.0  # between two looks at who is alive
+MAX_BATCHED_MESSAGES = 64  # small items in one
+MAX_INBOX_MESSAGES = 1024  # items from this process to itself, and steps not flushed yet
 
 
-class _Post:
+class _Outbox:
     """Mail that also reaches this process itself. Between `gather` and `send` it holds what goes out, so that small
     items to one process go as one."""
 
-    def __init__(self, me: str, mail: Mail, inbox: deque[bytes]) -> None:
-        self._me, self._mail, self._inbox = me, mail, inbox
-        self._held: dict[str, list[bytes]] = {}
-        self._gathers = False
+    def __init__(self, me: str, transport: Transport, inbox: deque[bytes]) -> None:
+        self._me, self._transport, self._inbox = me, transport, inbox
+        self._gathered: dict[str, list[bytes]] = {}
+        self._is_gathering = False
 
     def gather(self) -> None:
-        self._gathers = True
+        self._is_gathering = True
 
     def send(self) -> None:
-        self._gathers = False
-        held, self._held = self._held, {}
+        self._is_gathering = False
+        held, self._gathered = self._gathered, {}
         for to, items in held.items():
-            for item in batched(items):
-                self._mail.post(to, item)
+            for message in batched(items):
+                self._transport.post(to, message)
 
-    def post(self, to: str, item: bytes) -> bool:
+    def post(self, to: str, message: bytes) -> bool:
         """What is held counts as sent: whoever posts an item bears its loss anyway."""
         if to != self._me:
-            if not self._gathers:
-                return self._mail.post(to, item)
-            self._held.setdefault(to, []).append(item)
+            if not self._is_gathering:
+                return self._transport.post(to, message)
+            self._gathered.setdefault(to, []).append(message)
             return True
-        if len(self._inbox) >= MOST_INBOX:
+        if len(self._inbox) >= MAX_INBOX_MESSAGES:
             return False
-        self._inbox.append(item)
+        self._inbox.append(message)
         return True
 
     def alive(self) -> Sequence[str]:
-        return self._mail.alive()
+        return self._transport.alive()
 
 
-class Owners:
+class DutyManager:
     """`spread`: a number from 0 to 1; `pick`: so many of a list, at random; `life`: random, made at each start."""
 
     def __init__(
         self,
         me: str,
-        life: int,
-        keepers: KeeperSet,
+        incarnation: int,
+        replica_set: ReplicaSet,
         duties: Iterable[Duty],
-        mail: Mail,
-        spread: Callable[[], float],
-        pick: Pick,
-        times: Times | None = None,
-        keeper: Keeper | None = None,
+        transport: Transport,
+        jitter: Callable[[], float],
+        sample: Sampler,
+        timing: LeaseTiming | None = None,
+        acceptor: Acceptor | None = None,
         held: Iterable[tuple[str, Record]] = (),
     ) -> None:
         self.me = me
-        self.keeper = keeper
-        self.times = times if times is not None else Times()
+        self.acceptor = acceptor
+        self.timing = timing if timing is not None else LeaseTiming()
         self._inbox: deque[bytes] = deque()
-        self._steps: deque[Step] = deque()
+        self._outputs: deque[AcceptorOutput] = deque()
         self._unflushed = 0  # steps not flushed yet, taken or not
-        self._post = _Post(me, mail, self._inbox)
-        if keeper is not None and keeper.disk.keepers.epoch > keepers.epoch:
-            keepers = keeper.disk.keepers
-        self.proposer = Proposer(me, life, keepers, self._post, spread)
-        self.followers = Followers(me, self._post, self.proposer, pick, self._took, held, spread())
-        self.change = Change(self.proposer, self._post)
+        self._outbox = _Outbox(me, transport, self._inbox)
+        if acceptor is not None and acceptor.state.replica_set.epoch > replica_set.epoch:
+            replica_set = acceptor.state.replica_set
+        self.proposer = Proposer(me, incarnation, replica_set, self._outbox, jitter)
+        self.replicator = StateReplicator(
+            me, self._outbox, self.proposer, sample, self._on_applied, held, jitter()
+        )
+        self.set_change = ReplicaSetChange(self.proposer, self._outbox)
         self.duties = {duty.name: duty for duty in duties}
-        self.terms = {
-            name: Term(
+        self.leaderships = {
+            name: Leadership(
                 duty,
-                (me, life),
+                (me, incarnation),
                 self.proposer,
-                self.times,
-                self.followers.announce,
-                self.followers.version,
-                self.followers.remind,
-                self._renewed,
+                self.timing,
+                self.replicator.announce,
+                self.replicator.version,
+                self.replicator.notify_preferred_owner,
+                self._on_renewed,
             )
             for name, duty in self.duties.items()
         }
         self._candidates: dict[str, list[str]] = {}
-        self.draining = False
+        self.is_draining = False
         self.dropped = 0
         self.failed = 0  # duties that raised when they were told
-        self._place_ms = 0.0
+        self._placement_ms = 0.0
         self._now_ms = 0.0
 
     # In
 
-    def came(self, source: str, item: bytes, now_ms: float) -> None:
+    def on_message(self, source: str, message: bytes, now_ms: float) -> None:
         self._now_ms = now_ms
-        self.proposer.at(now_ms)
-        self._post.gather()
-        self._came(source, item, now_ms)
+        self.proposer.set_time(now_ms)
+        self._outbox.gather()
+        self._on_data(source, message, now_ms)
         self._drain_inbox(now_ms)
-        self._post.send()
+        self._outbox.send()
 
     def tick(self, now_ms: float) -> None:
         self._now_ms = now_ms
-        self.proposer.at(now_ms)
-        self._post.gather()
-        if now_ms >= self._place_ms:
-            self._place_ms = now_ms + PLACE_MS
-            self._place()
-        if self.keeper is not None and now_ms >= self.keeper.next_ms:
-            self._step(self.keeper.tick(now_ms))
+        self.proposer.set_time(now_ms)
+        self._outbox.gather()
+        if now_ms >= self._placement_ms:
+            self._placement_ms = now_ms + PLACEMENT_INTERVAL_MS
+            self._place_duties()
+        if self.acceptor is not None and now_ms >= self.acceptor.next_ms:
+            self._on_output(self.acceptor.tick(now_ms))
         self.proposer.tick(now_ms)
-        for term in self.terms.values():
-            if now_ms >= term.next_ms:
-                term.tick(now_ms)
-        if any(term.writes for term in self.terms.values()):
-            for term in self.terms.values():
-                term.ride(now_ms)
-        if now_ms >= self.followers.next_ms:
-            self.followers.tick(now_ms)
-        if now_ms >= self.change.next_ms:
-            self.change.tick(now_ms)
+        for leadership in self.leaderships.values():
+            if now_ms >= leadership.next_ms:
+                leadership.tick(now_ms)
+        if any(leadership.is_writing for leadership in self.leaderships.values()):
+            for leadership in self.leaderships.values():
+                leadership.piggyback(now_ms)
+        if now_ms >= self.replicator.next_ms:
+            self.replicator.tick(now_ms)
+        if now_ms >= self.set_change.next_ms:
+            self.set_change.tick(now_ms)
         self._drain_inbox(now_ms)
-        self._post.send()
+        self._outbox.send()
 
-    def poke(self, name: str, now_ms: float) -> None:
+    def wake(self, name: str, now_ms: float) -> None:
         """A duty has something to do: where this process owns it, its step is due with the next `tick`."""
-        if (term := self.terms.get(name)) is not None:
-            term.poke(now_ms)
+        if (leadership := self.leaderships.get(name)) is not None:
+            leadership.wake(now_ms)
 
-    def lagged(self, lag_ms: float, now_ms: float) -> None:
+    def on_lag(self, lag_ms: float, now_ms: float) -> None:
         """The loop came so late to its turns: where that is much of a lease, this process gives up what it owns."""
-        if lag_ms > self.times.lag_ms:
-            for term in self.terms.values():
-                term.give_up(now_ms, self.times.lease_ms * self.times.settle_leases)
+        if lag_ms > self.timing.max_lag_ms:
+            for leadership in self.leaderships.values():
+                leadership.release(now_ms, self.timing.lease_ms * self.timing.settle_leases)
 
     def drain(self, now_ms: float) -> None:
         """Hand over all duties, and take none from now on. Done when `owned` is empty."""
-        self.draining = True
-        for term in self.terms.values():
-            term.give_up(now_ms, float("inf"))
+        self.is_draining = True
+        for leadership in self.leaderships.values():
+            leadership.release(now_ms, float("inf"))
         self.tick(now_ms)
 
-    def go_on(self, now_ms: float) -> None:
+    def resume(self, now_ms: float) -> None:
         """After `drain`: it may take duties again."""
-        self.draining = False
-        for term in self.terms.values():
-            term.go_on()
-        self._place_ms = now_ms
+        self.is_draining = False
+        for leadership in self.leaderships.values():
+            leadership.resume()
+        self._placement_ms = now_ms
         self.tick(now_ms)
 
     # Out
 
     @property
     def next_ms(self) -> float:
-        due = [self._place_ms, self.proposer.next_ms, self.followers.next_ms, self.change.next_ms]
-        due.extend(term.next_ms for term in self.terms.values())
-        if self.keeper is not None:
-            due.append(self.keeper.next_ms)
+        due = [self._placement_ms, self.proposer.next_ms, self.replicator.next_ms, self.set_change.next_ms]
+        due.extend(leadership.next_ms for leadership in self.leaderships.values())
+        if self.acceptor is not None:
+            due.append(self.acceptor.next_ms)
         return min(due)
 
     @property
-    def owned(self) -> list[str]:
-        return [name for name, term in self.terms.items() if term.owns]
+    def owned_duties(self) -> list[str]:
+        return [name for name, leadership in self.leaderships.items() if leadership.is_owner]
 
-    def take(self) -> list[Step]:
+    def take_outputs(self) -> list[AcceptorOutput]:
         """Steps of the keeper, to be flushed in this order."""
-        steps = list(self._steps)
-        self._steps.clear()
+        steps = list(self._outputs)
+        self._outputs.clear()
         return steps
 
-    def flushed(self, step: Step, now_ms: float) -> None:
+    def on_flushed(self, output: AcceptorOutput, now_ms: float) -> None:
         """What the step wanted flushed is on disk: what it says may be sent. Once for each step, in their order."""
-        self.all_flushed((step,), now_ms)
+        self.on_all_flushed((output,), now_ms)
 
-    def all_flushed(self, steps: Iterable[Step], now_ms: float) -> None:
+    def on_all_flushed(self, steps: Iterable[AcceptorOutput], now_ms: float) -> None:
         """As `flushed` of each, in their order: what they say to one process goes together."""
-        self._post.gather()
-        for step in steps:
+        self._outbox.gather()
+        for output in steps:
             self._unflushed -= 1
-            for to, item in step.send:
-                self._post.post(to, pack(item))
+            for to, message in output.messages:
+                self._outbox.post(to, encode(message))
         self._drain_inbox(now_ms)
-        self._post.send()
+        self._outbox.send()
 
-    def flush_failed(self) -> None:
+    def on_flush_failed(self) -> None:
         """The keeper stops voting, and nothing of what waited is sent."""
-        if self.keeper is not None:
-            self.keeper.failed()
-        self._steps.clear()
+        if self.acceptor is not None:
+            self.acceptor.on_disk_failed()
+        self._outputs.clear()
 
     def status(self) -> dict[str, Any]:
         """For STATUS: by duty its owner, term, number and this process's part; the keeper's state."""
         duties = {}
-        for name, term in self.terms.items():
-            record = term.record or self.followers.held.get(name)
+        for name, leadership in self.leaderships.items():
+            record = leadership.record or self.replicator.records.get(name)
             duties[name] = {
-                "phase": "rests" if term.rests else term.phase.value,
+                "phase": "rests" if leadership.is_suspended else leadership.phase.value,
                 "owner": record.owner if record is not None else "",
                 "term": record.term if record is not None else 0,
                 "number": record.number if record is not None else 0,
-                "refused": term.refused,
-                "failed": term.failed,
+                "refused": leadership.rejected,
+                "failed": leadership.failed_steps,
             }
-        asked = [term for term in self.terms.values() if term.phase is not Phase.WATCHING or term.record]
+        asked = [
+            leadership
+            for leadership in self.leaderships.values()
+            if leadership.phase is not Phase.WATCHING or leadership.record
+        ]
         return {
             "duties": duties,
-            "majority": any(term.majority for term in asked),
-            "keepers": self.proposer.keepers.names,
-            "epoch": self.proposer.keepers.epoch,
-            "keeper": self.keeper.mode if self.keeper is not None else "",
-            "late": self.followers.late,
+            "majority": any(leadership.has_majority for leadership in asked),
+            "keepers": self.proposer.replica_set.names,
+            "epoch": self.proposer.replica_set.epoch,
+            "keeper": self.acceptor.mode if self.acceptor is not None else "",
+            "late": self.replicator.stale,
             "dropped": self.dropped + self.proposer.dropped,
         }
 
     # Inside
 
     def _drain_inbox(self, now_ms: float) -> None:
-        for _ in range(MOST_INBOX):
+        for _ in range(MAX_INBOX_MESSAGES):
             if not self._inbox:
                 return
-            self._came(self.me, self._inbox.popleft(), now_ms)
+            self._on_data(self.me, self._inbox.popleft(), now_ms)
 
-    def _came(self, source: str, data: bytes, now_ms: float) -> None:
-        item = unpack(data)
-        if isinstance(item, Batch):
-            for each in item.items[:MOST_BATCHED]:
-                inner = unpack(each)
+    def _on_data(self, source: str, data: bytes, now_ms: float) -> None:
+        message = decode(data)
+        if isinstance(message, Batch):
+            for each in message.items[:MAX_BATCHED_MESSAGES]:
+                inner = decode(each)
                 self._handle(source, None if isinstance(inner, Batch) else inner, now_ms)
         else:
-            self._handle(source, item, now_ms)
-
-    def _handle(self, source: str, item: AnyItem | None, now_ms: float) -> None:
-        match item:
-            case Ask() | Prepare() | Accept() | Who() | Known() | Catch() | Page() | Adopt():
-                self._to_keeper(source, item)
-                if isinstance(item, Known):
-                    self.change.came(source, item, now_ms)
-            case Held() | Promised() | Accepted() | Refused():
-                self.proposer.came(source, item, now_ms)
-            case Adopted():
-                self.change.came(source, item, now_ms)
-            case Effects():
-                self.followers.came_effects(source, item, now_ms)
-                for key, record in item.news:
-                    if key in self.terms:
-                        self.terms[key].saw(record, now_ms, source)
+            self._handle(source, message, now_ms)
+
+    def _handle(self, source: str, message: AnyMessage | None, now_ms: float) -> None:
+        match message:
+            case (
+                ReadRequest()
+                | Prepare()
+                | Accept()
+                | RecoveryQuery()
+                | RecoveryReply()
+                | CatchUpRequest()
+                | CatchUpPage()
+                | AdoptSet()
+            ):
+                self._to_acceptor(source, message)
+                if isinstance(message, RecoveryReply):
+                    self.set_change.on_message(source, message, now_ms)
+            case ReadReply() | Promised() | Accepted() | Rejected():
+                self.proposer.on_message(source, message, now_ms)
+            case SetAdopted():
+                self.set_change.on_message(source, message, now_ms)
+            case StateUpdates():
+                self.replicator.on_updates(source, message, now_ms)
+                for key, record in message.updates:
+                    if key in self.leaderships:
+                        self.leaderships[key].on_record_seen(record, now_ms, source)
             case Digest():
-                self.followers.came_digest(source, item, now_ms)
+                self.replicator.on_digest(source, message, now_ms)
             case None:
                 self.dropped += 1
 
-    def _to_keeper(self, source: str, item: AnyItem) -> None:
-        if self.keeper is None:
+    def _to_acceptor(self, source: str, message: AnyMessage) -> None:
+        if self.acceptor is None:
             self.dropped += 1
             return
-        self._step(self.keeper.came(source, item))
-        if self.keeper.disk.keepers.epoch > self.proposer.keepers.epoch:
-            self.proposer.adopt(self.keeper.disk.keepers)
+        self._on_output(self.acceptor.on_message(source, message))
+        if self.acceptor.state.replica_set.epoch > self.proposer.replica_set.epoch:
+            self.proposer.adopt(self.acceptor.state.replica_set)
 
-    def _step(self, step: Step) -> None:
-        if step.flush or (step.send and self._unflushed):
+    def _on_output(self, output: AcceptorOutput) -> None:
+        if output.entries or (output.messages and self._unflushed):
             # An answer without news of its own may tell of what is not on disk yet: it waits its turn
-            self._steps.append(step)
+            self._outputs.append(output)
             self._unflushed += 1
         else:
-            for to, item in step.send:
-                self._post.post(to, pack(item))
+            for to, message in output.messages:
+                self._outbox.post(to, encode(message))
 
-    def _place(self) -> None:
-        alive = set(self._post.alive())
+    def _place_duties(self) -> None:
+        alive = set(self._outbox.alive())
         alive.add(self.me)
-        for name, term in self.terms.items():
-            order = ranked(name, alive, CANDIDATES + 1)
+        for name, leadership in self.leaderships.items():
+            order = preference_order(name, alive, CANDIDATES + 1)
             self._candidates[name] = [other for other in order[:CANDIDATES] if other != self.me]
-            rank = order.index(self.me) if self.me in order[:CANDIDATES] and not self.draining else None
-            term.place(rank, next((other for other in order if other != self.me), ""))
+            rank = order.index(self.me) if self.me in order[:CANDIDATES] and not self.is_draining else None
+            leadership.set_preference(rank, next((other for other in order if other != self.me), ""))
 
-    def _renewed(self, key: str, record: Record) -> None:
+    def _on_renewed(self, key: str, record: Record) -> None:
         """Those that watch are told by the owner itself, so that they need not read. Nobody passes that on."""
         for name in self._candidates.get(key, ()):
-            self._post.post(name, pack(Effects(((key, record),))))
+            self._outbox.post(name, encode(StateUpdates(((key, record),))))
 
-    def _took(self, key: str, record: Record) -> None:
+    def _on_applied(self, key: str, record: Record) -> None:
         duty = self.duties.get(key)
         if duty is not None:
             try:
-                duty.took(record.value, record.version)
+                duty.on_committed(record.value, record.version)
             except Exception:  # a duty's fault ends no process
                 self.failed += 1
--- a/packages/owners/src/larkweir_owners/keeper_file.py
+++ b/packages/owners/src/larkweir_owners/keeper_file.py
@@ -19,8 +19,16 @@
 
 import msgspec
 
-from larkweir_owners.keeper import Disk, Entry, HeardEntry, SelfEntry, SetEntry, SlotEntry, mark
-from larkweir_owners.messages import KeeperSet, Life
+from larkweir_owners.keeper import (
+    AcceptorState,
+    IncarnationEntry,
+    LogEntry,
+    PeerProgressEntry,
+    ReplicaSetEntry,
+    SlotEntry,
+    fingerprint,
+)
+from larkweir_owners.messages import Incarnation, ReplicaSet
 
 MAGIC = b"LWKP"
 VERSION = 1
@@ -29,19 +37,19 @@
 FRAME = struct.Struct(">II")
 SERIAL = struct.Struct(">Q")
 HEADER_BYTES = HEADER.size + CHECK.size
-MOST_ENTRY = 16 * 1024  # bytes
-MOST_FILE = 128 * 1024 * 1024
-COMPACT_BYTES = (
+MAX_ENTRY_BYTES = 16 * 1024  # bytes
+MAX_FILE_BYTES = 128 * 1024 * 1024
+MIN_COMPACT_BYTES = (
     4 * 1024 * 1024
 )  # a file of this, and of four times what it was when it was new, is written anew
 
 _encode = msgspec.msgpack.Encoder().encode
-_decoder: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(
-    SlotEntry | SelfEntry | HeardEntry | SetEntry
+_decoder: msgspec.msgpack.Decoder[LogEntry] = msgspec.msgpack.Decoder(
+    SlotEntry | IncarnationEntry | PeerProgressEntry | ReplicaSetEntry
 )
 
 
-class System(Protocol):
+class FileSystem(Protocol):
     """The system calls that it makes, so that a test can fail any of them. OSError from each."""
 
     def lock(self) -> None: ...
@@ -50,13 +58,13 @@
     def append(self, name: str, length: int) -> int: ...
     def write(self, number: int, data: bytes) -> None: ...
     def flush(self, number: int) -> None: ...
-    def shut(self, number: int) -> None: ...
+    def close_file(self, number: int) -> None: ...
     def rename(self, old: str, new: str) -> None: ...
     def flush_folder(self) -> None: ...
     def close(self) -> None: ...
 
 
-class Folder:
+class LockedFolder:
     """`System` on a folder of this user's own, which one process has at a time."""
 
     def __init__(self, path: str) -> None:
@@ -84,7 +92,7 @@
         except FileNotFoundError:
             return None
         with os.fdopen(number, "rb") as file:
-            if os.fstat(number).st_size > MOST_FILE:
+            if os.fstat(number).st_size > MAX_FILE_BYTES:
                 raise OSError(errno.EFBIG, "it is no keeper's file")
             return file.read()
 
@@ -112,7 +120,7 @@
     def flush(self, number: int) -> None:
         os.fsync(number)
 
-    def shut(self, number: int) -> None:
+    def close_file(self, number: int) -> None:
         os.close(number)
 
     def rename(self, old: str, new: str) -> None:
@@ -126,17 +134,17 @@
             os.close(number)
 
 
-def header(disk: int) -> bytes:
+def encode_header(disk: int) -> bytes:
     text = HEADER.pack(MAGIC, VERSION, disk)
     return text + CHECK.pack(zlib.crc32(text))
 
 
-def frame(serial: int, entry: Entry) -> bytes:
+def encode_frame(serial: int, entry: LogEntry) -> bytes:
     inner = SERIAL.pack(serial) + _encode(entry)
     return FRAME.pack(len(inner), zlib.crc32(inner)) + inner
 
 
-def load(data: bytes, keepers: KeeperSet) -> tuple[Disk, int, int] | None:
+def decode_file(data: bytes, replica_set: ReplicaSet) -> tuple[AcceptorState, int, int] | None:
     """The disk, how many bytes of the file count, and how many entries; None where the header can't be read.
     `keepers`: the set where the file names none."""
     if len(data) < HEADER_BYTES:
@@ -145,16 +153,16 @@
     (check,) = CHECK.unpack_from(data, HEADER.size)
     if (magic, version, check) != (MAGIC, VERSION, zlib.crc32(data[: HEADER.size])):
         return None
-    disk, at, serial = Disk(number, keepers), HEADER_BYTES, 0
+    disk, at, serial = AcceptorState(number, replica_set), HEADER_BYTES, 0
     while at + FRAME.size <= len(data):
         length, check = FRAME.unpack_from(data, at)
         inner = data[at + FRAME.size : at + FRAME.size + length]
-        if not SERIAL.size < length <= MOST_ENTRY or len(inner) < length or zlib.crc32(inner) != check:
+        if not SERIAL.size < length <= MAX_ENTRY_BYTES or len(inner) < length or zlib.crc32(inner) != check:
             break
         if SERIAL.unpack_from(inner)[0] != serial + 1:
             break
         try:
-            disk.put(_decoder.decode(inner[SERIAL.size :]))
+            disk.apply(_decoder.decode(inner[SERIAL.size :]))
         except msgspec.DecodeError:
             break
         serial += 1
@@ -162,100 +170,100 @@
     return disk, at, serial
 
 
-class KeeperFile:
+class AcceptorFile:
     """One keeper's file, open. Blocking: used on a thread of its own, by one call at a time."""
 
     def __init__(
-        self, system: System, keepers: KeeperSet, new_disk: Callable[[], int], name: str = "keeper"
+        self, files: FileSystem, replica_set: ReplicaSet, new_disk_id: Callable[[], int], name: str = "keeper"
     ) -> None:
         """`new_disk`: a random number of 63 bits, for a disk that is new or lost."""
         self.name = name
-        self.disk = Disk(0, keepers)  # what is on disk, and nothing else
-        self.cut_bytes = 0  # behind what counts, when it was opened
+        self.state = AcceptorState(0, replica_set)  # what is on disk, and nothing else
+        self.truncated_bytes = 0  # behind what counts, when it was opened
         self.fault = ""  # why it is no more written to
-        self._system, self._new_disk = system, new_disk
-        self._number = -1
+        self._files, self._new_disk = files, new_disk_id
+        self._descriptor = -1
         self._serial = 0
-        self._bytes = 0
-        self._new_bytes = 0
+        self._size_bytes = 0
+        self._rewritten_bytes = 0
 
-    def open(self) -> Disk:
+    def open(self) -> AcceptorState:
         """Read it, or make a new one; a copy for the keeper. OSError where another process has it, or it can't be read
         or written.
         """
-        self._system.lock()
-        data = self._system.read(self.name)
-        found = load(data, self.disk.keepers) if data is not None else None
+        self._files.lock()
+        data = self._files.read(self.name)
+        found = decode_file(data, self.state.replica_set) if data is not None else None
         if found is None:
-            self.disk = Disk(self._new_disk(), self.disk.keepers)
-            self._renew()
+            self.state = AcceptorState(self._new_disk(), self.state.replica_set)
+            self._rewrite()
         else:
-            self.disk, self._bytes, self._serial = found
-            self.cut_bytes = len(data or b"") - self._bytes
-            self._number = self._system.append(self.name, self._bytes)
-            self._new_bytes = self._bytes
-        return self.disk.copy()
+            self.state, self._size_bytes, self._serial = found
+            self.truncated_bytes = len(data or b"") - self._size_bytes
+            self._descriptor = self._files.append(self.name, self._size_bytes)
+            self._rewritten_bytes = self._size_bytes
+        return self.state.copy()
 
-    def put(self, entries: Iterable[Entry]) -> bool:
+    def append(self, entries: Iterable[LogEntry]) -> bool:
         """Append and flush. False, then and ever after, where that fails: the keeper must not vote any more."""
-        if self.fault or self._number < 0:
+        if self.fault or self._descriptor < 0:
             return False
-        kept = list(entries)
-        pieces = []
-        for entry in kept:
+        accepted = list(entries)
+        frames = []
+        for entry in accepted:
             self._serial += 1
-            pieces.append(frame(self._serial, entry))
-        data = b"".join(pieces)
+            frames.append(encode_frame(self._serial, entry))
+        data = b"".join(frames)
         try:
-            self._system.write(self._number, data)
-            self._system.flush(self._number)
+            self._files.write(self._descriptor, data)
+            self._files.flush(self._descriptor)
         except OSError as error:
-            self._fail(error)
+            self._on_failed(error)
             return False
-        for entry in kept:
-            self.disk.put(entry)
-        self._bytes += len(data)
-        if self._bytes >= max(COMPACT_BYTES, 4 * self._new_bytes):
+        for entry in accepted:
+            self.state.apply(entry)
+        self._size_bytes += len(data)
+        if self._size_bytes >= max(MIN_COMPACT_BYTES, 4 * self._rewritten_bytes):
             try:
-                self._renew()
+                self._rewrite()
             except OSError as error:
-                self._fail(error)  # what is flushed stands; nothing follows it
+                self._on_failed(error)  # what is flushed stands; nothing follows it
         return True
 
-    def close(self, votes_as: Life | None = None) -> str:
+    def close(self, voting_incarnation: Incarnation | None = None) -> str:
         """From here on this process writes nothing, and another may open it. Gives the mark of what stands in it where
         its keeper voted as that life, else "": one that had not caught up, or whose coming to vote is not on disk, has
         nothing that a successor could vote by."""
-        known = self._number >= 0 and not self.fault
-        if self._number >= 0:
-            self._system.shut(self._number)
-            self._number = -1
-        voted = known and self.disk.born and votes_as == self.disk.life
-        told = mark(self.disk) if voted else ""
-        self._system.close()
-        return told
-
-    def _fail(self, error: OSError) -> None:
+        known = self._descriptor >= 0 and not self.fault
+        if self._descriptor >= 0:
+            self._files.close_file(self._descriptor)
+            self._descriptor = -1
+        voted = known and self.state.can_vote and voting_incarnation == self.state.incarnation
+        closed_fingerprint = fingerprint(self.state) if voted else ""
+        self._files.close()
+        return closed_fingerprint
+
+    def _on_failed(self, error: OSError) -> None:
         self.fault = error.strerror or str(error)
 
-    def _renew(self) -> None:
+    def _rewrite(self) -> None:
         """Write it anew and put it in the old one's place."""
-        pieces, serial = [header(self.disk.disk)], 0
-        for entry in self.disk.entries():
+        frames, serial = [encode_header(self.state.disk_id)], 0
+        for entry in self.state.entries():
             serial += 1
-            pieces.append(frame(serial, entry))
-        data = b"".join(pieces)
+            frames.append(encode_frame(serial, entry))
+        data = b"".join(frames)
         new = self.name + ".new"
-        number = self._system.create(new)
+        number = self._files.create(new)
         try:
-            self._system.write(number, data)
-            self._system.flush(number)
-            self._system.rename(new, self.name)
-            self._system.flush_folder()
+            self._files.write(number, data)
+            self._files.flush(number)
+            self._files.rename(new, self.name)
+            self._files.flush_folder()
         except OSError:
-            self._system.shut(number)
+            self._files.close_file(number)
             raise
-        if self._number >= 0:
-            self._system.shut(self._number)
-        self._number, self._serial = number, serial
-        self._bytes = self._new_bytes = len(data)
+        if self._descriptor >= 0:
+            self._files.close_file(self._descriptor)
+        self._descriptor, self._serial = number, serial
+        self._size_bytes = self._rewritten_bytes = len(data)
--- a/packages/owners/src/larkweir_owners/ports.py
+++ b/packages/owners/src/larkweir_owners/ports.py
@@ -9,7 +9,7 @@
 from larkweir_owners.messages import Record, Version
 
 
-class Mail(Protocol):
+class Transport(Protocol):
     """Carries items between processes; each may be lost, doubled, late or out of order."""
 
     def post(self, to: str, item: bytes) -> bool:
@@ -33,18 +33,18 @@
 
     outcome: Outcome
     record: Record | None
-    maybe: bool = False
+    may_have_counted: bool = False
 
 
-Then = Callable[[Result], None]
+OnResult = Callable[[Result], None]
 
 
 class Registers(Protocol):
     """Conditional registers. Linearizable: a write counts only if the register held `expected` until then."""
 
-    def read(self, key: str, then: Then) -> None: ...
+    def read(self, key: str, on_result: OnResult) -> None: ...
 
-    def write(self, key: str, expected: Version, record: Record, then: Then) -> None:
+    def write(self, key: str, expected: Version, record: Record, on_result: OnResult) -> None:
         """`expected` is (0, 0) where nothing is held yet. `record.version` must be above it: ValueError if not."""
         ...
 
@@ -59,6 +59,6 @@
         """As its owner: the state that shall count next, at most 6 KiB; None where there is nothing to do."""
         ...
 
-    def took(self, state: bytes, version: Version) -> None:
+    def on_committed(self, state: bytes, version: Version) -> None:
         """At every copy: a majority has taken this state. Versions only go up."""
         ...
--- a/packages/owners/tests/explore_owners.py
+++ b/packages/owners/tests/explore_owners.py
@@ -21,24 +21,24 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from larkweir_owners.keeper import Disk, Keeper, mark
+from larkweir_owners.keeper import Acceptor, AcceptorState, fingerprint
 from larkweir_owners.messages import (
     Accept,
     Accepted,
-    AnyItem,
+    AnyMessage,
     Ballot,
-    KeeperSet,
     Promised,
     Record,
+    ReplicaSet,
     Version,
-    unpack,
+    decode,
 )
 from larkweir_owners.ports import Outcome, Result
 from larkweir_owners.register import Operation, Proposer
 
 KEY = "d"
 NAMES = ("k0", "k1", "k2")
-SET = KeeperSet(1, NAMES)
+SET = ReplicaSet(1, NAMES)
 
 
 class BrokenError(AssertionError):
@@ -57,20 +57,20 @@
         return NAMES
 
 
-def fresh_disk(number: int) -> Disk:
-    disk = Disk(number + 1, SET, (1, number + 1), True)
-    disk.heard = {name: (1, n + 1, 0) for n, name in enumerate(NAMES) if n != number}
+def fresh_disk(number: int) -> AcceptorState:
+    disk = AcceptorState(number + 1, SET, (1, number + 1), True)
+    disk.peer_progress = {name: (1, n + 1, 0) for n, name in enumerate(NAMES) if n != number}
     return disk
 
 
-def raised(number: int, disk: Disk) -> Keeper:
+def raised(number: int, disk: AcceptorState) -> Acceptor:
     """A keeper on its disk, with its predecessor's word that the disk is the latest."""
-    return Keeper(NAMES[number], disk, mark(disk))
+    return Acceptor(NAMES[number], disk, fingerprint(disk))
 
 
 class K(NamedTuple):
-    keeper: Keeper
-    disk: Disk  # what was flushed
+    keeper: Acceptor
+    disk: AcceptorState  # what was flushed
 
 
 @dataclass(slots=True)
@@ -156,8 +156,8 @@
     # Keepers
 
     def _number_k(self, n: int, k: K) -> int:
-        sign = (k.keeper.mode, k.keeper.disk.slots.get(KEY), k.disk.slots.get(KEY))
-        number = self.ks.put((n, k.keeper.disk.life, k.disk.life, sign), k)
+        sign = (k.keeper.mode, k.keeper.state.slots.get(KEY), k.disk.slots.get(KEY))
+        number = self.ks.put((n, k.keeper.state.incarnation, k.disk.incarnation, sign), k)
         if number == len(self.k_signs):
             self.k_signs.append(self.signs.put(sign, None))
         return number
@@ -172,21 +172,21 @@
     def _keeper_move(self, n: int, number: int, item: int) -> tuple[int, int | None, int, tuple[int, ...]]:
         """The keeper afterwards; the same where its flush was lost; what it has now accepted, as a bit; answers."""
         old: K = self.ks.things[number]
-        keeper = object.__new__(Keeper)
+        keeper = object.__new__(Acceptor)
         keeper.__dict__.update(old.keeper.__dict__)
-        keeper.disk = old.keeper.disk.copy()
+        keeper.state = old.keeper.state.copy()
         asked = self.items.things[item]
-        step = keeper.came(asked.ballot[1], asked)
+        step = keeper.on_message(asked.ballot[1], asked)
         disk = old.disk.copy()
-        for entry in step.flush:
-            disk.put(entry)
+        for entry in step.entries:
+            disk.apply(entry)
         bit = 0
-        for _, answer in step.send:
+        for _, answer in step.messages:
             if isinstance(answer, Accepted) and isinstance(asked, Accept):
                 bit = 1 << self.chosen.put((asked.ballot, asked.record), (asked.ballot, asked.record))
         after = self._number_k(n, K(keeper, disk))
-        lost = self._restart(n, number) if step.flush else None
-        return after, lost, bit, tuple(self._item(answer) for _, answer in step.send)
+        lost = self._restart(n, number) if step.entries else None
+        return after, lost, bit, tuple(self._item(answer) for _, answer in step.messages)
 
     def _to_keeper(self, state: State, n: int, item: int) -> Iterator[State]:
         key = (n, state.keepers[n], item)
@@ -207,18 +207,18 @@
             if move.after != state.proposers[who]:
                 yield self._moved(new, who, move)
 
-    def _item(self, item: AnyItem) -> int:
+    def _item(self, item: AnyMessage) -> int:
         """Numbers of answers are left out, and who else promised: nothing rests on them while no disk is lost."""
         match item:
             case Accept():
-                mark: Hashable = (3, item.ballot, item.record)
+                fingerprint: Hashable = (3, item.ballot, item.record)
             case Promised():
-                mark = (5, item.ballot, item.accepted, item.record, item.word[:2])
+                fingerprint = (5, item.ballot, item.accepted_ballot, item.record, item.progress[:2])
             case Accepted():
-                mark = (6, item.ballot, item.word[:2])
+                fingerprint = (6, item.ballot, item.progress[:2])
             case _:
-                mark = item
-        return self.items.put(mark, item)
+                fingerprint = item
+        return self.items.put(fingerprint, item)
 
     # Proposers
 
@@ -227,7 +227,7 @@
         p.sign = self.signs.put(
             (
                 (p.proposer.name, p.writes, p.rounds, p.began, p.next, p.ended, p.proposer._counter),
-                tuple((op.ballot, op.phase, op.proposal, op.outcome, op.maybe) for op in ops),
+                tuple((op.ballot, op.phase, op.proposal, op.outcome, op.may_have_counted) for op in ops),
             ),
             None,
         )
@@ -236,8 +236,8 @@
                 tuple(
                     (
                         name in op.promises and self._item(op.promises[name]),
-                        name in op.by,
-                        name in op.accepted,
+                        name in op.promised_by,
+                        name in op.accepted_by,
                     )
                     for op in ops
                 ),
@@ -253,37 +253,41 @@
         proposer = object.__new__(Proposer)
         proposer.__dict__.update(old.proposer.__dict__)
         outbox = Outbox()
-        proposer._mail = outbox
+        proposer._transport = outbox
         proposer._open = []
         for op in old.proposer._open:
             fresh = object.__new__(Operation)
             for slot in Operation.__slots__:
                 setattr(fresh, slot, getattr(op, slot))
-            fresh.promises, fresh.by, fresh.accepted = dict(op.promises), dict(op.by), set(op.accepted)
-            fresh.then = results.append
+            fresh.promises, fresh.promised_by, fresh.accepted_by = (
+                dict(op.promises),
+                dict(op.promised_by),
+                set(op.accepted_by),
+            )
+            fresh.on_result = results.append
             proposer._open.append(fresh)
         p = P(proposer, old.writes, old.rounds, old.began, old.next, old.ended)
         match how:
             case ("round",):
                 p.rounds += 1
-                proposer._round(proposer._open[0])
+                proposer._start_round(proposer._open[0])
             case ("start", done):
                 p.writes, p.rounds, p.began = p.writes + 1, 1, done
                 expected = p.next or (0, 0)
                 p.next = None
-                record = Record(expected[0] + 1, expected[1] + 1, proposer.name, proposer.life)
+                record = Record(expected[0] + 1, expected[1] + 1, proposer.name, proposer.incarnation)
                 proposer.write(KEY, expected, record, results.append)
             case (n, item):
-                proposer.came(NAMES[n], self.items.things[item], 0.0)
+                proposer.on_message(NAMES[n], self.items.things[item], 0.0)
         for result in results:
             version = result.record.version if result.record is not None else (0, 0)
             if version < p.began:
                 raise BrokenError(f"an operation gave {version}, {p.began} had ended when it began")
-            p.ended = (*p.ended, (version, result.outcome, result.maybe))
+            p.ended = (*p.ended, (version, result.outcome, result.may_have_counted))
             p.next = version
         sent = [0, 0, 0]
         for name, data in outbox.sent:
-            item = unpack(data)
+            item = decode(data)
             assert item is not None
             sent[NAMES.index(name)] |= 1 << self._item(item)
         return Move(self._number_p(p), tuple(sent), tuple(results))  # type: ignore[arg-type]
--- a/packages/owners/tests/fleet_owners.py
+++ b/packages/owners/tests/fleet_owners.py
@@ -8,11 +8,19 @@
 from random import Random
 from typing import Any
 
-from larkweir_owners.duty import Owners
-from larkweir_owners.keeper import Disk, Keeper, SelfEntry, SetEntry, SlotEntry, Step, mark
-from larkweir_owners.messages import Accepted, Ballot, KeeperSet, Record, Version
+from larkweir_owners.duty import DutyManager
+from larkweir_owners.keeper import (
+    Acceptor,
+    AcceptorOutput,
+    AcceptorState,
+    IncarnationEntry,
+    ReplicaSetEntry,
+    SlotEntry,
+    fingerprint,
+)
+from larkweir_owners.messages import Accepted, Ballot, Record, ReplicaSet, Version
 from larkweir_owners.ports import Outcome, Result
-from larkweir_owners.terms import Phase, Times
+from larkweir_owners.terms import LeaseTiming, Phase
 from larkweir_simulated import Network
 
 
@@ -31,7 +39,7 @@
         count = int(state.split(b" ")[0] or b"0")
         return b"%d %s %d" % (count + 1, self._process.name.encode(), self._process.life)
 
-    def took(self, state: bytes, version: Version) -> None:
+    def on_committed(self, state: bytes, version: Version) -> None:
         self._process.fleet.checker.taken(self._process, self.name, version, state)
 
 
@@ -54,7 +62,7 @@
         self.when: dict[tuple[str, int], float] = {}  # when a term first counted
 
     def accepted(
-        self, keeper: str, key: str, ballot: Ballot, record: Record, keepers: KeeperSet, now: float
+        self, keeper: str, key: str, ballot: Ballot, record: Record, keepers: ReplicaSet, now: float
     ) -> None:
         """Holds it on its disk, and votes in this set."""
         first, names = self.votes.setdefault((key, ballot), (record, set()))
@@ -77,17 +85,17 @@
         if before is not None and record.term < before.term:
             self.old_taken += 1
         if record.owner and not key.startswith("\0"):
-            owner = self.owners.setdefault((key, record.term), (record.owner, record.life))
-            if owner != (record.owner, record.life):
+            owner = self.owners.setdefault((key, record.term), (record.owner, record.incarnation))
+            if owner != (record.owner, record.incarnation):
                 raise BrokenError(f"one owner a term: {key} {record.term}: {owner} and {record.owner}")
         self.when.setdefault((key, record.term), now)
-        effects = before.effects if before is not None else 0
-        if record.effects not in (effects, effects + 1) or (
-            not key.startswith("\0") and record.value.split(b" ")[0] not in (b"%d" % record.effects, b"")
+        effects = before.update_count if before is not None else 0
+        if record.update_count not in (effects, effects + 1) or (
+            not key.startswith("\0") and record.value.split(b" ")[0] not in (b"%d" % record.update_count, b"")
         ):
             raise BrokenError(f"effects in order: {key}: {record} after {before}")
         self.last[key] = record
-        self.effects[key] += record.effects - effects
+        self.effects[key] += record.update_count - effects
 
     def taken(self, process: Process, key: str, version: Version, state: bytes) -> None:
         held = self.held.get((process.name, key), (0, 0))
@@ -107,10 +115,10 @@
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
         self.life = 0
-        self.disk: Disk | None = None
-        self.old_disk: Disk | None = None
+        self.disk: AcceptorState | None = None
+        self.old_disk: AcceptorState | None = None
         self.held: dict[str, Record] = {}
-        self.owners: Owners | None = None
+        self.owners: DutyManager | None = None
         self.sent = 0
         self.voting = False  # by what is flushed
         self._timer: Any = None
@@ -136,13 +144,13 @@
         keeper = None
         if self.name in fleet.may_keep:
             if self.disk is None:
-                self.disk = Disk(fleet.rng.getrandbits(31), fleet.keepers)
-            keeper = Keeper(self.name, self.disk.copy(), witness)
-        self.voting = keeper is not None and keeper.votes_as is not None
-        self.owners = Owners(
+                self.disk = AcceptorState(fleet.rng.getrandbits(31), fleet.replica_set)
+            keeper = Acceptor(self.name, self.disk.copy(), witness)
+        self.voting = keeper is not None and keeper.voting_incarnation is not None
+        self.owners = DutyManager(
             self.name,
             self.life,
-            fleet.keepers,
+            fleet.replica_set,
             [Steady(key, self) for key in fleet.keys],
             self,
             fleet.rng.random,
@@ -159,13 +167,17 @@
         self.fleet.network.kill(self.name)
         self.owners = None
 
-    def hand_over(self, late_ms: float, disk: Disk | None = None, early: str | None = None) -> None:
+    def hand_over(self, late_ms: float, disk: AcceptorState | None = None, early: str | None = None) -> None:
         """To a successor under the same name, which is told what the file held; `disk`: what stands there by then;
         `early`: what a faulty predecessor told before it had stopped."""
         assert self.owners is not None
-        keeper = self.owners.keeper
-        voted = keeper is not None and self.disk is not None and keeper.votes_as == self.disk.life
-        told = mark(self.disk) if voted and self.disk is not None and self.disk.born else ""
+        keeper = self.owners.acceptor
+        voted = (
+            keeper is not None
+            and self.disk is not None
+            and keeper.voting_incarnation == self.disk.incarnation
+        )
+        told = fingerprint(self.disk) if voted and self.disk is not None and self.disk.can_vote else ""
         self.kill()
         self.disk = disk or self.disk
         told = told if early is None else early
@@ -173,7 +185,7 @@
 
     def _came(self, source: str, data: bytes) -> None:
         assert self.owners is not None
-        self.owners.came(source, data, self.fleet.network.now_ms)
+        self.owners.on_message(source, data, self.fleet.network.now_ms)
         self.after()
 
     def _tick(self) -> None:
@@ -185,31 +197,31 @@
         """Hands: flush what is to be flushed, one after another, and set the timer."""
         assert self.owners is not None
         network = self.fleet.network
-        for step in self.owners.take():
+        for step in self.owners.take_outputs():
             self._flush_ms = max(network.now_ms, self._flush_ms) + self.fleet.rng.uniform(0.2, 3.0)
             network.at(self._flush_ms, lambda step=step: self._flushed(step), self.name)
-        self.held = dict(self.owners.followers.held)
+        self.held = dict(self.owners.replicator.records)
         due = max(self.owners.next_ms, network.now_ms + 1.0)
         if self._timer is not None:
             self._timer.cancel()
         if due < float("inf"):
             self._timer = network.at(due, self._tick, self.name)
 
-    def _flushed(self, step: Step) -> None:
+    def _flushed(self, step: AcceptorOutput) -> None:
         assert self.owners is not None and self.disk is not None
-        for entry in step.flush:
-            self.disk.put(entry)
+        for entry in step.entries:
+            self.disk.apply(entry)
             match entry:
                 case SlotEntry(key, slot) if any(
-                    isinstance(i, Accepted) and i.ballot == slot.accepted for _, i in step.send
+                    isinstance(i, Accepted) and i.ballot == slot.accepted_ballot for _, i in step.messages
                 ):
                     self._holds(key)
-                case SelfEntry():
+                case IncarnationEntry():
                     self.voting = True
                     self._holds(*self.disk.slots)  # what it learned, and what it had
-                case SetEntry() if self.voting:
+                case ReplicaSetEntry() if self.voting:
                     self._holds(*self.disk.slots)
-        self.owners.flushed(step, self.fleet.network.now_ms)
+        self.owners.on_flushed(step, self.fleet.network.now_ms)
         self.after()
 
     def _holds(self, *keys: str) -> None:
@@ -219,7 +231,7 @@
             slot = self.disk.slots[key]
             if slot.record is not None:
                 self.fleet.checker.accepted(
-                    self.name, key, slot.accepted, slot.record, self.disk.keepers, now
+                    self.name, key, slot.accepted_ballot, slot.record, self.disk.replica_set, now
                 )
 
 
@@ -232,14 +244,14 @@
         duties: int = 1,
         lost: float = 0.02,
         doubled: float = 0.02,
-        times: Times | None = None,
+        times: LeaseTiming | None = None,
     ) -> None:
         self.network = Network(seed, (1.0, 10.0), lost, doubled)
         self.rng = Random(seed + 1)
-        self.times = times if times is not None else Times(lease_ms=1000.0, step_ms=50.0)
+        self.times = times if times is not None else LeaseTiming(lease_ms=1000.0, step_ms=50.0)
         self.names = [f"10.0.{n // 250}.{n % 250}:7946" for n in range(processes)]
         self.may_keep = set(self.names[: keepers + 2])
-        self.keepers = KeeperSet(1, tuple(self.names[:keepers]))
+        self.replica_set = ReplicaSet(1, tuple(self.names[:keepers]))
         self.keys = [f"duty{n}" for n in range(duties)]
         self.alive = list(self.names)
         self.checker = Checker()
@@ -258,9 +270,9 @@
         if record is None or not record.owner:
             return None
         process = self.processes[record.owner]
-        if process.owners is None or process.life != record.life:
+        if process.owners is None or process.life != record.incarnation:
             return None
-        return process if process.owners.terms[key].phase in (Phase.OWNER, Phase.UNSURE) else None
+        return process if process.owners.leaderships[key].phase in (Phase.OWNER, Phase.UNSURE) else None
 
     def kill(self, name: str, seen_after_ms: float = 1500.0) -> None:
         self.processes[name].kill()
@@ -313,7 +325,7 @@
             last = self.checker.last[key]
             for process in self.processes.values():
                 held = process.held.get(key)
-                if held is None or last.effects - held.effects > 100:
+                if held is None or last.update_count - held.update_count > 100:
                     raise BrokenError(f"all copies follow: {process.name} {key}: {held}, {last}")
 
     def mend(self) -> None:
@@ -322,7 +334,8 @@
         for name, process in self.processes.items():
             self.network.go_on(name)
             if process.owners is not None and (
-                process.owners.draining or (process.owners.keeper and process.owners.keeper.mode == "failed")
+                process.owners.is_draining
+                or (process.owners.acceptor and process.owners.acceptor.mode == "failed")
             ):
                 process.kill()
             self.start(name)
@@ -333,21 +346,21 @@
 
     def votes(self, name: str) -> bool:
         owners = self.processes[name].owners
-        return owners is not None and owners.keeper is not None and owners.keeper.mode == "voting"
+        return owners is not None and owners.acceptor is not None and owners.acceptor.mode == "voting"
 
     @property
     def members(self) -> list[str]:
         """Of the newest set that anybody has on disk, and the one before it."""
-        sets = [p.disk.keepers for p in self.processes.values() if p.disk is not None]
-        newest = max(sets, key=lambda keepers: (keepers.epoch, not keepers.before))
-        return sorted({*newest.names, *newest.before})
+        sets = [p.disk.replica_set for p in self.processes.values() if p.disk is not None]
+        newest = max(sets, key=lambda keepers: (keepers.epoch, not keepers.previous))
+        return sorted({*newest.names, *newest.previous})
 
     def change(self, by: Process) -> None:
         """One keeper more or less; or on with a change that was left undone."""
         assert by.owners is not None
-        now, present = self.network.now_ms, by.owners.proposer.keepers
-        if present.before:
-            by.owners.change.resume(lambda fault: None, now)
+        now, present = self.network.now_ms, by.owners.proposer.replica_set
+        if present.previous:
+            by.owners.set_change.resume(lambda fault: None, now)
             by.after()
             return
         names = set(present.names)
@@ -363,7 +376,7 @@
         else:
             return
         if by.owners is not None:
-            by.owners.change.begin(tuple(sorted(names)), lambda fault: None, now)
+            by.owners.set_change.begin(tuple(sorted(names)), lambda fault: None, now)
             by.after()
 
     def look(self, by: Process, key: str) -> None:
@@ -377,7 +390,7 @@
                 raise BrokenError(f"reads are linearizable: {key}: {found} read, {least} counted before")
 
         if by.owners is not None:
-            by.owners.proposer.at(self.network.now_ms)
+            by.owners.proposer.set_time(self.network.now_ms)
             by.owners.proposer.read(key, then)
             by.after()
 
@@ -424,7 +437,7 @@
                     process.owners.drain(network.now_ms)
                     process.after()
             case "lag" if owner is not None and owner.owners is not None:
-                owner.owners.lagged(lease, network.now_ms)
+                owner.owners.on_lag(lease, network.now_ms)
                 owner.after()
             case "cut":
                 group = rng.sample(self.names, rng.randint(1, len(self.names) - 1))
@@ -440,7 +453,7 @@
             case "full disk" if name in self.members:
                 process = self.processes[name]
                 if process.owners is not None:
-                    process.owners.flush_failed()
+                    process.owners.on_flush_failed()
             case "loss":
                 network.lost = rng.choice([0.0, 0.02, 0.2])
                 network.doubled = rng.choice([0.0, 0.02, 0.3])
--- a/packages/owners/tests/test_owners_file.py
+++ b/packages/owners/tests/test_owners_file.py
@@ -6,17 +6,27 @@
 
 import pytest
 from larkweir_owners import keeper_file
-from larkweir_owners.keeper import Disk, Entry, HeardEntry, Keeper, SelfEntry, SetEntry, Slot, SlotEntry, mark
-from larkweir_owners.keeper_file import Folder, KeeperFile, load
-from larkweir_owners.messages import KeeperSet, Record
-
-SET = KeeperSet(1, ("a", "b", "c"))
-ENTRIES: list[Entry] = [
-    HeardEntry((("b", (1, 5, 0)), ("c", (1, 6, 0)))),
-    SelfEntry((1, 4), True, 0),
+from larkweir_owners.keeper import (
+    Acceptor,
+    AcceptorState,
+    IncarnationEntry,
+    LogEntry,
+    PeerProgressEntry,
+    ReplicaSetEntry,
+    Slot,
+    SlotEntry,
+    fingerprint,
+)
+from larkweir_owners.keeper_file import AcceptorFile, LockedFolder, decode_file
+from larkweir_owners.messages import Record, ReplicaSet
+
+SET = ReplicaSet(1, ("a", "b", "c"))
+ENTRIES: list[LogEntry] = [
+    PeerProgressEntry((("b", (1, 5, 0)), ("c", (1, 6, 0)))),
+    IncarnationEntry((1, 4), True, 0),
     SlotEntry("d", Slot((1, "p", 9)), 1),
     SlotEntry("d", Slot((1, "p", 9), (1, "p", 9), Record(1, 1, "p", 9, value=b"x")), 2, (("b", (1, 5, 3)),)),
-    SetEntry(KeeperSet(2, ("a", "b", "c", "d"), ("a", "b", "c"), ("d", 2, 7))),
+    ReplicaSetEntry(ReplicaSet(2, ("a", "b", "c", "d"), ("a", "b", "c"), ("d", 2, 7))),
     SlotEntry("e", Slot((2, "q", 8)), 3),
 ]
 
@@ -41,7 +51,7 @@
 
     def close(self) -> None: ...
 
-    def shut(self, number: int) -> None: ...
+    def close_file(self, number: int) -> None: ...
 
     def read(self, name: str) -> bytes | None:
         return bytes(self.data[self.names[name]]) if name in self.names else None
@@ -92,22 +102,22 @@
                 yield left
 
 
-def states() -> list[Disk]:
+def states() -> list[AcceptorState]:
     """After no entry, after one, ..."""
-    disk = Disk(77, SET)
+    disk = AcceptorState(77, SET)
     found = [disk.copy()]
     for entry in ENTRIES:
-        disk.put(entry)
+        disk.apply(entry)
         found.append(disk.copy())
     return found
 
 
 def written(model: Model) -> list[int]:
     """Puts the entries, one flush each; which of them were promised, as the number of entries, before each call."""
-    file = KeeperFile(model, SET, lambda: 77)
+    file = AcceptorFile(model, SET, lambda: 77)
     file.open()
     for entry in ENTRIES:
-        if not file.put([entry]):
+        if not file.append([entry]):
             break
     return [file._serial]
 
@@ -117,17 +127,17 @@
     written(model)
     data, known = model.read("keeper"), states()
     assert data is not None
-    whole = load(data, SET)
+    whole = decode_file(data, SET)
     assert whole is not None and whole[0] == known[-1]
     lengths = []
     for length in range(len(data) + 1):
-        found = load(data[:length], SET)
+        found = decode_file(data[:length], SET)
         lengths.append(-1 if found is None else known.index(found[0]))
     assert lengths == sorted(lengths) and set(lengths) >= set(range(len(known)))
     for bit in range(len(data) * 8):
         hurt = bytearray(data)
         hurt[bit // 8] ^= 1 << bit % 8
-        found = load(bytes(hurt), SET)
+        found = decode_file(bytes(hurt), SET)
         assert found is None or found[0] in known[:-1], bit
 
 
@@ -135,20 +145,20 @@
 def test_what_was_promised_is_there_after_a_crash_at_any_call(
     compact: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(keeper_file, "COMPACT_BYTES", compact)
+    monkeypatch.setattr(keeper_file, "MIN_COMPACT_BYTES", compact)
     known = states()
     seen = 0
     for fail_at in range(1, 100):
         model = Model(fail_at)
-        file = KeeperFile(model, SET, lambda: 77)
+        file = AcceptorFile(model, SET, lambda: 77)
         promised = -1  # nothing
         try:
             file.open()
             promised = 0
             for entry in ENTRIES:
-                if not file.put([entry]):
+                if not file.append([entry]):
                     assert file.fault == "No space left on device"
-                    assert not file.put([ENTRIES[0]])  # never again in this life
+                    assert not file.append([ENTRIES[0]])  # never again in this life
                     break
                 promised += 1
         except OSError:
@@ -156,7 +166,7 @@
         for left in model.crashes():
             seen += 1
             data = left.read("keeper")
-            found = load(data, SET) if data is not None else None
+            found = decode_file(data, SET) if data is not None else None
             if found is None:
                 assert promised == -1
             else:
@@ -167,65 +177,65 @@
 
 
 def test_a_folder_is_read_again_and_a_torn_tail_is_cut(tmp_path, monkeypatch: pytest.MonkeyPatch) -> None:  # type: ignore[no-untyped-def]
-    monkeypatch.setattr(keeper_file, "COMPACT_BYTES", 64)
+    monkeypatch.setattr(keeper_file, "MIN_COMPACT_BYTES", 64)
     folder = str(tmp_path / "k")
-    file = KeeperFile(Folder(folder), SET, lambda: 77)
+    file = AcceptorFile(LockedFolder(folder), SET, lambda: 77)
     file.open()
     with pytest.raises(OSError, match="another process has it"):
-        KeeperFile(Folder(folder), SET, lambda: 78).open()
+        AcceptorFile(LockedFolder(folder), SET, lambda: 78).open()
     for entry in ENTRIES:
-        assert file.put([entry])
+        assert file.append([entry])
     file.close()
     with open(tmp_path / "k" / "keeper", "ab") as torn:
         torn.write(b"\0\0\0\x20torn")
-    again = KeeperFile(Folder(folder), SET, lambda: 78)
+    again = AcceptorFile(LockedFolder(folder), SET, lambda: 78)
     assert again.open() == states()[-1]
-    assert again.cut_bytes == 8
-    assert again.put([ENTRIES[-1]])
+    assert again.truncated_bytes == 8
+    assert again.append([ENTRIES[-1]])
     again.close()
     (tmp_path / "k" / "keeper").write_bytes(b"no keeper's file, and so as good as lost")
-    lost = KeeperFile(Folder(folder), SET, lambda: 78)
-    assert lost.open() == Disk(78, SET)
+    lost = AcceptorFile(LockedFolder(folder), SET, lambda: 78)
+    assert lost.open() == AcceptorState(78, SET)
     lost.close()
 
 
 def test_a_file_that_is_written_anew_says_the_same() -> None:
     for disk in states():
-        data = keeper_file.header(disk.disk)
+        data = keeper_file.encode_header(disk.disk_id)
         for serial, entry in enumerate(disk.entries(), 1):
-            data += keeper_file.frame(serial, entry)
-        found = load(data, SET)
+            data += keeper_file.encode_frame(serial, entry)
+        found = decode_file(data, SET)
         assert found is not None and found[0] == disk
 
 
 def test_what_is_told_of_a_closed_file_is_all_of_it_and_only_of_a_keeper_that_voted() -> None:
     model = Model()
-    file = KeeperFile(model, SET, lambda: 77)
+    file = AcceptorFile(model, SET, lambda: 77)
     file.open()
-    assert file.put(ENTRIES)
-    held = file.disk.copy()
+    assert file.append(ENTRIES)
+    held = file.state.copy()
     told = file.close((1, 4))
-    assert told == mark(held) and not file.put(ENTRIES[:1])
-    again = KeeperFile(model, SET, lambda: 78)
-    assert Keeper("a", again.open(), told).votes_as == (1, 4)
-    assert again.put([HeardEntry((("b", (2, 5, 0)),))])  # no promise, and yet another disk
-    assert Keeper("a", again.disk.copy(), told).votes_as is None
+    assert told == fingerprint(held) and not file.append(ENTRIES[:1])
+    again = AcceptorFile(model, SET, lambda: 78)
+    assert Acceptor("a", again.open(), told).voting_incarnation == (1, 4)
+    assert again.append([PeerProgressEntry((("b", (2, 5, 0)),))])  # no promise, and yet another disk
+    assert Acceptor("a", again.state.copy(), told).voting_incarnation is None
     assert again.close(None) == ""  # it did not vote
-    other = KeeperFile(model, SET, lambda: 79)
+    other = AcceptorFile(model, SET, lambda: 79)
     other.open()
     assert other.close((2, 77)) == ""  # its new life had not come to the disk
-    full = KeeperFile(model, SET, lambda: 80)
+    full = AcceptorFile(model, SET, lambda: 80)
     full.open()
     model.fail_at = model.calls + 1
-    assert not full.put(ENTRIES) and full.close((1, 4)) == ""
+    assert not full.append(ENTRIES) and full.close((1, 4)) == ""
 
 
 @pytest.mark.parametrize("at", range(len(ENTRIES)))
 def test_a_mark_tells_any_two_states_apart(at: int) -> None:
-    disk = Disk(77, SET)
-    seen = {mark(disk)}
+    disk = AcceptorState(77, SET)
+    seen = {fingerprint(disk)}
     for entry in ENTRIES[: at + 1]:
-        disk.put(entry)
-        assert mark(disk) not in seen
-        seen.add(mark(disk))
-    assert mark(disk.copy()) in seen
+        disk.apply(entry)
+        assert fingerprint(disk) not in seen
+        seen.add(fingerprint(disk))
+    assert fingerprint(disk.copy()) in seen
--- a/packages/owners/tests/test_owners_seeds.py
+++ b/packages/owners/tests/test_owners_seeds.py
@@ -9,9 +9,9 @@
 
 import pytest
 from fleet_owners import BrokenError, Fleet
-from larkweir_owners.keeper import mark
+from larkweir_owners.keeper import fingerprint
 from larkweir_owners.messages import Record
-from larkweir_owners.terms import Phase, Times
+from larkweir_owners.terms import LeaseTiming, Phase
 
 
 @pytest.mark.parametrize("first", range(0, 24, 4))
@@ -44,10 +44,10 @@
     fleet.run(3 * fleet.times.lease_ms)
     new = fleet.owner("duty0")
     assert new is not None and new is not old
-    assert old.owners.terms["duty0"].phase is not Phase.WATCHING  # it still believes that it owns
+    assert old.owners.leaderships["duty0"].phase is not Phase.WATCHING  # it still believes that it owns
     fleet.network.go_on(old.name)
     fleet.run(1000.0)
-    assert old.owners.terms["duty0"].phase is Phase.WATCHING
+    assert old.owners.leaderships["duty0"].phase is Phase.WATCHING
     assert fleet.checker.old_taken == 0
     assert fleet.checker.last["duty0"].term == 2
 
@@ -62,9 +62,9 @@
     old.after()
     assert fleet.run_until(lambda: fleet.owner("duty0") not in (None, old), 250.0)
     assert fleet.checker.last["duty0"].term == term + 1
-    assert old.owners.owned == []
+    assert old.owners.owned_duties == []
     fleet.run(5000.0)
-    assert old.owners.owned == []  # and takes nothing again
+    assert old.owners.owned_duties == []  # and takes nothing again
 
 
 def test_an_heir_that_rests_from_a_stop_takes_what_it_is_handed() -> None:
@@ -127,12 +127,12 @@
 
 
 def test_leases_of_one_process_are_renewed_in_one_go() -> None:
-    fleet = Fleet(3, processes=3, duties=9, lost=0.0, times=Times(lease_ms=1000.0, step_ms=1e9))
+    fleet = Fleet(3, processes=3, duties=9, lost=0.0, times=LeaseTiming(lease_ms=1000.0, step_ms=1e9))
     assert fleet.run_until(lambda: all(fleet.owner(key) for key in fleet.keys), 8000.0)
     fleet.run(4250.0)  # between two renewals
     for process in fleet.processes.values():
         assert process.owners is not None
-        owned = [process.owners.terms[name] for name in process.owners.owned]
+        owned = [process.owners.leaderships[name] for name in process.owners.owned_duties]
         assert len({term._renewed_ms for term in owned}) == 1 < len(owned)
 
 
@@ -165,7 +165,7 @@
         fleet.network.split([[second.name]])
         fleet.run(600.0)
         if early:
-            first.hand_over(20.0, disk, mark(disk))
+            first.hand_over(20.0, disk, fingerprint(disk))
         else:
             first.hand_over(20.0)
         third.kill()
@@ -193,7 +193,7 @@
         fleet.network.after(200.0, lambda name=name: fleet.start(name))  # type: ignore[misc]
     fleet.run(9000.0)
     now = fleet.checker.last["duty0"]
-    assert now.term > before.term and now.effects > before.effects + 10
+    assert now.term > before.term and now.update_count > before.update_count + 10
 
 
 def test_without_a_majority_nobody_owns_and_status_says_so() -> None:
@@ -247,11 +247,11 @@
     fleet = settled(4)
     old = fleet.owner("duty0")
     assert old is not None and old.owners is not None
-    old.owners.lagged(fleet.times.lag_ms - 1.0, fleet.network.now_ms)
+    old.owners.on_lag(fleet.times.max_lag_ms - 1.0, fleet.network.now_ms)
     old.after()
     fleet.run(500.0)
     assert fleet.owner("duty0") is old
-    old.owners.lagged(fleet.times.lag_ms + 1.0, fleet.network.now_ms)
+    old.owners.on_lag(fleet.times.max_lag_ms + 1.0, fleet.network.now_ms)
     old.after()
     assert fleet.run_until(lambda: fleet.owner("duty0") not in (None, old), 500.0)
 
@@ -260,12 +260,12 @@
     fleet = settled(1)
     old = fleet.owner("duty0")
     assert old is not None and old.owners is not None
-    term = old.owners.terms["duty0"]
-    assert fleet.run_until(lambda: not term._busy, 1000.0, 1.0)
+    term = old.owners.leaderships["duty0"]
+    assert fleet.run_until(lambda: not term._is_busy, 1000.0, 1.0)
     assert term.record is not None
     gone = Record(term.record.term + 1, term.record.number + 9, "", 0, "10.9.9.9:1")
-    term.saw(gone, fleet.network.now_ms)
-    assert (term.owns, term.record) == (False, gone)
+    term.on_record_seen(gone, fleet.network.now_ms)
+    assert (term.is_owner, term.record) == (False, gone)
 
 
 if __name__ == "__main__":
--- a/packages/owners/tests/test_owners_traces.py
+++ b/packages/owners/tests/test_owners_traces.py
@@ -8,8 +8,8 @@
 import pytest
 from explore_owners import Explorer
 from fleet_owners import Fleet, Process
-from larkweir_owners.keeper import Step
-from larkweir_owners.keeper_file import frame
+from larkweir_owners.keeper import AcceptorOutput
+from larkweir_owners.keeper_file import encode_frame
 
 TRACES = Path(__file__).parent / "golden" / "traces.txt"
 
@@ -28,9 +28,11 @@
     for process in fleet.processes.values():
         flushed = process._flushed
 
-        def seen(step: Step, process: Process = process, flushed=flushed) -> None:  # type: ignore[no-untyped-def]
-            for number, entry in enumerate(step.flush):
-                digest.update(f"{fleet.network.now_ms:.6f} {process.name} ".encode() + frame(number, entry))
+        def seen(step: AcceptorOutput, process: Process = process, flushed=flushed) -> None:  # type: ignore[no-untyped-def]
+            for number, entry in enumerate(step.entries):
+                digest.update(
+                    f"{fleet.network.now_ms:.6f} {process.name} ".encode() + encode_frame(number, entry)
+                )
             flushed(step)
 
         process._flushed = seen  # type: ignore[method-assign]
--- a/standins/duties.py
+++ b/standins/duties.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from larkweir_owners.duty import Owners
-from larkweir_owners.keeper import Disk, Keeper, Step
-from larkweir_owners.messages import KeeperSet, Record
-from larkweir_owners.terms import Phase, Times
+from larkweir_owners.duty import DutyManager
+from larkweir_owners.keeper import Acceptor, AcceptorOutput, AcceptorState
+from larkweir_owners.messages import Record, ReplicaSet
+from larkweir_owners.terms import LeaseTiming, Phase
 from larkweir_peers.pace import Bucket, Pace
 from larkweir_peers.parts import cut
 from larkweir_peers.peers import Peers
@@ -33,8 +33,8 @@
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
-        self.disk: Disk | None = None
-        self.owners: Owners | None = None
+        self.disk: AcceptorState | None = None
+        self.owners: DutyManager | None = None
         self.works: dict[str, Work] = {}
         self.router = Router({ROUTE: fleet.route}, {}, {}, 0.0)
         self.lines: list[str] = []
@@ -50,15 +50,15 @@
             return
         keeper = None
         if self.name in fleet.keepers.names:
-            self.disk = self.disk or Disk(fleet.rng.getrandbits(31), fleet.keepers)
-            keeper = Keeper(self.name, self.disk.copy())
+            self.disk = self.disk or AcceptorState(fleet.rng.getrandbits(31), fleet.keepers)
+            keeper = Acceptor(self.name, self.disk.copy())
         life = fleet.rng.getrandbits(31)
         pace = Pace()
         self._bucket = Bucket(pace.per_s, pace.burst, network.now_ms)
         self._left = pace.burst * Peers.RESERVE
         works = self.duties(int(network.now_ms))
         self.works = {work.name: work for work in works}
-        self.owners = Owners(
+        self.owners = DutyManager(
             self.name,
             life,
             fleet.keepers,
@@ -118,15 +118,15 @@
             return
         now = self.fleet.network.now_ms
         if data[:1] == OWNERS:
-            self.owners.came(source, data[1:], now)
+            self.owners.on_message(source, data[1:], now)
             self._after()
         else:
             report = unpack(data[1:])
             assert report is not None
             for work in self.works.values():
                 work.came(source, report, now)
-            for name in self.owners.owned:
-                self.owners.poke(name, now)
+            for name in self.owners.owned_duties:
+                self.owners.wake(name, now)
             self._after()
 
     def _tick(self) -> None:
@@ -136,14 +136,14 @@
         for name, work in self.works.items():
             if now >= work.next_ms:
                 for report in work.tick(now):
-                    record = owners.followers.held.get(name)
+                    record = owners.replicator.records.get(name)
                     if record is None or not record.owner:
                         continue
                     if record.owner == self.name:
                         work.came(self.name, report, now)
                     else:
                         self._send(record.owner, REPORTS + pack(report))
-                owners.poke(name, now)
+                owners.wake(name, now)
         owners.tick(now)
         self._after()
 
@@ -154,7 +154,7 @@
     def _after(self) -> None:
         owners, network = self.owners, self.fleet.network
         assert owners is not None
-        for step in owners.take():
+        for step in owners.take_outputs():
             self._flush_ms = max(network.now_ms, self._flush_ms) + self.fleet.rng.uniform(0.2, 3.0)
             network.at(self._flush_ms, lambda step=step: self._flushed(step), self.name)  # type: ignore[misc]
         due = min(owners.next_ms, *(work.next_ms for work in self.works.values()))
@@ -162,11 +162,11 @@
             self._timer.cancel()
         self._timer = network.at(max(due, network.now_ms + 1.0), self._tick, self.name)
 
-    def _flushed(self, step: Step) -> None:
+    def _flushed(self, step: AcceptorOutput) -> None:
         assert self.owners is not None and self.disk is not None
-        for entry in step.flush:
-            self.disk.put(entry)
-        self.owners.flushed(step, self.fleet.network.now_ms)
+        for entry in step.entries:
+            self.disk.apply(entry)
+        self.owners.on_flushed(step, self.fleet.network.now_ms)
         self._after()
 
     # Requests
@@ -200,10 +200,10 @@
         self.rng = Random(seed + 1)
         self.lost = lost
         self.route = route
-        self.times = Times(step_ms=STEP_MS)
+        self.times = LeaseTiming(step_ms=STEP_MS)
         names = [f"10.0.{n // 250}.{n % 250}:7946" for n in range(copies)]
         self.alive = list(names)
-        self.keepers = KeeperSet(1, tuple(names[:keepers]))
+        self.keepers = ReplicaSet(1, tuple(names[:keepers]))
         self.datagrams = 0
         self.answers, self.bads = [0, 0], [0, 0]  # control's, canary's
         self.ended: dict[str, float] = {}  # when each copy's part was over
@@ -229,7 +229,7 @@
 
     def owner(self, duty: str) -> Copy | None:
         for copy in self.copies.values():
-            if copy.owners is not None and copy.owners.terms[duty].phase is Phase.OWNER:
+            if copy.owners is not None and copy.owners.leaderships[duty].phase is Phase.OWNER:
                 return copy
         return None
 
--- a/standins/world/disk.py
+++ b/standins/world/disk.py
@@ -1,4 +1,4 @@
-"""A keeper's folder on a simulated disk (`larkweir_owners.keeper_file.System`): what was not flushed may be lost
+"""A keeper's folder on a simulated disk (`larkweir_owners.keeper_file.FileSystem`): what was not flushed may be lost
 whole or torn when its machine goes; a full disk fails.
 """
 
@@ -92,7 +92,7 @@
         content = self._open[number]
         content.safe = len(content.data)
 
-    def shut(self, number: int) -> None:
+    def close_file(self, number: int) -> None:
         del self._open[number]
 
     def rename(self, old: str, new: str) -> None:
--- a/standins/world/planted.py
+++ b/standins/world/planted.py
@@ -100,9 +100,9 @@
 
 def _takes_old(real: Any) -> Any:
     def take(self: Any, key: str, record: Any) -> bool:
-        held = self.held.get(key)
+        held = self.records.get(key)
         if held is not None and record.version < held.version:
-            self.held.pop(key)
+            self.records.pop(key)
         return bool(real(self, key, record))
 
     return take
@@ -112,9 +112,9 @@
     def accept(self: Any, source: str, item: Any, step: Any) -> None:
         from larkweir_owners.keeper import Slot
 
-        slot = self.disk.slots.get(item.key, Slot())
-        if item.ballot != slot.promised:
-            self.disk.slots[item.key] = Slot(item.ballot, slot.accepted, slot.record)
+        slot = self.state.slots.get(item.key, Slot())
+        if item.ballot != slot.promised_ballot:
+            self.state.slots[item.key] = Slot(item.ballot, slot.accepted_ballot, slot.record)
         real(self, source, item, step)
 
     return accept
@@ -304,8 +304,12 @@
     Planted("a caller that has left keeps its place", "calm", LISTENER, "Listener.remove", _fresh_ones),
     Planted("one in fifty is answered twice", "calm", CALLERS, "CallerConnection._answered", _answers_twice),
     Planted("a register's write compares nothing", "fleet", REGISTER, "Proposer._propose", _writes_over),
-    Planted("an older effect is taken", "fleet", "larkweir_owners.effects", "Followers.take", _takes_old),
-    Planted("a keeper takes any ballot", "fleet", "larkweir_owners.keeper", "Keeper._accept", _any_ballot),
+    Planted(
+        "an older effect is taken", "fleet", "larkweir_owners.effects", "StateReplicator.apply", _takes_old
+    ),
+    Planted(
+        "a keeper takes any ballot", "fleet", "larkweir_owners.keeper", "Acceptor._on_accept", _any_ballot
+    ),
     Planted(
         "SIGHUP is not carried out",
         "reload",
--- a/standins/world/system.py
+++ b/standins/world/system.py
@@ -214,7 +214,7 @@
     ("larkweir.coordination.owners", "Random", drawn),
     ("larkweir.coordination.owners", "randbits", randbits),
     ("larkweir.coordination.owners", "ThreadPoolExecutor", Pool),
-    ("larkweir.coordination.owners", "Folder", _folder),
+    ("larkweir.coordination.owners", "LockedFolder", _folder),
 )
 
 
--- a/tests/fleet/test_captures_rules.py
+++ b/tests/fleet/test_captures_rules.py
@@ -223,10 +223,10 @@
     copy = Copy()
     state = copy.duty.step(b"", 0.0)
     assert state is not None and copy.duty.step(state, 10.0) is None  # no sooner than a second later
-    copy.duty.took(state, (3, 4))
+    copy.duty.on_committed(state, (3, 4))
     assert copy.duty.notable()
     assert copy.duty.tick(50.0) == [] and copy.node.held.number == (3, 4)
-    copy.duty.took(state, (3, 3))
+    copy.duty.on_committed(state, (3, 3))
     assert not copy.duty.notable()
     copy.duty.tick(60.0)
     assert copy.node.held.number == (3, 4) and copy.node._leader == OWNER
@@ -241,7 +241,7 @@
         found = copy.duty.step(state, now)
         if found is not None:
             state = found
-            copy.duty.took(state, (1, second + 1))
+            copy.duty.on_committed(state, (1, second + 1))
             copy.duty.tick(now)
     rates = {key: (2**56 - th) / 2**56 for key, th in copy.node.held.table.thresholds.items()}
     assert (
@@ -258,9 +258,9 @@
     copy = Copy()
     state = copy.duty.step(b"", 0.0)
     assert state is not None
-    copy.duty.took(state, (1, 1))
+    copy.duty.on_committed(state, (1, 1))
     copy.duty.came("a:1", seen({5: 100_000}, 11_000), 5.0)
-    copy.duty.took(state, (2, 1))
+    copy.duty.on_committed(state, (2, 1))
     copy.duty.came("a:1", seen({5: 100_000}, 11_000), 6.0)  # nobody's, until it owns the duty again
     assert copy.duty.step(state, 10.0) is not None  # as one that has just begun
     assert copy.duty._coordinator is not None and copy.duty._coordinator.nodes == 0
@@ -283,6 +283,6 @@
     copy.duty.step(b"no table", 0.0)
     copy.duty.came("a:1", CaptureReport(7, b"nonsense"), 0.0)
     assert copy.duty.refused == 1
-    copy.duty.took(b"no table", (1, 1))
+    copy.duty.on_committed(b"no table", (1, 1))
     copy.duty.tick(200.0)
     assert copy.node.held.number == (0, 0)
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -69,7 +69,7 @@
     owner, state, version, now = works[0], b"", (1, 1), 0.0
     old: list[tuple[int, Report]] = []  # on its way: it may come late and more than once
     for work in works:
-        work.took(state, version)
+        work.on_committed(state, version)
     for _ in range(data.draw(st.integers(5, 25))):
         what = data.draw(st.sampled_from(("bad", "report", "report", "old", "step", "step", "term")))
         n = data.draw(st.integers(0, 2))
@@ -87,12 +87,12 @@
             if what == "term":
                 owner, version = works[n], (version[0] + 1, version[1] + 1)
                 for work in works:
-                    work.took(state, version)
+                    work.on_committed(state, version)
             told = owner.step(state, now)
             if told is not None:
                 state, version = told, (version[0], version[1] + 1)
                 for work in works:
-                    work.took(state, version)
+                    work.on_committed(state, version)
         for total in read(state).totals:
             seen = [sum(trial_of(router).logs[at] for router in routers) for at in range(LOGS)]
             bads = sum(trial_of(router).bads[1] for router in routers)
@@ -105,7 +105,7 @@
     works = [Verdicts(n, lambda n=n: routers[n]) for n in range(2)]  # type: ignore[misc]
     state = b""
     for work in works:
-        work.took(state, (1, 1))
+        work.on_committed(state, (1, 1))
         work.tick(0.0)
     bad(trial_of(routers[0]), 2)
     bad(trial_of(routers[1]), 2)
@@ -119,7 +119,7 @@
     assert read(state).ended and not read(state).totals
     assert "the fleet saw that it fails more: 100.0% of 4, beside 0.0% of 40" in read(state).ended[0][1]
     for n, work in enumerate(works):
-        work.took(state, (1, 2))
+        work.on_committed(state, (1, 2))
         assert work.notable() and not work.notable()
         work.tick(200.0)
         assert not routers[n].on_trial() and routers[n].weights(ROUTE, 1e9)["new"] == 0.0
@@ -141,7 +141,7 @@
         now = term * 5_000.0
         works[owner].came("gone", EvidenceReport(1, term - 1, 9, (evidence(key="old"),)), now)
         for n in copies:
-            works[n].took(state, (term, 1))
+            works[n].on_committed(state, (term, 1))
             works[n].tick(now)
             trial_of(lives[n]).failures.bad(True, 0)
             for _ in range(2):
@@ -163,7 +163,7 @@
 
 def test_older_reports_lives_and_terms_change_nothing() -> None:
     work = Verdicts(1, routes)
-    work.took(b"", (5, 1))
+    work.on_committed(b"", (5, 1))
     for life, term, number, count, expected in (
         (1, 5, 2, 10, 10),
         (1, 5, 1, 4, 10),  # older
@@ -182,14 +182,14 @@
 def test_a_copy_ends_alone_only_where_no_owner_watches_that_canary() -> None:
     router = routes()
     work = Verdicts(1, lambda: router)
-    work.took(b"", (1, 1))
+    work.on_committed(b"", (1, 1))
     (report,) = work.tick(0.0)
     work.tick(10.0)
     bad(trial_of(router), 2)
     work.came("copy", report, 10.0)
     assert trial_of(router).alone  # it is not named yet
     state = work.step(b"", 20.0) or b""
-    work.took(state, (1, 2))
+    work.on_committed(state, (1, 2))
     work.tick(100.0)
     bad(trial_of(router), 9)
     assert not trial_of(router).verdict
@@ -201,7 +201,7 @@
 def test_a_bad_end_is_told_soon_and_without_one_a_copy_looks_once_a_second() -> None:
     router, woken = routes(), []
     work = Verdicts(1, lambda: router, lambda: woken.append(work.next_ms))
-    work.took(b"", (1, 1))
+    work.on_committed(b"", (1, 1))
     work.tick(0.0)
     work.tick(2_000.0)  # told twice more
     work.tick(4_000.0)
@@ -219,7 +219,7 @@
 def test_a_copy_is_alone_when_the_last_beat_is_four_seconds_old_not_at_its_next_look() -> None:
     router = routes()
     work = Verdicts(1, lambda: router)
-    work.took(b"", (1, 1))
+    work.on_committed(b"", (1, 1))
     at = 300.0
     while at < OWNER_TIMEOUT_MS:
         work.tick(at)
@@ -241,7 +241,7 @@
 @pytest.mark.parametrize("row", BOUNDS)
 def test_what_no_copy_would_say_is_counted_and_dropped(row: Evidence) -> None:
     work = Verdicts(1, routes)
-    work.took(b"", (1, 1))
+    work.on_committed(b"", (1, 1))
     work.came("copy", EvidenceReport(1, 1, 1, (row,)), 0.0)
     assert work.refused == 1 and work.step(b"", 0.0) is None
 
@@ -249,7 +249,7 @@
 def test_states_reports_and_tables_are_bounded() -> None:
     assert unpack(b"\xc1") is None and read(b"\xc1") == verdicts.State() and ramps.read(b"x") == ramps.State()
     work = Verdicts(1, routes)
-    work.took(b"", (1, 1))
+    work.on_committed(b"", (1, 1))
     for n in range(3 * MOST_TRIALS):
         work.came("copy", EvidenceReport(1, 1, n, (evidence(key=f"{n:064}", logs=(10**8,) * LOGS),)), 0.0)
     state = work.step(b"", 0.0) or b""
@@ -257,7 +257,7 @@
     for n in range(MOST_COPIES + 5):
         work.came(f"{n}", EvidenceReport(1, 2, 1, (evidence(),)), 0.0)
     assert work.refused == MOST_TRIALS + 5
-    work.took(b"", (2, 1))
+    work.on_committed(b"", (2, 1))
     state = work.step(b"", 0.0) or b""
     assert [total.key for total in read(state).totals] == ["k"]
     assert not read(work.step(state, FORGET_MS) or state).totals
@@ -304,7 +304,7 @@
         now += rng.uniform(20.0, 120.0)
         if rng.random() < 0.01:
             owner, version = rng.choice(works), (version[0] + 1, version[1] + 1)
-            owner.took(states[-1][1], version)
+            owner.on_committed(states[-1][1], version)
             now += rng.uniform(0.0, 3000.0)  # nobody has it
         if rng.random() < 0.01:
             away[rng.randrange(4)] = now + rng.uniform(0.0, 8000.0)
@@ -319,7 +319,7 @@
         for n, work in enumerate(works):
             if away[n] <= now:
                 if told is not None or work.state != ramps.read(states[-1][1]):
-                    work.took(states[-1][1], version)
+                    work.on_committed(states[-1][1], version)
                 for report in work.tick(now):
                     owner.came(f"copy{n}", report, now)
             else:
@@ -337,7 +337,7 @@
 def test_the_fleet_begins_at_the_lowest_step_and_who_is_ahead_waits() -> None:
     router = routes(RAMP)
     work = Ramps(1, lambda: router)
-    work.took(b"", (1, 1))
+    work.on_committed(b"", (1, 1))
     work.tick(9_500.0)  # alone until now
     assert router.stepped[ROUTE] == 10
     key = next(iter(router.ramping()))
@@ -346,9 +346,9 @@
     assert work.step(b"", 9_700.0) is None
     state = work.step(b"", 10_100.0) or b""
     assert ramps.read(state).ramps == (Stepped(key, RAMP.ramp_ms, 4),)
-    work.took(state, (1, 2))
+    work.on_committed(state, (1, 2))
     work.tick(10_200.0)
-    work.took(state, (1, 3))
+    work.on_committed(state, (1, 3))
     work.tick(13_000.0)
     assert router.stepped[ROUTE] == 10 and work.tick(13_000.0) == []
     for more in (0.0, 250.0, 500.0):
--- a/tests/fleet/test_probers.py
+++ b/tests/fleet/test_probers.py
@@ -78,7 +78,7 @@
         self.work = Probers(1, "owner", self.field, lambda: probes)
         self.now, self.state, self.version = 0.0, b"", (1, 0)
         self.numbers: dict[str, int] = {}
-        self.work.took(self.state, self.version)
+        self.work.on_committed(self.state, self.version)
 
     def say(self, copy: str, *rows: Sighting) -> None:
         self.numbers[copy] = self.numbers.get(copy, 0) + 1
@@ -98,7 +98,7 @@
             if state is not None:
                 assert len(state) <= MOST_STATE
                 self.state, self.version = state, (self.version[0], self.version[1] + 1)
-                self.work.took(state, self.version)
+                self.work.on_committed(state, self.version)
         return {row.key: row for row in read(self.state).rows}
 
     def turn(self, key: bytes = KEY_A) -> tuple[bytes, ...]:
@@ -199,7 +199,7 @@
     desk.say(prober, Sighting(KEY_A, True, BAD, 0))
     desk.run()
     heir.state, heir.version = desk.state, (2, 0)
-    heir.work.took(heir.state, heir.version)
+    heir.work.on_committed(heir.state, heir.version)
     heir.work.tick(heir.now)
     heir.now += 900.0
     held = heir.run(100.0)[KEY_A]
@@ -272,14 +272,14 @@
     field = Field()
     work = Probers(1, "me", field, lambda: True)
     field.sees[KEY_A] = Known(True, BAD, 100.0)
-    work.took(encode(State(1, (Row(KEY_A, BAD, 700, (tag_of("me"),)),))), (1, 1))
+    work.on_committed(encode(State(1, (Row(KEY_A, BAD, 700, (tag_of("me"),)),))), (1, 1))
     work.tick(1_000.0)
     assert field.heard == [(KEY_A, NOTHING, 0.0, True), (KEY_A, BAD, 700.0, False)]
     field.heard.clear()
     work.tick(1_250.0)  # once each state is heard, and the turn at each look
     assert field.heard == [(KEY_A, NOTHING, 0.0, True)]
     field.heard.clear()
-    work.took(encode(State(1, (Row(KEY_A, BAD, 700, (tag_of("me"),)),))), (1, 2))  # a lease renewed
+    work.on_committed(encode(State(1, (Row(KEY_A, BAD, 700, (tag_of("me"),)),))), (1, 2))  # a lease renewed
     work.tick(1_500.0)
     assert field.heard == [(KEY_A, NOTHING, 0.0, True)]
     field.heard.clear()
@@ -300,12 +300,12 @@
             count += len(work.tick(now))
         return count
 
-    work.took(b"", (1, 1))
+    work.on_committed(b"", (1, 1))
     assert told(10_000.0, 0.0) == 3  # and twice more in case that was lost
-    work.took(b"", (2, 1))
+    work.on_committed(b"", (2, 1))
     assert told(10_000.0, 10_000.0) == 3
     state = encode(State(1, (Row(KEY_A, BAD, 0, (tag_of("me"),)),)))
-    work.took(state, (2, 2))
+    work.on_committed(state, (2, 2))
     assert 3 <= told(3_900.0, 20_000.0) <= 6
 
 
