--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -16,11 +16,11 @@
 from typing import Protocol, TypeVar
 
 from larkweir_balancing import Balancer
-from larkweir_owners.duty import DutyManager
-from larkweir_owners.keeper import Acceptor, AcceptorOutput, AcceptorState
-from larkweir_owners.keeper_file import AcceptorFile, LockedFolder
+from larkweir_owners.acceptor import Acceptor, AcceptorOutput, AcceptorState
+from larkweir_owners.acceptor_file import AcceptorFile, LockedFolder
+from larkweir_owners.duty_manager import DutyManager
+from larkweir_owners.leadership import LeaseTiming
 from larkweir_owners.messages import Incarnation, ReplicaSet, Version
-from larkweir_owners.terms import LeaseTiming
 from larkweir_peers.hands import Socket
 
 from larkweir.config.options import Operator
--- a/packages/owners/src/larkweir_owners/__init__.py
+++ b/packages/owners/src/larkweir_owners/__init__.py
@@ -1,1 +1,3 @@
-"""One owner at a time for each duty of a fleet. Import what is used by module: `duty`, `keeper_file`, `ports`."""
+"""One owner at a time for each singleton task ("duty") of a fleet. Import by module: `duty_manager`, `acceptor_file`,
+`ports` and so on.
+"""
--- a/packages/owners/src/larkweir_owners/keeper_file.py
+++ b/packages/owners/src/larkweir_owners/acceptor_file.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from larkweir_owners.keeper import (
+from larkweir_owners.acceptor import (
     AcceptorState,
     IncarnationEntry,
     LogEntry,
--- a/packages/owners/src/larkweir_owners/duty.py
+++ b/packages/owners/src/larkweir_owners/duty_manager.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from larkweir_owners.effects import Sampler, StateReplicator
-from larkweir_owners.keeper import Acceptor, AcceptorOutput
+from larkweir_owners.acceptor import Acceptor, AcceptorOutput
+from larkweir_owners.leadership import Leadership, LeaseTiming, Phase
 from larkweir_owners.messages import (
     Accept,
     Accepted,
@@ -36,11 +36,11 @@
     decode,
     encode,
 )
-from larkweir_owners.place import preference_order
+from larkweir_owners.placement import preference_order
 from larkweir_owners.ports import Duty, Transport
-from larkweir_owners.register import Proposer
-from larkweir_owners.sets import ReplicaSetChange
-from larkweir_owners.terms import Leadership, LeaseTiming, Phase
+from larkweir_owners.proposer import Proposer
+from larkweir_owners.replica_set_change import ReplicaSetChange
+from larkweir_owners.state_replicator import Sampler, StateReplicator
 
 CANDIDATES = 3  # processes that watch a duty
 PLACEMENT_INTERVAL_MS = 1000.0  # between two looks at who is alive
--- a/packages/owners/src/larkweir_owners/sets.py
+++ b/packages/owners/src/larkweir_owners/replica_set_change.py
@@ -27,7 +27,7 @@
     encode,
 )
 from larkweir_owners.ports import Outcome, Result, Transport
-from larkweir_owners.register import Proposer
+from larkweir_owners.proposer import Proposer
 
 SETS_KEY = "\0keepers"
 RESEND_MS = 300.0
--- a/packages/owners/tests/explore_owners.py
+++ b/packages/owners/tests/explore_owners.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from larkweir_owners.keeper import Acceptor, AcceptorState, fingerprint
+from larkweir_owners.acceptor import Acceptor, AcceptorState, fingerprint
 from larkweir_owners.messages import (
     Accept,
     Accepted,
@@ -34,7 +34,7 @@
     decode,
 )
 from larkweir_owners.ports import Outcome, Result
-from larkweir_owners.register import Operation, Proposer
+from larkweir_owners.proposer import Operation, Proposer
 
 KEY = "d"
 NAMES = ("k0", "k1", "k2")
--- a/packages/owners/tests/fleet_owners.py
+++ b/packages/owners/tests/fleet_owners.py
@@ -8,8 +8,7 @@
 from random import Random
 from typing import Any
 
-from larkweir_owners.duty import DutyManager
-from larkweir_owners.keeper import (
+from larkweir_owners.acceptor import (
     Acceptor,
     AcceptorOutput,
     AcceptorState,
@@ -18,9 +17,10 @@
     SlotEntry,
     fingerprint,
 )
+from larkweir_owners.duty_manager import DutyManager
+from larkweir_owners.leadership import LeaseTiming, Phase
 from larkweir_owners.messages import Accepted, Ballot, Record, ReplicaSet, Version
 from larkweir_owners.ports import Outcome, Result
-from larkweir_owners.terms import LeaseTiming, Phase
 from larkweir_simulated import Network
 
 
--- a/packages/owners/tests/test_owners_file.py
+++ b/packages/owners/tests/test_owners_file.py
@@ -5,8 +5,8 @@
 from itertools import product
 
 import pytest
-from larkweir_owners import keeper_file
-from larkweir_owners.keeper import (
+from larkweir_owners import acceptor_file
+from larkweir_owners.acceptor import (
     Acceptor,
     AcceptorState,
     IncarnationEntry,
@@ -17,7 +17,7 @@
     SlotEntry,
     fingerprint,
 )
-from larkweir_owners.keeper_file import AcceptorFile, LockedFolder, decode_file
+from larkweir_owners.acceptor_file import AcceptorFile, LockedFolder, decode_file
 from larkweir_owners.messages import Record, ReplicaSet
 
 SET = ReplicaSet(1, ("a", "b", "c"))
@@ -145,7 +145,7 @@
 def test_what_was_promised_is_there_after_a_crash_at_any_call(
     compact: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(keeper_file, "MIN_COMPACT_BYTES", compact)
+    monkeypatch.setattr(acceptor_file, "MIN_COMPACT_BYTES", compact)
     known = states()
     seen = 0
     for fail_at in range(1, 100):
@@ -177,7 +177,7 @@
 
 
 def test_a_folder_is_read_again_and_a_torn_tail_is_cut(tmp_path, monkeypatch: pytest.MonkeyPatch) -> None:  # type: ignore[no-untyped-def]
-    monkeypatch.setattr(keeper_file, "MIN_COMPACT_BYTES", 64)
+    monkeypatch.setattr(acceptor_file, "MIN_COMPACT_BYTES", 64)
     folder = str(tmp_path / "k")
     file = AcceptorFile(LockedFolder(folder), SET, lambda: 77)
     file.open()
@@ -201,9 +201,9 @@
 
 def test_a_file_that_is_written_anew_says_the_same() -> None:
     for disk in states():
-        data = keeper_file.encode_header(disk.disk_id)
+        data = acceptor_file.encode_header(disk.disk_id)
         for serial, entry in enumerate(disk.entries(), 1):
-            data += keeper_file.encode_frame(serial, entry)
+            data += acceptor_file.encode_frame(serial, entry)
         found = decode_file(data, SET)
         assert found is not None and found[0] == disk
 
--- a/packages/owners/tests/test_owners_golden.py
+++ b/packages/owners/tests/test_owners_golden.py
@@ -7,8 +7,8 @@
 from typing import get_args
 
 import pytest
-from larkweir_owners import keeper_file
-from larkweir_owners.keeper import (
+from larkweir_owners import acceptor_file
+from larkweir_owners.acceptor import (
     AcceptorState,
     IncarnationEntry,
     LogEntry,
@@ -18,7 +18,7 @@
     SlotEntry,
     fingerprint,
 )
-from larkweir_owners.keeper_file import AcceptorFile, LockedFolder, decode_file
+from larkweir_owners.acceptor_file import AcceptorFile, LockedFolder, decode_file
 from larkweir_owners.messages import (
     Accept,
     Accepted,
@@ -135,7 +135,7 @@
 
 
 def test_a_file_that_is_long_is_rewritten_as_before(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(keeper_file, "MIN_COMPACT_BYTES", 1)
+    monkeypatch.setattr(acceptor_file, "MIN_COMPACT_BYTES", 1)
     file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST, lambda: 2**62 + 1)
     file.open()
     assert file.append(ENTRIES)
--- a/packages/owners/tests/test_owners_rules.py
+++ b/packages/owners/tests/test_owners_rules.py
@@ -10,8 +10,7 @@
 from fleet_owners import Checker, Fleet
 from hypothesis import given
 from hypothesis import strategies as st
-from larkweir_owners.effects import StateReplicator
-from larkweir_owners.keeper import Acceptor, AcceptorState, Slot, fingerprint
+from larkweir_owners.acceptor import Acceptor, AcceptorState, Slot, fingerprint
 from larkweir_owners.messages import (
     MAX_BATCH_BYTES,
     MAX_MESSAGE_BYTES,
@@ -35,9 +34,10 @@
     decode,
     encode,
 )
-from larkweir_owners.place import preference_order
+from larkweir_owners.placement import preference_order
 from larkweir_owners.ports import OnResult, Outcome, Result
-from larkweir_owners.register import Proposer
+from larkweir_owners.proposer import Proposer
+from larkweir_owners.state_replicator import StateReplicator
 
 SET = ReplicaSet(1, ("k0", "k1", "k2"))
 NEW = Record(1, 1, "p", 9, value=b"x")
--- a/packages/owners/tests/test_owners_seeds.py
+++ b/packages/owners/tests/test_owners_seeds.py
@@ -9,9 +9,9 @@
 
 import pytest
 from fleet_owners import BrokenError, Fleet
-from larkweir_owners.keeper import fingerprint
+from larkweir_owners.acceptor import fingerprint
+from larkweir_owners.leadership import LeaseTiming, Phase
 from larkweir_owners.messages import Record
-from larkweir_owners.terms import LeaseTiming, Phase
 
 
 @pytest.mark.parametrize("first", range(0, 24, 4))
--- a/standins/duties.py
+++ b/standins/duties.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from larkweir_owners.duty import DutyManager
-from larkweir_owners.keeper import Acceptor, AcceptorOutput, AcceptorState
+from larkweir_owners.acceptor import Acceptor, AcceptorOutput, AcceptorState
+from larkweir_owners.duty_manager import DutyManager
+from larkweir_owners.leadership import LeaseTiming, Phase
 from larkweir_owners.messages import Record, ReplicaSet
-from larkweir_owners.terms import LeaseTiming, Phase
 from larkweir_peers.pace import Bucket, Pace
 from larkweir_peers.parts import cut
 from larkweir_peers.peers import Peers
--- a/standins/world/disk.py
+++ b/standins/world/disk.py
@@ -1,4 +1,4 @@
-"""A keeper's folder on a simulated disk (`larkweir_owners.keeper_file.FileSystem`): what was not flushed may be lost
+"""A keeper's folder on a simulated disk (`larkweir_owners.acceptor_file.FileSystem`): what was not flushed may be lost
 whole or torn when its machine goes; a full disk fails.
 """
 
--- a/standins/world/planted.py
+++ b/standins/world/planted.py
@@ -110,7 +110,7 @@
 
 def _any_ballot(real: Any) -> Any:
     def accept(self: Any, source: str, item: Any, step: Any) -> None:
-        from larkweir_owners.keeper import Slot
+        from larkweir_owners.acceptor import Slot
 
         slot = self.state.slots.get(item.key, Slot())
         if item.ballot != slot.promised_ballot:
@@ -246,7 +246,7 @@
 DAEMON, CALL, REGISTER = (
     "larkweir.lifecycle.daemon",
     "larkweir.upstreams.attempt_call",
-    "larkweir_owners.register",
+    "larkweir_owners.proposer",
 )
 
 FAULTS: tuple[Planted, ...] = (
@@ -305,10 +305,14 @@
     Planted("one in fifty is answered twice", "calm", CALLERS, "CallerConnection._answered", _answers_twice),
     Planted("a register's write compares nothing", "fleet", REGISTER, "Proposer._propose", _writes_over),
     Planted(
-        "an older effect is taken", "fleet", "larkweir_owners.effects", "StateReplicator.apply", _takes_old
+        "an older effect is taken",
+        "fleet",
+        "larkweir_owners.state_replicator",
+        "StateReplicator.apply",
+        _takes_old,
     ),
     Planted(
-        "a keeper takes any ballot", "fleet", "larkweir_owners.keeper", "Acceptor._on_accept", _any_ballot
+        "a keeper takes any ballot", "fleet", "larkweir_owners.acceptor", "Acceptor._on_accept", _any_ballot
     ),
     Planted(
         "SIGHUP is not carried out",
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -45,7 +45,7 @@
     "larkweir_edits",
     "larkweir_edits.log",
     "larkweir_owners",
-    "larkweir_owners.keeper_file",
+    "larkweir_owners.acceptor_file",
     "larkweir_peers",
     "larkweir_peers.hands",
     "larkweir_quotas",
