--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -31,7 +31,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "packages" / "owners" / "tests"))
 
 from fleet_owners import BrokenError, Fleet, Process
-from larkweir_owners.leadership import LeaseTiming
+from larkweir_owners.lease_timing import LeaseTiming
 
 KEY = "duty0"
 
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -16,10 +16,12 @@
 from typing import Protocol, TypeVar
 
 from larkweir_balancing import Balancer
-from larkweir_owners.acceptor import Acceptor, AcceptorOutput, AcceptorState
-from larkweir_owners.acceptor_file import AcceptorFile, LockedFolder
+from larkweir_owners.acceptor import Acceptor
+from larkweir_owners.acceptor_file import AcceptorFile
+from larkweir_owners.acceptor_state import AcceptorOutput, AcceptorState
 from larkweir_owners.duty_manager import DutyManager
-from larkweir_owners.leadership import LeaseTiming
+from larkweir_owners.file_system import LockedFolder
+from larkweir_owners.lease_timing import LeaseTiming
 from larkweir_owners.messages import Incarnation, ReplicaSet, Version
 from larkweir_peers.hands import Socket
 
@@ -439,18 +441,19 @@
             return {"owners": "closed" if self._closed else self._trouble.replace(" ", "-") or "waiting"}
         status = self.owners.status()
         duties = ",".join(
-            f"{name}:{of['phase']}:{of['owner'] or 'nobody'}:{of['term']}.{of['number']}"
-            for name, of in status["duties"].items()
+            f"{name}:{of.phase}:{of.owner or 'nobody'}:{of.term}.{of.number}"
+            for name, of in status.duties.items()
         )
         found: dict[str, object] = {
             "owners": duties or "none",
-            "owners_majority": int(status["majority"]),
-            "owners_keeper": status["keeper"] or "no",
-            "owners_epoch": status["epoch"],
+            "owners_majority": int(status.has_majority),
+            "owners_keeper": status.mode or "no",
+            "owners_epoch": status.epoch,
         }
-        wrong = {name: status[name] for name in ("late", "dropped") if status[name]}
-        wrong |= {f"{name}_failed": of["failed"] for name, of in status["duties"].items() if of["failed"]}
-        return found | {"owners_dropped": ",".join(f"{name}:{n}" for name, n in wrong.items()) or "0"}
+        wrong = {"late": status.stale_updates, "dropped": status.dropped}
+        wrong |= {f"{name}_failed": of.failed_steps for name, of in status.duties.items()}
+        told = ",".join(f"{name}:{count}" for name, count in wrong.items() if count)
+        return found | {"owners_dropped": told or "0"}
 
 
 def _opened(file: AcceptorFile) -> AcceptorState | str:
--- a/packages/owners/src/larkweir_owners/duty_manager.py
+++ b/packages/owners/src/larkweir_owners/duty_manager.py
@@ -1,17 +1,20 @@
-"""All duties at one process: registers, terms, followers, and the keeper if this process is one.
+"""All duties at one process: its part in each, the replicated states, and the acceptor if the process is a replica.
 
-Calls go in by `came` and `tick`; what goes out goes by the Mail that it was handed, but for what a keeper says, which
-rests on its disk: `take` gives steps, and each must be flushed before `flushed` is called with it, in their order.
+Messages and time go in by `on_message` and `tick`. What goes out goes by the transport, except for an acceptor's
+answers, which rest on its disk: `take_outputs` returns outputs, and the driver flushes the entries of each and then
+calls `on_flushed`, in their order. Pure logic.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Iterable, Sequence
-from typing import Any
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 
-from larkweir_owners.acceptor import Acceptor, AcceptorOutput
-from larkweir_owners.leadership import Leadership, LeaseTiming, Phase
+from larkweir_owners.acceptor import Acceptor
+from larkweir_owners.acceptor_state import AcceptorOutput
+from larkweir_owners.leadership import Leadership
+from larkweir_owners.lease_timing import LeaseTiming, Phase
 from larkweir_owners.messages import (
     Accept,
     Accepted,
@@ -32,10 +35,10 @@
     ReplicaSet,
     SetAdopted,
     StateUpdates,
-    batched,
     decode,
     encode,
 )
+from larkweir_owners.outbox import MAX_INBOX_MESSAGES, Outbox
 from larkweir_owners.placement import preference_order
 from larkweir_owners.ports import Duty, Transport
 from larkweir_owners.proposer import Proposer
@@ -43,48 +46,37 @@
 from larkweir_owners.state_replicator import Sampler, StateReplicator
 
 CANDIDATES = 3  # processes that watch a duty
-PLACEMENT_INTERVAL_MS = 1000.0  # between two looks at who is alive
-MAX_BATCHED_MESSAGES = 64  # small items in one
-MAX_INBOX_MESSAGES = 1024  # items from this process to itself, and steps not flushed yet
-
-
-class _Outbox:
-    """Mail that also reaches this process itself. Between `gather` and `send` it holds what goes out, so that small
-    items to one process go as one."""
-
-    def __init__(self, me: str, transport: Transport, inbox: deque[bytes]) -> None:
-        self._me, self._transport, self._inbox = me, transport, inbox
-        self._gathered: dict[str, list[bytes]] = {}
-        self._is_gathering = False
-
-    def gather(self) -> None:
-        self._is_gathering = True
-
-    def send(self) -> None:
-        self._is_gathering = False
-        held, self._gathered = self._gathered, {}
-        for to, items in held.items():
-            for message in batched(items):
-                self._transport.post(to, message)
-
-    def post(self, to: str, message: bytes) -> bool:
-        """What is held counts as sent: whoever posts an item bears its loss anyway."""
-        if to != self._me:
-            if not self._is_gathering:
-                return self._transport.post(to, message)
-            self._gathered.setdefault(to, []).append(message)
-            return True
-        if len(self._inbox) >= MAX_INBOX_MESSAGES:
-            return False
-        self._inbox.append(message)
-        return True
-
-    def alive(self) -> Sequence[str]:
-        return self._transport.alive()
+PLACEMENT_INTERVAL_MS = 1000.0  # between two looks at which processes are alive
+MAX_BATCHED_MESSAGES = 64
+SUSPENDED = "rests"  # in STATUS, in place of a phase
+
+
+@dataclass(frozen=True, slots=True)
+class DutyStatus:
+    """One duty as this process sees it. `phase`: a value of `Phase`, or `SUSPENDED`."""
+
+    phase: str
+    owner: str
+    term: int
+    number: int
+    rejected: int
+    failed_steps: int
+
+
+@dataclass(frozen=True, slots=True)
+class ManagerStatus:
+    """All of it, for STATUS. `mode`: of the acceptor, "" where the process is no replica."""
+
+    duties: dict[str, DutyStatus]
+    has_majority: bool
+    epoch: int
+    mode: str
+    stale_updates: int
+    dropped: int
 
 
 class DutyManager:
-    """`spread`: a number from 0 to 1; `pick`: so many of a list, at random; `life`: random, made at each start."""
+    """Which duties this process owns, and what it holds of all of them."""
 
     def __init__(
         self,
@@ -99,13 +91,15 @@
         acceptor: Acceptor | None = None,
         held: Iterable[tuple[str, Record]] = (),
     ) -> None:
+        """`incarnation`: random, made at each start; `jitter`: returns a number from 0 to 1; `sample`: so many of a
+        list, at random; `held`: records of an earlier incarnation, from a store.
+        """
         self.me = me
         self.acceptor = acceptor
         self.timing = timing if timing is not None else LeaseTiming()
-        self._inbox: deque[bytes] = deque()
         self._outputs: deque[AcceptorOutput] = deque()
-        self._unflushed = 0  # steps not flushed yet, taken or not
-        self._outbox = _Outbox(me, transport, self._inbox)
+        self._unflushed = 0  # outputs not flushed yet, taken or not
+        self._outbox = Outbox(me, transport)
         if acceptor is not None and acceptor.state.replica_set.epoch > replica_set.epoch:
             replica_set = acceptor.state.replica_set
         self.proposer = Proposer(me, incarnation, replica_set, self._outbox, jitter)
@@ -115,29 +109,18 @@
         self.set_change = ReplicaSetChange(self.proposer, self._outbox)
         self.duties = {duty.name: duty for duty in duties}
         self.leaderships = {
-            name: Leadership(
-                duty,
-                (me, incarnation),
-                self.proposer,
-                self.timing,
-                self.replicator.announce,
-                self.replicator.version,
-                self.replicator.notify_preferred_owner,
-                self._on_renewed,
-            )
+            name: Leadership(duty, (me, incarnation), self.proposer, self.timing, self.replicator)
             for name, duty in self.duties.items()
         }
-        self._candidates: dict[str, list[str]] = {}
         self.is_draining = False
         self.dropped = 0
-        self.failed = 0  # duties that raised when they were told
+        self.failed_commits = 0  # calls of `Duty.on_committed` that raised
         self._placement_ms = 0.0
-        self._now_ms = 0.0
 
-    # In
+    # ------------------------------------------------ in
 
     def on_message(self, source: str, message: bytes, now_ms: float) -> None:
-        self._now_ms = now_ms
+        """Handle a message of another process; one that can't be decoded is counted and dropped."""
         self.proposer.set_time(now_ms)
         self._outbox.gather()
         self._on_data(source, message, now_ms)
@@ -145,7 +128,7 @@
         self._outbox.send()
 
     def tick(self, now_ms: float) -> None:
-        self._now_ms = now_ms
+        """Do what is due at `next_ms`."""
         self.proposer.set_time(now_ms)
         self._outbox.gather()
         if now_ms >= self._placement_ms:
@@ -173,30 +156,31 @@
             leadership.wake(now_ms)
 
     def on_lag(self, lag_ms: float, now_ms: float) -> None:
-        """The loop came so late to its turns: where that is much of a lease, this process gives up what it owns."""
+        """The event loop came late by `lag_ms`: above `LeaseTiming.max_lag_ms` this process releases its duties."""
         if lag_ms > self.timing.max_lag_ms:
             for leadership in self.leaderships.values():
-                leadership.release(now_ms, self.timing.lease_ms * self.timing.settle_leases)
+                leadership.release(now_ms, self.timing.settle_ms)
 
     def drain(self, now_ms: float) -> None:
-        """Hand over all duties, and take none from now on. Done when `owned` is empty."""
+        """Hand over all duties, and acquire none from now on. Done when `owned_duties` is empty."""
         self.is_draining = True
         for leadership in self.leaderships.values():
             leadership.release(now_ms, float("inf"))
         self.tick(now_ms)
 
     def resume(self, now_ms: float) -> None:
-        """After `drain`: it may take duties again."""
+        """After `drain`: acquire duties again."""
         self.is_draining = False
         for leadership in self.leaderships.values():
             leadership.resume()
         self._placement_ms = now_ms
         self.tick(now_ms)
 
-    # Out
+    # ------------------------------------------------ out
 
     @property
     def next_ms(self) -> float:
+        """When `tick` is due."""
         due = [self._placement_ms, self.proposer.next_ms, self.replicator.next_ms, self.set_change.next_ms]
         due.extend(leadership.next_ms for leadership in self.leaderships.values())
         if self.acceptor is not None:
@@ -205,94 +189,88 @@
 
     @property
     def owned_duties(self) -> list[str]:
+        """Names of the duties that this process believes to own."""
         return [name for name, leadership in self.leaderships.items() if leadership.is_owner]
 
     def take_outputs(self) -> list[AcceptorOutput]:
-        """Steps of the keeper, to be flushed in this order."""
-        steps = list(self._outputs)
+        """Outputs of the acceptor, to be flushed in this order."""
+        outputs = list(self._outputs)
         self._outputs.clear()
-        return steps
+        return outputs
 
     def on_flushed(self, output: AcceptorOutput, now_ms: float) -> None:
-        """What the step wanted flushed is on disk: what it says may be sent. Once for each step, in their order."""
+        """The entries of an output are on disk: its messages may be sent. Once for each output, in their order."""
         self.on_all_flushed((output,), now_ms)
 
-    def on_all_flushed(self, steps: Iterable[AcceptorOutput], now_ms: float) -> None:
-        """As `flushed` of each, in their order: what they say to one process goes together."""
+    def on_all_flushed(self, outputs: Iterable[AcceptorOutput], now_ms: float) -> None:
+        """As `on_flushed` of each, in their order; messages to one process go together."""
         self._outbox.gather()
-        for output in steps:
+        for output in outputs:
             self._unflushed -= 1
-            for to, message in output.messages:
-                self._outbox.post(to, encode(message))
+            self._send_all(output)
         self._drain_inbox(now_ms)
         self._outbox.send()
 
     def on_flush_failed(self) -> None:
-        """The keeper stops voting, and nothing of what waited is sent."""
+        """The acceptor stops voting, and none of the pending messages is sent."""
         if self.acceptor is not None:
             self.acceptor.on_disk_failed()
         self._outputs.clear()
 
-    def status(self) -> dict[str, Any]:
-        """For STATUS: by duty its owner, term, number and this process's part; the keeper's state."""
-        duties = {}
-        for name, leadership in self.leaderships.items():
-            record = leadership.record or self.replicator.records.get(name)
-            duties[name] = {
-                "phase": "rests" if leadership.is_suspended else leadership.phase.value,
-                "owner": record.owner if record is not None else "",
-                "term": record.term if record is not None else 0,
-                "number": record.number if record is not None else 0,
-                "refused": leadership.rejected,
-                "failed": leadership.failed_steps,
-            }
+    def status(self) -> ManagerStatus:
+        """The state of each duty and of the acceptor, for STATUS."""
         asked = [
             leadership
             for leadership in self.leaderships.values()
             if leadership.phase is not Phase.WATCHING or leadership.record
         ]
-        return {
-            "duties": duties,
-            "majority": any(leadership.has_majority for leadership in asked),
-            "keepers": self.proposer.replica_set.names,
-            "epoch": self.proposer.replica_set.epoch,
-            "keeper": self.acceptor.mode if self.acceptor is not None else "",
-            "late": self.replicator.stale,
-            "dropped": self.dropped + self.proposer.dropped,
-        }
+        return ManagerStatus(
+            {name: self._status_of(name, leadership) for name, leadership in self.leaderships.items()},
+            any(leadership.has_majority for leadership in asked),
+            self.proposer.replica_set.epoch,
+            self.acceptor.mode if self.acceptor is not None else "",
+            self.replicator.stale,
+            self.dropped + self.proposer.dropped,
+        )
 
-    # Inside
+    def _status_of(self, name: str, leadership: Leadership) -> DutyStatus:
+        record = leadership.record or self.replicator.records.get(name)
+        return DutyStatus(
+            SUSPENDED if leadership.is_suspended else leadership.phase.value,
+            record.owner if record is not None else "",
+            record.term if record is not None else 0,
+            record.number if record is not None else 0,
+            leadership.rejected,
+            leadership.failed_steps,
+        )
+
+    # ------------------------------------------------ messages
 
     def _drain_inbox(self, now_ms: float) -> None:
+        """Handle what this process has sent to itself."""
         for _ in range(MAX_INBOX_MESSAGES):
-            if not self._inbox:
+            if not self._outbox.inbox:
                 return
-            self._on_data(self.me, self._inbox.popleft(), now_ms)
+            self._on_data(self.me, self._outbox.inbox.popleft(), now_ms)
 
     def _on_data(self, source: str, data: bytes, now_ms: float) -> None:
         message = decode(data)
         if isinstance(message, Batch):
-            for each in message.items[:MAX_BATCHED_MESSAGES]:
-                inner = decode(each)
+            for item in message.items[:MAX_BATCHED_MESSAGES]:
+                inner = decode(item)
                 self._handle(source, None if isinstance(inner, Batch) else inner, now_ms)
         else:
             self._handle(source, message, now_ms)
 
     def _handle(self, source: str, message: AnyMessage | None, now_ms: float) -> None:
         match message:
-            case (
-                ReadRequest()
-                | Prepare()
-                | Accept()
-                | RecoveryQuery()
-                | RecoveryReply()
-                | CatchUpRequest()
-                | CatchUpPage()
-                | AdoptSet()
-            ):
+            case ReadRequest() | Prepare() | Accept():
+                self._to_acceptor(source, message)
+            case RecoveryQuery() | CatchUpRequest() | CatchUpPage() | AdoptSet():
+                self._to_acceptor(source, message)
+            case RecoveryReply():
                 self._to_acceptor(source, message)
-                if isinstance(message, RecoveryReply):
-                    self.set_change.on_message(source, message, now_ms)
+                self.set_change.on_message(source, message, now_ms)
             case ReadReply() | Promised() | Accepted() | Rejected():
                 self.proposer.on_message(source, message, now_ms)
             case SetAdopted():
@@ -317,31 +295,34 @@
 
     def _on_output(self, output: AcceptorOutput) -> None:
         if output.entries or (output.messages and self._unflushed):
-            # An answer without news of its own may tell of what is not on disk yet: it waits its turn
+            # An answer without entries of its own may rest on some that are not on disk yet: it waits its turn
             self._outputs.append(output)
             self._unflushed += 1
         else:
-            for to, message in output.messages:
-                self._outbox.post(to, encode(message))
+            self._send_all(output)
+
+    def _send_all(self, output: AcceptorOutput) -> None:
+        for to, message in output.messages:
+            self._outbox.post(to, encode(message))
+
+    # ------------------------------------------------ duties
 
     def _place_duties(self) -> None:
+        """Rank the processes that are alive for each duty."""
         alive = set(self._outbox.alive())
         alive.add(self.me)
         for name, leadership in self.leaderships.items():
             order = preference_order(name, alive, CANDIDATES + 1)
-            self._candidates[name] = [other for other in order[:CANDIDATES] if other != self.me]
-            rank = order.index(self.me) if self.me in order[:CANDIDATES] and not self.is_draining else None
+            candidates = order[:CANDIDATES]
+            self.replicator.set_watchers(name, [other for other in candidates if other != self.me])
+            is_candidate = self.me in candidates and not self.is_draining
+            rank = order.index(self.me) if is_candidate else None
             leadership.set_preference(rank, next((other for other in order if other != self.me), ""))
 
-    def _on_renewed(self, key: str, record: Record) -> None:
-        """Those that watch are told by the owner itself, so that they need not read. Nobody passes that on."""
-        for name in self._candidates.get(key, ()):
-            self._outbox.post(name, encode(StateUpdates(((key, record),))))
-
     def _on_applied(self, key: str, record: Record) -> None:
         duty = self.duties.get(key)
         if duty is not None:
             try:
                 duty.on_committed(record.value, record.version)
             except Exception:  # a duty's fault ends no process
-                self.failed += 1
+                self.failed_commits += 1
--- /dev/null
+++ b/packages/owners/src/larkweir_owners/errors.py
@@ -0,0 +1,21 @@
+"""The exceptions of this package: `OwnersError` is the root of all of them."""
+
+from __future__ import annotations
+
+
+class OwnersError(Exception):
+    """Something that this package can't do, with what was wrong in the message."""
+
+
+class InvalidWriteError(OwnersError, ValueError):
+    """A write to a register that no replica could accept: its version is not above the expected one, or its key or
+    value is too long.
+    """
+
+
+class FolderInUseError(OwnersError, OSError):
+    """Another process holds the lock on an acceptor's folder (`errno` is EBUSY)."""
+
+
+class FileTooLargeError(OwnersError, OSError):
+    """A file is larger than any acceptor's file can be (`errno` is EFBIG)."""
--- a/packages/owners/src/larkweir_owners/replica_set_change.py
+++ b/packages/owners/src/larkweir_owners/replica_set_change.py
@@ -1,17 +1,19 @@
-"""The set of keepers changes by one keeper at a time, by the registers themselves.
+"""The replica set changes by one replica at a time, by the registers themselves.
 
-1. The next set (epoch + 1, with the one before) is written to a register of its own, by a majority of the present set.
-2. Keepers adopt it until a majority of each set has: from then on none of the old epoch can count.
+1. The next set (epoch + 1, with the names before) is written to a register of its own, by a majority of the present
+   set.
+2. Replicas adopt it until a majority of each set has: from then on nothing of the old epoch can count.
 3. Each key that those of the old set hold is read and accepted anew by a majority of the new set.
-4. The register is written once more, without the set before: only then may the next change begin.
+4. The register is written once more, without the names before: only then may the next change begin.
 
-Two sets that differ by one keeper have no two majorities apart, so reads and writes go on meanwhile. Whoever finds a
-change that its beginner left undone can carry it on (`resume`).
+Two sets that differ by one replica have no two majorities apart, so reads and writes go on meanwhile. Whoever finds a
+change that was abandoned can carry it on (`resume`). Pure logic.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import StrEnum
 
 import msgspec
 
@@ -24,118 +26,134 @@
     RecoveryReply,
     ReplicaSet,
     SetAdopted,
+    Version,
     encode,
 )
 from larkweir_owners.ports import Outcome, Result, Transport
 from larkweir_owners.proposer import Proposer
 
-SETS_KEY = "\0keepers"
+SETS_KEY = "\0keepers"  # of the register that holds the replica set
 RESEND_MS = 300.0
-CHANGE_TIMEOUT_MS = 20_000.0  # a change that stands still for longer is left undone, and can be resumed
-SETTLED_SENDS = (
-    4  # times that a settled set is told; a keeper that misses all goes on as if it were not settled
-)
-INCARNATIONS_PER_EPOCH = 1 << 20  # a new keeper's lives are numbered from its epoch times this
+CHANGE_TIMEOUT_MS = 20_000.0  # a change without progress for longer is abandoned, and can be resumed
+SETTLED_SENDS = 4  # of a settled set; a replica that misses all goes on as if it were not settled
+INCARNATIONS_PER_EPOCH = (
+    1 << 20
+)  # the incarnations of an added replica are numbered from its epoch times this
+MAX_REPLICAS = 7
+NO_MAJORITY = "no majority of the new set; resume when there is one"
+
+
+class ChangeState(StrEnum):
+    """What a change waits for. The values are in the fault of one that is abandoned."""
+
+    IDLE = ""
+    ASKING = "asking the new one"
+    READING = "reading"
+    WRITING = "writing"
+    ADOPTING = "adopting"
+    REWRITING = "rewriting"
+    SETTLING = "settling"
 
 
 class ReplicaSetChange:
-    """At most one change at a time. `state`: "" when none is under way, else what it waits for; `fault`: how the last
-    one ended, "" when well."""
+    """At most one change at a time. `fault`: how the last one ended, "" where it succeeded."""
 
     def __init__(self, proposer: Proposer, transport: Transport) -> None:
         self.next_ms = float("inf")
-        self.state = ""
+        self.state = ChangeState.IDLE
         self.fault = ""
         self._proposer, self._transport = proposer, transport
         self._now_ms = 0.0
         self._deadline_ms = 0.0
         self._names: tuple[str, ...] = ()
-        self._added_name = ""  # the keeper that is added
+        self._added_name = ""  # the replica that is added
         self._added_disk_id = 0
         self._next_set: ReplicaSet | None = None
-        self._adopted_up_to: dict[str, str | None] = {}  # from whom, keys up to which; None when all
+        self._adopted_up_to: dict[str, str | None] = {}  # by replica, the last key; None when it has sent all
         self._keys: set[str] = set()
         self._settled_names: set[str] = set()
         self._sends_left = 0
         self._on_end: Callable[[str], None] = lambda fault: None
 
     def begin(self, names: tuple[str, ...], on_end: Callable[[str], None], now_ms: float) -> str:
-        """One name more or one less than now. "", or why it can't be begun; `then` gets the fault, "" when done."""
+        """Change to a set of one name more or one less. Returns "", or why the change can't be begun; `on_end` gets the
+        fault, "" where it succeeded.
+        """
         present = self._proposer.replica_set
         added, removed = set(names) - set(present.names), set(present.names) - set(names)
         if self.state:
             return "a change is under way"
-        if len(names) != len(set(names)) or len(added) + len(removed) != 1 or not 1 <= len(names) <= 7:
+        is_by_one = len(names) == len(set(names)) and len(added) + len(removed) == 1
+        if not is_by_one or not 1 <= len(names) <= MAX_REPLICAS:
             return "a change is one keeper more or one less, of 1 to 7"
         self._names, self._added_name = tuple(sorted(names)), next(iter(added), "")
-        self._start("asking the new one" if self._added_name else "reading", on_end, now_ms)
+        self._start(ChangeState.ASKING if self._added_name else ChangeState.READING, on_end, now_ms)
         return ""
 
     def resume(self, on_end: Callable[[str], None], now_ms: float) -> str:
-        """Go on with a change that was left undone, if there is one."""
+        """Go on with a change that was abandoned, if there is one. Returns as `begin` does."""
         if self.state:
             return "a change is under way"
         self._names, self._added_name = (), ""
-        self._start("reading", on_end, now_ms)
+        self._start(ChangeState.READING, on_end, now_ms)
         return ""
 
-    def _start(self, state: str, on_end: Callable[[str], None], now_ms: float) -> None:
+    def _start(self, state: ChangeState, on_end: Callable[[str], None], now_ms: float) -> None:
         self._now_ms, self._deadline_ms, self._on_end = now_ms, now_ms + CHANGE_TIMEOUT_MS, on_end
         self.state, self.fault, self._sends_left = state, "", 0
         self._next_set, self._added_disk_id = None, 0
         self._adopted_up_to.clear()
         self._keys.clear()
         self.next_ms = now_ms + RESEND_MS
-        if state == "reading":
+        if state is ChangeState.READING:
             self._proposer.read(SETS_KEY, self._on_read)
         else:
-            self._transport.post(self._added_name, encode(RecoveryQuery(0)))
+            self._send(self._added_name, RecoveryQuery(0))
 
     def _finish(self, fault: str) -> None:
-        self.state, self.fault = "", fault
+        self.state, self.fault = ChangeState.IDLE, fault
         self.next_ms = float("inf")
         self._on_end(fault)
 
+    def _send(self, to: str, message: AnyMessage) -> None:
+        self._transport.post(to, encode(message))
+
     def tick(self, now_ms: float) -> None:
+        """Send again what is unanswered; abandon a change that makes no progress."""
         self._now_ms = now_ms
-        self.next_ms = now_ms + RESEND_MS if self.state else float("inf")
         if not self.state:
-            if self._sends_left and self._next_set is not None:
-                self._sends_left -= 1
-                self.next_ms = now_ms + RESEND_MS
-                for name in sorted(self._settled_names):
-                    self._transport.post(name, encode(AdoptSet(self._next_set)))
+            self._send_settled()
             return
+        self.next_ms = now_ms + RESEND_MS
         if now_ms >= self._deadline_ms:
             self._finish(f"gave up while {self.state}")
-        elif self.state == "asking the new one":
-            self._transport.post(self._added_name, encode(RecoveryQuery(0)))
-        elif self.state == "adopting":
-            self._adopt()
+        elif self.state is ChangeState.ASKING:
+            self._send(self._added_name, RecoveryQuery(0))
+        elif self.state is ChangeState.ADOPTING:
+            self._send_next_set()
 
     def on_message(self, source: str, message: AnyMessage, now_ms: float) -> None:
+        """Handle the answer of a replica; any other message is ignored."""
         self._now_ms = now_ms
         match message:
-            case RecoveryReply() if self.state == "asking the new one" and source == self._added_name:
-                if message.progress[0] != 0:
-                    self._finish(f"{source} has kept before: its file must be removed first")
-                    return
-                self._added_disk_id = message.progress[1]
-                self.state = "reading"
-                self._proposer.read(SETS_KEY, self._on_read)
-            case SetAdopted() if self.state == "adopting" and self._next_set is not None:
-                if (
-                    message.epoch == self._next_set.epoch
-                    and self._adopted_up_to.get(source, "") == message.after_key
-                ):
-                    self._keys.update(message.keys)
-                    self._adopted_up_to[source] = message.keys[-1] if message.has_more else None
-                    if message.has_more:
-                        self._transport.post(source, encode(AdoptSet(self._next_set, message.keys[-1])))
-                    self._check_quorums()
+            case RecoveryReply() if self.state is ChangeState.ASKING and source == self._added_name:
+                self._on_added_replied(source, message)
+            case SetAdopted() if self.state is ChangeState.ADOPTING and self._next_set is not None:
+                if message.epoch == self._next_set.epoch:
+                    self._on_adopted(source, message, self._next_set)
+
+    # ------------------------------------------------ 1. the next set is written
+
+    def _on_added_replied(self, source: str, reply: RecoveryReply) -> None:
+        if reply.progress[0] != 0:
+            self._finish(f"{source} has kept before: its file must be removed first")
+            return
+        self._added_disk_id = reply.progress[1]
+        self.state = ChangeState.READING
+        self._proposer.read(SETS_KEY, self._on_read)
 
     def _on_read(self, result: Result) -> None:
-        if self.state != "reading":
+        if self.state is not ChangeState.READING:
             return
         if result.outcome is Outcome.UNKNOWN:
             self._finish("no majority")
@@ -148,80 +166,91 @@
             except msgspec.DecodeError:
                 self._finish("the register of keepers can't be read")
                 return
-        if present.previous:  # one that was left undone goes first
+        if present.previous:  # one that was abandoned goes first
             self._next_set = present
             self._on_written(Result(Outcome.DONE, result.record))
-            return
-        if not self._names:
+        elif not self._names:
             self._finish("")
-            return
-        if len(set(present.names) ^ set(self._names)) != 1:
+        elif len(set(present.names) ^ set(self._names)) != 1:
             self._finish(f"the keepers are {', '.join(present.names)} by now")
-            return
+        else:
+            self._write_next_set(present, version)
+
+    def _write_next_set(self, present: ReplicaSet, version: Version) -> None:
         epoch = present.epoch + 1
-        added = (
-            (self._added_name, epoch * INCARNATIONS_PER_EPOCH, self._added_disk_id)
-            if self._added_name
-            else ("", 0, 0)
-        )
+        added = ("", 0, 0)
+        if self._added_name:
+            added = (self._added_name, epoch * INCARNATIONS_PER_EPOCH, self._added_disk_id)
         self._next_set = ReplicaSet(epoch, self._names, present.names, added)
-        self.state = "writing"
-        self._proposer.write(SETS_KEY, version, self._record(version), self._on_written)
+        self.state = ChangeState.WRITING
+        self._proposer.write(SETS_KEY, version, self._record(self._next_set, version), self._on_written)
 
-    def _record(self, version: tuple[int, int]) -> Record:
-        assert self._next_set is not None
-        value = msgspec.msgpack.encode(self._next_set)
-        return Record(
-            self._next_set.epoch, version[1] + 1, self._proposer.name, self._proposer.incarnation, value=value
-        )
+    def _record(self, replica_set: ReplicaSet, version: Version) -> Record:
+        value = msgspec.msgpack.encode(replica_set)
+        proposer = self._proposer
+        return Record(replica_set.epoch, version[1] + 1, proposer.name, proposer.incarnation, value=value)
+
+    # ------------------------------------------------ 2. replicas adopt it
 
     def _on_written(self, result: Result) -> None:
         if result.outcome is not Outcome.DONE:
-            self._finish("no majority" if result.outcome is Outcome.UNKNOWN else "another change was first")
+            unknown = result.outcome is Outcome.UNKNOWN
+            self._finish("no majority" if unknown else "another change was first")
             return
-        self.state = "adopting"
+        self.state = ChangeState.ADOPTING
         self._keys = {SETS_KEY}
-        self._adopt()
+        self._send_next_set()
 
-    def _adopt(self) -> None:
+    def _send_next_set(self) -> None:
         assert self._next_set is not None
         for name in sorted({*self._next_set.names, *self._next_set.previous}):
             after = self._adopted_up_to.get(name, "")
             if after is not None:
-                self._transport.post(name, encode(AdoptSet(self._next_set, after)))
+                self._send(name, AdoptSet(self._next_set, after))
 
-    def _check_quorums(self) -> None:
-        assert self._next_set is not None
-        have = {name for name, after in self._adopted_up_to.items() if after is None}
-        for names in (self._next_set.names, self._next_set.previous):
-            if len(have.intersection(names)) < len(names) // 2 + 1:
-                return
-        self._proposer.adopt(self._next_set)
-        self.state = "rewriting"
-        self._rewrite_next(Result(Outcome.DONE, None))
+    def _on_adopted(self, source: str, message: SetAdopted, next_set: ReplicaSet) -> None:
+        """A page of the keys that a replica holds, which has adopted the set."""
+        if self._adopted_up_to.get(source, "") != message.after_key:
+            return
+        self._keys.update(message.keys)
+        self._adopted_up_to[source] = message.keys[-1] if message.has_more else None
+        if message.has_more:
+            self._send(source, AdoptSet(next_set, message.keys[-1]))
+        complete = {name for name, after in self._adopted_up_to.items() if after is None}
+        if all(
+            len(complete.intersection(names)) >= len(names) // 2 + 1
+            for names in (next_set.names, next_set.previous)
+        ):
+            self._proposer.adopt(next_set)
+            self.state = ChangeState.REWRITING
+            self._rewrite_next(Result(Outcome.DONE, None))
+
+    # ------------------------------------------------ 3. each key is accepted anew
 
     def _rewrite_next(self, result: Result) -> None:
-        if self.state != "rewriting" or self._next_set is None:
+        if self.state is not ChangeState.REWRITING or self._next_set is None:
             return
         if result.outcome is Outcome.UNKNOWN:
-            self._finish("no majority of the new set; resume when there is one")
+            self._finish(NO_MAJORITY)
         elif self._keys:
             self._deadline_ms = self._now_ms + CHANGE_TIMEOUT_MS
             key = min(self._keys)
             self._keys.remove(key)
             self._proposer.rewrite(key, self._rewrite_next)
         else:
-            self.state = "settling"
+            self.state = ChangeState.SETTLING
             self._proposer.read(SETS_KEY, self._on_rewritten)
 
+    # ------------------------------------------------ 4. the set is settled
+
     def _on_rewritten(self, result: Result) -> None:
         if result.outcome is not Outcome.DONE or result.record is None or self._next_set is None:
-            self._finish("no majority of the new set; resume when there is one")
+            self._finish(NO_MAJORITY)
             return
         self._settled_names = {*self._next_set.names, *self._next_set.previous}
         self._next_set = ReplicaSet(self._next_set.epoch, self._next_set.names)
         version = result.record.version
-        self._proposer.write(SETS_KEY, version, self._record(version), self._on_settled)
+        self._proposer.write(SETS_KEY, version, self._record(self._next_set, version), self._on_settled)
 
     def _on_settled(self, result: Result) -> None:
         if result.outcome is Outcome.DONE and self._next_set is not None:
@@ -231,3 +260,12 @@
             self.tick(self._now_ms)
         else:
             self._finish("not settled; resume")
+
+    def _send_settled(self) -> None:
+        """Send the settled set to all that may still go by the one before."""
+        self.next_ms = float("inf")
+        if self._sends_left and self._next_set is not None:
+            self._sends_left -= 1
+            self.next_ms = self._now_ms + RESEND_MS
+            for name in sorted(self._settled_names):
+                self._send(name, AdoptSet(self._next_set))
--- a/packages/owners/tests/explore_owners.py
+++ b/packages/owners/tests/explore_owners.py
@@ -21,7 +21,8 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from larkweir_owners.acceptor import Acceptor, AcceptorState, fingerprint
+from larkweir_owners.acceptor import Acceptor
+from larkweir_owners.acceptor_state import AcceptorState, fingerprint
 from larkweir_owners.messages import (
     Accept,
     Accepted,
--- a/packages/owners/tests/fleet_owners.py
+++ b/packages/owners/tests/fleet_owners.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from larkweir_owners.acceptor import (
-    Acceptor,
+from larkweir_owners.acceptor import Acceptor
+from larkweir_owners.acceptor_state import (
     AcceptorOutput,
     AcceptorState,
     IncarnationEntry,
@@ -18,7 +18,7 @@
     fingerprint,
 )
 from larkweir_owners.duty_manager import DutyManager
-from larkweir_owners.leadership import LeaseTiming, Phase
+from larkweir_owners.lease_timing import LeaseTiming, Phase
 from larkweir_owners.messages import Accepted, Ballot, Record, ReplicaSet, Version
 from larkweir_owners.ports import Outcome, Result
 from larkweir_simulated import Network
--- a/packages/owners/tests/test_owners_file.py
+++ b/packages/owners/tests/test_owners_file.py
@@ -6,8 +6,9 @@
 
 import pytest
 from larkweir_owners import acceptor_file
-from larkweir_owners.acceptor import (
-    Acceptor,
+from larkweir_owners.acceptor import Acceptor
+from larkweir_owners.acceptor_file import AcceptorFile, decode_file
+from larkweir_owners.acceptor_state import (
     AcceptorState,
     IncarnationEntry,
     LogEntry,
@@ -17,7 +18,7 @@
     SlotEntry,
     fingerprint,
 )
-from larkweir_owners.acceptor_file import AcceptorFile, LockedFolder, decode_file
+from larkweir_owners.file_system import LockedFolder
 from larkweir_owners.messages import Record, ReplicaSet
 
 SET = ReplicaSet(1, ("a", "b", "c"))
--- a/packages/owners/tests/test_owners_golden.py
+++ b/packages/owners/tests/test_owners_golden.py
@@ -8,7 +8,8 @@
 
 import pytest
 from larkweir_owners import acceptor_file
-from larkweir_owners.acceptor import (
+from larkweir_owners.acceptor_file import AcceptorFile, decode_file
+from larkweir_owners.acceptor_state import (
     AcceptorState,
     IncarnationEntry,
     LogEntry,
@@ -18,7 +19,7 @@
     SlotEntry,
     fingerprint,
 )
-from larkweir_owners.acceptor_file import AcceptorFile, LockedFolder, decode_file
+from larkweir_owners.file_system import LockedFolder
 from larkweir_owners.messages import (
     Accept,
     Accepted,
--- a/packages/owners/tests/test_owners_rules.py
+++ b/packages/owners/tests/test_owners_rules.py
@@ -10,7 +10,8 @@
 from fleet_owners import Checker, Fleet
 from hypothesis import given
 from hypothesis import strategies as st
-from larkweir_owners.acceptor import Acceptor, AcceptorState, Slot, fingerprint
+from larkweir_owners.acceptor import Acceptor
+from larkweir_owners.acceptor_state import AcceptorState, Slot, fingerprint
 from larkweir_owners.messages import (
     MAX_BATCH_BYTES,
     MAX_MESSAGE_BYTES,
@@ -175,7 +176,7 @@
     assert owners is not None
     owners.on_message("10.9.9.9:1", b"\xc1", 0.0)
     owners.on_message("10.9.9.9:1", encode(Accepted("d", (1, "p", 9), (1, 1, 1))), 0.0)
-    assert owners.status()["dropped"] == 2
+    assert owners.status().dropped == 2
     with pytest.raises(ValueError, match="not above"):
         owners.proposer.write("d", (1, 1), NEW, lambda result: None)
 
--- a/packages/owners/tests/test_owners_seeds.py
+++ b/packages/owners/tests/test_owners_seeds.py
@@ -9,8 +9,8 @@
 
 import pytest
 from fleet_owners import BrokenError, Fleet
-from larkweir_owners.acceptor import fingerprint
-from larkweir_owners.leadership import LeaseTiming, Phase
+from larkweir_owners.acceptor_state import fingerprint
+from larkweir_owners.lease_timing import LeaseTiming, Phase
 from larkweir_owners.messages import Record
 
 
@@ -208,8 +208,8 @@
         owners = fleet.processes[name].owners
         assert owners is not None
         status = owners.status()
-        assert status["majority"] is False
-        assert status["duties"]["duty0"]["phase"] in ("watching", "rests")
+        assert status.has_majority is False
+        assert status.duties["duty0"].phase in ("watching", "rests")
     for name in fleet.members[:2]:
         fleet.network.go_on(name)
     assert fleet.run_until(lambda: fleet.checker.effects["duty0"] > effects, 8000.0)
--- a/packages/owners/tests/test_owners_traces.py
+++ b/packages/owners/tests/test_owners_traces.py
@@ -8,8 +8,8 @@
 import pytest
 from explore_owners import Explorer
 from fleet_owners import Fleet, Process
-from larkweir_owners.acceptor import AcceptorOutput
 from larkweir_owners.acceptor_file import encode_frame
+from larkweir_owners.acceptor_state import AcceptorOutput
 
 TRACES = Path(__file__).parent / "golden" / "traces.txt"
 
--- a/standins/duties.py
+++ b/standins/duties.py
@@ -6,9 +6,10 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from larkweir_owners.acceptor import Acceptor, AcceptorOutput, AcceptorState
+from larkweir_owners.acceptor import Acceptor
+from larkweir_owners.acceptor_state import AcceptorOutput, AcceptorState
 from larkweir_owners.duty_manager import DutyManager
-from larkweir_owners.leadership import LeaseTiming, Phase
+from larkweir_owners.lease_timing import LeaseTiming, Phase
 from larkweir_owners.messages import Record, ReplicaSet
 from larkweir_peers.pace import Bucket, Pace
 from larkweir_peers.parts import cut
--- a/standins/world/planted.py
+++ b/standins/world/planted.py
@@ -110,7 +110,7 @@
 
 def _any_ballot(real: Any) -> Any:
     def accept(self: Any, source: str, item: Any, step: Any) -> None:
-        from larkweir_owners.acceptor import Slot
+        from larkweir_owners.acceptor_state import Slot
 
         slot = self.state.slots.get(item.key, Slot())
         if item.ballot != slot.promised_ballot:
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -46,6 +46,7 @@
     "larkweir_edits.log",
     "larkweir_owners",
     "larkweir_owners.acceptor_file",
+    "larkweir_owners.file_system",
     "larkweir_peers",
     "larkweir_peers.hands",
     "larkweir_quotas",
