--- a/larkweir/cluster/birth.py
+++ b/larkweir/cluster/birth.py
@@ -4,9 +4,9 @@
 
 import time
 
-_BORN_S = time.monotonic()
+_STARTED_S = time.monotonic()
 
 
-def born_ms(now_ms: float) -> float:
+def process_started_ms(now_ms: float) -> float:
     """On the clock of which `now_ms` is the present, by the steady clock's time since the first import."""
-    return now_ms - (time.monotonic() - _BORN_S) * 1000.0
+    return now_ms - (time.monotonic() - _STARTED_S) * 1000.0
--- a/larkweir/cluster/client.py
+++ b/larkweir/cluster/client.py
@@ -8,19 +8,19 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from larkweir.cluster.settings import split_address
+from larkweir.cluster.settings import parse_address
 
-SILENCE_S = 1.5
-PAUSE_S = 0.2
-GIVE_UP_S = 10.0
+ATTEMPT_TIMEOUT_S = 1.5
+RETRY_DELAY_S = 0.2
+TOTAL_TIMEOUT_S = 10.0
 
 
-class NobodyAnsweredError(RuntimeError):
+class ControllersUnreachableError(RuntimeError):
     """No controller gave a clear answer in time; a change may or may not be in force."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ControllerResponse:
     """A clear answer, and who gave it."""
 
     controller: str
@@ -28,12 +28,12 @@
     body: bytes
 
 
-def call(
+def call_controllers(
     controllers: Sequence[str], method: str, path: str, body: bytes | None = None, base: int | None = None
-) -> Answer:
-    """The first answer below 500. `base`: the version that a change builds on. Raises NobodyAnsweredError."""
+) -> ControllerResponse:
+    """The first answer below 500. `base`: the version that a change builds on. Raises ControllersUnreachableError."""
     headers = {} if base is None else {"If-Match": str(base)}
-    deadline_s = time.monotonic() + GIVE_UP_S
+    deadline_s = time.monotonic() + TOTAL_TIMEOUT_S
     reason = "no controller is named"
     for address in itertools.cycle(controllers):
         try:
@@ -46,16 +46,18 @@
             reason = f"{address}: {answer.status} {answer.body.decode(errors='replace')}"
         if time.monotonic() >= deadline_s:
             break
-        time.sleep(PAUSE_S)
-    raise NobodyAnsweredError(reason)
+        time.sleep(RETRY_DELAY_S)
+    raise ControllersUnreachableError(reason)
 
 
-def _call(address: str, method: str, path: str, body: bytes | None, headers: dict[str, str]) -> Answer:
-    host, port = split_address(address)
-    connection = http.client.HTTPConnection(host, port, timeout=SILENCE_S)
+def _call(
+    address: str, method: str, path: str, body: bytes | None, headers: dict[str, str]
+) -> ControllerResponse:
+    host, port = parse_address(address)
+    connection = http.client.HTTPConnection(host, port, timeout=ATTEMPT_TIMEOUT_S)
     try:
         connection.request(method, path, body=body, headers=headers)
         response = connection.getresponse()
-        return Answer(address, response.status, response.read())
+        return ControllerResponse(address, response.status, response.read())
     finally:
         connection.close()
--- a/larkweir/cluster/configuration/changes.py
+++ b/larkweir/cluster/configuration/changes.py
@@ -8,26 +8,26 @@
 import msgspec
 from result import Err, Ok, Result
 
-from larkweir.cluster.configuration.documents import Document, PatchError, patched
+from larkweir.cluster.configuration.documents import Document, PatchError, apply_patch
 
 IDENTITY_LENGTH = 24
 
 
-class Refusal(IntEnum):
+class RejectionReason(IntEnum):
     """Why a change is not taken; the number is the status that the operator is given."""
 
     INVALID = 400
     STALE = 412
 
 
-class Refused(msgspec.Struct, frozen=True):
+class Rejection(msgspec.Struct, frozen=True):
     """A refusal with its reason in a line."""
 
-    refusal: Refusal
+    reason: RejectionReason
     detail: str
 
 
-class Change(msgspec.Struct, frozen=True):
+class ConfigurationChange(msgspec.Struct, frozen=True):
     """A whole configuration (`patch` false) or a patch, to be built on the version `base`."""
 
     patch: bool
@@ -45,18 +45,18 @@
         return msgspec.json.encode(self).decode()
 
 
-def version_of(value: str) -> int:
+def configuration_version(value: str) -> int:
     """The version of a configuration; 0 where there is none yet."""
     return int(msgspec.json.decode(value)["generation"]) if value else 0
 
 
 def apply_change(value: str, change: str) -> Result[str, object]:
-    """The next configuration as text, or `Refused`. A function of its arguments alone."""
-    order: Change = msgspec.json.decode(change, type=Change)
+    """The next configuration as text, or `Rejection`. A function of its arguments alone."""
+    order: ConfigurationChange = msgspec.json.decode(change, type=ConfigurationChange)
     current: Document = msgspec.json.decode(value) if value else {}
     version = current.get("generation", 0)
     if order.base != version:
-        return Err(Refused(Refusal.STALE, f"the version in place is {version}, not {order.base}"))
+        return Err(Rejection(RejectionReason.STALE, f"the version in place is {version}, not {order.base}"))
     try:
         body = msgspec.json.decode(order.body)
     except msgspec.DecodeError as problem:
@@ -70,16 +70,16 @@
         if not current:
             return _invalid("there is no configuration to change yet")
         try:
-            body = patched(current, body)
+            body = apply_patch(current, body)
         except PatchError as problem:
             return _invalid(str(problem))
-    from larkweir.cluster.configuration.schema import problem_of  # its library takes long to import
+    from larkweir.cluster.configuration.schema import first_problem  # its library takes long to import
 
-    wrong = problem_of(body)
+    wrong = first_problem(body)
     if wrong is not None:
         return _invalid(wrong)
     return Ok(msgspec.json.encode(body).decode())
 
 
 def _invalid(detail: str) -> Result[str, object]:
-    return Err(Refused(Refusal.INVALID, detail))
+    return Err(Rejection(RejectionReason.INVALID, detail))
--- a/larkweir/cluster/configuration/documents.py
+++ b/larkweir/cluster/configuration/documents.py
@@ -13,7 +13,7 @@
     """A patch that can't be applied; one line."""
 
 
-def patched(document: Document, patch: Document) -> Document:
+def apply_patch(document: Document, patch: Document) -> Document:
     """`document` with the named items of the patch added, replaced or removed. Shares what is unchanged.
 
     Raises PatchError where the patch is of another form.
@@ -27,7 +27,7 @@
             result[key] = value
     for key in {*upsert, *remove}:
         if key in COLLECTIONS:
-            result[key] = _patched_items(result.get(key, []), upsert.get(key, []), remove.get(key, []), key)
+            result[key] = _apply_to_items(result.get(key, []), upsert.get(key, []), remove.get(key, []), key)
         elif key in upsert:
             result[key] = upsert[key]
         else:
@@ -35,7 +35,7 @@
     return result
 
 
-def _patched_items(items: list[Any], upsert: object, remove: object, key: str) -> list[Any]:
+def _apply_to_items(items: list[Any], upsert: object, remove: object, key: str) -> list[Any]:
     if not isinstance(upsert, list) or not isinstance(remove, list):
         raise PatchError(f"{key}: a list is needed")
     fresh: dict[str, Any] = {}
@@ -52,7 +52,7 @@
     return kept + list(fresh.values())
 
 
-def difference(old: Document, new: Document) -> Document:
+def make_patch(old: Document, new: Document) -> Document:
     """A patch that makes `new` of `old`, up to the order of items."""
     patch: Document = {"upsert": {}, "remove": {}}
     for key in {*old, *new}:
--- a/larkweir/cluster/configuration/schema.py
+++ b/larkweir/cluster/configuration/schema.py
@@ -101,7 +101,7 @@
     return seen
 
 
-def problem_of(document: object) -> str | None:
+def first_problem(document: object) -> str | None:
     """What is wrong with a configuration, in a line that names the place; None where it is valid."""
     try:
         Configuration.model_validate(document)
--- a/larkweir/cluster/http_server.py
+++ b/larkweir/cluster/http_server.py
@@ -10,7 +10,7 @@
 import h11
 
 from larkweir.cluster import log
-from larkweir.cluster.links import tune
+from larkweir.cluster.links import set_tcp_options
 
 MAX_HEADER_BYTES = 32 * 1024
 USER_TIMEOUT_MS = 5_000.0
@@ -57,7 +57,7 @@
         """Called by the loop."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
         self._transport = transport
-        tune(transport, user_timeout_ms=USER_TIMEOUT_MS)
+        set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
         """Called by the loop."""
--- a/larkweir/cluster/links.py
+++ b/larkweir/cluster/links.py
@@ -11,12 +11,14 @@
 
 from larkweir.cluster.messages import MAX_LINE_BYTES, Message, Ping
 
-PING_MS = 250.0
-SILENCE_MS = 1_000.0  # after it a connection counts as dead, also where a cut is silent
-CONNECT_MS = 200.0  # what a machine without power leaves unanswered is dialled anew soon: it may be back
-REDIAL_MS = 120.0
-REDIAL_MOST_MS = 500.0
-UNREAD_MOST_BYTES = 16 * 1024 * 1024  # that a peer has not taken; then it is cut off
+PING_INTERVAL_MS = 250.0
+IDLE_TIMEOUT_MS = 1_000.0  # after it a connection counts as dead, also where a cut is silent
+CONNECT_TIMEOUT_MS = (
+    200.0  # what a machine without power leaves unanswered is dialled anew soon: it may be back
+)
+MIN_RECONNECT_DELAY_MS = 120.0
+MAX_RECONNECT_DELAY_MS = 500.0
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # that a peer has not taken; then it is cut off
 
 _encoder = msgspec.json.Encoder()
 _decoder: msgspec.json.Decoder[Message] = msgspec.json.Decoder(Message)
@@ -37,10 +39,10 @@
         self._on_made = on_made
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
-        self._parts: list[bytes] = []
-        self._held = 0
+        self._line_chunks: list[bytes] = []
+        self._buffered_bytes = 0
         self.node = ""  # of the other side, once it is known
-        self.life = ""
+        self.incarnation = ""
         self.received_ms = self.sent_ms = self._now_ms()
 
     def _now_ms(self) -> float:
@@ -50,7 +52,7 @@
         """Called by the loop."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
         self._transport = transport
-        tune(transport, user_timeout_ms=SILENCE_MS)
+        set_tcp_options(transport, user_timeout_ms=IDLE_TIMEOUT_MS)
         if self._on_made is not None:
             self._on_made(self)
 
@@ -58,11 +60,11 @@
         """Called by the loop."""
         self.received_ms = self._now_ms()
         if b"\n" not in data:
-            self._hold(data)
+            self._buffer(data)
             return
-        lines = (b"".join(self._parts) + data).split(b"\n")
-        self._parts, self._held = [], 0
-        self._hold(lines.pop())
+        lines = (b"".join(self._line_chunks) + data).split(b"\n")
+        self._line_chunks, self._buffered_bytes = [], 0
+        self._buffer(lines.pop())
         for line in lines:
             try:
                 message = _decoder.decode(line)
@@ -72,11 +74,11 @@
             if not isinstance(message, Ping):
                 self._on_message(self, message)
 
-    def _hold(self, data: bytes) -> None:
+    def _buffer(self, data: bytes) -> None:
         if data:
-            self._parts.append(data)
-            self._held += len(data)
-        if self._held > MAX_LINE_BYTES:
+            self._line_chunks.append(data)
+            self._buffered_bytes += len(data)
+        if self._buffered_bytes > MAX_LINE_BYTES:
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -87,7 +89,7 @@
     @property
     def is_receiving(self) -> bool:
         """Whether a message is arriving that is not whole yet."""
-        return self._held > 0
+        return self._buffered_bytes > 0
 
     @property
     def is_open(self) -> bool:
@@ -98,7 +100,7 @@
         """Queues one message; nothing where the connection has ended."""
         if self._transport is None or self._transport.is_closing():
             return
-        if self._transport.get_write_buffer_size() > UNREAD_MOST_BYTES:
+        if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.close()
             return
         self.sent_ms = self._now_ms()
@@ -107,12 +109,12 @@
     def keep_alive(self) -> None:
         """To be called several times a second: pings, and ends a connection whose other side is silent."""
         now_ms = self._now_ms()
-        if now_ms >= self.received_ms + SILENCE_MS:
+        if now_ms >= self.received_ms + IDLE_TIMEOUT_MS:
             self.close()
-        elif now_ms >= self.sent_ms + PING_MS:
+        elif now_ms >= self.sent_ms + PING_INTERVAL_MS:
             self.send(Ping())
 
-    def excuse_silence(self) -> None:
+    def reset_idle_timeout(self) -> None:
         """This process stood still: what it did not read in that time is not the other side's silence."""
         self.received_ms = self._now_ms()
 
@@ -140,9 +142,9 @@
         self._on_made = on_made
         self._on_lost = on_lost
         self._loop = asyncio.get_running_loop()
-        self._dialling: asyncio.Task[None] | None = None
-        self._dial_at_ms = 0.0
-        self._pause_ms = REDIAL_MS
+        self._connecting: asyncio.Task[None] | None = None
+        self._next_attempt_ms = 0.0
+        self._delay_ms = MIN_RECONNECT_DELAY_MS
         self.connection: Connection | None = None
         self.failures = 0  # dials in a row that made no connection
 
@@ -150,8 +152,8 @@
         """To be called several times a second: dials where there is no connection."""
         if self.connection is not None:
             self.connection.keep_alive()
-        elif self._dialling is None and self._loop.time() * 1000.0 >= self._dial_at_ms:
-            self._dialling = self._loop.create_task(self._dial())
+        elif self._connecting is None and self._loop.time() * 1000.0 >= self._next_attempt_ms:
+            self._connecting = self._loop.create_task(self._connect())
 
     def send(self, message: Message) -> bool:
         """Whether there was a connection to send it on."""
@@ -162,16 +164,16 @@
 
     def close(self) -> None:
         """For good."""
-        if self._dialling is not None:
-            self._dialling.cancel()
+        if self._connecting is not None:
+            self._connecting.cancel()
         if self.connection is not None:
             self.connection.close()
 
-    async def _dial(self) -> None:
+    async def _connect(self) -> None:
         try:
-            async with asyncio.timeout(CONNECT_MS / 1000.0):
+            async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000.0):
                 await self._loop.create_connection(self._new, self.node, self._port)
-            self._pause_ms, self.failures = REDIAL_MS, 0
+            self._delay_ms, self.failures = MIN_RECONNECT_DELAY_MS, 0
         except (OSError, TimeoutError):
             self.failures += 1
             if self.connection is not None:
@@ -181,7 +183,7 @@
             else:
                 self._retry_later()
         finally:
-            self._dialling = None
+            self._connecting = None
 
     def _new(self) -> Connection:
         return Connection(self._on_message, self._lost, self._made)
@@ -198,17 +200,19 @@
             self._on_lost(self.node)
 
     def _retry_later(self) -> None:
-        self._dial_at_ms = self._loop.time() * 1000.0 + self._pause_ms
-        self._pause_ms = min(REDIAL_MOST_MS, 1.5 * self._pause_ms)
+        self._next_attempt_ms = self._loop.time() * 1000.0 + self._delay_ms
+        self._delay_ms = min(MAX_RECONNECT_DELAY_MS, 1.5 * self._delay_ms)
 
 
-KEEP_ALIVE_S = 1  # tcp(7) takes whole seconds
+TCP_KEEPALIVE_S = 1  # tcp(7) takes whole seconds
 
 
-def tune(transport: asyncio.BaseTransport, user_timeout_ms: float, *, probe: bool = False) -> None:
+def set_tcp_options(
+    transport: asyncio.BaseTransport, user_timeout_ms: float, *, keepalive: bool = False
+) -> None:
     """Small writes go out at once; bytes that stay unacknowledged for that long end the connection (tcp(7)).
 
-    `probe`: the other side is probed after a second of silence, so that one that is gone or cut off shows.
+    `keepalive`: the other side is probed after a second of silence, so that one that is gone or cut off shows.
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
@@ -216,9 +220,9 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(user_timeout_ms))
-        if probe:
+        if keepalive:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_S)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_S)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, TCP_KEEPALIVE_S)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, TCP_KEEPALIVE_S)
     except OSError:
         pass  # the connection has ended: its protocol is told
--- a/larkweir/cluster/log.py
+++ b/larkweir/cluster/log.py
@@ -14,7 +14,7 @@
 _common: dict[str, Any] = {}
 
 
-def start(node: str, *, debug: bool = False) -> None:
+def configure(node: str, *, debug: bool = False) -> None:
     """To be called once, before the first event."""
     _common["node"] = node
     handler = picologging.StreamHandler(sys.stderr)
@@ -28,14 +28,14 @@
     _logger.info(_line(name, fields))
 
 
-def details() -> bool:
+def is_debug_enabled() -> bool:
     """Whether events that only help to find a fault are written."""
     return bool(_logger.isEnabledFor(picologging.DEBUG))
 
 
-def detail(name: str, **fields: Any) -> None:
+def debug(name: str, **fields: Any) -> None:
     """One event that only helps to find a fault; nothing unless debugging."""
-    if details():
+    if is_debug_enabled():
         _logger.debug(_line(name, fields))
 
 
--- a/larkweir/cluster/messages.py
+++ b/larkweir/cluster/messages.py
@@ -6,15 +6,15 @@
 
 import msgspec
 from larkweir_balancing.ejection import Endings
-from larkweir_quotas.ledger import Statement
-from larkweir_registry.records import Record, Vector
+from larkweir_quotas.ledger import QuotaStatus
+from larkweir_registry.records import Record, VersionVector
 from larkweir_replication.messages import Command
 from larkweir_replication.messages import Message as ReplicationMessage
 
 MAX_LINE_BYTES = 32 * 1024 * 1024
 
 
-class Kind(StrEnum):
+class NodeRole(StrEnum):
     """The role of whoever dialled."""
 
     ROUTER = "router"
@@ -22,11 +22,11 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """The first line of a connection. `life` differs at every start of the process."""
+    """The first line of a connection. `incarnation` differs at every start of the process."""
 
     node: str
-    kind: Kind
-    life: str
+    role: NodeRole = msgspec.field(name="kind")
+    incarnation: str = msgspec.field(name="life")
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
@@ -36,25 +36,28 @@
 class Pull(msgspec.Struct, frozen=True, tag="pull", omit_defaults=True):
     """Asks for what its sender lacks. Answered by a `Delta` as soon as there is something, or after a while."""
 
-    config: int = -1  # the sequence of the configuration that it has in force; -1 for none
-    vector: Vector | None = None  # None: as in the last one on this connection
+    # The sequence of the configuration in force at the sender; -1 for none.
+    config_sequence: int = msgspec.field(default=-1, name="config")
+    vector: VersionVector | None = None  # None: as in the last one on this connection
     usage: dict[str, float] = {}  # by tenant: units admitted in this life
     sent_ms: float = 0.0  # by its sender's own steady clock
-    waiting: dict[str, int] = {}  # by engine: prompt tokens of its calls that wait to be read there
-    endings: dict[str, Endings] = {}  # by upstream that failed: how its calls have ended there lately
+    # By engine: prompt tokens of the sender's calls that wait for prefill there.
+    queued_prefill_tokens: dict[str, int] = msgspec.field(default_factory=dict, name="waiting")
+    # By upstream with recent failures: how calls of the sender ended there within the window.
+    outcomes: dict[str, Endings] = msgspec.field(default_factory=dict, name="endings")
 
 
-class Waiting(msgspec.Struct, frozen=True, tag="waiting"):
-    """From a router that has just sent a long prompt: `Pull.waiting`, ahead of its next pull."""
+class PrefillQueueUpdate(msgspec.Struct, frozen=True, tag="waiting"):
+    """From a router that has just sent a long prompt: `Pull.queued_prefill_tokens`, ahead of its next pull."""
 
     tokens: dict[str, int]
 
 
 class ConfigUpdate(msgspec.Struct, frozen=True):
-    """A committed configuration: whole, or what changed since `base`."""
+    """A committed configuration: whole, or what changed since `base_sequence`."""
 
     sequence: int
-    base: int  # the sequence that `body` builds on; -1 for a whole one
+    base_sequence: int = msgspec.field(name="base")  # the sequence that `body` builds on; -1 for a whole one
     body: msgspec.Raw
 
 
@@ -63,11 +66,12 @@
 
     config: ConfigUpdate | None = None
     records: list[Record] = []
-    vector: Vector = {}
+    vector: VersionVector = {}
     controllers: list[str] = []  # all that are known; none: as in the last one on this connection
-    routers: int = 1
-    quotas: dict[str, Statement] = {}
-    waiting: dict[str, int] = {}  # by engine: the same of all other routers, of the busiest engines
+    router_count: int = msgspec.field(default=1, name="routers")
+    quotas: dict[str, QuotaStatus] = {}
+    # By engine: the same, summed over all other routers, of the busiest engines.
+    queued_prefill_tokens: dict[str, int] = msgspec.field(default_factory=dict, name="waiting")
     ejected: list[str] | None = None  # upstreams to leave out; None: as in the last one on this connection
 
 
@@ -77,43 +81,58 @@
     message: ReplicationMessage
 
 
-class Heard(msgspec.Struct, frozen=True, tag="heard"):
+class HeartbeatReport(msgspec.Struct, frozen=True, tag="heard"):
     """Heartbeats of upstreams that came to this controller since it last told: the sequence by id."""
 
     sequences: dict[str, int]
 
 
-class Forward(msgspec.Struct, frozen=True, tag="forward"):
+class PrimaryRequest(msgspec.Struct, frozen=True, tag="forward"):
     """An operator's call, sent on to the primary: a command, or a read where there is none."""
 
-    ticket: int
+    request_id: int = msgspec.field(name="ticket")
     command: Command | None
 
 
-class Forwarded(msgspec.Struct, frozen=True, tag="forwarded"):
+class PrimaryResponse(msgspec.Struct, frozen=True, tag="forwarded"):
     """How that call ended; `status` 0 where the outcome is unknown, and may be known when it is asked for again."""
 
-    ticket: int
+    request_id: int = msgspec.field(name="ticket")
     status: int
     detail: str = ""
     value: str = ""
 
 
-class Place(msgspec.Struct, frozen=True, tag="place"):
-    """A router asks which engine of a service keeps the head of a prompt. `known`: where it has sent it before."""
+class PlacementRequest(msgspec.Struct, frozen=True, tag="place"):
+    """A router asks which engine of a service keeps a prompt prefix.
+
+    `known_engine`: where the router has sent it before.
+    """
 
     service: str
-    head: str
-    tokens: float
-    known: str | None = None
+    prefix: str = msgspec.field(name="head")
+    prompt_tokens: float = msgspec.field(name="tokens")
+    known_engine: str | None = msgspec.field(default=None, name="known")
 
 
-class Placed(msgspec.Struct, frozen=True, tag="placed"):
-    """The answer; `engine` is None where none is ready. `kept`: the head was placed there before."""
+class PlacementResponse(msgspec.Struct, frozen=True, tag="placed"):
+    """The answer; `engine` is None where none is ready. `is_cached`: the head was placed there before."""
 
-    head: str
+    prefix: str = msgspec.field(name="head")
     engine: str | None
-    kept: bool = False
-
-
-Message = Hello | Ping | Pull | Waiting | Delta | Replication | Heard | Forward | Forwarded | Place | Placed
+    is_cached: bool = msgspec.field(default=False, name="kept")
+
+
+Message = (
+    Hello
+    | Ping
+    | Pull
+    | PrefillQueueUpdate
+    | Delta
+    | Replication
+    | HeartbeatReport
+    | PrimaryRequest
+    | PrimaryResponse
+    | PlacementRequest
+    | PlacementResponse
+)
--- a/larkweir/cluster/settings.py
+++ b/larkweir/cluster/settings.py
@@ -77,10 +77,10 @@
     @property
     def seed_nodes(self) -> tuple[str, ...]:
         """The seeds as nodes: the IP numbers of their control addresses, in order of name."""
-        return tuple(sorted({split_address(seed)[0] for seed in self.seeds}))
+        return tuple(sorted({parse_address(seed)[0] for seed in self.seeds}))
 
 
-def split_address(address: str) -> tuple[str, int]:
+def parse_address(address: str) -> tuple[str, int]:
     """Host and port of `HOST:PORT`; SettingsError where it is none."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65_536:
@@ -100,7 +100,7 @@
         raise SettingsError(str(problem)) from None
     for address in (*settings.seeds, settings.listen.front, settings.listen.ready, settings.listen.control):
         if address is not None:
-            split_address(address)
+            parse_address(address)
     if settings.port_range[0] > settings.port_range[1]:
         raise SettingsError(f"port_range: {settings.port_range[0]} is above {settings.port_range[1]}")
     return settings
--- a/larkweir/cluster/settings_watch.py
+++ b/larkweir/cluster/settings_watch.py
@@ -8,35 +8,35 @@
 from larkweir.cluster import log
 from larkweir.cluster.settings import Settings, SettingsError, load, path
 
-EVERY_MS = 1_000.0
+CHECK_INTERVAL_MS = 1_000.0
 
 
-class Watch:
+class SettingsWatcher:
     """The settings in force, and a look at the file from time to time."""
 
     def __init__(self, settings: Settings, on_changed: Callable[[Settings], None]) -> None:
         """`on_changed` is given settings that differ from those before."""
         self._settings = settings
         self._on_changed = on_changed
-        self._looked_ms = 0.0
-        self._stamp = _stamp()
+        self._checked_ms = 0.0
+        self._file_version = _file_version()
 
     def tick(self, now_ms: float) -> None:
         """To be called at any rate; looks once a second."""
-        if now_ms < self._looked_ms + EVERY_MS:
+        if now_ms < self._checked_ms + CHECK_INTERVAL_MS:
             return
-        self._looked_ms = now_ms
-        stamp = _stamp()
-        if stamp != self._stamp:
-            self._stamp = stamp
-            self.read()
+        self._checked_ms = now_ms
+        version = _file_version()
+        if version != self._file_version:
+            self._file_version = version
+            self.reload()
 
-    def read(self) -> None:
+    def reload(self) -> None:
         """Reads the file; one that does not do is a line in the log, and changes nothing."""
         try:
             settings = load()
         except SettingsError as problem:
-            log.event("settings_refused", error=str(problem))
+            log.event("settings_rejected", error=str(problem))
             return
         if settings != self._settings:
             self._settings = settings
@@ -44,7 +44,7 @@
             self._on_changed(settings)
 
 
-def _stamp() -> tuple[int, int, int] | None:
+def _file_version() -> tuple[int, int, int] | None:
     try:
         found = os.stat(path())
     except OSError:
--- a/larkweir/controller/call_outcome.py
+++ b/larkweir/controller/call_outcome.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from larkweir.cluster.messages import Forwarded
+from larkweir.cluster.messages import PrimaryResponse
 
 STATUS_COMPLETED = 200
 STATUS_UNKNOWN = 0  # on the wire only
@@ -34,18 +34,18 @@
 UNKNOWN = Unknown()
 
 
-def to_message(ticket: int, outcome: CallOutcome) -> Forwarded:
+def to_message(ticket: int, outcome: CallOutcome) -> PrimaryResponse:
     """The answer to the controller that forwarded the call under this ticket."""
     match outcome:
         case Completed(value):
-            return Forwarded(ticket, STATUS_COMPLETED, value=value)
+            return PrimaryResponse(ticket, STATUS_COMPLETED, value=value)
         case Rejected(status, detail):
-            return Forwarded(ticket, status, detail)
+            return PrimaryResponse(ticket, status, detail)
         case Unknown():
-            return Forwarded(ticket, STATUS_UNKNOWN)
+            return PrimaryResponse(ticket, STATUS_UNKNOWN)
 
 
-def from_message(message: Forwarded) -> CallOutcome:
+def from_message(message: PrimaryResponse) -> CallOutcome:
     """The outcome that a primary's answer states."""
     if message.status == STATUS_COMPLETED:
         return Completed(message.value)
--- a/larkweir/controller/configuration_history.py
+++ b/larkweir/controller/configuration_history.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from larkweir.cluster.configuration.documents import Document, difference
+from larkweir.cluster.configuration.documents import Document, make_patch
 from larkweir.cluster.messages import ConfigUpdate
 
 MAX_VERSIONS = 32  # that a patch can build on; a process with an older one is sent the complete configuration
@@ -48,5 +48,5 @@
             base = next((document for sequence, document in self._versions if sequence == known), None)
             if base is None:
                 return ConfigUpdate(self.sequence, -1, msgspec.Raw(self._newest_json))
-            self._patches[known] = msgspec.json.encode(difference(base, self._versions[-1][1]))
+            self._patches[known] = msgspec.json.encode(make_patch(base, self._versions[-1][1]))
         return ConfigUpdate(self.sequence, known, msgspec.Raw(self._patches[known]))
--- a/larkweir/controller/controller_links.py
+++ b/larkweir/controller/controller_links.py
@@ -64,7 +64,7 @@
         """This process was paused: what it did not read meanwhile is not the other side's silence."""
         for link in self._links.values():
             if link.connection is not None:
-                link.connection.excuse_silence()
+                link.connection.reset_idle_timeout()
 
     def drop_unreachable(self, referenced: Collection[str]) -> list[str]:
         """Forgets nodes that are not `referenced` and that no dial has reached for long; returns their names."""
@@ -84,4 +84,4 @@
 
 
 def _log_lost(node: str) -> None:
-    log.detail("link_lost", to=node)
+    log.debug("link_lost", to=node)
--- a/larkweir/controller/disk_writer.py
+++ b/larkweir/controller/disk_writer.py
@@ -112,7 +112,7 @@
                 self._files.append(name + NEW_SUFFIX, 0, data)
                 self._files.replace(name + NEW_SUFFIX, name)
             except OSError as problem:
-                log.detail("hint_write_failed", error=problem.strerror)
+                log.debug("hint_write_failed", error=problem.strerror)
 
     def _notify(self, callback: Callable[[int], None], token: int) -> None:
         with contextlib.suppress(RuntimeError):  # the loop has ended
--- a/larkweir/controller/heartbeat_monitor.py
+++ b/larkweir/controller/heartbeat_monitor.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 import msgspec
-from larkweir_registry.liveness import Liveness
-from larkweir_registry.records import State, Upstream
+from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.records import Upstream, UpstreamState
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster import log
-from larkweir.cluster.messages import Heard
+from larkweir.cluster.messages import HeartbeatReport
 from larkweir.controller.clock import now_ms
 from larkweir.controller.controller_links import ControllerLinks
 from larkweir.controller.quorum_contact import QuorumContact
@@ -22,41 +22,41 @@
     def __init__(
         self,
         registry: Registry,
-        liveness: Liveness,
+        failure_detector: FailureDetector,
         links: ControllerLinks,
         contact: QuorumContact,
         on_update: Callable[[], None],
     ) -> None:
         """`on_update` is called when an upstream was marked as silent, so that routers are informed."""
         self._registry = registry
-        self._liveness = liveness
+        self._failure_detector = failure_detector
         self._links = links
         self._contact = contact
         self._on_update = on_update
 
     def share(self) -> None:
         """Sends the other controllers what was received here since the last call."""
-        sequences = self._liveness.take_report()
+        sequences = self._failure_detector.take_report()
         if sequences:
-            self._links.broadcast(Heard(sequences))
+            self._links.broadcast(HeartbeatReport(sequences))
 
     def evaluate(self) -> None:
         """Marks upstreams as silent; without contact to a majority of controllers silence proves nothing."""
         present_ms = now_ms()
         if not self._contact.was_connected:
-            self._liveness.blinded(present_ms)
+            self._failure_detector.reset_observation(present_ms)
             return
         watched = [
             upstream.id
             for upstream in self._registry.upstreams.values()
-            if upstream.state is not State.GONE and not upstream.silent
+            if upstream.state is not UpstreamState.GONE and not upstream.has_timed_out
         ]
-        for id_ in self._liveness.silent(watched, present_ms):
+        for id_ in self._failure_detector.timed_out(watched, present_ms):
             self._mark_silent(self._registry.upstreams[id_], present_ms)
 
     def _mark_silent(self, upstream: Upstream, present_ms: float) -> None:
-        sequence = max(upstream.sequence, self._liveness.sequence(upstream.id))
+        sequence = max(upstream.sequence, self._failure_detector.last_sequence(upstream.id))
         log.event("upstream_silent", id=upstream.id, sequence=sequence)
-        silent = msgspec.structs.replace(upstream, sequence=sequence, lapsed=sequence)
-        if self._registry.note(silent, present_ms):
+        silent = msgspec.structs.replace(upstream, sequence=sequence, timed_out_sequence=sequence)
+        if self._registry.update(silent, present_ms):
             self._on_update()
--- a/larkweir/controller/inspection.py
+++ b/larkweir/controller/inspection.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 import msgspec
-from larkweir_registry.records import State
+from larkweir_registry.records import UpstreamState
 from larkweir_replication.replica import Replica
 
 from larkweir.cluster.http_server import Response
@@ -99,7 +99,7 @@
 
     def _count_ready(self) -> int:
         upstreams = self._state.registry.upstreams.values()
-        return sum(1 for one in upstreams if one.state is State.READY and not one.silent)
+        return sum(1 for one in upstreams if one.state is UpstreamState.READY and not one.has_timed_out)
 
     def upstreams(self) -> list[UpstreamStatus]:
         """All that are known, by service and id; those that have gone stay in the list for a while."""
@@ -112,7 +112,7 @@
                 one.address,
                 one.zone,
                 one.state.name.lower(),
-                one.silent,
+                one.has_timed_out,
                 one.sequence,
                 waiting.get(one.id, 0),
             )
@@ -123,7 +123,7 @@
         """All gauges, in the order in which they are printed."""
         status = self.status(linked)
         lag = max((router.sequences_behind for router in status.routers), default=0)
-        silent = sum(one.silent for one in self._state.registry.upstreams.values())
+        silent = sum(one.has_timed_out for one in self._state.registry.upstreams.values())
         waiting = sum(self._state.prefill_load.tokens_by_engine.values())
         return (
             Metric("primary", "1 where this controller is the primary", status.primary == self._node),
--- a/larkweir/controller/instances_api.py
+++ b/larkweir/controller/instances_api.py
@@ -5,8 +5,8 @@
 from enum import StrEnum
 
 import msgspec
-from larkweir_registry.liveness import Liveness
-from larkweir_registry.records import State, Upstream
+from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.records import Upstream, UpstreamState
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster.http_server import Request, Response
@@ -48,7 +48,7 @@
             zone=self.zone,
             slots=self.slots,
             sequence=self.sequence,
-            state=State.READY if self.state is ReportedState.READY else State.DRAINING,
+            state=UpstreamState.READY if self.state is ReportedState.READY else UpstreamState.DRAINING,
         )
 
 
@@ -63,14 +63,14 @@
     def __init__(
         self,
         registry: Registry,
-        liveness: Liveness,
+        failure_detector: FailureDetector,
         pulls: PullService,
         confirmation: DeliveryConfirmation,
         contact: QuorumContact,
     ) -> None:
         """All are the controller's own."""
         self._registry = registry
-        self._liveness = liveness
+        self._failure_detector = failure_detector
         self._pulls = pulls
         self._confirmation = confirmation
         self._contact = contact
@@ -85,9 +85,9 @@
             return Response(400)
         upstream = heartbeat.upstream(request.target.removeprefix(PATH_PREFIX))
         present_ms = now_ms()
-        self._liveness.heard(upstream.id, upstream.sequence, present_ms)
-        self._registry.note(upstream, present_ms)
-        if upstream.state is State.READY:
+        self._failure_detector.record_heartbeat(upstream.id, upstream.sequence, present_ms)
+        self._registry.update(upstream, present_ms)
+        if upstream.state is UpstreamState.READY:
             self._pulls.wake()
             return ACKNOWLEDGED if self._contact.is_connected() else NO_MAJORITY
         return await self._acknowledge_departure()
@@ -97,12 +97,12 @@
         id_ = request.target.removeprefix(PATH_PREFIX)
         known = self._registry.upstreams.get(id_)
         gone = (
-            msgspec.structs.replace(known, state=State.GONE)
+            msgspec.structs.replace(known, state=UpstreamState.GONE)
             if known is not None
-            else Upstream(id=id_, service="", address="", zone="", state=State.GONE)
+            else Upstream(id=id_, service="", address="", zone="", state=UpstreamState.GONE)
         )
-        self._liveness.forget(id_)
-        self._registry.note(gone, now_ms())
+        self._failure_detector.forget(id_)
+        self._registry.update(gone, now_ms())
         return await self._acknowledge_departure()
 
     async def _acknowledge_departure(self) -> Response:
--- a/larkweir/controller/message_dispatch.py
+++ b/larkweir/controller/message_dispatch.py
@@ -4,21 +4,21 @@
 
 from dataclasses import dataclass
 
-from larkweir_registry.liveness import Liveness
+from larkweir_registry.liveness import FailureDetector
 
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import (
     Delta,
-    Forward,
-    Forwarded,
-    Heard,
+    HeartbeatReport,
     Hello,
-    Kind,
     Message,
-    Place,
+    NodeRole,
+    PlacementRequest,
+    PrefillQueueUpdate,
+    PrimaryRequest,
+    PrimaryResponse,
     Pull,
     Replication,
-    Waiting,
 )
 from larkweir.controller.background_tasks import BackgroundTasks
 from larkweir.controller.clock import now_ms
@@ -37,7 +37,7 @@
     known_controllers: KnownControllers
     pulls: PullService
     registry_sync: RegistrySync
-    liveness: Liveness
+    failure_detector: FailureDetector
     driver: ReplicaDriver
     placements: PlacementRequests
     primary: PrimaryClient
@@ -50,24 +50,24 @@
                 self._introduced(connection, message)
             case Pull():
                 self.pulls.pull(connection, message)
-            case Waiting():
+            case PrefillQueueUpdate():
                 self.pulls.report_prefill(connection, message.tokens)
             case Delta():
                 self.registry_sync.received(connection, message)
             case Replication():
                 if connection.node:
                     self.driver.receive(connection.node, message.message)
-            case Place():
+            case PlacementRequest():
                 connection.send(self.placements.answer(message))
-            case Heard():
-                self.liveness.heard_elsewhere(message.sequences, now_ms())
-            case Forward():
+            case HeartbeatReport():
+                self.failure_detector.record_peer_heartbeats(message.sequences, now_ms())
+            case PrimaryRequest():
                 self.tasks.start(self.primary.serve(connection, message))
-            case Forwarded():
+            case PrimaryResponse():
                 self.primary.answered(message)
 
     def _introduced(self, connection: Connection, hello: Hello) -> None:
-        connection.node, connection.life = hello.node, hello.life
-        self.pulls.connected(connection, hello.kind)
-        if hello.kind is Kind.CONTROLLER:
+        connection.node, connection.incarnation = hello.node, hello.incarnation
+        self.pulls.connected(connection, hello.role)
+        if hello.role is NodeRole.CONTROLLER:
             self.known_controllers.add(hello.node)
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -7,16 +7,16 @@
 import secrets
 import signal
 
-from larkweir_quotas.ledger import Ledger
-from larkweir_registry.liveness import Liveness
+from larkweir_quotas.ledger import UsageTable
+from larkweir_registry.liveness import FailureDetector
 from larkweir_registry.registry import Registry
 from larkweir_replication.messages import Message as ReplicationMessage
 from larkweir_replication.messages import Snapshot
 
 from larkweir.cluster import log, settings_watch
 from larkweir.cluster.links import Connection
-from larkweir.cluster.messages import Hello, Kind, Message, Replication
-from larkweir.cluster.settings import Settings, split_address
+from larkweir.cluster.messages import Hello, Message, NodeRole, Replication
+from larkweir.cluster.settings import Settings, parse_address
 from larkweir.controller.background_tasks import BackgroundTasks
 from larkweir.controller.clock import now_ms
 from larkweir.controller.configuration_history import ConfigurationHistory
@@ -73,12 +73,12 @@
         """What routers and other controllers pull."""
         settings = self.settings
         self._registry = Registry(f"{settings.ip}/{self._incarnation}")
-        self._liveness = Liveness(settings.heartbeat_ms, now_ms())
+        self._failure_detector = FailureDetector(settings.heartbeat_ms, now_ms())
         self._subscriptions = Subscriptions()
         self._state = PublishedState(
             registry=self._registry,
             configuration=ConfigurationHistory(),
-            quotas=QuotaAccounting(Ledger(), overuse_fraction=settings.bounds.quota_over),
+            quotas=QuotaAccounting(UsageTable(), overuse_fraction=settings.bounds.quota_over),
             prefill_load=PrefillLoad(),
             ejection=UpstreamEjection(self._registry, self._subscriptions),
         )
@@ -99,16 +99,16 @@
 
     def _make_interfaces(self) -> None:
         """What answers other processes, operators and upstreams."""
-        registry, liveness, state = self._registry, self._liveness, self._state
+        registry, failure_detector, state = self._registry, self._failure_detector, self._state
         wake = self._pulls.wake
-        self._heartbeats = HeartbeatMonitor(registry, liveness, self._links, self._contact, wake)
-        self._registry_sync = RegistrySync(registry, liveness, wake)
+        self._heartbeats = HeartbeatMonitor(registry, failure_detector, self._links, self._contact, wake)
+        self._registry_sync = RegistrySync(registry, failure_detector, wake)
         primary = PrimaryClient(self._driver, self._links)
         self._dispatch = MessageDispatch(
             known_controllers=self._known_controllers,
             pulls=self._pulls,
             registry_sync=self._registry_sync,
-            liveness=liveness,
+            failure_detector=failure_detector,
             driver=self._driver,
             placements=PlacementRequests(registry, state.ejection, self._placement),
             primary=primary,
@@ -116,7 +116,7 @@
         )
         self._control_api = ControlApi(
             OperatorApi(primary.call),
-            InstancesApi(registry, liveness, self._pulls, self._confirmation, self._contact),
+            InstancesApi(registry, failure_detector, self._pulls, self._confirmation, self._contact),
             Inspection(self.settings.ip, self._driver.replica, state, self._subscriptions),
             self._links,
         )
@@ -126,11 +126,11 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
-        watch = settings_watch.Watch(self.settings, self._settings_changed)
-        loop.add_signal_handler(signal.SIGHUP, watch.read)
+        watch = settings_watch.SettingsWatcher(self.settings, self._settings_changed)
+        loop.add_signal_handler(signal.SIGHUP, watch.reload)
         settings = self.settings
         assert settings.listen.control is not None
-        host, port = split_address(settings.listen.control)
+        host, port = parse_address(settings.listen.control)
         await self._listeners.listen_to_processes(
             settings.ip, settings.peer_port, self._received, self._pulls.disconnected
         )
@@ -169,7 +169,7 @@
 
     def _process_paused(self) -> None:
         """Nobody's silence in that time proves anything."""
-        self._liveness.blinded(now_ms())
+        self._failure_detector.reset_observation(now_ms())
         self._placement.mark_outdated()
         self._links.excuse_silence()
 
@@ -181,7 +181,7 @@
         self._dispatch.receive(connection, message)
 
     def _link_connected(self, connection: Connection) -> None:
-        connection.send(Hello(self._known_controllers.own_node, Kind.CONTROLLER, self._incarnation))
+        connection.send(Hello(self._known_controllers.own_node, NodeRole.CONTROLLER, self._incarnation))
         self._registry_sync.begin(connection)
         self._driver.replica.on_reconnected(connection.node)
 
--- a/larkweir/controller/operator_api.py
+++ b/larkweir/controller/operator_api.py
@@ -8,7 +8,7 @@
 import msgspec
 from larkweir_replication.messages import Command
 
-from larkweir.cluster.configuration.changes import Change
+from larkweir.cluster.configuration.changes import ConfigurationChange
 from larkweir.cluster.http_server import Request, Response
 from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, Completed, Rejected, Unknown
 
@@ -49,7 +49,7 @@
             body = request.body.decode()
         except UnicodeDecodeError:
             return _error(400, "the body is no UTF-8")
-        change = Change(request.method == "PATCH", int(base), body)
+        change = ConfigurationChange(request.method == "PATCH", int(base), body)
         outcome = await self._call_until_known(Command(change.identity, change.base, change.encode()))
         match outcome:
             case Completed():
--- a/larkweir/controller/placement_requests.py
+++ b/larkweir/controller/placement_requests.py
@@ -4,7 +4,7 @@
 
 from larkweir_registry.registry import Registry
 
-from larkweir.cluster.messages import Place, Placed
+from larkweir.cluster.messages import PlacementRequest, PlacementResponse
 from larkweir.controller.clock import now_ms
 from larkweir.controller.prefix_placement import PrefixPlacement
 from larkweir.controller.upstream_ejection import UpstreamEjection
@@ -19,10 +19,12 @@
         self._ejection = ejection
         self._placement = placement
 
-    def answer(self, request: Place) -> Placed:
+    def answer(self, request: PlacementRequest) -> PlacementResponse:
         """The engine for the prefix; none where no engine of the service is ready."""
-        ready = self._ejection.without_ejected(self._registry.ready(request.service))
-        found = self._placement.place(request.head, request.tokens, ready, request.known, now_ms())
+        ready = self._ejection.without_ejected(self._registry.ready_ids(request.service))
+        found = self._placement.place(
+            request.prefix, request.prompt_tokens, ready, request.known_engine, now_ms()
+        )
         if found is None:
-            return Placed(request.head, None)
-        return Placed(request.head, found.engine, found.is_cached)
+            return PlacementResponse(request.prefix, None)
+        return PlacementResponse(request.prefix, found.engine, found.is_cached)
--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -9,7 +9,7 @@
 from larkweir_replication.status import ReplicaStatus
 
 from larkweir.cluster.links import Connection
-from larkweir.cluster.messages import Forward, Forwarded
+from larkweir.cluster.messages import PrimaryRequest, PrimaryResponse
 from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, from_message, to_message
 from larkweir.controller.controller_links import ControllerLinks
 from larkweir.controller.replica_driver import ReplicaDriver
@@ -41,7 +41,7 @@
         answer: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
         self._forwarded[ticket] = answer
         try:
-            self._links.send(replica.primary, Forward(ticket, command))
+            self._links.send(replica.primary, PrimaryRequest(ticket, command))
             async with asyncio.timeout(FORWARD_TIMEOUT_S):
                 return await answer
         except TimeoutError:
@@ -49,13 +49,13 @@
         finally:
             self._forwarded.pop(ticket, None)
 
-    async def serve(self, connection: Connection, forward: Forward) -> None:
+    async def serve(self, connection: Connection, forward: PrimaryRequest) -> None:
         """Another controller takes this one for the primary: carries out its call and answers."""
         outcome = await self._driver.call(forward.command)
-        connection.send(to_message(forward.ticket, outcome))
+        connection.send(to_message(forward.request_id, outcome))
 
-    def answered(self, message: Forwarded) -> None:
+    def answered(self, message: PrimaryResponse) -> None:
         """The primary's answer to a forwarded call; one that comes after the time-out is ignored."""
-        answer = self._forwarded.pop(message.ticket, None)
+        answer = self._forwarded.pop(message.request_id, None)
         if answer is not None and not answer.done():
             answer.set_result(from_message(message))
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -9,7 +9,7 @@
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster.links import Connection
-from larkweir.cluster.messages import Delta, Kind, Pull
+from larkweir.cluster.messages import Delta, NodeRole, Pull
 from larkweir.controller.clock import now_ms
 from larkweir.controller.configuration_history import ConfigurationHistory
 from larkweir.controller.delivery_confirmation import DeliveryConfirmation
@@ -59,9 +59,9 @@
             self._state.quotas.set_limits(document, now_ms())
             self.wake()
 
-    def connected(self, connection: Connection, kind: Kind) -> None:
+    def connected(self, connection: Connection, role: NodeRole) -> None:
         """A process has introduced itself."""
-        self._subscriptions.add(connection, kind)
+        self._subscriptions.add(connection, role)
         self._state.quotas.connected(connection.node)
 
     def disconnected(self, connection: Connection) -> None:
@@ -92,10 +92,10 @@
         subscriber.pending_pull, subscriber.pulled_ms = pull, present_ms
         if pull.vector is not None:
             subscriber.vector = pull.vector
-        subscriber.configuration = pull.config
-        self._set_prefill_tokens(subscriber, pull.waiting)
-        subscriber.outcome_counts = pull.endings
-        if self._state.quotas.report(connection.life, pull, present_ms):
+        subscriber.configuration = pull.config_sequence
+        self._set_prefill_tokens(subscriber, pull.queued_prefill_tokens)
+        subscriber.outcome_counts = pull.outcomes
+        if self._state.quotas.report(connection.incarnation, pull, present_ms):
             self.wake()
         self._confirmation.check()
         if self._has_update(subscriber, pull):
@@ -129,11 +129,11 @@
 
     def _has_update(self, subscriber: Subscriber, pull: Pull) -> bool:
         state = self._state
-        if subscriber.is_router and pull.config < state.configuration.sequence:
+        if subscriber.is_router and pull.config_sequence < state.configuration.sequence:
             return True
         if subscriber.is_router and subscriber.sent_ejected != state.ejection.ejected:
             return True
-        return not state.registry.covers(subscriber.vector)
+        return not state.registry.is_covered_by(subscriber.vector)
 
     def _answer(self, subscriber: Subscriber, pull: Pull) -> None:
         state, is_router = self._state, subscriber.is_router
@@ -141,7 +141,7 @@
         controllers, ejected = self._controllers(), state.ejection.ejected
         has_new_ejected = is_router and ejected != subscriber.sent_ejected
         delta = Delta(
-            config=state.configuration.update_from(pull.config) if is_router else None,
+            config=state.configuration.update_from(pull.config_sequence) if is_router else None,
             records=state.registry.delta(subscriber.vector),
             vector={
                 origin: counter
@@ -149,9 +149,11 @@
                 if counter > subscriber.vector.get(origin, 0)
             },
             controllers=controllers if controllers != subscriber.sent_controllers else [],
-            routers=max(1, self._subscriptions.router_count),
-            quotas=state.quotas.statements(pull, now_ms()),
-            waiting=state.prefill_load.of_others(subscriber.prefill_tokens) if is_router else {},
+            router_count=max(1, self._subscriptions.router_count),
+            quotas=state.quotas.statuses(pull, now_ms()),
+            queued_prefill_tokens=state.prefill_load.of_others(subscriber.prefill_tokens)
+            if is_router
+            else {},
             ejected=sorted(ejected) if has_new_ejected else None,
         )
         subscriber.sent_ejected, subscriber.sent_controllers = ejected, controllers
--- a/larkweir/controller/quota_accounting.py
+++ b/larkweir/controller/quota_accounting.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from larkweir_quotas.ledger import Ledger, Limit, Statement
+from larkweir_quotas.ledger import QuotaStatus, RateLimit, UsageTable
 
 from larkweir.cluster.configuration.documents import Document
 from larkweir.cluster.messages import Pull
@@ -15,23 +15,23 @@
 class QuotaAccounting:
     """Feeds the usage table of this controller and reads it. Times are milliseconds that only rise."""
 
-    def __init__(self, ledger: Ledger, *, overuse_fraction: float = 0.0) -> None:
+    def __init__(self, usage: UsageTable, *, overuse_fraction: float = 0.0) -> None:
         """`overuse_fraction`: the fraction of a quota by which it may be exceeded."""
-        self._ledger = ledger
+        self._usage = usage
         self._overuse_fraction = overuse_fraction
         self._disconnected_ms: dict[str, float] = {}  # by router: when its connection was lost
 
     def set_limits(self, document: Document, now_ms: float) -> None:
         """A new configuration is in force."""
-        self._ledger.set_limits(limits_of(document), now_ms)
+        self._usage.set_limits(limits_of(document), now_ms)
 
     def report(self, incarnation: str, pull: Pull, now_ms: float) -> bool:
         """Takes a process' usage; whether others should be informed soon."""
-        return bool(self._ledger.report(incarnation, pull.usage, pull.sent_ms, now_ms))
+        return bool(self._usage.record_report(incarnation, pull.usage, pull.sent_ms, now_ms))
 
-    def statements(self, pull: Pull, now_ms: float) -> dict[str, Statement]:
+    def statuses(self, pull: Pull, now_ms: float) -> dict[str, QuotaStatus]:
         """What is left for each tenant of which the pull reports usage."""
-        return self._ledger.statements(list(pull.usage), now_ms)
+        return self._usage.statuses(list(pull.usage), now_ms)
 
     def connected(self, node: str) -> None:
         """A process has introduced itself: nothing is reserved for it any more."""
@@ -50,13 +50,13 @@
             if node in connected or now_ms >= lost_ms + DISCONNECTED_ROUTER_MS:
                 del self._disconnected_ms[node]
         lost = len(self._disconnected_ms)
-        self._ledger.set_away(lost / max(1, lost + routers), self._overuse_fraction)
+        self._usage.set_unreachable(lost / max(1, lost + routers), self._overuse_fraction)
 
 
-def limits_of(document: Document) -> dict[str, Limit]:
+def limits_of(document: Document) -> dict[str, RateLimit]:
     """The tenants that have a limit."""
     return {
-        tenant["name"]: Limit(float(tenant["rate_per_s"]), float(tenant.get("burst", 0)))
+        tenant["name"]: RateLimit(float(tenant["rate_per_s"]), float(tenant.get("burst", 0)))
         for tenant in document.get("tenants", [])
         if tenant.get("rate_per_s", 0) > 0
     }
--- a/larkweir/controller/registry_sync.py
+++ b/larkweir/controller/registry_sync.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from larkweir_registry.liveness import Liveness
+from larkweir_registry.liveness import FailureDetector
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster.links import Connection
@@ -15,10 +15,12 @@
 class RegistrySync:
     """The pulling side; `PullService` is the other one."""
 
-    def __init__(self, registry: Registry, liveness: Liveness, on_update: Callable[[], None]) -> None:
+    def __init__(
+        self, registry: Registry, failure_detector: FailureDetector, on_update: Callable[[], None]
+    ) -> None:
         """`on_update` is called when records were received, so that routers are informed."""
         self._registry = registry
-        self._liveness = liveness
+        self._failure_detector = failure_detector
         self._on_update = on_update
 
     def begin(self, connection: Connection) -> None:
@@ -29,7 +31,7 @@
         """Merges what this registry lacked, and pulls again."""
         present_ms = now_ms()
         for upstream in self._registry.merge(delta.records, delta.vector, present_ms):
-            self._liveness.heard_elsewhere({upstream.id: upstream.sequence}, present_ms)
+            self._failure_detector.record_peer_heartbeats({upstream.id: upstream.sequence}, present_ms)
         if delta.records:
             self._on_update()
         connection.send(Pull(vector=dict(self._registry.vector) if delta.vector else None))
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -21,8 +21,8 @@
 from larkweir_replication.replica import Replica
 
 from larkweir.cluster import log
-from larkweir.cluster.birth import born_ms
-from larkweir.cluster.configuration.changes import Refused, apply_change
+from larkweir.cluster.birth import process_started_ms
+from larkweir.cluster.configuration.changes import Rejection, apply_change
 from larkweir.cluster.settings import Settings
 from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, Completed, Rejected
 from larkweir.controller.clock import now_ms
@@ -60,7 +60,7 @@
             first_members=settings.seed_nodes if settings.bootstrap and journal.is_blank else None,
             known_nodes=(*settings.seed_nodes, *journal.last_known_members),
             target_member_count=2 * settings.fault_tolerance.machines + 1,
-            process_start_ms=born_ms(now_ms()),
+            process_start_ms=process_started_ms(now_ms()),
         )
         loop = asyncio.get_running_loop()
         self.disk = DiskWriter(journal, files, loop, self._persisted, self._persist_failed)
@@ -166,8 +166,8 @@
         case CommandOutcome.COMMITTED:
             return Completed()
         case CommandOutcome.REJECTED:
-            assert isinstance(reason, Refused)
-            return Rejected(int(reason.refusal), reason.detail)
+            assert isinstance(reason, Rejection)
+            return Rejected(int(reason.reason), reason.detail)
         case CommandOutcome.UNKNOWN:
             return UNKNOWN
         case CommandOutcome.TOO_OLD:
--- a/larkweir/controller/subscriptions.py
+++ b/larkweir/controller/subscriptions.py
@@ -8,7 +8,7 @@
 from larkweir_balancing.ejection import Endings
 
 from larkweir.cluster.links import Connection
-from larkweir.cluster.messages import Kind, Pull
+from larkweir.cluster.messages import NodeRole, Pull
 
 
 @dataclass(slots=True, eq=False)
@@ -16,7 +16,7 @@
     """One process on one connection, by its last pull and what it was sent."""
 
     connection: Connection
-    kind: Kind
+    role: NodeRole
     pending_pull: Pull | None = None  # until it is answered
     pulled_ms: float = 0.0
     vector: dict[str, int] = field(default_factory=dict)  # the registry's counters that it had seen
@@ -29,7 +29,7 @@
     @property
     def is_router(self) -> bool:
         """Whether it is a router; the others are controllers."""
-        return self.kind is Kind.ROUTER
+        return self.role is NodeRole.ROUTER
 
 
 class Subscriptions:
@@ -43,9 +43,9 @@
         """In the order in which they came; a subscriber may be removed meanwhile."""
         return iter(list(self._by_connection.values()))
 
-    def add(self, connection: Connection, kind: Kind) -> None:
+    def add(self, connection: Connection, role: NodeRole) -> None:
         """A process has introduced itself."""
-        self._by_connection[connection] = Subscriber(connection, kind)
+        self._by_connection[connection] = Subscriber(connection, role)
 
     def remove(self, connection: Connection) -> Subscriber | None:
         """Its connection was lost; None where it had not introduced itself."""
@@ -76,7 +76,7 @@
         return {
             one.connection.node
             for one in self._by_connection.values()
-            if one.kind is Kind.CONTROLLER and one.vector.get(origin, 0) >= counter
+            if one.role is NodeRole.CONTROLLER and one.vector.get(origin, 0) >= counter
         }
 
     def lowest_counter(self, origin: str) -> int:
--- a/larkweir/controller/upstream_ejection.py
+++ b/larkweir/controller/upstream_ejection.py
@@ -28,7 +28,7 @@
     def evaluate(self, now_ms: float) -> bool:
         """Ejects upstreams and takes them back; whether anything has changed. Several times a second."""
         outcome_counts = summed(one.outcome_counts for one in self._subscriptions if one.outcome_counts)
-        services = self._registry.ready_by_service().values()
+        services = self._registry.ready_ids_by_service().values()
         has_changed = self._ejections.judge(services, outcome_counts, now_ms)
         if has_changed:
             log.event("ejected", upstreams=sorted(self.ejected))
--- a/larkweir/router/client_connection.py
+++ b/larkweir/router/client_connection.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from larkweir.cluster.links import tune
+from larkweir.cluster.links import set_tcp_options
 from larkweir.router.answers import ANSWERS, ErrorKind
 from larkweir.router.client_request import ClientRequest, Headers
 from larkweir.router.configuration import Limits
@@ -50,7 +50,7 @@
         transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
         self._transport = transport
         transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
-        tune(transport, user_timeout_ms=USER_TIMEOUT_MS)
+        set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS)
         self._plane.connections.add(self)
         self._wait_idle()
 
--- a/larkweir/router/configuration.py
+++ b/larkweir/router/configuration.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 import msgspec
-from larkweir_quotas.ledger import Limit
+from larkweir_quotas.ledger import RateLimit
 
-from larkweir.cluster.configuration.documents import Document, patched
+from larkweir.cluster.configuration.documents import Document, apply_patch
 from larkweir.cluster.messages import ConfigUpdate
 
 NON_IDEMPOTENT = "non_idempotent"
@@ -114,7 +114,7 @@
         self.has_tenants = bool(configuration.tenants)
         self._tenants = {key: tenant for tenant in configuration.tenants for key in tenant.api_keys}
         self.quotas = {
-            tenant.name: Limit(tenant.rate_per_s, tenant.burst)
+            tenant.name: RateLimit(tenant.rate_per_s, tenant.burst)
             for tenant in configuration.tenants
             if tenant.rate_per_s > 0.0
         }
@@ -150,10 +150,10 @@
         if update.sequence <= self.sequence:
             return False
         body = msgspec.json.decode(update.body)
-        if update.base >= 0:
-            if update.base != self.sequence:
+        if update.base_sequence >= 0:
+            if update.base_sequence != self.sequence:
                 return False
-            body = patched(self._document, body)
+            body = apply_patch(self._document, body)
         self.table = RoutingTable(msgspec.convert(body, Configuration))
         self._document = body
         self.sequence = update.sequence
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -10,7 +10,7 @@
 from larkweir_balancing.engines import EngineBalancer, Listed
 from larkweir_quotas.quota import QuotaLimiter
 from larkweir_quotas.retries import RetryBudget
-from larkweir_registry.records import State, Upstream
+from larkweir_registry.records import Upstream, UpstreamState
 
 from larkweir.cluster.settings import Bounds
 from larkweir.router.answers import ErrorKind
@@ -71,15 +71,15 @@
         if budget is None:
             bounds = self._bounds
             budget = RetryBudget(bounds.retry_budget_ratio, bounds.retry_budget_slack, bounds.budget_window_s)
-            budget.processes = self._processes
+            budget.process_count = self._processes
             self._retries[service] = budget
         return budget
 
     def share_with(self, processes: int) -> None:
         """How many routers there are, this one included."""
-        self._processes = self.quotas.processes = processes
+        self._processes = self.quotas.process_count = processes
         for budget in self._retries.values():
-            budget.processes = processes
+            budget.process_count = processes
 
     def address(self, instance: str) -> str:
         """Where that upstream listens."""
@@ -88,7 +88,7 @@
     @property
     def has_upstreams(self) -> bool:
         """Whether any is ready."""
-        return any(upstream.state is State.READY for upstream in self._upstreams.values())
+        return any(upstream.state is UpstreamState.READY for upstream in self._upstreams.values())
 
     def _linked(self, instance: str) -> bool:
         upstream = self._upstreams.get(instance)
@@ -118,7 +118,7 @@
         for upstream in changed:
             before = self._upstreams.get(upstream.id)
             services.add(upstream.service or (before.service if before else ""))
-            if upstream.state is State.GONE:
+            if upstream.state is UpstreamState.GONE:
                 self._upstreams.pop(upstream.id, None)
                 if before is not None:
                     self.pool.drop(before.address)
@@ -130,7 +130,7 @@
 
     def _list(self, service: str, now_ms: float) -> None:
         listed = {
-            upstream.id: Listed(upstream.state is State.READY, upstream.silent)
+            upstream.id: Listed(upstream.state is UpstreamState.READY, upstream.has_timed_out)
             for upstream in self._upstreams.values()
             if upstream.service == service
         }
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -92,7 +92,7 @@
         self._events: EventBuffer | None = None
         self._refused: Outcome | None = None
         self._first_event_ms = 0.0
-        self._note = RequestNote(request.received_ms) if log.details() else None
+        self._note = RequestNote(request.received_ms) if log.is_debug_enabled() else None
 
     def _become(self, state: State) -> None:
         self._state = state
@@ -123,7 +123,7 @@
                 self._tenant = None  # nothing was counted
                 return self._answer(ErrorKind.OVER_QUOTA, wait_s)
         self._service = route.service(plane.rng)
-        plane.retries(self._service).request(self._now_ms())
+        plane.retries(self._service).record_request(self._now_ms())
         allowed_ms = min(route.timeout_ms, request.deadline_ms or route.timeout_ms)
         self._deadline_ms = request.received_ms + allowed_ms
         self._timer = self._loop.call_at(self._deadline_ms / 1000.0, self._time_out)
@@ -191,7 +191,7 @@
 
     def _connect_failed(self, attempt: Attempt, problem: str) -> None:
         """Nothing was written: another upstream may be asked."""
-        log.detail("connect_failed", instance=attempt.instance, error=problem)
+        log.debug("connect_failed", instance=attempt.instance, error=problem)
         self._release(Outcome.CONNECT_FAILED)
         self._connects_failed += 1
         if self._connects_failed >= CONNECTS_MOST:
@@ -236,7 +236,7 @@
         assert self._route is not None
         if self._sent >= self._route.max_attempts:
             return False
-        return self._plane.retries(self._service).take(self._now_ms())
+        return self._plane.retries(self._service).try_consume(self._now_ms())
 
     def _release(self, outcome: Outcome) -> None:
         """The attempt is over."""
@@ -247,7 +247,7 @@
     def _overdue(self) -> None:
         """The upstream is silent for longer than others are: it goes elsewhere what may, and where others are left."""
         assert self._route is not None
-        log.detail("overdue", instance=self._attempt.instance if self._attempt else None, state=self._state)
+        log.debug("overdue", instance=self._attempt.instance if self._attempt else None, state=self._state)
         may_go = OPTIONS.overdue_elsewhere and self._route.repeatable
         if not may_go or self._state not in (State.AWAITING, State.RELAYING):
             return
@@ -357,7 +357,7 @@
     def call_failed(self, ending: Ending) -> None:
         """The connection ended, or spoke nonsense, before the answer was whole."""
         assert self._route is not None
-        log.detail("call_failed", ending=ending, state=self._state, sent=self._sent)
+        log.debug("call_failed", ending=ending, state=self._state, sent=self._sent)
         refused = self._state is State.DISCARDING
         if refused and not self._may_have_run:
             self._refusal_read()
@@ -445,7 +445,7 @@
 
     def _log(self, note: RequestNote) -> None:
         request, received_ms = self._request, self._request.received_ms
-        log.detail(
+        log.debug(
             "request",
             id=request.header(b"x-request-id").decode("latin-1"),
             route=self._route.name if self._route is not None else None,
--- a/larkweir/router/fleet_view.py
+++ b/larkweir/router/fleet_view.py
@@ -6,12 +6,21 @@
 import secrets
 
 from larkweir_balancing.engines import weight
-from larkweir_registry.records import Vector
+from larkweir_registry.records import VersionVector
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster import log
 from larkweir.cluster.links import Connection, Link
-from larkweir.cluster.messages import Delta, Hello, Kind, Message, Place, Placed, Pull, Waiting
+from larkweir.cluster.messages import (
+    Delta,
+    Hello,
+    Message,
+    NodeRole,
+    PlacementRequest,
+    PlacementResponse,
+    PrefillQueueUpdate,
+    Pull,
+)
 from larkweir.cluster.settings import Settings
 from larkweir.router.data_plane import DataPlane
 from larkweir.router.fleet_size import FleetSize
@@ -28,11 +37,11 @@
         self._settings = settings
         self._plane = plane
         self._loop = asyncio.get_running_loop()
-        self._life = secrets.token_hex(6)
+        self._incarnation = secrets.token_hex(6)
         self._registry = Registry("")
         self._links: dict[str, Link] = {}
         self._controllers: set[str] = set(settings.seed_nodes)
-        self._told: dict[str, Vector] = {}  # by controller: the vector of the last pull
+        self._told: dict[str, VersionVector] = {}  # by controller: the vector of the last pull
         self._named: set[str] = set()  # controllers, by the last answer
         self._routers: dict[str, int] = {}
         self._fleet_size = FleetSize()
@@ -79,7 +88,7 @@
         """This process stood still."""
         for link in self._links.values():
             if link.connection is not None:
-                link.connection.excuse_silence()
+                link.connection.reset_idle_timeout()
 
     @property
     def is_settled(self) -> bool:
@@ -89,23 +98,23 @@
         enough = 2 * len(self._answered & self._controllers) > len(self._controllers)
         return enough or self._now_ms() >= self._configured_ms + SETTLE_MS
 
-    def _ask(self, message: Place) -> bool:
+    def _ask(self, message: PlacementRequest) -> bool:
         """To the controller that places that head; the same for all routers that reach the same controllers."""
         up = [node for node, link in self._links.items() if link.connection is not None]
         if not up:
             return False
-        return self._links[min(up, key=lambda node: weight(message.head, node))].send(message)
+        return self._links[min(up, key=lambda node: weight(message.prefix, node))].send(message)
 
     def _announce(self) -> None:
         """Tells every controller what waits at engines, ahead of the next pull."""
-        message = Waiting(self._plane.waiting())
+        message = PrefillQueueUpdate(self._plane.waiting())
         for link in self._links.values():
             link.send(message)
 
     # Pulls
 
     def _made(self, connection: Connection) -> None:
-        connection.send(Hello(self._settings.ip, Kind.ROUTER, self._life))
+        connection.send(Hello(self._settings.ip, NodeRole.ROUTER, self._incarnation))
         self._told.pop(connection.node, None)
         self._pull(connection)
 
@@ -114,26 +123,26 @@
         self._waiting.pop(node, None)
         if self._ejected.pop(node, None):
             self._eject()
-        log.detail("link_lost", to=node)
+        log.debug("link_lost", to=node)
 
     def _pull(self, connection: Connection) -> None:
         now_ms = self._now_ms()
-        usage = self._plane.quotas.counts(connection.node, now_ms)
+        usage = self._plane.quotas.usage(connection.node, now_ms)
         vector = dict(self._registry.vector)
         unchanged = self._told.get(connection.node) == vector
         self._told[connection.node] = vector
         pull = Pull(
-            config=self._plane.configuration.sequence,
+            config_sequence=self._plane.configuration.sequence,
             vector=None if unchanged else vector,
             usage=usage,
             sent_ms=round(now_ms),
-            waiting=self._plane.waiting(),
-            endings=self._plane.endings.told(now_ms),
+            queued_prefill_tokens=self._plane.waiting(),
+            outcomes=self._plane.endings.told(now_ms),
         )
         connection.send(pull)
 
     def _came(self, connection: Connection, message: Message) -> None:
-        if isinstance(message, Placed):
+        if isinstance(message, PlacementResponse):
             self._plane.keepers.placed(message, self._now_ms())
         elif isinstance(message, Delta):
             self._pulled(connection, message)
@@ -149,10 +158,10 @@
         self._controllers.update(message.controllers)
         if message.controllers:
             self._named = set(message.controllers)
-        self._routers[connection.node] = message.routers
+        self._routers[connection.node] = message.router_count
         plane.share_with(self._fleet_size.told(max(self._routers.values()), now_ms))
-        plane.quotas.heard(connection.node, message.quotas, now_ms)
-        self._waiting[connection.node] = message.waiting
+        plane.quotas.receive_statuses(connection.node, message.quotas, now_ms)
+        self._waiting[connection.node] = message.queued_prefill_tokens
         plane.peers_waiting(self._most_waiting())
         if message.ejected is not None:
             self._ejected[connection.node] = message.ejected
--- a/larkweir/router/node.py
+++ b/larkweir/router/node.py
@@ -8,7 +8,7 @@
 
 from larkweir.cluster import log, settings_watch
 from larkweir.cluster.http_server import HttpServerConnection, Request, Response
-from larkweir.cluster.settings import Settings, split_address
+from larkweir.cluster.settings import Settings, parse_address
 from larkweir.router.client_connection import ClientConnection
 from larkweir.router.data_plane import DataPlane
 from larkweir.router.fleet_view import FleetView
@@ -42,16 +42,16 @@
         """Serves until SIGTERM and the end of what it has taken."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._terminated.set)
-        watch = settings_watch.Watch(self._settings, self._view.settings_changed)
-        self._loop.add_signal_handler(signal.SIGHUP, watch.read)
+        watch = settings_watch.SettingsWatcher(self._settings, self._view.settings_changed)
+        self._loop.add_signal_handler(signal.SIGHUP, watch.reload)
         listen = self._settings.listen
         assert listen.front is not None
-        front = split_address(listen.front)
+        front = parse_address(listen.front)
         self._front = await self._loop.create_server(
             lambda: ClientConnection(self._plane), *front, backlog=BACKLOG
         )
         if listen.ready is not None:
-            ready = split_address(listen.ready)
+            ready = parse_address(listen.ready)
             self._ready_server = await self._loop.create_server(
                 lambda: HttpServerConnection(self._answer_ready, READY_BODY_BYTES), *ready
             )
@@ -73,7 +73,7 @@
             connection.abort()
         self._plane.pool.close()
 
-    async def _tick_forever(self, watch: settings_watch.Watch) -> None:
+    async def _tick_forever(self, watch: settings_watch.SettingsWatcher) -> None:
         last_ms = self._loop.time() * 1000.0
         count = 0
         while True:
--- a/larkweir/router/prompt_keepers.py
+++ b/larkweir/router/prompt_keepers.py
@@ -10,7 +10,7 @@
 
 from larkweir_balancing.engines import Prompt
 
-from larkweir.cluster.messages import Place, Placed
+from larkweir.cluster.messages import PlacementRequest, PlacementResponse
 
 ANSWER_S = 0.04  # a controller answers in a few milliseconds; without it the head's own order decides
 BODY_TIMES = (
@@ -51,7 +51,7 @@
         self._loop = asyncio.get_running_loop()
         self._known: OrderedDict[str, _Known] = OrderedDict()
         self._open: dict[str, _Question] = {}
-        self.ask: Callable[[Place], bool] = lambda message: False
+        self.ask: Callable[[PlacementRequest], bool] = lambda message: False
 
     def find(
         self,
@@ -75,7 +75,9 @@
             asked.waiting.append(then)
             return
         before = known.keeper if known is not None and is_ready(known.keeper.engine) else None
-        question = Place(service, prompt.head, prompt.tokens, before.engine if before is not None else None)
+        question = PlacementRequest(
+            service, prompt.head, prompt.tokens, before.engine if before is not None else None
+        )
         if not self.ask(question):
             then(before)
             return
@@ -83,16 +85,16 @@
         timer = self._loop.call_later(patience_s, self._answer, prompt.head, before)
         self._open[prompt.head] = _Question(timer, [then])
 
-    def placed(self, answer: Placed, now_ms: float) -> None:
+    def placed(self, answer: PlacementResponse, now_ms: float) -> None:
         """A controller's answer."""
         if answer.engine is None:
-            self._answer(answer.head, None)
+            self._answer(answer.prefix, None)
             return
-        self._known[answer.head] = _Known(Keeper(answer.engine, kept=True), now_ms + KNOWN_MS)
-        self._known.move_to_end(answer.head)
+        self._known[answer.prefix] = _Known(Keeper(answer.engine, kept=True), now_ms + KNOWN_MS)
+        self._known.move_to_end(answer.prefix)
         if len(self._known) > HEADS_MOST:
             self._known.popitem(last=False)
-        self._answer(answer.head, Keeper(answer.engine, answer.kept))
+        self._answer(answer.prefix, Keeper(answer.engine, answer.is_cached))
 
     def _answer(self, head: str, keeper: Keeper | None) -> None:
         question = self._open.pop(head, None)
--- a/larkweir/router/upstream_call.py
+++ b/larkweir/router/upstream_call.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from larkweir.cluster.links import tune
+from larkweir.cluster.links import set_tcp_options
 
 USER_TIMEOUT_MS = (
     1_200.0  # written bytes that stay unacknowledged for so long: the upstream is gone or cut off
@@ -66,7 +66,7 @@
         """Called by the loop."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
         self._transport = transport
-        tune(transport, user_timeout_ms=USER_TIMEOUT_MS, probe=True)
+        set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS, keepalive=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Called by the loop."""
--- a/larkweir/router/upstream_pool.py
+++ b/larkweir/router/upstream_pool.py
@@ -7,7 +7,7 @@
 
 from larkweir_balancing.decision_options import OPTIONS
 
-from larkweir.cluster.settings import split_address
+from larkweir.cluster.settings import parse_address
 from larkweir.router.upstream_call import UpstreamConnection
 
 CONNECT_MOST_S = 0.4  # an upstream that is there answers in milliseconds
@@ -70,7 +70,7 @@
 
     async def connect(self, address: str) -> UpstreamConnection:
         """A new connection. OSError or TimeoutError where there is none in time."""
-        host, port = split_address(address)
+        host, port = parse_address(address)
         begun_s = self._loop.time()
         async with asyncio.timeout(self._patience.seconds):
             _, connection = await self._loop.create_connection(
--- a/larkweir/system/cli.py
+++ b/larkweir/system/cli.py
@@ -77,7 +77,7 @@
     except SettingsError as problem:
         click.echo(f"settings: {problem}", err=True)
         sys.exit(EXIT_SETTINGS)
-    log.start(settings.node, debug=debug)
+    log.configure(settings.node, debug=debug)
 
     async def begin() -> None:
         await serve(settings)
--- a/larkweir/system/demo.py
+++ b/larkweir/system/demo.py
@@ -13,7 +13,7 @@
 import h11
 import msgspec
 
-from larkweir.cluster.client import NobodyAnsweredError, call
+from larkweir.cluster.client import ControllersUnreachableError, call_controllers
 from larkweir.cluster.settings import VARIABLE
 
 CONTROLLERS = 3
@@ -140,7 +140,7 @@
         await asyncio.to_thread(self._configure)
         await self._beat()
         for address in self._readies:
-            await asyncio.to_thread(call, [address], "GET", "/ready")
+            await asyncio.to_thread(call_controllers, [address], "GET", "/ready")
 
     async def _spawn(self, role: str, address: str, listen: dict[str, str]) -> None:
         ip = address.partition(":")[0]
@@ -170,14 +170,14 @@
         self._processes.append(process)
 
     def _configure(self) -> None:
-        answer = call(self.controls, "PUT", "/config", msgspec.json.encode(CONFIGURATION), base=0)
+        answer = call_controllers(self.controls, "PUT", "/config", msgspec.json.encode(CONFIGURATION), base=0)
         if answer.status != 200:
-            raise NobodyAnsweredError(f"{answer.status} {answer.body.decode(errors='replace')}")
+            raise ControllersUnreachableError(f"{answer.status} {answer.body.decode(errors='replace')}")
 
     async def _beat(self) -> None:
         for engine in self._engines:
             body = engine.heartbeat()
-            await asyncio.to_thread(call, self.controls, "PUT", f"/instances/{engine.id}", body)
+            await asyncio.to_thread(call_controllers, self.controls, "PUT", f"/instances/{engine.id}", body)
 
     async def run(self) -> None:
         """Goes on until it is cancelled."""
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -12,9 +12,9 @@
 import msgspec
 from larkweir_replication.journal import FolderFiles, Journal
 
-from larkweir.cluster.client import Answer, NobodyAnsweredError, call
-from larkweir.cluster.configuration.documents import difference
-from larkweir.cluster.configuration.schema import problem_of
+from larkweir.cluster.client import ControllerResponse, ControllersUnreachableError, call_controllers
+from larkweir.cluster.configuration.documents import make_patch
+from larkweir.cluster.configuration.schema import first_problem
 
 CONTROLLERS_VARIABLE = "LARKWEIR_CONTROLLERS"
 EXIT_REFUSED = 1
@@ -34,15 +34,15 @@
 
 def _call(
     controllers: str, method: str, path: str, body: bytes | None = None, base: int | None = None
-) -> Answer:
+) -> ControllerResponse:
     try:
-        return call([one.strip() for one in controllers.split(",")], method, path, body, base)
-    except NobodyAnsweredError as problem:
+        return call_controllers([one.strip() for one in controllers.split(",")], method, path, body, base)
+    except ControllersUnreachableError as problem:
         click.echo(f"no answer: {problem}", err=True)
         sys.exit(EXIT_NOBODY)
 
 
-def _must(answer: Answer) -> Any:
+def _must(answer: ControllerResponse) -> Any:
     """The answer's JSON; ends the command where it was refused."""
     found = msgspec.json.decode(answer.body) if answer.body else {}
     if answer.status >= 300:
@@ -108,7 +108,7 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def config_check(file: str) -> None:
     """Whether FILE is a valid configuration; names the first fault."""
-    problem = problem_of(_document(file))
+    problem = first_problem(_document(file))
     if problem is not None:
         click.echo(f"{file}: {problem}", err=True)
         sys.exit(EXIT_REFUSED)
@@ -120,7 +120,7 @@
 @click.argument("new", type=click.Path(dir_okay=False))
 def config_diff(old: str, new: str) -> None:
     """Prints the patch that makes NEW of OLD."""
-    _print_json(difference(_document(old), _document(new)))
+    _print_json(make_patch(_document(old), _document(new)))
 
 
 @click.command()
--- a/packages/quotas/tests/quota_fleet.py
+++ b/packages/quotas/tests/quota_fleet.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from random import Random
 
-from larkweir_quotas.ledger import Ledger, Limit
-from larkweir_quotas.quota import FRESH_MS, QuotaLimiter
+from larkweir_quotas.ledger import RateLimit, UsageTable
+from larkweir_quotas.quota import STATUS_VALID_MS, QuotaLimiter
 
 TENANT = "t"
 TICK_MS = 20.0
-LIMIT = Limit(rate_per_s=1_000.0, burst=1_600.0)
+LIMIT = RateLimit(rate_per_s=1_000.0, burst=1_600.0)
 
 
 @dataclass(frozen=True)
@@ -19,7 +19,7 @@
 
     routers: int = 9
     ledgers: int = 3
-    limit: Limit = LIMIT
+    limit: RateLimit = LIMIT
     report_ms: float = 110.0
     request_units: float = 20.0
     window_ms: float = 8_000.0
@@ -57,11 +57,11 @@
     def _router(self) -> QuotaLimiter:
         router = QuotaLimiter(Random(self.rng.random()))
         router.set_limits({TENANT: self.deployment.limit})
-        router.processes = self.deployment.routers
+        router.process_count = self.deployment.routers
         return router
 
-    def _ledger(self) -> Ledger:
-        ledger = Ledger()
+    def _ledger(self) -> UsageTable:
+        ledger = UsageTable()
         ledger.set_limits({TENANT: self.deployment.limit}, self.now_ms)
         return ledger
 
@@ -78,13 +78,13 @@
         """It stands still; each router has just sent it one more report."""
         self.frozen_ledgers.add(number)
         for place, router in enumerate(self.routers):
-            counts = router.counts(f"l{number}", self.now_ms)
+            counts = router.usage(f"l{number}", self.now_ms)
             self._unread.append((number, f"r{place}/{self.lives[place]}", counts, self.now_ms))
 
     def thaw_ledgers(self) -> None:
         """They read what waits for them, before anything else."""
         for number, process, counts, sent_ms in self._unread:
-            self.ledgers[number].report(process, counts, sent_ms, self.now_ms)
+            self.ledgers[number].record_report(process, counts, sent_ms, self.now_ms)
         self._unread.clear()
         self.frozen_ledgers.clear()
 
@@ -92,7 +92,7 @@
         """As the controllers do: each ledger knows how many routers it has lost."""
         for number, ledger in enumerate(self.ledgers):
             away = sum((router, number) in self.cut for router in range(len(self.routers)))
-            ledger.set_away(away / len(self.routers), self.deployment.over)
+            ledger.set_unreachable(away / len(self.routers), self.deployment.over)
 
     def advance(self, for_ms: float, per_s: float) -> None:
         """Lets time pass while clients ask for `per_s` units a second, at routers drawn by lot."""
@@ -121,10 +121,10 @@
                 if (number, place) in self.cut:
                     continue
                 self._next_report_ms[number][place] = self.now_ms + self.deployment.report_ms
-                counts = router.counts(f"l{place}", self.now_ms)
-                ledger.report(f"r{number}/{self.lives[number]}", counts, self.now_ms, self.now_ms)
-                statements = ledger.statements(list(counts), self.now_ms)
-                router.heard(f"l{place}", statements, self.now_ms)
+                counts = router.usage(f"l{place}", self.now_ms)
+                ledger.record_report(f"r{number}/{self.lives[number]}", counts, self.now_ms, self.now_ms)
+                statements = ledger.statuses(list(counts), self.now_ms)
+                router.receive_statuses(f"l{place}", statements, self.now_ms)
 
     def most_in_a_window(self) -> float:
         """Units admitted within the fullest window."""
@@ -164,7 +164,7 @@
         """Begins one and gives how long it is to last; `end` is to be called then."""
         getattr(self, "_" + self.rng.choice(self.KINDS))()
         self.fleet.tell_who_is_away()
-        return self.rng.choice([300.0, FRESH_MS, 2_000.0, 8_000.0, 20_000.0])
+        return self.rng.choice([300.0, STATUS_VALID_MS, 2_000.0, 8_000.0, 20_000.0])
 
     def end(self) -> None:
         """All links and processes are back."""
--- a/packages/quotas/tests/test_quotas.py
+++ b/packages/quotas/tests/test_quotas.py
@@ -5,11 +5,17 @@
 from random import Random
 
 import pytest
-from larkweir_quotas.ledger import ALONE_SHARE, FRESH_SHARE, Ledger, Limit, Statement
-from larkweir_quotas.quota import FRESH_MS, QuotaLimiter
+from larkweir_quotas.ledger import (
+    INITIAL_FILL_FRACTION,
+    ISOLATED_FRACTION,
+    QuotaStatus,
+    RateLimit,
+    UsageTable,
+)
+from larkweir_quotas.quota import STATUS_VALID_MS, QuotaLimiter
 from larkweir_quotas.retries import RetryBudget
 
-LIMITS = {"t": Limit(1_000.0, 2_000.0)}
+LIMITS = {"t": RateLimit(1_000.0, 2_000.0)}
 WINDOW_MS = 8_000.0
 
 
@@ -20,12 +26,12 @@
         self.now_ms = 0.0
         self.lag_ms = lag_ms
         self.routers = [QuotaLimiter() for _ in range(routers)]
-        self.ledgers = {f"l{n}": Ledger() for n in range(ledgers)}
+        self.ledgers = {f"l{n}": UsageTable() for n in range(ledgers)}
         self.cut: set[int] = set()
         self.admitted: list[tuple[float, float]] = []
         for router in self.routers:
             router.set_limits(LIMITS)
-            router.processes = routers
+            router.process_count = routers
         for ledger in self.ledgers.values():
             ledger.set_limits(LIMITS, 0.0)
         self._next_ms = 0.0
@@ -40,9 +46,9 @@
 
     def _exchange(self, number: int, router: QuotaLimiter) -> None:
         for name, ledger in self.ledgers.items():
-            counts = router.counts(name, self.now_ms)
-            ledger.report(f"r{number}", counts, self.now_ms, self.now_ms)
-            router.heard(name, ledger.statements(list(counts), self.now_ms), self.now_ms)
+            counts = router.usage(name, self.now_ms)
+            ledger.record_report(f"r{number}", counts, self.now_ms, self.now_ms)
+            router.receive_statuses(name, ledger.statuses(list(counts), self.now_ms), self.now_ms)
 
     def ask(self, number: int, units: float) -> bool:
         taken = self.routers[number].admit("t", units, self.now_ms) == 0.0
@@ -96,14 +102,14 @@
     play(fleet, 1, times_limit=6.0, for_ms=10_000.0)
     fleet.cut = set(range(cut))
     play(fleet, 2, times_limit=6.0, for_ms=40_000.0)
-    extra = ALLOWED * ALONE_SHARE * cut / 9
+    extra = ALLOWED * ISOLATED_FRACTION * cut / 9
     assert fleet.most_in_a_window() <= 1.1 * ALLOWED + extra + 1_000.0
 
 
 def test_a_new_ledger_that_has_heard_little_does_no_harm() -> None:
     fleet = Fleet(routers=9, ledgers=3, lag_ms=150.0)
     play(fleet, 1, times_limit=6.0, for_ms=10_000.0)
-    fleet.ledgers["l0"] = Ledger()
+    fleet.ledgers["l0"] = UsageTable()
     fleet.ledgers["l0"].set_limits(LIMITS, fleet.now_ms)
     play(fleet, 2, times_limit=6.0, for_ms=25_000.0)
     assert fleet.most_in_a_window() <= 1.1 * ALLOWED + 1_000.0
@@ -112,9 +118,9 @@
 def test_a_refusal_says_when_to_come_back_and_a_refund_counts() -> None:
     limiter = QuotaLimiter()
     limiter.set_limits(LIMITS)
-    limiter.heard("l", {"t": Statement(-500.0, 0.0)}, 0.0)
+    limiter.receive_statuses("l", {"t": QuotaStatus(-500.0, 0.0)}, 0.0)
     assert limiter.admit("t", 10.0, 0.0) == pytest.approx(0.5)
-    limiter.heard("l", {"t": Statement(5.0, 0.0)}, 0.0)
+    limiter.receive_statuses("l", {"t": QuotaStatus(5.0, 0.0)}, 0.0)
     assert limiter.admit("t", 10.0, 0.0) == 0.0
     assert limiter.admit("t", 10.0, 0.0) > 0.0
     limiter.refund("t", 10.0)
@@ -129,22 +135,22 @@
 def test_old_statements_say_nothing() -> None:
     limiter = QuotaLimiter()
     limiter.set_limits(LIMITS)
-    limiter.processes = 10
-    limiter.heard("l", {"t": Statement(1e9, 0.0)}, 0.0)
+    limiter.process_count = 10
+    limiter.receive_statuses("l", {"t": QuotaStatus(1e9, 0.0)}, 0.0)
     admitted = 0
-    while limiter.admit("t", 10.0, FRESH_MS) == 0.0:
+    while limiter.admit("t", 10.0, STATUS_VALID_MS) == 0.0:
         admitted += 1
     assert admitted * 10.0 <= 2_000.0 / 10 + 10.0
 
 
 def test_the_first_report_of_a_life_only_sets_where_it_counts_from() -> None:
-    ledger = Ledger()
+    ledger = UsageTable()
     ledger.set_limits(LIMITS, 0.0)
-    assert ledger.statements(["t"], 0.0)["t"].level == 2_000.0 * FRESH_SHARE
-    ledger.report("r", {"t": 1_900.0}, 1_000.0, 1_000.0)
-    assert ledger.statements(["t"], 1_000.0)["t"].level == 2_000.0
-    assert ledger.report("r", {"t": 3_500.0}, 1_000.0, 1_000.0) == ["t"]
-    assert ledger.statements(["t"], 1_000.0)["t"].level == 400.0
+    assert ledger.statuses(["t"], 0.0)["t"].level == 2_000.0 * INITIAL_FILL_FRACTION
+    ledger.record_report("r", {"t": 1_900.0}, 1_000.0, 1_000.0)
+    assert ledger.statuses(["t"], 1_000.0)["t"].level == 2_000.0
+    assert ledger.record_report("r", {"t": 3_500.0}, 1_000.0, 1_000.0) == ["t"]
+    assert ledger.statuses(["t"], 1_000.0)["t"].level == 400.0
 
 
 def test_retries_of_all_processes_stay_under_the_budget() -> None:
@@ -154,13 +160,13 @@
     retries: list[float] = []
     now_ms = 0.0
     for budget in budgets:
-        budget.processes = 9
+        budget.process_count = 9
     while now_ms < 60_000.0:
         now_ms += rng.expovariate(0.05)
         budget = rng.choice(budgets)
-        budget.request(now_ms)
+        budget.record_request(now_ms)
         requests.append(now_ms)
-        if budget.take(now_ms):
+        if budget.try_consume(now_ms):
             retries.append(now_ms)
     for end in range(10_000, 60_000, 250):
         inside = [when for when in requests if end - 10_000 < when <= end]
@@ -170,5 +176,5 @@
 
 def test_a_lone_process_may_retry_at_once_but_not_for_ever() -> None:
     budget = RetryBudget(0.2, 10.0, 10.0)
-    assert sum(budget.take(0.0) for _ in range(100)) == 7
-    assert budget.take(10_001.0)
+    assert sum(budget.try_consume(0.0) for _ in range(100)) == 7
+    assert budget.try_consume(10_001.0)
--- a/packages/quotas/tests/test_quotas_golden.py
+++ b/packages/quotas/tests/test_quotas_golden.py
@@ -7,44 +7,44 @@
 
 import msgspec
 import pytest
-from larkweir_quotas.ledger import Ledger, Limit, Statement
+from larkweir_quotas.ledger import QuotaStatus, RateLimit, UsageTable
 from larkweir_quotas.quota import QuotaLimiter
 
 STATEMENTS = [
-    (Statement(1_500.0, 320.0), b"[1500.0,320.0,false]"),
-    (Statement(-40.5, 0.0, True), b"[-40.5,0.0,true]"),
-    (Statement(7, 3, False), b"[7,3,false]"),  # as a ledger writes it: rounded
+    (QuotaStatus(1_500.0, 320.0), b"[1500.0,320.0,false]"),
+    (QuotaStatus(-40.5, 0.0, True), b"[-40.5,0.0,true]"),
+    (QuotaStatus(7, 3, False), b"[7,3,false]"),  # as a ledger writes it: rounded
 ]
 
 
 @pytest.mark.parametrize(("statement", "line"), STATEMENTS)
-def test_a_statement(statement: Statement, line: bytes) -> None:
+def test_a_statement(statement: QuotaStatus, line: bytes) -> None:
     assert msgspec.json.encode(statement) == line
-    assert msgspec.json.decode(line, type=Statement) == statement
+    assert msgspec.json.decode(line, type=QuotaStatus) == statement
 
 
 def test_a_statement_that_does_not_say_whether_the_tenant_presses() -> None:
-    assert msgspec.json.decode(b"[7,3]", type=Statement) == Statement(7.0, 3.0, False)
+    assert msgspec.json.decode(b"[7,3]", type=QuotaStatus) == QuotaStatus(7.0, 3.0, False)
 
 
 def test_a_limit() -> None:
     line = b'{"rate_per_s":1000.0,"burst":2000.0}'
-    assert msgspec.json.encode(Limit(1_000.0, 2_000.0)) == line
-    assert msgspec.json.decode(line, type=Limit) == Limit(1_000.0, 2_000.0)
+    assert msgspec.json.encode(RateLimit(1_000.0, 2_000.0)) == line
+    assert msgspec.json.decode(line, type=RateLimit) == RateLimit(1_000.0, 2_000.0)
 
 
 def test_what_a_ledger_answers_to_reports() -> None:
-    ledger = Ledger()
-    ledger.set_limits({"a": Limit(1_000.0, 2_000.0), "b": Limit(10.0, 3.0)}, 0.0)
-    ledger.report("r/1", {"a": 0.0, "b": 0.0}, 0.0, 0.0)
-    ledger.report("r/1", {"a": 600.0, "b": 40.0, "other": 1.0}, 110.0, 120.0)
+    ledger = UsageTable()
+    ledger.set_limits({"a": RateLimit(1_000.0, 2_000.0), "b": RateLimit(10.0, 3.0)}, 0.0)
+    ledger.record_report("r/1", {"a": 0.0, "b": 0.0}, 0.0, 0.0)
+    ledger.record_report("r/1", {"a": 600.0, "b": 40.0, "other": 1.0}, 110.0, 120.0)
     line = b'{"a":[400,600,false],"b":[-38,40,true]}'
-    assert msgspec.json.encode(ledger.statements(["a", "b", "other"], 120.0)) == line
+    assert msgspec.json.encode(ledger.statuses(["a", "b", "other"], 120.0)) == line
 
 
 def test_what_a_limiter_reports() -> None:
     limiter = QuotaLimiter()
-    limiter.set_limits({"a": Limit(1_000.0, 2_000.0)})
+    limiter.set_limits({"a": RateLimit(1_000.0, 2_000.0)})
     limiter.admit("a", 20.0, 0.0)
     limiter.admit("a", 12.5, 0.0)
-    assert msgspec.json.encode(limiter.counts("l", 1.0)) == b'{"a":32.5}'
+    assert msgspec.json.encode(limiter.usage("l", 1.0)) == b'{"a":32.5}'
--- a/packages/quotas/tests/test_quotas_herd.py
+++ b/packages/quotas/tests/test_quotas_herd.py
@@ -5,10 +5,10 @@
 from random import Random
 
 import pytest
-from larkweir_quotas.ledger import Ledger, Limit
+from larkweir_quotas.ledger import RateLimit, UsageTable
 from larkweir_quotas.quota import QuotaLimiter
 
-LIMIT = Limit(860_000.0, 860_000.0)  # tokens, as of the day on which it was seen
+LIMIT = RateLimit(860_000.0, 860_000.0)  # tokens, as of the day on which it was seen
 OVER = 1.1
 SLACK = 190_000.0
 WINDOW_MS = 8_000.0
@@ -21,13 +21,13 @@
 
 def admitted(processes: int, rng: Random) -> list[tuple[float, float]]:
     """When how many tokens were admitted; clients that are refused come back exactly when they are told to."""
-    ledger = Ledger()
+    ledger = UsageTable()
     ledger.set_limits({"t": LIMIT}, 0.0)
     limiters = [QuotaLimiter(rng) for _ in range(processes)]
     next_ms = [rng.random() * REPORT_MS for _ in limiters]
     for limiter in limiters:
         limiter.set_limits({"t": LIMIT})
-        limiter.processes = processes
+        limiter.process_count = processes
     back: list[tuple[float, int, float]] = []
     found: list[tuple[float, float]] = []
     now_ms = 0.0
@@ -36,9 +36,9 @@
         for number, limiter in enumerate(limiters):
             if now_ms >= next_ms[number]:
                 next_ms[number] = now_ms + REPORT_MS
-                counts = limiter.counts("l", now_ms)
-                ledger.report(f"r{number}", counts, now_ms, now_ms)
-                limiter.heard("l", ledger.statements(list(counts), now_ms), now_ms)
+                counts = limiter.usage("l", now_ms)
+                ledger.record_report(f"r{number}", counts, now_ms, now_ms)
+                limiter.receive_statuses("l", ledger.statuses(list(counts), now_ms), now_ms)
         new = round(PRESSING * LIMIT.rate_per_s / MEAN_TOKENS * STEP_MS / 1_000.0)
         asked = [(now_ms, rng.randrange(processes), rng.expovariate(1.0 / MEAN_TOKENS)) for _ in range(new)]
         asked += [one for one in back if one[0] <= now_ms]
--- a/packages/quotas/tests/test_quotas_planted.py
+++ b/packages/quotas/tests/test_quotas_planted.py
@@ -9,7 +9,7 @@
 import test_quotas_herd as herd
 import test_quotas_returns as plays
 from larkweir_quotas import ledger, quota
-from larkweir_quotas.ledger import Ledger
+from larkweir_quotas.ledger import UsageTable
 from larkweir_quotas.quota import QuotaLimiter
 
 SEEDS_MOST = 60
@@ -18,26 +18,29 @@
 
 
 def late_use_is_charged_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ledger, "LATE_MS", float("inf"))
+    patch.setattr(ledger, "LATE_REPORT_MS", float("inf"))
 
 
 def late_use_is_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ledger._Bucket, "take_late", lambda self, amount, over_ms, now_ms: None)
-    patch.setattr(ledger, "LATE_MS", 100.0)
+    patch.setattr(ledger._Bucket, "charge_late", lambda self, amount, over_ms, now_ms: None)
+    patch.setattr(ledger, "LATE_REPORT_MS", 100.0)
 
 
 def nothing_is_kept_back_for_the_lost(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Ledger, "set_away", lambda self, part, over: None)
-    patch.setattr(quota, "ALONE_SHARE", 3.0)
+    patch.setattr(UsageTable, "set_unreachable", lambda self, part, over: None)
+    patch.setattr(quota, "ISOLATED_FRACTION", 3.0)
 
 
 def others_count_as_idle(patch: pytest.MonkeyPatch) -> None:
-    def by_ledger(self: QuotaLimiter, heard: Any, state: Any, limit: Any, now_ms: float) -> float:
-        passed_s = (now_ms - heard.at_ms) / 1000.0
-        refilled = min(limit.burst, heard.statement.level + limit.rate_per_s * passed_s)
-        return float(refilled - max(state.count - heard.count, heard.statement.used_per_s * passed_s))
+    def by_ledger(self: QuotaLimiter, received: Any, state: Any, limit: Any, now_ms: float) -> float:
+        passed_s = (now_ms - received.received_ms) / 1000.0
+        refilled = min(limit.burst, received.status.level + limit.rate_per_s * passed_s)
+        return float(
+            refilled
+            - max(state.admitted_units - received.admitted_units, received.status.used_per_s * passed_s)
+        )
 
-    patch.setattr(QuotaLimiter, "_by_ledger", by_ledger)
+    patch.setattr(QuotaLimiter, "_remaining_by_status", by_ledger)
 
 
 def all_admit_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -46,18 +49,21 @@
 
 
 def a_fresh_ledger_gives_nothing(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ledger, "FRESH_SHARE", -1.0)
+    patch.setattr(ledger, "INITIAL_FILL_FRACTION", -1.0)
 
 
 def old_statements_count(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(quota, "FRESH_MS", 30_000.0)
+    patch.setattr(quota, "STATUS_VALID_MS", 30_000.0)
 
-    def by_ledger(self: QuotaLimiter, heard: Any, state: Any, limit: Any, now_ms: float) -> float:
+    def by_ledger(self: QuotaLimiter, received: Any, state: Any, limit: Any, now_ms: float) -> float:
         return float(
-            limit.burst + limit.rate_per_s * (now_ms - heard.at_ms) / 1000.0 - state.count + heard.count
+            limit.burst
+            + limit.rate_per_s * (now_ms - received.received_ms) / 1000.0
+            - state.admitted_units
+            + received.admitted_units
         )
 
-    patch.setattr(QuotaLimiter, "_by_ledger", by_ledger)
+    patch.setattr(QuotaLimiter, "_remaining_by_status", by_ledger)
 
 
 def never_too_much(seed: int) -> None:
--- a/packages/quotas/tests/test_quotas_returns.py
+++ b/packages/quotas/tests/test_quotas_returns.py
@@ -5,13 +5,15 @@
 import os
 
 import pytest
-from larkweir_quotas.ledger import Limit
+from larkweir_quotas.ledger import RateLimit
 from quota_fleet import Deployment, Fleet, Trouble
 
 SEEDS = int(os.environ.get("QUOTA_SEEDS", "10"))
 SETTLED_MS = 1_000.0  # after the return of contact, in which a request may still be refused
 SMALL = Deployment()
-LARGE = Deployment(routers=63, ledgers=5, report_ms=130.0, request_units=40.0, limit=Limit(2_000.0, 3_200.0))
+LARGE = Deployment(
+    routers=63, ledgers=5, report_ms=130.0, request_units=40.0, limit=RateLimit(2_000.0, 3_200.0)
+)
 
 
 @pytest.mark.parametrize("away_ms", [1_500.0, 8_000.0, 20_000.0])
--- a/packages/registry/src/larkweir_registry/memory.py
+++ b/packages/registry/src/larkweir_registry/memory.py
@@ -31,5 +31,5 @@
     except msgspec.DecodeError:
         return False
     for upstream in upstreams:
-        registry.note(upstream, now_ms)
+        registry.update(upstream, now_ms)
     return True
--- a/packages/registry/src/larkweir_registry/records.py
+++ b/packages/registry/src/larkweir_registry/records.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class State(IntEnum):
+class UpstreamState(IntEnum):
     """What an upstream said of itself; a higher one is never left for a lower one."""
 
     READY = 0
@@ -18,7 +18,8 @@
 class Upstream(msgspec.Struct, frozen=True):
     """One start of an upstream, as its heartbeats describe it. `sequence` counts its heartbeats.
 
-    `lapsed` is the sequence of the last heartbeat that was heard before its silence was noticed; -1 for never.
+    `timed_out_sequence` is that of the last heartbeat received before the upstream was found to have timed out; -1 for
+    never.
     """
 
     id: str
@@ -27,13 +28,13 @@
     zone: str
     slots: int = 1
     sequence: int = 0
-    state: State = State.READY
-    lapsed: int = -1
+    state: UpstreamState = UpstreamState.READY
+    timed_out_sequence: int = msgspec.field(default=-1, name="lapsed")
 
     @property
-    def silent(self) -> bool:
+    def has_timed_out(self) -> bool:
         """Whether its heartbeats have stopped, as far as is known."""
-        return self.lapsed >= self.sequence
+        return self.timed_out_sequence >= self.sequence
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
@@ -44,7 +45,7 @@
     counter: int
 
 
-Vector = dict[str, int]
+VersionVector = dict[str, int]
 """For each registry (and life of it) the highest counter that has been seen."""
 
 
@@ -52,7 +53,7 @@
     """The least that both say: commutative, associative, idempotent. Both must be of the same id."""
     newer = max(one, other, key=lambda upstream: (upstream.sequence, upstream.address, upstream.zone))
     state = max(one.state, other.state)
-    lapsed = max(one.lapsed, other.lapsed)
-    if newer.state is state and newer.lapsed == lapsed:
+    timed_out_sequence = max(one.timed_out_sequence, other.timed_out_sequence)
+    if newer.state is state and newer.timed_out_sequence == timed_out_sequence:
         return newer
-    return msgspec.structs.replace(newer, state=state, lapsed=lapsed)
+    return msgspec.structs.replace(newer, state=state, timed_out_sequence=timed_out_sequence)
--- a/packages/registry/tests/test_registry.py
+++ b/packages/registry/tests/test_registry.py
@@ -10,19 +10,23 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from larkweir_registry import memory
-from larkweir_registry.liveness import Liveness
-from larkweir_registry.records import State, Upstream, join
-from larkweir_registry.registry import GONE_KEPT_MS, Registry
+from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.records import Upstream, UpstreamState, join
+from larkweir_registry.registry import TOMBSTONE_RETENTION_MS, Registry
 
 IDS = ("u0", "u1", "u2")
 NAMES = ("a", "b", "c")
 
 
-def upstream(id_: str, sequence: int = 0, state: State = State.READY, lapsed: int = -1) -> Upstream:
-    return Upstream(id_, "s", "127.0.0.1:80", "z", 4, sequence, state, lapsed)
+def upstream(
+    id_: str, sequence: int = 0, state: UpstreamState = UpstreamState.READY, timed_out_sequence: int = -1
+) -> Upstream:
+    return Upstream(id_, "s", "127.0.0.1:80", "z", 4, sequence, state, timed_out_sequence)
 
 
-upstreams = st.builds(upstream, st.just("u"), st.integers(0, 5), st.sampled_from(State), st.integers(-1, 5))
+upstreams = st.builds(
+    upstream, st.just("u"), st.integers(0, 5), st.sampled_from(UpstreamState), st.integers(-1, 5)
+)
 
 
 @given(upstreams, upstreams, upstreams)
@@ -34,22 +38,22 @@
 
 def test_draining_and_gone_are_never_left() -> None:
     registry = Registry("a")
-    registry.note(upstream("u", 5, State.DRAINING), 0.0)
-    assert not registry.note(upstream("u", 9, State.READY), 0.0)
-    assert registry.upstreams["u"].state is State.DRAINING
-    assert registry.note(upstream("u", 0, State.GONE), 0.0)
-    assert not registry.note(upstream("u", 99, State.DRAINING), 0.0)
-    assert registry.upstreams["u"].state is State.GONE
+    registry.update(upstream("u", 5, UpstreamState.DRAINING), 0.0)
+    assert not registry.update(upstream("u", 9, UpstreamState.READY), 0.0)
+    assert registry.upstreams["u"].state is UpstreamState.DRAINING
+    assert registry.update(upstream("u", 0, UpstreamState.GONE), 0.0)
+    assert not registry.update(upstream("u", 99, UpstreamState.DRAINING), 0.0)
+    assert registry.upstreams["u"].state is UpstreamState.GONE
 
 
 def test_a_heartbeat_alone_is_no_news_but_the_end_of_a_silence_is() -> None:
     registry = Registry("a")
-    assert registry.note(upstream("u", 1), 0.0)
-    assert not registry.note(upstream("u", 2), 0.0)
-    assert registry.note(upstream("u", 2, lapsed=2), 0.0)
-    assert registry.upstreams["u"].silent
-    assert registry.note(upstream("u", 3), 0.0)
-    assert not registry.upstreams["u"].silent
+    assert registry.update(upstream("u", 1), 0.0)
+    assert not registry.update(upstream("u", 2), 0.0)
+    assert registry.update(upstream("u", 2, timed_out_sequence=2), 0.0)
+    assert registry.upstreams["u"].has_timed_out
+    assert registry.update(upstream("u", 3), 0.0)
+    assert not registry.upstreams["u"].has_timed_out
 
 
 def pull(reader: Registry, source: Registry) -> None:
@@ -71,12 +75,12 @@
         name=st.sampled_from(NAMES),
         id_=st.sampled_from(IDS),
         sequence=st.integers(0, 9),
-        state=st.sampled_from(State),
-        lapsed=st.integers(-1, 9),
+        state=st.sampled_from(UpstreamState),
+        timed_out_sequence=st.integers(-1, 9),
     )
-    def note(self, name: str, id_: str, sequence: int, state: State, lapsed: int) -> None:
-        said = upstream(id_, sequence, state, lapsed)
-        self.registries[name].note(said, 0.0)
+    def note(self, name: str, id_: str, sequence: int, state: UpstreamState, timed_out_sequence: int) -> None:
+        said = upstream(id_, sequence, state, timed_out_sequence)
+        self.registries[name].update(said, 0.0)
         known = self.all.get(id_)
         self.all[id_] = said if known is None else join(known, said)
 
@@ -91,7 +95,7 @@
 
     @invariant()
     def nothing_comes_back(self) -> None:
-        now = {id_ for id_, one in self.reader.upstreams.items() if one.state is not State.READY}
+        now = {id_ for id_, one in self.reader.upstreams.items() if one.state is not UpstreamState.READY}
         assert self.drained <= now
         self.drained = now
 
@@ -105,7 +109,7 @@
         for id_, joined in self.all.items():
             for registry in (*self.registries.values(), self.reader):
                 found = registry.upstreams[id_]
-                assert (found.state, found.silent) == (joined.state, joined.silent)
+                assert (found.state, found.has_timed_out) == (joined.state, joined.has_timed_out)
 
 
 TestRegistries = Registries.TestCase
@@ -113,59 +117,59 @@
 
 def test_whoever_has_all_lacks_nothing() -> None:
     registry, reader = Registry("a"), Registry("")
-    registry.note(upstream("u", 1), 0.0)
-    assert not registry.covers(reader.vector)
+    registry.update(upstream("u", 1), 0.0)
+    assert not registry.is_covered_by(reader.vector)
     pull(reader, registry)
-    assert registry.covers(reader.vector)
+    assert registry.is_covered_by(reader.vector)
     assert registry.delta(reader.vector) == []
 
 
 def test_ready_ones_are_found_by_service_and_anew_after_each_change() -> None:
     registry = Registry("a")
-    assert registry.ready("s") == []
-    registry.note(upstream("u0", 1), 0.0)
-    registry.note(upstream("u1", 1), 0.0)
-    assert registry.ready("s") == ["u0", "u1"]
-    registry.note(upstream("u0", 2, State.DRAINING), 0.0)
-    assert registry.ready("s") == ["u1"]
-    registry.note(upstream("u1", 2, lapsed=2), 0.0)
-    assert registry.ready("s") == []
-    assert registry.ready("t") == []
+    assert registry.ready_ids("s") == []
+    registry.update(upstream("u0", 1), 0.0)
+    registry.update(upstream("u1", 1), 0.0)
+    assert registry.ready_ids("s") == ["u0", "u1"]
+    registry.update(upstream("u0", 2, UpstreamState.DRAINING), 0.0)
+    assert registry.ready_ids("s") == ["u1"]
+    registry.update(upstream("u1", 2, timed_out_sequence=2), 0.0)
+    assert registry.ready_ids("s") == []
+    assert registry.ready_ids("t") == []
 
 
 def test_what_has_gone_is_dropped_after_long() -> None:
     registry = Registry("a")
-    registry.note(upstream("u", 1, State.GONE), 0.0)
-    registry.prune(GONE_KEPT_MS - 1.0)
+    registry.update(upstream("u", 1, UpstreamState.GONE), 0.0)
+    registry.prune(TOMBSTONE_RETENTION_MS - 1.0)
     assert "u" in registry.upstreams
-    registry.prune(GONE_KEPT_MS)
+    registry.prune(TOMBSTONE_RETENTION_MS)
     assert registry.upstreams == {}
     assert registry.delta({}) == []
 
 
 def test_silence_counts_only_where_nobody_heard_and_this_one_was_listening() -> None:
-    liveness = Liveness(1_000.0, 0.0)
-    liveness.heard("u", 1, 0.0)
-    assert liveness.silent(["u"], liveness.patience_ms - 1.0) == []
-    assert liveness.silent(["u"], liveness.patience_ms) == ["u"]
-    liveness.heard_elsewhere({"u": 2}, 3_000.0)
-    assert liveness.silent(["u"], liveness.patience_ms) == []
-    liveness.blinded(10_000.0)
-    assert liveness.silent(["u"], 10_001.0) == []
-    assert liveness.silent(["u"], 10_000.0 + liveness.patience_ms) == ["u"]
+    detector = FailureDetector(1_000.0, 0.0)
+    detector.record_heartbeat("u", 1, 0.0)
+    assert detector.timed_out(["u"], detector.timeout_ms - 1.0) == []
+    assert detector.timed_out(["u"], detector.timeout_ms) == ["u"]
+    detector.record_peer_heartbeats({"u": 2}, 3_000.0)
+    assert detector.timed_out(["u"], detector.timeout_ms) == []
+    detector.reset_observation(10_000.0)
+    assert detector.timed_out(["u"], 10_001.0) == []
+    assert detector.timed_out(["u"], 10_000.0 + detector.timeout_ms) == ["u"]
 
 
 def test_heartbeats_are_reported_once() -> None:
-    liveness = Liveness(1_000.0, 0.0)
-    liveness.heard("u", 1, 0.0)
-    liveness.heard("u", 1, 5.0)
-    assert liveness.take_report() == {"u": 1}
-    assert liveness.take_report() == {}
+    detector = FailureDetector(1_000.0, 0.0)
+    detector.record_heartbeat("u", 1, 0.0)
+    detector.record_heartbeat("u", 1, 5.0)
+    assert detector.take_report() == {"u": 1}
+    assert detector.take_report() == {}
 
 
 def test_what_was_left_on_disk_is_found_again() -> None:
     registry, later = Registry("a/1"), Registry("a/2")
-    registry.note(upstream("u", 7, State.DRAINING), 0.0)
+    registry.update(upstream("u", 7, UpstreamState.DRAINING), 0.0)
     assert memory.restore(later, memory.encode(registry), 0.0)
     assert later.upstreams == registry.upstreams
 
@@ -173,7 +177,7 @@
 @pytest.mark.parametrize("seed", range(50))
 def test_a_damaged_file_is_noticed(seed: int) -> None:
     registry, later = Registry("a/1"), Registry("a/2")
-    registry.note(upstream("u", 7), 0.0)
+    registry.update(upstream("u", 7), 0.0)
     data = bytearray(memory.encode(registry))
     rng = Random(seed)
     if rng.random() < 0.5:
@@ -186,6 +190,6 @@
 
 def test_records_survive_their_encoding() -> None:
     registry = Registry("a")
-    registry.note(upstream("u", 3, State.DRAINING), 0.0)
+    registry.update(upstream("u", 3, UpstreamState.DRAINING), 0.0)
     (record,) = registry.delta({})
     assert msgspec.json.decode(msgspec.json.encode(record), type=type(record)) == record
--- a/packages/registry/tests/test_registry_fleet.py
+++ b/packages/registry/tests/test_registry_fleet.py
@@ -8,8 +8,8 @@
 
 import pytest
 from larkweir_registry import memory
-from larkweir_registry.liveness import Liveness
-from larkweir_registry.records import State, Upstream
+from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.records import Upstream, UpstreamState
 from larkweir_registry.registry import Registry
 
 SEEDS = int(os.environ.get("REGISTRY_SEEDS", "40"))
@@ -30,7 +30,7 @@
     up: bool = True
     frozen: bool = False
     registry: Registry = field(init=False)
-    liveness: Liveness = field(init=False)
+    detector: FailureDetector = field(init=False)
 
     def start(self, now_ms: float) -> None:
         """A new life, with the upstreams that the one before left on disk."""
@@ -38,7 +38,7 @@
         self.life += 1
         self.up = True
         self.registry = Registry(f"{self.name}/{self.life}")
-        self.liveness = Liveness(HEARTBEAT_MS, now_ms)
+        self.detector = FailureDetector(HEARTBEAT_MS, now_ms)
         if left is not None:
             memory.restore(self.registry, left, now_ms)
 
@@ -100,17 +100,19 @@
 
     def _judge(self, controller: Controller) -> None:
         if not self.reaches_majority(controller):
-            controller.liveness.blinded(self.now_ms)
+            controller.detector.reset_observation(self.now_ms)
             return
         registry = controller.registry
         watched = [
-            one.id for one in registry.upstreams.values() if one.state is not State.GONE and not one.silent
+            one.id
+            for one in registry.upstreams.values()
+            if one.state is not UpstreamState.GONE and not one.has_timed_out
         ]
-        for id_ in controller.liveness.silent(watched, self.now_ms):
+        for id_ in controller.detector.timed_out(watched, self.now_ms):
             known = registry.upstreams[id_]
-            sequence = max(known.sequence, controller.liveness.sequence(id_))
-            lapsed = Upstream(known.id, "s", known.address, "z", 1, sequence, known.state, sequence)
-            registry.note(lapsed, self.now_ms)
+            sequence = max(known.sequence, controller.detector.last_sequence(id_))
+            timed_out = Upstream(known.id, "s", known.address, "z", 1, sequence, known.state, sequence)
+            registry.update(timed_out, self.now_ms)
 
     def _server_speaks(self, server: Server) -> None:
         self._late_heartbeats_come(server)
@@ -125,7 +127,7 @@
         if leaving and server.crashes:
             server.dead_ms = self.now_ms
             return
-        state = State.DRAINING if leaving else State.READY
+        state = UpstreamState.DRAINING if leaving else UpstreamState.READY
         said = Upstream(server.id, "s", f"a-{server.id}", "z", 1, server.sequence, state)
         if not leaving and not self.calm and self.rng.random() < LATE_CHANCE:
             server.late.append((self.now_ms + self.rng.uniform(500.0, 3_000.0), said))
@@ -142,13 +144,13 @@
                 server.late.remove((when_ms, said))
                 controller = self.rng.choice(self.controllers)
                 if controller.works:
-                    controller.registry.note(said, self.now_ms)
+                    controller.registry.update(said, self.now_ms)
 
     def _tell(self, controller: Controller, said: Upstream) -> bool:
         """Whether it is acknowledged: a departure only once a majority of controllers has it."""
-        controller.liveness.heard(said.id, said.sequence, self.now_ms)
-        controller.registry.note(said, self.now_ms)
-        if said.state is State.READY:
+        controller.detector.record_heartbeat(said.id, said.sequence, self.now_ms)
+        controller.registry.update(said, self.now_ms)
+        if said.state is UpstreamState.READY:
             return self.reaches_majority(controller)
         self._controllers_talk()
         knowing = [one for one in self.controllers if one.up and self._knows(one.registry, said.id)]
@@ -157,20 +159,20 @@
     @staticmethod
     def _knows(registry: Registry, id_: str) -> bool:
         known = registry.upstreams.get(id_)
-        return known is not None and known.state is not State.READY
+        return known is not None and known.state is not UpstreamState.READY
 
     def _controllers_talk(self) -> None:
         for one in self.controllers:
             if not one.works:
                 continue
-            report = one.liveness.take_report()
+            report = one.detector.take_report()
             for other in self.controllers:
                 if other is one or not other.works or not self.linked(one.name, other.name):
                     continue
                 delta = one.registry.delta(other.registry.vector)
                 changed = other.registry.merge(delta, one.registry.vector, self.now_ms)
-                other.liveness.heard_elsewhere({one.id: one.sequence for one in changed}, self.now_ms)
-                other.liveness.heard_elsewhere(report, self.now_ms)
+                other.detector.record_peer_heartbeats({one.id: one.sequence for one in changed}, self.now_ms)
+                other.detector.record_peer_heartbeats(report, self.now_ms)
 
     def _routers_pull(self) -> None:
         for number, router in enumerate(self.routers):
@@ -184,7 +186,7 @@
         for number, router in enumerate(self.routers):
             if self.now_ms < self.in_touch_since[number] + CONTACT_MS:
                 continue
-            ready = router.ready("s")
+            ready = router.ready_ids("s")
             for server in self.servers:
                 left_ms = server.gone_acknowledged_ms
                 if left_ms is not None and self.now_ms >= left_ms + 4 * TICK_MS:
@@ -229,7 +231,7 @@
         for controller in fleet.controllers:
             if controller.frozen:
                 controller.frozen = False
-                controller.liveness.blinded(fleet.now_ms)
+                controller.detector.reset_observation(fleet.now_ms)
         fleet.in_touch_since = dict.fromkeys(fleet.in_touch_since, fleet.now_ms)
 
 
@@ -254,7 +256,7 @@
     fleet.calm = True
     run(fleet, 16_000.0)
     for router in fleet.routers:
-        ready = set(router.ready("s"))
+        ready = set(router.ready_ids("s"))
         living = {one.id for one in fleet.servers if one.dead_ms is None}
         fresh = {
             one.id
@@ -282,4 +284,4 @@
     for _ in range(200):
         fleet.tick()
         for router in fleet.routers:
-            assert len(router.ready("s")) == len(fleet.servers)
+            assert len(router.ready_ids("s")) == len(fleet.servers)
--- a/packages/registry/tests/test_registry_golden.py
+++ b/packages/registry/tests/test_registry_golden.py
@@ -8,14 +8,14 @@
 import msgspec
 import pytest
 from larkweir_registry import memory
-from larkweir_registry.records import Record, State, Upstream, Vector
+from larkweir_registry.records import Record, Upstream, UpstreamState, VersionVector
 from larkweir_registry.registry import Registry
 
 UPSTREAMS = (
     Upstream("u-0", "chat", "10.0.0.4:9000", "z1"),
-    Upstream("u-1", "chat", "10.0.0.5:9000", "z2", 8, 41, State.READY, 41),
-    Upstream("u-2", "embed", "10.0.0.6:9000", "", 2, 17, State.DRAINING, 3),
-    Upstream("u-é", "", "", "", state=State.GONE),
+    Upstream("u-1", "chat", "10.0.0.5:9000", "z2", 8, 41, UpstreamState.READY, 41),
+    Upstream("u-2", "embed", "10.0.0.6:9000", "", 2, 17, UpstreamState.DRAINING, 3),
+    Upstream("u-é", "", "", "", state=UpstreamState.GONE),
 )
 UPSTREAM_LINES = (
     b'{"id":"u-0","service":"chat","address":"10.0.0.4:9000","zone":"z1","slots":1,"sequence":0,"state":0,"lapsed":-1}',
@@ -35,7 +35,9 @@
 
 def test_the_fields_that_a_sender_may_leave_out() -> None:
     line = b'{"id":"u","service":"s","address":"a:1","zone":"z","unknown":[1]}'
-    assert msgspec.json.decode(line, type=Upstream) == Upstream("u", "s", "a:1", "z", 1, 0, State.READY, -1)
+    assert msgspec.json.decode(line, type=Upstream) == Upstream(
+        "u", "s", "a:1", "z", 1, 0, UpstreamState.READY, -1
+    )
 
 
 def test_a_record() -> None:
@@ -49,11 +51,11 @@
     line = b'{"10.0.0.1/a1b2c3":7,"10.0.0.2/d4e5f6":1}'
     vector = {"10.0.0.1/a1b2c3": 7, "10.0.0.2/d4e5f6": 1}
     assert msgspec.json.encode(vector) == line
-    assert msgspec.json.decode(line, type=Vector) == vector
+    assert msgspec.json.decode(line, type=VersionVector) == vector
 
 
-@pytest.mark.parametrize("state", State)
-def test_a_state_is_written_as_its_number(state: State) -> None:
+@pytest.mark.parametrize("state", UpstreamState)
+def test_a_state_is_written_as_its_number(state: UpstreamState) -> None:
     assert msgspec.json.encode(state) == {"READY": b"0", "DRAINING": b"1", "GONE": b"2"}[state.name]
 
 
@@ -61,7 +63,7 @@
     registry = Registry("10.0.0.1/a1b2c3")
     assert memory.encode(registry) == EMPTY_HINT_FILE
     for upstream in UPSTREAMS:
-        registry.note(upstream, 0.0)
+        registry.update(upstream, 0.0)
     assert memory.encode(registry) == HINT_FILE
 
 
--- a/packages/registry/tests/test_registry_planted.py
+++ b/packages/registry/tests/test_registry_planted.py
@@ -9,8 +9,8 @@
 import pytest
 import test_registry_fleet as plays
 from larkweir_registry import registry
-from larkweir_registry.liveness import Liveness
-from larkweir_registry.records import State, Upstream, join
+from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.records import Upstream, UpstreamState, join
 from larkweir_registry.registry import Registry
 
 SEEDS_MOST = 60
@@ -19,8 +19,8 @@
 
 def departures_are_acknowledged_alone(patch: pytest.MonkeyPatch) -> None:
     def tell(self: Any, controller: Any, said: Upstream) -> bool:
-        controller.liveness.heard(said.id, said.sequence, self.now_ms)
-        controller.registry.note(said, self.now_ms)
+        controller.detector.record_heartbeat(said.id, said.sequence, self.now_ms)
+        controller.registry.update(said, self.now_ms)
         return True
 
     patch.setattr(plays.Fleet, "_tell", tell)
@@ -30,13 +30,15 @@
     """Ready said later undoes draining said before."""
 
     def newest(one: Upstream, other: Upstream) -> Upstream:
-        return max(other, one, key=lambda upstream: upstream.sequence + (upstream.state is State.READY))
+        return max(
+            other, one, key=lambda upstream: upstream.sequence + (upstream.state is UpstreamState.READY)
+        )
 
     patch.setattr(registry, "join", newest)
 
 
 def silence_is_never_noticed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Liveness, "silent", lambda self, ids, now_ms: [])
+    patch.setattr(FailureDetector, "timed_out", lambda self, ids, now_ms: [])
 
 
 def what_is_merged_is_not_passed_on(patch: pytest.MonkeyPatch) -> None:
@@ -51,8 +53,10 @@
 def a_silence_is_never_taken_back(patch: pytest.MonkeyPatch) -> None:
     def stay_silent(one: Upstream, other: Upstream) -> Upstream:
         joined = join(one, other)
-        if one.silent or other.silent:
-            return msgspec.structs.replace(joined, lapsed=max(joined.lapsed, joined.sequence + 1_000))
+        if one.has_timed_out or other.has_timed_out:
+            return msgspec.structs.replace(
+                joined, timed_out_sequence=max(joined.timed_out_sequence, joined.sequence + 1_000)
+            )
         return joined
 
     patch.setattr(registry, "join", stay_silent)
--- a/tests/controller/test_call_outcome.py
+++ b/tests/controller/test_call_outcome.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from larkweir.cluster.messages import Forwarded
+from larkweir.cluster.messages import PrimaryResponse
 from larkweir.controller.call_outcome import (
     UNKNOWN,
     CallOutcome,
@@ -30,4 +30,4 @@
 
 @pytest.mark.parametrize(("outcome", "line"), OUTCOMES)
 def test_an_outcome_is_read_from_its_message(outcome: CallOutcome, line: bytes) -> None:
-    assert from_message(msgspec.json.decode(line, type=Forwarded)) == outcome
+    assert from_message(msgspec.json.decode(line, type=PrimaryResponse)) == outcome
--- a/tests/controller/test_configuration_history.py
+++ b/tests/controller/test_configuration_history.py
@@ -29,13 +29,13 @@
 def test_a_process_without_a_configuration_is_sent_the_complete_newest(history: ConfigurationHistory) -> None:
     update = history.update_from(-1)
     assert update is not None
-    assert (update.sequence, update.base, bytes(update.body)) == (3, -1, version(3).encode())
+    assert (update.sequence, update.base_sequence, bytes(update.body)) == (3, -1, version(3).encode())
 
 
 def test_a_process_with_an_older_configuration_is_sent_a_patch(history: ConfigurationHistory) -> None:
     update = history.update_from(2)
     assert update is not None
-    assert (update.sequence, update.base) == (3, 2)
+    assert (update.sequence, update.base_sequence) == (3, 2)
     assert msgspec.json.decode(update.body) == {
         "upsert": {"services": [{"name": "s3"}]},
         "remove": {"services": ["s2"]},
@@ -54,7 +54,7 @@
     history.add(4, version(4))
     update = history.update_from(1)
     assert update is not None
-    assert (update.sequence, update.base) == (4, 1)
+    assert (update.sequence, update.base_sequence) == (4, 1)
     assert msgspec.json.decode(update.body)["generation"] == 4
 
 
@@ -71,6 +71,6 @@
         assert history.add(number, version(number)) is not None
     dropped, kept = history.update_from(1), history.update_from(2)
     assert dropped is not None
-    assert dropped.base == -1
+    assert dropped.base_sequence == -1
     assert kept is not None
-    assert kept.base == 2
+    assert kept.base_sequence == 2
--- a/tests/controller/test_delivery_confirmation.py
+++ b/tests/controller/test_delivery_confirmation.py
@@ -10,7 +10,7 @@
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster.links import Connection
-from larkweir.cluster.messages import Kind
+from larkweir.cluster.messages import NodeRole
 from larkweir.controller.delivery_confirmation import DeliveryConfirmation
 from larkweir.controller.subscriptions import Subscriber, Subscriptions
 
@@ -22,13 +22,13 @@
 
     def __init__(self) -> None:
         self.registry = Registry("c/1")
-        self.registry.note(Upstream("u", "s", "127.0.0.1:1", "z"), 0.0)
+        self.registry.update(Upstream("u", "s", "127.0.0.1:1", "z"), 0.0)
         self.subscriptions = Subscriptions()
         self.confirmation = DeliveryConfirmation(self.registry, self.subscriptions)
-        self.router = self.subscribe("r", Kind.ROUTER)
-        self.controller = self.subscribe("d", Kind.CONTROLLER)
+        self.router = self.subscribe("r", NodeRole.ROUTER)
+        self.controller = self.subscribe("d", NodeRole.CONTROLLER)
 
-    def subscribe(self, node: str, kind: Kind) -> Subscriber:
+    def subscribe(self, node: str, kind: NodeRole) -> Subscriber:
         connection = Connection(lambda connection, message: None, lambda connection: None)
         connection.node = node
         self.subscriptions.add(connection, kind)
--- a/tests/controller/test_quota_accounting.py
+++ b/tests/controller/test_quota_accounting.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from larkweir_quotas.ledger import Limit
+from larkweir_quotas.ledger import RateLimit
 
 from larkweir.controller.quota_accounting import DISCONNECTED_ROUTER_MS, QuotaAccounting, limits_of
 
@@ -14,8 +14,8 @@
     def __init__(self) -> None:
         self.away: list[tuple[float, float]] = []
 
-    def set_away(self, part: float, over: float) -> None:
-        self.away.append((part, over))
+    def set_unreachable(self, fraction: float, tolerance: float) -> None:
+        self.away.append((fraction, tolerance))
 
 
 @pytest.fixture
@@ -31,8 +31,8 @@
 def test_only_tenants_with_a_rate_have_a_limit() -> None:
     tenants = [{"name": "a", "rate_per_s": 5, "burst": 2}, {"name": "b", "rate_per_s": 0}, {"name": "c"}]
     assert limits_of({"tenants": [*tenants, {"name": "d", "rate_per_s": 1}]}) == {
-        "a": Limit(5.0, 2.0),
-        "d": Limit(1.0, 0.0),
+        "a": RateLimit(5.0, 2.0),
+        "d": RateLimit(1.0, 0.0),
     }
 
 
--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -11,9 +11,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larkweir.cluster.configuration.changes import Change, Refusal, Refused, apply_change
-from larkweir.cluster.configuration.documents import PatchError, difference, patched
-from larkweir.cluster.configuration.schema import problem_of
+from larkweir.cluster.configuration.changes import (
+    ConfigurationChange,
+    Rejection,
+    RejectionReason,
+    apply_change,
+)
+from larkweir.cluster.configuration.documents import PatchError, apply_patch, make_patch
+from larkweir.cluster.configuration.schema import first_problem
 from larkweir.cluster.messages import ConfigUpdate
 from larkweir.router.configuration import Configuration, ConfigurationStore, RoutingTable
 
@@ -47,7 +52,7 @@
 
 
 def test_a_valid_one_is_valid() -> None:
-    assert problem_of(VALID) is None
+    assert first_problem(VALID) is None
 
 
 INVALID = {
@@ -68,36 +73,36 @@
 
 @pytest.mark.parametrize("name", INVALID)
 def test_invalid_ones_are_told_apart(name: str) -> None:
-    problem = problem_of(INVALID[name])
+    problem = first_problem(INVALID[name])
     assert problem
     assert "\n" not in problem
 
 
-def put(document: object, base: int) -> Change:
-    return Change(False, base, msgspec.json.encode(document).decode())
+def put(document: object, base: int) -> ConfigurationChange:
+    return ConfigurationChange(False, base, msgspec.json.encode(document).decode())
 
 
-def apply(value: str, change: Change) -> Any:
+def apply(value: str, change: ConfigurationChange) -> Any:
     return apply_change(value, change.encode())
 
 
-def refusal(value: str, change: Change) -> Refusal:
+def refusal(value: str, change: ConfigurationChange) -> RejectionReason:
     refused = apply(value, change).err()
-    assert isinstance(refused, Refused)
-    return refused.refusal
+    assert isinstance(refused, Rejection)
+    return refused.reason
 
 
 def test_a_change_builds_on_the_version_in_place() -> None:
     value = apply("", put(VALID, 0)).ok()
     assert msgspec.json.decode(value) == VALID
-    assert refusal(value, put(changed(generation=4), 2)) is Refusal.STALE
-    assert refusal(value, put(changed(generation=3), 3)) is Refusal.INVALID
-    assert refusal(value, put(changed(generation=2), 3)) is Refusal.INVALID
-    assert refusal(value, Change(False, 3, '{"generation": 4, "rou')) is Refusal.INVALID
-    assert refusal(value, Change(False, 3, "[]")) is Refusal.INVALID
+    assert refusal(value, put(changed(generation=4), 2)) is RejectionReason.STALE
+    assert refusal(value, put(changed(generation=3), 3)) is RejectionReason.INVALID
+    assert refusal(value, put(changed(generation=2), 3)) is RejectionReason.INVALID
+    assert refusal(value, ConfigurationChange(False, 3, '{"generation": 4, "rou')) is RejectionReason.INVALID
+    assert refusal(value, ConfigurationChange(False, 3, "[]")) is RejectionReason.INVALID
     for document in INVALID.values():
         fresh = document | {"generation": 9} if "generation" in document else document
-        assert refusal(value, put(fresh, 3)) is Refusal.INVALID
+        assert refusal(value, put(fresh, 3)) is RejectionReason.INVALID
     assert apply(value, put(changed(generation=9), 3)).is_ok()
 
 
@@ -108,14 +113,22 @@
         "upsert": {"routes": [route("r1", "/one/", timeout_ms=7), route("r9", "/nine/")]},
         "remove": {"routes": ["r2"], "tenants": ["y"]},
     }
-    found = msgspec.json.decode(apply(value, Change(True, 3, msgspec.json.encode(patch).decode())).ok())
+    found = msgspec.json.decode(
+        apply(value, ConfigurationChange(True, 3, msgspec.json.encode(patch).decode())).ok()
+    )
     assert [one["name"] for one in found["routes"]] == ["r1", "r9"]
     assert found["routes"][0]["timeout_ms"] == 7
     assert [one["name"] for one in found["tenants"]] == ["x"]
     assert found["generation"] == 5
     bad = {"generation": 6, "remove": {"services": ["s"]}}
-    assert refusal(value, Change(True, 3, msgspec.json.encode(bad).decode())) is Refusal.INVALID
-    assert refusal("", Change(True, 0, msgspec.json.encode(patch).decode())) is Refusal.INVALID
+    assert (
+        refusal(value, ConfigurationChange(True, 3, msgspec.json.encode(bad).decode()))
+        is RejectionReason.INVALID
+    )
+    assert (
+        refusal("", ConfigurationChange(True, 0, msgspec.json.encode(patch).decode()))
+        is RejectionReason.INVALID
+    )
 
 
 @pytest.mark.parametrize(
@@ -131,13 +144,19 @@
 )
 def test_patches_of_another_form_are_refused(patch: dict[str, Any]) -> None:
     with pytest.raises(PatchError):
-        patched(VALID, patch)
+        apply_patch(VALID, patch)
 
 
 def test_the_same_order_has_the_same_identity_and_another_has_not() -> None:
     assert put(VALID, 0).identity == put(VALID, 0).identity
     assert (
-        len({put(VALID, 0).identity, put(VALID, 1).identity, Change(True, 0, put(VALID, 0).body).identity})
+        len(
+            {
+                put(VALID, 0).identity,
+                put(VALID, 1).identity,
+                ConfigurationChange(True, 0, put(VALID, 0).body).identity,
+            }
+        )
         == 3
     )
 
@@ -156,7 +175,7 @@
 
 @given(documents, documents)
 def test_a_difference_makes_one_of_the_other(old: dict[str, Any], new: dict[str, Any]) -> None:
-    made = patched(old, difference(old, new))
+    made = apply_patch(old, make_patch(old, new))
     for key in ("routes", "tenants"):
         assert sorted(made[key], key=str) == sorted(new[key], key=str)
     assert made["limits"] == new["limits"]
--- a/tests/system/test_dialling.py
+++ b/tests/system/test_dialling.py
@@ -7,8 +7,8 @@
 
 import uvloop
 
-from larkweir.cluster.links import CONNECT_MS, Connection, Link
-from larkweir.cluster.messages import Hello, Kind, Message
+from larkweir.cluster.links import CONNECT_TIMEOUT_MS, Connection, Link
+from larkweir.cluster.messages import Hello, Message, NodeRole
 
 NODE = "127.0.0.1"
 TURNS = 20  # of the event loop after the hold: by then a dial that was cancelled has ended
@@ -28,7 +28,7 @@
 
         def hold_the_first(connection: Connection) -> None:
             made.append(connection)
-            end_s = time.monotonic() + CONNECT_MS / 1000.0
+            end_s = time.monotonic() + CONNECT_TIMEOUT_MS / 1000.0
             while len(made) == 1 and time.monotonic() < end_s:
                 pass
 
@@ -42,7 +42,7 @@
             while not set(arrived) & set(sent[TURNS:]):
                 link.keep_alive()
                 if made:
-                    sent.append(Hello(NODE, Kind.ROUTER, str(len(sent))))
+                    sent.append(Hello(NODE, NodeRole.ROUTER, str(len(sent))))
                     link.send(sent[-1])
                 await asyncio.sleep(0)
         link.close()
--- a/tests/system/test_golden_messages.py
+++ b/tests/system/test_golden_messages.py
@@ -12,43 +12,43 @@
 import msgspec
 import pytest
 from larkweir_balancing.ejection import Endings
-from larkweir_quotas.ledger import Statement
-from larkweir_registry.records import Record, State, Upstream
+from larkweir_quotas.ledger import QuotaStatus
+from larkweir_registry.records import Record, Upstream, UpstreamState
 from larkweir_replication.messages import Command
 from larkweir_replication.messages import Message as ReplicationMessage
 
-from larkweir.cluster.configuration.changes import Change, apply_change, version_of
-from larkweir.cluster.configuration.documents import difference, patched
+from larkweir.cluster.configuration.changes import ConfigurationChange, apply_change, configuration_version
+from larkweir.cluster.configuration.documents import apply_patch, make_patch
 from larkweir.cluster.messages import (
     ConfigUpdate,
     Delta,
-    Forward,
-    Forwarded,
-    Heard,
+    HeartbeatReport,
     Hello,
-    Kind,
     Message,
+    NodeRole,
     Ping,
-    Place,
-    Placed,
+    PlacementRequest,
+    PlacementResponse,
+    PrefillQueueUpdate,
+    PrimaryRequest,
+    PrimaryResponse,
     Pull,
     Replication,
-    Waiting,
 )
 
 LINES = (Path(__file__).parent / "golden_messages.jsonl").read_bytes().splitlines()
 REPLICATION = [line for line in LINES if line.startswith(b'{"type":"replication"')]
 OTHERS = [line for line in LINES if line not in REPLICATION]
 
-UPSTREAM = Upstream("u-1", "chat", "10.0.0.5:9000", "z2", 8, 41, State.DRAINING, 40)
+UPSTREAM = Upstream("u-1", "chat", "10.0.0.5:9000", "z2", 8, 41, UpstreamState.DRAINING, 40)
 MESSAGES: list[Message] = [
-    Hello("10.0.0.1", Kind.ROUTER, "a1b2c3d4e5f6"),
-    Hello("10.0.0.2", Kind.CONTROLLER, "0f1e2d3c4b5a"),
+    Hello("10.0.0.1", NodeRole.ROUTER, "a1b2c3d4e5f6"),
+    Hello("10.0.0.2", NodeRole.CONTROLLER, "0f1e2d3c4b5a"),
     Ping(),
     Pull(),
     Pull(12, {"10.0.0.2/0f": 7}, {"acme": 32.5}, 1_234.0, {"e-1": 4_096}, {"u-1": Endings(5, 2)}),
-    Waiting({}),
-    Waiting({"e-1": 4_096, "e-2": 12}),
+    PrefillQueueUpdate({}),
+    PrefillQueueUpdate({"e-1": 4_096, "e-2": 12}),
     Delta(),
     Delta(
         ConfigUpdate(13, 12, msgspec.Raw(b'{"upsert":{"routes":[]},"remove":{}}')),
@@ -56,21 +56,21 @@
         {"10.0.0.2/0f": 8},
         ["10.0.0.2", "10.0.0.3"],
         9,
-        {"acme": Statement(-40, 320, True)},
+        {"acme": QuotaStatus(-40, 320, True)},
         {"e-1": 9_000},
         ["u-2"],
     ),
     Delta(ConfigUpdate(3, -1, msgspec.Raw(b'{"generation":4,"routes":[],"services":[]}')), ejected=[]),
-    Heard({"u-1": 42, "u-2": 7}),
-    Forward(5, None),
-    Forward(6, Command("0123456789abcdef01234567", 4, '{"patch":true,"base":4,"body":"{}"}')),
-    Forwarded(5, 200, "", '{"generation":4}'),
-    Forwarded(6, 412, "the version in place is 5, not 4"),
-    Forwarded(7, 0),
-    Place("chat", "6f1d", 5_000.0),
-    Place("chat", "6f1d", 5_000.5, "e-1"),
-    Placed("6f1d", None),
-    Placed("6f1d", "e-1", True),
+    HeartbeatReport({"u-1": 42, "u-2": 7}),
+    PrimaryRequest(5, None),
+    PrimaryRequest(6, Command("0123456789abcdef01234567", 4, '{"patch":true,"base":4,"body":"{}"}')),
+    PrimaryResponse(5, 200, "", '{"generation":4}'),
+    PrimaryResponse(6, 412, "the version in place is 5, not 4"),
+    PrimaryResponse(7, 0),
+    PlacementRequest("chat", "6f1d", 5_000.0),
+    PlacementRequest("chat", "6f1d", 5_000.5, "e-1"),
+    PlacementResponse("6f1d", None),
+    PlacementResponse("6f1d", "e-1", True),
 ]
 
 
@@ -94,31 +94,31 @@
 
 
 def test_fields_that_an_older_or_newer_process_leaves_out_or_adds() -> None:
-    assert msgspec.json.decode(b'{"type":"forwarded","ticket":1,"status":200}', type=Message) == Forwarded(
-        1, 200
-    )
-    assert msgspec.json.decode(b'{"type":"placed","head":"h","engine":null}', type=Message) == Placed(
-        "h", None
-    )
+    assert msgspec.json.decode(
+        b'{"type":"forwarded","ticket":1,"status":200}', type=Message
+    ) == PrimaryResponse(1, 200)
+    assert msgspec.json.decode(
+        b'{"type":"placed","head":"h","engine":null}', type=Message
+    ) == PlacementResponse("h", None)
     assert msgspec.json.decode(b'{"type":"pull","added_later":{"a":[1]}}', type=Message) == Pull()
 
 
-CHANGE = Change(True, 4, '{"generation":5,"upsert":{"tenants":[{"name":"é"}]}}')
+CHANGE = ConfigurationChange(True, 4, '{"generation":5,"upsert":{"tenants":[{"name":"é"}]}}')
 
 
 def test_a_change_of_the_configuration_and_its_identity() -> None:
     text = '{"patch":true,"base":4,"body":"{\\"generation\\":5,\\"upsert\\":{\\"tenants\\":[{\\"name\\":\\"é\\"}]}}"}'
     assert CHANGE.encode() == text
-    assert msgspec.json.decode(text, type=Change) == CHANGE
+    assert msgspec.json.decode(text, type=ConfigurationChange) == CHANGE
     assert CHANGE.identity == "2178d9fcc729af6a6dba613f"
-    assert Change(False, 0, "{}").identity == "8b690a83cd7ce51a4c90196e"
+    assert ConfigurationChange(False, 0, "{}").identity == "8b690a83cd7ce51a4c90196e"
 
 
 def test_the_value_that_a_change_makes() -> None:
     whole = '{"generation":4,"routes":[],"services":[{"name":"s","max_conns":3,"kept":{"as":"it is"}}]}'
-    first = apply_change("", Change(False, 0, whole).encode()).unwrap()
+    first = apply_change("", ConfigurationChange(False, 0, whole).encode()).unwrap()
     assert first == whole
-    assert version_of(whole) == 4
+    assert configuration_version(whole) == 4
     assert apply_change(whole, CHANGE.encode()).unwrap() == whole.replace(":4,", ":5,", 1).removesuffix(
         "}"
     ) + (',"tenants":[{"name":"é"}]}')
@@ -127,11 +127,11 @@
 def test_the_patch_between_two_configurations() -> None:
     old = {"generation": 4, "routes": [{"name": "a"}, {"name": "b"}], "limits": {"max_body_bytes": 1}}
     new = {"generation": 4, "routes": [{"name": "b"}, {"name": "c"}], "limits": {"max_body_bytes": 2}}
-    patch = difference(old, new)
+    patch = make_patch(old, new)
     assert patch == {
         "upsert": {"routes": [{"name": "c"}]},
         "remove": {"routes": ["a"]},
         "limits": {"max_body_bytes": 2},
     }
-    assert msgspec.json.encode(difference(old, old)) == b'{"upsert":{},"remove":{}}'
-    assert patched(old, patch) == new
+    assert msgspec.json.encode(make_patch(old, old)) == b'{"upsert":{},"remove":{}}'
+    assert apply_patch(old, patch) == new
--- a/tests/system/test_silent_upstreams.py
+++ b/tests/system/test_silent_upstreams.py
@@ -7,7 +7,7 @@
 import pytest
 from larkweir_balancing.ejection import Endings
 from larkweir_balancing.engines import EngineBalancer, Prompt
-from larkweir_registry.records import State, Upstream
+from larkweir_registry.records import Upstream, UpstreamState
 
 from tests.system.router_model import KINDS, REPEATABLE, FakeUpstream, Play, answer_of
 
@@ -91,7 +91,7 @@
 
 
 def test_without_another_upstream_a_silent_call_is_waited_for(play: Play) -> None:
-    gone = Upstream("i1", "s", play.model.ADDRESSES[1], "z", sequence=1, state=State.GONE)
+    gone = Upstream("i1", "s", play.model.ADDRESSES[1], "z", sequence=1, state=UpstreamState.GONE)
     play.do(lambda: play.model.plane.update_upstreams([gone], 0.0))
     sent = play.request(play.client(), "safe")
     overdue(play)
--- a/tests/system/test_waiting_prompts.py
+++ b/tests/system/test_waiting_prompts.py
@@ -6,12 +6,12 @@
 import random
 
 from larkweir_balancing.ejection import BAD_LEAST, Endings
-from larkweir_quotas.ledger import Ledger
+from larkweir_quotas.ledger import UsageTable
 from larkweir_registry.records import Upstream
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster.links import Connection
-from larkweir.cluster.messages import Delta, Kind, Message, Pull
+from larkweir.cluster.messages import Delta, Message, NodeRole, Pull
 from larkweir.controller.configuration_history import ConfigurationHistory
 from larkweir.controller.delivery_confirmation import DeliveryConfirmation
 from larkweir.controller.prefill_load import MIN_REPORTED_TOKENS, PrefillLoad
@@ -28,7 +28,7 @@
 
     def __init__(self, node: str) -> None:
         super().__init__(lambda connection, message: None, lambda connection: None)
-        self.node = self.life = node
+        self.node = self.incarnation = node
         self.sent: list[Delta] = []
 
     def send(self, message: Message) -> None:
@@ -47,7 +47,7 @@
         state = PublishedState(
             registry=self.registry,
             configuration=ConfigurationHistory(),
-            quotas=QuotaAccounting(Ledger()),
+            quotas=QuotaAccounting(UsageTable()),
             prefill_load=self.prefill_load,
             ejection=self.ejection,
         )
@@ -55,11 +55,11 @@
         self.pulls = PullService(state, subscriptions, confirmation, lambda: ["c"])
         self.routers = [Recorded(f"r{n}") for n in range(ROUTERS)]
         for router in self.routers:
-            self.pulls.connected(router, Kind.ROUTER)
+            self.pulls.connected(router, NodeRole.ROUTER)
 
     def answer(self, router: Recorded, pull: Pull) -> Delta:
         """What a pull is answered that lacks the list of upstreams."""
-        self.registry.note(Upstream(f"u{random.random()}", "other", "127.0.0.1:1", "z"), 0.0)
+        self.registry.update(Upstream(f"u{random.random()}", "other", "127.0.0.1:1", "z"), 0.0)
         router.sent.clear()
         self.pulls.pull(router, pull)
         return router.sent[-1]
@@ -72,11 +72,13 @@
         made.pulls.report_prefill(one, {"e": MIN_REPORTED_TOKENS, "f": 10})
         made.pulls.report_prefill(two, {"e": 500})
         assert made.prefill_load.tokens_by_engine == {"e": MIN_REPORTED_TOKENS + 500, "f": 10}
-        assert made.answer(three, Pull(vector={})).waiting == {"e": MIN_REPORTED_TOKENS + 500}
-        assert made.answer(one, Pull(vector={}, waiting={"e": MIN_REPORTED_TOKENS})).waiting == {"e": 500}
+        assert made.answer(three, Pull(vector={})).queued_prefill_tokens == {"e": MIN_REPORTED_TOKENS + 500}
+        assert made.answer(
+            one, Pull(vector={}, queued_prefill_tokens={"e": MIN_REPORTED_TOKENS})
+        ).queued_prefill_tokens == {"e": 500}
         made.pulls.report_prefill(one, {})
         assert made.prefill_load.tokens_by_engine == {"e": 500}
-        assert made.answer(three, Pull(vector={})).waiting == {}
+        assert made.answer(three, Pull(vector={})).queued_prefill_tokens == {}
 
     asyncio.run(scene())
 
@@ -115,10 +117,10 @@
     async def scene() -> None:
         made = Scene()
         for number in range(8):
-            made.registry.note(Upstream(f"s{number}", "s", f"127.0.0.1:{number}", "z"), 0.0)
-        made.registry.note(Upstream("bad", "s", "127.0.0.1:9", "z"), 0.0)
+            made.registry.update(Upstream(f"s{number}", "s", f"127.0.0.1:{number}", "z"), 0.0)
+        made.registry.update(Upstream("bad", "s", "127.0.0.1:9", "z"), 0.0)
         for router in made.routers:
-            made.answer(router, Pull(vector={}, endings={"bad": Endings(0, BAD_LEAST)}))
+            made.answer(router, Pull(vector={}, outcomes={"bad": Endings(0, BAD_LEAST)}))
         made.pulls.tick()
         assert made.ejection.ejected == {"bad"}
         assert made.answer(made.routers[0], Pull(vector={})).ejected == ["bad"]
