--- a/larkweir/cluster/http_server.py
+++ b/larkweir/cluster/http_server.py
@@ -10,7 +10,7 @@
 import h11
 
 from larkweir.cluster import log
-from larkweir.cluster.links import set_tcp_options
+from larkweir.cluster.tcp_options import set_tcp_options
 
 MAX_HEADER_BYTES = 32 * 1024
 USER_TIMEOUT_MS = 5_000.0
--- a/larkweir/cluster/links.py
+++ b/larkweir/cluster/links.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import asyncio
-import socket
 from collections.abc import Callable
 from typing import cast
 
 import msgspec
 
 from larkweir.cluster.messages import MAX_LINE_BYTES, Message, Ping
+from larkweir.cluster.tcp_options import set_tcp_options
 
 PING_INTERVAL_MS = 250.0
 IDLE_TIMEOUT_MS = 1_000.0  # after it a connection counts as dead, also where a cut is silent
@@ -202,27 +202,3 @@
     def _retry_later(self) -> None:
         self._next_attempt_ms = self._loop.time() * 1000.0 + self._delay_ms
         self._delay_ms = min(MAX_RECONNECT_DELAY_MS, 1.5 * self._delay_ms)
-
-
-TCP_KEEPALIVE_S = 1  # tcp(7) takes whole seconds
-
-
-def set_tcp_options(
-    transport: asyncio.BaseTransport, user_timeout_ms: float, *, keepalive: bool = False
-) -> None:
-    """Small writes go out at once; bytes that stay unacknowledged for that long end the connection (tcp(7)).
-
-    `keepalive`: the other side is probed after a second of silence, so that one that is gone or cut off shows.
-    """
-    sock = transport.get_extra_info("socket")
-    if sock is None:
-        return
-    try:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(user_timeout_ms))
-        if keepalive:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, TCP_KEEPALIVE_S)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, TCP_KEEPALIVE_S)
-    except OSError:
-        pass  # the connection has ended: its protocol is told
--- a/larkweir/controller/heartbeat_monitor.py
+++ b/larkweir/controller/heartbeat_monitor.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import msgspec
-from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.records import Upstream, UpstreamState
 from larkweir_registry.registry import Registry
 
--- a/larkweir/controller/message_dispatch.py
+++ b/larkweir/controller/message_dispatch.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.failure_detector import FailureDetector
 
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import (
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -7,13 +7,13 @@
 import secrets
 import signal
 
-from larkweir_quotas.ledger import UsageTable
-from larkweir_registry.liveness import FailureDetector
+from larkweir_quotas.usage_table import UsageTable
+from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.registry import Registry
 from larkweir_replication.messages import Message as ReplicationMessage
 from larkweir_replication.messages import Snapshot
 
-from larkweir.cluster import log, settings_watch
+from larkweir.cluster import log, settings_watcher
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import Hello, Message, NodeRole, Replication
 from larkweir.cluster.settings import Settings, parse_address
@@ -126,7 +126,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
-        watch = settings_watch.SettingsWatcher(self.settings, self._settings_changed)
+        watch = settings_watcher.SettingsWatcher(self.settings, self._settings_changed)
         loop.add_signal_handler(signal.SIGHUP, watch.reload)
         settings = self.settings
         assert settings.listen.control is not None
--- a/larkweir/controller/quota_accounting.py
+++ b/larkweir/controller/quota_accounting.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from larkweir_quotas.ledger import QuotaStatus, RateLimit, UsageTable
+from larkweir_quotas.usage_table import QuotaStatus, RateLimit, UsageTable
 
 from larkweir.cluster.configuration.documents import Document
 from larkweir.cluster.messages import Pull
--- a/larkweir/controller/recovery_hints.py
+++ b/larkweir/controller/recovery_hints.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from larkweir_registry import memory as registry_memory
+from larkweir_registry import hint_file
 from larkweir_registry.registry import Registry
 
 from larkweir.controller.clock import now_ms
@@ -25,7 +25,7 @@
         self._placement = placement
         upstreams = disk.read_hint(UPSTREAMS_FILE)
         if upstreams is not None:
-            registry_memory.restore(registry, upstreams, now_ms())
+            hint_file.restore(registry, upstreams, now_ms())
         placements = disk.read_hint(PLACEMENTS_FILE)
         if placements is not None:
             placement.restore(placements)
@@ -36,7 +36,7 @@
         """Queues the file of upstreams where any has changed."""
         if self._registry.vector != self._written_vector:
             self._written_vector = dict(self._registry.vector)
-            self._disk.write_hint(UPSTREAMS_FILE, registry_memory.encode(self._registry))
+            self._disk.write_hint(UPSTREAMS_FILE, hint_file.encode(self._registry))
 
     def placements_period_ticks(self) -> int:
         """Ticks from one call of `write_placements` to the next."""
--- a/larkweir/controller/registry_sync.py
+++ b/larkweir/controller/registry_sync.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster.links import Connection
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -21,8 +21,8 @@
 from larkweir_replication.replica import Replica
 
 from larkweir.cluster import log
-from larkweir.cluster.birth import process_started_ms
 from larkweir.cluster.configuration.changes import Rejection, apply_change
+from larkweir.cluster.process_start import process_started_ms
 from larkweir.cluster.settings import Settings
 from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, Completed, Rejected
 from larkweir.controller.clock import now_ms
--- a/larkweir/router/client_connection.py
+++ b/larkweir/router/client_connection.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from larkweir.cluster.links import set_tcp_options
+from larkweir.cluster.tcp_options import set_tcp_options
 from larkweir.router.answers import ANSWERS, ErrorKind
 from larkweir.router.client_request import ClientRequest, Headers
 from larkweir.router.configuration import Limits
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -8,8 +8,8 @@
 
 from larkweir_balancing.ejection import EndingCounts
 from larkweir_balancing.engines import EngineBalancer, Listed
-from larkweir_quotas.quota import QuotaLimiter
-from larkweir_quotas.retries import RetryBudget
+from larkweir_quotas.quota_limiter import QuotaLimiter
+from larkweir_quotas.retry_budget import RetryBudget
 from larkweir_registry.records import Upstream, UpstreamState
 
 from larkweir.cluster.settings import Bounds
--- a/larkweir/router/node.py
+++ b/larkweir/router/node.py
@@ -6,7 +6,7 @@
 import signal
 from random import Random
 
-from larkweir.cluster import log, settings_watch
+from larkweir.cluster import log, settings_watcher
 from larkweir.cluster.http_server import HttpServerConnection, Request, Response
 from larkweir.cluster.settings import Settings, parse_address
 from larkweir.router.client_connection import ClientConnection
@@ -42,7 +42,7 @@
         """Serves until SIGTERM and the end of what it has taken."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._terminated.set)
-        watch = settings_watch.SettingsWatcher(self._settings, self._view.settings_changed)
+        watch = settings_watcher.SettingsWatcher(self._settings, self._view.settings_changed)
         self._loop.add_signal_handler(signal.SIGHUP, watch.reload)
         listen = self._settings.listen
         assert listen.front is not None
@@ -73,7 +73,7 @@
             connection.abort()
         self._plane.pool.close()
 
-    async def _tick_forever(self, watch: settings_watch.SettingsWatcher) -> None:
+    async def _tick_forever(self, watch: settings_watcher.SettingsWatcher) -> None:
         last_ms = self._loop.time() * 1000.0
         count = 0
         while True:
--- a/larkweir/router/upstream_call.py
+++ b/larkweir/router/upstream_call.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from larkweir.cluster.links import set_tcp_options
+from larkweir.cluster.tcp_options import set_tcp_options
 
 USER_TIMEOUT_MS = (
     1_200.0  # written bytes that stay unacknowledged for so long: the upstream is gone or cut off
--- a/larkweir/system/__main__.py
+++ b/larkweir/system/__main__.py
@@ -9,7 +9,7 @@
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
-import larkweir.cluster.birth  # noqa: E402, F401
+import larkweir.cluster.process_start  # noqa: E402, F401
 from larkweir.system.cli import main  # noqa: E402
 
 if __name__ == "__main__":
--- a/larkweir/system/demo.py
+++ b/larkweir/system/demo.py
@@ -13,7 +13,7 @@
 import h11
 import msgspec
 
-from larkweir.cluster.client import ControllersUnreachableError, call_controllers
+from larkweir.cluster.controller_client import ControllersUnreachableError, call_controllers
 from larkweir.cluster.settings import VARIABLE
 
 CONTROLLERS = 3
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -12,9 +12,13 @@
 import msgspec
 from larkweir_replication.journal import FolderFiles, Journal
 
-from larkweir.cluster.client import ControllerResponse, ControllersUnreachableError, call_controllers
 from larkweir.cluster.configuration.documents import make_patch
 from larkweir.cluster.configuration.schema import first_problem
+from larkweir.cluster.controller_client import (
+    ControllerResponse,
+    ControllersUnreachableError,
+    call_controllers,
+)
 
 CONTROLLERS_VARIABLE = "LARKWEIR_CONTROLLERS"
 EXIT_REFUSED = 1
--- a/packages/quotas/tests/quota_fleet.py
+++ b/packages/quotas/tests/quota_fleet.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from larkweir_quotas.ledger import RateLimit, UsageTable
-from larkweir_quotas.quota import STATUS_VALID_MS, QuotaLimiter
+from larkweir_quotas.quota_limiter import STATUS_VALID_MS, QuotaLimiter
+from larkweir_quotas.usage_table import RateLimit, UsageTable
 
 TENANT = "t"
 TICK_MS = 20.0
--- a/packages/quotas/tests/test_quotas_planted.py
+++ b/packages/quotas/tests/test_quotas_planted.py
@@ -8,9 +8,9 @@
 import pytest
 import test_quotas_herd as herd
 import test_quotas_returns as plays
-from larkweir_quotas import ledger, quota
-from larkweir_quotas.ledger import UsageTable
-from larkweir_quotas.quota import QuotaLimiter
+from larkweir_quotas import quota_limiter, usage_table
+from larkweir_quotas.quota_limiter import QuotaLimiter
+from larkweir_quotas.usage_table import UsageTable
 
 SEEDS_MOST = 60
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -18,17 +18,17 @@
 
 
 def late_use_is_charged_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ledger, "LATE_REPORT_MS", float("inf"))
+    patch.setattr(usage_table, "LATE_REPORT_MS", float("inf"))
 
 
 def late_use_is_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ledger._Bucket, "charge_late", lambda self, amount, over_ms, now_ms: None)
-    patch.setattr(ledger, "LATE_REPORT_MS", 100.0)
+    patch.setattr(usage_table._Bucket, "charge_late", lambda self, amount, over_ms, now_ms: None)
+    patch.setattr(usage_table, "LATE_REPORT_MS", 100.0)
 
 
 def nothing_is_kept_back_for_the_lost(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(UsageTable, "set_unreachable", lambda self, part, over: None)
-    patch.setattr(quota, "ISOLATED_FRACTION", 3.0)
+    patch.setattr(quota_limiter, "ISOLATED_FRACTION", 3.0)
 
 
 def others_count_as_idle(patch: pytest.MonkeyPatch) -> None:
@@ -49,11 +49,11 @@
 
 
 def a_fresh_ledger_gives_nothing(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(ledger, "INITIAL_FILL_FRACTION", -1.0)
+    patch.setattr(usage_table, "INITIAL_FILL_FRACTION", -1.0)
 
 
 def old_statements_count(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(quota, "STATUS_VALID_MS", 30_000.0)
+    patch.setattr(quota_limiter, "STATUS_VALID_MS", 30_000.0)
 
     def by_ledger(self: QuotaLimiter, received: Any, state: Any, limit: Any, now_ms: float) -> float:
         return float(
--- a/packages/registry/tests/test_registry.py
+++ b/packages/registry/tests/test_registry.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from larkweir_registry import memory
-from larkweir_registry.liveness import FailureDetector
+from larkweir_registry import hint_file
+from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.records import Upstream, UpstreamState, join
 from larkweir_registry.registry import TOMBSTONE_RETENTION_MS, Registry
 
@@ -170,7 +170,7 @@
 def test_what_was_left_on_disk_is_found_again() -> None:
     registry, later = Registry("a/1"), Registry("a/2")
     registry.update(upstream("u", 7, UpstreamState.DRAINING), 0.0)
-    assert memory.restore(later, memory.encode(registry), 0.0)
+    assert hint_file.restore(later, hint_file.encode(registry), 0.0)
     assert later.upstreams == registry.upstreams
 
 
@@ -178,13 +178,13 @@
 def test_a_damaged_file_is_noticed(seed: int) -> None:
     registry, later = Registry("a/1"), Registry("a/2")
     registry.update(upstream("u", 7), 0.0)
-    data = bytearray(memory.encode(registry))
+    data = bytearray(hint_file.encode(registry))
     rng = Random(seed)
     if rng.random() < 0.5:
         data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
     else:
         del data[rng.randrange(len(data)) :]
-    assert not memory.restore(later, bytes(data), 0.0)
+    assert not hint_file.restore(later, bytes(data), 0.0)
     assert later.upstreams == {}
 
 
--- a/packages/registry/tests/test_registry_fleet.py
+++ b/packages/registry/tests/test_registry_fleet.py
@@ -7,8 +7,8 @@
 from random import Random
 
 import pytest
-from larkweir_registry import memory
-from larkweir_registry.liveness import FailureDetector
+from larkweir_registry import hint_file
+from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.records import Upstream, UpstreamState
 from larkweir_registry.registry import Registry
 
@@ -34,13 +34,13 @@
 
     def start(self, now_ms: float) -> None:
         """A new life, with the upstreams that the one before left on disk."""
-        left = memory.encode(self.registry) if self.life else None
+        left = hint_file.encode(self.registry) if self.life else None
         self.life += 1
         self.up = True
         self.registry = Registry(f"{self.name}/{self.life}")
         self.detector = FailureDetector(HEARTBEAT_MS, now_ms)
         if left is not None:
-            memory.restore(self.registry, left, now_ms)
+            hint_file.restore(self.registry, left, now_ms)
 
     @property
     def works(self) -> bool:
--- a/packages/registry/tests/test_registry_golden.py
+++ b/packages/registry/tests/test_registry_golden.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from larkweir_registry import memory
+from larkweir_registry import hint_file
 from larkweir_registry.records import Record, Upstream, UpstreamState, VersionVector
 from larkweir_registry.registry import Registry
 
@@ -61,15 +61,15 @@
 
 def test_the_hint_file_is_written_byte_for_byte() -> None:
     registry = Registry("10.0.0.1/a1b2c3")
-    assert memory.encode(registry) == EMPTY_HINT_FILE
+    assert hint_file.encode(registry) == EMPTY_HINT_FILE
     for upstream in UPSTREAMS:
         registry.update(upstream, 0.0)
-    assert memory.encode(registry) == HINT_FILE
+    assert hint_file.encode(registry) == HINT_FILE
 
 
 def test_the_hint_file_is_read_and_written_again_the_same() -> None:
     registry = Registry("10.0.0.1/d4e5f6")
-    assert memory.restore(registry, HINT_FILE, 0.0)
+    assert hint_file.restore(registry, HINT_FILE, 0.0)
     assert tuple(registry.upstreams.values()) == UPSTREAMS
-    assert memory.encode(registry) == HINT_FILE
-    assert memory.restore(Registry("10.0.0.1/000000"), EMPTY_HINT_FILE, 0.0)
+    assert hint_file.encode(registry) == HINT_FILE
+    assert hint_file.restore(Registry("10.0.0.1/000000"), EMPTY_HINT_FILE, 0.0)
--- a/packages/registry/tests/test_registry_planted.py
+++ b/packages/registry/tests/test_registry_planted.py
@@ -9,7 +9,7 @@
 import pytest
 import test_registry_fleet as plays
 from larkweir_registry import registry
-from larkweir_registry.liveness import FailureDetector
+from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.records import Upstream, UpstreamState, join
 from larkweir_registry.registry import Registry
 
--- a/tests/system/test_build.py
+++ b/tests/system/test_build.py
@@ -62,14 +62,14 @@
     assert checkout.build() == 1
     assert checkout.build() == 1
     (checkout.folder / "packages/quotas/src/larkweir_quotas/__pycache__").mkdir(exist_ok=True)
-    (checkout.folder / "packages/quotas/src/larkweir_quotas/__pycache__/ledger.pyc").write_bytes(b"x")
+    (checkout.folder / "packages/quotas/src/larkweir_quotas/__pycache__/usage_table.pyc").write_bytes(b"x")
     assert checkout.build() == 1
 
 
 @pytest.mark.parametrize(
     "name",
     [
-        "packages/quotas/src/larkweir_quotas/ledger.py",
+        "packages/quotas/src/larkweir_quotas/usage_table.py",
         "packages/replication/src/larkweir_replication/replica.py",
         "packages/registry/pyproject.toml",
         "requirements-system.txt",
@@ -90,9 +90,9 @@
 
 def test_a_removed_module_is_no_longer_installed(checkout: Checkout) -> None:
     assert checkout.build() == 1
-    (checkout.folder / "packages/quotas/src/larkweir_quotas/retries.py").unlink()
+    (checkout.folder / "packages/quotas/src/larkweir_quotas/retry_budget.py").unlink()
     assert checkout.build() == 2
-    assert not (checkout.folder / "target/src/packages/quotas/src/larkweir_quotas/retries.py").exists()
+    assert not (checkout.folder / "target/src/packages/quotas/src/larkweir_quotas/retry_budget.py").exists()
 
 
 def test_nothing_is_made_outside_target(checkout: Checkout) -> None:
--- a/tests/system/test_operator_commands.py
+++ b/tests/system/test_operator_commands.py
@@ -96,7 +96,7 @@
 
 
 def test_nobody_answers(tmp_path: Path, monkeypatch: Any) -> None:
-    monkeypatch.setattr("larkweir.cluster.client.TOTAL_TIMEOUT_S", 0.0)
+    monkeypatch.setattr("larkweir.cluster.controller_client.TOTAL_TIMEOUT_S", 0.0)
     done = run("status", "--at", "127.0.0.1:1")
     assert done.exit_code == EXIT_NOBODY
     assert "127.0.0.1:1" in done.output
--- a/tests/system/test_router_wire.py
+++ b/tests/system/test_router_wire.py
@@ -16,7 +16,7 @@
 import msgspec
 import picologging
 import pytest
-from larkweir_quotas.quota import QuotaLimiter
+from larkweir_quotas.quota_limiter import QuotaLimiter
 from larkweir_registry.records import Upstream
 
 from larkweir.cluster.messages import ConfigUpdate
--- a/tests/system/test_waiting_prompts.py
+++ b/tests/system/test_waiting_prompts.py
@@ -6,7 +6,7 @@
 import random
 
 from larkweir_balancing.ejection import BAD_LEAST, Endings
-from larkweir_quotas.ledger import UsageTable
+from larkweir_quotas.usage_table import UsageTable
 from larkweir_registry.records import Upstream
 from larkweir_registry.registry import Registry
 
