--- a/larkweir/cluster/configuration/documents.py
+++ b/larkweir/cluster/configuration/documents.py
@@ -4,12 +4,14 @@
 
 from typing import Any
 
+from larkweir.cluster.errors import LarkweirError
+
 Document = dict[str, Any]
 
 COLLECTIONS = ("routes", "services", "tenants")
 
 
-class PatchError(ValueError):
+class PatchError(LarkweirError, ValueError):
     """A patch that can't be applied; one line."""
 
 
--- a/larkweir/cluster/controller_client.py
+++ b/larkweir/cluster/controller_client.py
@@ -8,6 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from larkweir.cluster.errors import LarkweirError
 from larkweir.cluster.settings import parse_address
 
 ATTEMPT_TIMEOUT_S = 1.5
@@ -15,7 +16,7 @@
 TOTAL_TIMEOUT_S = 10.0
 
 
-class ControllersUnreachableError(RuntimeError):
+class ControllersUnreachableError(LarkweirError, RuntimeError):
     """No controller gave a clear answer in time; a change may or may not be in force."""
 
 
--- a/larkweir/cluster/settings.py
+++ b/larkweir/cluster/settings.py
@@ -8,11 +8,13 @@
 import msgspec
 import yaml
 
+from larkweir.cluster.errors import LarkweirError
+
 VARIABLE = "LARKWEIR_CONFIG"
 DEFAULT_PATH = "/etc/larkweir/settings.yaml"
 
 
-class SettingsError(ValueError):
+class SettingsError(LarkweirError, ValueError):
     """The file can't be used; one line that names the key."""
 
 
