--- a/larkweir/cluster/messages.py
+++ b/larkweir/cluster/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 from larkweir_balancing.ejection import Endings
-from larkweir_quotas.usage_table import QuotaStatus
+from larkweir_quotas.limits import QuotaStatus
 from larkweir_registry.records import Record, VersionVector
 from larkweir_replication.messages import Command
 from larkweir_replication.messages import Message as ReplicationMessage
--- a/larkweir/controller/quota_accounting.py
+++ b/larkweir/controller/quota_accounting.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Collection
 
-from larkweir_quotas.usage_table import QuotaStatus, RateLimit, UsageTable
+from larkweir_quotas.limits import QuotaStatus, RateLimit
+from larkweir_quotas.usage_table import UsageTable
 
 from larkweir.cluster.configuration.documents import Document
 from larkweir.cluster.messages import Pull
--- a/larkweir/router/configuration.py
+++ b/larkweir/router/configuration.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import msgspec
-from larkweir_quotas.usage_table import RateLimit
+from larkweir_quotas.limits import RateLimit
 
 from larkweir.cluster.configuration.documents import Document, apply_patch
 from larkweir.cluster.messages import ConfigUpdate
--- a/packages/quotas/src/larkweir_quotas/quota_limiter.py
+++ b/packages/quotas/src/larkweir_quotas/quota_limiter.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from larkweir_quotas.usage_table import ISOLATED_FRACTION, QuotaStatus, RateLimit
+from larkweir_quotas.limits import ISOLATED_FRACTION, QuotaStatus, RateLimit
 
 STATUS_VALID_MS = 900.0  # a statement older than this says nothing
 ACTIVE_TENANT_MS = 10_000.0  # tenants are reported so long after their last request here
--- a/packages/quotas/src/larkweir_quotas/usage_table.py
+++ b/packages/quotas/src/larkweir_quotas/usage_table.py
@@ -10,103 +10,16 @@
 
 from __future__ import annotations
 
-from collections import deque
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
-import msgspec
+from larkweir_quotas.limits import ISOLATED_FRACTION, QuotaStatus, RateLimit
+from larkweir_quotas.token_bucket import TokenBucket
 
-USAGE_RATE_WINDOW_MS = 1_000.0  # of the mean of what is used up
 MAX_TRACKED_INCARNATIONS = 4_096  # of processes, of which the counts are kept; the oldest go first
 LATE_REPORT_MS = 1_000.0  # reports of one process further apart than this tell of the past
-OVERFLOW_SLOT_MS = 250.0
-OVERFLOW_RETENTION_MS = 60_000.0  # how far back a late report may reach
-ISOLATED_FRACTION = 0.5  # of an equal part of the limit, for a process that hears no ledger
-OVERSUBSCRIBED_MS = 10_000.0  # a tenant counts as pressing so long after its bucket was empty
 INITIAL_FILL_FRACTION = 0.5  # of the burst, where a ledger has just begun and knows of no use before it
 
 
-class RateLimit(msgspec.Struct, frozen=True):
-    """A tenant's limit in units (requests or tokens): so many a second, and so many at once above that."""
-
-    rate_per_s: float
-    burst: float
-
-
-class QuotaStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a ledger knows of a tenant: what is left in its bucket (negative: a debt), and the use per second of all.
-
-    `is_oversubscribed`: nothing was left there at some time of late, so that the tenant asks for more than its limit.
-    """
-
-    level: float
-    used_per_s: float
-    is_oversubscribed: bool = False
-
-
-@dataclass(slots=True)
-class _Overflow:
-    """What a full bucket could not take in, within one slot of time."""
-
-    end_ms: float
-    amount: float
-
-
-@dataclass(slots=True)
-class _Bucket:
-    limit: RateLimit
-    level: float
-    at_ms: float
-    used_per_s: float = 0.0
-    last_empty_ms: float | None = None  # when nothing was left the last time
-    overflows: deque[_Overflow] = field(default_factory=deque)
-
-    def refill(self, now_ms: float, rate_fraction: float) -> None:
-        """`rate_fraction`: of the limit's rate, the part that is not kept back for processes that are away."""
-        passed_s = (now_ms - self.at_ms) / 1000.0
-        level = self.level + self.limit.rate_per_s * rate_fraction * passed_s
-        if level > self.limit.burst:
-            self._overflow(level - self.limit.burst, now_ms)
-            level = self.limit.burst
-        self.level = level
-        self.used_per_s *= max(0.0, 1.0 - 1000.0 * passed_s / USAGE_RATE_WINDOW_MS)
-        self.at_ms = now_ms
-
-    def _overflow(self, amount: float, now_ms: float) -> None:
-        if self.overflows and now_ms < self.overflows[-1].end_ms:
-            self.overflows[-1].amount += amount
-            return
-        self.overflows.append(_Overflow(now_ms + OVERFLOW_SLOT_MS, amount))
-        while self.overflows[0].end_ms < now_ms - OVERFLOW_RETENTION_MS:
-            self.overflows.popleft()
-
-    def charge(self, amount: float) -> None:
-        """Used since the last report, which was lately."""
-        self.used_per_s += amount * 1000.0 / USAGE_RATE_WINDOW_MS
-        self._withdraw(amount)
-
-    def _withdraw(self, amount: float) -> None:
-        self.level -= amount
-        if self.level <= 0.0:
-            self.last_empty_ms = self.at_ms
-
-    @property
-    def is_oversubscribed(self) -> bool:
-        """Whether it was empty of late."""
-        return self.last_empty_ms is not None and self.at_ms < self.last_empty_ms + OVERSUBSCRIBED_MS
-
-    def charge_late(self, amount: float, over_ms: float, now_ms: float) -> None:
-        """Used at some time within these milliseconds: what has overflowed since would have made up for it."""
-        since_ms = now_ms - over_ms
-        left = amount
-        for overflow in self.overflows:
-            if overflow.end_ms > since_ms:
-                made_up = min(left, overflow.amount)
-                overflow.amount -= made_up
-                left -= made_up
-        self.used_per_s += amount * 1000.0 / over_ms
-        self._withdraw(left)
-
-
 @dataclass(slots=True)
 class _ProcessUsage:
     """One life of a process as this ledger has heard it."""
@@ -120,7 +33,7 @@
 
     def __init__(self) -> None:
         self._limits: dict[str, RateLimit] = {}
-        self._buckets: dict[str, _Bucket] = {}
+        self._buckets: dict[str, TokenBucket] = {}
         self._processes: dict[str, _ProcessUsage] = {}  # by process and its life
         self._rate_fraction = 1.0
 
@@ -185,9 +98,9 @@
                 )
         return found
 
-    def _bucket(self, tenant: str, limit: RateLimit, now_ms: float) -> _Bucket:
+    def _bucket(self, tenant: str, limit: RateLimit, now_ms: float) -> TokenBucket:
         bucket = self._buckets.get(tenant)
         if bucket is None:
-            bucket = self._buckets[tenant] = _Bucket(limit, limit.burst * INITIAL_FILL_FRACTION, now_ms)
+            bucket = self._buckets[tenant] = TokenBucket(limit, limit.burst * INITIAL_FILL_FRACTION, now_ms)
         bucket.refill(now_ms, self._rate_fraction)
         return bucket
--- a/packages/quotas/tests/quota_fleet.py
+++ b/packages/quotas/tests/quota_fleet.py
@@ -5,8 +5,9 @@
 from dataclasses import dataclass
 from random import Random
 
+from larkweir_quotas.limits import RateLimit
 from larkweir_quotas.quota_limiter import STATUS_VALID_MS, QuotaLimiter
-from larkweir_quotas.usage_table import RateLimit, UsageTable
+from larkweir_quotas.usage_table import UsageTable
 
 TENANT = "t"
 TICK_MS = 20.0
--- a/packages/quotas/tests/test_quotas.py
+++ b/packages/quotas/tests/test_quotas.py
@@ -5,15 +5,10 @@
 from random import Random
 
 import pytest
+from larkweir_quotas.limits import ISOLATED_FRACTION, QuotaStatus, RateLimit
 from larkweir_quotas.quota_limiter import STATUS_VALID_MS, QuotaLimiter
 from larkweir_quotas.retry_budget import RetryBudget
-from larkweir_quotas.usage_table import (
-    INITIAL_FILL_FRACTION,
-    ISOLATED_FRACTION,
-    QuotaStatus,
-    RateLimit,
-    UsageTable,
-)
+from larkweir_quotas.usage_table import INITIAL_FILL_FRACTION, UsageTable
 
 LIMITS = {"t": RateLimit(1_000.0, 2_000.0)}
 WINDOW_MS = 8_000.0
--- a/packages/quotas/tests/test_quotas_golden.py
+++ b/packages/quotas/tests/test_quotas_golden.py
@@ -7,8 +7,9 @@
 
 import msgspec
 import pytest
+from larkweir_quotas.limits import QuotaStatus, RateLimit
 from larkweir_quotas.quota_limiter import QuotaLimiter
-from larkweir_quotas.usage_table import QuotaStatus, RateLimit, UsageTable
+from larkweir_quotas.usage_table import UsageTable
 
 STATEMENTS = [
     (QuotaStatus(1_500.0, 320.0), b"[1500.0,320.0,false]"),
--- a/packages/quotas/tests/test_quotas_herd.py
+++ b/packages/quotas/tests/test_quotas_herd.py
@@ -5,8 +5,9 @@
 from random import Random
 
 import pytest
+from larkweir_quotas.limits import RateLimit
 from larkweir_quotas.quota_limiter import QuotaLimiter
-from larkweir_quotas.usage_table import RateLimit, UsageTable
+from larkweir_quotas.usage_table import UsageTable
 
 LIMIT = RateLimit(860_000.0, 860_000.0)  # tokens, as of the day on which it was seen
 OVER = 1.1
--- a/packages/quotas/tests/test_quotas_planted.py
+++ b/packages/quotas/tests/test_quotas_planted.py
@@ -8,7 +8,7 @@
 import pytest
 import test_quotas_herd as herd
 import test_quotas_returns as plays
-from larkweir_quotas import quota_limiter, usage_table
+from larkweir_quotas import quota_limiter, token_bucket, usage_table
 from larkweir_quotas.quota_limiter import QuotaLimiter
 from larkweir_quotas.usage_table import UsageTable
 
@@ -22,7 +22,7 @@
 
 
 def late_use_is_forgotten(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(usage_table._Bucket, "charge_late", lambda self, amount, over_ms, now_ms: None)
+    patch.setattr(token_bucket.TokenBucket, "charge_late", lambda self, amount, over_ms, now_ms: None)
     patch.setattr(usage_table, "LATE_REPORT_MS", 100.0)
 
 
--- a/packages/quotas/tests/test_quotas_returns.py
+++ b/packages/quotas/tests/test_quotas_returns.py
@@ -5,7 +5,7 @@
 import os
 
 import pytest
-from larkweir_quotas.usage_table import RateLimit
+from larkweir_quotas.limits import RateLimit
 from quota_fleet import Deployment, Fleet, Trouble
 
 SEEDS = int(os.environ.get("QUOTA_SEEDS", "10"))
--- a/tests/controller/test_quota_accounting.py
+++ b/tests/controller/test_quota_accounting.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from larkweir_quotas.usage_table import RateLimit
+from larkweir_quotas.limits import RateLimit
 
 from larkweir.controller.quota_accounting import DISCONNECTED_ROUTER_MS, QuotaAccounting, limits_of
 
--- a/tests/system/test_golden_messages.py
+++ b/tests/system/test_golden_messages.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 from larkweir_balancing.ejection import Endings
-from larkweir_quotas.usage_table import QuotaStatus
+from larkweir_quotas.limits import QuotaStatus
 from larkweir_registry.records import Record, Upstream, UpstreamState
 from larkweir_replication.messages import Command
 from larkweir_replication.messages import Message as ReplicationMessage
