--- a/packages/registry/src/larkweir_registry/__init__.py
+++ b/packages/registry/src/larkweir_registry/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstreams exist: records that join, version vectors, and heartbeats judged by several registries."""
+"""Replicated registry of upstreams: a state-based CRDT with version vectors, and a heartbeat failure detector."""
--- a/packages/registry/src/larkweir_registry/failure_detector.py
+++ b/packages/registry/src/larkweir_registry/failure_detector.py
@@ -1,58 +1,65 @@
-"""Heartbeats of upstreams, heard here or by other registries, and whose silence counts."""
+"""Failure detection by heartbeats that upstreams send to any one of several registries."""
 
 from __future__ import annotations
 
-MAX_MISSED_HEARTBEATS = (
-    3.5  # heartbeats in a row; one or two may be on their way to another registry, or lost
-)
-TIMEOUT_MARGIN_MS = 500.0
+MAX_MISSED_HEARTBEATS = 3.5  # in a row; one or two may be lost, or on their way through another registry
+TIMEOUT_MARGIN_MS = 500.0  # for the delay between registries, on top of the missed heartbeats
 
 
 class FailureDetector:
-    """When each upstream was last heard, by whomever. Times are of this registry's own steady clock."""
+    """The time of the last heartbeat of each upstream, at whichever registry it arrived.
+
+    All times are milliseconds of this process' monotonic clock.
+    """
 
     def __init__(self, heartbeat_ms: float, now_ms: float) -> None:
-        """`heartbeat_ms`: the usual time from one heartbeat of an upstream to its next."""
+        """Start observing at `now_ms`.
+
+        Args:
+            heartbeat_ms: the usual interval between two heartbeats of one upstream.
+            now_ms: the present; no upstream times out sooner than `timeout_ms` after it.
+        """
         self.timeout_ms = MAX_MISSED_HEARTBEATS * heartbeat_ms + TIMEOUT_MARGIN_MS
-        self._last_heartbeats: dict[str, tuple[int, float]] = {}
+        self._last_heartbeats: dict[str, tuple[int, float]] = {}  # by upstream: sequence, and when it arrived
         self._unreported: dict[str, int] = {}
         self._observing_since_ms = now_ms
 
     def record_heartbeat(self, id_: str, sequence: int, now_ms: float) -> None:
-        """A heartbeat came here."""
+        """Record a heartbeat that arrived at this registry."""
         if self._advance(id_, sequence, now_ms):
             self._unreported[id_] = sequence
 
     def record_peer_heartbeats(self, sequences: dict[str, int], now_ms: float) -> None:
-        """Another registry tells what came there since it last told."""
+        """Record heartbeats that another registry reports, as the highest sequence by upstream."""
         for id_, sequence in sequences.items():
             self._advance(id_, sequence, now_ms)
 
     def take_report(self) -> dict[str, int]:
-        """What came here since the last call, to be told to the other registries."""
-        taken, self._unreported = self._unreported, {}
-        return taken
+        """Return what arrived here since the last call, as the report that is due to the other registries."""
+        report, self._unreported = self._unreported, {}
+        return report
 
     def reset_observation(self, now_ms: float) -> None:
-        """This registry stood still or was cut off: what it did not hear until now proves nothing."""
+        """Discount all silence up to now, after this process was paused or cut off from the others."""
         self._observing_since_ms = now_ms
 
     def last_sequence(self, id_: str) -> int:
-        """The highest heartbeat known; -1 for none."""
+        """Return the highest sequence received of an upstream; -1 for none."""
         return self._last_heartbeats.get(id_, (-1, 0.0))[0]
 
     def timed_out(self, ids: list[str], now_ms: float) -> list[str]:
-        """Those of `ids` that nobody has heard for so long that they count as lost."""
+        """Return those of `ids` of which no registry has received a heartbeat for `timeout_ms`."""
         if now_ms < self._observing_since_ms + self.timeout_ms:
             return []
         return [id_ for id_ in ids if now_ms >= self._last_heartbeats.get(id_, (0, 0.0))[1] + self.timeout_ms]
 
     def forget(self, id_: str) -> None:
-        """The upstream has gone."""
+        """Drop an upstream that has gone."""
         self._last_heartbeats.pop(id_, None)
         self._unreported.pop(id_, None)
 
     def _advance(self, id_: str, sequence: int, now_ms: float) -> bool:
+        """Whether `sequence` is the highest so far, and therefore recorded."""
         known = self._last_heartbeats.get(id_)
         if known is not None and known[0] >= sequence:
             return False
--- a/packages/registry/src/larkweir_registry/hint_file.py
+++ b/packages/registry/src/larkweir_registry/hint_file.py
@@ -1,6 +1,6 @@
-"""What a registry leaves on disk, so that a fleet that was stopped as a whole need not wait for heartbeats.
+"""The hint file: the upstreams that a registry knew, so that a fleet that restarts as a whole need not wait for them.
 
-A hint only: heartbeats go before it, and an upstream that was lost meanwhile is found out by its silence.
+The file is a hint. Heartbeats override it, upstreams that were lost meanwhile time out, and losing it loses nothing.
 """
 
 from __future__ import annotations
@@ -16,13 +16,17 @@
 
 
 def encode(registry: Registry) -> bytes:
-    """All upstreams, with a checksum."""
+    """Return all upstreams of the registry as JSON, behind a CRC-32 of it in eight hexadecimal digits and a space."""
     body = msgspec.json.encode(list(registry.upstreams.values()))
     return b"%08x %s" % (zlib.crc32(body), body)
 
 
 def restore(registry: Registry, data: bytes, now_ms: float) -> bool:
-    """Notes what was left; False, and nothing is noted, where it is damaged."""
+    """Add the upstreams of a hint file to the registry.
+
+    Returns:
+        Whether the file was intact. The registry is left as it is where it was not.
+    """
     checksum, _, body = data.partition(b" ")
     if checksum != b"%08x" % zlib.crc32(body):
         return False
--- a/packages/registry/src/larkweir_registry/records.py
+++ b/packages/registry/src/larkweir_registry/records.py
@@ -1,4 +1,8 @@
-"""What is known of one upstream, and how two versions of that join."""
+"""The record of one upstream, and the join of two versions of it.
+
+The records are a state-based CRDT: `join` is the least upper bound, so replicas converge whatever the order in which
+versions reach them (Shapiro, Preguiça, Baquero, Zawirski: Conflict-free Replicated Data Types, 2011).
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 
 
 class UpstreamState(IntEnum):
-    """What an upstream said of itself; a higher one is never left for a lower one."""
+    """The state that an upstream reports of itself. It only ever rises."""
 
     READY = 0
     DRAINING = 1
@@ -16,10 +20,17 @@
 
 
 class Upstream(msgspec.Struct, frozen=True):
-    """One start of an upstream, as its heartbeats describe it. `sequence` counts its heartbeats.
-
-    `timed_out_sequence` is that of the last heartbeat received before the upstream was found to have timed out; -1 for
-    never.
+    """One incarnation of an upstream, as its heartbeats describe it.
+
+    Attributes:
+        id: unique to this incarnation.
+        service: the service that it belongs to.
+        address: `IP:PORT` on which it takes requests.
+        zone: its failure domain.
+        slots: requests that it serves at once.
+        sequence: counts its heartbeats.
+        state: what its heartbeats, or its departure, reported.
+        timed_out_sequence: `sequence` of its last heartbeat when it was last found to have timed out; -1 for never.
     """
 
     id: str
@@ -33,12 +44,12 @@
 
     @property
     def has_timed_out(self) -> bool:
-        """Whether its heartbeats have stopped, as far as is known."""
+        """Whether no heartbeat has arrived since it was last found to have timed out."""
         return self.timed_out_sequence >= self.sequence
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream under the stamp of the registry that noted this version of it."""
+    """One version of an upstream: the `counter`-th that the registry `origin` made."""
 
     upstream: Upstream
     origin: str
@@ -46,11 +57,15 @@
 
 
 VersionVector = dict[str, int]
-"""For each registry (and life of it) the highest counter that has been seen."""
+"""For each origin, one incarnation of a registry, the highest counter that has been seen."""
 
 
 def join(one: Upstream, other: Upstream) -> Upstream:
-    """The least that both say: commutative, associative, idempotent. Both must be of the same id."""
+    """Return the least upper bound of two versions of the same upstream.
+
+    The join is commutative, associative and idempotent. The higher sequence decides the description; the state and the
+    time-out are the higher of both.
+    """
     newer = max(one, other, key=lambda upstream: (upstream.sequence, upstream.address, upstream.zone))
     state = max(one.state, other.state)
     timed_out_sequence = max(one.timed_out_sequence, other.timed_out_sequence)
--- a/packages/registry/src/larkweir_registry/registry.py
+++ b/packages/registry/src/larkweir_registry/registry.py
@@ -1,4 +1,4 @@
-"""The records of one registry or reader, their stamps, and what another lacks of them."""
+"""The upstreams that one process knows, their versions, and the delta that another process lacks."""
 
 from __future__ import annotations
 
@@ -9,35 +9,63 @@
 from larkweir_registry.records import Record, Upstream, UpstreamState, VersionVector, join
 
 TOMBSTONE_RETENTION_MS = (
-    300_000.0  # after it the record of one that has gone is dropped: nobody speaks of it any more
+    300_000.0  # that the record of an upstream that has gone is kept; no message is as late
 )
 
 
 class Registry:
-    """All upstreams by id. A reader that notes nothing itself needs no `origin` of its own."""
+    """A replica of the set of upstreams, which converges with the others by deltas in any order.
+
+    Attributes:
+        origin: the name of this replica in version vectors.
+        vector: the versions that this replica has seen.
+        upstreams: all that are known, by id, those that have gone for `TOMBSTONE_RETENTION_MS`.
+    """
 
     def __init__(self, origin: str) -> None:
-        """`origin`: a name that no other registry, and no earlier life of this one, has used."""
+        """Create an empty replica.
+
+        Args:
+            origin: a name that no other registry, and no earlier incarnation of this one, has used. A reader, which
+                only merges, may use the empty name.
+        """
         self.origin = origin
         self.vector: VersionVector = {}
         self.upstreams: dict[str, Upstream] = {}
-        self._versions: dict[str, tuple[str, int]] = {}
+        self._versions: dict[
+            str, tuple[str, int]
+        ] = {}  # by upstream: origin and counter of its newest version
         self._ids_by_version: dict[str, SortedDict[int, str]] = {}  # by origin and counter
         self._tombstoned_ms: dict[str, float] = {}
-        self._ready_ids: dict[str, list[str]] | None = None  # by service; None: to be found anew
+        self._ready_ids: dict[str, list[str]] | None = None  # by service; None: to be computed
 
     def update(self, upstream: Upstream, now_ms: float) -> bool:
-        """Takes what an upstream, or this registry's judgement, says. Whether that changed what others must know."""
+        """Join what a heartbeat, a departure or the failure detector reports of one upstream.
+
+        Returns:
+            Whether that made a new version, which the other replicas lack.
+        """
         known = self.upstreams.get(upstream.id)
         joined = upstream if known is None else join(known, upstream)
         if known is not None and not _must_propagate(known, joined):
-            self.upstreams[upstream.id] = joined  # its sequence alone; others hear of that by the way
+            self.upstreams[upstream.id] = (
+                joined  # only the sequence is new, which the failure detector propagates
+            )
             return False
         self._store_new_version(joined, now_ms)
         return True
 
     def merge(self, records: Iterable[Record], vector: VersionVector, now_ms: float) -> list[Upstream]:
-        """Takes a delta from another registry and its vector; what changed here."""
+        """Join a delta of another replica.
+
+        Args:
+            records: what the other replica returned for the vector of this one.
+            vector: the vector of the other replica when it did.
+            now_ms: the present.
+
+        Returns:
+            The upstreams that changed here.
+        """
         changed = []
         for record in records:
             id_ = record.upstream.id
@@ -48,7 +76,7 @@
             changed.append(joined)
             if joined == record.upstream:
                 self._store(joined, record.origin, record.counter, now_ms)
-            else:  # neither side had it all: a version of our own tells the others
+            else:  # neither version included the other: their join is a version of its own
                 self._store_new_version(joined, now_ms)
         for origin, counter in vector.items():
             if counter > self.vector.get(origin, 0):
@@ -56,21 +84,21 @@
         return changed
 
     def delta(self, vector: VersionVector) -> list[Record]:
-        """The records that whoever has seen `vector` lacks."""
-        found = []
+        """Return the records that a replica lacks that has seen `vector`."""
+        records = []
         for origin, ids in self._ids_by_version.items():
             seen = vector.get(origin, 0)
             for counter in ids.irange(minimum=seen, inclusive=(False, True)):
                 id_ = ids[counter]
-                found.append(Record(self.upstreams[id_], origin, counter))
-        return found
+                records.append(Record(self.upstreams[id_], origin, counter))
+        return records
 
     def ready_ids(self, service: str) -> list[str]:
-        """The ids of its upstreams that are ready and heard of; not to be changed."""
+        """Return the ids of the upstreams of a service that are ready and have not timed out; not to be modified."""
         return self.ready_ids_by_service().get(service, [])
 
     def ready_ids_by_service(self) -> dict[str, list[str]]:
-        """The same of all services; not to be changed."""
+        """Return the same for all services that have any; not to be modified."""
         if self._ready_ids is None:
             self._ready_ids = {}
             for upstream in self.upstreams.values():
@@ -79,17 +107,18 @@
         return self._ready_ids
 
     def is_covered_by(self, vector: VersionVector) -> bool:
-        """Whether a delta for that vector would be empty."""
+        """Return whether `delta(vector)` would be empty, without computing it."""
         return all(
             not ids or ids.peekitem(-1)[0] <= vector.get(origin, 0)
             for origin, ids in self._ids_by_version.items()
         )
 
     def prune(self, now_ms: float) -> None:
-        """Drops what has been gone for long, and the counters of origins that no record names."""
-        for id_ in [
-            one for one, when_ms in self._tombstoned_ms.items() if now_ms >= when_ms + TOMBSTONE_RETENTION_MS
-        ]:
+        """Drop the records of upstreams that have been gone for `TOMBSTONE_RETENTION_MS`."""
+        expired = [
+            id_ for id_, at_ms in self._tombstoned_ms.items() if now_ms >= at_ms + TOMBSTONE_RETENTION_MS
+        ]
+        for id_ in expired:
             del self._tombstoned_ms[id_]
             del self.upstreams[id_]
             self._remove_version(id_)
@@ -109,16 +138,18 @@
             self._tombstoned_ms.setdefault(upstream.id, now_ms)
 
     def _remove_version(self, id_: str) -> None:
-        stamp = self._versions.pop(id_, None)
-        if stamp is not None:
-            ids = self._ids_by_version[stamp[0]]
-            del ids[stamp[1]]
-            if not ids:
-                del self._ids_by_version[stamp[0]]
+        version = self._versions.pop(id_, None)
+        if version is None:
+            return
+        origin, counter = version
+        ids = self._ids_by_version[origin]
+        del ids[counter]
+        if not ids:
+            del self._ids_by_version[origin]
 
 
 def _must_propagate(known: Upstream, joined: Upstream) -> bool:
-    """Whether others must be told: a higher sequence alone is no news unless it ends a silence."""
+    """Whether the other replicas need the new version: of a higher sequence alone only where it ends a time-out."""
     return (
         known.state is not joined.state
         or known.has_timed_out is not joined.has_timed_out
