--- a/packages/quotas/src/larkweir_quotas/limits.py
+++ b/packages/quotas/src/larkweir_quotas/limits.py
@@ -1,23 +1,31 @@
-"""A tenant's limit, and what is known of its use."""
+"""A tenant's rate limit, and what a controller reports of its use."""
 
 from __future__ import annotations
 
 import msgspec
 
-ISOLATED_FRACTION = 0.5  # of an equal part of the limit, for a process that hears no ledger
+ISOLATED_FRACTION = 0.5  # of an equal part of a limit: what a process may admit that no controller reaches
 
 
 class RateLimit(msgspec.Struct, frozen=True):
-    """A tenant's limit in units (requests or tokens): so many a second, and so many at once above that."""
+    """The parameters of a tenant's token bucket.
+
+    Attributes:
+        rate_per_s: units (requests or tokens) by which it refills each second.
+        burst: units that it holds at most.
+    """
 
     rate_per_s: float
     burst: float
 
 
 class QuotaStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a ledger knows of a tenant: what is left in its bucket (negative: a debt), and the use per second of all.
+    """What one usage table knows of a tenant.
 
-    `is_oversubscribed`: nothing was left there at some time of late, so that the tenant asks for more than its limit.
+    Attributes:
+        level: units left in the token bucket; a debt where it is negative.
+        used_per_s: units a second that all processes together have admitted recently.
+        is_oversubscribed: the bucket was empty recently, so the tenant asks for more than its limit.
     """
 
     level: float
--- a/packages/quotas/src/larkweir_quotas/quota_limiter.py
+++ b/packages/quotas/src/larkweir_quotas/quota_limiter.py
@@ -1,4 +1,7 @@
-"""Whether a request of a tenant may be admitted here, by what ledgers said and what was admitted since."""
+"""Admission of tenants' requests at one process, by what usage tables report and what was admitted here since.
+
+No request waits for a message: the limiter extrapolates from the last status of each table.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,9 @@
 
 from larkweir_quotas.limits import ISOLATED_FRACTION, QuotaStatus, RateLimit
 
-STATUS_VALID_MS = 900.0  # a statement older than this says nothing
-ACTIVE_TENANT_MS = 10_000.0  # tenants are reported so long after their last request here
-MEAN_UNITS_WEIGHT = 0.05  # of one request in the mean of what a tenant's requests take
+STATUS_VALID_MS = 900.0  # a status is not extrapolated for longer
+ACTIVE_TENANT_MS = 10_000.0  # a tenant's usage is reported for so long after its last request here
+MEAN_UNITS_WEIGHT = 0.05  # of one request in the moving average of a tenant's units per request
 STAGGER_FACTOR = 0.5  # of what all processes together admit if each admits one request
 MAX_STAGGER_FRACTION = 0.5  # of the burst
 MIN_RETRY_AFTER_S = 0.1
@@ -18,7 +21,7 @@
 
 @dataclass(slots=True)
 class _ReceivedStatus:
-    """One ledger's statement, and what was admitted here since the count it may include."""
+    """The last status from one table, and the usage that it may include."""
 
     status: QuotaStatus
     received_ms: float
@@ -27,45 +30,56 @@
 
 @dataclass(slots=True)
 class _TenantState:
-    admitted_units: float = 0.0  # units admitted here in this life
+    """What this process knows of one tenant."""
+
+    admitted_units: float = 0.0  # since this process started
     last_admitted_ms: float = -1.0
-    received: dict[str, _ReceivedStatus] = field(default_factory=dict)  # by ledger
-    reported_units: dict[str, float] = field(
-        default_factory=dict
-    )  # by ledger: the count that it was last told
-    local_level: float = 0.0  # the bucket of a process alone
+    received: dict[str, _ReceivedStatus] = field(default_factory=dict)  # by controller
+    reported_units: dict[str, float] = field(default_factory=dict)  # by controller, in the last report
+    local_level: float = 0.0  # of the token bucket that is used while no controller is in reach
     local_level_ms: float = -1.0
-    mean_units: float = 0.0  # of one request
+    mean_units: float = 0.0  # moving average over requests
 
     def record_request(self, units: float) -> None:
-        """Counts one more request into the mean."""
+        """Count one more request into the moving average."""
         weight = MEAN_UNITS_WEIGHT if self.mean_units else 1.0
         self.mean_units += weight * (units - self.mean_units)
 
 
 class QuotaLimiter:
-    """Admits by the lowest of what the ledgers leave; alone, by a small bucket of its own."""
+    """Admits by the lowest level that a usage table leaves, or by a small local token bucket where none is in reach.
+
+    All times are milliseconds of this process' monotonic clock.
+
+    Attributes:
+        process_count: how many processes share the limits, as far as is known.
+    """
 
     def __init__(self, rng: Random | None = None) -> None:
+        """Create a limiter without limits, which admits everything."""
         self._rng = rng or Random()
-        self.process_count = 1  # how many share the limits, as far as is known
+        self.process_count = 1
         self._limits: dict[str, RateLimit] = {}
         self._tenants: dict[str, _TenantState] = {}
 
     def set_limits(self, limits: dict[str, RateLimit]) -> None:
-        """The tenants that have a limit from now on."""
+        """Set the limits of all tenants that have one."""
         self._limits = limits
 
     def admit(self, tenant: str, units: float, now_ms: float) -> float:
-        """0 where the request is admitted, and counted; else the seconds after which to come back."""
+        """Admit a request, or tell when to retry it.
+
+        Returns:
+            0 where the request is admitted, and counted; else the seconds after which its client should retry.
+        """
         limit = self._limits.get(tenant)
         if limit is None:
             return 0.0
         state = self._tenants.setdefault(tenant, _TenantState())
         state.record_request(units)
-        left = self._remaining(state, limit, now_ms)
-        if left <= 0.0:
-            retry_after_s = -left / limit.rate_per_s if limit.rate_per_s > 0.0 else MAX_RETRY_AFTER_S
+        remaining = self._remaining(state, limit, now_ms)
+        if remaining <= 0.0:
+            retry_after_s = -remaining / limit.rate_per_s if limit.rate_per_s > 0.0 else MAX_RETRY_AFTER_S
             return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
         state.admitted_units += units
         state.last_admitted_ms = now_ms
@@ -73,74 +87,74 @@
         return 0.0
 
     def refund(self, tenant: str, units: float) -> None:
-        """A request that was admitted here has not run and never will."""
+        """Return the units of an admitted request that was never executed."""
         state = self._tenants.get(tenant)
         if state is not None and tenant in self._limits:
             state.admitted_units -= units
             state.local_level += units
 
+    def usage(self, controller: str, now_ms: float) -> dict[str, float]:
+        """Return the report for a controller: units admitted since the start, by recently active tenant."""
+        units_by_tenant = {}
+        for tenant, state in self._tenants.items():
+            if state.last_admitted_ms >= 0.0 and now_ms < state.last_admitted_ms + ACTIVE_TENANT_MS:
+                units_by_tenant[tenant] = state.admitted_units
+                state.reported_units[controller] = state.admitted_units
+        return units_by_tenant
+
+    def receive_statuses(self, controller: str, statuses: dict[str, QuotaStatus], now_ms: float) -> None:
+        """Take in a controller's answer to the last report."""
+        for tenant, status in statuses.items():
+            state = self._tenants.setdefault(tenant, _TenantState())
+            reported_units = state.reported_units.get(controller, 0.0)
+            state.received[controller] = _ReceivedStatus(status, now_ms, reported_units)
+
     def _remaining(self, state: _TenantState, limit: RateLimit, now_ms: float) -> float:
-        known = [
+        """Units that may still be admitted here."""
+        levels = [
             self._remaining_by_status(received, state, limit, now_ms)
             for received in state.received.values()
             if now_ms < received.received_ms + STATUS_VALID_MS
         ]
-        if known:
-            state.local_level, state.local_level_ms = min(known) / max(1, self.process_count), now_ms
-            return min(known) - self._stagger(state, limit)
-        return self._remaining_isolated(state, limit, now_ms)
-
-    def _stagger(self, state: _TenantState, limit: RateLimit) -> float:
-        """How much must be left here for one more request of a tenant that presses; drawn anew for each.
-
-        All processes hear at nearly the same time that something is left again. If each of many admitted one request
-        then, they would pass the limit together. The mean request decides, so that large ones are not put behind.
-        """
-        if not any(received.status.is_oversubscribed for received in state.received.values()):
-            return 0.0
-        together = min(
-            STAGGER_FACTOR * state.mean_units * self.process_count, MAX_STAGGER_FRACTION * limit.burst
-        )
-        return self._rng.random() * together
+        if not levels:
+            return self._remaining_isolated(state, limit, now_ms)
+        state.local_level, state.local_level_ms = min(levels) / max(1, self.process_count), now_ms
+        return min(levels) - self._stagger(state, limit)
 
     def _remaining_by_status(
         self, received: _ReceivedStatus, state: _TenantState, limit: RateLimit, now_ms: float
     ) -> float:
-        """Goes on from a statement: refilled since, less what was admitted here and, at their rate, elsewhere.
+        """Extrapolate a status: add the refill since, subtract what was admitted here and, by estimate, elsewhere.
 
-        The clients of a tenant that presses come back at the same moment to all processes, which all hear the same of
-        what is left: each takes it that every other admits as much as it does itself.
+        Clients of an oversubscribed tenant retry at the same moment at all processes, which all received the same
+        level: each process then assumes that every other one admits as much as it does itself.
         """
-        passed_s = (now_ms - received.received_ms) / 1000.0
+        elapsed_s = (now_ms - received.received_ms) / 1000.0
         here = state.admitted_units - received.admitted_units
-        elsewhere = received.status.used_per_s * passed_s
+        elsewhere = received.status.used_per_s * elapsed_s
         if received.status.is_oversubscribed:
             elsewhere = max(elsewhere, here * self.process_count)
-        refilled = min(limit.burst, received.status.level + limit.rate_per_s * passed_s)
+        refilled = min(limit.burst, received.status.level + limit.rate_per_s * elapsed_s)
         return refilled - max(here, elsewhere)
 
+    def _stagger(self, state: _TenantState, limit: RateLimit) -> float:
+        """Units that must remain for one more request of an oversubscribed tenant; drawn anew for each request.
+
+        All processes learn at nearly the same time that the bucket is no longer empty. If each of many admitted one
+        request then, they would exceed the limit together. The mean request decides, so that large requests are not
+        put at a disadvantage.
+        """
+        if not any(received.status.is_oversubscribed for received in state.received.values()):
+            return 0.0
+        one_request_each = STAGGER_FACTOR * state.mean_units * self.process_count
+        return self._rng.random() * min(one_request_each, MAX_STAGGER_FRACTION * limit.burst)
+
     def _remaining_isolated(self, state: _TenantState, limit: RateLimit, now_ms: float) -> float:
-        part = ISOLATED_FRACTION / max(1, self.process_count)
+        """Refill the local token bucket, of a fraction of this process' equal part of the limit."""
+        fraction = ISOLATED_FRACTION / max(1, self.process_count)
         if state.local_level_ms < 0.0:
-            state.local_level, state.local_level_ms = limit.burst * part, now_ms
-        refill = limit.rate_per_s * part * (now_ms - state.local_level_ms) / 1000.0
-        state.local_level = min(limit.burst * part, state.local_level + refill)
+            state.local_level, state.local_level_ms = limit.burst * fraction, now_ms
+        refill = limit.rate_per_s * fraction * (now_ms - state.local_level_ms) / 1000.0
+        state.local_level = min(limit.burst * fraction, state.local_level + refill)
         state.local_level_ms = now_ms
         return state.local_level
-
-    def usage(self, controller: str, now_ms: float) -> dict[str, float]:
-        """What to report to that ledger: the counts of tenants that were active of late."""
-        found = {}
-        for tenant, state in self._tenants.items():
-            if state.last_admitted_ms >= 0.0 and now_ms < state.last_admitted_ms + ACTIVE_TENANT_MS:
-                found[tenant] = state.admitted_units
-                state.reported_units[controller] = state.admitted_units
-        return found
-
-    def receive_statuses(self, controller: str, statuses: dict[str, QuotaStatus], now_ms: float) -> None:
-        """A ledger's answer to the last report."""
-        for tenant, status in statuses.items():
-            state = self._tenants.setdefault(tenant, _TenantState())
-            state.received[controller] = _ReceivedStatus(
-                status, now_ms, state.reported_units.get(controller, 0.0)
-            )
--- a/packages/quotas/src/larkweir_quotas/retry_budget.py
+++ b/packages/quotas/src/larkweir_quotas/retry_budget.py
@@ -1,35 +1,47 @@
-"""How many requests may be sent a second time, so that all processes together stay under one budget."""
+"""A retry budget: how many attempts beyond the first all processes together may add to a service's load."""
 
 from __future__ import annotations
 
 from collections import deque
 
-RATIO_FRACTION = 0.75  # of the allowed ratio: requests at a window's edge are counted by others' clocks
-SLACK_FRACTION = 0.7  # of the fixed allowance, split evenly
+RATIO_FRACTION = (
+    0.75  # of the allowed ratio: the others' clocks may count requests at a window's edge differently
+)
+SLACK_FRACTION = 0.7  # of the fixed allowance, split evenly over the processes
 
 
 class RetryBudget:
-    """Of one service: a window over this process' own requests and retries."""
+    """The budget of one service, over a sliding window of this process' own requests and retries.
+
+    Attributes:
+        process_count: how many processes share the slack, as far as is known.
+    """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
-        """`ratio` of requests may be retried within `window_s`, and `slack` more, over all processes."""
+        """Create the budget of a service.
+
+        Args:
+            ratio: retries that are allowed for each request, over all processes.
+            slack: retries that are allowed beyond that, over all processes.
+            window_s: the time within which both are counted.
+        """
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_s * 1000.0
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
-        self.process_count = 1  # how many share the slack, as far as is known
+        self.process_count = 1
 
     def record_request(self, now_ms: float) -> None:
-        """A client's request for the service came here."""
+        """Count a client's request for the service."""
         self._requests.append(now_ms)
         self._expire(now_ms)
 
     def try_consume(self, now_ms: float) -> bool:
-        """Whether one more retry may be sent; if so it is counted."""
+        """Count one more retry, and return True, where the budget allows it."""
         self._expire(now_ms)
-        own = RATIO_FRACTION * self._ratio * len(self._requests)
-        allowed = own + SLACK_FRACTION * self._slack / max(1, self.process_count)
+        earned = RATIO_FRACTION * self._ratio * len(self._requests)
+        allowed = earned + SLACK_FRACTION * self._slack / max(1, self.process_count)
         if len(self._retries) + 1 > allowed:
             return False
         self._retries.append(now_ms)
