--- a/larkweir/controller/disk_writer.py
+++ b/larkweir/controller/disk_writer.py
@@ -9,7 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from larkweir_replication.journal import Journal, JournalFiles
+from larkweir_replication.journal import Journal
+from larkweir_replication.journal_files import JournalFiles
 from larkweir_replication.messages import DurableState
 
 from larkweir.cluster import log
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -16,7 +16,8 @@
     ReadFinished,
     Send,
 )
-from larkweir_replication.journal import FolderFiles, Journal
+from larkweir_replication.journal import Journal
+from larkweir_replication.journal_files import FolderFiles
 from larkweir_replication.messages import Command, Message, Snapshot
 from larkweir_replication.replica import Replica
 
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -10,7 +10,8 @@
 
 import click
 import msgspec
-from larkweir_replication.journal import FolderFiles, Journal
+from larkweir_replication.journal import Journal
+from larkweir_replication.journal_files import FolderFiles
 
 from larkweir.cluster.configuration.documents import make_patch
 from larkweir.cluster.configuration.schema import first_problem
--- a/packages/replication/tests/replication_disk.py
+++ b/packages/replication/tests/replication_disk.py
@@ -20,11 +20,11 @@
             raise FileNotFoundError(name)
         return self.files[name]
 
-    def append(self, name: str, at: int, data: bytes) -> None:
-        self.files[name] = self.files.get(name, b"")[:at] + data
+    def append(self, name: str, offset: int, data: bytes) -> None:
+        self.files[name] = self.files.get(name, b"")[:offset] + data
 
-    def replace(self, new: str, name: str) -> None:
-        self.files[name] = self.files.pop(new)
+    def replace(self, new_name: str, name: str) -> None:
+        self.files[name] = self.files.pop(new_name)
 
 
 class Disk:
--- a/packages/replication/tests/test_replication_golden_bytes.py
+++ b/packages/replication/tests/test_replication_golden_bytes.py
@@ -13,7 +13,8 @@
 
 import msgspec
 import pytest
-from larkweir_replication.journal import FolderFiles, Journal
+from larkweir_replication.journal import Journal
+from larkweir_replication.journal_files import FolderFiles
 from larkweir_replication.messages import (
     NO_EPOCH,
     Accepted,
--- a/packages/replication/tests/test_replication_journal.py
+++ b/packages/replication/tests/test_replication_journal.py
@@ -12,9 +12,10 @@
     DAMAGED_JOURNAL_FILE,
     JOURNAL_FILE,
     NEW_JOURNAL_FILE,
-    FolderFiles,
     Journal,
 )
+from larkweir_replication.journal_files import FolderFiles
+from larkweir_replication.journal_records import encode_record
 from larkweir_replication.messages import DurableState, Epoch, Snapshot
 
 
@@ -47,9 +48,9 @@
             raise FileNotFoundError(name)
         return self.files[name]
 
-    def append(self, name: str, at: int, data: bytes) -> None:
+    def append(self, name: str, offset: int, data: bytes) -> None:
         self._count_call()
-        before = self.files.get(name, b"")[:at]
+        before = self.files.get(name, b"")[:offset]
         if self.full:
             self.files[name] = before + data[: len(data) // 2]
             raise OSError(28, "No space left on device")
@@ -60,9 +61,9 @@
         self.files[name] = before + data
         self.lasting[name] = self.files[name]
 
-    def replace(self, new: str, name: str) -> None:
+    def replace(self, new_name: str, name: str) -> None:
         self._count_call()
-        self.files[name] = self.files.pop(new)
+        self.files[name] = self.files.pop(new_name)
         self.lasting = dict(self.files)
 
     def lose_power(self) -> None:
@@ -80,7 +81,7 @@
 
 
 def test_power_lost_at_each_byte_of_a_write() -> None:
-    line = len(module._encode(3, durable(3)))
+    line = len(encode_record(3, durable(3)))
     for cut in range(line):
         files = MemoryFiles()
         journal = Journal(files)
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -53,6 +53,7 @@
     "larkweir_registry",
     "larkweir_replication",
     "larkweir_replication.journal",
+    "larkweir_replication.journal_files",
     "larkweir_simulated",
     "larkweir_simulated.network",
 }
