--- a/packages/replication/src/larkweir_replication/effects.py
+++ b/packages/replication/src/larkweir_replication/effects.py
@@ -1,4 +1,4 @@
-"""What a replica wants done: messages sent, records made durable, and answers to those who asked."""
+"""What a replica asks of its caller: messages to send, records to make durable, and answers to operators' calls."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class CommandOutcome(Enum):
-    """How a change ended."""
+    """How a command ended."""
 
     COMMITTED = "committed"  # durable on a majority, now or earlier
-    REJECTED = "rejected"  # by the rules of the value, as a confirmed primary
-    UNKNOWN = "unknown"  # leadership was lost: it may or may not take effect
-    TOO_OLD = "too_old"  # it builds on a version so old that nobody knows any more whether it was carried out
+    REJECTED = "rejected"  # by the rules of the value, at a confirmed primary
+    UNKNOWN = "unknown"  # leadership was lost: it may or may not be applied
+    TOO_OLD = "too_old"  # it builds on a version so old that no replica knows whether it was applied
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Make the record durable, then call `Replica.persisted(token)`, or `persist_failed(token)`."""
+    """Make the record durable, then call `Replica.on_persisted(token)`, or `on_persist_failed(token)`.
+
+    Of several that wait, the newest covers the others.
+    """
 
     token: int
     durable: DurableState
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandFinished:
-    """The outcome of the change that was submitted under `ticket`; `reason` is what the rules said."""
+    """The outcome of the command that was submitted under `ticket`; `reason`: what the rules of the value returned."""
 
     ticket: int
     outcome: CommandOutcome
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadFinished:
-    """The value of the read under `ticket`; None where leadership was lost before it was confirmed."""
+    """The result of the read under `ticket`; None where leadership was lost before it was confirmed."""
 
     ticket: int
     snapshot: Snapshot | None
--- /dev/null
+++ b/packages/replication/src/larkweir_replication/errors.py
@@ -0,0 +1,15 @@
+"""The exceptions that this package raises, besides OSError of its files."""
+
+from __future__ import annotations
+
+
+class ReplicationError(Exception):
+    """The root of this package's exceptions."""
+
+
+class NotRecoveredError(ReplicationError):
+    """A replica that has no state yet was asked for it: a fault of the caller, never of the network."""
+
+    def __init__(self, node: str) -> None:
+        """`node`: the replica."""
+        super().__init__(f"{node} has not recovered its state yet")
--- a/packages/replication/src/larkweir_replication/membership.py
+++ b/packages/replication/src/larkweir_replication/membership.py
@@ -1,7 +1,8 @@
-"""Which members the group is to have next: a rule of what the primary knows, one step at a time.
+"""Which members the group is to have next: pure logic on what the primary knows, one step at a time.
 
-A group has the target_count size, which bears the losses that are to be borne. Further machines stand by: they hold the
-state and take the place of a member that leaves or is lost, in one step that needs a majority before and after it.
+A group has its target size, which tolerates the failures that are to be tolerated. Further machines stand by: they hold
+the state and take the place of a member that leaves or fails, in one step that needs a majority of the members before
+and of those after it (joint consensus: Ongaro and Ousterhout 2014, section 6).
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidates:
-    """What the primary knows of machines that may come or go. All in the order in which they are to be taken."""
+    """Machines that may join or go, each list in the order in which they are to be chosen."""
 
     standby: Sequence[str]
     leaving: Sequence[str]
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """The next members, and those before, whose majority is needed too."""
+    """The next members, and the previous ones, whose majority is needed too."""
 
     members: tuple[str, ...]
     previous_members: tuple[str, ...] = ()
@@ -50,7 +51,7 @@
 
 
 def _superfluous(current: Snapshot, primary: str, candidates: Candidates) -> str:
-    """Whoever leaves or is gone, else the last by name that does not lead."""
+    """A member that leaves or is silent, else the last by name that is not the primary."""
     named = _first_member(current, [*candidates.leaving, *candidates.removable])
     return named or max(node for node in current.members if node != primary)
 
--- a/packages/replication/src/larkweir_replication/messages.py
+++ b/packages/replication/src/larkweir_replication/messages.py
@@ -1,4 +1,7 @@
-"""What replicas tell each other and keep on disk. All are immutable; `msgspec` writes and checks them."""
+"""The messages between replicas, and what they keep on disk. All are immutable; `msgspec` encodes and validates them.
+
+Tags and field names are a wire and file format: where a class or a field has another name, the old one is given.
+"""
 
 from __future__ import annotations
 
@@ -6,20 +9,21 @@
 
 
 class Epoch(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """The term of one primary. The node's name makes it unique; higher ones fence lower ones."""
+    """The number of one primary's term (a ballot of Paxos), unique by the node's name; higher ones fence lower ones."""
 
     number: int
     node: str
 
 
-APPLIED_COMMAND_BYTES = 32  # of one remembered command in a message, about
+APPLIED_COMMAND_BYTES = 32  # approximate size of one `AppliedCommand` in a message
 NO_EPOCH = Epoch(0, "")
 
 
 class Command(msgspec.Struct, frozen=True):
-    """A change as its sender gave it. `base`: the version of the value that it builds on.
+    """A change as its sender submitted it. `base`: the version of the value that it builds on.
 
-    `identity` is the same whenever and wherever it is sent again, and differs for another change.
+    `identity` is an idempotency key: the same whenever and wherever the change is sent again, and another one for
+    another change.
     """
 
     identity: str
@@ -28,18 +32,18 @@
 
 
 class AppliedCommand(msgspec.Struct, frozen=True, array_like=True):
-    """A command that was carried out. Of those on one base there is one."""
+    """The identity of a command that was applied; there is one for each base."""
 
     base: int
     identity: str
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The whole replicated state at one sequence number.
+    """The complete replicated state at one sequence number.
 
-    `members` vote on the next state. While the members change, `previous_members` are those before, and a majority of
-    each is needed. `taken` has the latest commands that were carried out, oldest first; of a command on a base up to
-    `forgotten` nothing is known any more.
+    `members` vote on the next state. While the members change, `previous_members` are those before the change, and a
+    majority of each is needed. `applied_commands` has the latest commands that were applied, oldest first; nothing is
+    known of a command whose base is `latest_forgotten_base` or less.
     """
 
     epoch: Epoch
@@ -52,7 +56,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """About how long its message is."""
+        """The approximate size of its message."""
         return len(self.value) + APPLIED_COMMAND_BYTES * len(self.applied_commands)
 
     @property
@@ -71,22 +75,22 @@
 
 
 class DurableState(msgspec.Struct, frozen=True):
-    """What a replica must find again after a crash."""
+    """What a replica must find again after a crash: the highest promised epoch and the newest accepted state."""
 
     promised: Epoch
     snapshot: Snapshot | None
 
 
 class PreVote(msgspec.Struct, frozen=True, tag="canvass"):
-    """Asks whether a candidacy would find a majority; changes nothing at the one asked."""
+    """Asks whether a candidacy would find a majority; changes nothing at the receiver."""
 
     round: int
 
 
 class PreVoteReply(msgspec.Struct, frozen=True, tag="canvass_reply"):
-    """`promised`: the highest epoch known, so that a candidate goes above it.
+    """The answer. `promised`: the highest epoch that its sender knows, so that a candidate chooses a higher one.
 
-    `members` as its sender knows them: the one who asks may have been replaced, by nodes of which it never heard.
+    `members` as its sender knows them: the candidate may have been replaced by nodes that it does not know.
     """
 
     round: int
@@ -96,13 +100,13 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
-    """A candidate asks to be promised that no lower epoch will be served."""
+    """A candidate asks for the promise that no lower epoch will be served."""
 
     epoch: Epoch
 
 
 class Promise(msgspec.Struct, frozen=True, tag="promise"):
-    """Sent once the promise is durable; `snapshot` is the newest that its sender has accepted."""
+    """Sent once the promise is durable; `snapshot` is the newest state that its sender has accepted."""
 
     epoch: Epoch
     snapshot: Snapshot | None
@@ -123,13 +127,13 @@
 
 
 class StaleEpoch(msgspec.Struct, frozen=True, tag="refused"):
-    """The message was of a lower epoch than its receiver has promised."""
+    """The message had a lower epoch than its receiver has promised."""
 
     promised: Epoch
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat"):
-    """The primary lives; `committed` is the last sequence on a majority of disks, `round` numbers the heartbeats."""
+    """The primary is alive. `committed`: the newest sequence on a majority of disks; `round`: its number."""
 
     epoch: Epoch
     committed: int
@@ -137,7 +141,7 @@
 
 
 class HeartbeatAck(msgspec.Struct, frozen=True, tag="heartbeat_ack"):
-    """Grants the lease from when `round` was sent, and tells what is durable at the sender."""
+    """Grants the lease from when `round` was sent on, and reports which state is durable at its sender."""
 
     epoch: Epoch
     round: int
@@ -146,19 +150,19 @@
 
 
 class Resign(msgspec.Struct, frozen=True, tag="resign"):
-    """The primary stops on purpose: its lease is given back."""
+    """The primary gives its lease back: another may be elected at once."""
 
     epoch: Epoch
 
 
 class Recover(msgspec.Struct, frozen=True, tag="recover"):
-    """A replica without a disk's memory asks what it may have promised."""
+    """A replica whose disk holds no usable state asks what it may have promised. `nonce` names the request."""
 
     nonce: int
 
 
 class RecoverReply(msgspec.Struct, frozen=True, tag="recover_reply"):
-    """The highest epoch and the newest state that its sender knows, also those still under way."""
+    """The highest epoch and the newest state that its sender knows, also those still on their way to its disk."""
 
     nonce: int
     promised: Epoch
@@ -166,11 +170,11 @@
 
 
 class Join(msgspec.Struct, frozen=True, tag="join"):
-    """Its sender would be a member, or stand by until one is needed."""
+    """Its sender asks to become a member, and stands by until one is needed."""
 
 
 class Leave(msgspec.Struct, frozen=True, tag="leave"):
-    """Its sender is about to end, and would be replaced first where another stands by."""
+    """Its sender is about to stop, and asks to be replaced first where another node stands by."""
 
 
 Message = (
--- a/packages/replication/src/larkweir_replication/state.py
+++ b/packages/replication/src/larkweir_replication/state.py
@@ -6,6 +6,7 @@
 
 from larkweir_replication.durability import Durability
 from larkweir_replication.effects import Committed, Effect, Send
+from larkweir_replication.errors import NotRecoveredError
 from larkweir_replication.messages import NO_EPOCH, DurableState, Epoch, Message, Snapshot
 
 
@@ -53,9 +54,9 @@
         return sorted({*self.accepted.members, *self.accepted.previous_members} - {self.node})
 
     def newest(self) -> Snapshot:
-        """The accepted state. Raises RuntimeError where there is none: the replica has not recovered."""
+        """The accepted state. Raises NotRecoveredError where there is none."""
         if self.accepted is None:
-            raise RuntimeError(f"{self.node} holds no state yet")
+            raise NotRecoveredError(self.node)
         return self.accepted
 
     # States
--- a/packages/replication/src/larkweir_replication/timing.py
+++ b/packages/replication/src/larkweir_replication/timing.py
@@ -7,20 +7,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Milliseconds of the steady clock."""
+    """Durations in milliseconds of the steady clock."""
 
     heartbeat_interval_ms: float = 80.0
-    lease_duration_ms: float = 320.0  # after a heartbeat no member helps to elect another primary
-    lease_margin_ms: float = 40.0  # the holder stops so long before the lease ends
-    election_timeout_ms: float = 350.0  # silence of a primary before a candidacy is tried
-    election_timeout_spread_ms: float = 250.0  # up to so much more, by chance
-    connect_grace_ms: float = 60.0  # that connections take after a start; up to twice that by chance
-    campaign_timeout_ms: float = 300.0  # a candidacy is given up after it
-    recover_interval_ms: float = 150.0  # between questions of a replica without memory
-    join_interval_ms: float = 300.0  # between questions of a node that would be a member
-    leave_interval_ms: float = 100.0  # the same of a node that is about to end
-    leaving_election_delay_ms: float = (
-        500.0  # so much later than others a node that is about to end is a candidate
+    lease_duration_ms: float = (
+        320.0  # from a heartbeat on; meanwhile its receiver helps to elect no other primary
     )
-    replace_after_silence_ms: float = 1_500.0  # a member this silent may be replaced by a newcomer
-    remove_after_silence_ms: float = 3_000.0  # the same, taken out of a group that is larger than it must be
+    lease_margin_ms: float = 40.0  # the holder stops so long before the lease ends
+    election_timeout_ms: float = 350.0  # without a message of the primary, before a candidacy
+    election_timeout_spread_ms: float = 250.0  # added at random, up to so much
+    connect_grace_ms: float = 60.0  # for connections after a start; at random up to twice as long
+    campaign_timeout_ms: float = 300.0  # a candidacy is given up after it; at random up to twice as long
+    recover_interval_ms: float = 150.0  # between requests of a replica that has lost its memory
+    join_interval_ms: float = 300.0  # between requests of a node that is no member
+    leave_interval_ms: float = 100.0  # between requests of a node that is about to stop
+    leaving_election_delay_ms: float = 500.0  # added to the election timeout of a node that is about to stop
+    replace_after_silence_ms: float = 1_500.0  # a member that is silent for so long may be replaced
+    remove_after_silence_ms: float = 3_000.0  # the same, removed from a group that is larger than its target
