--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -46,7 +46,7 @@
 _decoder = msgspec.json.Decoder(Message | Call | Answer)
 
 
-def names_of(value: str) -> list[str]:
+def changes_in(value: str) -> list[str]:
     """The changes that made a value, in order."""
     return value.split(",") if value else []
 
@@ -54,7 +54,7 @@
 def append_change(value: str, text: str) -> Result[str, object]:
     """The rules of the tests' value: `BASE:NAME` appends NAME where BASE is the number of names so far."""
     base, _, name = text.partition(":")
-    names = names_of(value)
+    names = changes_in(value)
     if int(base) != len(names):
         return Err(len(names))
     return Ok(",".join([*names, name]))
@@ -73,12 +73,12 @@
         self.disk = Disk(cluster.rng, cluster.sync_ms)
         self.bootstrap = bootstrap
         self.replica: Replica | None = None
-        self.published = ""  # the newest value of this life
+        self.published_value = ""  # the newest value of this life
         self.seeds: Iterable[str] = cluster.seeds
         self._journal = Journal(self.disk.files)
         self._writing: DurableState | None = None
         self._waiting: tuple[int, DurableState] | None = None
-        self._life = 0
+        self._incarnation = 0
 
     @property
     def running(self) -> Replica:
@@ -93,7 +93,7 @@
         journal = self._journal = Journal(self.disk.files)
         self._writing = None
         self._waiting = None
-        self._life += 1
+        self._incarnation += 1
         self.replica = Replica(
             self.name,
             append_change,
@@ -105,8 +105,8 @@
             target_member_count=cluster.target_member_count,
             timing=Timing(),
         )
-        self.published = ""
-        cluster.network.listen(self.name, self._came)
+        self.published_value = ""
+        cluster.network.listen(self.name, self._on_datagram)
         self._tick()
         self.bootstrap = False
 
@@ -126,48 +126,48 @@
         if self.replica is None:
             return
         self.replica.leave(self.cluster.network.now_ms)
-        self._carry_out(self.replica.take_effects())
-        self._end_when_left(self.cluster.network.now_ms + LEAVE_MS)
+        self._run_effects(self.replica.take_effects())
+        self._stop_when_left(self.cluster.network.now_ms + LEAVE_MS)
 
-    def _end_when_left(self, latest_ms: float) -> None:
+    def _stop_when_left(self, latest_ms: float) -> None:
         if self.replica is None:
             return
         if self.replica.has_left or self.cluster.network.now_ms >= latest_ms:
             self.replica.resign(self.cluster.network.now_ms)
-            self._carry_out(self.replica.take_effects())
+            self._run_effects(self.replica.take_effects())
             self.stop()
         else:
-            self.cluster.network.after(TICK_MS, lambda: self._end_when_left(latest_ms), self.name)
+            self.cluster.network.after(TICK_MS, lambda: self._stop_when_left(latest_ms), self.name)
 
     def _tick(self) -> None:
         if self.replica is None:
             return
         self.replica.tick(self.cluster.network.now_ms)
-        self._carry_out(self.replica.take_effects())
+        self._run_effects(self.replica.take_effects())
         self.cluster.network.after(TICK_MS, self._tick, self.name)
 
-    def _came(self, source: str, data: bytes) -> None:
+    def _on_datagram(self, source: str, data: bytes) -> None:
         if self.replica is None:
             return
         message = _decoder.decode(data)
         if isinstance(message, Call):
-            self._take(source, message)
+            self._handle_call(source, message)
         elif isinstance(message, Answer):
-            self.cluster.answered(message)
+            self.cluster.on_answer(message)
         else:
             self.replica.receive(source, message, self.cluster.network.now_ms)
-            self._carry_out(self.replica.take_effects())
+            self._run_effects(self.replica.take_effects())
 
     def call(self, ticket: int, order: Command | None) -> None:
         """An operator's call here: carried out, or sent on to the primary that this machine knows."""
         if self.replica is None or self.name in self.cluster.frozen:
             return
         if self.replica.status is ReplicaStatus.PRIMARY:
-            self._take(self.name, Call(ticket, order))
+            self._handle_call(self.name, Call(ticket, order))
         elif self.replica.primary is not None:
             self._send(self.replica.primary, Call(ticket, order))
 
-    def _take(self, source: str, call: Call) -> None:
+    def _handle_call(self, source: str, call: Call) -> None:
         """As the primary, or as one that is taken for it."""
         replica, now_ms = self.running, self.cluster.network.now_ms
         self.cluster.callers[call.ticket] = (source, self.name)
@@ -175,19 +175,19 @@
             replica.read(call.ticket, now_ms)
         else:
             replica.submit(call.ticket, call.command, now_ms)
-        self._carry_out(replica.take_effects())
+        self._run_effects(replica.take_effects())
 
     def _answer(self, answer: Answer) -> None:
         caller, _ = self.cluster.callers[answer.ticket]
         if caller == self.name:
-            self.cluster.answered(answer)
+            self.cluster.on_answer(answer)
         else:
             self._send(caller, answer)
 
     def _send(self, node: str, message: Message | Call | Answer) -> None:
         self.cluster.network.send(self.name, node, msgspec.json.encode(message))
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _run_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case Send(node, message):
@@ -195,7 +195,7 @@
                 case Persist(token, durable):
                     self._write(token, durable)
                 case Committed(snapshot):
-                    self.cluster.published(self, snapshot)
+                    self.cluster.on_committed(self, snapshot)
                 case CommandFinished(ticket, outcome, _):
                     self._answer(Answer(ticket, outcome.value, None))
                 case ReadFinished(ticket, found):
@@ -211,13 +211,13 @@
         assert self._waiting is not None
         (token, durable), self._waiting = self._waiting, None
         self._writing = durable
-        life = self._life
+        incarnation = self._incarnation
 
         def synced() -> None:
-            if self.replica is not None and self._life == life:
+            if self.replica is not None and self._incarnation == incarnation:
                 self._synced(token, durable)
 
-        self.cluster.network.after(self.disk.sync_ms, lambda: self.disk.when_it_answers(synced), self.name)
+        self.cluster.network.after(self.disk.sync_ms, lambda: self.disk.when_responsive(synced), self.name)
 
     def _synced(self, token: int, durable: DurableState) -> None:
         replica = self.running
@@ -229,7 +229,7 @@
             replica.on_persisted(token, self.cluster.network.now_ms)
         if self._waiting is not None:
             self._begin_write()
-        self._carry_out(replica.take_effects())
+        self._run_effects(replica.take_effects())
 
 
 class Cluster:
@@ -250,13 +250,13 @@
         self.commands: dict[int, str] = {}  # by ticket
         self.acknowledged: dict[str, float] = {}  # commands, by when that was first said
         self.rejected: set[str] = set()
-        self.unclear = 0
+        self.unknown_count = 0
         self.history: dict[int, str] = {}  # by sequence, what was ever published under it
         self.reads: dict[int, list[str]] = {}  # by ticket, what was acknowledged before it began
         self.reads_done = 0
         self.repeats_refused = 0
         self._tickets = 0
-        self._named = size
+        self._next_number = size
         for machine in self.machines.values():
             self.network.after(self.rng.uniform(0.0, 300.0), machine.start, machine.name)
 
@@ -264,12 +264,12 @@
 
     def add_machine(self) -> Machine:
         """One more that counts, with an empty disk and a name that was never used. It is not started."""
-        name = f"m{self._named}"
-        self._named += 1
+        name = f"m{self._next_number}"
+        self._next_number += 1
         machine = self.machines[name] = Machine(self, name, bootstrap=False)
         return machine
 
-    def forget_machine(self, name: str) -> None:
+    def remove_machine(self, name: str) -> None:
         """It is gone for good."""
         machine = self.machines.pop(name, None)
         if machine is not None:
@@ -291,7 +291,7 @@
         self.machines[name].call(self._tickets, None)
         return self._tickets
 
-    def answered(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         """What the one who called is told."""
         if answer.ticket in self.reads:
             self._read_done(answer.ticket, answer.value)
@@ -305,23 +305,23 @@
                 assert text not in self.acknowledged, f"{text} was acknowledged, then refused"
                 self.rejected.add(text)
             case _:
-                self.unclear += 1
+                self.unknown_count += 1
 
     def _read_done(self, ticket: int, value: str | None) -> None:
         if value is None:
             return
         self.reads_done += 1
-        names = names_of(value)
+        names = changes_in(value)
         for text in self.reads[ticket]:
             base, _, name = text.partition(":")
             assert names[int(base) : int(base) + 1] == [name], f"a read without {text}: {value}"
 
-    def published(self, machine: Machine, snapshot: Snapshot) -> None:
+    def on_committed(self, machine: Machine, snapshot: Snapshot) -> None:
         known = self.history.setdefault(snapshot.sequence, snapshot.value)
         assert known == snapshot.value, f"two values under {snapshot.sequence}: {known!r}, {snapshot.value!r}"
-        before = names_of(machine.published)
-        assert names_of(snapshot.value)[: len(before)] == before, f"{machine.name} went back"
-        machine.published = snapshot.value
+        before = changes_in(machine.published_value)
+        assert changes_in(snapshot.value)[: len(before)] == before, f"{machine.name} went back"
+        machine.published_value = snapshot.value
 
     # What is seen from outside
 
@@ -351,20 +351,20 @@
     def run(self, for_ms: float) -> None:
         self.network.run(self.network.now_ms + for_ms)
 
-    def must_acknowledge(self, within_ms: float = 4_000.0) -> None:
+    def assert_serves(self, within_ms: float = 4_000.0) -> None:
         """A proper command, sent as operators do, is acknowledged in that time."""
         end_ms = self.network.now_ms + within_ms
         text = ""
         while not text or text not in self.acknowledged:
             assert self.network.now_ms < end_ms, f"no acknowledgement within {within_ms:.0f} ms"
             if not text or text in self.rejected:
-                text = f"{len(names_of(self.newest()))}:p{self._tickets}"
+                text = f"{len(changes_in(self.newest()))}:p{self._tickets}"
             self.submit(self.rng.choice(sorted(self.machines)), text)
             self.run(100.0)
 
     def check(self) -> None:
         """What was acknowledged is in the newest value, in one line of changes, and what was refused is not."""
-        names = names_of(self.committed().value)
+        names = changes_in(self.committed().value)
         for text in self.acknowledged:
             base, _, name = text.partition(":")
             assert names[int(base) : int(base) + 1] == [name], f"{text} is lost: {names}"
@@ -372,7 +372,7 @@
             base, _, name = text.partition(":")
             assert names[int(base) : int(base) + 1] != [name], f"{text} was refused and carried out"
         for _, value in sorted(self.history.items()):
-            assert names[: len(names_of(value))] == names_of(value)
+            assert names[: len(changes_in(value))] == changes_in(value)
 
 
 def isolate(cluster: Cluster, name: str, *, inwards: bool = True, outwards: bool = True) -> None:
@@ -385,7 +385,7 @@
                 cluster.network.cut(other, name, both=False)
 
 
-def started(cluster: Cluster, when: Callable[[Cluster], bool], within_ms: float = 5_000.0) -> None:
+def run_until(cluster: Cluster, when: Callable[[Cluster], bool], within_ms: float = 5_000.0) -> None:
     """Lets time pass until that holds."""
     end_ms = cluster.network.now_ms + within_ms
     while not when(cluster):
--- a/packages/replication/tests/replication_disk.py
+++ b/packages/replication/tests/replication_disk.py
@@ -74,7 +74,7 @@
             cut = self.rng.randrange(kept, len(whole))
             self.files.files = {**before, JOURNAL_FILE: whole[:cut]}
 
-    def when_it_answers(self, then: Callable[[], None]) -> None:
+    def when_responsive(self, then: Callable[[], None]) -> None:
         """At once, or once it has ceased to stall."""
         if self.stalled:
             self._stalled_writes.append(then)
--- a/packages/replication/tests/replication_trouble.py
+++ b/packages/replication/tests/replication_faults.py
@@ -6,18 +6,18 @@
 from random import Random
 
 from larkweir_replication.status import ReplicaStatus
-from replication_cluster import Cluster, Machine, isolate, names_of
+from replication_cluster import Cluster, Machine, changes_in, isolate
 
-CATCH_UP_MS = 4_000.0
-LONG_CUT_MS = 20_000.0
-SETTLED_MS = 4_000.0
+RECOVERY_MS = 4_000.0
+LONG_PARTITION_MS = 20_000.0
+SETTLE_MS = 4_000.0
 
 
-class Trouble:
+class FaultInjector:
     """Draws what is within the tolerance, and what only stops the service: never a disk more than may be lost."""
 
-    DISK_KINDS = ("wipe", "flip", "replace_crashed")
-    MACHINE_KINDS = (
+    DISK_FAULTS = ("wipe", "flip", "replace_crashed")
+    MACHINE_FAULTS = (
         "kill",
         "freeze",
         "cut",
@@ -28,7 +28,7 @@
         "stall",
         "full",
     )
-    FLEET_KINDS = ("kill_all", "power_all", "halves", "planned", "planned", "new_seeds")
+    CLUSTER_FAULTS = ("kill_all", "power_all", "halves", "planned", "planned", "new_seeds")
 
     def __init__(self, cluster: Cluster, tolerance: int, only: tuple[str, ...] = ()) -> None:
         """`only`: the kinds to draw from; all where none is named."""
@@ -36,35 +36,36 @@
         self.only = only
         self.rng: Random = cluster.rng
         self.tolerance = tolerance
-        self._lost_until: dict[str, float] = {}  # machines without their disk, until they have caught up
-        self.drawn: list[str] = []
+        # By machine that lost its disk: until when it counts as lost, so that it can catch up.
+        self._lost_disk_until_ms: dict[str, float] = {}
+        self.injected: list[str] = []
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         """One thing happens to a machine that is drawn by lot, the primary often."""
-        self._catch_up()
+        self._update_lost_disks()
         names = sorted(self.cluster.machines)
         primary = self.cluster.primary()
         name = primary if primary is not None and self.rng.random() < 0.4 else self.rng.choice(names)
-        kinds = [*self.MACHINE_KINDS, *self.FLEET_KINDS]
-        if len(self._lost_until) < self.tolerance:
-            kinds += self.DISK_KINDS * 2
+        kinds = [*self.MACHINE_FAULTS, *self.CLUSTER_FAULTS]
+        if len(self._lost_disk_until_ms) < self.tolerance:
+            kinds += self.DISK_FAULTS * 2
         if self.only:
             kinds = [kind for kind in kinds if kind in self.only] or kinds
         kind = self.rng.choice(kinds)
-        self.drawn.append(f"{self.cluster.network.now_ms:.0f} {kind} {name}")
+        self.injected.append(f"{self.cluster.network.now_ms:.0f} {kind} {name}")
         for_ms = self.rng.uniform(50.0, 3_000.0)
         getattr(self, f"_{kind}")(self.cluster.machines[name], for_ms)
 
-    def _catch_up(self) -> None:
+    def _update_lost_disks(self) -> None:
         """A machine that lost its disk counts as lost until it has its memory again, and a while longer."""
         now_ms = self.cluster.network.now_ms
-        for name, until_ms in list(self._lost_until.items()):
+        for name, until_ms in list(self._lost_disk_until_ms.items()):
             machine = self.cluster.machines.get(name)
             recovered = machine is not None and machine.replica is not None and self._is_member(machine)
             if not recovered:
-                self._lost_until[name] = now_ms + CATCH_UP_MS
+                self._lost_disk_until_ms[name] = now_ms + RECOVERY_MS
             elif now_ms >= until_ms:
-                del self._lost_until[name]
+                del self._lost_disk_until_ms[name]
 
     def _is_member(self, machine: Machine) -> bool:
         replica = machine.running
@@ -75,7 +76,7 @@
         )
 
     def _lose_disk(self, name: str) -> None:
-        self._lost_until[name] = self.cluster.network.now_ms + CATCH_UP_MS
+        self._lost_disk_until_ms[name] = self.cluster.network.now_ms + RECOVERY_MS
 
     def _start_later(self, machine: Machine, for_ms: float) -> None:
         def start() -> None:
@@ -119,7 +120,7 @@
         self.cluster.network.after(for_ms, self.cluster.network.heal)
 
     def _long_cut(self, machine: Machine, for_ms: float) -> None:
-        self._cut(machine, LONG_CUT_MS)
+        self._cut(machine, LONG_PARTITION_MS)
 
     def _hear_nothing(self, machine: Machine, for_ms: float) -> None:
         isolate(self.cluster, machine.name, outwards=False)
@@ -169,14 +170,14 @@
         """Gone for good; an empty one comes later. Every third time the machine that comes is lost again."""
         if len(self.cluster.machines) <= self.cluster.target_member_count - 1:
             return
-        self.cluster.forget_machine(machine.name)
+        self.cluster.remove_machine(machine.name)
         newcomer = self.cluster.add_machine()
         self._lose_disk(newcomer.name)
         self._start_later(newcomer, for_ms)
 
     def _planned(self, machine: Machine, for_ms: float) -> None:
         """An empty machine comes, then another is told to leave."""
-        if self._lost_until or machine.replica is None:
+        if self._lost_disk_until_ms or machine.replica is None:
             return
         newcomer = self.cluster.add_machine()
         self._lose_disk(newcomer.name)
@@ -185,11 +186,11 @@
         def leave() -> None:
             if self.cluster.machines.get(machine.name) is machine:
                 machine.leave()
-                self.cluster.network.after(3_000.0, lambda: self.cluster.forget_machine(machine.name))
+                self.cluster.network.after(3_000.0, lambda: self.cluster.remove_machine(machine.name))
 
         self.cluster.network.after(1_000.0, leave)
 
-    def over(self) -> None:
+    def repair_all(self) -> None:
         """All links, disks and machines are well again."""
         self.cluster.network.heal()
         self.cluster.network.lost = 0.0
@@ -221,7 +222,7 @@
             self.open = None
         if self.open is None:
             self.count += 1
-            self.open = f"{len(names_of(cluster.newest()))}:{self.name}{self.count}"
+            self.open = f"{len(changes_in(cluster.newest()))}:{self.name}{self.count}"
             self.sent.append(self.open)
         for name in cluster.rng.sample(sorted(cluster.machines), len(cluster.machines)):
             cluster.submit(name, self.open)
@@ -233,7 +234,7 @@
 
 
 @dataclass(frozen=True)
-class Day:
+class Trial:
     """One seeded play."""
 
     seed: int
@@ -241,40 +242,40 @@
     tolerance: int = 1
     first: int = 3
     steps: int = 60
-    storm: bool = False  # orders every few milliseconds, hundreds in all
+    is_dense: bool = False  # orders every few milliseconds, hundreds in all
     only: tuple[str, ...] = ()  # kinds of trouble to draw from
-    trouble_chance: float = 0.2  # at each step
+    fault_probability: float = 0.2  # at each step
     sync_ms: float = 2.0  # of all disks that are well
 
 
-def play(day: Day) -> Cluster:
+def run_trial(trial: Trial) -> Cluster:
     """Plays it, and checks what must hold: promises throughout, service whenever a majority is calm."""
-    cluster = Cluster(day.seed, day.size, day.tolerance, day.first)
+    cluster = Cluster(trial.seed, trial.size, trial.tolerance, trial.first)
     cluster.network.lost = cluster.rng.choice([0.0, 0.0, 0.02, 0.1])
-    cluster.sync_ms = day.sync_ms
+    cluster.sync_ms = trial.sync_ms
     for machine in cluster.machines.values():
-        machine.disk.sync_ms = day.sync_ms
-    trouble = Trouble(cluster, day.tolerance, day.only)
+        machine.disk.sync_ms = trial.sync_ms
+    injector = FaultInjector(cluster, trial.tolerance, trial.only)
     operators = [Operator(cluster, name) for name in ("a", "b")]
     cluster.run(3_000.0)
-    for step in range(day.steps):
-        cluster.run(cluster.rng.uniform(5.0, 40.0) if day.storm else cluster.rng.uniform(20.0, 300.0))
-        if cluster.rng.random() < day.trouble_chance:
-            trouble.strike()
+    for step in range(trial.steps):
+        cluster.run(cluster.rng.uniform(5.0, 40.0) if trial.is_dense else cluster.rng.uniform(20.0, 300.0))
+        if cluster.rng.random() < trial.fault_probability:
+            injector.inject()
         for operator in operators:
             operator.act()
-        if step == day.steps // 2:
-            _calm_down(cluster, trouble)
-    _calm_down(cluster, trouble)
+        if step == trial.steps // 2:
+            _settle(cluster, injector)
+    _settle(cluster, injector)
     cluster.check()
     assert len(cluster.committed().members) == cluster.target_member_count, cluster.committed().members
     return cluster
 
 
-def _calm_down(cluster: Cluster, trouble: Trouble) -> None:
+def _settle(cluster: Cluster, injector: FaultInjector) -> None:
     """All is well for so long that a proper order must be acknowledged."""
-    trouble.over()
-    cluster.run(SETTLED_MS)
-    trouble.over()  # what was drawn before may have begun or ended meanwhile
-    cluster.run(SETTLED_MS)
-    cluster.must_acknowledge()
+    injector.repair_all()
+    cluster.run(SETTLE_MS)
+    injector.repair_all()  # what was drawn before may have begun or ended meanwhile
+    cluster.run(SETTLE_MS)
+    cluster.assert_serves()
--- a/packages/replication/tests/test_replication_cluster.py
+++ b/packages/replication/tests/test_replication_cluster.py
@@ -7,8 +7,8 @@
 import pytest
 from larkweir_replication import commands
 from larkweir_replication.status import ReplicaStatus
-from replication_cluster import Cluster, isolate, names_of, started
-from replication_trouble import Day, play
+from replication_cluster import Cluster, changes_in, isolate, run_until
+from replication_faults import Trial, run_trial
 
 SEEDS = int(os.environ.get("REPLICATION_SEEDS", "30"))
 
@@ -19,7 +19,7 @@
     return name
 
 
-def calm(seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> Cluster:
+def settled_cluster(seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> Cluster:
     """A cluster that has found its primary."""
     cluster = Cluster(seed, size, tolerance, first)
     cluster.run(3_000.0)
@@ -28,40 +28,40 @@
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_three_machines_keep_what_they_acknowledged(seed: int) -> None:
-    assert play(Day(seed)).acknowledged
+    assert run_trial(Trial(seed)).acknowledged
 
 
 @pytest.mark.parametrize("seed", range(SEEDS // 2))
 def test_five_machines_that_bear_two(seed: int) -> None:
-    assert play(Day(seed + 100_000, size=5, tolerance=2)).acknowledged
+    assert run_trial(Trial(seed + 100_000, size=5, tolerance=2)).acknowledged
 
 
 @pytest.mark.parametrize("seed", range(SEEDS // 3))
 def test_four_machines_that_are_one_too_many(seed: int) -> None:
-    assert play(Day(seed + 200_000, size=4, first=4)).acknowledged
+    assert run_trial(Trial(seed + 200_000, size=4, first=4)).acknowledged
 
 
 @pytest.mark.parametrize("seed", range(SEEDS // 6))
 def test_power_lost_while_slow_disks_write(seed: int) -> None:
     kinds = ("kill", "power_all", "kill_all", "flip")
-    assert play(Day(seed + 400_000, only=kinds, sync_ms=60.0, trouble_chance=0.3)).acknowledged
+    assert run_trial(Trial(seed + 400_000, only=kinds, sync_ms=60.0, fault_probability=0.3)).acknowledged
 
 
 @pytest.mark.parametrize("seed", range(SEEDS // 6))
 def test_halves_around_replacements(seed: int) -> None:
     kinds = ("planned", "halves", "long_cut", "replace_crashed")
-    assert play(Day(seed + 500_000, only=kinds, trouble_chance=0.3)).acknowledged
+    assert run_trial(Trial(seed + 500_000, only=kinds, fault_probability=0.3)).acknowledged
 
 
 @pytest.mark.parametrize("seed", range(SEEDS // 6))
 def test_hundreds_of_changes_with_repeats_long_after(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(commands, "MAX_APPLIED_COMMANDS", [40, 1_000][seed % 2])
-    cluster = play(Day(seed + 300_000, steps=600, storm=True, trouble_chance=0.012))
+    cluster = run_trial(Trial(seed + 300_000, steps=600, is_dense=True, fault_probability=0.012))
     assert len(cluster.history) > 100
 
 
 def test_a_calm_cluster_acknowledges_and_reads_back() -> None:
-    cluster = calm(1)
+    cluster = settled_cluster(1)
     primary = primary_of(cluster)
     cluster.submit(primary, "0:x")
     cluster.run(50.0)
@@ -79,7 +79,7 @@
 
 def test_a_dead_primary_is_replaced_within_two_seconds() -> None:
     for seed in range(20):
-        cluster = calm(seed)
+        cluster = settled_cluster(seed)
         first = primary_of(cluster)
         cluster.machines[first].stop()
         cluster.run(2_000.0)
@@ -91,7 +91,7 @@
 
 
 def test_a_primary_whose_disk_is_full_acknowledges_by_the_others() -> None:
-    cluster = calm(3)
+    cluster = settled_cluster(3)
     primary = primary_of(cluster)
     cluster.machines[primary].disk.full = True
     cluster.submit(primary, "0:x")
@@ -100,8 +100,8 @@
 
 
 def test_a_machine_that_replaces_a_lost_one_becomes_a_member() -> None:
-    cluster = calm(4)
-    cluster.forget_machine("m1")
+    cluster = settled_cluster(4)
+    cluster.remove_machine("m1")
     cluster.add_machine().start()
     cluster.run(6_000.0)
     assert cluster.committed().members == ("m0", "m2", "m3")
@@ -110,16 +110,16 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_after_a_planned_replacement_one_more_may_stop_at_once(seed: int) -> None:
     """The newcomer first, then SIGTERM; the moment the old machine has ended, another stops."""
-    cluster = calm(seed)
+    cluster = settled_cluster(seed)
     cluster.submit(primary_of(cluster), "0:x")
     newcomer = cluster.add_machine()
     newcomer.start()
     cluster.run(1_000.0)
     leaving = cluster.rng.choice(["m0", "m1", "m2"])
     cluster.machines[leaving].leave()
-    started(cluster, lambda one: one.machines[leaving].replica is None, within_ms=2_000.0)
+    run_until(cluster, lambda one: one.machines[leaving].replica is None, within_ms=2_000.0)
     cluster.machines[cluster.rng.choice(sorted({"m0", "m1", "m2"} - {leaving}))].stop()
-    cluster.must_acknowledge()
+    cluster.assert_serves()
     assert newcomer.name in cluster.committed().members
     assert len(cluster.committed().members) == 3
 
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_the_machine_that_leaves_may_hold_the_only_other_copy(seed: int) -> None:
     """A change is on two disks of three; one of the two leaves, the other loses its disk behind it."""
-    cluster = calm(seed)
+    cluster = settled_cluster(seed)
     primary = primary_of(cluster)
     backup, third = sorted(set(cluster.machines) - {primary})
     cluster.add_machine().start()
@@ -137,8 +137,8 @@
     cluster.run(60.0)
     assert list(cluster.acknowledged) == ["0:x"]
     cluster.machines[backup].leave()
-    started(cluster, lambda one: one.machines[backup].replica is None, within_ms=2_000.0)
-    cluster.forget_machine(backup)
+    run_until(cluster, lambda one: one.machines[backup].replica is None, within_ms=2_000.0)
+    cluster.remove_machine(backup)
     cluster.machines[third].disk.go_on()
     cluster.run(4_000.0)
     cluster.machines[primary].stop()
@@ -146,14 +146,14 @@
     cluster.run(1_000.0)
     cluster.machines[primary].start()
     cluster.run(4_000.0)
-    cluster.must_acknowledge()
+    cluster.assert_serves()
     cluster.check()
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(seed: int) -> None:
     """One member is about to count as lost when the primary and the newcomer are cut off from the other one."""
-    cluster = calm(seed)
+    cluster = settled_cluster(seed)
     primary = primary_of(cluster)
     other, lost = sorted(set(cluster.machines) - {primary})
     newcomer = cluster.add_machine()
@@ -166,50 +166,50 @@
     cluster.run(600.0)  # nothing is under way when the other one counts as lost
     for _ in range(30):
         for name in sorted(cluster.machines):
-            base = len(names_of(cluster.machines[name].published))
+            base = len(changes_in(cluster.machines[name].published_value))
             cluster.submit(name, f"{base}:{name}{cluster.network.now_ms:.0f}")
         cluster.run(100.0)
     cluster.network.heal()
     cluster.run(6_000.0)
-    cluster.must_acknowledge()
+    cluster.assert_serves()
     cluster.check()
 
 
 def test_two_replacements_in_a_row() -> None:
     for seed in range(10):
-        cluster = calm(seed)
+        cluster = settled_cluster(seed)
         for leaving in ("m0", "m1", "m2"):
             cluster.add_machine().start()
             cluster.run(1_000.0)
             cluster.machines[leaving].leave()
             cluster.run(1_600.0)
-            cluster.forget_machine(leaving)
-        cluster.must_acknowledge()
+            cluster.remove_machine(leaving)
+        cluster.assert_serves()
         assert cluster.committed().members == ("m3", "m4", "m5")
 
 
 def test_a_plain_stop_and_start_keeps_its_place() -> None:
-    cluster = calm(5)
+    cluster = settled_cluster(5)
     for name in ("m0", "m1", "m2"):
         cluster.machines[name].leave()
         cluster.run(2_500.0)
         assert cluster.machines[name].replica is None
         cluster.machines[name].start()
         cluster.run(1_000.0)
-        cluster.must_acknowledge()
+        cluster.assert_serves()
     assert cluster.committed().members == ("m0", "m1", "m2")
 
 
 def test_machines_that_are_all_told_to_stop_serve_until_they_do() -> None:
     for seed in range(10):
-        cluster = calm(seed)
+        cluster = settled_cluster(seed)
         for machine in cluster.machines.values():
             machine.leave()
-        cluster.must_acknowledge(within_ms=1_400.0)
+        cluster.assert_serves(within_ms=1_400.0)
 
 
 def test_a_member_that_was_replaced_while_cut_off_stands_by_afterwards() -> None:
-    cluster = calm(6)
+    cluster = settled_cluster(6)
     cut_off = sorted(set(cluster.machines) - {primary_of(cluster)})[0]
     isolate(cluster, cut_off)
     newcomer = cluster.add_machine()
@@ -223,7 +223,7 @@
     assert cut_off not in members
     replica = cluster.machines[cut_off].running
     assert replica.status is ReplicaStatus.FOLLOWER
-    cluster.must_acknowledge()
+    cluster.assert_serves()
     cluster.run(300.0)
     assert replica.committed == cluster.committed(), "it has the state, and sends calls on"
     cluster.machines[newcomer.name].stop()
@@ -233,7 +233,7 @@
 
 def test_a_replaced_member_finds_a_primary_of_which_it_never_heard() -> None:
     """It comes back when the machine that took its place leads, and another of its old group has ended for good."""
-    cluster = calm(6)
+    cluster = settled_cluster(6)
     first = primary_of(cluster)
     cut_off, leaving = sorted(set(cluster.machines) - {first})
     isolate(cluster, cut_off)
@@ -243,11 +243,11 @@
     assert newcomer.name in cluster.committed().members
     cluster.machines[leaving].leave()
     cluster.run(2_000.0)
-    cluster.forget_machine(leaving)
+    cluster.remove_machine(leaving)
     cluster.machines[first].stop()
     cluster.run(500.0)
     cluster.machines[first].start()
-    started(cluster, lambda one: one.primary() is not None)
+    run_until(cluster, lambda one: one.primary() is not None)
     while cluster.primary() != newcomer.name:
         cluster.machines[primary_of(cluster)].running.resign(cluster.network.now_ms)
         cluster.run(1_000.0)
@@ -258,7 +258,7 @@
 
 def test_nothing_is_said_before_it_is_durable() -> None:
     """A promise and an acceptance wait for the disk, however long it takes."""
-    cluster = calm(7)
+    cluster = settled_cluster(7)
     primary = primary_of(cluster)
     backup, third = sorted(set(cluster.machines) - {primary})
     cluster.machines[backup].disk.stalled = True
@@ -274,11 +274,11 @@
     assert replica.promised > held, "it has been asked"
     assert cluster.primary() is None, "the promise is on no disk yet"
     cluster.machines[backup].disk.go_on()
-    cluster.must_acknowledge()
+    cluster.assert_serves()
 
 
 def test_a_wiped_machine_has_no_vote_before_it_has_heard_the_others() -> None:
-    cluster = calm(5)
+    cluster = settled_cluster(5)
     primary = primary_of(cluster)
     backup, third = sorted(set(cluster.machines) - {primary})
     cluster.network.cut(primary, third)
@@ -301,7 +301,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_a_damaged_file_gives_its_machine_no_vote(seed: int) -> None:
     """Two of three have a change; the disk of one of them is damaged, the other is away: nobody leads without it."""
-    cluster = calm(seed)
+    cluster = settled_cluster(seed)
     primary = primary_of(cluster)
     backup, third = sorted(set(cluster.machines) - {primary})
     isolate(cluster, third)
@@ -319,11 +319,11 @@
     cluster.machines[primary].start()
     cluster.run(4_000.0)
     cluster.check()
-    cluster.must_acknowledge()
+    cluster.assert_serves()
 
 
 def test_a_state_that_a_full_disk_refused_is_made_durable_when_it_is_sent_again() -> None:
-    cluster = calm(6)
+    cluster = settled_cluster(6)
     primary = primary_of(cluster)
     backup, third = sorted(set(cluster.machines) - {primary})
     cluster.machines[backup].disk.full = True
@@ -338,10 +338,10 @@
 
 def test_a_primary_whose_own_disk_was_full_writes_again() -> None:
     """One of three is gone for good, so that the primary's own disk is needed, and was full at the wrong moment."""
-    cluster = calm(6)
+    cluster = settled_cluster(6)
     primary = primary_of(cluster)
     backup, third = sorted(set(cluster.machines) - {primary})
-    cluster.forget_machine(third)
+    cluster.remove_machine(third)
     cluster.machines[primary].disk.full = True
     cluster.submit(primary, "0:x")
     cluster.run(50.0)
@@ -353,7 +353,7 @@
 
 def test_a_primary_whose_large_state_is_arriving_is_not_replaced() -> None:
     """Its heartbeats are held up for a second; the machines that receive from it say so."""
-    cluster = calm(6)
+    cluster = settled_cluster(6)
     primary = primary_of(cluster)
     others = sorted(set(cluster.machines) - {primary})
     epoch = cluster.machines[primary].running.promised
@@ -379,7 +379,7 @@
 
 
 def test_an_order_of_long_ago_is_acknowledged_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    cluster = calm(7)
+    cluster = settled_cluster(7)
     primary = primary_of(cluster)
     for number in range(1_500):
         cluster.submit(primary, f"{number}:x{number}")
@@ -393,7 +393,7 @@
 
 def test_an_order_older_than_memory_gets_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(commands, "MAX_APPLIED_COMMANDS", 10)
-    cluster = calm(8)
+    cluster = settled_cluster(8)
     primary = primary_of(cluster)
     for number in range(30):
         cluster.submit(primary, f"{number}:x{number}")
@@ -402,7 +402,7 @@
     for text in ("3:x3", "3:other"):
         cluster.submit(primary, text)
     cluster.run(50.0)
-    assert cluster.unclear == 2, "it may have been carried out: neither is refused"
+    assert cluster.unknown_count == 2, "it may have been carried out: neither is refused"
     cluster.submit(primary, "25:other")
     cluster.run(50.0)
     assert cluster.rejected == {"25:other"}, "another one was carried out on that version"
@@ -411,7 +411,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_a_controller_cut_off_for_twenty_seconds(seed: int) -> None:
     """It neither confirms nor refuses, nor reads, and follows at once when it is back, hundreds of changes behind."""
-    cluster = calm(seed)
+    cluster = settled_cluster(seed)
     away = primary_of(cluster) if seed % 2 else sorted(cluster.machines)[0]
     isolate(cluster, away)
     refused, done = len(cluster.rejected), cluster.reads_done
@@ -423,18 +423,18 @@
         assert (len(cluster.rejected), cluster.reads_done) == (refused, done)
         assert not cluster.acknowledged
     for _ in range(50):
-        cluster.must_acknowledge()
+        cluster.assert_serves()
         cluster.run(20.0)
     cluster.network.heal()
     cluster.run(2_000.0)
     assert cluster.machines[away].running.committed == cluster.committed()
-    assert len(names_of(cluster.newest())) >= 50
+    assert len(changes_in(cluster.newest())) >= 50
     cluster.check()
 
 
 @pytest.mark.parametrize("kind", ["cut", "wiped", "damaged", "killed"])
 def test_a_member_hundreds_of_changes_behind_catches_up_and_can_lead(kind: str) -> None:
-    cluster = calm(9)
+    cluster = settled_cluster(9)
     late = sorted(set(cluster.machines) - {primary_of(cluster)})[0]
     machine = cluster.machines[late]
     machine.stop()
@@ -453,5 +453,5 @@
         if name != late and name == primary_of(cluster):
             cluster.machines[name].stop()
             break
-    cluster.must_acknowledge()
+    cluster.assert_serves()
     cluster.check()
--- a/packages/replication/tests/test_replication_planted.py
+++ b/packages/replication/tests/test_replication_planted.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-import test_replication_cluster as scenes
+import test_replication_cluster as scenarios
 from larkweir_replication import commands, member_tracker
 from larkweir_replication.acceptor import Acceptor
 from larkweir_replication.commands import PendingCommand
@@ -35,22 +35,24 @@
 from larkweir_replication.state import ReplicaState
 from larkweir_replication.state_replicator import StateReplicator
 from larkweir_replication.status import ReplicaStatus
-from replication_trouble import Day, play
+from replication_faults import Trial, run_trial
 
-DAYS_MOST = 150
-ANY_DAY = Day(0)
-POWER_LOST_ON_SLOW_DISKS = Day(0, only=("kill", "power_all", "kill_all"), sync_ms=60.0, trouble_chance=0.3)
+MAX_TRIALS = 150
+ANY_TRIAL = Trial(0)
+POWER_LOST_ON_SLOW_DISKS = Trial(
+    0, only=("kill", "power_all", "kill_all"), sync_ms=60.0, fault_probability=0.3
+)
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
 @dataclass(frozen=True)
-class Fault:
+class PlantedFault:
     """What is wrong in the rules, and the days that are to find it."""
 
     name: str
     plant: Patch
-    day: Day = ANY_DAY
-    scene: Callable[[], None] | None = None  # for what only a rare order of events brings about
+    trial: Trial = ANY_TRIAL
+    scenario: Callable[[], None] | None = None  # for what only a rare order of events brings about
 
 
 def half_is_a_majority(patch: pytest.MonkeyPatch) -> None:
@@ -231,48 +233,48 @@
 
 
 FAULTS = [
-    Fault("half is a majority", half_is_a_majority),
-    Fault(
+    PlantedFault("half is a majority", half_is_a_majority),
+    PlantedFault(
         "the group before a change is not asked",
         the_group_before_a_change_is_not_asked,
-        scene=lambda: scenes.test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(0),
+        scenario=lambda: scenarios.test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(0),
     ),
-    Fault(
+    PlantedFault(
         "promises are given before they are durable",
         promises_are_given_before_they_are_durable,
-        scene=scenes.test_nothing_is_said_before_it_is_durable,
+        scenario=scenarios.test_nothing_is_said_before_it_is_durable,
     ),
-    Fault(
+    PlantedFault(
         "states are confirmed before they are durable",
         states_are_confirmed_before_they_are_durable,
         POWER_LOST_ON_SLOW_DISKS,
     ),
-    Fault("lower epochs are served", lower_epochs_are_served),
-    Fault("a candidate keeps its own state", a_candidate_keeps_its_own_state),
-    Fault("reads are not confirmed", reads_are_not_confirmed),
-    Fault("refusals are not confirmed", refusals_are_not_confirmed),
-    Fault("one answer recovers a memory", one_answer_recovers_a_memory),
-    Fault("damage is taken for a torn tail", damage_is_taken_for_a_torn_tail),
-    Fault("commands are not remembered", commands_are_not_remembered),
-    Fault("what is forgotten is refused", what_is_forgotten_is_refused),
-    Fault("committed without a majority", committed_without_a_majority),
-    Fault("an epoch is used twice", an_epoch_is_used_twice),
-    Fault("a wiped disk votes", a_wiped_disk_votes),
-    Fault("the own disk is not asked again", the_own_disk_is_not_asked_again),
+    PlantedFault("lower epochs are served", lower_epochs_are_served),
+    PlantedFault("a candidate keeps its own state", a_candidate_keeps_its_own_state),
+    PlantedFault("reads are not confirmed", reads_are_not_confirmed),
+    PlantedFault("refusals are not confirmed", refusals_are_not_confirmed),
+    PlantedFault("one answer recovers a memory", one_answer_recovers_a_memory),
+    PlantedFault("damage is taken for a torn tail", damage_is_taken_for_a_torn_tail),
+    PlantedFault("commands are not remembered", commands_are_not_remembered),
+    PlantedFault("what is forgotten is refused", what_is_forgotten_is_refused),
+    PlantedFault("committed without a majority", committed_without_a_majority),
+    PlantedFault("an epoch is used twice", an_epoch_is_used_twice),
+    PlantedFault("a wiped disk votes", a_wiped_disk_votes),
+    PlantedFault("the own disk is not asked again", the_own_disk_is_not_asked_again),
 ]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_the_days_find_it(fault: Fault, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_days_find_it(fault: PlantedFault, monkeypatch: pytest.MonkeyPatch) -> None:
     fault.plant(monkeypatch)
-    if fault.scene is not None:
+    if fault.scenario is not None:
         with pytest.raises(AssertionError):
-            fault.scene()
+            fault.scenario()
         return
-    for count in range(1, DAYS_MOST + 1):
+    for count in range(1, MAX_TRIALS + 1):
         try:
-            play(replace(fault.day, seed=count))
+            run_trial(replace(fault.trial, seed=count))
         except Exception as found:  # whatever breaks: an assertion of the model, or of the rules themselves
             print(f"{fault.name}: found on day {count}: {found!r:.100}")
             return
-    pytest.fail(f"{DAYS_MOST} days did not find it")
+    pytest.fail(f"{MAX_TRIALS} trials did not find it")
