--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from random import Random
 
 import msgspec
@@ -373,21 +373,3 @@
             assert names[int(base) : int(base) + 1] != [name], f"{text} was refused and carried out"
         for _, value in sorted(self.history.items()):
             assert names[: len(changes_in(value))] == changes_in(value)
-
-
-def isolate(cluster: Cluster, name: str, *, inwards: bool = True, outwards: bool = True) -> None:
-    """Cuts one machine off from all others."""
-    for other in cluster.machines:
-        if other != name:
-            if outwards:
-                cluster.network.cut(name, other, both=False)
-            if inwards:
-                cluster.network.cut(other, name, both=False)
-
-
-def run_until(cluster: Cluster, when: Callable[[Cluster], bool], within_ms: float = 5_000.0) -> None:
-    """Lets time pass until that holds."""
-    end_ms = cluster.network.now_ms + within_ms
-    while not when(cluster):
-        assert cluster.network.now_ms < end_ms, "it never came about"
-        cluster.run(TICK_MS)
--- a/packages/replication/tests/replication_faults.py
+++ b/packages/replication/tests/replication_faults.py
@@ -6,7 +6,8 @@
 from random import Random
 
 from larkweir_replication.status import ReplicaStatus
-from replication_cluster import Cluster, Machine, changes_in, isolate
+from replication_cluster import Cluster, Machine, changes_in
+from replication_scenarios import isolate
 
 RECOVERY_MS = 4_000.0
 LONG_PARTITION_MS = 20_000.0
--- /dev/null
+++ b/packages/replication/tests/replication_scenarios.py
@@ -0,0 +1,38 @@
+"""Steps that scenarios of clusters in memory share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from replication_cluster import TICK_MS, Cluster
+
+
+def isolate(cluster: Cluster, name: str, *, inwards: bool = True, outwards: bool = True) -> None:
+    """Cuts one machine off from all others."""
+    for other in cluster.machines:
+        if other != name:
+            if outwards:
+                cluster.network.cut(name, other, both=False)
+            if inwards:
+                cluster.network.cut(other, name, both=False)
+
+
+def run_until(cluster: Cluster, when: Callable[[Cluster], bool], within_ms: float = 5_000.0) -> None:
+    """Lets time pass until that holds."""
+    end_ms = cluster.network.now_ms + within_ms
+    while not when(cluster):
+        assert cluster.network.now_ms < end_ms, "it never came about"
+        cluster.run(TICK_MS)
+
+
+def primary_of(cluster: Cluster) -> str:
+    name = cluster.primary()
+    assert name is not None
+    return name
+
+
+def settled_cluster(seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> Cluster:
+    """A cluster that has found its primary."""
+    cluster = Cluster(seed, size, tolerance, first)
+    cluster.run(3_000.0)
+    return cluster
--- /dev/null
+++ b/packages/replication/tests/test_replication_cluster_leadership.py
@@ -0,0 +1,128 @@
+"""Clusters in memory: what a primary acknowledges, rejects and reads, and when it is replaced."""
+
+from __future__ import annotations
+
+import pytest
+from larkweir_replication import commands
+from replication_cluster import changes_in
+from replication_scenarios import isolate, primary_of, settled_cluster
+
+
+def test_a_calm_cluster_acknowledges_and_reads_back() -> None:
+    cluster = settled_cluster(1)
+    primary = primary_of(cluster)
+    cluster.submit(primary, "0:x")
+    cluster.run(50.0)
+    assert list(cluster.acknowledged) == ["0:x"]
+    cluster.submit(primary, "0:y")
+    cluster.submit(primary, "0:x")
+    cluster.run(50.0)
+    assert cluster.rejected == {"0:y"}
+    assert list(cluster.acknowledged) == ["0:x"]
+    for name in cluster.machines:
+        cluster.read(name)
+    cluster.run(50.0)
+    assert cluster.reads_done == 3
+
+
+def test_a_dead_primary_is_replaced_within_two_seconds() -> None:
+    for seed in range(20):
+        cluster = settled_cluster(seed)
+        first = primary_of(cluster)
+        cluster.machines[first].stop()
+        cluster.run(2_000.0)
+        second = cluster.primary()
+        assert second not in (None, first)
+        cluster.submit(str(second), "0:x")
+        cluster.run(50.0)
+        assert list(cluster.acknowledged) == ["0:x"]
+
+
+def test_a_primary_whose_disk_is_full_acknowledges_by_the_others() -> None:
+    cluster = settled_cluster(3)
+    primary = primary_of(cluster)
+    cluster.machines[primary].disk.full = True
+    cluster.submit(primary, "0:x")
+    cluster.run(50.0)
+    assert list(cluster.acknowledged) == ["0:x"]
+
+
+def test_a_primary_whose_large_state_is_arriving_is_not_replaced() -> None:
+    """Its heartbeats are held up for a second; the machines that receive from it say so."""
+    cluster = settled_cluster(6)
+    primary = primary_of(cluster)
+    others = sorted(set(cluster.machines) - {primary})
+    epoch = cluster.machines[primary].running.promised
+    cluster.submit(primary, f"0:{'x' * 4_000_000}")
+    for name in others:
+        cluster.network.cut(primary, name)
+    for _ in range(50):
+        cluster.run(20.0)
+        for name in others:
+            cluster.machines[name].running.on_partial_message(primary, cluster.network.now_ms)
+    cluster.network.heal()
+    for name in others:
+        cluster.machines[primary].running.on_reconnected(name)
+    cluster.run(100.0)
+    assert cluster.acknowledged, "the first transfer was enough"
+    assert cluster.primary() == primary
+    assert cluster.machines[primary].running.promised == epoch
+    cluster.run(2_000.0)
+    for name in others:
+        cluster.network.cut(primary, name)
+    cluster.run(3_000.0)
+    assert cluster.primary() in others, "one that sends nothing is replaced all the same"
+
+
+def test_an_order_of_long_ago_is_acknowledged_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    cluster = settled_cluster(7)
+    primary = primary_of(cluster)
+    for number in range(1_500):
+        cluster.submit(primary, f"{number}:x{number}")
+        cluster.run(15.0)
+    assert len(cluster.acknowledged) == 1_500
+    cluster.acknowledged.pop("0:x0")
+    cluster.submit(primary, "0:x0")
+    cluster.run(50.0)
+    assert "0:x0" in cluster.acknowledged
+
+
+def test_an_order_older_than_memory_gets_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(commands, "MAX_APPLIED_COMMANDS", 10)
+    cluster = settled_cluster(8)
+    primary = primary_of(cluster)
+    for number in range(30):
+        cluster.submit(primary, f"{number}:x{number}")
+        cluster.run(15.0)
+    assert cluster.committed().latest_forgotten_base == 19
+    for text in ("3:x3", "3:other"):
+        cluster.submit(primary, text)
+    cluster.run(50.0)
+    assert cluster.unknown_count == 2, "it may have been carried out: neither is refused"
+    cluster.submit(primary, "25:other")
+    cluster.run(50.0)
+    assert cluster.rejected == {"25:other"}, "another one was carried out on that version"
+
+
+@pytest.mark.parametrize("seed", range(10))
+def test_a_controller_cut_off_for_twenty_seconds(seed: int) -> None:
+    """It neither confirms nor refuses, nor reads, and follows at once when it is back, hundreds of changes behind."""
+    cluster = settled_cluster(seed)
+    away = primary_of(cluster) if seed % 2 else sorted(cluster.machines)[0]
+    isolate(cluster, away)
+    refused, done = len(cluster.rejected), cluster.reads_done
+    for number in range(200):
+        for text in (f"{number}:x{number}", f"{number}:y{number}"):
+            cluster.submit(away, text)
+            cluster.read(away)
+        cluster.run(100.0)
+        assert (len(cluster.rejected), cluster.reads_done) == (refused, done)
+        assert not cluster.acknowledged
+    for _ in range(50):
+        cluster.assert_serves()
+        cluster.run(20.0)
+    cluster.network.heal()
+    cluster.run(2_000.0)
+    assert cluster.machines[away].running.committed == cluster.committed()
+    assert len(changes_in(cluster.newest())) >= 50
+    cluster.check()
--- /dev/null
+++ b/packages/replication/tests/test_replication_cluster_membership.py
@@ -0,0 +1,165 @@
+"""Clusters in memory whose members are replaced, leave and come back."""
+
+from __future__ import annotations
+
+import pytest
+from larkweir_replication.status import ReplicaStatus
+from replication_cluster import changes_in
+from replication_scenarios import isolate, primary_of, run_until, settled_cluster
+
+
+def test_a_machine_that_replaces_a_lost_one_becomes_a_member() -> None:
+    cluster = settled_cluster(4)
+    cluster.remove_machine("m1")
+    cluster.add_machine().start()
+    cluster.run(6_000.0)
+    assert cluster.committed().members == ("m0", "m2", "m3")
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_after_a_planned_replacement_one_more_may_stop_at_once(seed: int) -> None:
+    """The newcomer first, then SIGTERM; the moment the old machine has ended, another stops."""
+    cluster = settled_cluster(seed)
+    cluster.submit(primary_of(cluster), "0:x")
+    newcomer = cluster.add_machine()
+    newcomer.start()
+    cluster.run(1_000.0)
+    leaving = cluster.rng.choice(["m0", "m1", "m2"])
+    cluster.machines[leaving].leave()
+    run_until(cluster, lambda one: one.machines[leaving].replica is None, within_ms=2_000.0)
+    cluster.machines[cluster.rng.choice(sorted({"m0", "m1", "m2"} - {leaving}))].stop()
+    cluster.assert_serves()
+    assert newcomer.name in cluster.committed().members
+    assert len(cluster.committed().members) == 3
+
+
+@pytest.mark.parametrize("seed", range(10))
+def test_the_machine_that_leaves_may_hold_the_only_other_copy(seed: int) -> None:
+    """A change is on two disks of three; one of the two leaves, the other loses its disk behind it."""
+    cluster = settled_cluster(seed)
+    primary = primary_of(cluster)
+    backup, third = sorted(set(cluster.machines) - {primary})
+    cluster.add_machine().start()
+    cluster.run(1_000.0)
+    cluster.machines[third].disk.stalled = True
+    cluster.submit(primary, "0:x")
+    cluster.run(60.0)
+    assert list(cluster.acknowledged) == ["0:x"]
+    cluster.machines[backup].leave()
+    run_until(cluster, lambda one: one.machines[backup].replica is None, within_ms=2_000.0)
+    cluster.remove_machine(backup)
+    cluster.machines[third].disk.go_on()
+    cluster.run(4_000.0)
+    cluster.machines[primary].stop()
+    cluster.machines[primary].disk.wipe()
+    cluster.run(1_000.0)
+    cluster.machines[primary].start()
+    cluster.run(4_000.0)
+    cluster.assert_serves()
+    cluster.check()
+
+
+@pytest.mark.parametrize("seed", range(5))
+def test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(seed: int) -> None:
+    """One member is about to count as lost when the primary and the newcomer are cut off from the other one."""
+    cluster = settled_cluster(seed)
+    primary = primary_of(cluster)
+    other, lost = sorted(set(cluster.machines) - {primary})
+    newcomer = cluster.add_machine()
+    newcomer.start()
+    cluster.run(1_000.0)
+    cluster.machines[lost].stop()
+    cluster.run(1_350.0)
+    cluster.network.split([[primary, newcomer.name], [other, lost]])
+    cluster.machines[lost].start()
+    cluster.run(600.0)  # nothing is under way when the other one counts as lost
+    for _ in range(30):
+        for name in sorted(cluster.machines):
+            base = len(changes_in(cluster.machines[name].published_value))
+            cluster.submit(name, f"{base}:{name}{cluster.network.now_ms:.0f}")
+        cluster.run(100.0)
+    cluster.network.heal()
+    cluster.run(6_000.0)
+    cluster.assert_serves()
+    cluster.check()
+
+
+def test_two_replacements_in_a_row() -> None:
+    for seed in range(10):
+        cluster = settled_cluster(seed)
+        for leaving in ("m0", "m1", "m2"):
+            cluster.add_machine().start()
+            cluster.run(1_000.0)
+            cluster.machines[leaving].leave()
+            cluster.run(1_600.0)
+            cluster.remove_machine(leaving)
+        cluster.assert_serves()
+        assert cluster.committed().members == ("m3", "m4", "m5")
+
+
+def test_a_plain_stop_and_start_keeps_its_place() -> None:
+    cluster = settled_cluster(5)
+    for name in ("m0", "m1", "m2"):
+        cluster.machines[name].leave()
+        cluster.run(2_500.0)
+        assert cluster.machines[name].replica is None
+        cluster.machines[name].start()
+        cluster.run(1_000.0)
+        cluster.assert_serves()
+    assert cluster.committed().members == ("m0", "m1", "m2")
+
+
+def test_machines_that_are_all_told_to_stop_serve_until_they_do() -> None:
+    for seed in range(10):
+        cluster = settled_cluster(seed)
+        for machine in cluster.machines.values():
+            machine.leave()
+        cluster.assert_serves(within_ms=1_400.0)
+
+
+def test_a_member_that_was_replaced_while_cut_off_stands_by_afterwards() -> None:
+    cluster = settled_cluster(6)
+    cut_off = sorted(set(cluster.machines) - {primary_of(cluster)})[0]
+    isolate(cluster, cut_off)
+    newcomer = cluster.add_machine()
+    newcomer.start()
+    cluster.run(4_000.0)
+    assert newcomer.name in cluster.committed().members
+    cluster.network.heal()
+    cluster.run(4_000.0)
+    members = cluster.committed().members
+    assert len(members) == 3
+    assert cut_off not in members
+    replica = cluster.machines[cut_off].running
+    assert replica.status is ReplicaStatus.FOLLOWER
+    cluster.assert_serves()
+    cluster.run(300.0)
+    assert replica.committed == cluster.committed(), "it has the state, and sends calls on"
+    cluster.machines[newcomer.name].stop()
+    cluster.run(3_000.0)
+    assert cut_off in cluster.committed().members
+
+
+def test_a_replaced_member_finds_a_primary_of_which_it_never_heard() -> None:
+    """It comes back when the machine that took its place leads, and another of its old group has ended for good."""
+    cluster = settled_cluster(6)
+    first = primary_of(cluster)
+    cut_off, leaving = sorted(set(cluster.machines) - {first})
+    isolate(cluster, cut_off)
+    newcomer = cluster.add_machine()
+    newcomer.start()
+    cluster.run(4_000.0)
+    assert newcomer.name in cluster.committed().members
+    cluster.machines[leaving].leave()
+    cluster.run(2_000.0)
+    cluster.remove_machine(leaving)
+    cluster.machines[first].stop()
+    cluster.run(500.0)
+    cluster.machines[first].start()
+    run_until(cluster, lambda one: one.primary() is not None)
+    while cluster.primary() != newcomer.name:
+        cluster.machines[primary_of(cluster)].running.resign(cluster.network.now_ms)
+        cluster.run(1_000.0)
+    cluster.network.heal()
+    cluster.run(4_000.0)
+    assert cut_off in cluster.committed().members
--- /dev/null
+++ b/packages/replication/tests/test_replication_cluster_recovery.py
@@ -0,0 +1,126 @@
+"""Clusters in memory whose machines have lost disks, refused writes, or been away."""
+
+from __future__ import annotations
+
+import pytest
+from replication_scenarios import isolate, primary_of, settled_cluster
+
+
+def test_nothing_is_said_before_it_is_durable() -> None:
+    """A promise and an acceptance wait for the disk, however long it takes."""
+    cluster = settled_cluster(7)
+    primary = primary_of(cluster)
+    backup, third = sorted(set(cluster.machines) - {primary})
+    cluster.machines[backup].disk.stalled = True
+    replica = cluster.machines[backup].running
+    held = replica.promised
+    cluster.machines[third].stop()
+    cluster.submit(primary, "0:x")
+    cluster.run(100.0)
+    assert not cluster.acknowledged, "the other copy is on no disk yet"
+    cluster.machines[primary].stop()
+    cluster.machines[third].start()
+    cluster.run(1_500.0)
+    assert replica.promised > held, "it has been asked"
+    assert cluster.primary() is None, "the promise is on no disk yet"
+    cluster.machines[backup].disk.go_on()
+    cluster.assert_serves()
+
+
+def test_a_wiped_machine_has_no_vote_before_it_has_heard_the_others() -> None:
+    cluster = settled_cluster(5)
+    primary = primary_of(cluster)
+    backup, third = sorted(set(cluster.machines) - {primary})
+    cluster.network.cut(primary, third)
+    cluster.network.cut(backup, third)
+    cluster.submit(primary, "0:x")
+    cluster.run(50.0)
+    assert list(cluster.acknowledged) == ["0:x"]
+    cluster.machines[primary].stop()
+    cluster.machines[backup].stop()
+    cluster.machines[backup].disk.wipe()
+    cluster.network.heal()
+    cluster.machines[backup].start()
+    cluster.run(6_000.0)
+    assert cluster.primary() is None, "two machines without the change formed a majority"
+    cluster.machines[primary].start()
+    cluster.run(4_000.0)
+    cluster.check()
+
+
+@pytest.mark.parametrize("seed", range(10))
+def test_a_damaged_file_gives_its_machine_no_vote(seed: int) -> None:
+    """Two of three have a change; the disk of one of them is damaged, the other is away: nobody leads without it."""
+    cluster = settled_cluster(seed)
+    primary = primary_of(cluster)
+    backup, third = sorted(set(cluster.machines) - {primary})
+    isolate(cluster, third)
+    for number in range(6):
+        cluster.submit(primary, f"{number}:x{number}")
+        cluster.run(50.0)
+    assert len(cluster.acknowledged) == 6
+    cluster.machines[primary].stop()
+    cluster.machines[backup].stop()
+    assert cluster.machines[backup].disk.flip_bit()
+    cluster.network.heal()
+    cluster.machines[backup].start()
+    cluster.run(6_000.0)
+    assert cluster.primary() is None
+    cluster.machines[primary].start()
+    cluster.run(4_000.0)
+    cluster.check()
+    cluster.assert_serves()
+
+
+def test_a_state_that_a_full_disk_refused_is_made_durable_when_it_is_sent_again() -> None:
+    cluster = settled_cluster(6)
+    primary = primary_of(cluster)
+    backup, third = sorted(set(cluster.machines) - {primary})
+    cluster.machines[backup].disk.full = True
+    cluster.machines[third].stop()
+    cluster.submit(primary, "0:x")
+    cluster.run(50.0)
+    assert not cluster.acknowledged
+    cluster.machines[backup].disk.full = False
+    cluster.run(700.0)
+    assert list(cluster.acknowledged) == ["0:x"]
+
+
+def test_a_primary_whose_own_disk_was_full_writes_again() -> None:
+    """One of three is gone for good, so that the primary's own disk is needed, and was full at the wrong moment."""
+    cluster = settled_cluster(6)
+    primary = primary_of(cluster)
+    backup, third = sorted(set(cluster.machines) - {primary})
+    cluster.remove_machine(third)
+    cluster.machines[primary].disk.full = True
+    cluster.submit(primary, "0:x")
+    cluster.run(50.0)
+    assert not cluster.acknowledged
+    cluster.machines[primary].disk.full = False
+    cluster.run(50.0)
+    assert list(cluster.acknowledged) == ["0:x"]
+
+
+@pytest.mark.parametrize("kind", ["cut", "wiped", "damaged", "killed"])
+def test_a_member_hundreds_of_changes_behind_catches_up_and_can_lead(kind: str) -> None:
+    cluster = settled_cluster(9)
+    late = sorted(set(cluster.machines) - {primary_of(cluster)})[0]
+    machine = cluster.machines[late]
+    machine.stop()
+    for number in range(300):
+        cluster.submit(primary_of(cluster), f"{number}:x{number}")
+        cluster.run(15.0)
+    assert len(cluster.acknowledged) == 300
+    if kind == "wiped":
+        machine.disk.wipe()
+    if kind == "damaged":
+        assert machine.disk.flip_bit()
+    machine.start()
+    cluster.run(2_000.0)
+    assert machine.running.committed == cluster.committed()
+    for name in cluster.machines:
+        if name != late and name == primary_of(cluster):
+            cluster.machines[name].stop()
+            break
+    cluster.assert_serves()
+    cluster.check()
--- a/packages/replication/tests/test_replication_planted.py
+++ b/packages/replication/tests/test_replication_planted.py
@@ -11,7 +11,8 @@
 
 import msgspec
 import pytest
-import test_replication_cluster as scenarios
+import test_replication_cluster_membership as membership_scenarios
+import test_replication_cluster_recovery as recovery_scenarios
 from larkweir_replication import commands, member_tracker
 from larkweir_replication.acceptor import Acceptor
 from larkweir_replication.commands import PendingCommand
@@ -237,12 +238,14 @@
     PlantedFault(
         "the group before a change is not asked",
         the_group_before_a_change_is_not_asked,
-        scenario=lambda: scenarios.test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(0),
+        scenario=lambda: membership_scenarios.test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(
+            0
+        ),
     ),
     PlantedFault(
         "promises are given before they are durable",
         promises_are_given_before_they_are_durable,
-        scenario=scenarios.test_nothing_is_said_before_it_is_durable,
+        scenario=recovery_scenarios.test_nothing_is_said_before_it_is_durable,
     ),
     PlantedFault(
         "states are confirmed before they are durable",
