--- a/packages/replication/src/larkweir_replication/__init__.py
+++ b/packages/replication/src/larkweir_replication/__init__.py
@@ -1,1 +1,1 @@
-"""One replicated value: a primary, backups, and epochs that fence old primaries."""
+"""One value that a few machines replicate: a primary, backups, and epochs that fence old primaries."""
--- /dev/null
+++ b/packages/replication/tests/replication_factories.py
@@ -0,0 +1,38 @@
+"""States and parts of a replica for the tests of single modules."""
+
+from __future__ import annotations
+
+from larkweir_replication.effects import Effect, Persist, Send
+from larkweir_replication.messages import Epoch, Message, Snapshot
+from larkweir_replication.state import ReplicaState
+
+MEMBERS = ("a", "b", "c")
+EPOCH = Epoch(1, "a")
+
+
+def snapshot(sequence: int = 0, *, epoch: Epoch = EPOCH, members: tuple[str, ...] = MEMBERS) -> Snapshot:
+    return Snapshot(epoch, sequence, members)
+
+
+def state_of(
+    node: str = "a", accepted: Snapshot | None = None, known: tuple[str, ...] = MEMBERS
+) -> ReplicaState:
+    """The state of a replica that has promised the epoch of what it has accepted."""
+    state = ReplicaState(node, known)
+    state.accepted = accepted or snapshot()
+    state.promised = state.accepted.epoch
+    return state
+
+
+def sent(effects: list[Effect]) -> list[tuple[str, Message]]:
+    """The messages among the effects, with their receivers."""
+    return [(effect.node, effect.message) for effect in effects if isinstance(effect, Send)]
+
+
+def write_all(state: ReplicaState) -> list[Effect]:
+    """Lets the disk complete the records among the effects; returns the other effects."""
+    effects = state.take_effects()
+    for effect in effects:
+        if isinstance(effect, Persist):
+            state.durability.complete_write(effect.token)
+    return [effect for effect in effects if not isinstance(effect, Persist)]
