--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -36,7 +36,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, tag="answer"):
-    """How it ended; `verdict` is None for a read."""
+    """How the call ended; `outcome` is None for a read."""
 
     ticket: int
     outcome: str | None
@@ -65,7 +65,7 @@
 
 
 class Machine:
-    """One machine that counts: its disk outlives its process."""
+    """One machine of the group: its disk outlives its process."""
 
     def __init__(self, cluster: Cluster, name: str, bootstrap: bool) -> None:
         self.cluster = cluster
@@ -86,7 +86,7 @@
         return self.replica
 
     def start(self) -> None:
-        """Nothing where it runs already."""
+        """Starts the process; no effect where it is running."""
         if self.replica is not None:
             return
         cluster = self.cluster
@@ -122,7 +122,7 @@
             self._writing = None
 
     def leave(self) -> None:
-        """A planned end for good, as the program carries it out."""
+        """Stops the machine for good as planned, as the program does."""
         if self.replica is None:
             return
         self.replica.leave(self.cluster.network.now_ms)
@@ -159,7 +159,7 @@
             self._run_effects(self.replica.take_effects())
 
     def call(self, ticket: int, order: Command | None) -> None:
-        """An operator's call here: carried out, or sent on to the primary that this machine knows."""
+        """Takes an operator's call: submits it, or forwards it to the primary that this machine knows."""
         if self.replica is None or self.name in self.cluster.frozen:
             return
         if self.replica.status is ReplicaStatus.PRIMARY:
@@ -168,7 +168,7 @@
             self._send(self.replica.primary, Call(ticket, order))
 
     def _handle_call(self, source: str, call: Call) -> None:
-        """As the primary, or as one that is taken for it."""
+        """Submits a call, as the primary or as a machine that another one believes to be it."""
         replica, now_ms = self.running, self.cluster.network.now_ms
         self.cluster.callers[call.ticket] = (source, self.name)
         if call.command is None:
@@ -202,7 +202,7 @@
                     self._answer(Answer(ticket, None, None if found is None else found.value))
 
     def _write(self, token: int, durable: DurableState) -> None:
-        """One write at a time, and then the newest that waits: it covers the earlier ones, as in the program."""
+        """Writes one record at a time; the newest pending one covers the earlier ones, as in the program."""
         self._waiting = (token, durable)
         if self._writing is None:
             self._begin_write()
@@ -233,10 +233,10 @@
 
 
 class Cluster:
-    """Machines, operators' calls and the promises: call `check` at the end."""
+    """Machines, operators' calls and the guarantees: call `check` at the end."""
 
     def __init__(self, seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> None:
-        """`first`: so many of them form the first group, the others come to it."""
+        """`first`: so many machines form the first group, the others join it."""
         self.rng = Random(seed)
         self.network = Network(seed, delay_ms=(0.2, 4.0))
         self.sync_ms = 2.0  # of disks that are well
@@ -263,14 +263,14 @@
     # Machines
 
     def add_machine(self) -> Machine:
-        """One more that counts, with an empty disk and a name that was never used. It is not started."""
+        """Adds a machine with an empty disk and a name that was never used. It is not started."""
         name = f"m{self._next_number}"
         self._next_number += 1
         machine = self.machines[name] = Machine(self, name, bootstrap=False)
         return machine
 
     def remove_machine(self, name: str) -> None:
-        """It is gone for good."""
+        """Removes the machine for good."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             machine.stop()
@@ -278,21 +278,21 @@
     # Operators' calls
 
     def submit(self, name: str, text: str) -> int:
-        """A command sent to that machine; the ticket."""
+        """Sends a command to that machine; returns its ticket."""
         self._tickets += 1
         self.commands[self._tickets] = text
         self.machines[name].call(self._tickets, command(text))
         return self._tickets
 
     def read(self, name: str) -> int:
-        """A read at that machine: it must give all that was acknowledged before."""
+        """Reads at that machine: the result must contain all that was acknowledged before. Returns the ticket."""
         self._tickets += 1
         self.reads[self._tickets] = list(self.acknowledged)
         self.machines[name].call(self._tickets, None)
         return self._tickets
 
     def on_answer(self, answer: Answer) -> None:
-        """What the one who called is told."""
+        """Takes the outcome of a call, as its caller receives it."""
         if answer.ticket in self.reads:
             self._read_done(answer.ticket, answer.value)
             return
@@ -326,7 +326,7 @@
     # What is seen from outside
 
     def primary(self) -> str | None:
-        """The primary of the highest epoch, if one is up."""
+        """The running primary of the highest epoch, if there is one."""
         found = [
             (machine.replica.promised, name)
             for name, machine in self.machines.items()
@@ -352,7 +352,7 @@
         self.network.run(self.network.now_ms + for_ms)
 
     def assert_serves(self, within_ms: float = 4_000.0) -> None:
-        """A proper command, sent as operators do, is acknowledged in that time."""
+        """Sends a valid command as operators do, and asserts that it is acknowledged in time."""
         end_ms = self.network.now_ms + within_ms
         text = ""
         while not text or text not in self.acknowledged:
@@ -363,7 +363,7 @@
             self.run(100.0)
 
     def check(self) -> None:
-        """What was acknowledged is in the newest value, in one line of changes, and what was refused is not."""
+        """Asserts that the newest value has all acknowledged changes, in one history, and no rejected one."""
         names = changes_in(self.committed().value)
         for text in self.acknowledged:
             base, _, name = text.partition(":")
--- a/packages/replication/tests/replication_disk.py
+++ b/packages/replication/tests/replication_disk.py
@@ -10,7 +10,7 @@
 
 
 class MemoryFiles:
-    """Files of one folder, all of it on the disk."""
+    """`JournalFiles` in memory; whatever was written is on the disk."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -28,7 +28,7 @@
 
 
 class Disk:
-    """What outlives the processes of a machine, and how it behaves at present."""
+    """The disk of a machine, which outlives its processes, and its present faults."""
 
     def __init__(self, rng: Random, sync_ms: float) -> None:
         self.rng = rng
@@ -43,7 +43,7 @@
         return not self.files.files
 
     def wipe(self) -> None:
-        """All is gone."""
+        """Loses all files."""
         self.files = MemoryFiles()
 
     def flip_bit(self) -> bool:
@@ -58,7 +58,7 @@
         return True
 
     def crash_during(self, journal: Journal, durable: DurableState) -> None:
-        """The process or the power went while this record was written: it is there, torn, or missing."""
+        """The process or the power fails while this record is written: it is complete, torn, or missing."""
         if self.full or self.stalled:
             return
         before = dict(self.files.files)
@@ -75,14 +75,14 @@
             self.files.files = {**before, JOURNAL_FILE: whole[:cut]}
 
     def when_responsive(self, then: Callable[[], None]) -> None:
-        """At once, or once it has ceased to stall."""
+        """Calls `then` at once, or once the disk no longer stalls."""
         if self.stalled:
             self._stalled_writes.append(then)
         else:
             then()
 
     def go_on(self) -> None:
-        """It does not stall any more."""
+        """Ends the stall."""
         self.stalled = False
         waiting, self._stalled_writes = self._stalled_writes, []
         for then in waiting:
--- a/packages/replication/tests/replication_faults.py
+++ b/packages/replication/tests/replication_faults.py
@@ -1,4 +1,4 @@
-"""Seeded days of a cluster: what happens to machines, disks and links, and two operators who go on meanwhile."""
+"""Seeded trials of a cluster: faults of machines, disks and links, and two operators who keep sending commands."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FaultInjector:
-    """Draws what is within the tolerance, and what only stops the service: never a disk more than may be lost."""
+    """Injects faults that the group tolerates, or that only interrupt service; never loses too many disks."""
 
     DISK_FAULTS = ("wipe", "flip", "replace_crashed")
     MACHINE_FAULTS = (
@@ -32,7 +32,7 @@
     CLUSTER_FAULTS = ("kill_all", "power_all", "halves", "planned", "planned", "new_seeds")
 
     def __init__(self, cluster: Cluster, tolerance: int, only: tuple[str, ...] = ()) -> None:
-        """`only`: the kinds to draw from; all where none is named."""
+        """`only`: the kinds of faults to draw from; all where none is named."""
         self.cluster = cluster
         self.only = only
         self.rng: Random = cluster.rng
@@ -42,7 +42,7 @@
         self.injected: list[str] = []
 
     def inject(self) -> None:
-        """One thing happens to a machine that is drawn by lot, the primary often."""
+        """Injects one random fault at a random machine, often the primary."""
         self._update_lost_disks()
         names = sorted(self.cluster.machines)
         primary = self.cluster.primary()
@@ -58,7 +58,7 @@
         getattr(self, f"_{kind}")(self.cluster.machines[name], for_ms)
 
     def _update_lost_disks(self) -> None:
-        """A machine that lost its disk counts as lost until it has its memory again, and a while longer."""
+        """A machine that lost its disk counts as lost until it has recovered, and a while longer."""
         now_ms = self.cluster.network.now_ms
         for name, until_ms in list(self._lost_disk_until_ms.items()):
             machine = self.cluster.machines.get(name)
@@ -152,7 +152,7 @@
                 self._start_later(machine, self.rng.uniform(0.2, 1.0) * for_ms)
 
     def _power_all(self, _: Machine, for_ms: float) -> None:
-        """All but those whose end is drawn already lose power; they come back one after the other."""
+        """All running machines lose power; they restart one after the other."""
         self._kill_all(_, 3.0 * for_ms)
 
     def _halves(self, _: Machine, for_ms: float) -> None:
@@ -163,12 +163,12 @@
         self.cluster.network.after(for_ms, self.cluster.network.heal)
 
     def _new_seeds(self, _: Machine, for_ms: float) -> None:
-        """Machines that start later are told others' names."""
+        """Machines that start later have other seeds."""
         names = sorted(self.cluster.machines)
         self.cluster.seeds = tuple(self.rng.sample(names, min(3, len(names))))
 
     def _replace_crashed(self, machine: Machine, for_ms: float) -> None:
-        """Gone for good; an empty one comes later. Every third time the machine that comes is lost again."""
+        """Removes the machine for good; an empty one starts later."""
         if len(self.cluster.machines) <= self.cluster.target_member_count - 1:
             return
         self.cluster.remove_machine(machine.name)
@@ -177,7 +177,7 @@
         self._start_later(newcomer, for_ms)
 
     def _planned(self, machine: Machine, for_ms: float) -> None:
-        """An empty machine comes, then another is told to leave."""
+        """An empty machine starts, then another is asked to leave."""
         if self._lost_disk_until_ms or machine.replica is None:
             return
         newcomer = self.cluster.add_machine()
@@ -192,7 +192,7 @@
         self.cluster.network.after(1_000.0, leave)
 
     def repair_all(self) -> None:
-        """All links, disks and machines are well again."""
+        """Repairs all links, disks and machines."""
         self.cluster.network.heal()
         self.cluster.network.lost = 0.0
         for machine in list(self.cluster.machines.values()):
@@ -205,7 +205,7 @@
 
 
 class Operator:
-    """Sends a command built on what it believes is there, to any machine, again until it has an outcome."""
+    """Sends a command based on the value that it knows to random machines, until it has an outcome."""
 
     REPEAT_CHANCE = 0.15  # of an old order sent again
 
@@ -217,7 +217,7 @@
         self.sent: list[str] = []
 
     def act(self) -> None:
-        """Sends its open order, perhaps an old one too, and reads."""
+        """Sends its open command, perhaps an old one too, and reads."""
         cluster = self.cluster
         if self.open in cluster.acknowledged or self.open in cluster.rejected:
             self.open = None
@@ -236,7 +236,7 @@
 
 @dataclass(frozen=True)
 class Trial:
-    """One seeded play."""
+    """The parameters of one seeded trial."""
 
     seed: int
     size: int = 3
@@ -250,7 +250,7 @@
 
 
 def run_trial(trial: Trial) -> Cluster:
-    """Plays it, and checks what must hold: promises throughout, service whenever a majority is calm."""
+    """Runs it and checks the guarantees throughout, and the service whenever no fault is injected for a while."""
     cluster = Cluster(trial.seed, trial.size, trial.tolerance, trial.first)
     cluster.network.lost = cluster.rng.choice([0.0, 0.0, 0.02, 0.1])
     cluster.sync_ms = trial.sync_ms
@@ -274,7 +274,7 @@
 
 
 def _settle(cluster: Cluster, injector: FaultInjector) -> None:
-    """All is well for so long that a proper order must be acknowledged."""
+    """Repairs everything for so long that a valid command must be acknowledged."""
     injector.repair_all()
     cluster.run(SETTLE_MS)
     injector.repair_all()  # what was drawn before may have begun or ended meanwhile
--- a/packages/replication/tests/replication_scenarios.py
+++ b/packages/replication/tests/replication_scenarios.py
@@ -8,7 +8,7 @@
 
 
 def isolate(cluster: Cluster, name: str, *, inwards: bool = True, outwards: bool = True) -> None:
-    """Cuts one machine off from all others."""
+    """Partitions one machine from all others."""
     for other in cluster.machines:
         if other != name:
             if outwards:
@@ -18,10 +18,10 @@
 
 
 def run_until(cluster: Cluster, when: Callable[[Cluster], bool], within_ms: float = 5_000.0) -> None:
-    """Lets time pass until that holds."""
+    """Lets time pass until the condition holds."""
     end_ms = cluster.network.now_ms + within_ms
     while not when(cluster):
-        assert cluster.network.now_ms < end_ms, "it never came about"
+        assert cluster.network.now_ms < end_ms, "the condition never held"
         cluster.run(TICK_MS)
 
 
@@ -31,6 +31,13 @@
     return name
 
 
+def roles_of(cluster: Cluster) -> tuple[str, str, str]:
+    """The primary and the two backups of a cluster of three."""
+    primary = primary_of(cluster)
+    backup, third = sorted(set(cluster.machines) - {primary})
+    return primary, backup, third
+
+
 def settled_cluster(seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> Cluster:
     """A cluster that has found its primary."""
     cluster = Cluster(seed, size, tolerance, first)
--- a/packages/replication/tests/test_replication_cluster_membership.py
+++ b/packages/replication/tests/test_replication_cluster_membership.py
@@ -5,7 +5,7 @@
 import pytest
 from larkweir_replication.status import ReplicaStatus
 from replication_cluster import changes_in
-from replication_scenarios import isolate, primary_of, run_until, settled_cluster
+from replication_scenarios import isolate, primary_of, roles_of, run_until, settled_cluster
 
 
 def test_a_machine_that_replaces_a_lost_one_becomes_a_member() -> None:
@@ -37,8 +37,7 @@
 def test_the_machine_that_leaves_may_hold_the_only_other_copy(seed: int) -> None:
     """A change is on two disks of three; one of the two leaves, the other loses its disk behind it."""
     cluster = settled_cluster(seed)
-    primary = primary_of(cluster)
-    backup, third = sorted(set(cluster.machines) - {primary})
+    primary, backup, third = roles_of(cluster)
     cluster.add_machine().start()
     cluster.run(1_000.0)
     cluster.machines[third].disk.stalled = True
@@ -63,8 +62,7 @@
 def test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(seed: int) -> None:
     """One member is about to count as lost when the primary and the newcomer are cut off from the other one."""
     cluster = settled_cluster(seed)
-    primary = primary_of(cluster)
-    other, lost = sorted(set(cluster.machines) - {primary})
+    primary, other, lost = roles_of(cluster)
     newcomer = cluster.add_machine()
     newcomer.start()
     cluster.run(1_000.0)
@@ -119,7 +117,7 @@
 
 def test_a_member_that_was_replaced_while_cut_off_stands_by_afterwards() -> None:
     cluster = settled_cluster(6)
-    cut_off = sorted(set(cluster.machines) - {primary_of(cluster)})[0]
+    _, cut_off, _ = roles_of(cluster)
     isolate(cluster, cut_off)
     newcomer = cluster.add_machine()
     newcomer.start()
@@ -143,8 +141,7 @@
 def test_a_replaced_member_finds_a_primary_of_which_it_never_heard() -> None:
     """It comes back when the machine that took its place leads, and another of its old group has ended for good."""
     cluster = settled_cluster(6)
-    first = primary_of(cluster)
-    cut_off, leaving = sorted(set(cluster.machines) - {first})
+    first, cut_off, leaving = roles_of(cluster)
     isolate(cluster, cut_off)
     newcomer = cluster.add_machine()
     newcomer.start()
--- a/packages/replication/tests/test_replication_cluster_recovery.py
+++ b/packages/replication/tests/test_replication_cluster_recovery.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 import pytest
-from replication_scenarios import isolate, primary_of, settled_cluster
+from replication_scenarios import isolate, primary_of, roles_of, settled_cluster
 
 
 def test_nothing_is_said_before_it_is_durable() -> None:
     """A promise and an acceptance wait for the disk, however long it takes."""
     cluster = settled_cluster(7)
-    primary = primary_of(cluster)
-    backup, third = sorted(set(cluster.machines) - {primary})
+    primary, backup, third = roles_of(cluster)
     cluster.machines[backup].disk.stalled = True
     replica = cluster.machines[backup].running
     held = replica.promised
@@ -29,8 +28,7 @@
 
 def test_a_wiped_machine_has_no_vote_before_it_has_heard_the_others() -> None:
     cluster = settled_cluster(5)
-    primary = primary_of(cluster)
-    backup, third = sorted(set(cluster.machines) - {primary})
+    primary, backup, third = roles_of(cluster)
     cluster.network.cut(primary, third)
     cluster.network.cut(backup, third)
     cluster.submit(primary, "0:x")
@@ -52,8 +50,7 @@
 def test_a_damaged_file_gives_its_machine_no_vote(seed: int) -> None:
     """Two of three have a change; the disk of one of them is damaged, the other is away: nobody leads without it."""
     cluster = settled_cluster(seed)
-    primary = primary_of(cluster)
-    backup, third = sorted(set(cluster.machines) - {primary})
+    primary, backup, third = roles_of(cluster)
     isolate(cluster, third)
     for number in range(6):
         cluster.submit(primary, f"{number}:x{number}")
@@ -74,8 +71,7 @@
 
 def test_a_state_that_a_full_disk_refused_is_made_durable_when_it_is_sent_again() -> None:
     cluster = settled_cluster(6)
-    primary = primary_of(cluster)
-    backup, third = sorted(set(cluster.machines) - {primary})
+    primary, backup, third = roles_of(cluster)
     cluster.machines[backup].disk.full = True
     cluster.machines[third].stop()
     cluster.submit(primary, "0:x")
@@ -89,8 +85,7 @@
 def test_a_primary_whose_own_disk_was_full_writes_again() -> None:
     """One of three is gone for good, so that the primary's own disk is needed, and was full at the wrong moment."""
     cluster = settled_cluster(6)
-    primary = primary_of(cluster)
-    backup, third = sorted(set(cluster.machines) - {primary})
+    primary, backup, third = roles_of(cluster)
     cluster.remove_machine(third)
     cluster.machines[primary].disk.full = True
     cluster.submit(primary, "0:x")
@@ -104,7 +99,7 @@
 @pytest.mark.parametrize("kind", ["cut", "wiped", "damaged", "killed"])
 def test_a_member_hundreds_of_changes_behind_catches_up_and_can_lead(kind: str) -> None:
     cluster = settled_cluster(9)
-    late = sorted(set(cluster.machines) - {primary_of(cluster)})[0]
+    _, late, _ = roles_of(cluster)
     machine = cluster.machines[late]
     machine.stop()
     for number in range(300):
--- a/packages/replication/tests/test_replication_planted.py
+++ b/packages/replication/tests/test_replication_planted.py
@@ -1,6 +1,6 @@
-"""Faults planted in the rules: the seeded days must find each, or the days are worth nothing.
+"""Faults planted in the code: seeded trials must find each of them, or the trials prove nothing.
 
-`python -m pytest packages/replication/tests/test_replication_planted.py -rP` prints after how many days each was found.
+`python -m pytest packages/replication/tests/test_replication_planted.py -rP` prints in which trial each was found.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class PlantedFault:
-    """What is wrong in the rules, and the days that are to find it."""
+    """What is wrong in the code, and the trials that are to find it."""
 
     name: str
     plant: Patch
@@ -268,7 +268,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_the_days_find_it(fault: PlantedFault, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_seeded_trials_find_it(fault: PlantedFault, monkeypatch: pytest.MonkeyPatch) -> None:
     fault.plant(monkeypatch)
     if fault.scenario is not None:
         with pytest.raises(AssertionError):
@@ -278,6 +278,6 @@
         try:
             run_trial(replace(fault.trial, seed=count))
         except Exception as found:  # whatever breaks: an assertion of the model, or of the rules themselves
-            print(f"{fault.name}: found on day {count}: {found!r:.100}")
+            print(f"{fault.name}: found in trial {count}: {found!r:.100}")
             return
     pytest.fail(f"{MAX_TRIALS} trials did not find it")
