--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -18,8 +18,10 @@
 from larkweir.controller.subscriptions import Subscriber, Subscriptions
 from larkweir.controller.upstream_ejection import UpstreamEjection
 
-HOLD_MS = 100.0  # a pull is answered after it, with or without an update
-HOLD_MS_PER_ROUTER = 2.0  # where that is longer, so that a controller's work does not grow with the routers
+MAX_PENDING_MS = 100.0  # a pull is answered after it, with or without an update
+MAX_PENDING_MS_PER_ROUTER = (
+    2.0  # where that is longer, so that a controller's work does not grow with the routers
+)
 BATCH_S = 0.005  # changes within that time are sent in one answer
 
 
@@ -117,14 +119,14 @@
         """Answers pulls that have been pending for long enough; to be called several times a second."""
         present_ms = now_ms()
         routers = self._subscriptions.router_count
-        hold_ms = max(HOLD_MS, HOLD_MS_PER_ROUTER * routers)
+        max_pending_ms = max(MAX_PENDING_MS, MAX_PENDING_MS_PER_ROUTER * routers)
         self._state.quotas.update_reserve(self._subscriptions.nodes, routers, present_ms)
         if self._state.ejection.evaluate(present_ms):
             self.wake()
         for subscriber in self._subscriptions:
             subscriber.connection.keep_alive()
             pull = subscriber.pending_pull
-            if pull is not None and present_ms >= subscriber.pulled_ms + hold_ms:
+            if pull is not None and present_ms >= subscriber.pulled_ms + max_pending_ms:
                 self._answer(subscriber, pull)
 
     def _has_update(self, subscriber: Subscriber, pull: Pull) -> bool:
--- a/larkweir/controller/quota_accounting.py
+++ b/larkweir/controller/quota_accounting.py
@@ -16,23 +16,23 @@
 class QuotaAccounting:
     """Feeds the usage table of this controller and reads it. Times are milliseconds that only rise."""
 
-    def __init__(self, usage: UsageTable, *, overuse_fraction: float = 0.0) -> None:
+    def __init__(self, usage_table: UsageTable, *, overuse_fraction: float = 0.0) -> None:
         """`overuse_fraction`: the fraction of a quota by which it may be exceeded."""
-        self._usage = usage
+        self._usage_table = usage_table
         self._overuse_fraction = overuse_fraction
         self._disconnected_ms: dict[str, float] = {}  # by router: when its connection was lost
 
     def set_limits(self, document: Document, now_ms: float) -> None:
         """A new configuration is in force."""
-        self._usage.set_limits(limits_of(document), now_ms)
+        self._usage_table.set_limits(limits_of(document), now_ms)
 
     def report(self, incarnation: str, pull: Pull, now_ms: float) -> bool:
         """Takes a process' usage; whether others should be informed soon."""
-        return bool(self._usage.record_report(incarnation, pull.usage, pull.sent_ms, now_ms))
+        return bool(self._usage_table.record_report(incarnation, pull.usage, pull.sent_ms, now_ms))
 
     def statuses(self, pull: Pull, now_ms: float) -> dict[str, QuotaStatus]:
         """What is left for each tenant of which the pull reports usage."""
-        return self._usage.statuses(list(pull.usage), now_ms)
+        return self._usage_table.statuses(list(pull.usage), now_ms)
 
     def connected(self, node: str) -> None:
         """A process has introduced itself: nothing is reserved for it any more."""
@@ -51,7 +51,7 @@
             if node in connected or now_ms >= lost_ms + DISCONNECTED_ROUTER_MS:
                 del self._disconnected_ms[node]
         lost = len(self._disconnected_ms)
-        self._usage.set_unreachable(lost / max(1, lost + routers), self._overuse_fraction)
+        self._usage_table.set_unreachable(lost / max(1, lost + routers), self._overuse_fraction)
 
 
 def limits_of(document: Document) -> dict[str, RateLimit]:
--- a/tests/controller/test_configuration_history.py
+++ b/tests/controller/test_configuration_history.py
@@ -69,8 +69,8 @@
 def test_the_oldest_versions_are_dropped(history: ConfigurationHistory) -> None:
     for number in range(4, MAX_VERSIONS + 2):
         assert history.add(number, version(number)) is not None
-    dropped, kept = history.update_from(1), history.update_from(2)
+    dropped, retained = history.update_from(1), history.update_from(2)
     assert dropped is not None
     assert dropped.base_sequence == -1
-    assert kept is not None
-    assert kept.base_sequence == 2
+    assert retained is not None
+    assert retained.base_sequence == 2
