--- a/tests/controller/test_golden.py
+++ b/tests/controller/test_golden.py
@@ -146,12 +146,12 @@
         """Keeps the connection from its time-out however slow the test is."""
         while True:
             await asyncio.sleep(0.2)
-            self.say(b'{"type":"ping"}')
+            self.send(b'{"type":"ping"}')
 
-    def say(self, line: bytes) -> None:
+    def send(self, line: bytes) -> None:
         self.writer.write(line + b"\n")
 
-    async def hears(self, kind: bytes) -> bytes:
+    async def receive(self, kind: bytes) -> bytes:
         """The next line of that type; pings and others are passed over."""
         async with asyncio.timeout(5.0):
             while not (line := await self.reader.readline()).startswith(b'{"type":"%s"' % kind):
@@ -168,10 +168,10 @@
     found = []
     for head in (b"h1", b"h2", b"h3", b"h3"):
         known = b',"known":"u2"' if head == b"h3" else b""
-        router.say(b'{"type":"place","service":"s","head":"%s","tokens":5000.0%s}' % (head, known))
-        found.append(await router.hears(b"placed"))
-    router.say(b'{"type":"place","service":"nobody","head":"h9","tokens":5000.0,"known":null}')
-    found.append(await router.hears(b"placed"))
+        router.send(b'{"type":"place","service":"s","head":"%s","tokens":5000.0%s}' % (head, known))
+        found.append(await router.receive(b"placed"))
+    router.send(b'{"type":"place","service":"nobody","head":"h9","tokens":5000.0,"known":null}')
+    found.append(await router.receive(b"placed"))
     return found
 
 
@@ -180,7 +180,7 @@
         await leads(fleet)
         await heartbeats(fleet)
         async with Peer(fleet) as router:
-            router.say(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
+            router.send(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
             assert await placements(router) == [
                 b'{"type":"placed","head":"h1","engine":"u1","kept":false}\n',
                 b'{"type":"placed","head":"h2","engine":"u2","kept":false}\n',
@@ -210,12 +210,12 @@
         fleet.start_controller(0)
         await leads(fleet)
         async with Peer(fleet) as router:
-            router.say(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
-            router.say(b'{"type":"place","service":"s","head":"h3","tokens":5000.0}')
-            placed = await router.hears(b"placed")
+            router.send(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
+            router.send(b'{"type":"place","service":"s","head":"h3","tokens":5000.0}')
+            placed = await router.receive(b"placed")
             assert placed == b'{"type":"placed","head":"h3","engine":"u2","kept":true}\n'
-            router.say(b'{"type":"pull","vector":{}}')
-            delta = await router.hears(b"delta")
+            router.send(b'{"type":"pull","vector":{}}')
+            delta = await router.receive(b"delta")
             assert delta == b'{"type":"delta",' + RECORDS + b',"controllers":["IP"]}\n'
 
     alone(tmp_path, scene)
@@ -236,8 +236,8 @@
         assert await answered(fleet, "GET", "/upstreams") == (200, b"[]")
         await heartbeats(fleet)
         async with Peer(fleet) as router:
-            router.say(b'{"type":"place","service":"s","head":"h3","tokens":5000.0}')
-            placed = await router.hears(b"placed")
+            router.send(b'{"type":"place","service":"s","head":"h3","tokens":5000.0}')
+            placed = await router.receive(b"placed")
             assert placed == b'{"type":"placed","head":"h3","engine":"u1","kept":false}\n'
 
     alone(tmp_path, scene)
@@ -316,8 +316,8 @@
         assert await answered(fleet, "GET", "/config") == no_primary
         assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == no_primary
         async with Peer(fleet) as controller:
-            controller.say(b'{"type":"forward","ticket":7,"command":null}')
-            assert await controller.hears(b"forwarded") == (
+            controller.send(b'{"type":"forward","ticket":7,"command":null}')
+            assert await controller.receive(b"forwarded") == (
                 b'{"type":"forwarded","ticket":7,"status":0,"detail":"","value":""}\n'
             )
 
@@ -330,15 +330,15 @@
         assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
         await heartbeats(fleet)
         async with Peer(fleet) as router, Peer(fleet) as other:
-            router.say(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
-            other.say(b'{"type":"hello","node":"o","kind":"router","life":"m"}')
-            other.say(b'{"type":"pull","vector":{},"waiting":{"u1":8000,"u2":4000}}')
-            await other.hears(b"delta")
-            other.say(b'{"type":"waiting","tokens":{"u1":9000,"u2":3999}}')
-            other.say(b'{"type":"place","service":"s","head":"h1","tokens":5.0}')
-            await other.hears(b"placed")  # so that the line before it has been read
-            router.say(b'{"type":"pull","vector":{},"usage":{"t":4.0},"sent_ms":5.0}')
-            assert await router.hears(b"delta") == (
+            router.send(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
+            other.send(b'{"type":"hello","node":"o","kind":"router","life":"m"}')
+            other.send(b'{"type":"pull","vector":{},"waiting":{"u1":8000,"u2":4000}}')
+            await other.receive(b"delta")
+            other.send(b'{"type":"waiting","tokens":{"u1":9000,"u2":3999}}')
+            other.send(b'{"type":"place","service":"s","head":"h1","tokens":5.0}')
+            await other.receive(b"placed")  # so that the line before it has been read
+            router.send(b'{"type":"pull","vector":{},"usage":{"t":4.0},"sent_ms":5.0}')
+            assert await router.receive(b"delta") == (
                 b'{"type":"delta","config":{"sequence":1,"base":-1,"body":'
                 + CONFIGURATION
                 + b"},"
@@ -347,16 +347,16 @@
             )
             patch = b'{"generation":4,"upsert":{"services":[{"name":"s2"}]}}'
             assert await answered(fleet, "PATCH", "/config", patch, If_Match="3") == (200, b"{}")
-            router.say(b'{"type":"pull","config":1}')
-            assert await router.hears(b"delta") == (
+            router.send(b'{"type":"pull","config":1}')
+            assert await router.receive(b"delta") == (
                 b'{"type":"delta","config":{"sequence":2,"base":1,"body":{"upsert":{"services":[{"name":"s2"}]},'
                 b'"remove":{},"generation":4}},' + RECORDS + b',"routers":2,"waiting":{"u1":9000}}\n'
             )
-            router.say(b'{"type":"pull","config":2,"vector":{"x":1}}')
-            assert await router.hears(b"delta") == (
+            router.send(b'{"type":"pull","config":2,"vector":{"x":1}}')
+            assert await router.receive(b"delta") == (
                 b'{"type":"delta",' + RECORDS + b',"routers":2,"waiting":{"u1":9000}}\n'
             )
-            assert await router.hears(b"ping") == b'{"type":"ping"}\n'
+            assert await router.receive(b"ping") == b'{"type":"ping"}\n'
 
     alone(tmp_path, scene)
 
@@ -365,34 +365,34 @@
     async def scene(fleet: Fleet) -> None:
         await leads(fleet)
         async with Peer(fleet) as controller:
-            controller.say(b'{"type":"hello","node":"IP2","kind":"controller","life":"l"}')
-            controller.say(
+            controller.send(b'{"type":"hello","node":"IP2","kind":"controller","life":"l"}')
+            controller.send(
                 b'{"type":"forward","ticket":5,"command":{"identity":"i","base":0,'
                 b'"text":"{\\"patch\\":false,\\"base\\":0,\\"body\\":\\"[]\\"}"}}'
             )
-            assert await controller.hears(b"forwarded") == (
+            assert await controller.receive(b"forwarded") == (
                 b'{"type":"forwarded","ticket":5,"status":400,"detail":"the body is no object","value":""}\n'
             )
-            controller.say(
+            controller.send(
                 b'{"type":"forward","ticket":6,"command":{"identity":"j","base":0,'
                 b'"text":"{\\"patch\\":false,\\"base\\":0,\\"body\\":\\"{\\\\\\"generation\\\\\\":1,'
                 b'\\\\\\"routes\\\\\\":[],\\\\\\"services\\\\\\":[]}\\"}"}}'
             )
-            assert await controller.hears(b"forwarded") == (
+            assert await controller.receive(b"forwarded") == (
                 b'{"type":"forwarded","ticket":6,"status":200,"detail":"","value":""}\n'
             )
-            controller.say(b'{"type":"forward","ticket":7,"command":null}')
-            assert await controller.hears(b"forwarded") == (
+            controller.send(b'{"type":"forward","ticket":7,"command":null}')
+            assert await controller.receive(b"forwarded") == (
                 b'{"type":"forwarded","ticket":7,"status":200,"detail":"",'
                 b'"value":"{\\"generation\\":1,\\"routes\\":[],\\"services\\":[]}"}\n'
             )
-            controller.say(b'{"type":"heard","sequences":{"u9":4}}')
-            controller.say(
+            controller.send(b'{"type":"heard","sequences":{"u9":4}}')
+            controller.send(
                 b'{"type":"delta","records":[[{"id":"u9","service":"s","address":"10.0.0.7:80","zone":"z",'
                 b'"slots":1,"sequence":4,"state":0,"lapsed":-1},"other/1",8]],"vector":{"other/1":8}}'
             )
-            assert await controller.hears(b"pull") == b'{"type":"pull","vector":{"other/1":8}}\n'
-            controller.say(b'{"type":"delta"}')
-            assert await controller.hears(b"pull") == b'{"type":"pull"}\n'
+            assert await controller.receive(b"pull") == b'{"type":"pull","vector":{"other/1":8}}\n'
+            controller.send(b'{"type":"delta"}')
+            assert await controller.receive(b"pull") == b'{"type":"pull"}\n'
 
     alone(tmp_path, scene)
--- a/tests/controller/test_prefix_placement.py
+++ b/tests/controller/test_prefix_placement.py
@@ -7,7 +7,7 @@
 ENGINES = ["e0", "e1", "e2"]
 
 
-def test_a_head_stays_where_it_was_placed() -> None:
+def test_a_prefix_stays_where_it_was_placed() -> None:
     placement = PrefixPlacement()
     first = placement.place("h", 5_000.0, ENGINES, None, 0.0)
     assert first is not None
@@ -22,14 +22,14 @@
     assert placement.place("h", 5_000.0, [], None, 3.0) is None
 
 
-def test_a_start_spreads_what_must_be_read() -> None:
+def test_a_start_spreads_the_prefills() -> None:
     placement = PrefixPlacement()
     found = [placement.place(f"h{n}", 20_000.0, ENGINES, None, 0.0) for n in range(30)]
     engines = [one.engine for one in found if one is not None]
     assert {engines.count(one) for one in ENGINES} == {10}
 
 
-def test_in_calm_times_the_order_of_the_head_alone_decides() -> None:
+def test_under_low_load_the_order_of_the_prefix_alone_decides() -> None:
     one, other = PrefixPlacement(), PrefixPlacement()
     for n in range(30):
         now_ms = n * 2 * REPORT_DELAY_MS
@@ -47,7 +47,7 @@
     assert not later.restore(b'{"h": ')
 
 
-def test_after_an_absence_a_router_knows_better_where_a_head_is_kept() -> None:
+def test_after_an_absence_a_router_knows_better_which_engine_owns_a_prefix() -> None:
     engines = ["e0", "e1", "e2"]
     placement = PrefixPlacement()
     before = placement.place("h", 1_000.0, engines, None, 0.0)
--- a/tests/controller/test_pull_service.py
+++ b/tests/controller/test_pull_service.py
@@ -65,7 +65,7 @@
         return router.sent[-1]
 
 
-def test_what_waits_is_summed_over_routers_and_told_to_the_others_at_once() -> None:
+def test_prefill_load_is_summed_over_routers_and_sent_to_the_others_at_once() -> None:
     async def scene() -> None:
         made = Scene()
         one, two, three = made.routers
@@ -83,7 +83,7 @@
     asyncio.run(scene())
 
 
-def test_what_a_lost_router_had_waiting_counts_no_longer() -> None:
+def test_the_prefill_load_of_a_lost_router_counts_no_longer() -> None:
     async def scene() -> None:
         made = Scene()
         made.pulls.report_prefill(made.routers[0], {"e": 9_000})
@@ -102,9 +102,9 @@
         last: dict[str, dict[str, int]] = {}
         for _ in range(500):
             router = rng.choice(made.routers)
-            told = {engine: rng.randrange(1, 9_000) for engine in "efgh" if rng.random() < 0.5}
-            made.pulls.report_prefill(router, told)
-            last[router.node] = told
+            reported = {engine: rng.randrange(1, 9_000) for engine in "efgh" if rng.random() < 0.5}
+            made.pulls.report_prefill(router, reported)
+            last[router.node] = reported
             total = {engine: sum(one.get(engine, 0) for one in last.values()) for engine in "efgh"}
             assert made.prefill_load.tokens_by_engine == {
                 engine: tokens for engine, tokens in total.items() if tokens
@@ -113,7 +113,7 @@
     asyncio.run(scene())
 
 
-def test_an_upstream_that_fails_calls_of_several_routers_is_told_to_all_and_taken_back() -> None:
+def test_an_upstream_that_fails_calls_of_several_routers_is_ejected_for_all_routers() -> None:
     async def scene() -> None:
         made = Scene()
         for number in range(8):
--- a/tests/controller/test_quorum_contact.py
+++ b/tests/controller/test_quorum_contact.py
@@ -11,7 +11,7 @@
 from tests.system.test_fleet import configuration, fine, serve
 
 
-async def say(fleet: Fleet, upstream: Upstream, state: str) -> int:
+async def send_heartbeat(fleet: Fleet, upstream: Upstream, state: str) -> int:
     """One heartbeat at the first controller; the status that it gives."""
     body = upstream.heartbeat("s", state)
     return (await ask(fleet.control[0], "PUT", f"/instances/{upstream.id}", body)).status
@@ -28,28 +28,28 @@
     await fleet.until(noticed)
 
 
-def test_an_upstream_gets_no_acknowledgement_where_no_majority_hears_of_it(tmp_path: Path) -> None:
+def test_an_upstream_gets_no_acknowledgement_where_no_majority_is_informed(tmp_path: Path) -> None:
     async def scene(fleet: Fleet) -> None:
         await serve(fleet, fine, fine, fine)
         first, second, third = fleet.upstreams
         await leave_alone(fleet)
-        assert await say(fleet, first, "ready") == 503
-        assert await say(fleet, second, "draining") == 503
+        assert await send_heartbeat(fleet, first, "ready") == 503
+        assert await send_heartbeat(fleet, second, "draining") == 503
         assert (await ask(fleet.control[0], "DELETE", f"/instances/{third.id}")).status == 503
         known = fleet.nodes[fleet.control[0]]._registry.upstreams
         assert (known[second.id].state, known[third.id].state) == (1, 2), "noted all the same"
         fleet.start_controller(1)
 
         async def acknowledged() -> bool:
-            return await say(fleet, second, "draining") == 200
+            return await send_heartbeat(fleet, second, "draining") == 200
 
         await fleet.until(acknowledged)
         assert (await ask(fleet.control[0], "DELETE", f"/instances/{third.id}")).status == 200
 
-        async def heard() -> bool:
-            return await say(fleet, first, "ready") == 200
+        async def is_ready_acknowledged() -> bool:
+            return await send_heartbeat(fleet, first, "ready") == 200
 
-        await fleet.until(heard)
+        await fleet.until(is_ready_acknowledged)
 
     play(tmp_path, scene)
 
@@ -58,7 +58,7 @@
     async def scene(fleet: Fleet) -> None:
         await serve(fleet, fine, fine)
         leaving = fleet.upstreams[0]
-        assert await say(fleet, leaving, "draining") == 200
+        assert await send_heartbeat(fleet, leaving, "draining") == 200
         knowing = [
             address
             for address in fleet.control
