--- /dev/null
+++ b/tests/controller/test_control_api.py
@@ -0,0 +1,66 @@
+"""Which part answers which request."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from larkweir.cluster.http_server import Request, Response
+from larkweir.controller.control_api import ControlApi
+from tests.controller.conftest import FakeLinks
+
+
+class Parts:
+    """Operators', instances' and inspection's part in one; each answer names the method that gave it."""
+
+    async def get(self) -> Response:
+        return Response(200, b"operator get")
+
+    async def change(self, request: Request) -> Response:
+        return Response(200, b"operator change")
+
+    async def put(self, request: Request) -> Response:
+        return Response(200, b"instance put")
+
+    async def delete(self, request: Request) -> Response:
+        return Response(200, b"instance delete")
+
+    def answer_status(self, linked: list[str]) -> Response:
+        return Response(200, f"status {linked}".encode())
+
+    def answer_upstreams(self) -> Response:
+        return Response(200, b"upstreams")
+
+    def answer_metrics(self, linked: list[str]) -> Response:
+        return Response(200, f"metrics {linked}".encode())
+
+
+@pytest.mark.parametrize(
+    ("method", "target", "status", "body"),
+    [
+        ("GET", "/config", 200, b"operator get"),
+        ("GET", "/config?x=1", 200, b"operator get"),
+        ("PUT", "/config", 200, b"operator change"),
+        ("PATCH", "/config", 200, b"operator change"),
+        ("DELETE", "/config", 405, b""),
+        ("PUT", "/instances/u", 200, b"instance put"),
+        ("DELETE", "/instances/u", 200, b"instance delete"),
+        ("GET", "/instances/u", 405, b""),
+        ("PUT", "/instances/", 404, b""),
+        ("GET", "/instances/", 404, b""),
+        ("GET", "/status", 200, b"status ['d', 'e']"),
+        ("GET", "/upstreams", 200, b"upstreams"),
+        ("GET", "/metrics?x", 200, b"metrics ['d', 'e']"),
+        ("POST", "/metrics", 404, b""),
+        ("GET", "/", 404, b""),
+    ],
+)
+def test_a_request_is_answered_by_its_part(
+    method: str, target: str, status: int, body: bytes, links: FakeLinks
+) -> None:
+    links.connected = {"e", "d"}
+    parts = Parts()
+    api = ControlApi(parts, parts, parts, links)  # type: ignore[arg-type]
+    response = asyncio.run(api.handle(Request(method, target, {}, b"")))
+    assert (response.status, response.body) == (status, body)
--- /dev/null
+++ b/tests/controller/test_heartbeat_monitor.py
@@ -0,0 +1,93 @@
+"""Which upstreams are marked as silent, and what the other controllers are sent of heartbeats."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+import pytest
+from larkweir_registry.liveness import Liveness
+from larkweir_registry.records import State, Upstream
+from larkweir_registry.registry import Registry
+
+from larkweir.cluster.messages import Heard
+from larkweir.controller import heartbeat_monitor
+from larkweir.controller.heartbeat_monitor import HeartbeatMonitor
+from tests.controller.conftest import FakeLinks
+
+HEARTBEAT_MS = 1_000.0
+
+
+class FakeContact:
+    """Whether a majority was connected at the last update."""
+
+    was_connected = True
+
+
+class Scene:
+    """Two upstreams, heard once at the start, and a clock that the test sets."""
+
+    def __init__(self, links: FakeLinks) -> None:
+        self.present_ms = 0.0
+        self.updates = 0
+        self.registry = Registry("c/1")
+        self.liveness = Liveness(HEARTBEAT_MS, 0.0)
+        self.contact = FakeContact()
+        self.monitor = HeartbeatMonitor(
+            self.registry,
+            self.liveness,
+            links,  # type: ignore[arg-type]
+            self.contact,  # type: ignore[arg-type]
+            self._updated,
+        )
+        for id_, state in (("u", State.READY), ("gone", State.GONE)):
+            self.registry.note(Upstream(id_, "s", "127.0.0.1:1", "z", sequence=7, state=state), 0.0)
+            self.liveness.heard(id_, 7, 0.0)
+
+    def _updated(self) -> None:
+        self.updates += 1
+
+    @property
+    def silent(self) -> list[str]:
+        return [one.id for one in self.registry.upstreams.values() if one.silent]
+
+
+@pytest.fixture
+def scene(links: FakeLinks, monkeypatch: pytest.MonkeyPatch) -> Iterator[Scene]:
+    made = Scene(links)
+    monkeypatch.setattr(heartbeat_monitor, "now_ms", lambda: made.present_ms)
+    yield made
+
+
+def test_received_heartbeats_are_sent_to_the_others_once(scene: Scene, links: FakeLinks) -> None:
+    links.connected = {"d", "e"}
+    scene.monitor.share()
+    scene.monitor.share()
+    assert links.sent == [("d", Heard({"u": 7, "gone": 7})), ("e", Heard({"u": 7, "gone": 7}))]
+
+
+def test_an_upstream_whose_heartbeats_have_stopped_is_marked_once(scene: Scene) -> None:
+    scene.present_ms = scene.liveness.patience_ms
+    scene.monitor.evaluate()
+    scene.monitor.evaluate()
+    assert scene.silent == ["u"]
+    assert scene.updates == 1
+
+
+def test_an_upstream_is_not_marked_before_its_time(scene: Scene) -> None:
+    scene.present_ms = scene.liveness.patience_ms - 1.0
+    scene.monitor.evaluate()
+    assert scene.silent == []
+    assert scene.updates == 0
+
+
+def test_without_contact_and_for_a_while_after_it_silence_proves_nothing(scene: Scene) -> None:
+    scene.contact.was_connected = False
+    scene.present_ms = 2.0 * scene.liveness.patience_ms
+    scene.monitor.evaluate()
+    scene.contact.was_connected = True
+    scene.present_ms = 3.0 * scene.liveness.patience_ms - 1.0
+    scene.monitor.evaluate()
+    assert scene.silent == []
+    scene.present_ms = 3.0 * scene.liveness.patience_ms
+    scene.monitor.evaluate()
+    assert scene.silent == ["u"]
--- /dev/null
+++ b/tests/controller/test_operator_api.py
@@ -0,0 +1,82 @@
+"""When an operator's call is retried, and what the operator is answered."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterator
+
+import msgspec
+import pytest
+from larkweir_replication.messages import Command
+
+from larkweir.cluster.http_server import Request, Response
+from larkweir.controller import operator_api
+from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, Completed, Rejected
+from larkweir.controller.operator_api import OperatorApi
+
+PUT = Request("PUT", "/config", {"if-match": "0"}, b"{}")
+
+
+@pytest.fixture(autouse=True)
+def little_patience(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+    monkeypatch.setattr(operator_api, "RETRY_PAUSE_S", 0.0)
+    monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.2)
+    yield
+
+
+class Primary:
+    """Gives one outcome after the other, the last one for ever."""
+
+    def __init__(self, *outcomes: CallOutcome) -> None:
+        self.outcomes = list(outcomes)
+        self.commands: list[Command | None] = []
+
+    async def call(self, command: Command | None) -> CallOutcome:
+        self.commands.append(command)
+        return self.outcomes.pop(0) if len(self.outcomes) > 1 else self.outcomes[0]
+
+
+def error(response: Response) -> str:
+    return str(msgspec.json.decode(response.body)["error"])
+
+
+@pytest.mark.parametrize(
+    ("outcome", "status", "detail"),
+    [
+        (Completed(), 200, None),
+        (Rejected(412, "stale"), 412, "stale"),
+        (Rejected(503, "too old"), 503, "too old"),
+        (UNKNOWN, 503, "no primary answers"),
+    ],
+)
+def test_answers_to_a_change(outcome: CallOutcome, status: int, detail: str | None) -> None:
+    response = asyncio.run(OperatorApi(Primary(outcome).call).change(PUT))
+    assert response.status == status
+    assert response.body == b"{}" if detail is None else error(response) == detail
+
+
+@pytest.mark.parametrize(
+    ("outcome", "status", "body"),
+    [
+        (Completed('{"generation":1}'), 200, b'{"generation":1}'),
+        (Completed(), 404, b'{"error":"there is no configuration yet"}'),
+        (Rejected(412, "odd"), 503, b'{"error":"odd"}'),
+        (UNKNOWN, 503, b'{"error":"no primary answers"}'),
+    ],
+)
+def test_answers_to_a_read(outcome: CallOutcome, status: int, body: bytes) -> None:
+    response = asyncio.run(OperatorApi(Primary(outcome).call).get())
+    assert (response.status, response.body) == (status, body)
+
+
+def test_the_same_command_is_retried_while_its_outcome_is_unknown() -> None:
+    primary = Primary(UNKNOWN, UNKNOWN, Completed())
+    assert asyncio.run(OperatorApi(primary.call).change(PUT)).status == 200
+    assert len(primary.commands) == 3
+    assert len(set(primary.commands)) == 1
+
+
+def test_a_rejected_command_is_not_retried() -> None:
+    primary = Primary(Rejected(400, "invalid"), Completed())
+    assert asyncio.run(OperatorApi(primary.call).change(PUT)).status == 400
+    assert len(primary.commands) == 1
