--- a/benchmarks/fleet_losses.py
+++ b/benchmarks/fleet_losses.py
@@ -27,7 +27,7 @@
 from pathlib import Path
 from typing import Any
 
-from larkweir_balancing.reading_time import ReadingTime
+from larkweir_balancing.prefill_time import PrefillTime
 
 LINE = re.compile(r"^\s*(-?[\d.]+) \S+ (\{.*\"event\":\"request\".*\})\s*$")
 TROUBLE = re.compile(r"^\s+([\d.]+) s to\s+([\d.]+) s\s+(\S+)")
@@ -107,9 +107,9 @@
             engines[head].add(upstream)
 
 
-def reading_time(requests: Iterable[Request]) -> ReadingTime:
+def reading_time(requests: Iterable[Request]) -> PrefillTime:
     """How long engines took to read, over the whole day."""
-    line = ReadingTime()
+    line = PrefillTime()
     for one in requests:
         last = one.attempt
         if one.logged["head"] and "first_ms" in last and "written_ms" in last:
@@ -118,7 +118,7 @@
     return line
 
 
-def cause_of(one: Request, line: ReadingTime) -> Cause:
+def cause_of(one: Request, line: PrefillTime) -> Cause:
     """Of a late request."""
     last = one.attempt
     if last.get("status") != SUCCESS or last.get("ending") or "first_ms" not in last:
--- a/larkweir/cluster/messages.py
+++ b/larkweir/cluster/messages.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 
 import msgspec
-from larkweir_balancing.ejection import Endings
+from larkweir_balancing.fleet_outlier_detection import OutcomeCounts
 from larkweir_quotas.limits import QuotaStatus
 from larkweir_registry.records import Record, VersionVector
 from larkweir_replication.messages import Command
@@ -44,7 +44,7 @@
     # By engine: prompt tokens of the sender's calls that wait for prefill there.
     queued_prefill_tokens: dict[str, int] = msgspec.field(default_factory=dict, name="waiting")
     # By upstream with recent failures: how calls of the sender ended there within the window.
-    outcomes: dict[str, Endings] = msgspec.field(default_factory=dict, name="endings")
+    outcomes: dict[str, OutcomeCounts] = msgspec.field(default_factory=dict, name="endings")
 
 
 class PrefillQueueUpdate(msgspec.Struct, frozen=True, tag="waiting"):
--- a/larkweir/controller/prefix_placement.py
+++ b/larkweir/controller/prefix_placement.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 import msgspec
-from larkweir_balancing.engines import weight
+from larkweir_balancing.engines import rendezvous_weight
 
 MAX_PREFIXES = 65_536  # the one that was requested least recently is dropped first
 REPORT_DELAY_MS = 400.0  # a prefix placed so recently is not in the reports of waiting prefill yet
@@ -104,7 +104,9 @@
             return None
         load = self._load(ready, now_ms)
         bound = min(load.values()) + MAX_EXCESS_TOKENS
-        return min((one for one in ready if load[one] <= bound), key=lambda one: weight(prefix, one))
+        return min(
+            (one for one in ready if load[one] <= bound), key=lambda one: rendezvous_weight(prefix, one)
+        )
 
     def _load(self, ready: Sequence[str], now_ms: float) -> dict[str, float]:
         """By engine, the tokens that wait there, recent placements included."""
--- a/larkweir/controller/subscriptions.py
+++ b/larkweir/controller/subscriptions.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from larkweir_balancing.ejection import Endings
+from larkweir_balancing.fleet_outlier_detection import OutcomeCounts
 
 from larkweir.cluster.links import Connection
 from larkweir.cluster.messages import NodeRole, Pull
@@ -22,7 +22,7 @@
     vector: dict[str, int] = field(default_factory=dict)  # the registry's counters that it had seen
     configuration: int = -1  # the sequence number of the one that it had in force
     prefill_tokens: dict[str, int] = field(default_factory=dict)  # by engine: waiting prompts of its calls
-    outcome_counts: dict[str, Endings] = field(default_factory=dict)  # by upstream
+    outcome_counts: dict[str, OutcomeCounts] = field(default_factory=dict)  # by upstream
     sent_ejected: frozenset[str] = frozenset()
     sent_controllers: list[str] = field(default_factory=list)
 
--- a/larkweir/controller/upstream_ejection.py
+++ b/larkweir/controller/upstream_ejection.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from larkweir_balancing.ejection import Ejections, summed
+from larkweir_balancing.fleet_outlier_detection import FleetOutlierDetector, sum_outcomes
 from larkweir_registry.registry import Registry
 
 from larkweir.cluster import log
@@ -18,7 +18,7 @@
         """Both are the controller's own."""
         self._registry = registry
         self._subscriptions = subscriptions
-        self._ejections = Ejections()
+        self._ejections = FleetOutlierDetector()
 
     @property
     def ejected(self) -> frozenset[str]:
@@ -27,9 +27,9 @@
 
     def evaluate(self, now_ms: float) -> bool:
         """Ejects upstreams and takes them back; whether anything has changed. Several times a second."""
-        outcome_counts = summed(one.outcome_counts for one in self._subscriptions if one.outcome_counts)
+        outcome_counts = sum_outcomes(one.outcome_counts for one in self._subscriptions if one.outcome_counts)
         services = self._registry.ready_ids_by_service().values()
-        has_changed = self._ejections.judge(services, outcome_counts, now_ms)
+        has_changed = self._ejections.evaluate(services, outcome_counts, now_ms)
         if has_changed:
             log.event("ejected", upstreams=sorted(self.ejected))
         return has_changed
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -38,9 +38,9 @@
         self.address = plane.address(instance)
         self.connection: UpstreamConnection | None = None
         balancer = plane.balancer(service)
-        self.ahead = balancer.waiting_at(instance)
-        self.tokens = balancer.started(instance, prompt, self._now_ms(), kept=kept)
-        if OPTIONS.prompts_announced and self.tokens >= ANNOUNCED_TOKENS and plane.is_engine(service):
+        self.ahead = balancer.prefill_backlog_tokens(instance)
+        self.tokens = balancer.on_attempt_started(instance, prompt, self._now_ms(), is_cached=kept)
+        if OPTIONS.announce_long_prompts and self.tokens >= ANNOUNCED_TOKENS and plane.is_engine(service):
             plane.announce()
 
     def _now_ms(self) -> float:
@@ -50,7 +50,9 @@
         """The request goes out on that connection. `overdue` is called where nothing comes back for too long."""
         self.connection = connection
         self._written_ms = self._now_ms()
-        patience_ms = self._plane.balancer(self._service).patience_ms(self._prompt, self.tokens + self.ahead)
+        patience_ms = self._plane.balancer(self._service).overdue_after_ms(
+            self._prompt, self.tokens + self.ahead
+        )
         self._patience = self._loop.call_later(patience_ms / 1000.0, self._wait_no_longer, overdue)
 
     def _wait_no_longer(self, overdue: Callable[[], None]) -> None:
@@ -67,10 +69,10 @@
             return
         now_ms = self._now_ms()
         balancer = self._plane.balancer(self._service)
-        balancer.reading.observe(self.tokens + self.ahead, now_ms - self._written_ms)
+        balancer.prefill_time.observe(self.tokens + self.ahead, now_ms - self._written_ms)
         if self._plane.is_engine(self._service):
             self._counted = False
-            balancer.returned(self.instance, self.tokens, now_ms)
+            balancer.on_attempt_released(self.instance, self.tokens, now_ms)
 
     def shed(self) -> None:
         """The upstream turned the call away though it has places, by its own word."""
@@ -86,8 +88,8 @@
         now_ms = self._now_ms()
         balancer = self._plane.balancer(self._service)
         if self._counted:
-            balancer.returned(self.instance, self.tokens, now_ms)
-        balancer.outcome(self.instance, outcome, now_ms)
+            balancer.on_attempt_released(self.instance, self.tokens, now_ms)
+        balancer.on_outcome(self.instance, outcome, now_ms)
         if outcome in BAD:
             self._judge(bad=True)
         elif outcome in GOOD:
@@ -96,4 +98,4 @@
     def _judge(self, *, bad: bool) -> None:
         if not self._judged:
             self._judged = True
-            self._plane.endings.ended(self.instance, self._now_ms(), bad=bad)
+            self._plane.endings.record(self.instance, self._now_ms(), failed=bad)
--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -96,7 +96,7 @@
         tokens = float(usage) if usage.strip().isdigit() else 0.0
         parts = self.header(b"x-prompt-prefix").split(b",")
         if len(parts) < 2:
-            return Prompt(tokens=tokens, aim_ms=aim_ms)
+            return Prompt(tokens=tokens, latency_target_ms=aim_ms)
         sizes = [part.partition(b":")[2].strip() for part in parts[:-1]]
         head_tokens = float(sum(int(size) for size in sizes if size.isdigit()))
         head = parts[-2].partition(b":")[0].strip().decode("latin-1")
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -6,8 +6,8 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from larkweir_balancing.ejection import EndingCounts
-from larkweir_balancing.engines import EngineBalancer, Listed
+from larkweir_balancing.engines import UpstreamSelector, UpstreamStatus
+from larkweir_balancing.fleet_outlier_detection import OutcomeWindow
 from larkweir_quotas.quota_limiter import QuotaLimiter
 from larkweir_quotas.retry_budget import RetryBudget
 from larkweir_registry.records import Upstream, UpstreamState
@@ -33,13 +33,13 @@
         self.quotas = QuotaLimiter()
         self.pool = UpstreamPool()
         self.keepers = PromptKeepers(link_mbps)
-        self.endings = EndingCounts()
+        self.endings = OutcomeWindow()
         self.connections: set[ClientConnection] = set()
         self.announce: Callable[[], None] = lambda: None  # tells controllers of a long prompt at once
         self.stopping = False
         self.counts: dict[ErrorKind, int] = dict.fromkeys(ErrorKind, 0)
         self._processes = 1
-        self._balancers: dict[str, EngineBalancer] = {}
+        self._balancers: dict[str, UpstreamSelector] = {}
         self._retries: dict[str, RetryBudget] = {}
         self._upstreams: dict[str, Upstream] = {}
         self._ejected: set[str] = set()
@@ -54,15 +54,15 @@
         known = table.services.get(service) if table is not None else None
         return known is not None and known.engine is not None
 
-    def balancer(self, service: str) -> EngineBalancer:
+    def balancer(self, service: str) -> UpstreamSelector:
         """Of that service."""
         balancer = self._balancers.get(service)
         if balancer is None:
-            balancer = self._balancers[service] = EngineBalancer(
-                self.rng, engine=self.is_engine(service), linked=self._linked
+            balancer = self._balancers[service] = UpstreamSelector(
+                self.rng, is_engine=self.is_engine(service), has_idle_connection=self._linked
             )
             self._list(service, 0.0)
-            balancer.eject(self._ejected)
+            balancer.set_ejected(self._ejected)
         return balancer
 
     def retries(self, service: str) -> RetryBudget:
@@ -98,19 +98,19 @@
         """By engine, the prompt tokens of calls that wait there for their first event."""
         found: dict[str, int] = {}
         for balancer in self._balancers.values():
-            found.update(balancer.waiting())
+            found.update(balancer.own_prefill_backlog())
         return found
 
     def peers_waiting(self, tokens: dict[str, float]) -> None:
         """The same of all other routers together, as last told."""
         for balancer in self._balancers.values():
-            balancer.peers_waiting(tokens)
+            balancer.set_peer_prefill_backlog(tokens)
 
     def eject(self, upstreams: set[str]) -> None:
         """These are left out from now on, as far as others are left."""
         self._ejected = upstreams
         for balancer in self._balancers.values():
-            balancer.eject(upstreams)
+            balancer.set_ejected(upstreams)
 
     def update_upstreams(self, changed: list[Upstream], now_ms: float) -> None:
         """What the registry says of these is new."""
@@ -130,7 +130,7 @@
 
     def _list(self, service: str, now_ms: float) -> None:
         listed = {
-            upstream.id: Listed(upstream.state is UpstreamState.READY, upstream.has_timed_out)
+            upstream.id: UpstreamStatus(upstream.state is UpstreamState.READY, upstream.has_timed_out)
             for upstream in self._upstreams.values()
             if upstream.service == service
         }
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -132,7 +132,7 @@
     def _place(self) -> None:
         """Finds which engine keeps the head of the prompt, where it has one."""
         plane, prompt = self._plane, self._prompt
-        if not (OPTIONS.placed_heads and prompt.is_shared and plane.is_engine(self._service)):
+        if not (OPTIONS.controller_prefix_owners and prompt.is_shared and plane.is_engine(self._service)):
             self._try()
             return
         self._become(State.PLACING)
@@ -153,20 +153,22 @@
         assert self._route is not None
         balancer = self._plane.balancer(self._service)
         now_ms = self._now_ms()
-        instance = balancer.choose(
+        instance = balancer.select(
             self._prompt,
             self._tried,
             now_ms,
             self._keeper.engine if self._keeper else None,
-            kept=self._keeper is not None and self._keeper.kept,
-            left_ms=self._request.received_ms + self._route.target_latency_ms - now_ms,
+            is_cached=self._keeper is not None and self._keeper.kept,
+            remaining_ms=self._request.received_ms + self._route.target_latency_ms - now_ms,
         )
         if instance is None:
             self._give_up()
             return
         self._tried.add(instance)
         if self._note is not None:
-            self._note.chosen(instance, balancer.reason, balancer.waiting_at(instance), self._now_ms())
+            self._note.chosen(
+                instance, balancer.last_reason, balancer.prefill_backlog_tokens(instance), self._now_ms()
+            )
         kept = self._keeper is not None and self._keeper.kept and self._keeper.engine == instance
         self._attempt = Attempt(self._plane, self._service, instance, self._prompt, kept=kept)
         self._become(State.CONNECTING)
@@ -248,7 +250,7 @@
         """The upstream is silent for longer than others are: it goes elsewhere what may, and where others are left."""
         assert self._route is not None
         log.debug("overdue", instance=self._attempt.instance if self._attempt else None, state=self._state)
-        may_go = OPTIONS.overdue_elsewhere and self._route.repeatable
+        may_go = OPTIONS.retry_overdue and self._route.repeatable
         if not may_go or self._state not in (State.AWAITING, State.RELAYING):
             return
         others = self._plane.balancer(self._service).ready_count > len(self._tried)
@@ -451,8 +453,8 @@
             route=self._route.name if self._route is not None else None,
             tokens=request.tokens,
             aim_ms=self._route.target_latency_ms if self._route is not None else None,
-            head=self._prompt.head,
-            head_tokens=round(self._prompt.head_tokens),
+            head=self._prompt.prefix,
+            head_tokens=round(self._prompt.prefix_tokens),
             placed_ms=note.placed_ms,
             attempts=note.attempts,
             sent=self._sent,
--- a/larkweir/router/fleet_view.py
+++ b/larkweir/router/fleet_view.py
@@ -5,7 +5,7 @@
 import asyncio
 import secrets
 
-from larkweir_balancing.engines import weight
+from larkweir_balancing.engines import rendezvous_weight
 from larkweir_registry.records import VersionVector
 from larkweir_registry.registry import Registry
 
@@ -103,7 +103,7 @@
         up = [node for node, link in self._links.items() if link.connection is not None]
         if not up:
             return False
-        return self._links[min(up, key=lambda node: weight(message.prefix, node))].send(message)
+        return self._links[min(up, key=lambda node: rendezvous_weight(message.prefix, node))].send(message)
 
     def _announce(self) -> None:
         """Tells every controller what waits at engines, ahead of the next pull."""
@@ -137,7 +137,7 @@
             usage=usage,
             sent_ms=round(now_ms),
             queued_prefill_tokens=self._plane.waiting(),
-            outcomes=self._plane.endings.told(now_ms),
+            outcomes=self._plane.endings.failing_upstreams(now_ms),
         )
         connection.send(pull)
 
--- a/larkweir/router/prompt_keepers.py
+++ b/larkweir/router/prompt_keepers.py
@@ -65,25 +65,25 @@
 
         None where nobody says. `body_bytes`: of the request, behind which the answer may come on this router's link.
         """
-        known = self._known.get(prompt.head)
+        known = self._known.get(prompt.prefix)
         now_ms = self._loop.time() * 1000.0
         if known is not None and now_ms < known.until_ms and is_ready(known.keeper.engine):
             then(known.keeper)
             return
-        asked = self._open.get(prompt.head)
+        asked = self._open.get(prompt.prefix)
         if asked is not None:
             asked.waiting.append(then)
             return
         before = known.keeper if known is not None and is_ready(known.keeper.engine) else None
         question = PlacementRequest(
-            service, prompt.head, prompt.tokens, before.engine if before is not None else None
+            service, prompt.prefix, prompt.tokens, before.engine if before is not None else None
         )
         if not self.ask(question):
             then(before)
             return
         patience_s = ANSWER_S + BODY_TIMES * body_bytes / self._link_bytes_per_s
-        timer = self._loop.call_later(patience_s, self._answer, prompt.head, before)
-        self._open[prompt.head] = _Question(timer, [then])
+        timer = self._loop.call_later(patience_s, self._answer, prompt.prefix, before)
+        self._open[prompt.prefix] = _Question(timer, [then])
 
     def placed(self, answer: PlacementResponse, now_ms: float) -> None:
         """A controller's answer."""
--- a/larkweir/router/request_log.py
+++ b/larkweir/router/request_log.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, field
 
 import msgspec
-from larkweir_balancing.engines import Reason
+from larkweir_balancing.engines import SelectionReason
 
 
 class AttemptNote(msgspec.Struct, omit_defaults=True):
     """One upstream that a request went to. Times are milliseconds since the request was received."""
 
     upstream: str
-    reason: Reason  # why this one
+    reason: SelectionReason  # why this one
     chosen_ms: int
     waiting_tokens: int = 0  # that were believed to wait there, this request's not among them
     tokens: int = 0  # of this request that were expected to be read
@@ -36,7 +36,7 @@
         """Milliseconds since the request was received."""
         return round(now_ms - self.received_ms)
 
-    def chosen(self, upstream: str, reason: Reason, waiting_tokens: float, now_ms: float) -> None:
+    def chosen(self, upstream: str, reason: SelectionReason, waiting_tokens: float, now_ms: float) -> None:
         """An attempt begins."""
         self.attempts.append(AttemptNote(upstream, reason, self.since(now_ms), round(waiting_tokens)))
 
--- a/larkweir/router/upstream_pool.py
+++ b/larkweir/router/upstream_pool.py
@@ -32,7 +32,7 @@
         else:
             self._deviation_s += (abs(taken_s - self._mean_s) - self._deviation_s) / 4.0
             self._mean_s += (taken_s - self._mean_s) / 8.0
-        if not OPTIONS.connect_patience:
+        if not OPTIONS.adaptive_connect_timeout:
             return
         wanted_s = self._mean_s + DEVIATIONS * self._deviation_s
         self.seconds = min(CONNECT_MOST_S, max(CONNECT_LEAST_S, wanted_s))
--- a/packages/balancing/src/larkweir_balancing/engines.py
+++ b/packages/balancing/src/larkweir_balancing/engines.py
@@ -24,119 +24,123 @@
 
 from larkweir_balancing.decision_options import OPTIONS
 from larkweir_balancing.interface import ListKind, ListUpdate, Outcome, ServerEntry, ServerState
-from larkweir_balancing.reading_time import ReadingTime
+from larkweir_balancing.prefill_time import PrefillTime
 from larkweir_balancing.servers import DrawList, Fleet, Server, draw
 
-AWAITING_MOST = 4  # own calls before their first event, from which an engine is not believed idle
-IN_TIME_PART = 1.2  # of what is left of its aim: a head whose first event is expected later leaves its keeper
-BUSY_PARTS = (
+MAX_AWAITING_FIRST_EVENT = 4  # own calls before their first event, from which an engine is not believed idle
+IN_TIME_FACTOR = (
+    1.2  # of what is left of its aim: a head whose first event is expected later leaves its keeper
+)
+PREFILL_BACKLOG_FRACTIONS = (
     0.05,
     0.25,
 )  # of the aim, that prompts at an engine take to be read: from each, others come first
-DEFAULT_AIM_MS = 500.0
-PATIENCE_TIMES = 4.0  # the time that its first event is expected to take, after which a call is overdue
-KEEPERS = 2  # upstreams that keep one head, as far as tokens allow; further ones would read it again
-HEADS_MOST = 4_096  # of which the order is remembered
-KEPT_MOST = 16_384  # pairs of a head and an upstream that was sent it
-SMALL_HEAD_TOKENS = 1_024.0  # a shorter head is sooner read again than a connection is opened
-DRAWS = 8  # random draws before all are looked at
-PAUSE_MS = 250.0  # after a failed connection or call; doubles with each in a row
-PAUSE_MOST_MS = 4_000.0
-FULL_PAUSE_MS = 150.0  # after an upstream turned a call away
-
-NOT_THE_SERVERS_FAULT = frozenset(
+DEFAULT_LATENCY_TARGET_MS = 500.0
+OVERDUE_FACTOR = 4.0  # the time that its first event is expected to take, after which a call is overdue
+OWNERS_PER_PREFIX = (
+    2  # upstreams that keep one head, as far as tokens allow; further ones would read it again
+)
+MAX_PREFERENCE_ORDERS = 4_096  # of which the order is remembered
+MAX_CACHED_PREFIXES = 16_384  # pairs of a head and an upstream that was sent it
+MIN_SHARED_PREFIX_TOKENS = 1_024.0  # a shorter head is sooner read again than a connection is opened
+MAX_SAMPLES = 8  # random draws before all are looked at
+INITIAL_BACKOFF_MS = 250.0  # after a failed connection or call; doubles with each in a row
+MAX_BACKOFF_MS = 4_000.0
+FULL_BACKOFF_MS = 150.0  # after an upstream turned a call away
+
+NOT_UPSTREAM_FAULTS = frozenset(
     (Outcome.OK, Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED, Outcome.ERROR)
 )
 
 
-class Reason(StrEnum):
+class SelectionReason(StrEnum):
     """Why an upstream was drawn."""
 
-    KEEPER = "keeper"  # it keeps the head of the prompt
-    LATE_KEEPER = "late_keeper"  # it keeps the head, and no other engine is idle
-    LINKED = "linked"  # a token holder with an open connection, where little waits
+    PREFIX_OWNER = "keeper"  # it keeps the head of the prompt
+    LATE_PREFIX_OWNER = "late_keeper"  # it keeps the head, and no other engine is idle
+    OPEN_CONNECTION = "linked"  # a token holder with an open connection, where little waits
     IDLE = "idle"  # a token holder where little waits
-    HOLDER = "holder"  # a token holder
+    TOKEN_HOLDER = "holder"  # a token holder
     READY = "ready"  # nobody holds a token
     EJECTED = "ejected"  # nobody else is left, but for silent ones
-    SILENT = "silent"  # nobody else is left
+    UNRESPONSIVE = "silent"  # nobody else is left
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class UpstreamStatus:
     """An upstream as the registry has it. `silent`: its heartbeats have stopped."""
 
-    ready: bool
-    silent: bool = False
+    is_ready: bool
+    is_unresponsive: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
     """What a request asks an engine to read: tokens in all, those of the head that it shares with others."""
 
-    head: str = ""
+    prefix: str = ""
     tokens: float = 0.0
-    head_tokens: float = 0.0
-    aim_ms: float = DEFAULT_AIM_MS  # from its arrival to its first event
+    prefix_tokens: float = 0.0
+    latency_target_ms: float = DEFAULT_LATENCY_TARGET_MS  # from its arrival to its first event
 
     @property
     def is_shared(self) -> bool:
         """Whether its head is worth being read at one place only."""
-        return bool(self.head) and self.head_tokens >= SMALL_HEAD_TOKENS
+        return bool(self.prefix) and self.prefix_tokens >= MIN_SHARED_PREFIX_TOKENS
 
 
 @dataclass(slots=True)
-class _Waiting:
+class EngineBacklog:
     """Prompts that wait to be read at one engine: this router's, and its peers' as last told."""
 
-    tokens: float = 0.0
-    peers_tokens: float = 0.0
+    own_tokens: float = 0.0
+    peer_tokens: float = 0.0
 
     @property
-    def total(self) -> float:
+    def total_tokens(self) -> float:
         """Of all routers, as far as is known."""
-        return self.tokens + self.peers_tokens
+        return self.own_tokens + self.peer_tokens
 
 
-class EngineBalancer:
+class UpstreamSelector:
     """The token list of one service in one router. Ids are the registry's; times are milliseconds that only rise."""
 
-    def __init__(self, rng: Random, *, engine: bool, linked: Callable[[str], bool]) -> None:
+    def __init__(self, rng: Random, *, is_engine: bool, has_idle_connection: Callable[[str], bool]) -> None:
         """`engine`: whether the upstreams are model engines. `linked`: whether a connection to an id is idle."""
         self._rng = rng
-        self._engine = engine
-        self._linked = linked
+        self._is_engine = is_engine
+        self._has_idle_connection = has_idle_connection
         self._fleet = Fleet(zones=1)
-        self._silent: set[int] = set()
+        self._unresponsive: set[int] = set()
         self._ejected: frozenset[str] = frozenset()
         self._numbers: dict[str, int] = {}
         self._ids: dict[int, str] = {}
         self._next_number = 0
-        self._heads: OrderedDict[str, list[Server]] = OrderedDict()
-        self._kept: OrderedDict[tuple[str, int], float] = OrderedDict()
-        self._waiting: dict[int, _Waiting] = {}
-        self.reason = Reason.READY  # why the last upstream was chosen
-        self.reading = ReadingTime()
+        self._preference_orders: OrderedDict[str, list[Server]] = OrderedDict()
+        self._cached_prefixes: OrderedDict[tuple[str, int], float] = OrderedDict()
+        self._backlogs: dict[int, EngineBacklog] = {}
+        self.last_reason = SelectionReason.READY  # why the last upstream was chosen
+        self.prefill_time = PrefillTime()
 
     # The list
 
-    def update(self, listed: Mapping[str, Listed], now_ms: float) -> None:
+    def update(self, listed: Mapping[str, UpstreamStatus], now_ms: float) -> None:
         """The whole list: what it lacks is gone, and nothing that drains or is gone is drawn from now on."""
         entries = []
-        self._silent = set()
+        self._unresponsive = set()
         for id_, upstream in listed.items():
             number = self._number(id_)
-            state = ServerState.READY if upstream.ready else ServerState.DRAINING
+            state = ServerState.READY if upstream.is_ready else ServerState.DRAINING
             entries.append(ServerEntry(number, state))
-            if upstream.silent:
-                self._silent.add(number)
+            if upstream.is_unresponsive:
+                self._unresponsive.add(number)
         fresh, gone = self._fleet.update(ListUpdate(ListKind.FULL, entries=entries))
         for server in gone:
             self._numbers.pop(self._ids.pop(server.id), None)
-            self._waiting.pop(server.id, None)
+            self._backlogs.pop(server.id, None)
         for server in fresh:
             self._fleet.earn_token(server, now_ms)
-        self._heads.clear()
+        self._preference_orders.clear()
 
     def _number(self, id_: str) -> int:
         number = self._numbers.get(id_)
@@ -146,9 +150,9 @@
             self._ids[number] = id_
         return number
 
-    def eject(self, ids: Collection[str]) -> None:
+    def set_ejected(self, ids: Collection[str]) -> None:
         """These are drawn only where no other is left; ids of other services are passed over."""
-        self._ejected = frozenset(ids) if OPTIONS.ejection else frozenset()
+        self._ejected = frozenset(ids) if OPTIONS.fleet_ejection else frozenset()
 
     @property
     def ready_count(self) -> int:
@@ -161,15 +165,15 @@
 
     # The draw
 
-    def choose(
+    def select(
         self,
         prompt: Prompt,
         excluded: Collection[str],
         now_ms: float,
-        keeper: str | None = None,
+        prefix_owner: str | None = None,
         *,
-        kept: bool = True,
-        left_ms: float | None = None,
+        is_cached: bool = True,
+        remaining_ms: float | None = None,
     ) -> str | None:
         """The upstream for a request, or None where none is ready.
 
@@ -179,54 +183,66 @@
         self._fleet.give_back(now_ms)
         tried = {self._numbers[id_] for id_ in excluded if id_ in self._numbers}
         ejected = {self._numbers[id_] for id_ in self._ejected if id_ in self._numbers}
-        barred = tried | self._silent | ejected
-        limit_ms = IN_TIME_PART * (prompt.aim_ms if left_ms is None else left_ms)
+        barred = tried | self._unresponsive | ejected
+        limit_ms = IN_TIME_FACTOR * (prompt.latency_target_ms if remaining_ms is None else remaining_ms)
         holders = self._fleet.levels[0]
-        keeper_in_time, late_keeper = self._find_keeper(prompt, barred, keeper, limit_ms, kept=kept)
+        keeper_in_time, late_keeper = self._find_prefix_owner(
+            prompt, barred, prefix_owner, limit_ms, is_cached=is_cached
+        )
         server = (
-            self._because(Reason.KEEPER, keeper_in_time)
-            or self._draw_idle(prompt, barred)
-            or self._because(Reason.LATE_KEEPER, late_keeper)
-            or self._because(Reason.HOLDER, self._draw(holders, barred))
-            or self._because(Reason.READY, self._draw_ready(barred, now_ms))
+            self._with_reason(SelectionReason.PREFIX_OWNER, keeper_in_time)
+            or self._select_idle(prompt, barred)
+            or self._with_reason(SelectionReason.LATE_PREFIX_OWNER, late_keeper)
+            or self._with_reason(SelectionReason.TOKEN_HOLDER, self._sample(holders, barred))
+            or self._with_reason(SelectionReason.READY, self._sample_ready(barred, now_ms))
         )
         if server is None and ejected:
-            server = self._because(Reason.EJECTED, self._draw_ready(tried | self._silent, now_ms))
-        if server is None and self._silent:
-            server = self._because(Reason.SILENT, self._draw_ready(tried, now_ms))
+            server = self._with_reason(
+                SelectionReason.EJECTED, self._sample_ready(tried | self._unresponsive, now_ms)
+            )
+        if server is None and self._unresponsive:
+            server = self._with_reason(SelectionReason.UNRESPONSIVE, self._sample_ready(tried, now_ms))
         return None if server is None else self._ids[server.id]
 
-    def _draw_idle(self, prompt: Prompt, barred: set[int]) -> Server | None:
+    def _select_idle(self, prompt: Prompt, barred: set[int]) -> Server | None:
         """Among token holders where little waits, those with an open connection first."""
         holders = self._fleet.levels[0]
-        for part in BUSY_PARTS:
-            busy = self._busy(part * prompt.aim_ms)
-            server = self._because(Reason.LINKED, self._draw_linked(holders, barred | busy))
-            server = server or self._because(Reason.IDLE, self._draw(holders, barred | busy))
+        for part in PREFILL_BACKLOG_FRACTIONS:
+            busy = self._backlogged(part * prompt.latency_target_ms)
+            server = self._with_reason(
+                SelectionReason.OPEN_CONNECTION, self._sample_connected(holders, barred | busy)
+            )
+            server = server or self._with_reason(SelectionReason.IDLE, self._sample(holders, barred | busy))
             if server is not None or not busy:
                 return server
         return None
 
-    def _busy(self, most_ms: float) -> set[int]:
+    def _backlogged(self, most_ms: float) -> set[int]:
         """Engines whose waiting prompts take longer to be read."""
-        if not OPTIONS.busy_avoided:
+        if not OPTIONS.avoid_prefill_backlog:
             return set()
-        most = most_ms / self.reading.ms_per_token
-        return {number for number, waiting in self._waiting.items() if waiting.total > most}
+        most = most_ms / self.prefill_time.ms_per_token
+        return {number for number, waiting in self._backlogs.items() if waiting.total_tokens > most}
 
-    def _because(self, reason: Reason, server: Server | None) -> Server | None:
+    def _with_reason(self, reason: SelectionReason, server: Server | None) -> Server | None:
         if server is not None:
-            self.reason = reason
+            self.last_reason = reason
         return server
 
-    def waiting_at(self, id_: str) -> float:
+    def prefill_backlog_tokens(self, id_: str) -> float:
         """The prompt tokens that are believed to wait to be read there, of all routers."""
         number = self._numbers.get(id_)
-        waiting = self._waiting.get(number) if number is not None else None
-        return waiting.total if waiting is not None else 0.0
+        waiting = self._backlogs.get(number) if number is not None else None
+        return waiting.total_tokens if waiting is not None else 0.0
 
-    def _find_keeper(
-        self, prompt: Prompt, barred: Collection[int], keeper: str | None, limit_ms: float, *, kept: bool
+    def _find_prefix_owner(
+        self,
+        prompt: Prompt,
+        barred: Collection[int],
+        prefix_owner: str | None,
+        limit_ms: float,
+        *,
+        is_cached: bool,
     ) -> tuple[Server | None, Server | None]:
         """Among token holders, one that keeps the head of the prompt, or is to keep it: to be taken at once, or late.
 
@@ -236,73 +252,75 @@
         """
         if not prompt.is_shared:
             return None, None
-        if not OPTIONS.late_keepers_left:
+        if not OPTIONS.leave_late_prefix_owners:
             limit_ms = math.inf
         best: Server | None = None
         best_ms = 0.0
-        known = self._server(keeper) if keeper is not None else None
-        for server in self._keepers(prompt.head, known):
+        known = self._server(prefix_owner) if prefix_owner is not None else None
+        for server in self._prefix_owners(prompt.prefix, known):
             if server.level != 0 or server.id in barred:
                 continue
-            is_kept = (kept and server is known) or (prompt.head, server.id) in self._kept
-            expected_ms = self._expected_ms(server, prompt, kept=is_kept)
+            is_kept = (is_cached and server is known) or (prompt.prefix, server.id) in self._cached_prefixes
+            expected_ms = self._expected_ms(server, prompt, is_cached=is_kept)
             if expected_ms <= limit_ms:
                 return server, None
             if best is None or (is_kept and expected_ms < best_ms):
                 best, best_ms = server, expected_ms
-        if self.reading.expected_ms(prompt.tokens) <= min(limit_ms, best_ms):
+        if self.prefill_time.expected_ms(prompt.tokens) <= min(limit_ms, best_ms):
             return None, best
         return best, None
 
-    def _keepers(self, head: str, known: Server | None) -> Iterator[Server]:
+    def _prefix_owners(self, prefix: str, known: Server | None) -> Iterator[Server]:
         """Where a head is to be looked for: its order is worked out only where the known one is of no use."""
         if known is not None:
             yield known
-        yield from self._order(head)
+        yield from self._preference_order(prefix)
 
-    def _expected_ms(self, server: Server, prompt: Prompt, *, kept: bool) -> float:
+    def _expected_ms(self, server: Server, prompt: Prompt, *, is_cached: bool) -> float:
         """To the first event of that prompt there, behind what waits."""
-        tokens = prompt.tokens - (prompt.head_tokens if kept else 0.0)
-        waiting = self._waiting.get(server.id)
-        return self.reading.expected_ms(tokens + (waiting.total if waiting is not None else 0.0))
+        tokens = prompt.tokens - (prompt.prefix_tokens if is_cached else 0.0)
+        waiting = self._backlogs.get(server.id)
+        return self.prefill_time.expected_ms(tokens + (waiting.total_tokens if waiting is not None else 0.0))
 
-    def patience_ms(self, prompt: Prompt, tokens: float) -> float:
+    def overdue_after_ms(self, prompt: Prompt, tokens: float) -> float:
         """After how long without an answer a call is overdue, with so many tokens to be read before its first event."""
-        return max(prompt.aim_ms, PATIENCE_TIMES * self.reading.expected_ms(tokens))
+        return max(prompt.latency_target_ms, OVERDUE_FACTOR * self.prefill_time.expected_ms(tokens))
 
     def is_ready(self, id_: str) -> bool:
         """Whether that upstream is ready, heard of and not ejected."""
         server = self._server(id_)
         if server is None or id_ in self._ejected:
             return False
-        return server.ready and server.id not in self._silent
+        return server.ready and server.id not in self._unresponsive
 
-    def _order(self, head: str) -> list[Server]:
-        order = self._heads.get(head)
+    def _preference_order(self, prefix: str) -> list[Server]:
+        order = self._preference_orders.get(prefix)
         if order is None:
             ready = [server for server in self._fleet.servers.values() if server.ready]
-            order = sorted(ready, key=lambda server: weight(head, self._ids[server.id]))[:KEEPERS]
-            self._heads[head] = order
-            if len(self._heads) > HEADS_MOST:
-                self._heads.popitem(last=False)
+            order = sorted(ready, key=lambda server: rendezvous_weight(prefix, self._ids[server.id]))[
+                :OWNERS_PER_PREFIX
+            ]
+            self._preference_orders[prefix] = order
+            if len(self._preference_orders) > MAX_PREFERENCE_ORDERS:
+                self._preference_orders.popitem(last=False)
         else:
-            self._heads.move_to_end(head)
+            self._preference_orders.move_to_end(prefix)
         return order
 
-    def _draw_linked(self, lists: list[DrawList], barred: Collection[int]) -> Server | None:
+    def _sample_connected(self, lists: list[DrawList], barred: Collection[int]) -> Server | None:
         """Uniform over those with an idle connection, as far as a few draws find one."""
-        if not OPTIONS.linked_first:
+        if not OPTIONS.prefer_open_connections:
             return None
-        for _ in range(DRAWS):
+        for _ in range(MAX_SAMPLES):
             server = draw(lists, self._rng)
             if server is None:
                 return None
-            if server.id not in barred and self._linked(self._ids[server.id]):
+            if server.id not in barred and self._has_idle_connection(self._ids[server.id]):
                 return server
         return None
 
-    def _draw(self, lists: list[DrawList], barred: Collection[int]) -> Server | None:
-        for _ in range(DRAWS):
+    def _sample(self, lists: list[DrawList], barred: Collection[int]) -> Server | None:
+        for _ in range(MAX_SAMPLES):
             server = draw(lists, self._rng)
             if server is None:
                 return None
@@ -311,19 +329,21 @@
         left = [server for part in lists for server in part.items if server.id not in barred]
         return self._rng.choice(left) if left else None
 
-    def _draw_ready(self, barred: Collection[int], now_ms: float) -> Server | None:
+    def _sample_ready(self, barred: Collection[int], now_ms: float) -> Server | None:
         """Uniform over the ready ones; those that failed of late only where there is no other."""
-        for _ in range(DRAWS):
+        for _ in range(MAX_SAMPLES):
             server = draw(self._fleet.ready, self._rng)
             if server is None:
                 return None
             if server.id not in barred and server.until_ms <= now_ms:
                 return server
-        return self._draw(self._fleet.ready, barred)
+        return self._sample(self._fleet.ready, barred)
 
     # Own calls and what peers tell of theirs
 
-    def started(self, id_: str, prompt: Prompt, now_ms: float, *, kept: bool = False) -> float:
+    def on_attempt_started(
+        self, id_: str, prompt: Prompt, now_ms: float, *, is_cached: bool = False
+    ) -> float:
         """A call is sent there: that spends a token. The tokens to be read for it, which `returned` wants back.
 
         `kept`: the fleet has sent the head of its prompt there before.
@@ -332,78 +352,78 @@
         if server is None:
             return 0.0
         tokens = prompt.tokens
-        if prompt.head:
-            if kept or (prompt.head, server.id) in self._kept:
-                tokens = max(0.0, tokens - prompt.head_tokens)
-            self._remember(prompt.head, server, now_ms)
-        self._count(server, 1, tokens, now_ms)
+        if prompt.prefix:
+            if is_cached or (prompt.prefix, server.id) in self._cached_prefixes:
+                tokens = max(0.0, tokens - prompt.prefix_tokens)
+            self._record_prefix(prompt.prefix, server, now_ms)
+        self._adjust(server, 1, tokens, now_ms)
         return tokens
 
-    def _remember(self, head: str, server: Server, now_ms: float) -> None:
-        if not OPTIONS.remembered_heads:
+    def _record_prefix(self, prefix: str, server: Server, now_ms: float) -> None:
+        if not OPTIONS.remembered_prefixes:
             return
-        self._kept[(head, server.id)] = now_ms
-        self._kept.move_to_end((head, server.id))
-        if len(self._kept) > KEPT_MOST:
-            self._kept.popitem(last=False)
+        self._cached_prefixes[(prefix, server.id)] = now_ms
+        self._cached_prefixes.move_to_end((prefix, server.id))
+        if len(self._cached_prefixes) > MAX_CACHED_PREFIXES:
+            self._cached_prefixes.popitem(last=False)
 
-    def returned(self, id_: str, tokens: float, now_ms: float) -> None:
+    def on_attempt_released(self, id_: str, tokens: float, now_ms: float) -> None:
         """A call counts no longer: it has ended, or its first event has come from an engine."""
         server = self._server(id_)
         if server is not None:
-            self._count(server, -1, -tokens, now_ms)
+            self._adjust(server, -1, -tokens, now_ms)
 
-    def waiting(self) -> dict[str, int]:
+    def own_prefill_backlog(self) -> dict[str, int]:
         """By engine, the tokens of this router's calls that wait to be read there, to be told to peers."""
         return {
-            self._ids[number]: round(waiting.tokens)
-            for number, waiting in self._waiting.items()
-            if waiting.tokens >= 1.0 and number in self._ids
+            self._ids[number]: round(waiting.own_tokens)
+            for number, waiting in self._backlogs.items()
+            if waiting.own_tokens >= 1.0 and number in self._ids
         }
 
-    def peers_waiting(self, tokens: Mapping[str, float]) -> None:
+    def set_peer_prefill_backlog(self, tokens: Mapping[str, float]) -> None:
         """By engine, the same of all peers together, as last told; of those not named: nothing."""
-        for waiting in self._waiting.values():
-            waiting.peers_tokens = 0.0
-        if not OPTIONS.peers_waiting:
+        for waiting in self._backlogs.values():
+            waiting.peer_tokens = 0.0
+        if not OPTIONS.peer_prefill_backlog:
             return
         for id_, told in tokens.items():
             number = self._numbers.get(id_)
             if number is not None:
-                self._waiting.setdefault(number, _Waiting()).peers_tokens = told
+                self._backlogs.setdefault(number, EngineBacklog()).peer_tokens = told
 
-    def _count(self, server: Server, calls: int, tokens: float, now_ms: float) -> None:
+    def _adjust(self, server: Server, calls: int, tokens: float, now_ms: float) -> None:
         server.others = max(0, server.others + calls)
-        if self._engine:
-            waiting = self._waiting.setdefault(server.id, _Waiting())
-            waiting.tokens = max(0.0, waiting.tokens + tokens) if server.others else 0.0
-        self._rate(server, now_ms)
+        if self._is_engine:
+            waiting = self._backlogs.setdefault(server.id, EngineBacklog())
+            waiting.own_tokens = max(0.0, waiting.own_tokens + tokens) if server.others else 0.0
+        self._update_token(server, now_ms)
 
-    def _rate(self, server: Server, now_ms: float) -> None:
+    def _update_token(self, server: Server, now_ms: float) -> None:
         """Finds how far the upstream is from idle: 0 earns a token."""
-        if self._engine and OPTIONS.waiting_tokens:
-            server.outstanding = max(0, server.others - (AWAITING_MOST - 1))
+        if self._is_engine and OPTIONS.tokens_by_first_event:
+            server.outstanding = max(0, server.others - (MAX_AWAITING_FIRST_EVENT - 1))
         else:
             server.outstanding = server.others
         self._fleet.earn_token(server, now_ms)
 
-    def outcome(self, id_: str, outcome: Outcome, now_ms: float) -> None:
+    def on_outcome(self, id_: str, outcome: Outcome, now_ms: float) -> None:
         """How a call there ended. Evidence that it is unwell or full keeps its token back for a while."""
         server = self._server(id_)
         if server is None:
             return
         if outcome is Outcome.FULL:
-            if not OPTIONS.full_pauses:
+            if not OPTIONS.full_backoff:
                 return
-            self._fleet.withhold(server, now_ms + FULL_PAUSE_MS)
-        elif outcome in NOT_THE_SERVERS_FAULT:
+            self._fleet.withhold(server, now_ms + FULL_BACKOFF_MS)
+        elif outcome in NOT_UPSTREAM_FAULTS:
             server.strikes = 0
-        elif OPTIONS.failure_pauses:
-            pause_ms = min(PAUSE_MOST_MS, PAUSE_MS * 2**server.strikes)
+        elif OPTIONS.failure_backoff:
+            pause_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2**server.strikes)
             server.strikes = min(server.strikes + 1, 8)
             self._fleet.withhold(server, now_ms + pause_ms)
 
 
-def weight(head: str, id_: str) -> bytes:
+def rendezvous_weight(key: str, id_: str) -> bytes:
     """The place of an upstream in the order of a head: the lowest comes first (highest random weight hashing)."""
-    return blake2b(f"{head}/{id_}".encode(), digest_size=8).digest()
+    return blake2b(f"{key}/{id_}".encode(), digest_size=8).digest()
--- a/packages/balancing/src/larkweir_balancing/ejection.py
+++ b/packages/balancing/src/larkweir_balancing/fleet_outlier_detection.py
@@ -15,87 +15,91 @@
 from typing import NamedTuple
 
 WINDOW_MS = 2_000.0  # evidence that is older counts no longer
-BAD_LEAST = 3  # endings, from which an upstream is judged
-BAD_LEAST_ON_PROBATION = 2
-BAD_PART = 0.25  # of its calls; a lossy network spoils some at every upstream
-EJECTED_PART = 0.3  # of the upstreams of a service, at the most: the others must bear its load
-FIRST_MS = 2_000.0  # not under WINDOW_MS: what it was ejected for must not count again
-LONGEST_MS = 12_000.0
+MIN_FAILURES = 3  # endings, from which an upstream is judged
+MIN_FAILURES_ON_PROBATION = 2
+MIN_FAILURE_FRACTION = 0.25  # of its calls; a lossy network spoils some at every upstream
+MAX_EJECTED_FRACTION = 0.3  # of the upstreams of a service, at the most: the others must bear its load
+FIRST_EJECTION_MS = 2_000.0  # not under WINDOW_MS: what it was ejected for must not count again
+MAX_EJECTION_MS = 12_000.0
 PROBATION_MS = 3_000.0
-FORGIVEN_MS = 30_000.0  # without an ejection, after which the next one is short again
+BACKOFF_RESET_MS = 30_000.0  # without an ejection, after which the next one is short again
 
 
-class Endings(NamedTuple):
+class OutcomeCounts(NamedTuple):
     """How many calls at an upstream have ended well, and badly, within the window."""
 
-    good: int
-    bad: int
+    succeeded: int
+    failed: int
 
 
-class EndingCounts:
+class OutcomeWindow:
     """How calls of one router have ended lately. In calm times there is nothing to tell."""
 
     def __init__(self) -> None:
         """No call has ended yet."""
-        self._ended: dict[str, deque[tuple[float, bool]]] = {}  # by upstream: when, and whether badly
+        self._outcomes: dict[str, deque[tuple[float, bool]]] = {}  # by upstream: when, and whether badly
 
-    def ended(self, upstream: str, now_ms: float, *, bad: bool) -> None:
+    def record(self, upstream: str, now_ms: float, *, failed: bool) -> None:
         """One call has."""
-        self._ended.setdefault(upstream, deque()).append((now_ms, bad))
+        self._outcomes.setdefault(upstream, deque()).append((now_ms, failed))
 
-    def told(self, now_ms: float) -> dict[str, Endings]:
+    def failing_upstreams(self, now_ms: float) -> dict[str, OutcomeCounts]:
         """Of the upstreams where calls ended badly within the window."""
-        found: dict[str, Endings] = {}
-        for upstream, ended in list(self._ended.items()):
+        found: dict[str, OutcomeCounts] = {}
+        for upstream, ended in list(self._outcomes.items()):
             while ended and ended[0][0] <= now_ms - WINDOW_MS:
                 ended.popleft()
             if not ended:
-                del self._ended[upstream]
+                del self._outcomes[upstream]
                 continue
             bad = sum(is_bad for _, is_bad in ended)
             if bad:
-                found[upstream] = Endings(len(ended) - bad, bad)
+                found[upstream] = OutcomeCounts(len(ended) - bad, bad)
         return found
 
 
-def summed(told: Iterable[Mapping[str, Endings]]) -> dict[str, Endings]:
+def sum_outcomes(reports: Iterable[Mapping[str, OutcomeCounts]]) -> dict[str, OutcomeCounts]:
     """What several routers tell, together."""
-    total: dict[str, Endings] = {}
-    for counts in told:
+    total: dict[str, OutcomeCounts] = {}
+    for counts in reports:
         for upstream, (good, bad) in counts.items():
-            before = total.get(upstream, Endings(0, 0))
-            total[upstream] = Endings(before.good + good, before.bad + bad)
+            before = total.get(upstream, OutcomeCounts(0, 0))
+            total[upstream] = OutcomeCounts(before.succeeded + good, before.failed + bad)
     return total
 
 
 @dataclass(slots=True)
-class _Record:
+class _EjectionRecord:
     """The ejections of one upstream."""
 
     count: int = 0
     until_ms: float = 0.0
 
 
-class Ejections:
+class FleetOutlierDetector:
     """The judgement of one observer. Times are milliseconds that only rise."""
 
     def __init__(self) -> None:
         """Nothing is known of any upstream."""
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _EjectionRecord] = {}
         self.ejected: frozenset[str] = frozenset()
 
-    def judge(self, services: Iterable[Sequence[str]], endings: Mapping[str, Endings], now_ms: float) -> bool:
+    def evaluate(
+        self, services: Iterable[Sequence[str]], outcomes: Mapping[str, OutcomeCounts], now_ms: float
+    ) -> bool:
         """Ejects upstreams and takes them back; whether anything has changed.
 
         `services`: the ready upstreams of each. `endings`: of the whole fleet.
         """
-        if not endings and not self._records:
+        if not outcomes and not self._records:
             return False
         ejected: set[str] = set()
         for upstreams in services:
-            out = {id_ for id_ in upstreams if self._is_out(id_, now_ms)}
-            room = int(EJECTED_PART * len(upstreams)) - len(out)
-            suspects = [id_ for id_ in upstreams if id_ not in out and self._is_bad(id_, endings, now_ms)]
+            out = {id_ for id_ in upstreams if self._is_ejected(id_, now_ms)}
+            room = int(MAX_EJECTED_FRACTION * len(upstreams)) - len(out)
+            suspects = [
+                id_ for id_ in upstreams if id_ not in out and self._is_failing(id_, outcomes, now_ms)
+            ]
             if (
                 len(suspects) <= room
             ):  # where more fail, it is the load or the network, and the others can't bear it
@@ -106,24 +110,28 @@
         changed = self.ejected != ejected
         self.ejected = frozenset(ejected)
         self._records = {
-            id_: record for id_, record in self._records.items() if now_ms < record.until_ms + FORGIVEN_MS
+            id_: record
+            for id_, record in self._records.items()
+            if now_ms < record.until_ms + BACKOFF_RESET_MS
         }
         return changed
 
-    def _is_out(self, upstream: str, now_ms: float) -> bool:
+    def _is_ejected(self, upstream: str, now_ms: float) -> bool:
         record = self._records.get(upstream)
         return record is not None and now_ms < record.until_ms
 
-    def _is_bad(self, upstream: str, endings: Mapping[str, Endings], now_ms: float) -> bool:
-        counted = endings.get(upstream)
+    def _is_failing(self, upstream: str, outcomes: Mapping[str, OutcomeCounts], now_ms: float) -> bool:
+        counted = outcomes.get(upstream)
         if counted is None:
             return False
         record = self._records.get(upstream)
         on_probation = record is not None and now_ms < record.until_ms + PROBATION_MS
-        least = BAD_LEAST_ON_PROBATION if on_probation else BAD_LEAST
-        return counted.bad >= least and counted.bad >= BAD_PART * (counted.good + counted.bad)
+        least = MIN_FAILURES_ON_PROBATION if on_probation else MIN_FAILURES
+        return counted.failed >= least and counted.failed >= MIN_FAILURE_FRACTION * (
+            counted.succeeded + counted.failed
+        )
 
     def _eject(self, upstream: str, now_ms: float) -> None:
-        record = self._records.setdefault(upstream, _Record())
-        record.until_ms = now_ms + min(LONGEST_MS, FIRST_MS * 2.0**record.count)
+        record = self._records.setdefault(upstream, _EjectionRecord())
+        record.until_ms = now_ms + min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2.0**record.count)
         record.count += 1
--- a/packages/balancing/src/larkweir_balancing/reading_time.py
+++ b/packages/balancing/src/larkweir_balancing/prefill_time.py
@@ -8,17 +8,17 @@
 
 from dataclasses import dataclass
 
-FADING = 0.99  # weight of all samples so far, at each further one: some hundred count
-SAMPLES_LEAST = 8.0  # of weight, before the line is believed
-SPREAD_LEAST_TOKENS = 500.0  # standard deviation of the tokens, without which no slope can be told
+SAMPLE_DECAY = 0.99  # weight of all samples so far, at each further one: some hundred count
+MIN_SAMPLE_WEIGHT = 8.0  # of weight, before the line is believed
+MIN_SPREAD_TOKENS = 500.0  # standard deviation of the tokens, without which no slope can be told
 DEFAULT_MS_PER_TOKEN = 0.012
 DEFAULT_FIXED_MS = 50.0
-SLOWEST_MS_PER_TOKEN = 0.5
-QUICKEST_MS_PER_TOKEN = 0.001
+MAX_MS_PER_TOKEN = 0.5
+MIN_MS_PER_TOKEN = 0.001
 
 
 @dataclass(slots=True)
-class ReadingTime:
+class PrefillTime:
     """The line, as far as it is known. Times are milliseconds."""
 
     ms_per_token: float = DEFAULT_MS_PER_TOKEN
@@ -33,22 +33,22 @@
         """From sending a request to its first event, with so many tokens to be read until then."""
         return self.fixed_ms + self.ms_per_token * tokens
 
-    def observe(self, tokens: float, taken_ms: float) -> None:
+    def observe(self, tokens: float, elapsed_ms: float) -> None:
         """A first event came, after so many tokens were thought to be read."""
-        self._count = FADING * self._count + 1.0
-        self._tokens = FADING * self._tokens + tokens
-        self._times = FADING * self._times + taken_ms
-        self._tokens_squared = FADING * self._tokens_squared + tokens * tokens
-        self._products = FADING * self._products + tokens * taken_ms
-        if self._count >= SAMPLES_LEAST:
+        self._count = SAMPLE_DECAY * self._count + 1.0
+        self._tokens = SAMPLE_DECAY * self._tokens + tokens
+        self._times = SAMPLE_DECAY * self._times + elapsed_ms
+        self._tokens_squared = SAMPLE_DECAY * self._tokens_squared + tokens * tokens
+        self._products = SAMPLE_DECAY * self._products + tokens * elapsed_ms
+        if self._count >= MIN_SAMPLE_WEIGHT:
             self._fit()
 
     def _fit(self) -> None:
         mean_tokens = self._tokens / self._count
         mean_ms = self._times / self._count
         variance = self._tokens_squared / self._count - mean_tokens * mean_tokens
-        if variance >= SPREAD_LEAST_TOKENS * SPREAD_LEAST_TOKENS:
+        if variance >= MIN_SPREAD_TOKENS * MIN_SPREAD_TOKENS:
             covariance = self._products / self._count - mean_tokens * mean_ms
             slope = covariance / variance
-            self.ms_per_token = min(SLOWEST_MS_PER_TOKEN, max(QUICKEST_MS_PER_TOKEN, slope))
+            self.ms_per_token = min(MAX_MS_PER_TOKEN, max(MIN_MS_PER_TOKEN, slope))
         self.fixed_ms = max(0.0, mean_ms - self.ms_per_token * mean_tokens)
--- a/packages/balancing/tests/test_balancing_engines.py
+++ b/packages/balancing/tests/test_balancing_engines.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from larkweir_balancing.engines import (
-    AWAITING_MOST,
-    BUSY_PARTS,
-    FULL_PAUSE_MS,
-    IN_TIME_PART,
-    EngineBalancer,
-    Listed,
+    FULL_BACKOFF_MS,
+    IN_TIME_FACTOR,
+    MAX_AWAITING_FIRST_EVENT,
+    PREFILL_BACKLOG_FRACTIONS,
     Prompt,
-    Reason,
+    SelectionReason,
+    UpstreamSelector,
+    UpstreamStatus,
 )
 from larkweir_balancing.interface import Outcome
 
@@ -27,19 +27,19 @@
 
 def balancer(
     ids: list[str] = IDS, *, engine: bool = False, linked: frozenset[str] = frozenset()
-) -> EngineBalancer:
-    made = EngineBalancer(Random(1), engine=engine, linked=linked.__contains__)
-    made.update({id_: Listed(ready=True) for id_ in ids}, 0.0)
+) -> UpstreamSelector:
+    made = UpstreamSelector(Random(1), is_engine=engine, has_idle_connection=linked.__contains__)
+    made.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
     return made
 
 
-def drawn(made: EngineBalancer, times: int = 600, prompt: Prompt = NO_PROMPT) -> Counter[str | None]:
-    return Counter(made.choose(prompt, (), 0.0) for _ in range(times))
+def drawn(made: UpstreamSelector, times: int = 600, prompt: Prompt = NO_PROMPT) -> Counter[str | None]:
+    return Counter(made.select(prompt, (), 0.0) for _ in range(times))
 
 
 def test_the_draw_is_uniform_over_token_holders() -> None:
     made = balancer()
-    made.started("u0", NO_PROMPT, 0.0)
+    made.on_attempt_started("u0", NO_PROMPT, 0.0)
     counts = drawn(made)
     assert set(counts) == set(IDS[1:])
     assert min(counts.values()) > 80
@@ -48,7 +48,7 @@
 def test_without_a_token_the_draw_is_uniform_over_ready_ones() -> None:
     made = balancer()
     for id_ in IDS:
-        made.started(id_, NO_PROMPT, 0.0)
+        made.on_attempt_started(id_, NO_PROMPT, 0.0)
     counts = drawn(made)
     assert set(counts) == set(IDS)
     assert min(counts.values()) > 60
@@ -56,61 +56,61 @@
 
 def test_a_token_returns_when_the_last_own_call_has_ended() -> None:
     made = balancer(["u0", "u1"])
-    made.started("u0", NO_PROMPT, 0.0)
-    made.started("u0", NO_PROMPT, 0.0)
-    made.returned("u0", 0.0, 0.0)
+    made.on_attempt_started("u0", NO_PROMPT, 0.0)
+    made.on_attempt_started("u0", NO_PROMPT, 0.0)
+    made.on_attempt_released("u0", 0.0, 0.0)
     assert set(drawn(made)) == {"u1"}
-    made.returned("u0", 0.0, 0.0)
+    made.on_attempt_released("u0", 0.0, 0.0)
     assert set(drawn(made)) == {"u0", "u1"}
 
 
 def test_an_engine_holds_its_token_while_few_calls_wait_for_their_first_event() -> None:
     made = balancer(["u0", "u1"], engine=True)
-    for _ in range(AWAITING_MOST - 1):
-        made.started("u0", NO_PROMPT, 0.0)
+    for _ in range(MAX_AWAITING_FIRST_EVENT - 1):
+        made.on_attempt_started("u0", NO_PROMPT, 0.0)
     assert set(drawn(made)) == {"u0", "u1"}
-    made.started("u0", NO_PROMPT, 0.0)
+    made.on_attempt_started("u0", NO_PROMPT, 0.0)
     assert set(drawn(made)) == {"u1"}
 
 
 def test_draining_and_gone_ones_are_never_drawn() -> None:
     made = balancer()
-    listed = {id_: Listed(ready=id_ != "u1") for id_ in IDS if id_ != "u0"}
+    listed = {id_: UpstreamStatus(is_ready=id_ != "u1") for id_ in IDS if id_ != "u0"}
     made.update(listed, 0.0)
     assert not set(drawn(made)) & {"u0", "u1"}
     for id_ in IDS:
-        made.started(id_, NO_PROMPT, 0.0)
+        made.on_attempt_started(id_, NO_PROMPT, 0.0)
     assert not set(drawn(made)) & {"u0", "u1"}
 
 
 def test_silent_ones_are_drawn_only_where_there_is_no_other() -> None:
     made = balancer()
-    made.update({"u0": Listed(True, silent=True), "u1": Listed(True)}, 0.0)
+    made.update({"u0": UpstreamStatus(True, is_unresponsive=True), "u1": UpstreamStatus(True)}, 0.0)
     assert set(drawn(made)) == {"u1"}
-    assert made.choose(NO_PROMPT, {"u1"}, 0.0) == "u0"
+    assert made.select(NO_PROMPT, {"u1"}, 0.0) == "u0"
 
 
 def test_nothing_ready_gives_nothing() -> None:
     made = balancer([])
-    assert made.choose(NO_PROMPT, (), 0.0) is None
-    assert balancer(["u0"]).choose(NO_PROMPT, {"u0"}, 0.0) is None
+    assert made.select(NO_PROMPT, (), 0.0) is None
+    assert balancer(["u0"]).select(NO_PROMPT, {"u0"}, 0.0) is None
 
 
 def test_a_head_goes_to_the_same_engine_in_every_router() -> None:
-    chosen = {balancer(engine=True).choose(HEADED, (), 0.0) for _ in range(5)}
+    chosen = {balancer(engine=True).select(HEADED, (), 0.0) for _ in range(5)}
     assert len(chosen) == 1
-    heads = {balancer(engine=True).choose(Prompt(f"h{n}", 9_000.0, 8_000.0), (), 0.0) for n in range(60)}
+    heads = {balancer(engine=True).select(Prompt(f"h{n}", 9_000.0, 8_000.0), (), 0.0) for n in range(60)}
     assert heads == set(IDS)
 
 
 def test_the_placed_keeper_comes_first_while_it_holds_a_token() -> None:
     made = balancer(engine=True)
-    own = made.choose(HEADED, (), 0.0)
+    own = made.select(HEADED, (), 0.0)
     keeper = next(id_ for id_ in IDS if id_ != own)
-    assert made.choose(HEADED, (), 0.0, keeper) == keeper
-    for _ in range(AWAITING_MOST):
-        made.started(keeper, HEADED, 0.0)
-    assert made.choose(HEADED, (), 0.0, keeper) == own
+    assert made.select(HEADED, (), 0.0, keeper) == keeper
+    for _ in range(MAX_AWAITING_FIRST_EVENT):
+        made.on_attempt_started(keeper, HEADED, 0.0)
+    assert made.select(HEADED, (), 0.0, keeper) == own
 
 
 def test_a_small_head_is_not_worth_a_new_connection() -> None:
@@ -121,97 +121,99 @@
 
 def test_waiting_tokens_are_counted_without_a_head_that_was_sent_before() -> None:
     made = balancer(engine=True)
-    first = made.started("u0", HEADED, 0.0)
-    second = made.started("u0", HEADED, 0.0)
+    first = made.on_attempt_started("u0", HEADED, 0.0)
+    second = made.on_attempt_started("u0", HEADED, 0.0)
     assert (first, second) == (9_000.0, 1_000.0)
-    assert made.waiting() == {"u0": 10_000}
-    made.returned("u0", first, 0.0)
-    made.returned("u0", second, 0.0)
-    assert made.waiting() == {}
+    assert made.own_prefill_backlog() == {"u0": 10_000}
+    made.on_attempt_released("u0", first, 0.0)
+    made.on_attempt_released("u0", second, 0.0)
+    assert made.own_prefill_backlog() == {}
 
 
-def tokens_read_in(made: EngineBalancer, ms: float) -> float:
-    return (ms - made.reading.fixed_ms) / made.reading.ms_per_token
+def tokens_read_in(made: UpstreamSelector, ms: float) -> float:
+    return (ms - made.prefill_time.fixed_ms) / made.prefill_time.ms_per_token
 
 
 def test_small_requests_avoid_an_engine_where_reading_takes_a_part_of_their_aim() -> None:
     made = balancer(["u0", "u1"], engine=True)
-    for part in BUSY_PARTS:
-        made.peers_waiting({"u0": part * NO_PROMPT.aim_ms / made.reading.ms_per_token + 1.0})
+    for part in PREFILL_BACKLOG_FRACTIONS:
+        made.set_peer_prefill_backlog(
+            {"u0": part * NO_PROMPT.latency_target_ms / made.prefill_time.ms_per_token + 1.0}
+        )
         assert set(drawn(made)) == {"u1"}
-    made.peers_waiting({"u0": 1e6, "u1": 1e6})
+    made.set_peer_prefill_backlog({"u0": 1e6, "u1": 1e6})
     assert set(drawn(made)) == {"u0", "u1"}
-    made.peers_waiting({})
+    made.set_peer_prefill_backlog({})
     assert set(drawn(made)) == {"u0", "u1"}
 
 
 def test_a_head_stays_where_it_is_kept_while_that_is_in_time() -> None:
     made = balancer(["u0", "u1"], engine=True)
-    own_tokens = HEADED.tokens - HEADED.head_tokens
-    limit = tokens_read_in(made, IN_TIME_PART * HEADED.aim_ms) - own_tokens
-    made.peers_waiting({"u0": limit - 1.0})
-    assert made.choose(HEADED, (), 0.0, "u0") == "u0"
-    assert made.reason is Reason.KEEPER
-    made.peers_waiting({"u0": limit + 1.0})
-    assert made.choose(HEADED, (), 0.0, "u0") == "u1"
+    own_tokens = HEADED.tokens - HEADED.prefix_tokens
+    limit = tokens_read_in(made, IN_TIME_FACTOR * HEADED.latency_target_ms) - own_tokens
+    made.set_peer_prefill_backlog({"u0": limit - 1.0})
+    assert made.select(HEADED, (), 0.0, "u0") == "u0"
+    assert made.last_reason is SelectionReason.PREFIX_OWNER
+    made.set_peer_prefill_backlog({"u0": limit + 1.0})
+    assert made.select(HEADED, (), 0.0, "u0") == "u1"
 
 
 def test_a_head_stays_where_it_is_kept_when_no_other_would_be_in_time() -> None:
     made = balancer(["u0", "u1"], engine=True)
-    made.peers_waiting({"u0": 10_000.0})
-    hurried = Prompt("5c1e", 9_000.0, 8_000.0, aim_ms=60.0)
-    assert made.choose(hurried, (), 0.0, "u0") == "u0"
-    assert made.choose(HEADED, (), 0.0, "u0", left_ms=-5.0) == "u0"
+    made.set_peer_prefill_backlog({"u0": 10_000.0})
+    hurried = Prompt("5c1e", 9_000.0, 8_000.0, latency_target_ms=60.0)
+    assert made.select(hurried, (), 0.0, "u0") == "u0"
+    assert made.select(HEADED, (), 0.0, "u0", remaining_ms=-5.0) == "u0"
 
 
 def test_a_head_that_is_only_to_be_kept_there_counts_as_unread() -> None:
     made = balancer(["u0", "u1"], engine=True)
-    made.update({"u0": Listed(ready=True), "u1": Listed(ready=True)}, 0.0)
-    unread = tokens_read_in(made, IN_TIME_PART * HEADED.aim_ms) - HEADED.tokens
-    made.peers_waiting({"u0": unread + 1.0})
-    assert made.choose(HEADED, (), 0.0, "u0", kept=True) == "u0"
-    assert made.choose(HEADED, (), 0.0, "u0", kept=False) == "u1"
+    made.update({"u0": UpstreamStatus(is_ready=True), "u1": UpstreamStatus(is_ready=True)}, 0.0)
+    unread = tokens_read_in(made, IN_TIME_FACTOR * HEADED.latency_target_ms) - HEADED.tokens
+    made.set_peer_prefill_backlog({"u0": unread + 1.0})
+    assert made.select(HEADED, (), 0.0, "u0", is_cached=True) == "u0"
+    assert made.select(HEADED, (), 0.0, "u0", is_cached=False) == "u1"
 
 
 def test_ejected_ones_are_drawn_only_where_there_is_no_other() -> None:
     made = balancer(["u0", "u1", "u2"])
-    made.eject({"u0", "u1", "another service's"})
+    made.set_ejected({"u0", "u1", "another service's"})
     assert set(drawn(made)) == {"u2"}
     assert not made.is_ready("u0")
-    assert made.choose(NO_PROMPT, {"u2"}, 0.0) in {"u0", "u1"}
-    assert made.reason is Reason.EJECTED
-    made.update({"u0": Listed(True, silent=True), "u1": Listed(True)}, 0.0)
-    assert made.choose(NO_PROMPT, (), 0.0) == "u1"
-    made.eject(())
-    made.update({id_: Listed(True) for id_ in ("u0", "u1", "u2")}, 0.0)
+    assert made.select(NO_PROMPT, {"u2"}, 0.0) in {"u0", "u1"}
+    assert made.last_reason is SelectionReason.EJECTED
+    made.update({"u0": UpstreamStatus(True, is_unresponsive=True), "u1": UpstreamStatus(True)}, 0.0)
+    assert made.select(NO_PROMPT, (), 0.0) == "u1"
+    made.set_ejected(())
+    made.update({id_: UpstreamStatus(True) for id_ in ("u0", "u1", "u2")}, 0.0)
     assert set(drawn(made)) == {"u0", "u1", "u2"}
 
 
 def test_a_call_is_overdue_after_several_times_what_its_first_event_takes() -> None:
     made = balancer(["u0"], engine=True)
     for tokens in (0.0, 10_000.0) * 20:
-        made.reading.observe(tokens, 20.0 + 0.02 * tokens)
-    assert made.patience_ms(NO_PROMPT, 0.0) == NO_PROMPT.aim_ms
-    assert made.patience_ms(NO_PROMPT, 10_000.0) == pytest.approx(4 * 220.0)
+        made.prefill_time.observe(tokens, 20.0 + 0.02 * tokens)
+    assert made.overdue_after_ms(NO_PROMPT, 0.0) == NO_PROMPT.latency_target_ms
+    assert made.overdue_after_ms(NO_PROMPT, 10_000.0) == pytest.approx(4 * 220.0)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.FULL])
 def test_a_failure_keeps_the_token_back_for_a_while(outcome: Outcome) -> None:
     made = balancer(["u0", "u1"])
-    made.outcome("u0", outcome, 0.0)
+    made.on_outcome("u0", outcome, 0.0)
     assert set(drawn(made)) == {"u1"}
-    assert made.choose(NO_PROMPT, {"u1"}, FULL_PAUSE_MS / 2) == "u0"
-    assert Counter(made.choose(NO_PROMPT, (), 5_000.0) for _ in range(100))["u0"] > 20
+    assert made.select(NO_PROMPT, {"u1"}, FULL_BACKOFF_MS / 2) == "u0"
+    assert Counter(made.select(NO_PROMPT, (), 5_000.0) for _ in range(100))["u0"] > 20
 
 
 def test_failures_in_a_row_pause_for_longer_and_a_success_ends_that() -> None:
     made = balancer(["u0", "u1"])
     for _ in range(3):
-        made.outcome("u0", Outcome.RESET, 0.0)
-    assert made.choose(NO_PROMPT, (), 900.0) == "u1"
-    made.outcome("u0", Outcome.OK, 2_000.0)
-    made.outcome("u0", Outcome.RESET, 2_000.0)
-    assert Counter(made.choose(NO_PROMPT, (), 2_300.0) for _ in range(100))["u0"] > 20
+        made.on_outcome("u0", Outcome.RESET, 0.0)
+    assert made.select(NO_PROMPT, (), 900.0) == "u1"
+    made.on_outcome("u0", Outcome.OK, 2_000.0)
+    made.on_outcome("u0", Outcome.RESET, 2_000.0)
+    assert Counter(made.select(NO_PROMPT, (), 2_300.0) for _ in range(100))["u0"] > 20
 
 
 class Draws(RuleBasedStateMachine):
@@ -219,34 +221,34 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.made = EngineBalancer(Random(2), engine=False, linked=lambda id_: False)
+        self.made = UpstreamSelector(Random(2), is_engine=False, has_idle_connection=lambda id_: False)
         self.ready: set[str] = set()
         self.calls: Counter[str] = Counter()
         self.now_ms = 0.0
 
     @rule(ready=st.sets(st.sampled_from(IDS)), draining=st.sets(st.sampled_from(IDS)))
     def update(self, ready: set[str], draining: set[str]) -> None:
-        listed = {id_: Listed(ready=id_ not in draining) for id_ in ready | draining}
+        listed = {id_: UpstreamStatus(is_ready=id_ not in draining) for id_ in ready | draining}
         self.made.update(listed, self.now_ms)
         self.ready = ready - draining
         self.calls = Counter({id_: count for id_, count in self.calls.items() if id_ in listed})
 
     @rule(excluded=st.sets(st.sampled_from(IDS), max_size=2))
     def send(self, excluded: set[str]) -> None:
-        chosen = self.made.choose(NO_PROMPT, excluded, self.now_ms)
+        chosen = self.made.select(NO_PROMPT, excluded, self.now_ms)
         if chosen is None:
             assert not self.ready - excluded
             return
         assert chosen in self.ready - excluded
-        self.made.started(chosen, NO_PROMPT, self.now_ms)
+        self.made.on_attempt_started(chosen, NO_PROMPT, self.now_ms)
         self.calls[chosen] += 1
 
     @rule(id_=st.sampled_from(IDS), outcome=st.sampled_from([Outcome.OK, Outcome.RESET, Outcome.FULL]))
     def end(self, id_: str, outcome: Outcome) -> None:
         if self.calls[id_]:
             self.calls[id_] -= 1
-            self.made.returned(id_, 0.0, self.now_ms)
-            self.made.outcome(id_, outcome, self.now_ms)
+            self.made.on_attempt_released(id_, 0.0, self.now_ms)
+            self.made.on_outcome(id_, outcome, self.now_ms)
 
     @rule(by_ms=st.floats(0.0, 6_000.0))
     def wait(self, by_ms: float) -> None:
--- a/packages/balancing/tests/test_balancing_reading_time.py
+++ b/packages/balancing/tests/test_balancing_reading_time.py
@@ -5,12 +5,12 @@
 from random import Random
 
 import pytest
-from larkweir_balancing.reading_time import SAMPLES_LEAST, ReadingTime
+from larkweir_balancing.prefill_time import MIN_SAMPLE_WEIGHT, PrefillTime
 
 
 @pytest.mark.parametrize(("fixed_ms", "ms_per_token"), [(30.0, 0.009), (60.0, 0.03), (10.0, 0.002)])
 def test_the_line_is_found_beneath_noise(fixed_ms: float, ms_per_token: float) -> None:
-    rng, line = Random(3), ReadingTime()
+    rng, line = Random(3), PrefillTime()
     for _ in range(400):
         tokens = rng.uniform(0.0, 40_000.0)
         line.observe(tokens, fixed_ms + ms_per_token * tokens + rng.gauss(0.0, 10.0))
@@ -19,22 +19,22 @@
 
 
 def test_few_samples_are_not_believed() -> None:
-    line, fresh = ReadingTime(), ReadingTime()
-    for _ in range(int(SAMPLES_LEAST) - 1):
+    line, fresh = PrefillTime(), PrefillTime()
+    for _ in range(int(MIN_SAMPLE_WEIGHT) - 1):
         line.observe(1_000.0, 5_000.0)
     assert line.expected_ms(10_000.0) == fresh.expected_ms(10_000.0)
 
 
 def test_requests_of_one_size_tell_the_fixed_time_alone() -> None:
-    line = ReadingTime()
+    line = PrefillTime()
     for _ in range(200):
         line.observe(0.0, 75.0)
-    assert line.ms_per_token == ReadingTime().ms_per_token
+    assert line.ms_per_token == PrefillTime().ms_per_token
     assert line.expected_ms(0.0) == pytest.approx(75.0)
 
 
 def test_a_change_of_speed_is_followed() -> None:
-    rng, line = Random(4), ReadingTime()
+    rng, line = Random(4), PrefillTime()
     for ms_per_token in (0.01, 0.04):
         for _ in range(600):
             tokens = rng.uniform(0.0, 20_000.0)
--- a/tests/balancing/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -22,8 +22,13 @@
 import pytest
 from larkweir_balancing import Balancer
 from larkweir_balancing.door import Door
-from larkweir_balancing.ejection import Ejections, EndingCounts, Endings, summed
-from larkweir_balancing.engines import EngineBalancer, Listed, Prompt
+from larkweir_balancing.engines import Prompt, UpstreamSelector, UpstreamStatus
+from larkweir_balancing.fleet_outlier_detection import (
+    FleetOutlierDetector,
+    OutcomeCounts,
+    OutcomeWindow,
+    sum_outcomes,
+)
 from larkweir_balancing.hearsay import Hearsay
 from larkweir_balancing.interface import (
     Action,
@@ -50,8 +55,8 @@
     Tenant,
     TimerFired,
 )
+from larkweir_balancing.prefill_time import PrefillTime
 from larkweir_balancing.proof import Proof, Seen
-from larkweir_balancing.reading_time import ReadingTime
 from larkweir_balancing.wire import decode_settings, encode_action
 from larkweir_balancing.wirehost import serve
 
@@ -303,8 +308,8 @@
     rng = Random(seed)
     ids = [f"u{n}" for n in range(9)]
     linked: set[str] = set()
-    made = EngineBalancer(Random(seed + 1), engine=engine, linked=linked.__contains__)
-    made.update({id_: Listed(ready=True) for id_ in ids}, 0.0)
+    made = UpstreamSelector(Random(seed + 1), is_engine=engine, has_idle_connection=linked.__contains__)
+    made.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
     calls: list[tuple[str, float]] = []
     values: list[Any] = []
     now_ms = 0.0
@@ -330,33 +335,45 @@
             kept = rng.random() < 0.7
             keeper = rng.choice((None, *ids))
             excluded = set(rng.sample(ids, rng.choice((0, 0, 0, 1, 3, 8))))
-            left_ms = rng.choice((None, prompt.aim_ms * rng.random()))
-            chosen = made.choose(prompt, excluded, now_ms, keeper, kept=kept, left_ms=left_ms)
-            values.append((chosen, made.reason.value))
+            left_ms = rng.choice((None, prompt.latency_target_ms * rng.random()))
+            chosen = made.select(prompt, excluded, now_ms, keeper, is_cached=kept, remaining_ms=left_ms)
+            values.append((chosen, made.last_reason.value))
             if chosen is not None:
-                tokens = made.started(chosen, prompt, now_ms, kept=kept and chosen == keeper)
+                tokens = made.on_attempt_started(chosen, prompt, now_ms, is_cached=kept and chosen == keeper)
                 calls.append((chosen, tokens))
                 linked.add(chosen)
-                values.append((tokens, made.patience_ms(prompt, tokens), made.waiting_at(chosen)))
+                values.append(
+                    (tokens, made.overdue_after_ms(prompt, tokens), made.prefill_backlog_tokens(chosen))
+                )
         elif what < 0.92 and calls:
             id_, tokens = calls.pop(rng.randrange(len(calls)))
-            made.returned(id_, tokens, now_ms)
-            made.outcome(id_, rng.choice(outcomes), now_ms)
-            made.reading.observe(tokens, 30.0 + 0.02 * tokens * rng.uniform(0.8, 1.4))
+            made.on_attempt_released(id_, tokens, now_ms)
+            made.on_outcome(id_, rng.choice(outcomes), now_ms)
+            made.prefill_time.observe(tokens, 30.0 + 0.02 * tokens * rng.uniform(0.8, 1.4))
             if rng.random() < 0.2:
                 linked.discard(id_)
         elif what < 0.95:
-            made.peers_waiting({id_: rng.uniform(0.0, 40_000.0) for id_ in rng.sample(ids, 5)})
+            made.set_peer_prefill_backlog({id_: rng.uniform(0.0, 40_000.0) for id_ in rng.sample(ids, 5)})
         elif what < 0.97:
-            made.eject(rng.sample(ids, rng.randrange(4)))
+            made.set_ejected(rng.sample(ids, rng.randrange(4)))
         else:
             listed = rng.sample(ids, rng.randrange(3, 10))
             made.update(
-                {id_: Listed(rng.random() < 0.9, silent=rng.random() < 0.1) for id_ in listed}, now_ms
+                {
+                    id_: UpstreamStatus(rng.random() < 0.9, is_unresponsive=rng.random() < 0.1)
+                    for id_ in listed
+                },
+                now_ms,
             )
             values.append((made.ready_count, [made.is_ready(id_) for id_ in ids]))
         if step % 50 == 0:
-            values.append((sorted(made.waiting().items()), made.reading.ms_per_token, made.reading.fixed_ms))
+            values.append(
+                (
+                    sorted(made.own_prefill_backlog().items()),
+                    made.prefill_time.ms_per_token,
+                    made.prefill_time.fixed_ms,
+                )
+            )
     return values
 
 
@@ -381,24 +398,26 @@
 def ejection_values() -> list[Any]:
     rng = Random(21)
     ids = [f"u{n}" for n in range(10)]
-    routers = [EndingCounts() for _ in range(3)]
-    judged = Ejections()
+    routers = [OutcomeWindow() for _ in range(3)]
+    judged = FleetOutlierDetector()
     values: list[Any] = []
     now_ms = 0.0
     for _ in range(1_500):
         now_ms += rng.uniform(1.0, 60.0)
         for id_ in rng.sample(ids, 3):
             bad = rng.random() < (0.5 if id_ == ids[int(now_ms / 9_000.0) % 10] else 0.03)
-            rng.choice(routers).ended(id_, now_ms, bad=bad)
-        total: dict[str, Endings] = summed([router.told(now_ms) for router in routers])
-        changed = judged.judge([ids[:7], ids[7:]], total, now_ms)
+            rng.choice(routers).record(id_, now_ms, failed=bad)
+        total: dict[str, OutcomeCounts] = sum_outcomes(
+            [router.failing_upstreams(now_ms) for router in routers]
+        )
+        changed = judged.evaluate([ids[:7], ids[7:]], total, now_ms)
         values.append((changed, sorted(judged.ejected), sorted((k, tuple(v)) for k, v in total.items())))
     return values
 
 
 def reading_values() -> list[Any]:
     rng = Random(22)
-    made = ReadingTime()
+    made = PrefillTime()
     values: list[Any] = []
     for step in range(600):
         tokens = rng.uniform(0.0, 6_000.0) if step > 40 else 100.0
--- a/tests/controller/test_pull_service.py
+++ b/tests/controller/test_pull_service.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from larkweir_balancing.ejection import BAD_LEAST, Endings
+from larkweir_balancing.fleet_outlier_detection import MIN_FAILURES, OutcomeCounts
 from larkweir_quotas.usage_table import UsageTable
 from larkweir_registry.records import Upstream
 from larkweir_registry.registry import Registry
@@ -120,7 +120,7 @@
             made.registry.update(Upstream(f"s{number}", "s", f"127.0.0.1:{number}", "z"), 0.0)
         made.registry.update(Upstream("bad", "s", "127.0.0.1:9", "z"), 0.0)
         for router in made.routers:
-            made.answer(router, Pull(vector={}, outcomes={"bad": Endings(0, BAD_LEAST)}))
+            made.answer(router, Pull(vector={}, outcomes={"bad": OutcomeCounts(0, MIN_FAILURES)}))
         made.pulls.tick()
         assert made.ejection.ejected == {"bad"}
         assert made.answer(made.routers[0], Pull(vector={})).ejected == ["bad"]
--- a/tests/system/test_golden_messages.py
+++ b/tests/system/test_golden_messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-from larkweir_balancing.ejection import Endings
+from larkweir_balancing.fleet_outlier_detection import OutcomeCounts
 from larkweir_quotas.limits import QuotaStatus
 from larkweir_registry.records import Record, Upstream, UpstreamState
 from larkweir_replication.messages import Command
@@ -46,7 +46,7 @@
     Hello("10.0.0.2", NodeRole.CONTROLLER, "0f1e2d3c4b5a"),
     Ping(),
     Pull(),
-    Pull(12, {"10.0.0.2/0f": 7}, {"acme": 32.5}, 1_234.0, {"e-1": 4_096}, {"u-1": Endings(5, 2)}),
+    Pull(12, {"10.0.0.2/0f": 7}, {"acme": 32.5}, 1_234.0, {"e-1": 4_096}, {"u-1": OutcomeCounts(5, 2)}),
     PrefillQueueUpdate({}),
     PrefillQueueUpdate({"e-1": 4_096, "e-2": 12}),
     Delta(),
--- a/tests/system/test_measurements.py
+++ b/tests/system/test_measurements.py
@@ -10,7 +10,7 @@
 
 import pytest
 from larkweir_balancing.decision_options import DecisionOptions
-from larkweir_balancing.reading_time import ReadingTime
+from larkweir_balancing.prefill_time import PrefillTime
 
 from benchmarks.fleet_ablation import SWITCHES, switched_off
 from benchmarks.fleet_losses import Cause, Request, cause_of, picture, read, table
@@ -87,7 +87,7 @@
     }
 
 
-LINE = ReadingTime(ms_per_token=0.01, fixed_ms=50.0)
+LINE = PrefillTime(ms_per_token=0.01, fixed_ms=50.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from larkweir_balancing.engines import DEFAULT_AIM_MS, Prompt
+from larkweir_balancing.engines import DEFAULT_LATENCY_TARGET_MS, Prompt
 
 from larkweir.cluster.settings import SettingsError, parse
 from larkweir.router.answers import ANSWERS, ErrorKind
@@ -119,7 +119,7 @@
     ],
 )
 def test_the_head_of_a_prompt_is_its_deepest_shared_part(usage: str, prefix: str, prompt: Prompt) -> None:
-    assert request(x_token_usage=usage, x_prompt_prefix=prefix).prompt(DEFAULT_AIM_MS) == prompt
+    assert request(x_token_usage=usage, x_prompt_prefix=prefix).prompt(DEFAULT_LATENCY_TARGET_MS) == prompt
 
 
 def test_controllers_that_have_just_started_do_not_make_the_fleet_small() -> None:
--- a/tests/system/test_silent_upstreams.py
+++ b/tests/system/test_silent_upstreams.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 
 import pytest
-from larkweir_balancing.ejection import Endings
-from larkweir_balancing.engines import EngineBalancer, Prompt
+from larkweir_balancing.engines import Prompt, UpstreamSelector
+from larkweir_balancing.fleet_outlier_detection import OutcomeCounts
 from larkweir_registry.records import Upstream, UpstreamState
 
 from tests.system.router_model import KINDS, REPEATABLE, FakeUpstream, Play, answer_of
@@ -16,10 +16,10 @@
 
 @pytest.fixture(autouse=True)
 def no_patience_ends_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
-    def patience_ms(balancer: EngineBalancer, prompt: Prompt, tokens: float) -> float:
+    def patience_ms(balancer: UpstreamSelector, prompt: Prompt, tokens: float) -> float:
         return NOT_IN_THIS_TEST_MS
 
-    monkeypatch.setattr(EngineBalancer, "patience_ms", patience_ms)
+    monkeypatch.setattr(UpstreamSelector, "overdue_after_ms", patience_ms)
 
 
 def overdue(play: Play) -> None:
@@ -37,8 +37,8 @@
     made.close()
 
 
-def told(play: Play) -> dict[str, Endings]:
-    return play.do(lambda: play.model.plane.endings.told(play.loop.time() * 1000.0))
+def told(play: Play) -> dict[str, OutcomeCounts]:
+    return play.do(lambda: play.model.plane.endings.failing_upstreams(play.loop.time() * 1000.0))
 
 
 def instance_of(play: Play, upstream: FakeUpstream) -> str:
@@ -59,7 +59,7 @@
     assert sent.whole
     assert sent.status == 200
     assert len(play.model.runs[sent.id]) == 2
-    assert told(play) == {instance: Endings(good=0, bad=1)}
+    assert told(play) == {instance: OutcomeCounts(succeeded=0, failed=1)}
     play.model.check()
 
 
@@ -72,7 +72,9 @@
     play.answer(silent)
     assert sent.whole
     assert len(play.model.runs[sent.id]) == 1
-    assert told(play) == {instance: Endings(good=0, bad=1)}, "counted once, though it ended well later"
+    assert told(play) == {
+        instance: OutcomeCounts(succeeded=0, failed=1)
+    }, "counted once, though it ended well later"
     play.model.check()
 
 
@@ -115,5 +117,5 @@
     upstream.begin(answer_of(upstream.run, status=503, **more), executed=False)
     play.do(lambda: upstream.send(len(upstream.unsent)))
     play.answer(play.waiting()[0])
-    assert told(play) == ({instance: Endings(good=0, bad=1)} if bad else {})
+    assert told(play) == ({instance: OutcomeCounts(succeeded=0, failed=1)} if bad else {})
     play.model.check()
