--- a/packages/balancing/src/larkweir_balancing/decision_options.py
+++ b/packages/balancing/src/larkweir_balancing/decision_options.py
@@ -1,6 +1,6 @@
-"""Switches of the mechanisms by which the router fleet decides, for ablation; no settings of operators.
+"""Switches of the mechanisms by which the router fleet decides, for ablation; they are no settings of operators.
 
-`benchmarks/fleet_ablation.py` plays copies of the text with one of them off. The defaults are what runs.
+`benchmarks/fleet_ablation.py` runs copies of the source with one of them off. The defaults are what is in service.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 class DecisionOptions:
     """One field a mechanism. Each stands on one line, as `fleet_ablation` reads it."""
 
-    # Controllers say which engine keeps a head; else its own order does.
+    # Controllers say which engine owns a prompt prefix; else its preference order does.
     controller_prefix_owners: bool = True
-    # A router remembers which engines it sent a head to.
+    # A router remembers which engines it sent a prefix to.
     remembered_prefixes: bool = True
-    # A head is read anew where its keeper would be late and an idle engine in time.
+    # A prefix is prefilled again where its owner would be late and an idle engine in time.
     leave_late_prefix_owners: bool = True
-    # Other requests pass over engines where much waits to be read.
+    # Other requests avoid engines with a large prefill backlog.
     avoid_prefill_backlog: bool = True
-    # Prompts that wait are told to peers.
+    # Routers report their waiting prompts to their peers.
     peer_prefill_backlog: bool = True
-    # Long ones are told at once, not with the next pull.
+    # Long prompts are reported at once, not with the next pull.
     announce_long_prompts: bool = True
     # Token holders with an open connection come first.
     prefer_open_connections: bool = True
-    # An engine's token is spent by calls that wait for a first event, else by any call.
+    # An engine's token is spent by requests that wait for a first event, else by any request.
     tokens_by_first_event: bool = True
-    # A failure keeps the token back, for longer each time.
+    # A failure withholds the token, for longer each time.
     failure_backoff: bool = True
-    # So does a call that was turned away.
+    # So does a request that found no free slot.
     full_backoff: bool = True
-    # Upstreams that fail calls of the whole fleet are left out.
+    # Upstreams that fail requests of the whole fleet are ejected.
     fleet_ejection: bool = True
-    # A silent call that may be repeated goes elsewhere.
+    # An overdue request that may be repeated is retried elsewhere.
     retry_overdue: bool = True
-    # New connections are given up by how long others took.
+    # The timeout of new connections follows how long others took.
     adaptive_connect_timeout: bool = True
 
 
--- a/packages/balancing/src/larkweir_balancing/prefill_time.py
+++ b/packages/balancing/src/larkweir_balancing/prefill_time.py
@@ -1,16 +1,16 @@
-"""Rules: how long a model engine takes to its first event, learned from the calls of this router.
+"""How long a model engine takes to its first event, learned from the requests of this router. Pure logic.
 
-A first event comes after a fixed time and after the prompt, and those that wait before it, have been read. Both
-figures are the least squares line through (tokens to be read, time), with old samples fading out.
+A first event is received after a fixed time and after the prompt, and those that wait before it, have been prefilled.
+Both figures are the least squares line through (tokens to prefill, time), with the weight of old samples decaying.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SAMPLE_DECAY = 0.99  # weight of all samples so far, at each further one: some hundred count
-MIN_SAMPLE_WEIGHT = 8.0  # of weight, before the line is believed
-MIN_SPREAD_TOKENS = 500.0  # standard deviation of the tokens, without which no slope can be told
+SAMPLE_DECAY = 0.99  # of the weight of all samples, at each further one: some hundred count
+MIN_SAMPLE_WEIGHT = 8.0  # in all, before the line replaces the defaults
+MIN_SPREAD_TOKENS = 500.0  # standard deviation of the tokens, below which the slope can't be told
 DEFAULT_MS_PER_TOKEN = 0.012
 DEFAULT_FIXED_MS = 50.0
 MAX_MS_PER_TOKEN = 0.5
@@ -19,36 +19,37 @@
 
 @dataclass(slots=True)
 class PrefillTime:
-    """The line, as far as it is known. Times are milliseconds."""
+    """The fitted line. Times are milliseconds."""
 
     ms_per_token: float = DEFAULT_MS_PER_TOKEN
     fixed_ms: float = DEFAULT_FIXED_MS
-    _count: float = 0.0
+    # Weighted sums over the samples.
+    _weight: float = 0.0
     _tokens: float = 0.0
     _times: float = 0.0
     _tokens_squared: float = 0.0
     _products: float = 0.0
 
     def expected_ms(self, tokens: float) -> float:
-        """From sending a request to its first event, with so many tokens to be read until then."""
+        """From sending a request to its first event, with so many tokens to prefill until then."""
         return self.fixed_ms + self.ms_per_token * tokens
 
     def observe(self, tokens: float, elapsed_ms: float) -> None:
-        """A first event came, after so many tokens were thought to be read."""
-        self._count = SAMPLE_DECAY * self._count + 1.0
+        """A first event was received after so many tokens, by this router's estimate, had been prefilled."""
+        self._weight = SAMPLE_DECAY * self._weight + 1.0
         self._tokens = SAMPLE_DECAY * self._tokens + tokens
         self._times = SAMPLE_DECAY * self._times + elapsed_ms
         self._tokens_squared = SAMPLE_DECAY * self._tokens_squared + tokens * tokens
         self._products = SAMPLE_DECAY * self._products + tokens * elapsed_ms
-        if self._count >= MIN_SAMPLE_WEIGHT:
+        if self._weight >= MIN_SAMPLE_WEIGHT:
             self._fit()
 
     def _fit(self) -> None:
-        mean_tokens = self._tokens / self._count
-        mean_ms = self._times / self._count
-        variance = self._tokens_squared / self._count - mean_tokens * mean_tokens
+        mean_tokens = self._tokens / self._weight
+        mean_ms = self._times / self._weight
+        variance = self._tokens_squared / self._weight - mean_tokens * mean_tokens
         if variance >= MIN_SPREAD_TOKENS * MIN_SPREAD_TOKENS:
-            covariance = self._products / self._count - mean_tokens * mean_ms
+            covariance = self._products / self._weight - mean_tokens * mean_ms
             slope = covariance / variance
             self.ms_per_token = min(MAX_MS_PER_TOKEN, max(MIN_MS_PER_TOKEN, slope))
         self.fixed_ms = max(0.0, mean_ms - self.ms_per_token * mean_tokens)
