--- a/tests/controller/test_heartbeat_monitor.py
+++ b/tests/controller/test_heartbeat_monitor.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterator
 
 import pytest
-from larkweir_registry.liveness import Liveness
-from larkweir_registry.records import State, Upstream
+from larkweir_registry.failure_detector import FailureDetector
+from larkweir_registry.records import Upstream, UpstreamState
 from larkweir_registry.registry import Registry
 
-from larkweir.cluster.messages import Heard
+from larkweir.cluster.messages import HeartbeatReport
 from larkweir.controller import heartbeat_monitor
 from larkweir.controller.heartbeat_monitor import HeartbeatMonitor
 from tests.controller.conftest import FakeLinks
@@ -30,25 +30,25 @@
         self.present_ms = 0.0
         self.updates = 0
         self.registry = Registry("c/1")
-        self.liveness = Liveness(HEARTBEAT_MS, 0.0)
+        self.failure_detector = FailureDetector(HEARTBEAT_MS, 0.0)
         self.contact = FakeContact()
         self.monitor = HeartbeatMonitor(
             self.registry,
-            self.liveness,
+            self.failure_detector,
             links,  # type: ignore[arg-type]
             self.contact,  # type: ignore[arg-type]
             self._updated,
         )
-        for id_, state in (("u", State.READY), ("gone", State.GONE)):
-            self.registry.note(Upstream(id_, "s", "127.0.0.1:1", "z", sequence=7, state=state), 0.0)
-            self.liveness.heard(id_, 7, 0.0)
+        for id_, state in (("u", UpstreamState.READY), ("gone", UpstreamState.GONE)):
+            self.registry.update(Upstream(id_, "s", "127.0.0.1:1", "z", sequence=7, state=state), 0.0)
+            self.failure_detector.record_heartbeat(id_, 7, 0.0)
 
     def _updated(self) -> None:
         self.updates += 1
 
     @property
     def silent(self) -> list[str]:
-        return [one.id for one in self.registry.upstreams.values() if one.silent]
+        return [one.id for one in self.registry.upstreams.values() if one.has_timed_out]
 
 
 @pytest.fixture
@@ -62,11 +62,14 @@
     links.connected = {"d", "e"}
     scene.monitor.share()
     scene.monitor.share()
-    assert links.sent == [("d", Heard({"u": 7, "gone": 7})), ("e", Heard({"u": 7, "gone": 7}))]
+    assert links.sent == [
+        ("d", HeartbeatReport({"u": 7, "gone": 7})),
+        ("e", HeartbeatReport({"u": 7, "gone": 7})),
+    ]
 
 
 def test_an_upstream_whose_heartbeats_have_stopped_is_marked_once(scene: Scene) -> None:
-    scene.present_ms = scene.liveness.patience_ms
+    scene.present_ms = scene.failure_detector.timeout_ms
     scene.monitor.evaluate()
     scene.monitor.evaluate()
     assert scene.silent == ["u"]
@@ -74,7 +77,7 @@
 
 
 def test_an_upstream_is_not_marked_before_its_time(scene: Scene) -> None:
-    scene.present_ms = scene.liveness.patience_ms - 1.0
+    scene.present_ms = scene.failure_detector.timeout_ms - 1.0
     scene.monitor.evaluate()
     assert scene.silent == []
     assert scene.updates == 0
@@ -82,12 +85,12 @@
 
 def test_without_contact_and_for_a_while_after_it_silence_proves_nothing(scene: Scene) -> None:
     scene.contact.was_connected = False
-    scene.present_ms = 2.0 * scene.liveness.patience_ms
+    scene.present_ms = 2.0 * scene.failure_detector.timeout_ms
     scene.monitor.evaluate()
     scene.contact.was_connected = True
-    scene.present_ms = 3.0 * scene.liveness.patience_ms - 1.0
+    scene.present_ms = 3.0 * scene.failure_detector.timeout_ms - 1.0
     scene.monitor.evaluate()
     assert scene.silent == []
-    scene.present_ms = 3.0 * scene.liveness.patience_ms
+    scene.present_ms = 3.0 * scene.failure_detector.timeout_ms
     scene.monitor.evaluate()
     assert scene.silent == ["u"]
--- a/tests/controller/test_primary_client.py
+++ b/tests/controller/test_primary_client.py
@@ -9,7 +9,7 @@
 from larkweir_replication.messages import Command
 from larkweir_replication.replica import ReplicaStatus
 
-from larkweir.cluster.messages import Forward, Forwarded
+from larkweir.cluster.messages import PrimaryRequest, PrimaryResponse
 from larkweir.controller import primary_client
 from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, Completed, Rejected
 from larkweir.controller.primary_client import PrimaryClient
@@ -60,10 +60,10 @@
     async def scene() -> None:
         call = asyncio.ensure_future(client.call(COMMAND))
         await asyncio.sleep(0)
-        assert links.sent == [("p", Forward(1, COMMAND))]
-        client.answered(Forwarded(2, 200))
-        client.answered(Forwarded(1, 412, "stale"))
-        client.answered(Forwarded(1, 200))
+        assert links.sent == [("p", PrimaryRequest(1, COMMAND))]
+        client.answered(PrimaryResponse(2, 200))
+        client.answered(PrimaryResponse(1, 412, "stale"))
+        client.answered(PrimaryResponse(1, 200))
         assert await call == Rejected(412, "stale")
 
     asyncio.run(scene())
@@ -83,7 +83,7 @@
 ) -> None:
     async def scene() -> None:
         assert await client.call(COMMAND) is UNKNOWN
-        client.answered(Forwarded(1, 200))  # too late; it is ignored
+        client.answered(PrimaryResponse(1, 200))  # too late; it is ignored
 
     monkeypatch.setattr(primary_client, "FORWARD_TIMEOUT_S", 0.01)
     asyncio.run(scene())
