--- a/benchmarks/fleet_duties.py
+++ b/benchmarks/fleet_duties.py
@@ -18,7 +18,7 @@
 
 from larkweir.config.options import Route
 from larkweir.coordination.duties import ramps as ramp_rules
-from larkweir.coordination.duties.verdicts import Verdicts, read, stake
+from larkweir.coordination.duties.verdicts import Verdicts, decode_state, stake
 from larkweir.routes.router import Router
 from larkweir.routes.split import Ramp
 from larkweir.routes.trial import FACTORS
@@ -93,12 +93,12 @@
         for n, work in enumerate(self.works):
             for report in work.tick(self.now_ms):
                 if self.rng.random() < 0.9:
-                    self.owner.came(f"copy{n}", report, self.now_ms)
+                    self.owner.on_report(f"copy{n}", report, self.now_ms)
         state = self.owner.step(self.state, self.now_ms)
         if state is not None:
             self.state, self.version = state, (self.version[0], self.version[1] + 1)
             half = len(FACTORS)
-            for total in read(state).totals:
+            for total in decode_state(state).totals:
                 self.most = max(self.most, stake(total.logs[:half]), stake(total.logs[half:]))
             self._told()
 
@@ -144,12 +144,12 @@
     while fleet.network.now_ms < until:
         fleet.run(20.0)
         held = [_state(copy) for copy in fleet.copies.values() if copy.owners is not None]
-        newest = max(held, key=lambda state: state.beat)
+        newest = max(held, key=lambda state: state.heartbeat_count)
         step = newest.ramps[0].step if newest.ramps else 0
-        if step and (not steps or (step != steps[-1][1] and newest.beat > steps[-1][2])):
+        if step and (not steps or (step != steps[-1][1] and newest.heartbeat_count > steps[-1][2])):
             if steps and step != steps[-1][1] + 1:
                 wrong.append(f"step {step} after {steps[-1][1]}")
-            steps.append((fleet.network.now_ms, step, newest.beat))
+            steps.append((fleet.network.now_ms, step, newest.heartbeat_count))
         for copy in fleet.copies.values():
             if copy.owners is None:
                 continue
--- a/larkweir/coordination/captures/part.py
+++ b/larkweir/coordination/captures/part.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from larkweir_peers.hands import Mail, Socket
 
-    from larkweir.coordination.duties.thresholds import Thresholds
+    from larkweir.coordination.duties.thresholds import CaptureThresholds
     from larkweir.routes.hands import Routes
 
 CAPTURES = 5  # channel of the peers' mail
@@ -140,13 +140,15 @@
         self._said_ms: dict[str, float] = {}
         self._timer: Timer | None = host.clock.after(0.0, self._turn)
 
-    def duty(self, life: int, wake: Callable[[], None]) -> Thresholds:
+    def duty(self, incarnation: int, wake: Callable[[], None]) -> CaptureThresholds:
         """The coordinator's work. `life` of this copy's reports; `wake`: it has something to tell."""
         from larkweir.coordination.duties.thresholds import (
-            Thresholds,  # not imported where nobody owns duties
+            CaptureThresholds,  # not imported where nobody owns duties
         )
 
-        found = Thresholds(life, self.node, self._post.take, self.options.hold_ms, self.options.rest)
+        found = CaptureThresholds(
+            incarnation, self.node, self._post.take, self.options.hold_ms, self.options.rest
+        )
 
         def told() -> None:
             found.next_ms = 0.0
--- a/larkweir/coordination/duties/drill.py
+++ b/larkweir/coordination/duties/drill.py
@@ -31,7 +31,7 @@
         self.count = int(state) if state.isdigit() else 0
         self.next_ms = 0.0
 
-    def came(self, source: str, report: Report, now_ms: float) -> None:
+    def on_report(self, source: str, report: Report, now_ms: float) -> None:
         """Copies have nothing to report."""
         pass
 
@@ -40,10 +40,10 @@
         self.next_ms = self._due_ms if self._due_ms > now_ms else float("inf")  # its owner steps it then
         return []
 
-    def alone(self) -> None:
+    def on_left_fleet(self) -> None:
         """Nothing here depends on it."""
         pass
 
-    def notable(self) -> bool:
+    def is_notable(self) -> bool:
         """Each count is logged."""
         return True
--- a/larkweir/coordination/duties/messages.py
+++ b/larkweir/coordination/duties/messages.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-MOST_COPIES = 4096
-MOST_ROWS = 16  # in one report
+MAX_BALANCERS = 4096
+MAX_ROWS = 16  # in one report
 
 Item = TypeVar("Item")
 
@@ -29,7 +29,7 @@
     counts: tuple[int, ...]
 
 
-class Wish(msgspec.Struct, frozen=True, array_like=True):
+class RampRow(msgspec.Struct, frozen=True, array_like=True):
     """A ramp in this copy's operator file, and this copy's step of it."""
 
     key: str
@@ -40,17 +40,17 @@
 class EvidenceReport(msgspec.Struct, frozen=True, array_like=True, tag="v"):
     """One copy's evidence on canaries."""
 
-    life: int  # of the copy: higher after each restart
+    incarnation: int  # of the copy: higher after each restart
     term: int  # under which it is counted
     number: int  # counts the reports of this life
     rows: tuple[Evidence, ...]
 
 
-class WishReport(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class RampReport(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """One copy's ramps."""
 
-    life: int
-    rows: tuple[Wish, ...]
+    incarnation: int
+    rows: tuple[RampRow, ...]
 
 
 class Sighting(msgspec.Struct, frozen=True, array_like=True):
@@ -59,15 +59,15 @@
     """
 
     key: bytes
-    out: bool
-    found: int
+    is_ejected: bool
+    finding: int
     age_ms: int
 
 
 class SightingReport(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """What one copy knows of ejected servers."""
 
-    life: int
+    incarnation: int
     number: int
     rows: tuple[Sighting, ...]
 
@@ -75,16 +75,16 @@
 class CaptureReport(msgspec.Struct, frozen=True, array_like=True, tag="c"):
     """What one copy sees of each kind of request, as `larkweir_captures.wire` packs it."""
 
-    life: int
+    incarnation: int
     item: bytes
 
 
-Report = EvidenceReport | WishReport | SightingReport | CaptureReport
-pack = msgspec.msgpack.Encoder().encode
+Report = EvidenceReport | RampReport | SightingReport | CaptureReport
+encode_report = msgspec.msgpack.Encoder().encode
 _decoder: msgspec.msgpack.Decoder[Report] = msgspec.msgpack.Decoder(Report)
 
 
-def unpack(data: bytes) -> Report | None:
+def decode_report(data: bytes) -> Report | None:
     """Decode a report; None for anything else."""
     try:
         return _decoder.decode(data)
@@ -94,5 +94,5 @@
 
 def batches(rows: Sequence[Item]) -> Iterator[tuple[Item, ...]]:
     """The rows in order, as many at a time as one report holds."""
-    for at in range(0, len(rows), MOST_ROWS):
-        yield tuple(rows[at : at + MOST_ROWS])
+    for at in range(0, len(rows), MAX_ROWS):
+        yield tuple(rows[at : at + MAX_ROWS])
--- a/larkweir/coordination/duties/ports.py
+++ b/larkweir/coordination/duties/ports.py
@@ -10,7 +10,7 @@
 from larkweir.coordination.duties.messages import Report
 
 
-class Work(Protocol):
+class FleetTask(Protocol):
     """A duty as the balancer runs it: `larkweir_owners.ports.Duty`, and what each copy does for it."""
 
     next_ms: float  # when `tick` is due; at an owner `step` follows it at once
@@ -25,7 +25,7 @@
     def on_committed(self, state: bytes, version: Version) -> None:
         """A majority of the register's replicas has a state."""
 
-    def came(self, source: str, report: Report, now_ms: float) -> None:
+    def on_report(self, source: str, report: Report, now_ms: float) -> None:
         """A report of a copy has arrived. Any process may receive one; the owner uses it."""
         ...
 
@@ -33,30 +33,30 @@
         """As a copy: the reports to send to the owner now."""
         ...
 
-    def alone(self) -> None:
+    def on_left_fleet(self) -> None:
         """This process has left the fleet: what the duty controls here goes on as without owners."""
         ...
 
-    def notable(self) -> bool:
+    def is_notable(self) -> bool:
         """Whether the state taken last is more than a heartbeat. Called once for each."""
         ...
 
 
-class Known(NamedTuple):
+class LocalSighting(NamedTuple):
     """What a copy's decisions know of a server by themselves; the fields are those of `messages.Sighting`."""
 
-    out: bool
-    found: int
+    is_ejected: bool
+    finding: int
     age_ms: float
 
 
-class Scouting(Protocol):
+class HealthSharing(Protocol):
     """The decisions' side of the duty "probers". Servers are named by `probers.key_of`."""
 
-    def known(self, now_ms: float) -> Mapping[bytes, Known]:
+    def sightings(self, now_ms: float) -> Mapping[bytes, LocalSighting]:
         """Servers that are ejected here, or were until a moment ago."""
         ...
 
-    def hear(self, key: bytes, found: int, age_ms: float, turn: bool) -> None:
+    def on_finding(self, key: bytes, finding: int, age_ms: float, is_prober: bool) -> None:
         """A finding of others. `turn`: this copy is to probe. Ignored for a server that is not ejected here."""
         ...
--- a/larkweir/coordination/duties/probers.py
+++ b/larkweir/coordination/duties/probers.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from larkweir.coordination.duties.messages import MOST_ROWS, Report, Sighting, SightingReport, batches
-from larkweir.coordination.duties.ports import Known, Scouting
-from larkweir.coordination.duties.replicated import Replicated, encode, keep_only, state_reader
+from larkweir.coordination.duties.messages import MAX_ROWS, Report, Sighting, SightingReport, batches
+from larkweir.coordination.duties.ports import HealthSharing, LocalSighting
+from larkweir.coordination.duties.replicated import ReplicatedTask, encode_state, retain_keys, state_decoder
 from larkweir.coordination.duties.timing import (
     FORGET_MS,
     HEARTBEAT_INTERVAL_MS,
@@ -31,43 +31,43 @@
     heartbeat_due,
 )
 
-MOST_SERVERS = 64  # at a time; further ones are each copy's own
-MOST_SEEN = 2 * MOST_SERVERS  # of which the owner has heard
-MOST_CANDIDATES = 8  # of a server: the first by rendezvous
-MOST_COPIES = 4096  # of which the owner has heard
-QUORUM = 2  # copies that have left a server out before it is the fleet's matter
-BY_CALL = 2  # that have the turn at once where probes are not allowed
-TURN = 3  # bad findings, after which the next has the turn
-HERE_MS = 1_000.0  # from word to word of whose turn it is
-DEAF_MS = 2_500.0  # a prober that is not heard of for so long has lost it
-SOON_MS = 500.0  # between two states
-CLOSE_MS = 4_000.0  # a server that was found well is let go after that
-LOOK_MS = 250.0  # between two looks of a copy
-KEY = 8  # bytes
-TAG = 4  # bytes that stand for a copy; two that share theirs both have the turn, which does no harm
-NOTHING, BAD, PROBED, SERVED = range(4)
+MAX_SERVERS = 64  # at a time; further ones are each copy's own
+MAX_TRACKED_SERVERS = 2 * MAX_SERVERS  # of which the owner has heard
+MAX_CANDIDATES = 8  # of a server: the first by rendezvous
+MAX_BALANCERS = 4096  # of which the owner has heard
+MIN_EJECTIONS = 2  # copies that have left a server out before it is the fleet's matter
+PROBERS_BY_CALL = 2  # that have the turn at once where probes are not allowed
+MAX_BAD_FINDINGS = 3  # bad findings, after which the next has the turn
+PROBER_REPORT_MS = 1_000.0  # from word to word of whose turn it is
+PROBER_TIMEOUT_MS = 2_500.0  # a prober that is not heard of for so long has lost it
+MIN_STATE_INTERVAL_MS = 500.0  # between two states
+CLOSE_AFTER_MS = 4_000.0  # a server that was found well is let go after that
+CHECK_INTERVAL_MS = 250.0  # between two looks of a copy
+KEY_BYTES = 8  # bytes
+TAG_BYTES = 4  # bytes that stand for a copy; two that share theirs both have the turn, which does no harm
+NOTHING, FAILING, PROBED, SERVED = range(4)
 
 
 def key_of(name: str) -> bytes:
     """A server's key, the same at all copies; `name` is where it listens."""
-    return blake2b(name.encode(), digest_size=KEY).digest()
+    return blake2b(name.encode(), digest_size=KEY_BYTES).digest()
 
 
 def tag_of(copy: str) -> bytes:
     """The bytes that stand for a copy in a state."""
-    return blake2b(copy.encode(), digest_size=TAG).digest()
+    return blake2b(copy.encode(), digest_size=TAG_BYTES).digest()
 
 
-def rank(key: bytes, copy: str) -> bytes:
+def prober_rank(key: bytes, copy: str) -> bytes:
     """A copy's place in the order of turns; the lowest is first."""
-    return blake2b(copy.encode(), digest_size=KEY, key=key).digest()
+    return blake2b(copy.encode(), digest_size=KEY_BYTES, key=key).digest()
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class ServerRow(msgspec.Struct, frozen=True, array_like=True):
     """`probers`: by `tag_of`. `age_ms`: of what was found, when this was written."""
 
     key: bytes
-    found: int
+    finding: int
     age_ms: int
     probers: tuple[bytes, ...]
 
@@ -75,239 +75,251 @@
 class State(msgspec.Struct, frozen=True, array_like=True):
     """What the register holds."""
 
-    beat: int = 0
-    rows: tuple[Row, ...] = ()
+    heartbeat_count: int = 0
+    rows: tuple[ServerRow, ...] = ()
 
 
-read = state_reader(State)
+decode_state = state_decoder(State)
 
 
 @dataclass(slots=True)
 class _Server:
     """One server, at the owner."""
 
-    told_ms: float  # when any copy last said that it has left it out
+    ejected_report_ms: float  # when any copy last said that it has left it out
     candidates: dict[bytes, str] = field(default_factory=dict)  # by rank, with who it is
-    heard: dict[str, float] = field(default_factory=dict)  # when each of them last told of it
-    found: int = NOTHING
-    found_ms: float = float("-inf")
+    reported_ms: dict[str, float] = field(default_factory=dict)  # when each of them last told of it
+    finding: int = NOTHING
+    finding_ms: float = float("-inf")
     turns: int = 0  # that are over
-    since_ms: float = 0.0  # when the present one began
-    bad: int = 0  # findings in it
+    turn_began_ms: float = 0.0  # when the present one began
+    bad_findings: int = 0  # findings in it
     probers: tuple[str, ...] = ()
-    open: bool = False
+    is_open: bool = False
 
 
-class Probers(Replicated[State]):
+class Probers(ReplicatedTask[State]):
     """The duty at one copy, and at its owner."""
 
     name = "probers"
 
-    def __init__(self, life: int, me: str, scouting: Scouting, probes: Callable[[], bool]) -> None:
+    def __init__(self, incarnation: int, me: str, health: HealthSharing, probes: Callable[[], bool]) -> None:
         """`probes`: whether the platform's settings allow them."""
-        super().__init__(life, read)
-        self._scouting, self._probes = scouting, probes
+        super().__init__(incarnation, decode_state)
+        self._health, self._probes = health, probes
         self._tag = tag_of(me)
-        self._fresh = False
-        self._took_ms = float("-inf")
+        self._has_new_state = False
+        self._state_ms = float("-inf")
         # As a copy
-        self._due: dict[bytes, Resend] = {}
-        self._said: dict[bytes, tuple[int, float, float]] = {}  # in its turn: what, found when, told when
-        self._named: set[bytes] = set()
+        self._resends: dict[bytes, Resend] = {}
+        self._sent: dict[bytes, tuple[int, float, float]] = {}  # in its turn: what, found when, told when
+        self._known_keys: set[bytes] = set()
         self._number = 0
         # As the owner
         self._servers: dict[bytes, _Server] = {}
-        self._last: dict[str, tuple[int, int]] = {}  # of each copy: life, and number of its last report
+        self._last_reports: dict[
+            str, tuple[int, int]
+        ] = {}  # of each copy: life, and number of its last report
         self._base_term = 0
-        self._stepped_ms = float("-inf")
+        self._written_ms = float("-inf")
 
     # ------------------------------------------------ the owner
 
-    def came(self, source: str, report: Report, now_ms: float) -> None:
+    def on_report(self, source: str, report: Report, now_ms: float) -> None:
         """A copy's report on ejected servers; an older one than the last is ignored."""
         if not isinstance(report, SightingReport):
             return
-        last = self._last.pop(source, None)
-        if last is not None and (report.life, report.number) <= last:
-            self._last[source] = last
+        last = self._last_reports.pop(source, None)
+        if last is not None and (report.incarnation, report.number) <= last:
+            self._last_reports[source] = last
             return
-        self._last[source] = (report.life, report.number)
-        if len(self._last) > MOST_COPIES:
-            del self._last[next(iter(self._last))]
-        for row in report.rows[:MOST_ROWS]:
-            if len(row.key) != KEY or not NOTHING <= row.found <= SERVED or row.age_ms < 0:
-                self.refused += 1
+        self._last_reports[source] = (report.incarnation, report.number)
+        if len(self._last_reports) > MAX_BALANCERS:
+            del self._last_reports[next(iter(self._last_reports))]
+        for row in report.rows[:MAX_ROWS]:
+            if len(row.key) != KEY_BYTES or not NOTHING <= row.finding <= SERVED or row.age_ms < 0:
+                self.rejected += 1
             else:
-                self._add(source, row, now_ms)
+                self._add_sighting(source, row, now_ms)
 
-    def _add(self, source: str, row: Sighting, now_ms: float) -> None:
+    def _add_sighting(self, source: str, row: Sighting, now_ms: float) -> None:
         server = self._servers.get(row.key)
         if server is None:
-            if not row.out:
+            if not row.is_ejected:
                 return
-            if len(self._servers) >= MOST_SEEN:
-                self.refused += 1
+            if len(self._servers) >= MAX_TRACKED_SERVERS:
+                self.rejected += 1
                 return
             server = self._servers[row.key] = _Server(now_ms)
-        place = rank(row.key, source)
-        if row.out:
-            server.told_ms = now_ms
-            server.candidates[place] = source
-            if len(server.candidates) > MOST_CANDIDATES:
-                server.heard.pop(server.candidates.pop(max(server.candidates)), None)
+        rank = prober_rank(row.key, source)
+        if row.is_ejected:
+            server.ejected_report_ms = now_ms
+            server.candidates[rank] = source
+            if len(server.candidates) > MAX_CANDIDATES:
+                server.reported_ms.pop(server.candidates.pop(max(server.candidates)), None)
         else:
-            server.candidates.pop(place, None)
-        if place in server.candidates:
-            server.heard[source] = now_ms
+            server.candidates.pop(rank, None)
+        if rank in server.candidates:
+            server.reported_ms[source] = now_ms
         else:
-            server.heard.pop(source, None)
-        found_ms = now_ms - row.age_ms
-        if row.found == NOTHING or found_ms <= server.found_ms:
+            server.reported_ms.pop(source, None)
+        finding_ms = now_ms - row.age_ms
+        if row.finding == NOTHING or finding_ms <= server.finding_ms:
             return
         # Of others a call that was served tells, and one that was not where a probe had said that all is well.
         prober = source in server.probers
-        if prober or row.found == SERVED or (row.found == BAD and server.found == PROBED):
-            server.bad += prober and row.found == BAD
-            server.found, server.found_ms = row.found, found_ms
+        if prober or row.finding == SERVED or (row.finding == FAILING and server.finding == PROBED):
+            server.bad_findings += prober and row.finding == FAILING
+            server.finding, server.finding_ms = row.finding, finding_ms
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         """The next state: at once for a change, else with a heartbeat."""
-        held = read(state)
+        held = decode_state(state)
         if self._base_term != self._term:  # the first step under this term
-            self._base_term, self._stepped_ms = self._term, float("-inf")
+            self._base_term, self._written_ms = self._term, float("-inf")
             self._go_on_from(held, now_ms)
-        if now_ms - self._stepped_ms < SOON_MS:
+        if now_ms - self._written_ms < MIN_STATE_INTERVAL_MS:
             return None
         for key, server in list(self._servers.items()):
-            if self._over(server, now_ms):
+            if self._is_done(server, now_ms):
                 del self._servers[key]
-        opened = sum(server.open for server in self._servers.values())
+        open_count = sum(server.is_open for server in self._servers.values())
         for key, server in self._servers.items():
-            if not server.open and len(server.candidates) >= QUORUM and opened < MOST_SERVERS:
-                server.open, server.found = True, NOTHING
-                opened += 1
-            if server.open:
-                self._give(key, server, now_ms)
+            if not server.is_open and len(server.candidates) >= MIN_EJECTIONS and open_count < MAX_SERVERS:
+                server.is_open, server.finding = True, NOTHING
+                open_count += 1
+            if server.is_open:
+                self._assign_probers(key, server, now_ms)
         rows = tuple(
-            Row(
+            ServerRow(
                 key,
-                server.found,
-                int(min(FORGET_MS, now_ms - server.found_ms)),
+                server.finding,
+                int(min(FORGET_MS, now_ms - server.finding_ms)),
                 tuple(map(tag_of, server.probers)),
             )
             for key, server in self._servers.items()
-            if server.open
+            if server.is_open
         )
-        new = State(held.beat + 1, rows)
+        new = State(held.heartbeat_count + 1, rows)
         if not rows and not held.rows:
             return None
-        if _matter(new) == _matter(held) and not heartbeat_due(self._stepped_ms, now_ms):
+        if _urgent_part(new) == _urgent_part(held) and not heartbeat_due(self._written_ms, now_ms):
             return None
-        self._stepped_ms = now_ms
-        return encode(new)
+        self._written_ms = now_ms
+        return encode_state(new)
 
     def _go_on_from(self, held: State, now_ms: float) -> None:
         """Take over from the former owner: its state, with what copies have reported since. They report their ejected
         servers anew, and then turns are given.
         """
-        since_ms = now_ms - self._took_ms if self._took_ms > float("-inf") else 0.0
-        lately = {key: it for key, it in self._servers.items() if now_ms - it.told_ms < DEAF_MS}
+        state_age_ms = now_ms - self._state_ms if self._state_ms > float("-inf") else 0.0
+        lately = {
+            key: it for key, it in self._servers.items() if now_ms - it.ejected_report_ms < PROBER_TIMEOUT_MS
+        }
         self._servers = {}
-        for row in held.rows[:MOST_SERVERS]:
+        for row in held.rows[:MAX_SERVERS]:
             server = self._servers[row.key] = lately.pop(row.key, _Server(now_ms))
-            server.found, server.found_ms = row.found, now_ms - since_ms - row.age_ms
-            server.open, server.since_ms, server.probers = True, now_ms, ()
+            server.finding, server.finding_ms = row.finding, now_ms - state_age_ms - row.age_ms
+            server.is_open, server.turn_began_ms, server.probers = True, now_ms, ()
         for key, server in lately.items():
-            server.open = False
+            server.is_open = False
             self._servers[key] = server
 
     @staticmethod
-    def _over(server: _Server, now_ms: float) -> bool:
-        if server.open and server.found > BAD:
-            return now_ms - server.found_ms >= CLOSE_MS
-        told = server.candidates or now_ms - server.since_ms < DEAF_MS
-        return not told or now_ms - server.told_ms >= REFRESH_MS + DEAF_MS
+    def _is_done(server: _Server, now_ms: float) -> bool:
+        if server.is_open and server.finding > FAILING:
+            return now_ms - server.finding_ms >= CLOSE_AFTER_MS
+        told = server.candidates or now_ms - server.turn_began_ms < PROBER_TIMEOUT_MS
+        return not told or now_ms - server.ejected_report_ms >= REFRESH_MS + PROBER_TIMEOUT_MS
 
-    def _give(self, key: bytes, server: _Server, now_ms: float) -> None:
+    def _assign_probers(self, key: bytes, server: _Server, now_ms: float) -> None:
         """Choose who has the turn."""
-        many = 1 if self._probes() else BY_CALL
+        many = 1 if self._probes() else PROBERS_BY_CALL
         few = len(server.probers) < min(many, len(server.candidates))
-        whole = server.bad < TURN and not few
+        whole = server.bad_findings < MAX_BAD_FINDINGS and not few
         for name in server.probers:
-            if now_ms - max(server.since_ms, server.heard.get(name, 0.0)) >= DEAF_MS:
+            if now_ms - max(server.turn_began_ms, server.reported_ms.get(name, 0.0)) >= PROBER_TIMEOUT_MS:
                 server.candidates.pop(
-                    rank(key, name), None
+                    prober_rank(key, name), None
                 )  # it comes back when it tells of the server again
-            whole = whole and rank(key, name) in server.candidates
+            whole = whole and prober_rank(key, name) in server.candidates
         if whole:
             return
         ranked = [server.candidates[at] for at in sorted(server.candidates)]
-        server.turns += server.bad >= TURN
+        server.turns += server.bad_findings >= MAX_BAD_FINDINGS
         first = server.turns % max(1, len(ranked))
         server.probers = tuple((ranked[first:] + ranked[:first])[:many])
-        server.since_ms, server.bad = now_ms, 0
+        server.turn_began_ms, server.bad_findings = now_ms, 0
 
     # ------------------------------------------------ every copy
 
-    def _notable(self, state: State) -> object:
+    def _notable_part(self, state: State) -> object:
         return {row.key for row in state.rows}
 
-    def _followed(self, before: State) -> None:
+    def _on_state(self, before: State) -> None:
         # A renewed lease brings the same state under a later version: nothing in it is any newer for that.
-        self._fresh = self._fresh or self.state.beat != before.beat
+        self._has_new_state = self._has_new_state or self.state.heartbeat_count != before.heartbeat_count
 
-    def alone(self) -> None:
+    def on_left_fleet(self) -> None:
         """Findings lose their weight with age by themselves."""
 
     def tick(self, now_ms: float) -> list[Report]:
         """Pass findings to the decisions, and report what this copy knows."""
-        if self._fresh:
-            self._took_ms = now_ms
-        held, late = self.state, now_ms - self._took_ms
-        known = self._scouting.known(now_ms)
+        if self._has_new_state:
+            self._state_ms = now_ms
+        held, late = self.state, now_ms - self._state_ms
+        known = self._health.sightings(now_ms)
         named = {row.key for row in held.rows}
-        for key in self._named - named:  # let go; where it is still left out here, that is said anew
-            self._due.pop(key, None)
-        self._named = named
+        for key in self._known_keys - named:  # let go; where it is still left out here, that is said anew
+            self._resends.pop(key, None)
+        self._known_keys = named
         turns: set[bytes] = set()
         for row in held.rows if late < OWNER_TIMEOUT_MS else ():
             if row.key not in known:
                 continue
             if self._tag in row.probers:
                 turns.add(row.key)
-                self._scouting.hear(row.key, NOTHING, 0.0, True)
-            if self._fresh and row.found != NOTHING:
-                self._scouting.hear(row.key, row.found, row.age_ms, False)
-        self._fresh = False
-        keep_only(self._due, known)
-        keep_only(self._said, turns)
+                self._health.on_finding(row.key, NOTHING, 0.0, True)
+            if self._has_new_state and row.finding != NOTHING:
+                self._health.on_finding(row.key, row.finding, row.age_ms, False)
+        self._has_new_state = False
+        retain_keys(self._resends, known)
+        retain_keys(self._sent, turns)
         rows = [
-            Sighting(key, item.out, item.found, int(min(FORGET_MS, item.age_ms)))
+            Sighting(key, item.is_ejected, item.finding, int(min(FORGET_MS, item.age_ms)))
             for key, item in known.items()
-            if self._wants(key, item, key in turns, now_ms)
+            if self._should_report(key, item, key in turns, now_ms)
         ]
-        self.next_ms = now_ms + (LOOK_MS if known or held.rows or self._servers else HEARTBEAT_INTERVAL_MS)
+        self.next_ms = now_ms + (
+            CHECK_INTERVAL_MS if known or held.rows or self._servers else HEARTBEAT_INTERVAL_MS
+        )
         reports: list[Report] = []
         for part in batches(rows):
             self._number += 1
-            reports.append(SightingReport(self._life, self._number, part))
+            reports.append(SightingReport(self._incarnation, self._number, part))
         return reports
 
-    def _wants(self, key: bytes, item: Known, turn: bool, now_ms: float) -> bool:
+    def _should_report(self, key: bytes, item: LocalSighting, turn: bool, now_ms: float) -> bool:
         """Whether to report a server now. A copy that has the turn reports each finding, and every `HERE_MS` that it is
         there; the others report changes.
         """
-        said = self._said.get(key)
-        found_ms = round(now_ms - item.age_ms, 3) if item.found else 0.0
+        sent = self._sent.get(key)
+        finding_ms = round(now_ms - item.age_ms, 3) if item.finding else 0.0
         if turn:
-            if said is not None and said[:2] == (item.found, found_ms) and now_ms - said[2] < HERE_MS:
+            if (
+                sent is not None
+                and sent[:2] == (item.finding, finding_ms)
+                and now_ms - sent[2] < PROBER_REPORT_MS
+            ):
                 return False
-            self._said[key] = (item.found, found_ms, now_ms)
+            self._sent[key] = (item.finding, finding_ms, now_ms)
             return True
-        served = item.found == SERVED
-        return self._due.setdefault(key, Resend(now_ms)).wants((self._term, item.out, served), now_ms)
+        served = item.finding == SERVED
+        return self._resends.setdefault(key, Resend(now_ms)).wants(
+            (self._term, item.is_ejected, served), now_ms
+        )
 
 
-def _matter(state: State) -> object:
+def _urgent_part(state: State) -> object:
     """The part of a state that copies must have at once when it changes."""
-    return [(row.key, row.found > BAD, bool(row.probers)) for row in state.rows]
+    return [(row.key, row.finding > FAILING, bool(row.probers)) for row in state.rows]
--- a/larkweir/coordination/duties/ramps.py
+++ b/larkweir/coordination/duties/ramps.py
@@ -19,18 +19,18 @@
 
 import msgspec
 
-from larkweir.coordination.duties.messages import MOST_ROWS, Report, Wish, WishReport, batches
-from larkweir.coordination.duties.replicated import Replicated, encode, keep_only, state_reader
+from larkweir.coordination.duties.messages import MAX_ROWS, RampReport, RampRow, Report, batches
+from larkweir.coordination.duties.replicated import ReplicatedTask, encode_state, retain_keys, state_decoder
 from larkweir.coordination.duties.timing import FORGET_MS, OwnerHeartbeat, Resend, heartbeat_due
 from larkweir.routes.split import Ramp
 
-MOST_RAMPS = 64  # at a time; further ones are each copy's own
-OPEN_MS = 500.0  # from the first word of a ramp until it counts
-LOOK_MS = 250.0  # between two looks of a copy
-LAST = Ramp.STEPS
+MAX_RAMPS = 64  # at a time; further ones are each copy's own
+OPENING_MS = 500.0  # from the first word of a ramp until it counts
+CHECK_INTERVAL_MS = 250.0  # between two looks of a copy
+LAST_STEP = Ramp.STEPS
 
 
-class Stepped(msgspec.Struct, frozen=True, array_like=True):
+class RampStep(msgspec.Struct, frozen=True, array_like=True):
     """One ramp in the register."""
 
     key: str
@@ -41,14 +41,14 @@
 class State(msgspec.Struct, frozen=True, array_like=True):
     """What the register holds."""
 
-    beat: int = 0
-    ramps: tuple[Stepped, ...] = ()
+    heartbeat_count: int = 0
+    ramps: tuple[RampStep, ...] = ()
 
 
-read = state_reader(State)
+decode_state = state_decoder(State)
 
 
-class Ramping(Protocol):
+class RampRoutes(Protocol):
     """The routes' side. By key, which is the same wherever the file says the same: name, span, and since when."""
 
     def ramping(self) -> Mapping[str, tuple[str, float, float]]:
@@ -60,133 +60,139 @@
 
 
 @dataclass(slots=True)
-class _Own:
+class _LocalRamp:
     step: int
-    at_ms: float  # when it came to this step
+    since_ms: float  # when it came to this step
     due: Resend
 
 
 @dataclass(slots=True)
-class _Opening:
+class _PendingRamp:
     since_ms: float
     span_ms: float
     step: int
 
 
-class Ramps(Replicated[State]):
+class Ramps(ReplicatedTask[State]):
     """The duty at one copy, and at its owner."""
 
     name = "ramps"
 
-    def __init__(self, life: int, ramping: Callable[[], Ramping]) -> None:
+    def __init__(self, incarnation: int, ramping: Callable[[], RampRoutes]) -> None:
         """`ramping`: the present generation of routes."""
-        super().__init__(life, read)
-        self._ramping = ramping
+        super().__init__(incarnation, decode_state)
+        self._routes = ramping
         self._heartbeat = OwnerHeartbeat()
-        self._own: dict[str, _Own] = {}
-        self._seen: dict[str, tuple[int, float]] = {}  # of the register: the step, and when it was seen first
-        self._heard: dict[str, float] = {}  # when any copy told of it
-        self._opening: dict[str, _Opening] = {}
-        self._beat_ms = float("-inf")
+        self._local_ramps: dict[str, _LocalRamp] = {}
+        self._first_seen: dict[
+            str, tuple[int, float]
+        ] = {}  # of the register: the step, and when it was seen first
+        self._reported_ms: dict[str, float] = {}  # when any copy told of it
+        self._pending: dict[str, _PendingRamp] = {}
+        self._heartbeat_ms = float("-inf")
         self._stepped_term = 0
 
     # ------------------------------------------------ the owner
 
-    def came(self, source: str, report: Report, now_ms: float) -> None:
+    def on_report(self, source: str, report: Report, now_ms: float) -> None:
         """A copy's ramps: keeps those that the register holds, and opens new ones."""
-        if not isinstance(report, WishReport):
+        if not isinstance(report, RampReport):
             return
         held = {ramp.key for ramp in self.state.ramps}
-        for row in report.rows[:MOST_ROWS]:
-            if len(row.key) > 64 or not 1 <= row.step <= LAST or not 0.0 < row.span_ms <= 1e10:
-                self.refused += 1
+        for row in report.rows[:MAX_ROWS]:
+            if len(row.key) > 64 or not 1 <= row.step <= LAST_STEP or not 0.0 < row.span_ms <= 1e10:
+                self.rejected += 1
             elif row.key in held:
-                self._heard[row.key] = now_ms
-            elif row.key in self._opening:
-                opening = self._opening[row.key]
-                opening.step = min(opening.step, row.step)
-            elif len(self._opening) + len(held) < MOST_RAMPS:
-                self._opening[row.key] = _Opening(now_ms, row.span_ms, row.step)
+                self._reported_ms[row.key] = now_ms
+            elif row.key in self._pending:
+                pending = self._pending[row.key]
+                pending.step = min(pending.step, row.step)
+            elif len(self._pending) + len(held) < MAX_RAMPS:
+                self._pending[row.key] = _PendingRamp(now_ms, row.span_ms, row.step)
             else:
-                self.refused += 1
+                self.rejected += 1
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         """The next state: at once for a step or a new ramp, else with a heartbeat."""
-        held = read(state)
-        self._see(held, now_ms)
+        held = decode_state(state)
+        self._note_steps(held, now_ms)
         if self._stepped_term != self._term:  # the first step under this term
             self._stepped_term = self._term
-            self._heard = {ramp.key: now_ms for ramp in held.ramps}
-            self._beat_ms = float("-inf")
-        found: list[Stepped] = []
+            self._reported_ms = {ramp.key: now_ms for ramp in held.ramps}
+            self._heartbeat_ms = float("-inf")
+        found: list[RampStep] = []
         for ramp in held.ramps:
-            if now_ms - self._heard.setdefault(ramp.key, now_ms) >= FORGET_MS:
-                del self._heard[ramp.key]
+            if now_ms - self._reported_ms.setdefault(ramp.key, now_ms) >= FORGET_MS:
+                del self._reported_ms[ramp.key]
                 continue
-            due = now_ms - self._seen[ramp.key][1] >= ramp.span_ms / LAST
-            found.append(Stepped(ramp.key, ramp.span_ms, min(LAST, ramp.step + due)))
-        for key, opening in list(self._opening.items()):
-            if now_ms - opening.since_ms >= OPEN_MS:
-                del self._opening[key]
-                if key not in self._seen and len(found) < MOST_RAMPS:
-                    found.append(Stepped(key, opening.span_ms, opening.step))
-                    self._heard[key] = now_ms
-        going = any(ramp.step < LAST for ramp in found)
-        if tuple(found) == held.ramps and (not going or not heartbeat_due(self._beat_ms, now_ms)):
+            due = now_ms - self._first_seen[ramp.key][1] >= ramp.span_ms / LAST_STEP
+            found.append(RampStep(ramp.key, ramp.span_ms, min(LAST_STEP, ramp.step + due)))
+        for key, pending in list(self._pending.items()):
+            if now_ms - pending.since_ms >= OPENING_MS:
+                del self._pending[key]
+                if key not in self._first_seen and len(found) < MAX_RAMPS:
+                    found.append(RampStep(key, pending.span_ms, pending.step))
+                    self._reported_ms[key] = now_ms
+        is_moving = any(ramp.step < LAST_STEP for ramp in found)
+        if tuple(found) == held.ramps and (not is_moving or not heartbeat_due(self._heartbeat_ms, now_ms)):
             return None
-        self._beat_ms = now_ms
-        return encode(State(held.beat + 1, tuple(found)))
+        self._heartbeat_ms = now_ms
+        return encode_state(State(held.heartbeat_count + 1, tuple(found)))
 
-    def _see(self, held: State, now_ms: float) -> None:
+    def _note_steps(self, held: State, now_ms: float) -> None:
         """Record when each step was seen first: at the first call after it was taken, so rather late than early."""
-        if len(self._seen) != len(held.ramps):
+        if len(self._first_seen) != len(held.ramps):
             keys = {ramp.key for ramp in held.ramps}
-            self._seen = {key: value for key, value in self._seen.items() if key in keys}
+            self._first_seen = {key: value for key, value in self._first_seen.items() if key in keys}
         for ramp in held.ramps:
-            seen = self._seen.get(ramp.key)
+            seen = self._first_seen.get(ramp.key)
             if seen is None or seen[0] != ramp.step:
-                self._seen[ramp.key] = (ramp.step, now_ms)
+                self._first_seen[ramp.key] = (ramp.step, now_ms)
 
     # ------------------------------------------------ every copy
 
-    def _notable(self, state: State) -> object:
+    def _notable_part(self, state: State) -> object:
         return state.ramps
 
-    def _followed(self, before: State) -> None:
+    def _on_state(self, before: State) -> None:
         self._heartbeat.received()
 
-    def alone(self) -> None:
+    def on_left_fleet(self) -> None:
         """Each ramp keeps its step, and goes on from there by this copy's clock."""
 
     def tick(self, now_ms: float) -> list[Report]:
         """Set the step of each ramp here, and report ramps that are due."""
-        self._see(self.state, now_ms)
-        led = self._heartbeat.has_owner(now_ms)
+        self._note_steps(self.state, now_ms)
+        has_owner = self._heartbeat.has_owner(now_ms)
         fleet = {ramp.key: ramp.step for ramp in self.state.ramps}
-        routes = self._ramping()
+        routes = self._routes()
         ramping = routes.ramping()
-        keep_only(self._own, ramping)
-        rows: list[Wish] = []
+        retain_keys(self._local_ramps, ramping)
+        rows: list[RampRow] = []
         for key, (name, span, since) in ramping.items():
-            own = self._own.get(key)
-            if own is None:
+            local = self._local_ramps.get(key)
+            if local is None:
                 step = Ramp(1.0, span).step(now_ms - since)
-                own = self._own[key] = _Own(step, since + (step - 1) * span / LAST, Resend(now_ms))
-            self._go(own, fleet.get(key), led, span, now_ms)
-            routes.stand(name, own.step)
-            if own.due.wants(key in fleet, now_ms):
-                rows.append(Wish(key, span, own.step))
-        self.next_ms = now_ms + LOOK_MS
-        return [WishReport(self._life, part) for part in batches(rows)]
+                local = self._local_ramps[key] = _LocalRamp(
+                    step, since + (step - 1) * span / LAST_STEP, Resend(now_ms)
+                )
+            self._advance(local, fleet.get(key), has_owner, span, now_ms)
+            routes.stand(name, local.step)
+            if local.due.wants(key in fleet, now_ms):
+                rows.append(RampRow(key, span, local.step))
+        self.next_ms = now_ms + CHECK_INTERVAL_MS
+        return [RampReport(self._incarnation, part) for part in batches(rows)]
 
     @staticmethod
-    def _go(own: _Own, fleet: int | None, led: bool, span_ms: float, now_ms: float) -> None:
-        gap = span_ms / LAST
-        if fleet is not None and fleet > own.step:
-            own.step, own.at_ms = fleet, now_ms
-        if fleet is not None and led:
+    def _advance(
+        local: _LocalRamp, fleet: int | None, has_owner: bool, span_ms: float, now_ms: float
+    ) -> None:
+        gap = span_ms / LAST_STEP
+        if fleet is not None and fleet > local.step:
+            local.step, local.since_ms = fleet, now_ms
+        if fleet is not None and has_owner:
             return
-        late = now_ms - own.at_ms - gap
-        if own.step < LAST and late >= 0.0:  # one at a time, also after a long stop or wait
-            own.step += 1
-            own.at_ms = now_ms - late if late < gap else now_ms
+        late = now_ms - local.since_ms - gap
+        if local.step < LAST_STEP and late >= 0.0:  # one at a time, also after a long stop or wait
+            local.step += 1
+            local.since_ms = now_ms - late if late < gap else now_ms
--- a/larkweir/coordination/duties/replicated.py
+++ b/larkweir/coordination/duties/replicated.py
@@ -12,10 +12,10 @@
 Value = TypeVar("Value")
 State = TypeVar("State", bound=msgspec.Struct)
 
-encode = msgspec.msgpack.Encoder().encode
+encode_state = msgspec.msgpack.Encoder().encode
 
 
-def state_reader(kind: type[State]) -> Callable[[bytes], State]:
+def state_decoder(kind: type[State]) -> Callable[[bytes], State]:
     """A reader of the register. A state that can't be read is the empty one: the duty begins anew, and copies do not go
     back.
     """
@@ -30,40 +30,40 @@
     return read
 
 
-def keep_only(held: dict[Key, Value], keys: Container[Key]) -> None:
+def retain_keys(held: dict[Key, Value], keys: Container[Key]) -> None:
     """Delete what is held under other keys."""
     for key in [key for key in held if key not in keys]:
         del held[key]
 
 
-class Replicated(Generic[State]):
+class ReplicatedTask(Generic[State]):
     """A duty's state as this copy has taken it last. Subclasses say what of it is news, and add the duty's own work."""
 
-    def __init__(self, life: int, read: Callable[[bytes], State]) -> None:
+    def __init__(self, incarnation: int, read: Callable[[bytes], State]) -> None:
         """`life`: of this copy's reports; a restarted copy has a higher one."""
         self.next_ms = 0.0  # when `tick` is due
         self.state = read(b"")
-        self.refused = 0  # reports, or rows of them, that were malformed or beyond the bounds
-        self._life, self._read = life, read
+        self.rejected = 0  # reports, or rows of them, that were malformed or beyond the bounds
+        self._incarnation, self._read = incarnation, read
         self._term = 0  # of the state
-        self._news = False
+        self._has_news = False
 
     def on_committed(self, state: bytes, version: Version) -> None:
         """Follow a state that a majority of the register's replicas has."""
         before, self.state = self.state, self._read(state)
         self._term, self.next_ms = version[0], 0.0
-        self._news = self._news or self._notable(self.state) != self._notable(before)
-        self._followed(before)
+        self._has_news = self._has_news or self._notable_part(self.state) != self._notable_part(before)
+        self._on_state(before)
 
-    def notable(self) -> bool:
+    def is_notable(self) -> bool:
         """Whether what was taken since the last call has news in it, and was not just a heartbeat."""
-        found, self._news = self._news, False
+        found, self._has_news = self._has_news, False
         return found
 
-    def _notable(self, state: State) -> object:
+    def _notable_part(self, state: State) -> object:
         """What of a state is news when it changes."""
         raise NotImplementedError
 
-    def _followed(self, before: State) -> None:
+    def _on_state(self, before: State) -> None:
         """A state was taken after `before`."""
         raise NotImplementedError
--- a/larkweir/coordination/duties/thresholds.py
+++ b/larkweir/coordination/duties/thresholds.py
@@ -13,7 +13,7 @@
 
 import msgspec
 from larkweir_captures.coordinator import Coordinator
-from larkweir_captures.wire import Report as Seen
+from larkweir_captures.wire import Report as CaptureWireReport
 from larkweir_captures.wire import Table, pack, unpack
 from larkweir_owners.messages import Version
 
@@ -21,14 +21,14 @@
 from larkweir.coordination.duties.messages import CaptureReport, Report
 
 
-class Capturing(Protocol):
+class ThresholdFollower(Protocol):
     """This copy's captures."""
 
     def follow(self, table: Table, now_ms: float) -> bool:
         """Go by a table; returns whether it was newer than the last."""
 
 
-class _Nobody:
+class _NullTransport:
     """A transport that sends nothing: copies get tables from the register, not from the coordinator."""
 
     def post(self, to: str, item: bytes) -> bool:
@@ -38,42 +38,49 @@
         return ()
 
 
-class Thresholds:
+class CaptureThresholds:
     """The duty at one copy, and at its owner."""
 
     name = "captures"
 
     def __init__(
-        self, life: int, node: Capturing, report: Callable[[], bytes], hold_ms: float, rest: float
+        self,
+        incarnation: int,
+        node: ThresholdFollower,
+        report: Callable[[], bytes],
+        hold_ms: float,
+        rest: float,
     ) -> None:
         """`report`: what this copy would tell, once; empty if there is nothing new. Whoever has some sets `next_ms`."""
         self.next_ms = 0.0
-        self.refused = 0
-        self._life, self._node, self._report = life, node, report
+        self.rejected = 0
+        self._incarnation, self._node, self._report = incarnation, node, report
         self._hold_ms, self._rest = hold_ms, rest
         self._coordinator: Coordinator | None = None  # while this copy owns the duty, and until another does
         self._term = 0
         self._table: Table | None = None  # taken, and not followed yet
-        self._news = False
+        self._has_news = False
 
     # ------------------------------------------------ the owner
 
-    def came(self, source: str, report: Report, now_ms: float) -> None:
+    def on_report(self, source: str, report: Report, now_ms: float) -> None:
         """A copy's report, for the coordinator; ignored where this process is not the owner."""
         if not isinstance(report, CaptureReport) or self._coordinator is None:
             return
         seen = unpack(report.item)
-        if isinstance(seen, Seen):
+        if isinstance(seen, CaptureWireReport):
             self._coordinator.came(source, seen, now_ms)
         else:
-            self.refused += 1
+            self.rejected += 1
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         """The next table, where the coordinator has set a new one."""
         it = self._coordinator
         if it is None:
             last = read(state)
-            it = self._coordinator = Coordinator(OWNER, 1, _Nobody(), now_ms, self._hold_ms, self._rest, last)
+            it = self._coordinator = Coordinator(
+                OWNER, 1, _NullTransport(), now_ms, self._hold_ms, self._rest, last
+            )
         before = it.table.number
         it.tick(now_ms)
         return pack(it.table) if it.table.number != before else None
@@ -82,8 +89,8 @@
 
     def on_committed(self, state: bytes, version: Version) -> None:
         """Keep a table until the next `tick`; a new term ends this process's coordinator."""
-        self._news = version[0] != self._term
-        if self._news:
+        self._has_news = version[0] != self._term
+        if self._has_news:
             self._term = version[0]
             self._coordinator = None  # what was reported belongs to a former term
         table = read(state)
@@ -91,11 +98,11 @@
             self._table = msgspec.structs.replace(table, term=version[0], number=version[1], by=OWNER)
             self.next_ms = 0.0
 
-    def notable(self) -> bool:
+    def is_notable(self) -> bool:
         """Whether the term is a new one."""
-        return self._news  # of a table's changes there may be one a second
+        return self._has_news  # of a table's changes there may be one a second
 
-    def alone(self) -> None:
+    def on_left_fleet(self) -> None:
         """Rates hold as they are for `hold_ms`, and then the safe part of them."""
 
     def tick(self, now_ms: float) -> list[Report]:
@@ -105,7 +112,7 @@
             self._node.follow(self._table, now_ms)
             self._table = None
         item = self._report()
-        return [CaptureReport(self._life, item)] if item else []
+        return [CaptureReport(self._incarnation, item)] if item else []
 
 
 def read(state: bytes) -> Table | None:
--- a/larkweir/coordination/duties/verdicts.py
+++ b/larkweir/coordination/duties/verdicts.py
@@ -28,17 +28,17 @@
 import msgspec
 
 from larkweir.coordination.duties.messages import (
-    MOST_COPIES,
-    MOST_ROWS,
+    MAX_BALANCERS,
+    MAX_ROWS,
     Evidence,
     EvidenceReport,
     Report,
     batches,
 )
-from larkweir.coordination.duties.replicated import Replicated, encode, keep_only, state_reader
+from larkweir.coordination.duties.replicated import ReplicatedTask, encode_state, retain_keys, state_decoder
 from larkweir.coordination.duties.timing import (
+    CHECK_INTERVAL_MS,
     FORGET_MS,
-    LOOK_MS,
     REPORT_MS,
     OwnerHeartbeat,
     Resend,
@@ -46,16 +46,16 @@
 )
 from larkweir.routes.trial import FACTORS, Trial, nobody, rates
 
-MOST_TRIALS = 24  # at a time; further ones are each copy's own
-MOST_ENDED = 16
-MOST_WHY = 100  # characters
-LOGS = 2 * len(FACTORS)
-COUNTS = 6
-UNIT = 1000.0  # a report's logarithms are thousandths
-MOST_LOG = 1_000_000_000
+MAX_TRIALS = 24  # at a time; further ones are each copy's own
+MAX_ENDED = 16
+MAX_REASON_CHARS = 100  # characters
+LOG_COUNT = 2 * len(FACTORS)
+COUNT_FIELDS = 6
+LOG_UNIT = 1000.0  # a report's logarithms are thousandths
+MAX_LOG = 1_000_000_000
 
 
-class Total(msgspec.Struct, frozen=True, array_like=True):
+class CanaryTotal(msgspec.Struct, frozen=True, array_like=True):
     """One canary in the register: all copies' evidence."""
 
     key: str
@@ -67,61 +67,63 @@
 class State(msgspec.Struct, frozen=True, array_like=True):
     """What the register holds. `ended`: keys with why, the newest last."""
 
-    beat: int = 0
-    totals: tuple[Total, ...] = ()
+    heartbeat_count: int = 0
+    totals: tuple[CanaryTotal, ...] = ()
     ended: tuple[tuple[str, str], ...] = ()
 
 
-read = state_reader(State)
+decode_state = state_decoder(State)
 
 
 def stake(logs: tuple[int, ...]) -> float:
     """The value of one kind's bet: the mean over the factors."""
-    return sum(math.exp(min(value / UNIT, 700.0)) for value in logs) / len(logs)
+    return sum(math.exp(min(value / LOG_UNIT, 700.0)) for value in logs) / len(logs)
 
 
 def verdict(alpha: float, logs: tuple[int, ...], counts: tuple[int, ...]) -> str:
     """Why a canary ends; empty while it goes on."""
     bar, half = 2.0 / alpha, len(FACTORS)
     if stake(logs[:half]) >= bar:
-        return f"the fleet saw that it fails more: {rates(counts[2:4], counts[:2])}"[:MOST_WHY]
+        return f"the fleet saw that it fails more: {rates(counts[2:4], counts[:2])}"[:MAX_REASON_CHARS]
     if stake(logs[half:]) >= bar:
-        return f"the fleet saw that it is slow more often: {rates(counts[4:6], counts[:2])}"[:MOST_WHY]
+        return f"the fleet saw that it is slow more often: {rates(counts[4:6], counts[:2])}"[
+            :MAX_REASON_CHARS
+        ]
     return ""
 
 
-class Trying(Protocol):
+class CanaryTrials(Protocol):
     """The routes' side: canaries on trial at this copy, by a key that is the same wherever the file says the same."""
 
     def on_trial(self) -> Mapping[str, Trial]:
         """The canaries on trial here, by key."""
 
-    def end(self, key: str, why: str) -> None:
+    def end(self, key: str, reason: str) -> None:
         """Send no more requests to the canary; without effect where it has ended already."""
         ...
 
 
 @dataclass(slots=True)
-class _Row:
-    life: int
+class _BalancerEvidence:
+    incarnation: int
     number: int
     logs: tuple[int, ...]
     counts: tuple[int, ...]
 
 
 @dataclass(slots=True)
-class _Sum:
+class _FleetEvidence:
     """One canary under the present term, at the owner. `logs` and `counts` are sums over all copies; `rows` by copy."""
 
     alpha: float
-    logs: list[int] = field(default_factory=lambda: [0] * LOGS)
-    counts: list[int] = field(default_factory=lambda: [0] * COUNTS)
-    rows: dict[str, _Row] = field(default_factory=dict)
-    heard_ms: float = 0.0
+    logs: list[int] = field(default_factory=lambda: [0] * LOG_COUNT)
+    counts: list[int] = field(default_factory=lambda: [0] * COUNT_FIELDS)
+    rows: dict[str, _BalancerEvidence] = field(default_factory=dict)
+    reported_ms: float = 0.0
 
 
 @dataclass(slots=True)
-class _Own:
+class _Baseline:
     """One canary at this copy: its bets when the term began."""
 
     logs: tuple[float, ...]
@@ -129,177 +131,178 @@
     due: Resend
 
 
-class Verdicts(Replicated[State]):
+class Verdicts(ReplicatedTask[State]):
     """The duty at one copy, and at its owner."""
 
     name = "verdicts"
 
     def __init__(
-        self, life: int, trying: Callable[[], Trying], wake: Callable[[], None] = lambda: None
+        self, incarnation: int, routes: Callable[[], CanaryTrials], wake: Callable[[], None] = lambda: None
     ) -> None:
         """`trying`: the present generation of routes. `wake` is called where `next_ms` has become earlier."""
-        super().__init__(life, read)
-        self._trying = trying
+        super().__init__(incarnation, decode_state)
+        self._routes = routes
         self._heartbeat = OwnerHeartbeat()
         # As a copy
-        self._own: dict[str, _Own] = {}
-        self._own_term = 0
+        self._baselines: dict[str, _Baseline] = {}
+        self._baselines_term = 0
         self._number = 0
-        self._led = False
+        self._has_owner = False
         self._wake = wake
-        self._looked_ms = float("-inf")
+        self._checked_ms = float("-inf")
         # As the owner
-        self._sums: dict[str, _Sum] = {}
-        self._sums_term = 0
-        self._base: dict[str, Total] = {}
+        self._evidence: dict[str, _FleetEvidence] = {}
+        self._evidence_term = 0
+        self._base: dict[str, CanaryTotal] = {}
         self._base_term = 0
-        self._beat_ms = float("-inf")
+        self._heartbeat_ms = float("-inf")
 
     # ------------------------------------------------ the owner
 
-    def came(self, source: str, report: Report, now_ms: float) -> None:
+    def on_report(self, source: str, report: Report, now_ms: float) -> None:
         """A copy's evidence. Reports of an older term are ignored."""
-        if not isinstance(report, EvidenceReport) or report.term < max(self._sums_term, self._term):
+        if not isinstance(report, EvidenceReport) or report.term < max(self._evidence_term, self._term):
             return
-        if report.term > self._sums_term:
-            self._sums.clear()
-            self._sums_term = report.term
-        for row in report.rows[:MOST_ROWS]:
-            if self._fits(row):
-                self._add(source, report, row, now_ms)
+        if report.term > self._evidence_term:
+            self._evidence.clear()
+            self._evidence_term = report.term
+        for row in report.rows[:MAX_ROWS]:
+            if self._is_valid(row):
+                self._add_evidence(source, report, row, now_ms)
             else:
-                self.refused += 1
+                self.rejected += 1
 
     @staticmethod
-    def _fits(row: Evidence) -> bool:
+    def _is_valid(row: Evidence) -> bool:
         return (
             len(row.key) <= 64
-            and len(row.logs) == LOGS
-            and len(row.counts) == COUNTS
+            and len(row.logs) == LOG_COUNT
+            and len(row.counts) == COUNT_FIELDS
             and 0.0 < row.alpha <= 1.0
-            and all(abs(value) < MOST_LOG for value in row.logs)
+            and all(abs(value) < MAX_LOG for value in row.logs)
         )
 
-    def _add(self, source: str, report: EvidenceReport, row: Evidence, now_ms: float) -> None:
-        found = self._sums.get(row.key)
+    def _add_evidence(self, source: str, report: EvidenceReport, row: Evidence, now_ms: float) -> None:
+        found = self._evidence.get(row.key)
         if found is None:
-            if len(self._sums) >= 2 * MOST_TRIALS:
-                self.refused += 1
+            if len(self._evidence) >= 2 * MAX_TRIALS:
+                self.rejected += 1
                 return
-            found = self._sums[row.key] = _Sum(row.alpha)
-        found.heard_ms = now_ms
+            found = self._evidence[row.key] = _FleetEvidence(row.alpha)
+        found.reported_ms = now_ms
         old = found.rows.get(source)
-        if old is None and len(found.rows) >= MOST_COPIES:
-            self.refused += 1
+        if old is None and len(found.rows) >= MAX_BALANCERS:
+            self.rejected += 1
             return
-        if old is not None and (report.life, report.number) <= (old.life, old.number):
+        if old is not None and (report.incarnation, report.number) <= (old.incarnation, old.number):
             return
         # All evidence of a new life is new, and what its former life reported stays in the sum.
-        before = old if old is not None and old.life == report.life else None
+        before = old if old is not None and old.incarnation == report.incarnation else None
         for sums, new, last in (
             (found.logs, row.logs, before.logs if before is not None else None),
             (found.counts, row.counts, before.counts if before is not None else None),
         ):
             for at, value in enumerate(new):
                 sums[at] += value - (last[at] if last is not None else 0)
-        found.rows[source] = _Row(report.life, report.number, row.logs, row.counts)
+        found.rows[source] = _BalancerEvidence(report.incarnation, report.number, row.logs, row.counts)
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         """The next state: at once for a verdict or a new canary, else with a heartbeat."""
-        held = read(state)
+        held = decode_state(state)
         if self._base_term != self._term:  # the first step under this term
-            self._base_term, self._beat_ms = self._term, float("-inf")
+            self._base_term, self._heartbeat_ms = self._term, float("-inf")
             self._base = {total.key: total for total in held.totals}
-            if self._sums_term != self._term:
-                self._sums.clear()
-                self._sums_term = self._term
-            for found in self._sums.values():
-                found.heard_ms = now_ms
+            if self._evidence_term != self._term:
+                self._evidence.clear()
+                self._evidence_term = self._term
+            for found in self._evidence.values():
+                found.reported_ms = now_ms
             for key, total in self._base.items():
-                self._sums.setdefault(key, _Sum(total.alpha, heard_ms=now_ms))
+                self._evidence.setdefault(key, _FleetEvidence(total.alpha, reported_ms=now_ms))
         ended = dict(held.ended)
-        totals: list[Total] = []
-        for key, found in list(self._sums.items()):
-            if now_ms - found.heard_ms >= FORGET_MS:
-                del self._sums[key]
+        totals: list[CanaryTotal] = []
+        for key, found in list(self._evidence.items()):
+            if now_ms - found.reported_ms >= FORGET_MS:
+                del self._evidence[key]
                 self._base.pop(key, None)
-            elif key not in ended and len(totals) < MOST_TRIALS:
+            elif key not in ended and len(totals) < MAX_TRIALS:
                 total = self._total(key, found)
-                if why := verdict(total.alpha, total.logs, total.counts):
-                    ended[key] = why
+                if reason := verdict(total.alpha, total.logs, total.counts):
+                    ended[key] = reason
                 else:
                     totals.append(total)
         named = {total.key for total in totals} == {total.key for total in held.totals}
         if (
             named
             and len(ended) == len(held.ended)
-            and (not totals or not heartbeat_due(self._beat_ms, now_ms))
+            and (not totals or not heartbeat_due(self._heartbeat_ms, now_ms))
         ):
             return None
-        self._beat_ms = now_ms
-        kept = tuple(ended.items())[-MOST_ENDED:]
-        return encode(State(held.beat + 1, tuple(totals), kept))
+        self._heartbeat_ms = now_ms
+        kept = tuple(ended.items())[-MAX_ENDED:]
+        return encode_state(State(held.heartbeat_count + 1, tuple(totals), kept))
 
-    def _total(self, key: str, found: _Sum) -> Total:
+    def _total(self, key: str, found: _FleetEvidence) -> CanaryTotal:
         base = self._base.get(key)
         if base is None:
-            return Total(key, found.alpha, tuple(found.logs), tuple(found.counts))
+            return CanaryTotal(key, found.alpha, tuple(found.logs), tuple(found.counts))
         logs = tuple(one + other for one, other in zip(base.logs, found.logs, strict=True))
         counts = tuple(one + other for one, other in zip(base.counts, found.counts, strict=True))
-        return Total(key, base.alpha, logs, counts)
+        return CanaryTotal(key, base.alpha, logs, counts)
 
     # ------------------------------------------------ every copy
 
-    def _notable(self, state: State) -> object:
+    def _notable_part(self, state: State) -> object:
         return state.ended
 
-    def _followed(self, before: State) -> None:
+    def _on_state(self, before: State) -> None:
         self._heartbeat.received()
 
-    def alone(self) -> None:
+    def on_left_fleet(self) -> None:
         """Each trial here goes by its own alarm again."""
-        for trial in self._trying().on_trial().values():
+        for trial in self._routes().on_trial().values():
             trial.alone, trial.grown = True, nobody
 
-    def _grown(self) -> None:
+    def _on_bad_end(self) -> None:
         """A trial has seen a bad end: report it soon."""
-        soon = self._looked_ms + REPORT_MS
+        soon = self._checked_ms + REPORT_MS
         if soon < self.next_ms:
             self.next_ms = soon
             self._wake()
 
     def tick(self, now_ms: float) -> list[Report]:
         """End canaries that have a verdict, and report new evidence."""
-        trying = self._trying()
-        for key, why in self.state.ended:
-            trying.end(key, why)
-        trials = trying.on_trial()
-        self._led = self._heartbeat.has_owner(now_ms)
+        routes = self._routes()
+        for key, reason in self.state.ended:
+            routes.end(key, reason)
+        trials = routes.on_trial()
+        self._has_owner = self._heartbeat.has_owner(now_ms)
         watched = {total.key for total in self.state.totals}
-        if self._own_term != self._term:
-            self._own_term = self._term
-            self._own.clear()
-        keep_only(self._own, trials)
+        if self._baselines_term != self._term:
+            self._baselines_term = self._term
+            self._baselines.clear()
+        retain_keys(self._baselines, trials)
         rows: list[Evidence] = []
-        self._looked_ms, due_ms = now_ms, now_ms + LOOK_MS
+        self._checked_ms, due_ms = now_ms, now_ms + CHECK_INTERVAL_MS
         for key, trial in trials.items():
-            trial.grown = self._grown
-            trial.alone = not (self._led and key in watched)
+            trial.grown = self._on_bad_end
+            trial.alone = not (self._has_owner and key in watched)
             if not self._term:
                 continue
-            own = self._own.get(key)
-            if own is None:
-                own = self._own[key] = _Own(trial.logs, trial.counts, Resend(now_ms))
+            baseline = self._baselines.get(key)
+            if baseline is None:
+                baseline = self._baselines[key] = _Baseline(trial.logs, trial.counts, Resend(now_ms))
             logs = tuple(
-                math.floor((now - then) * UNIT) for now, then in zip(trial.logs, own.logs, strict=True)
+                math.floor((now - then) * LOG_UNIT)
+                for now, then in zip(trial.logs, baseline.logs, strict=True)
             )
-            if own.due.wants((logs, key in watched), now_ms):
-                counts = tuple(now - then for now, then in zip(trial.counts, own.counts, strict=True))
+            if baseline.due.wants((logs, key in watched), now_ms):
+                counts = tuple(now - then for now, then in zip(trial.counts, baseline.counts, strict=True))
                 rows.append(Evidence(key, trial.alpha, logs, counts))
-            due_ms = min(due_ms, own.due.due_ms)
-        self.next_ms = min(due_ms, self._heartbeat.until_ms) if self._led else due_ms
+            due_ms = min(due_ms, baseline.due.due_ms)
+        self.next_ms = min(due_ms, self._heartbeat.until_ms) if self._has_owner else due_ms
         reports: list[Report] = []
         for part in batches(rows):
             self._number += 1
-            reports.append(EvidenceReport(self._life, self._term, self._number, part))
+            reports.append(EvidenceReport(self._incarnation, self._term, self._number, part))
         return reports
--- a/larkweir/coordination/edits/ended.py
+++ b/larkweir/coordination/edits/ended.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple, Protocol
 
-from larkweir.coordination.duties.verdicts import read
+from larkweir.coordination.duties.verdicts import decode_state
 
 
 class Fleet(Protocol):
@@ -40,7 +40,7 @@
         if held is None:
             return
         term, number, state = held
-        keys = {key for key, _ in read(state).ended}
+        keys = {key for key, _ in decode_state(state).ended}
         self._written &= keys
         for key in sorted(keys & parts.keys() - self._written):
             yield End(key, *parts[key], term, number)
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -28,9 +28,9 @@
 from larkweir.config.options import Operator
 from larkweir.config.peering import keeping
 from larkweir.config.platform import Config, ConfigError
-from larkweir.coordination.duties.messages import Report, pack, unpack
-from larkweir.coordination.duties.ports import Work
-from larkweir.coordination.duties.table import Captured, Scout, Seat, made
+from larkweir.coordination.duties.messages import Report, decode_report, encode_report
+from larkweir.coordination.duties.ports import FleetTask
+from larkweir.coordination.duties.table import CaptureTasks, HealthSource, TaskContext, create_tasks
 from larkweir.core.clock import Clock, Timer
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.ports import Decisions
@@ -57,7 +57,7 @@
     decisions: Decisions
     peers: Socket | None
     owners: Part | None
-    captures: Captured | None
+    captures: CaptureTasks | None
     closers: list[Callable[[], None]]
     facts: list[Callable[[], dict[str, object]]]
 
@@ -65,7 +65,7 @@
 class _Told:
     """A duty, with what is taken told to the log."""
 
-    def __init__(self, work: Work, say: Callable[[str], None]) -> None:
+    def __init__(self, work: FleetTask, say: Callable[[str], None]) -> None:
         self.work = work
         self.name = work.name
         self._say = say
@@ -75,7 +75,7 @@
 
     def on_committed(self, state: bytes, version: Version) -> None:
         self.work.on_committed(state, version)
-        if state and self.work.notable():
+        if state and self.work.is_notable():
             self._say(f"owners: {self.name} {version[0]}.{version[1]} taken")
 
 
@@ -97,7 +97,7 @@
         self._reports = socket.mail(REPORTS, self._reported)
         self._times = LeaseTiming(lease_ms=own.lease_ms, step_ms=STEP_MS)
         self.owners: DutyManager | None = None
-        self.works: dict[str, Work] = {}
+        self.works: dict[str, FleetTask] = {}
         self._timer: Timer | None = None
         self._due_ms = 0.0
         self._owned: dict[str, int] = {}  # with their terms
@@ -178,10 +178,10 @@
     def _build(self, keeper: Acceptor | None) -> None:
         life = randbits(31)
         # The clock, by which lives of reports count, goes on over this process's lives.
-        seat = Seat(
+        seat = TaskContext(
             int(self._clock.now_ms()), self._routes, self._settle, self._host.captures, self.me, self._scout
         )
-        self.works = made(self.options.duties, seat)
+        self.works = create_tasks(self.options.duties, seat)
         self.owners = DutyManager(
             self.me,
             life,
@@ -198,11 +198,13 @@
         self._due_ms = self._clock.now_ms()
         self._turn()
 
-    def _scout(self) -> Scout:
-        from larkweir.coordination.scouting import Scouts  # what is not taken part in is not imported
+    def _scout(self) -> HealthSource:
+        from larkweir.coordination.scouting import (
+            SharedHealthAdapter,  # what is not taken part in is not imported
+        )
 
         dispatcher = self._host.dispatcher
-        return Scouts(self._deciding, lambda: dispatcher.upstreams.targets, dispatcher.heard)
+        return SharedHealthAdapter(self._deciding, lambda: dispatcher.upstreams.targets, dispatcher.heard)
 
     def _deciding(self) -> list[Balancer]:
         if self._routes is not None:
@@ -232,7 +234,7 @@
         if file is not None:
             self._shut(file, votes_as)
         for work in works.values():
-            work.alone()
+            work.on_left_fleet()
 
     def _shut(self, file: AcceptorFile, votes_as: Incarnation | None = None) -> None:
         assert self._thread is not None
@@ -299,10 +301,10 @@
             self._settle()
 
     def _reported(self, source: str, item: bytes, now_ms: float) -> None:
-        report = unpack(item)
+        report = decode_report(item)
         if report is not None:
             for work in self.works.values():
-                work.came(source, report, now_ms)
+                work.on_report(source, report, now_ms)
             self._poke(now_ms)
 
     def _turn(self) -> None:
@@ -335,9 +337,9 @@
         if record is None or not record.owner:
             return
         if record.owner == self.me:
-            self.works[name].came(self.me, report, now_ms)
+            self.works[name].on_report(self.me, report, now_ms)
         else:
-            self._reports.post(record.owner, pack(report))
+            self._reports.post(record.owner, encode_report(report))
 
     def _settle(self) -> None:
         """After each call of the rules: what is to be flushed, who owns what now, when it goes on."""
--- a/larkweir/coordination/scouting.py
+++ b/larkweir/coordination/scouting.py
@@ -10,12 +10,12 @@
 from larkweir_balancing.hearsay import Hearsay, Told
 from larkweir_balancing.interface import Heard
 
-from larkweir.coordination.duties.ports import Known
-from larkweir.coordination.duties.probers import BAD, NOTHING, PROBED, SERVED, key_of
+from larkweir.coordination.duties.ports import LocalSighting
+from larkweir.coordination.duties.probers import FAILING, NOTHING, PROBED, SERVED, key_of
 from larkweir.core.ports import UpstreamInfo
 
 
-class Scouts:
+class SharedHealthAdapter:
     """`duties.table.Scout` over all decisions of this process: an upstream that is in several pools may be left
     out by some of them.
     """
@@ -28,12 +28,12 @@
     ) -> None:
         self._decisions, self._targets, self._tell = decisions, targets, tell
         self._numbers: dict[bytes, int] = {}  # of what was known at the last look
-        self._ears()
+        self._listeners()
 
     def probes(self) -> bool:
         return any(balancer.settings.may_probe for balancer in self._decisions())
 
-    def _ears(self) -> list[Hearsay]:
+    def _listeners(self) -> list[Hearsay]:
         """Each balancer hears; those of a later generation from when it is first looked at."""
         found: list[Hearsay] = []
         for balancer in self._decisions():
@@ -42,11 +42,11 @@
             found.append(balancer.hearsay)
         return found
 
-    def known(self, now_ms: float) -> Mapping[bytes, Known]:
+    def sightings(self, now_ms: float) -> Mapping[bytes, LocalSighting]:
         self._numbers.clear()
-        targets, found = self._targets(), dict[bytes, Known]()
-        for ears in self._ears():
-            for told in ears.told(now_ms):
+        targets, found = self._targets(), dict[bytes, LocalSighting]()
+        for listener in self._listeners():
+            for told in listener.told(now_ms):
                 target = targets.get(told.server)
                 if target is None:
                     continue
@@ -55,20 +55,20 @@
                 found[key] = _joined(found.get(key), told)
         return found
 
-    def hear(self, key: bytes, found: int, age_ms: float, turn: bool) -> None:
+    def on_finding(self, key: bytes, finding: int, age_ms: float, is_prober: bool) -> None:
         number = self._numbers.get(key)
         if number is not None:
-            good = None if found == NOTHING else found != BAD
-            self._tell(Heard(number, good, age_ms, found == SERVED, turn))
+            good = None if finding == NOTHING else finding != FAILING
+            self._tell(Heard(number, good, age_ms, finding == SERVED, is_prober))
 
 
-def _joined(other: Known | None, told: Told) -> Known:
+def _joined(other: LocalSighting | None, told: Told) -> LocalSighting:
     """Left out where any has left it out; of what they found, the newest."""
-    found = NOTHING
+    finding = NOTHING
     if told.good is not None:
-        found = BAD if not told.good else SERVED if told.by_call else PROBED
-    mine = Known(told.out, found, told.age_ms if found else 0.0)
+        finding = FAILING if not told.good else SERVED if told.by_call else PROBED
+    mine = LocalSighting(told.out, finding, told.age_ms if finding else 0.0)
     if other is None:
         return mine
-    newer = mine if found and (not other.found or mine.age_ms < other.age_ms) else other
-    return Known(mine.out or other.out, newer.found, newer.age_ms)
+    newer = mine if finding and (not other.finding or mine.age_ms < other.age_ms) else other
+    return LocalSighting(mine.is_ejected or other.is_ejected, newer.finding, newer.age_ms)
--- a/standins/duties.py
+++ b/standins/duties.py
@@ -17,8 +17,8 @@
 from larkweir_simulated import Due, Network
 
 from larkweir.config.options import Route
-from larkweir.coordination.duties.messages import pack, unpack
-from larkweir.coordination.duties.ports import Work
+from larkweir.coordination.duties.messages import decode_report, encode_report
+from larkweir.coordination.duties.ports import FleetTask
 from larkweir.coordination.duties.ramps import Ramps
 from larkweir.coordination.duties.verdicts import Verdicts
 from larkweir.coordination.owners import STEP_MS
@@ -36,7 +36,7 @@
         self.fleet, self.name = fleet, name
         self.disk: AcceptorState | None = None
         self.owners: DutyManager | None = None
-        self.works: dict[str, Work] = {}
+        self.works: dict[str, FleetTask] = {}
         self.router = Router({ROUTE: fleet.route}, {}, {}, 0.0)
         self.lines: list[str] = []
         self.refused = 0
@@ -73,7 +73,7 @@
         self._flush_ms = network.now_ms
         self._timer = network.after(fleet.rng.random() * 50.0, self._tick, self.name)
 
-    def duties(self, life: int) -> list[Work]:
+    def duties(self, life: int) -> list[FleetTask]:
         return [Verdicts(life, lambda: self, self._woken), Ramps(life, lambda: self.router)]
 
     def kill(self) -> None:
@@ -122,10 +122,10 @@
             self.owners.on_message(source, data[1:], now)
             self._after()
         else:
-            report = unpack(data[1:])
+            report = decode_report(data[1:])
             assert report is not None
             for work in self.works.values():
-                work.came(source, report, now)
+                work.on_report(source, report, now)
             for name in self.owners.owned_duties:
                 self.owners.wake(name, now)
             self._after()
@@ -141,9 +141,9 @@
                     if record is None or not record.owner:
                         continue
                     if record.owner == self.name:
-                        work.came(self.name, report, now)
+                        work.on_report(self.name, report, now)
                     else:
-                        self._send(record.owner, REPORTS + pack(report))
+                        self._send(record.owner, REPORTS + encode_report(report))
                 owners.wake(name, now)
         owners.tick(now)
         self._after()
--- a/standins/probing.py
+++ b/standins/probing.py
@@ -32,9 +32,9 @@
 from larkweir_balancing.interface import Fail as Failed
 
 from larkweir.config.options import Route
-from larkweir.coordination.duties.ports import Work
+from larkweir.coordination.duties.ports import FleetTask
 from larkweir.coordination.duties.probers import Probers
-from larkweir.coordination.scouting import Scouts
+from larkweir.coordination.scouting import SharedHealthAdapter
 from standins.duties import Copy, Fleet
 
 DEADLINE_MS = 4_000.0
@@ -95,9 +95,9 @@
         self.tell(ListUpdate(ListKind.FULL, 1, world.list()))
         self.world.network.after(self._pause(), self._again, self.name)
 
-    def duties(self, life: int) -> list[Work]:
+    def duties(self, life: int) -> list[FleetTask]:
         world = self.world
-        scout = Scouts(lambda: [self.balancer], lambda: world.servers, self.tell)  # type: ignore[arg-type, return-value]
+        scout = SharedHealthAdapter(lambda: [self.balancer], lambda: world.servers, self.tell)  # type: ignore[arg-type, return-value]
         return [Probers(life, self.name, scout, scout.probes)]
 
     def _pause(self) -> float:
--- a/tests/fleet/test_captures_rules.py
+++ b/tests/fleet/test_captures_rules.py
@@ -28,9 +28,9 @@
 from larkweir.coordination.captures.part import _Post
 from larkweir.coordination.captures.scribe import OWNER, Ride, Scribe
 from larkweir.coordination.duties.messages import CaptureReport
-from larkweir.coordination.duties.messages import pack as pack_report
-from larkweir.coordination.duties.messages import unpack as unpack_report
-from larkweir.coordination.duties.thresholds import Thresholds
+from larkweir.coordination.duties.messages import decode_report as unpack_report
+from larkweir.coordination.duties.messages import encode_report as pack_report
+from larkweir.coordination.duties.thresholds import CaptureThresholds
 
 
 class Nowhere:
@@ -209,7 +209,9 @@
     def __init__(self, rest: float = 0.5) -> None:
         self.node = One(rest).node
         self.told: list[bytes] = []
-        self.duty = Thresholds(7, self.node, lambda: self.told.pop() if self.told else b"", 3000.0, rest)
+        self.duty = CaptureThresholds(
+            7, self.node, lambda: self.told.pop() if self.told else b"", 3000.0, rest
+        )
 
 
 def seen(firsts: dict[int, int], room: int) -> CaptureReport:
@@ -224,10 +226,10 @@
     state = copy.duty.step(b"", 0.0)
     assert state is not None and copy.duty.step(state, 10.0) is None  # no sooner than a second later
     copy.duty.on_committed(state, (3, 4))
-    assert copy.duty.notable()
+    assert copy.duty.is_notable()
     assert copy.duty.tick(50.0) == [] and copy.node.held.number == (3, 4)
     copy.duty.on_committed(state, (3, 3))
-    assert not copy.duty.notable()
+    assert not copy.duty.is_notable()
     copy.duty.tick(60.0)
     assert copy.node.held.number == (3, 4) and copy.node._leader == OWNER
 
@@ -237,7 +239,7 @@
     for second in range(8):
         now = second * 1000.0
         for name in ("a:1", "b:1"):
-            copy.duty.came(name, seen({5: 100_000, 6: 1_000}, 11_000), now)
+            copy.duty.on_report(name, seen({5: 100_000, 6: 1_000}, 11_000), now)
         found = copy.duty.step(state, now)
         if found is not None:
             state = found
@@ -259,9 +261,9 @@
     state = copy.duty.step(b"", 0.0)
     assert state is not None
     copy.duty.on_committed(state, (1, 1))
-    copy.duty.came("a:1", seen({5: 100_000}, 11_000), 5.0)
+    copy.duty.on_report("a:1", seen({5: 100_000}, 11_000), 5.0)
     copy.duty.on_committed(state, (2, 1))
-    copy.duty.came("a:1", seen({5: 100_000}, 11_000), 6.0)  # nobody's, until it owns the duty again
+    copy.duty.on_report("a:1", seen({5: 100_000}, 11_000), 6.0)  # nobody's, until it owns the duty again
     assert copy.duty.step(state, 10.0) is not None  # as one that has just begun
     assert copy.duty._coordinator is not None and copy.duty._coordinator.nodes == 0
 
@@ -278,11 +280,11 @@
     copy = Copy()
     copy.told = [b"item"]
     assert copy.duty.tick(0.0) == [CaptureReport(7, b"item")] and copy.duty.tick(100.0) == []
-    copy.duty.came("a:1", CaptureReport(7, b"nonsense"), 0.0)
-    assert copy.duty.refused == 0  # it owns nothing
+    copy.duty.on_report("a:1", CaptureReport(7, b"nonsense"), 0.0)
+    assert copy.duty.rejected == 0  # it owns nothing
     copy.duty.step(b"no table", 0.0)
-    copy.duty.came("a:1", CaptureReport(7, b"nonsense"), 0.0)
-    assert copy.duty.refused == 1
+    copy.duty.on_report("a:1", CaptureReport(7, b"nonsense"), 0.0)
+    assert copy.duty.rejected == 1
     copy.duty.on_committed(b"no table", (1, 1))
     copy.duty.tick(200.0)
     assert copy.node.held.number == (0, 0)
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -13,18 +13,25 @@
 from larkweir.config.options import Route
 from larkweir.coordination.duties import ramps, verdicts
 from larkweir.coordination.duties.messages import (
-    MOST_COPIES,
+    MAX_BALANCERS,
     Evidence,
     EvidenceReport,
+    RampReport,
+    RampRow,
     Report,
-    Wish,
-    WishReport,
-    pack,
-    unpack,
+    decode_report,
+    encode_report,
 )
-from larkweir.coordination.duties.ramps import Ramps, Stepped
+from larkweir.coordination.duties.ramps import Ramps, RampStep
 from larkweir.coordination.duties.timing import FORGET_MS, OWNER_TIMEOUT_MS
-from larkweir.coordination.duties.verdicts import LOGS, MOST_TRIALS, UNIT, Verdicts, read, stake
+from larkweir.coordination.duties.verdicts import (
+    LOG_COUNT,
+    LOG_UNIT,
+    MAX_TRIALS,
+    Verdicts,
+    decode_state,
+    stake,
+)
 from larkweir.routes.router import Router
 from larkweir.routes.split import Ramp
 from larkweir.routes.trial import FACTORS, Trial
@@ -51,7 +58,7 @@
 
 
 def evidence(**changes: object) -> Evidence:
-    row = {"key": "k", "alpha": 0.01, "logs": (0,) * LOGS, "counts": (0,) * 6} | changes
+    row = {"key": "k", "alpha": 0.01, "logs": (0,) * LOG_COUNT, "counts": (0,) * 6} | changes
     return Evidence(**row)  # type: ignore[arg-type]
 
 
@@ -79,10 +86,10 @@
         elif what == "report":
             old += [(n, report) for report in works[n].tick(now)]
             if old and data.draw(st.booleans()):
-                owner.came(f"copy{old[-1][0]}", old[-1][1], now)
+                owner.on_report(f"copy{old[-1][0]}", old[-1][1], now)
         elif what == "old" and old:
             source, report = data.draw(st.sampled_from(old))
-            owner.came(f"copy{source}", report, now)
+            owner.on_report(f"copy{source}", report, now)
         elif what == "step" or what == "term":
             if what == "term":
                 owner, version = works[n], (version[0] + 1, version[1] + 1)
@@ -93,11 +100,11 @@
                 state, version = told, (version[0], version[1] + 1)
                 for work in works:
                     work.on_committed(state, version)
-        for total in read(state).totals:
-            seen = [sum(trial_of(router).logs[at] for router in routers) for at in range(LOGS)]
+        for total in decode_state(state).totals:
+            seen = [sum(trial_of(router).logs[at] for router in routers) for at in range(LOG_COUNT)]
             bads = sum(trial_of(router).bads[1] for router in routers)
             assert total.counts[3] <= bads  # each of these ends wins the bets the same: none counts twice
-            assert all(value <= UNIT * most + 1e-6 for value, most in zip(total.logs, seen, strict=True))
+            assert all(value <= LOG_UNIT * most + 1e-6 for value, most in zip(total.logs, seen, strict=True))
 
 
 def test_two_copies_evidence_ends_what_neither_would_end_and_it_stays_ended() -> None:
@@ -112,15 +119,17 @@
     assert not trial_of(routers[0]).verdict and not trial_of(routers[1]).verdict
     for n, work in enumerate(works):
         for report in work.tick(60.0):
-            told = unpack(pack(report))
+            told = decode_report(encode_report(report))
             assert told is not None
-            works[0].came(f"copy{n}", told, 60.0)
+            works[0].on_report(f"copy{n}", told, 60.0)
     state = works[0].step(state, 100.0) or b""
-    assert read(state).ended and not read(state).totals
-    assert "the fleet saw that it fails more: 100.0% of 4, beside 0.0% of 40" in read(state).ended[0][1]
+    assert decode_state(state).ended and not decode_state(state).totals
+    assert (
+        "the fleet saw that it fails more: 100.0% of 4, beside 0.0% of 40" in decode_state(state).ended[0][1]
+    )
     for n, work in enumerate(works):
         work.on_committed(state, (1, 2))
-        assert work.notable() and not work.notable()
+        assert work.is_notable() and not work.is_notable()
         work.tick(200.0)
         assert not routers[n].on_trial() and routers[n].weights(ROUTE, 1e9)["new"] == 0.0
     routers[1] = routes()  # started anew
@@ -139,7 +148,7 @@
     state, seen = b"", 0
     for term, (owner, copies) in enumerate([(0, (0, 1)), (1, (0, 1)), (0, (0, 2)), (0, (0, 2))], 1):
         now = term * 5_000.0
-        works[owner].came("gone", EvidenceReport(1, term - 1, 9, (evidence(key="old"),)), now)
+        works[owner].on_report("gone", EvidenceReport(1, term - 1, 9, (evidence(key="old"),)), now)
         for n in copies:
             works[n].on_committed(state, (term, 1))
             works[n].tick(now)
@@ -151,13 +160,13 @@
             seen += 4
             for report in works[n].tick(now + 60.0):
                 for _ in range(2):
-                    works[owner].came("copy0" if n == 0 else "copy1", report, now + 60.0)
+                    works[owner].on_report("copy0" if n == 0 else "copy1", report, now + 60.0)
         state = works[owner].step(state, now + 100.0) or b""
-        (total,) = read(state).totals
-        summed = [sum(trial_of(router).logs[at] for router in lives) for at in range(LOGS)]
+        (total,) = decode_state(state).totals
+        summed = [sum(trial_of(router).logs[at] for router in lives) for at in range(LOG_COUNT)]
         assert sum(total.counts[:2]) == seen
         assert all(
-            0 <= UNIT * want - got < 2 * term + 1 for want, got in zip(summed, total.logs, strict=True)
+            0 <= LOG_UNIT * want - got < 2 * term + 1 for want, got in zip(summed, total.logs, strict=True)
         )
 
 
@@ -174,9 +183,9 @@
         (2, 5, 2, 5, 15),
     ):
         row = evidence(counts=(count, 0, 0, 0, 0, 0))
-        work.came("copy", EvidenceReport(life, term, number, (row,)), 0.0)
+        work.on_report("copy", EvidenceReport(life, term, number, (row,)), 0.0)
         work._base_term = 0  # so that each step writes
-        assert read(work.step(b"", 0.0) or b"").totals[0].counts[0] == expected
+        assert decode_state(work.step(b"", 0.0) or b"").totals[0].counts[0] == expected
 
 
 def test_a_copy_ends_alone_only_where_no_owner_watches_that_canary() -> None:
@@ -186,7 +195,7 @@
     (report,) = work.tick(0.0)
     work.tick(10.0)
     bad(trial_of(router), 2)
-    work.came("copy", report, 10.0)
+    work.on_report("copy", report, 10.0)
     assert trial_of(router).alone  # it is not named yet
     state = work.step(b"", 20.0) or b""
     work.on_committed(state, (1, 2))
@@ -205,13 +214,13 @@
     work.tick(0.0)
     work.tick(2_000.0)  # told twice more
     work.tick(4_000.0)
-    assert work.next_ms == 4_000.0 + verdicts.LOOK_MS
+    assert work.next_ms == 4_000.0 + verdicts.CHECK_INTERVAL_MS
     bad(trial_of(router), 1)
     bad(trial_of(router), 1)
     assert woken == [4_000.0 + verdicts.REPORT_MS]  # once for both
     (report,) = work.tick(woken[0])
     assert isinstance(report, EvidenceReport) and report.rows[0].counts[3] == 2
-    work.alone()
+    work.on_left_fleet()
     bad(trial_of(router), 1)
     assert len(woken) == 1 and trial_of(router).alone
 
@@ -230,11 +239,11 @@
 
 BOUNDS = [
     evidence(key="x" * 65),
-    evidence(logs=(0,) * (LOGS - 1)),
+    evidence(logs=(0,) * (LOG_COUNT - 1)),
     evidence(counts=(0,)),
     evidence(alpha=0.0),
     evidence(alpha=float("nan")),
-    evidence(logs=(10**12,) + (0,) * (LOGS - 1)),
+    evidence(logs=(10**12,) + (0,) * (LOG_COUNT - 1)),
 ]
 
 
@@ -242,25 +251,31 @@
 def test_what_no_copy_would_say_is_counted_and_dropped(row: Evidence) -> None:
     work = Verdicts(1, routes)
     work.on_committed(b"", (1, 1))
-    work.came("copy", EvidenceReport(1, 1, 1, (row,)), 0.0)
-    assert work.refused == 1 and work.step(b"", 0.0) is None
+    work.on_report("copy", EvidenceReport(1, 1, 1, (row,)), 0.0)
+    assert work.rejected == 1 and work.step(b"", 0.0) is None
 
 
 def test_states_reports_and_tables_are_bounded() -> None:
-    assert unpack(b"\xc1") is None and read(b"\xc1") == verdicts.State() and ramps.read(b"x") == ramps.State()
+    assert (
+        decode_report(b"\xc1") is None
+        and decode_state(b"\xc1") == verdicts.State()
+        and ramps.decode_state(b"x") == ramps.State()
+    )
     work = Verdicts(1, routes)
     work.on_committed(b"", (1, 1))
-    for n in range(3 * MOST_TRIALS):
-        work.came("copy", EvidenceReport(1, 1, n, (evidence(key=f"{n:064}", logs=(10**8,) * LOGS),)), 0.0)
+    for n in range(3 * MAX_TRIALS):
+        work.on_report(
+            "copy", EvidenceReport(1, 1, n, (evidence(key=f"{n:064}", logs=(10**8,) * LOG_COUNT),)), 0.0
+        )
     state = work.step(b"", 0.0) or b""
-    assert len(read(state).ended) == verdicts.MOST_ENDED and len(state) <= 6 * 1024
-    for n in range(MOST_COPIES + 5):
-        work.came(f"{n}", EvidenceReport(1, 2, 1, (evidence(),)), 0.0)
-    assert work.refused == MOST_TRIALS + 5
+    assert len(decode_state(state).ended) == verdicts.MAX_ENDED and len(state) <= 6 * 1024
+    for n in range(MAX_BALANCERS + 5):
+        work.on_report(f"{n}", EvidenceReport(1, 2, 1, (evidence(),)), 0.0)
+    assert work.rejected == MAX_TRIALS + 5
     work.on_committed(b"", (2, 1))
     state = work.step(b"", 0.0) or b""
-    assert [total.key for total in read(state).totals] == ["k"]
-    assert not read(work.step(state, FORGET_MS) or state).totals
+    assert [total.key for total in decode_state(state).totals] == ["k"]
+    assert not decode_state(work.step(state, FORGET_MS) or state).totals
 
 
 def test_good_canaries_are_ended_no_more_often_than_the_alarm_says_for_the_fleet() -> None:
@@ -282,7 +297,7 @@
 def test_the_stake_is_the_mean_over_factors_as_one_bet_has_it() -> None:
     trial = Trial(0.01)
     bad(trial, 3)
-    logs = tuple(int(value * UNIT) for value in trial.logs)
+    logs = tuple(int(value * LOG_UNIT) for value in trial.logs)
     assert stake(logs[: len(FACTORS)]) == pytest.approx(trial.failures.stake, rel=0.01)
 
 
@@ -312,16 +327,16 @@
         if told is not None:
             states.append((now, told))
             version = (version[0], version[1] + 1)
-            held = {ramp.key: ramp for ramp in ramps.read(told).ramps}
+            held = {ramp.key: ramp for ramp in ramps.decode_state(told).ramps}
             for ramp in held.values():
                 if not steps or steps[-1][1] != ramp.step:
                     steps.append((now, ramp.step))
         for n, work in enumerate(works):
             if away[n] <= now:
-                if told is not None or work.state != ramps.read(states[-1][1]):
+                if told is not None or work.state != ramps.decode_state(states[-1][1]):
                     work.on_committed(states[-1][1], version)
                 for report in work.tick(now):
-                    owner.came(f"copy{n}", report, now)
+                    owner.on_report(f"copy{n}", report, now)
             else:
                 work.tick(now)
             step = routers[n].stepped[ROUTE]
@@ -342,10 +357,10 @@
     assert router.stepped[ROUTE] == 10
     key = next(iter(router.ramping()))
     for step in (10, 4, 7):
-        work.came("copy", WishReport(1, (Wish(key, RAMP.ramp_ms, step),)), 9_600.0)
+        work.on_report("copy", RampReport(1, (RampRow(key, RAMP.ramp_ms, step),)), 9_600.0)
     assert work.step(b"", 9_700.0) is None
     state = work.step(b"", 10_100.0) or b""
-    assert ramps.read(state).ramps == (Stepped(key, RAMP.ramp_ms, 4),)
+    assert ramps.decode_state(state).ramps == (RampStep(key, RAMP.ramp_ms, 4),)
     work.on_committed(state, (1, 2))
     work.tick(10_200.0)
     work.on_committed(state, (1, 3))
@@ -369,15 +384,15 @@
 
 def test_bad_wishes_and_ramps_that_nobody_asks_for_any_more() -> None:
     work = Ramps(1, routes)
-    rows = (Wish("k" * 65, 1.0, 1), Wish("k", 0.0, 1), Wish("k", 1.0, 0), Wish("k", 1.0, 21))
-    work.came("copy", WishReport(1, rows), 0.0)
+    rows = (RampRow("k" * 65, 1.0, 1), RampRow("k", 0.0, 1), RampRow("k", 1.0, 0), RampRow("k", 1.0, 21))
+    work.on_report("copy", RampReport(1, rows), 0.0)
     for n in range(8):
-        many = tuple(Wish(f"{n}.{at}", 60_000.0, 1) for at in range(16))
-        work.came("copy", WishReport(1, many), 0.0)
-    assert work.refused == 4 + 8 * 16 - ramps.MOST_RAMPS
+        many = tuple(RampRow(f"{n}.{at}", 60_000.0, 1) for at in range(16))
+        work.on_report("copy", RampReport(1, many), 0.0)
+    assert work.rejected == 4 + 8 * 16 - ramps.MAX_RAMPS
     state = work.step(b"", 1000.0) or b""
-    assert len(ramps.read(state).ramps) == ramps.MOST_RAMPS and len(state) <= 6 * 1024
-    assert not ramps.read(work.step(state, 1000.0 + FORGET_MS) or b"x").ramps
+    assert len(ramps.decode_state(state).ramps) == ramps.MAX_RAMPS and len(state) <= 6 * 1024
+    assert not ramps.decode_state(work.step(state, 1000.0 + FORGET_MS) or b"x").ramps
 
 
 # ------------------------------------------------ fleets
--- a/tests/fleet/test_edits_part.py
+++ b/tests/fleet/test_edits_part.py
@@ -16,7 +16,7 @@
 from larkweir.config.operator import decode
 from larkweir.config.options import Operator
 from larkweir.config.platform import decode as decode_platform
-from larkweir.coordination.duties.replicated import encode
+from larkweir.coordination.duties.replicated import encode_state
 from larkweir.coordination.duties.verdicts import State
 from larkweir.coordination.edits.part import Part, attach, begin
 from larkweir.core.clock import Clock
@@ -148,7 +148,7 @@
     """The owners' part, at the process that owns the verdicts."""
 
     def __init__(self, term: int, number: int, *keys: str) -> None:
-        self._held = (term, number, encode(State(1, (), tuple((key, "worse") for key in keys))))
+        self._held = (term, number, encode_state(State(1, (), tuple((key, "worse") for key in keys))))
 
     def holds(self, name: str) -> tuple[int, int, bytes] | None:
         return self._held if name == "verdicts" else None
--- a/tests/fleet/test_golden_duties.py
+++ b/tests/fleet/test_golden_duties.py
@@ -15,15 +15,15 @@
     CaptureReport,
     Evidence,
     EvidenceReport,
+    RampReport,
+    RampRow,
     Report,
     Sighting,
     SightingReport,
-    Wish,
-    WishReport,
-    pack,
-    unpack,
+    decode_report,
+    encode_report,
 )
-from larkweir.coordination.duties.replicated import encode
+from larkweir.coordination.duties.replicated import encode_state
 
 GOLDEN = Path(__file__).parent / "golden"
 LIFE = 1_700_000_000_000
@@ -34,7 +34,7 @@
         21,
         (Evidence("r:next:10%", 0.01, (-1500, 0, 2**31), (100, 2, 1, 10, 1, 0)), Evidence("s", 0.05, (), ())),
     ),
-    "wishes": WishReport(LIFE, (Wish("r:ramp", 60_000.0, 4), Wish("s:ramp", 0.5, 0))),
+    "wishes": RampReport(LIFE, (RampRow("r:ramp", 60_000.0, 4), RampRow("s:ramp", 0.5, 0))),
     "sightings": SightingReport(
         LIFE, 3, (Sighting(b"\x00" * 8, True, 1, 250), Sighting(b"\xff" * 8, False, 3, 0))
     ),
@@ -42,23 +42,27 @@
 }
 STATES: dict[str, tuple[object, msgspec.Struct]] = {
     "verdicts": (
-        verdicts.read,
+        verdicts.decode_state,
         verdicts.State(
             5,
-            (verdicts.Total("r:next:10%", 0.01, (-1500, 0), (100, 2, 1, 10, 1, 0)),),
+            (verdicts.CanaryTotal("r:next:10%", 0.01, (-1500, 0), (100, 2, 1, 10, 1, 0)),),
             (("s:next", "it is slower"),),
         ),
     ),
-    "verdicts_empty": (verdicts.read, verdicts.State()),
+    "verdicts_empty": (verdicts.decode_state, verdicts.State()),
     "probers": (
-        probers.read,
+        probers.decode_state,
         probers.State(
-            9, (probers.Row(b"\x01" * 8, 2, 1200, (b"tag1", b"tag2")), probers.Row(b"k" * 8, 0, 0, ()))
+            9,
+            (
+                probers.ServerRow(b"\x01" * 8, 2, 1200, (b"tag1", b"tag2")),
+                probers.ServerRow(b"k" * 8, 0, 0, ()),
+            ),
         ),
     ),
-    "probers_empty": (probers.read, probers.State()),
-    "ramps": (ramps.read, ramps.State(2, (ramps.Stepped("r:ramp", 60_000.0, 4),))),
-    "ramps_empty": (ramps.read, ramps.State()),
+    "probers_empty": (probers.decode_state, probers.State()),
+    "ramps": (ramps.decode_state, ramps.State(2, (ramps.RampStep("r:ramp", 60_000.0, 4),))),
+    "ramps_empty": (ramps.decode_state, ramps.State()),
 }
 TABLE = wire.Table(7, 21, "owner", 1000, 2**55, {17: 0})
 
@@ -74,8 +78,8 @@
 
 @pytest.mark.parametrize("name", REPORTS)
 def test_a_report_is_read_and_written_as_before(name: str) -> None:
-    assert pack(REPORTS[name]) == FOUND[name]
-    assert unpack(FOUND[name]) == REPORTS[name]
+    assert encode_report(REPORTS[name]) == FOUND[name]
+    assert decode_report(FOUND[name]) == REPORTS[name]
 
 
 def test_every_kind_of_report_is_here() -> None:
@@ -85,7 +89,7 @@
 @pytest.mark.parametrize("name", STATES)
 def test_a_state_of_the_register_is_read_and_written_as_before(name: str) -> None:
     read, state = STATES[name]
-    assert encode(state) == FOUND[f"state_{name}"]
+    assert encode_state(state) == FOUND[f"state_{name}"]
     assert read(FOUND[f"state_{name}"]) == state  # type: ignore[operator]
 
 
@@ -98,6 +102,6 @@
 def test_names_that_operators_and_registers_know_are_as_before() -> None:
     keys = [probers.key_of("10.0.0.1:80"), probers.tag_of("10.0.0.1:7946")]
     assert keys == [FOUND["prober_key"], FOUND["prober_tag"]]
-    assert Drill.name == "drill" and thresholds.Thresholds.name == "captures"
+    assert Drill.name == "drill" and thresholds.CaptureThresholds.name == "captures"
     names = {item.name for item in (verdicts.Verdicts, probers.Probers, ramps.Ramps)}
     assert names == {"verdicts", "probers", "ramps"}
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -16,7 +16,7 @@
 from larkweir.config.fleet_tables import DUTIES
 from larkweir.config.operator import decode
 from larkweir.config.options import Operator, changed
-from larkweir.coordination.duties.table import MAKERS
+from larkweir.coordination.duties.table import FACTORIES
 from standins.manager import ROOT
 from standins.peers import PATIENCE_S
 from tests.fleet.services import PEERS_TABLE, peered, platform, shows, status
@@ -197,10 +197,10 @@
 
 
 def test_every_duty_that_may_be_named_has_a_maker_and_is_imported_only_then() -> None:
-    assert set(MAKERS) == set(DUTIES)
+    assert set(FACTORIES) == set(DUTIES)
     code = (
-        "import sys; from larkweir.coordination.duties.table import Seat, made; "
-        "found = made(['drill', 'ramps'], Seat(1, None, lambda: None)); "
+        "import sys; from larkweir.coordination.duties.table import TaskContext, create_tasks; "
+        "found = create_tasks(['drill', 'ramps'], TaskContext(1, None, lambda: None)); "
         "print(list(found), [n for n in sys.modules if n.startswith('larkweir.coordination.duties.')])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
--- a/tests/fleet/test_probers.py
+++ b/tests/fleet/test_probers.py
@@ -24,32 +24,38 @@
 )
 
 from larkweir.config.options import Owners
-from larkweir.coordination.duties.messages import MOST_ROWS, Sighting, SightingReport, pack, unpack
-from larkweir.coordination.duties.ports import Known
+from larkweir.coordination.duties.messages import (
+    MAX_ROWS,
+    Sighting,
+    SightingReport,
+    decode_report,
+    encode_report,
+)
+from larkweir.coordination.duties.ports import LocalSighting
 from larkweir.coordination.duties.probers import (
-    BAD,
-    BY_CALL,
-    CLOSE_MS,
-    DEAF_MS,
-    KEY,
-    MOST_CANDIDATES,
-    MOST_SEEN,
-    MOST_SERVERS,
+    CLOSE_AFTER_MS,
+    FAILING,
+    KEY_BYTES,
+    MAX_BAD_FINDINGS,
+    MAX_CANDIDATES,
+    MAX_SERVERS,
+    MAX_TRACKED_SERVERS,
     NOTHING,
     PROBED,
+    PROBER_TIMEOUT_MS,
+    PROBERS_BY_CALL,
     SERVED,
-    TURN,
     Probers,
-    Row,
+    ServerRow,
     State,
+    decode_state,
     key_of,
-    rank,
-    read,
+    prober_rank,
     tag_of,
 )
-from larkweir.coordination.duties.replicated import encode
+from larkweir.coordination.duties.replicated import encode_state
 from larkweir.coordination.duties.timing import HEARTBEAT_INTERVAL_MS, OWNER_TIMEOUT_MS, REFRESH_MS
-from larkweir.coordination.scouting import Scouts
+from larkweir.coordination.scouting import SharedHealthAdapter
 from standins.probing import Copier, Server, World
 
 KEY_A = key_of("10.9.1.1:8080")
@@ -57,17 +63,17 @@
 
 
 class Field:
-    """`Scouting` by hand."""
+    """`HealthSharing` by hand."""
 
     def __init__(self) -> None:
-        self.sees: dict[bytes, Known] = {}
+        self.sees: dict[bytes, LocalSighting] = {}
         self.heard: list[tuple[bytes, int, float, bool]] = []
 
-    def known(self, now_ms: float) -> Mapping[bytes, Known]:
+    def sightings(self, now_ms: float) -> Mapping[bytes, LocalSighting]:
         return self.sees
 
-    def hear(self, key: bytes, found: int, age_ms: float, turn: bool) -> None:
-        self.heard.append((key, found, age_ms, turn))
+    def on_finding(self, key: bytes, finding: int, age_ms: float, is_prober: bool) -> None:
+        self.heard.append((key, finding, age_ms, is_prober))
 
 
 class Desk:
@@ -82,15 +88,15 @@
 
     def say(self, copy: str, *rows: Sighting) -> None:
         self.numbers[copy] = self.numbers.get(copy, 0) + 1
-        report = unpack(pack(SightingReport(1, self.numbers[copy], rows)))
+        report = decode_report(encode_report(SightingReport(1, self.numbers[copy], rows)))
         assert report is not None
-        self.work.came(copy, report, self.now)
+        self.work.on_report(copy, report, self.now)
 
     def out(self, *copies: str, key: bytes = KEY_A, found: int = NOTHING) -> None:
         for copy in copies:
             self.say(copy, Sighting(key, True, found, 0))
 
-    def run(self, ms: float = 1_600.0) -> dict[bytes, Row]:
+    def run(self, ms: float = 1_600.0) -> dict[bytes, ServerRow]:
         until = self.now + ms
         while self.now < until:
             self.now += 50.0
@@ -99,14 +105,14 @@
                 assert len(state) <= MOST_STATE
                 self.state, self.version = state, (self.version[0], self.version[1] + 1)
                 self.work.on_committed(state, self.version)
-        return {row.key: row for row in read(self.state).rows}
+        return {row.key: row for row in decode_state(self.state).rows}
 
     def turn(self, key: bytes = KEY_A) -> tuple[bytes, ...]:
         return self.run()[key].probers
 
 
 def by_rank(key: bytes, *copies: str) -> list[str]:
-    return sorted(copies, key=lambda copy: rank(key, copy))
+    return sorted(copies, key=lambda copy: prober_rank(key, copy))
 
 
 # ------------------------------------------------ the owner
@@ -126,11 +132,11 @@
     desk.out(*names)
     for name in (*names, names[0]):
         assert desk.turn() == (tag_of(name),)
-        for _ in range(TURN):
+        for _ in range(MAX_BAD_FINDINGS):
             desk.now += 1.0
-            desk.out(name, found=BAD)
+            desk.out(name, found=FAILING)
             desk.out(*names)  # they are there
-    assert desk.run()[KEY_A].found == BAD
+    assert desk.run()[KEY_A].finding == FAILING
 
 
 def test_a_prober_that_dies_loses_the_turn() -> None:
@@ -138,7 +144,7 @@
     names = by_rank(KEY_A, "one", "two", "three")
     desk.out(*names)
     assert desk.turn() == (tag_of(names[0]),)
-    for _ in range(int(DEAF_MS / 500.0) + 2):
+    for _ in range(int(PROBER_TIMEOUT_MS / 500.0) + 2):
         desk.out(*names[1:])
         desk.run(500.0)
     assert desk.turn() == (tag_of(names[1]),)
@@ -148,7 +154,7 @@
     desk = Desk(probes=False)
     names = by_rank(KEY_A, *"abcdefghijkl")
     desk.out(*names)
-    assert desk.turn() == tuple(map(tag_of, names[:BY_CALL]))
+    assert desk.turn() == tuple(map(tag_of, names[:PROBERS_BY_CALL]))
 
 
 def test_a_good_finding_is_told_at_once_and_lets_go_of_the_server() -> None:
@@ -158,8 +164,8 @@
     assert desk.turn() == (tag_of(names[0]),)
     desk.say(names[0], Sighting(KEY_A, True, PROBED, 0))
     row = desk.run(600.0)[KEY_A]
-    assert row.found == PROBED and row.age_ms <= 600
-    assert desk.run(CLOSE_MS + 500.0) == {}
+    assert row.finding == PROBED and row.age_ms <= 600
+    assert desk.run(CLOSE_AFTER_MS + 500.0) == {}
 
 
 def test_of_others_only_calls_tell() -> None:
@@ -168,15 +174,15 @@
     prober, other = by_rank(KEY_A, "one", "two")
     desk.out(prober, other)
     desk.run()
-    for found, then in ((BAD, NOTHING), (PROBED, NOTHING), (SERVED, SERVED)):
+    for found, then in ((FAILING, NOTHING), (PROBED, NOTHING), (SERVED, SERVED)):
         desk.now += 1.0
         desk.say(other, Sighting(KEY_A, True, found, 0))
         desk.out(prober)
-        assert desk.run()[KEY_A].found == then
+        assert desk.run()[KEY_A].finding == then
     desk.say(prober, Sighting(KEY_A, True, PROBED, 0))
-    assert desk.run()[KEY_A].found == PROBED
-    desk.say(other, Sighting(KEY_A, True, BAD, 0))
-    assert desk.run()[KEY_A].found == BAD
+    assert desk.run()[KEY_A].finding == PROBED
+    desk.say(other, Sighting(KEY_A, True, FAILING, 0))
+    assert desk.run()[KEY_A].finding == FAILING
 
 
 def test_an_older_finding_and_an_older_report_change_nothing() -> None:
@@ -184,11 +190,11 @@
     prober, other = by_rank(KEY_A, "one", "two")
     desk.out(prober, other)
     desk.run()
-    desk.say(prober, Sighting(KEY_A, True, BAD, 0))
+    desk.say(prober, Sighting(KEY_A, True, FAILING, 0))
     desk.say(prober, Sighting(KEY_A, True, PROBED, 500))
-    assert desk.run()[KEY_A].found == BAD
-    desk.work.came(prober, SightingReport(1, 1, (Sighting(KEY_A, False, SERVED, 0),)), desk.now)  # late
-    assert desk.run()[KEY_A].found == BAD
+    assert desk.run()[KEY_A].finding == FAILING
+    desk.work.on_report(prober, SightingReport(1, 1, (Sighting(KEY_A, False, SERVED, 0),)), desk.now)  # late
+    assert desk.run()[KEY_A].finding == FAILING
 
 
 def test_a_new_owner_goes_on_from_what_is_held() -> None:
@@ -196,18 +202,18 @@
     prober, other = by_rank(KEY_A, "one", "two")
     desk.out(prober, other)
     desk.run()
-    desk.say(prober, Sighting(KEY_A, True, BAD, 0))
+    desk.say(prober, Sighting(KEY_A, True, FAILING, 0))
     desk.run()
     heir.state, heir.version = desk.state, (2, 0)
     heir.work.on_committed(heir.state, heir.version)
     heir.work.tick(heir.now)
     heir.now += 900.0
     held = heir.run(100.0)[KEY_A]
-    before = read(desk.state).rows[0].age_ms
-    assert held.found == BAD and before + 900 <= held.age_ms <= before + 1_000 and held.probers == ()
+    before = decode_state(desk.state).rows[0].age_ms
+    assert held.finding == FAILING and before + 900 <= held.age_ms <= before + 1_000 and held.probers == ()
     heir.out(prober, other)
     assert heir.turn() == (tag_of(prober),)
-    heir.run(REFRESH_MS + 2 * DEAF_MS)
+    heir.run(REFRESH_MS + 2 * PROBER_TIMEOUT_MS)
     assert heir.run() == {}  # nobody tells of it any more
 
 
@@ -225,7 +231,7 @@
         copy = data.draw(st.sampled_from(copies))
         first = data.draw(st.integers(0, many - 1))
         rows = []
-        for key in (keys + keys)[first : first + MOST_ROWS][:many]:
+        for key in (keys + keys)[first : first + MAX_ROWS][:many]:
             left = data.draw(st.booleans())
             (out[key].add if left else out[key].discard)(copy)
             rows.append(
@@ -233,36 +239,43 @@
             )
         desk.say(copy, *rows)
         found = desk.run(data.draw(st.sampled_from((50.0, 600.0, 3_000.0))))
-        assert len(found) <= MOST_SERVERS
+        assert len(found) <= MAX_SERVERS
     found = desk.run(1_600.0)
     for key, row in found.items():
         assert set(row.probers) <= {tag_of(copy) for copy in out[key]}
-        assert len(row.probers) <= (BY_CALL if not desk.work._probes() else 1)
+        assert len(row.probers) <= (PROBERS_BY_CALL if not desk.work._probes() else 1)
 
 
 def test_words_that_make_no_sense_are_counted_and_dropped() -> None:
     desk = Desk()
-    desk.say("one", Sighting(b"x", True, BAD, 0), Sighting(KEY_A, True, 9, 0), Sighting(KEY_A, True, BAD, -1))
-    assert desk.work.refused == 3
-    for n in range(MOST_SEEN + 5):
+    desk.say(
+        "one",
+        Sighting(b"x", True, FAILING, 0),
+        Sighting(KEY_A, True, 9, 0),
+        Sighting(KEY_A, True, FAILING, -1),
+    )
+    assert desk.work.rejected == 3
+    for n in range(MAX_TRACKED_SERVERS + 5):
         desk.out("one", key=b"%08d" % n)
-    assert desk.work.refused == 8
-    for n in range(3 * MOST_CANDIDATES):
+    assert desk.work.rejected == 8
+    for n in range(3 * MAX_CANDIDATES):
         desk.out(f"copy{n}", key=b"%08d" % 1)
-    assert len(desk.work._servers[b"%08d" % 1].candidates) == MOST_CANDIDATES
-    assert read(b"\xff\x00") == State() and unpack(b"\x93") is None
+    assert len(desk.work._servers[b"%08d" % 1].candidates) == MAX_CANDIDATES
+    assert decode_state(b"\xff\x00") == State() and decode_report(b"\x93") is None
 
 
 def test_further_servers_than_a_state_holds_are_each_copys_own() -> None:
     desk = Desk()
-    for n in range(MOST_SERVERS + 10):
+    for n in range(MAX_SERVERS + 10):
         desk.out("one", "other", key=b"%08d" % n)
-    assert len(desk.run()) == MOST_SERVERS
+    assert len(desk.run()) == MAX_SERVERS
 
 
 def test_the_largest_state_fits() -> None:
-    rows = tuple(Row(b"%08d" % n, SERVED, 120_000, (b"abcd",) * BY_CALL) for n in range(MOST_SERVERS))
-    assert len(encode(State(1 << 40, rows))) <= MOST_STATE and len(rows[0].key) == KEY
+    rows = tuple(
+        ServerRow(b"%08d" % n, SERVED, 120_000, (b"abcd",) * PROBERS_BY_CALL) for n in range(MAX_SERVERS)
+    )
+    assert len(encode_state(State(1 << 40, rows))) <= MOST_STATE and len(rows[0].key) == KEY_BYTES
 
 
 # ------------------------------------------------ a copy
@@ -271,15 +284,17 @@
 def test_a_copy_hears_the_age_grow_and_no_turn_from_an_owner_that_is_gone() -> None:
     field = Field()
     work = Probers(1, "me", field, lambda: True)
-    field.sees[KEY_A] = Known(True, BAD, 100.0)
-    work.on_committed(encode(State(1, (Row(KEY_A, BAD, 700, (tag_of("me"),)),))), (1, 1))
+    field.sees[KEY_A] = LocalSighting(True, FAILING, 100.0)
+    work.on_committed(encode_state(State(1, (ServerRow(KEY_A, FAILING, 700, (tag_of("me"),)),))), (1, 1))
     work.tick(1_000.0)
-    assert field.heard == [(KEY_A, NOTHING, 0.0, True), (KEY_A, BAD, 700.0, False)]
+    assert field.heard == [(KEY_A, NOTHING, 0.0, True), (KEY_A, FAILING, 700.0, False)]
     field.heard.clear()
     work.tick(1_250.0)  # once each state is heard, and the turn at each look
     assert field.heard == [(KEY_A, NOTHING, 0.0, True)]
     field.heard.clear()
-    work.on_committed(encode(State(1, (Row(KEY_A, BAD, 700, (tag_of("me"),)),))), (1, 2))  # a lease renewed
+    work.on_committed(
+        encode_state(State(1, (ServerRow(KEY_A, FAILING, 700, (tag_of("me"),)),))), (1, 2)
+    )  # a lease renewed
     work.tick(1_500.0)
     assert field.heard == [(KEY_A, NOTHING, 0.0, True)]
     field.heard.clear()
@@ -290,13 +305,13 @@
 def test_a_copy_tells_once_and_again_under_a_new_term_and_each_finding_in_its_turn() -> None:
     field = Field()
     work = Probers(1, "me", field, lambda: True)
-    field.sees[KEY_A] = Known(True, BAD, 0.0)
+    field.sees[KEY_A] = LocalSighting(True, FAILING, 0.0)
 
     def told(ms: float, begin: float) -> int:
         count = 0
         for n in range(int(ms / 250.0)):
             now = begin + n * 250.0
-            field.sees[KEY_A] = Known(True, BAD, now - now // LOOK_MS * LOOK_MS)
+            field.sees[KEY_A] = LocalSighting(True, FAILING, now - now // LOOK_MS * LOOK_MS)
             count += len(work.tick(now))
         return count
 
@@ -304,7 +319,7 @@
     assert told(10_000.0, 0.0) == 3  # and twice more in case that was lost
     work.on_committed(b"", (2, 1))
     assert told(10_000.0, 10_000.0) == 3
-    state = encode(State(1, (Row(KEY_A, BAD, 0, (tag_of("me"),)),)))
+    state = encode_state(State(1, (ServerRow(KEY_A, FAILING, 0, (tag_of("me"),)),)))
     work.on_committed(state, (2, 2))
     assert 3 <= told(3_900.0, 20_000.0) <= 6
 
@@ -315,18 +330,18 @@
     pools = [Balancer(of, 1), Balancer(of, 2)]
     heard: list[Heard] = []
     targets = {n: Server(n, 1) for n in (1, 2)}
-    scout = Scouts(lambda: pools, lambda: targets, heard.append)  # type: ignore[arg-type, return-value]
+    scout = SharedHealthAdapter(lambda: pools, lambda: targets, heard.append)  # type: ignore[arg-type, return-value]
     for pool in pools:
         pool.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n, ServerState.READY) for n in (1, 2, 3)]))
     for pool, number, at in ((0, 1, 10.0), (1, 1, 20.0), (1, 2, 30.0), (1, 3, 30.0)):
         server = pools[pool].fleet.servers[number]
         server.ejections = 1
         pools[pool].hearsay.ended(server, Outcome.CONNECT_FAILED, at)
-    known = scout.known(100.0)
+    known = scout.sightings(100.0)
     one, two = (key_of("{}:{}".format(*targets[n].address)) for n in (1, 2))
-    assert known == {one: Known(True, BAD, 80.0), two: Known(True, BAD, 70.0)}
-    scout.hear(one, PROBED, 5.0, False)
-    scout.hear(key_of("10.0.0.1:1"), BAD, 5.0, True)
+    assert known == {one: LocalSighting(True, FAILING, 80.0), two: LocalSighting(True, FAILING, 70.0)}
+    scout.on_finding(one, PROBED, 5.0, False)
+    scout.on_finding(key_of("10.0.0.1:1"), FAILING, 5.0, True)
     assert heard == [Heard(1, True, 5.0, False, False)] and not scout.probes()
 
 
@@ -382,7 +397,7 @@
     world.servers[number].away = False
     world.watched = [number]
     begun = world.network.now_ms
-    world.run((TURN + 1) * 3 * LOOK_MS + SPREAD_MS + 6_000.0)
+    world.run((MAX_BAD_FINDINGS + 1) * 3 * LOOK_MS + SPREAD_MS + 6_000.0)
     assert len(served(world, number, begun)) >= 9
     assert not served(world, number, begun) & set(first)
 
