--- a/packages/replication/src/larkweir_replication/durability.py
+++ b/packages/replication/src/larkweir_replication/durability.py
@@ -42,7 +42,7 @@
         """Notes that the disk refused the record of `token` and all earlier ones."""
         self._drop_pending(token)
 
-    def holds_or_writes(self, snapshot: Snapshot) -> bool:
+    def is_durable_or_pending(self, snapshot: Snapshot) -> bool:
         """Whether that state is on the disk or on its way there."""
         if self.durable.snapshot == snapshot:
             return True
--- a/packages/replication/src/larkweir_replication/state.py
+++ b/packages/replication/src/larkweir_replication/state.py
@@ -80,7 +80,7 @@
 
     def persist_if_missing(self, snapshot: Snapshot) -> None:
         """Begins a write where that state is neither on the disk nor on its way there."""
-        if not self.durability.holds_or_writes(snapshot):
+        if not self.durability.is_durable_or_pending(snapshot):
             self.persist()
 
     # Effects
--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -170,7 +170,7 @@
     def _handle_call(self, source: str, call: Call) -> None:
         """Submits a call, as the primary or as a machine that another one believes to be it."""
         replica, now_ms = self.running, self.cluster.network.now_ms
-        self.cluster.callers[call.ticket] = (source, self.name)
+        self.cluster.requesters[call.ticket] = (source, self.name)
         if call.command is None:
             replica.read(call.ticket, now_ms)
         else:
@@ -178,11 +178,11 @@
         self._run_effects(replica.take_effects())
 
     def _answer(self, answer: Answer) -> None:
-        caller, _ = self.cluster.callers[answer.ticket]
-        if caller == self.name:
+        requester, _ = self.cluster.requesters[answer.ticket]
+        if requester == self.name:
             self.cluster.on_answer(answer)
         else:
-            self._send(caller, answer)
+            self._send(requester, answer)
 
     def _send(self, node: str, message: Message | Call | Answer) -> None:
         self.cluster.network.send(self.name, node, msgspec.json.encode(message))
@@ -246,7 +246,7 @@
         self.target_member_count = 2 * tolerance + 1
         self.machines = {name: Machine(self, name, bootstrap=True) for name in names}
         self.frozen: set[str] = set()
-        self.callers: dict[int, tuple[str, str]] = {}  # by ticket: who asked, and who answers
+        self.requesters: dict[int, tuple[str, str]] = {}  # by ticket: who asked, and who answers
         self.commands: dict[int, str] = {}  # by ticket
         self.acknowledged: dict[str, float] = {}  # commands, by when that was first said
         self.rejected: set[str] = set()
--- a/packages/replication/tests/replication_disk.py
+++ b/packages/replication/tests/replication_disk.py
@@ -69,10 +69,10 @@
         if outcome < 0.6 and len(self.files.files.get(JOURNAL_FILE, b"")) > len(
             before.get(JOURNAL_FILE, b"")
         ):
-            whole = self.files.files[JOURNAL_FILE]
-            kept = len(before.get(JOURNAL_FILE, b""))
-            cut = self.rng.randrange(kept, len(whole))
-            self.files.files = {**before, JOURNAL_FILE: whole[:cut]}
+            intact = self.files.files[JOURNAL_FILE]
+            prefix_bytes = len(before.get(JOURNAL_FILE, b""))
+            cut = self.rng.randrange(prefix_bytes, len(intact))
+            self.files.files = {**before, JOURNAL_FILE: intact[:cut]}
 
     def when_responsive(self, then: Callable[[], None]) -> None:
         """Calls `then` at once, or once the disk no longer stalls."""
--- a/packages/replication/tests/replication_faults.py
+++ b/packages/replication/tests/replication_faults.py
@@ -11,7 +11,7 @@
 
 RECOVERY_MS = 4_000.0
 LONG_PARTITION_MS = 20_000.0
-SETTLE_MS = 4_000.0
+STABLE_MS = 4_000.0
 
 
 class FaultInjector:
@@ -23,7 +23,7 @@
         "freeze",
         "cut",
         "long_cut",
-        "hear_nothing",
+        "receive_nothing",
         "reach_nobody",
         "slow",
         "stall",
@@ -123,7 +123,7 @@
     def _long_cut(self, machine: Machine, for_ms: float) -> None:
         self._cut(machine, LONG_PARTITION_MS)
 
-    def _hear_nothing(self, machine: Machine, for_ms: float) -> None:
+    def _receive_nothing(self, machine: Machine, for_ms: float) -> None:
         isolate(self.cluster, machine.name, outwards=False)
         self.cluster.network.after(for_ms, self.cluster.network.heal)
 
@@ -266,17 +266,17 @@
         for operator in operators:
             operator.act()
         if step == trial.steps // 2:
-            _settle(cluster, injector)
-    _settle(cluster, injector)
+            _run_without_faults(cluster, injector)
+    _run_without_faults(cluster, injector)
     cluster.check()
     assert len(cluster.committed().members) == cluster.target_member_count, cluster.committed().members
     return cluster
 
 
-def _settle(cluster: Cluster, injector: FaultInjector) -> None:
+def _run_without_faults(cluster: Cluster, injector: FaultInjector) -> None:
     """Repairs everything for so long that a valid command must be acknowledged."""
     injector.repair_all()
-    cluster.run(SETTLE_MS)
+    cluster.run(STABLE_MS)
     injector.repair_all()  # what was drawn before may have begun or ended meanwhile
-    cluster.run(SETTLE_MS)
+    cluster.run(STABLE_MS)
     cluster.assert_serves()
--- a/packages/replication/tests/replication_scenarios.py
+++ b/packages/replication/tests/replication_scenarios.py
@@ -38,7 +38,7 @@
     return primary, backup, third
 
 
-def settled_cluster(seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> Cluster:
+def stable_cluster(seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> Cluster:
     """A cluster that has found its primary."""
     cluster = Cluster(seed, size, tolerance, first)
     cluster.run(3_000.0)
--- a/packages/replication/tests/test_replication_cluster_leadership.py
+++ b/packages/replication/tests/test_replication_cluster_leadership.py
@@ -5,11 +5,11 @@
 import pytest
 from larkweir_replication import commands
 from replication_cluster import changes_in
-from replication_scenarios import isolate, primary_of, settled_cluster
+from replication_scenarios import isolate, primary_of, stable_cluster
 
 
 def test_a_calm_cluster_acknowledges_and_reads_back() -> None:
-    cluster = settled_cluster(1)
+    cluster = stable_cluster(1)
     primary = primary_of(cluster)
     cluster.submit(primary, "0:x")
     cluster.run(50.0)
@@ -27,7 +27,7 @@
 
 def test_a_dead_primary_is_replaced_within_two_seconds() -> None:
     for seed in range(20):
-        cluster = settled_cluster(seed)
+        cluster = stable_cluster(seed)
         first = primary_of(cluster)
         cluster.machines[first].stop()
         cluster.run(2_000.0)
@@ -39,7 +39,7 @@
 
 
 def test_a_primary_whose_disk_is_full_acknowledges_by_the_others() -> None:
-    cluster = settled_cluster(3)
+    cluster = stable_cluster(3)
     primary = primary_of(cluster)
     cluster.machines[primary].disk.full = True
     cluster.submit(primary, "0:x")
@@ -49,7 +49,7 @@
 
 def test_a_primary_whose_large_state_is_arriving_is_not_replaced() -> None:
     """Its heartbeats are held up for a second; the machines that receive from it say so."""
-    cluster = settled_cluster(6)
+    cluster = stable_cluster(6)
     primary = primary_of(cluster)
     others = sorted(set(cluster.machines) - {primary})
     epoch = cluster.machines[primary].running.promised
@@ -75,7 +75,7 @@
 
 
 def test_an_order_of_long_ago_is_acknowledged_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    cluster = settled_cluster(7)
+    cluster = stable_cluster(7)
     primary = primary_of(cluster)
     for number in range(1_500):
         cluster.submit(primary, f"{number}:x{number}")
@@ -89,7 +89,7 @@
 
 def test_an_order_older_than_memory_gets_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(commands, "MAX_APPLIED_COMMANDS", 10)
-    cluster = settled_cluster(8)
+    cluster = stable_cluster(8)
     primary = primary_of(cluster)
     for number in range(30):
         cluster.submit(primary, f"{number}:x{number}")
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_a_controller_cut_off_for_twenty_seconds(seed: int) -> None:
     """It neither confirms nor refuses, nor reads, and follows at once when it is back, hundreds of changes behind."""
-    cluster = settled_cluster(seed)
+    cluster = stable_cluster(seed)
     away = primary_of(cluster) if seed % 2 else sorted(cluster.machines)[0]
     isolate(cluster, away)
     refused, done = len(cluster.rejected), cluster.reads_done
--- a/packages/replication/tests/test_replication_cluster_membership.py
+++ b/packages/replication/tests/test_replication_cluster_membership.py
@@ -5,11 +5,11 @@
 import pytest
 from larkweir_replication.status import ReplicaStatus
 from replication_cluster import changes_in
-from replication_scenarios import isolate, primary_of, roles_of, run_until, settled_cluster
+from replication_scenarios import isolate, primary_of, roles_of, run_until, stable_cluster
 
 
 def test_a_machine_that_replaces_a_lost_one_becomes_a_member() -> None:
-    cluster = settled_cluster(4)
+    cluster = stable_cluster(4)
     cluster.remove_machine("m1")
     cluster.add_machine().start()
     cluster.run(6_000.0)
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_after_a_planned_replacement_one_more_may_stop_at_once(seed: int) -> None:
     """The newcomer first, then SIGTERM; the moment the old machine has ended, another stops."""
-    cluster = settled_cluster(seed)
+    cluster = stable_cluster(seed)
     cluster.submit(primary_of(cluster), "0:x")
     newcomer = cluster.add_machine()
     newcomer.start()
@@ -34,9 +34,9 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_machine_that_leaves_may_hold_the_only_other_copy(seed: int) -> None:
+def test_the_machine_that_leaves_may_have_the_only_other_replica(seed: int) -> None:
     """A change is on two disks of three; one of the two leaves, the other loses its disk behind it."""
-    cluster = settled_cluster(seed)
+    cluster = stable_cluster(seed)
     primary, backup, third = roles_of(cluster)
     cluster.add_machine().start()
     cluster.run(1_000.0)
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(seed: int) -> None:
     """One member is about to count as lost when the primary and the newcomer are cut off from the other one."""
-    cluster = settled_cluster(seed)
+    cluster = stable_cluster(seed)
     primary, other, lost = roles_of(cluster)
     newcomer = cluster.add_machine()
     newcomer.start()
@@ -84,7 +84,7 @@
 
 def test_two_replacements_in_a_row() -> None:
     for seed in range(10):
-        cluster = settled_cluster(seed)
+        cluster = stable_cluster(seed)
         for leaving in ("m0", "m1", "m2"):
             cluster.add_machine().start()
             cluster.run(1_000.0)
@@ -95,8 +95,8 @@
         assert cluster.committed().members == ("m3", "m4", "m5")
 
 
-def test_a_plain_stop_and_start_keeps_its_place() -> None:
-    cluster = settled_cluster(5)
+def test_a_plain_restart_remains_a_member() -> None:
+    cluster = stable_cluster(5)
     for name in ("m0", "m1", "m2"):
         cluster.machines[name].leave()
         cluster.run(2_500.0)
@@ -107,16 +107,16 @@
     assert cluster.committed().members == ("m0", "m1", "m2")
 
 
-def test_machines_that_are_all_told_to_stop_serve_until_they_do() -> None:
+def test_machines_that_all_receive_a_stop_serve_until_they_end() -> None:
     for seed in range(10):
-        cluster = settled_cluster(seed)
+        cluster = stable_cluster(seed)
         for machine in cluster.machines.values():
             machine.leave()
         cluster.assert_serves(within_ms=1_400.0)
 
 
 def test_a_member_that_was_replaced_while_cut_off_stands_by_afterwards() -> None:
-    cluster = settled_cluster(6)
+    cluster = stable_cluster(6)
     _, cut_off, _ = roles_of(cluster)
     isolate(cluster, cut_off)
     newcomer = cluster.add_machine()
@@ -138,9 +138,9 @@
     assert cut_off in cluster.committed().members
 
 
-def test_a_replaced_member_finds_a_primary_of_which_it_never_heard() -> None:
+def test_a_replaced_member_finds_a_primary_that_it_does_not_know() -> None:
     """It comes back when the machine that took its place leads, and another of its old group has ended for good."""
-    cluster = settled_cluster(6)
+    cluster = stable_cluster(6)
     first, cut_off, leaving = roles_of(cluster)
     isolate(cluster, cut_off)
     newcomer = cluster.add_machine()
--- a/packages/replication/tests/test_replication_cluster_recovery.py
+++ b/packages/replication/tests/test_replication_cluster_recovery.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 import pytest
-from replication_scenarios import isolate, primary_of, roles_of, settled_cluster
+from replication_scenarios import isolate, primary_of, roles_of, stable_cluster
 
 
-def test_nothing_is_said_before_it_is_durable() -> None:
+def test_nothing_is_confirmed_before_it_is_durable() -> None:
     """A promise and an acceptance wait for the disk, however long it takes."""
-    cluster = settled_cluster(7)
+    cluster = stable_cluster(7)
     primary, backup, third = roles_of(cluster)
     cluster.machines[backup].disk.stalled = True
     replica = cluster.machines[backup].running
-    held = replica.promised
+    epoch_before = replica.promised
     cluster.machines[third].stop()
     cluster.submit(primary, "0:x")
     cluster.run(100.0)
@@ -20,14 +20,14 @@
     cluster.machines[primary].stop()
     cluster.machines[third].start()
     cluster.run(1_500.0)
-    assert replica.promised > held, "it has been asked"
+    assert replica.promised > epoch_before, "it has been asked"
     assert cluster.primary() is None, "the promise is on no disk yet"
     cluster.machines[backup].disk.go_on()
     cluster.assert_serves()
 
 
-def test_a_wiped_machine_has_no_vote_before_it_has_heard_the_others() -> None:
-    cluster = settled_cluster(5)
+def test_a_wiped_machine_has_no_vote_before_it_has_recovered() -> None:
+    cluster = stable_cluster(5)
     primary, backup, third = roles_of(cluster)
     cluster.network.cut(primary, third)
     cluster.network.cut(backup, third)
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_a_damaged_file_gives_its_machine_no_vote(seed: int) -> None:
     """Two of three have a change; the disk of one of them is damaged, the other is away: nobody leads without it."""
-    cluster = settled_cluster(seed)
+    cluster = stable_cluster(seed)
     primary, backup, third = roles_of(cluster)
     isolate(cluster, third)
     for number in range(6):
@@ -70,7 +70,7 @@
 
 
 def test_a_state_that_a_full_disk_refused_is_made_durable_when_it_is_sent_again() -> None:
-    cluster = settled_cluster(6)
+    cluster = stable_cluster(6)
     primary, backup, third = roles_of(cluster)
     cluster.machines[backup].disk.full = True
     cluster.machines[third].stop()
@@ -84,7 +84,7 @@
 
 def test_a_primary_whose_own_disk_was_full_writes_again() -> None:
     """One of three is gone for good, so that the primary's own disk is needed, and was full at the wrong moment."""
-    cluster = settled_cluster(6)
+    cluster = stable_cluster(6)
     primary, backup, third = roles_of(cluster)
     cluster.remove_machine(third)
     cluster.machines[primary].disk.full = True
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("kind", ["cut", "wiped", "damaged", "killed"])
 def test_a_member_hundreds_of_changes_behind_catches_up_and_can_lead(kind: str) -> None:
-    cluster = settled_cluster(9)
+    cluster = stable_cluster(9)
     _, late, _ = roles_of(cluster)
     machine = cluster.machines[late]
     machine.stop()
--- a/packages/replication/tests/test_replication_confirmation.py
+++ b/packages/replication/tests/test_replication_confirmation.py
@@ -16,7 +16,7 @@
     return confirmations
 
 
-def test_a_round_confirms_what_was_asked_before_it() -> None:
+def test_a_round_confirms_earlier_requests() -> None:
     confirmations = queue()
     assert confirmations.confirm(2, snapshot(1)) == []
     assert confirmations.confirm(3, snapshot(2)) == [ReadFinished(6, snapshot(2))]
--- a/packages/replication/tests/test_replication_durability.py
+++ b/packages/replication/tests/test_replication_durability.py
@@ -21,13 +21,13 @@
     assert durability.durable == record(2)
 
 
-def test_a_refused_write_is_neither_held_nor_on_its_way() -> None:
+def test_a_refused_write_is_neither_durable_nor_pending() -> None:
     durability = Durability(record(1))
     refused = durability.begin_write(record(2))
     later = durability.begin_write(record(3))
-    assert durability.holds_or_writes(snapshot(2))
+    assert durability.is_durable_or_pending(snapshot(2))
     durability.fail_write(refused.token)
-    assert not durability.holds_or_writes(snapshot(2))
-    assert durability.holds_or_writes(snapshot(1))
-    assert durability.holds_or_writes(snapshot(3))
+    assert not durability.is_durable_or_pending(snapshot(2))
+    assert durability.is_durable_or_pending(snapshot(1))
+    assert durability.is_durable_or_pending(snapshot(3))
     assert durability.complete_write(later.token) == record(3)
--- a/packages/replication/tests/test_replication_election.py
+++ b/packages/replication/tests/test_replication_election.py
@@ -15,7 +15,7 @@
     return Election(state_of("a", snapshot(3), known=(*MEMBERS, "d")), Timing(), 0.0)
 
 
-def test_the_pre_vote_asks_all_known_nodes_that_have_not_granted(election: Election) -> None:
+def test_pre_vote_requests_go_to_all_known_nodes_without_a_grant(election: Election) -> None:
     election.begin_pre_vote()
     assert not election.add_grant("a")
     assert election.add_grant("b")
@@ -38,7 +38,7 @@
     assert election.is_request_due(180.0)
 
 
-def test_a_candidate_asks_the_members_for_a_higher_epoch(election: Election) -> None:
+def test_a_candidate_requests_promises_of_a_higher_epoch(election: Election) -> None:
     election.prepare(0.0)
     assert election._state.promised == Epoch(2, "a")
     assert sent(election._state.take_effects()) == [(node, Prepare(Epoch(2, "a"))) for node in ("b", "c")]
@@ -51,7 +51,7 @@
     assert election._state.accepted == snapshot(4, epoch=Epoch(2, "a"))
 
 
-def test_members_that_only_a_newer_state_names_are_asked_too(election: Election) -> None:
+def test_members_that_only_a_newer_state_names_receive_requests_too(election: Election) -> None:
     election.prepare(0.0)
     election.add_promise("a", snapshot(3))
     election._state.take_effects()
--- a/packages/replication/tests/test_replication_election_timer.py
+++ b/packages/replication/tests/test_replication_election_timer.py
@@ -22,7 +22,7 @@
     assert timer.is_due(110.0)
 
 
-def test_random_waits_keep_their_bounds() -> None:
+def test_random_waits_are_within_their_bounds() -> None:
     timer = ElectionTimer(TIMING, Random(1), 0.0)
     for _ in range(200):
         assert 350.0 <= timer.draw_election_timeout_ms(is_leaving=False) < 600.0
--- a/packages/replication/tests/test_replication_golden_bytes.py
+++ b/packages/replication/tests/test_replication_golden_bytes.py
@@ -45,7 +45,7 @@
     b'{"epoch":[0,""],"sequence":0,"members":["10.0.0.1","10.0.0.2","10.0.0.3"],"previous_members":[],"value":"",'
     b'"taken":[],"forgotten":-1}'
 )
-STANDBY_COMES = Snapshot(  # 10.0.0.3 takes the place of 10.0.0.4
+STANDBY_JOINS = Snapshot(  # 10.0.0.3 takes the place of 10.0.0.4
     EPOCH,
     41,
     ("10.0.0.1", "10.0.0.2", "10.0.0.3"),
@@ -54,7 +54,7 @@
     (AppliedCommand(6, "sha-a"), AppliedCommand(7, "sha-b")),
     5,
 )
-STANDBY_COMES_BYTES = (
+STANDBY_JOINS_BYTES = (
     b'{"epoch":[3,"10.0.0.1"],"sequence":41,"members":["10.0.0.1","10.0.0.2","10.0.0.3"],'
     b'"previous_members":["10.0.0.1","10.0.0.2","10.0.0.4"],"value":"{\\"services\\": [\\"\xc3\xa9\\"]}",'
     b'"taken":[[6,"sha-a"],[7,"sha-b"]],"forgotten":5}'
@@ -73,12 +73,12 @@
     (Prepare(EPOCH), b'{"type":"prepare","epoch":[3,"10.0.0.1"]}'),
     (Promise(EPOCH, None), b'{"type":"promise","epoch":[3,"10.0.0.1"],"snapshot":null}'),
     (
-        Promise(EPOCH, STANDBY_COMES),
-        b'{"type":"promise","epoch":[3,"10.0.0.1"],"snapshot":' + STANDBY_COMES_BYTES + b"}",
+        Promise(EPOCH, STANDBY_JOINS),
+        b'{"type":"promise","epoch":[3,"10.0.0.1"],"snapshot":' + STANDBY_JOINS_BYTES + b"}",
     ),
     (
-        Replicate(STANDBY_COMES, 40),
-        b'{"type":"replicate","snapshot":' + STANDBY_COMES_BYTES + b',"committed":40}',
+        Replicate(STANDBY_JOINS, 40),
+        b'{"type":"replicate","snapshot":' + STANDBY_JOINS_BYTES + b',"committed":40}',
     ),
     (Replicate(FIRST, -1), b'{"type":"replicate","snapshot":' + FIRST_BYTES + b',"committed":-1}'),
     (Accepted(EPOCH, 41), b'{"type":"accepted","epoch":[3,"10.0.0.1"],"sequence":41}'),
@@ -122,11 +122,11 @@
 
 FIRST_LINE = b'8aec8294 1 {"promised":[0,""],"snapshot":' + FIRST_BYTES + b"}\n"
 PROMISE_LINE = b'bb270550 2 {"promised":[1,"10.0.0.2"],"snapshot":' + FIRST_BYTES + b"}\n"
-STANDBY_LINE = b'cd14f761 3 {"promised":[3,"10.0.0.1"],"snapshot":' + STANDBY_COMES_BYTES + b"}\n"
+STANDBY_LINE = b'cd14f761 3 {"promised":[3,"10.0.0.1"],"snapshot":' + STANDBY_JOINS_BYTES + b"}\n"
 FIRST_RECORD = DurableState(NO_EPOCH, FIRST)
 PROMISE_RECORD = DurableState(Epoch(1, "10.0.0.2"), FIRST)
-STANDBY_RECORD = DurableState(EPOCH, STANDBY_COMES)
-WHOLE = FIRST_LINE + PROMISE_LINE + STANDBY_LINE
+STANDBY_RECORD = DurableState(EPOCH, STANDBY_JOINS)
+INTACT_FILE = FIRST_LINE + PROMISE_LINE + STANDBY_LINE
 
 
 def found(folder: Path) -> dict[str, bytes]:
@@ -138,7 +138,7 @@
     journal = Journal(FolderFiles(str(folder)))
     for record in (FIRST_RECORD, PROMISE_RECORD, STANDBY_RECORD):
         journal.write(record)
-    assert found(folder) == {"replica.log": WHOLE}
+    assert found(folder) == {"replica.log": INTACT_FILE}
     assert stat.S_IMODE(os.stat(folder / "replica.log").st_mode) == 0o600
 
 
@@ -147,7 +147,7 @@
     [
         (FIRST_LINE, FIRST_RECORD),
         (FIRST_LINE + PROMISE_LINE, PROMISE_RECORD),
-        (WHOLE, STANDBY_RECORD),
+        (INTACT_FILE, STANDBY_RECORD),
     ],
 )
 def test_a_file_is_read(tmp_path: Path, written: bytes, record: DurableState) -> None:
@@ -174,10 +174,10 @@
     assert (journal.newest, journal.unreadable_bytes) == (PROMISE_RECORD, len(STANDBY_LINE) - 1)
     assert found(tmp_path) == {"replica.log": torn}
     journal.write(STANDBY_RECORD)
-    assert found(tmp_path) == {"replica.log": WHOLE}
+    assert found(tmp_path) == {"replica.log": INTACT_FILE}
 
 
-def test_a_damaged_file_is_kept_aside(tmp_path: Path) -> None:
+def test_a_damaged_file_is_renamed(tmp_path: Path) -> None:
     damaged = FIRST_LINE + PROMISE_LINE.replace(b"bb", b"bc", 1) + STANDBY_LINE
     (tmp_path / "replica.log").write_bytes(damaged)
     journal = Journal(FolderFiles(str(tmp_path)))
@@ -189,11 +189,11 @@
 
 
 def test_a_folder_with_the_damaged_file_alone_has_lost_its_memory(tmp_path: Path) -> None:
-    (tmp_path / "replica.log.damaged").write_bytes(WHOLE)
+    (tmp_path / "replica.log.damaged").write_bytes(INTACT_FILE)
     journal = Journal(FolderFiles(str(tmp_path)))
     assert (journal.newest, journal.is_damaged, journal.last_known_members) == (None, True, ())
     journal.write(FIRST_RECORD)
-    assert found(tmp_path) == {"replica.log": FIRST_LINE, "replica.log.damaged": WHOLE}
+    assert found(tmp_path) == {"replica.log": FIRST_LINE, "replica.log.damaged": INTACT_FILE}
 
 
 def test_a_long_file_is_rewritten_as_its_newest_record(tmp_path: Path) -> None:
--- a/packages/replication/tests/test_replication_journal.py
+++ b/packages/replication/tests/test_replication_journal.py
@@ -97,7 +97,7 @@
         assert Journal(files).newest == durable(4)
 
 
-def test_a_full_disk_leaves_what_was_there_and_the_next_write_is_whole() -> None:
+def test_a_full_disk_loses_nothing_and_the_next_write_is_intact() -> None:
     files = MemoryFiles()
     journal = Journal(files)
     journal.write(durable(1))
@@ -124,10 +124,10 @@
 def test_a_bit_flipped_before_the_last_record_loses_the_memory() -> None:
     """Whichever bit it is: no older record is taken for the newest."""
     files, starts = written(4)
-    whole = files.files[JOURNAL_FILE]
+    intact = files.files[JOURNAL_FILE]
     for at in range(starts[-1]):
         for bit in range(8):
-            damaged = bytearray(whole)
+            damaged = bytearray(intact)
             damaged[at] ^= 1 << bit
             files.files[JOURNAL_FILE] = bytes(damaged)
             journal = Journal(files)
@@ -136,29 +136,29 @@
             assert not journal.is_blank
 
 
-def test_a_bit_flipped_in_the_last_record_cannot_be_told_from_a_torn_one() -> None:
+def test_a_bit_flipped_in_the_last_record_looks_like_a_torn_one() -> None:
     files, starts = written(4)
-    whole = files.files[JOURNAL_FILE]
+    intact = files.files[JOURNAL_FILE]
     for seed in range(60):
         rng = Random(seed)
-        damaged = bytearray(whole)
-        damaged[rng.randrange(starts[-1], len(whole))] ^= 1 << rng.randrange(8)
+        damaged = bytearray(intact)
+        damaged[rng.randrange(starts[-1], len(intact))] ^= 1 << rng.randrange(8)
         files.files[JOURNAL_FILE] = bytes(damaged)
         assert Journal(files).newest == durable(3)
 
 
 def test_a_block_lost_in_the_middle_loses_the_memory() -> None:
     files, starts = written(6)
-    whole = files.files[JOURNAL_FILE]
+    intact = files.files[JOURNAL_FILE]
     for start in range(0, starts[-1] - 40, 7):
         for fill in (b"", bytes(40)):
-            files.files[JOURNAL_FILE] = whole[:start] + fill + whole[start + 40 :]
+            files.files[JOURNAL_FILE] = intact[:start] + fill + intact[start + 40 :]
             journal = Journal(files)
             assert journal.newest is None
             assert journal.is_damaged
 
 
-def test_a_damaged_file_is_kept_aside_and_the_next_record_is_found() -> None:
+def test_a_damaged_file_is_renamed_and_the_next_record_is_found() -> None:
     files, starts = written(4)
     damaged = bytearray(files.files[JOURNAL_FILE])
     damaged[starts[2] + 20] ^= 1
--- a/packages/replication/tests/test_replication_membership_requests.py
+++ b/packages/replication/tests/test_replication_membership_requests.py
@@ -10,7 +10,7 @@
 TIMING = Timing(join_interval_ms=300.0, leave_interval_ms=100.0)
 
 
-def test_all_known_nodes_are_asked_to_join_at_the_interval() -> None:
+def test_join_requests_go_to_all_known_nodes_at_the_interval() -> None:
     state = state_of("d", known=("a", "e"))
     requests = MembershipRequests(state, TIMING, 0.0)
     requests.request_join_if_due(299.0)
@@ -20,7 +20,7 @@
     assert sent(state.take_effects()) == [("a", Join()), ("e", Join())]
 
 
-def test_members_are_asked_to_leave_until_the_node_is_replaced() -> None:
+def test_leave_requests_are_repeated_until_the_node_is_replaced() -> None:
     state = state_of("a")
     requests = MembershipRequests(state, TIMING, 0.0)
     assert requests.is_leave_due(0.0)
--- a/packages/replication/tests/test_replication_planted.py
+++ b/packages/replication/tests/test_replication_planted.py
@@ -64,7 +64,7 @@
     patch.setattr(Snapshot, "has_quorum", has_quorum)
 
 
-def the_group_before_a_change_is_not_asked(patch: pytest.MonkeyPatch) -> None:
+def the_previous_members_have_no_vote(patch: pytest.MonkeyPatch) -> None:
     def has_quorum(self: Snapshot, nodes: set[str]) -> bool:
         return 2 * len(nodes.intersection(self.members)) > len(self.members)
 
@@ -126,7 +126,7 @@
     patch.setattr(Replica, "receive", receive)
 
 
-def a_candidate_keeps_its_own_state(patch: pytest.MonkeyPatch) -> None:
+def a_candidate_ignores_newer_states(patch: pytest.MonkeyPatch) -> None:
     def add_promise(self: Election, node: str, snapshot: Snapshot | None) -> bool:
         own = self._state.newest()
         self._promises[node] = snapshot
@@ -223,7 +223,7 @@
     patch.setattr(Replica, "_start", start)
 
 
-def the_own_disk_is_not_asked_again(patch: pytest.MonkeyPatch) -> None:
+def the_primary_does_not_retry_its_own_write(patch: pytest.MonkeyPatch) -> None:
     original = ReplicaState.persist_if_missing
 
     def persist_if_missing(self: ReplicaState, snapshot: Snapshot) -> None:
@@ -237,7 +237,7 @@
     PlantedFault("half is a majority", half_is_a_majority),
     PlantedFault(
         "the group before a change is not asked",
-        the_group_before_a_change_is_not_asked,
+        the_previous_members_have_no_vote,
         scenario=lambda: membership_scenarios.test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(
             0
         ),
@@ -245,7 +245,7 @@
     PlantedFault(
         "promises are given before they are durable",
         promises_are_given_before_they_are_durable,
-        scenario=recovery_scenarios.test_nothing_is_said_before_it_is_durable,
+        scenario=recovery_scenarios.test_nothing_is_confirmed_before_it_is_durable,
     ),
     PlantedFault(
         "states are confirmed before they are durable",
@@ -253,7 +253,7 @@
         POWER_LOST_ON_SLOW_DISKS,
     ),
     PlantedFault("lower epochs are served", lower_epochs_are_served),
-    PlantedFault("a candidate keeps its own state", a_candidate_keeps_its_own_state),
+    PlantedFault("a candidate keeps its own state", a_candidate_ignores_newer_states),
     PlantedFault("reads are not confirmed", reads_are_not_confirmed),
     PlantedFault("refusals are not confirmed", refusals_are_not_confirmed),
     PlantedFault("one answer recovers a memory", one_answer_recovers_a_memory),
@@ -263,7 +263,7 @@
     PlantedFault("committed without a majority", committed_without_a_majority),
     PlantedFault("an epoch is used twice", an_epoch_is_used_twice),
     PlantedFault("a wiped disk votes", a_wiped_disk_votes),
-    PlantedFault("the own disk is not asked again", the_own_disk_is_not_asked_again),
+    PlantedFault("the own disk is not asked again", the_primary_does_not_retry_its_own_write),
 ]
 
 
--- a/packages/replication/tests/test_replication_state.py
+++ b/packages/replication/tests/test_replication_state.py
@@ -39,7 +39,7 @@
     assert state.has_left
 
 
-def test_what_the_disk_holds_is_taken_over() -> None:
+def test_the_stored_state_is_restored() -> None:
     state = ReplicaState("a", ())
     state.restore(DurableState(Epoch(4, "c"), snapshot(2)))
     assert (state.promised, state.accepted) == (Epoch(4, "c"), snapshot(2))
--- a/packages/replication/tests/test_replication_trials.py
+++ b/packages/replication/tests/test_replication_trials.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_three_machines_keep_what_they_acknowledged(seed: int) -> None:
+def test_three_machines_lose_nothing_acknowledged(seed: int) -> None:
     assert run_trial(Trial(seed)).acknowledged
 
 
