--- a/larkweir/cluster/configuration/changes.py
+++ b/larkweir/cluster/configuration/changes.py
@@ -1,4 +1,7 @@
-"""An operator's change of the configuration: its identity, and what it makes of the present one."""
+"""Operators' changes of the configuration: their identity, and the state machine that applies them.
+
+`apply_change` is the deterministic function that the replicas carry out (`larkweir_replication`).
+"""
 
 from __future__ import annotations
 
@@ -14,21 +17,27 @@
 
 
 class RejectionReason(IntEnum):
-    """Why a change is not taken; the number is the status that the operator is given."""
+    """Why a change is rejected, as the HTTP status of the answer to the operator."""
 
     INVALID = 400
     STALE = 412
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """A refusal with its reason in a line."""
+    """A change was rejected; `detail` tells why, in one line."""
 
     reason: RejectionReason
     detail: str
 
 
 class ConfigurationChange(msgspec.Struct, frozen=True):
-    """A whole configuration (`patch` false) or a patch, to be built on the version `base`."""
+    """A change of the configuration.
+
+    Attributes:
+        patch: whether `body` is a patch; else it is a whole configuration.
+        base: the version that the change builds on; 0 for the first.
+        body: JSON, as the operator sent it.
+    """
 
     patch: bool
     base: int
@@ -36,43 +45,48 @@
 
     @property
     def identity(self) -> str:
-        """The same for the same order, whoever sends it again and however late."""
+        """An idempotency key: equal for equal changes, so that a repeated one is recognised."""
         text = f"{self.patch} {self.base} {self.body}"
         return sha256(text.encode()).hexdigest()[:IDENTITY_LENGTH]
 
     def encode(self) -> str:
-        """As text for the replicas."""
+        """Return it as text, for `apply_change`."""
         return msgspec.json.encode(self).decode()
 
 
 def configuration_version(value: str) -> int:
-    """The version of a configuration; 0 where there is none yet."""
+    """Return the version of a configuration; 0 where there is none yet."""
     return int(msgspec.json.decode(value)["generation"]) if value else 0
 
 
 def apply_change(value: str, change: str) -> Result[str, object]:
-    """The next configuration as text, or `Rejection`. A function of its arguments alone."""
-    order: ConfigurationChange = msgspec.json.decode(change, type=ConfigurationChange)
+    """Return the next configuration as text, or a `Rejection`.
+
+    Args:
+        value: the present configuration as text; empty where there is none yet.
+        change: an encoded `ConfigurationChange`.
+    """
+    parsed: ConfigurationChange = msgspec.json.decode(change, type=ConfigurationChange)
     current: Document = msgspec.json.decode(value) if value else {}
     version = current.get("generation", 0)
-    if order.base != version:
-        return Err(Rejection(RejectionReason.STALE, f"the version in place is {version}, not {order.base}"))
+    if parsed.base != version:
+        return Err(Rejection(RejectionReason.STALE, f"the version in place is {version}, not {parsed.base}"))
     try:
-        body = msgspec.json.decode(order.body)
-    except msgspec.DecodeError as problem:
-        return _invalid(f"the body is no JSON: {problem}")
+        body = msgspec.json.decode(parsed.body)
+    except msgspec.DecodeError as error:
+        return _invalid(f"the body is no JSON: {error}")
     if not isinstance(body, dict):
         return _invalid("the body is no object")
     generation = body.get("generation")
     if not isinstance(generation, int) or isinstance(generation, bool) or generation <= version:
         return _invalid(f"generation: {generation!r} is not a whole number above {version}")
-    if order.patch:
+    if parsed.patch:
         if not current:
             return _invalid("there is no configuration to change yet")
         try:
             body = apply_patch(current, body)
-        except PatchError as problem:
-            return _invalid(str(problem))
+        except PatchError as error:
+            return _invalid(str(error))
     from larkweir.cluster.configuration.schema import first_problem  # its library takes long to import
 
     wrong = first_problem(body)
--- a/larkweir/cluster/configuration/documents.py
+++ b/larkweir/cluster/configuration/documents.py
@@ -1,4 +1,8 @@
-"""Documents of configuration as JSON objects: items by name, patches, and what differs between two of them."""
+"""Configurations as JSON documents: applying a patch, and making one from two documents.
+
+The items of `COLLECTIONS` are known by name. A patch has the form
+`{"upsert": {"routes": [...]}, "remove": {"routes": ["name"]}, "other key": value}`.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +16,14 @@
 
 
 class PatchError(LarkweirError, ValueError):
-    """A patch that can't be applied; one line."""
+    """A patch does not have the form of one; the message names the key."""
 
 
 def apply_patch(document: Document, patch: Document) -> Document:
-    """`document` with the named items of the patch added, replaced or removed. Shares what is unchanged.
+    """Return `document` with the items of a patch added, replaced and removed; what is unchanged is shared.
 
-    Raises PatchError where the patch is of another form.
+    Raises:
+        PatchError: the patch does not have the form of one.
     """
     upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
@@ -40,33 +45,33 @@
 def _apply_to_items(items: list[Any], upsert: object, remove: object, key: str) -> list[Any]:
     if not isinstance(upsert, list) or not isinstance(remove, list):
         raise PatchError(f"{key}: a list is needed")
-    fresh: dict[str, Any] = {}
+    added: dict[str, Any] = {}
     for item in upsert:
         if not isinstance(item, dict) or not isinstance(item.get("name"), str):
             raise PatchError(f"{key}: each item is an object with a name")
-        fresh[item["name"]] = item
-    gone = set()
+        added[item["name"]] = item
+    removed = set()
     for name in remove:
         if not isinstance(name, str):
             raise PatchError(f"{key}: what is removed is named by text")
-        gone.add(name)
-    kept = [fresh.pop(item["name"], item) for item in items if item["name"] not in gone]
-    return kept + list(fresh.values())
+        removed.add(name)
+    remaining = [added.pop(item["name"], item) for item in items if item["name"] not in removed]
+    return remaining + list(added.values())
 
 
 def make_patch(old: Document, new: Document) -> Document:
-    """A patch that makes `new` of `old`, up to the order of items."""
+    """Return a patch that turns `old` into `new`, up to the order of items."""
     patch: Document = {"upsert": {}, "remove": {}}
     for key in {*old, *new}:
         if key in COLLECTIONS:
             before = {item["name"]: item for item in old.get(key, [])}
             after = {item["name"]: item for item in new.get(key, [])}
             changed = [item for name, item in after.items() if before.get(name) != item]
-            gone = [name for name in before if name not in after]
+            removed = [name for name in before if name not in after]
             if changed:
                 patch["upsert"][key] = changed
-            if gone:
-                patch["remove"][key] = gone
+            if removed:
+                patch["remove"][key] = removed
         elif old.get(key) != new.get(key):
             patch[key] = new.get(key)
     return patch
--- a/larkweir/cluster/configuration/schema.py
+++ b/larkweir/cluster/configuration/schema.py
@@ -1,4 +1,4 @@
-"""What a configuration must be to be valid. Fields that are not named here are kept as they came."""
+"""Validation of configurations. Fields that are not named here are allowed, and not changed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class WeightedBackend(_Item):
-    """One part of a route's traffic."""
+    """A service, and its weight in a route's traffic."""
 
     backend: str
     weight: float = Field(ge=0)
 
 
 class Route(_Item):
-    """Which requests go to which service, and how long they may take."""
+    """Which requests are sent to which service, and their deadline."""
 
     name: str
     host: str
@@ -30,7 +30,7 @@
 
     @property
     def backends(self) -> list[str]:
-        """The services that it names."""
+        """The names of its services."""
         if self.traffic_split is not None:
             return [part.backend for part in self.traffic_split]
         return [] if self.backend is None else [self.backend]
@@ -45,14 +45,14 @@
 
 
 class Service(_Item):
-    """A group of upstreams that do the same."""
+    """A group of interchangeable upstreams."""
 
     name: str
     max_conns: int = Field(default=100, ge=1)
 
 
 class Tenant(_Item):
-    """A customer, its keys and its limit."""
+    """A customer, its API keys and its rate limit."""
 
     name: str
     api_keys: list[str] = []
@@ -61,7 +61,7 @@
 
 
 class Limits(_Item):
-    """What a client may send and how long it may take."""
+    """Limits on what a client sends, and time-outs while it does."""
 
     max_header_bytes: int = Field(default=16_384, ge=1)
     max_body_bytes: int = Field(default=4_194_304, ge=0)
@@ -102,7 +102,7 @@
 
 
 def first_problem(document: object) -> str | None:
-    """What is wrong with a configuration, in a line that names the place; None where it is valid."""
+    """Return the first fault of a document, as a line that names the field; None where it is a valid configuration."""
     try:
         Configuration.model_validate(document)
     except ValidationError as error:
--- a/larkweir/cluster/controller_client.py
+++ b/larkweir/cluster/controller_client.py
@@ -1,4 +1,4 @@
-"""Calls of an operator's command to controllers, one after the other until one answers."""
+"""HTTP calls from an operator's command to any controller that answers."""
 
 from __future__ import annotations
 
@@ -17,12 +17,18 @@
 
 
 class ControllersUnreachableError(LarkweirError, RuntimeError):
-    """No controller gave a clear answer in time; a change may or may not be in force."""
+    """No controller gave a definite answer within `TOTAL_TIMEOUT_S`; a change may or may not have been committed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerResponse:
-    """A clear answer, and who gave it."""
+    """A definite answer: one with a status below 500.
+
+    Attributes:
+        controller: the control address of the controller that gave it.
+        status: the HTTP status.
+        body: the body, as received.
+    """
 
     controller: str
     status: int
@@ -32,19 +38,30 @@
 def call_controllers(
     controllers: Sequence[str], method: str, path: str, body: bytes | None = None, base: int | None = None
 ) -> ControllerResponse:
-    """The first answer below 500. `base`: the version that a change builds on. Raises ControllersUnreachableError."""
+    """Call the controllers in turn, over and over, until one gives a definite answer.
+
+    Args:
+        controllers: their control addresses, `HOST:PORT`.
+        method: the HTTP method.
+        path: the target.
+        body: the body of the request.
+        base: the version that a change builds on; sent as `If-Match`.
+
+    Raises:
+        ControllersUnreachableError: no controller did within `TOTAL_TIMEOUT_S`.
+    """
     headers = {} if base is None else {"If-Match": str(base)}
     deadline_s = time.monotonic() + TOTAL_TIMEOUT_S
     reason = "no controller is named"
     for address in itertools.cycle(controllers):
         try:
-            answer = _call(address, method, path, body, headers)
-        except (OSError, http.client.HTTPException) as problem:
-            reason = f"{address}: {problem or type(problem).__name__}"
+            response = _call(address, method, path, body, headers)
+        except (OSError, http.client.HTTPException) as error:
+            reason = f"{address}: {error or type(error).__name__}"
         else:
-            if answer.status < 500:
-                return answer
-            reason = f"{address}: {answer.status} {answer.body.decode(errors='replace')}"
+            if response.status < 500:
+                return response
+            reason = f"{address}: {response.status} {response.body.decode(errors='replace')}"
         if time.monotonic() >= deadline_s:
             break
         time.sleep(RETRY_DELAY_S)
--- a/larkweir/cluster/http_server.py
+++ b/larkweir/cluster/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server over h11 for the fleet's own interfaces: whole requests in, whole answers out."""
+"""A small HTTP/1.1 server over h11 for control interfaces: complete requests in, complete responses out."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request, whole. Header names are in lower case."""
+    """A complete request. Header names are in lower case."""
 
     method: str
     target: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One answer. `close`: the connection ends behind it."""
+    """A complete response. `close`: the connection ends after it."""
 
     status: int
     body: bytes = b""
@@ -40,72 +40,79 @@
 
 
 class HttpServerConnection(asyncio.Protocol):
-    """One client's connection; requests on it are answered in turn."""
+    """One client's connection; requests on it are answered one after another."""
 
     def __init__(self, handler: Handler, max_body_bytes: int) -> None:
-        """A body over `max_body_bytes` is answered with 413."""
+        """Create the protocol of one connection.
+
+        Args:
+            handler: answers requests; an exception is logged and answered with 500.
+            max_body_bytes: a larger body is answered with 413.
+        """
         self._handler = handler
         self._max_body_bytes = max_body_bytes
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         self._transport: asyncio.Transport | None = None
-        self._head: h11.Request | None = None
+        self._request_head: h11.Request | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop."""
+        """Configure the socket; called by the event loop."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop."""
+        """Take in bytes of requests; called by the event loop."""
         self._h11.receive_data(data)
         self._advance()
 
     def eof_received(self) -> bool:
-        """Called by the loop; an answer under way is still sent."""
+        """Keep the connection open while a response is in progress; called by the event loop."""
         return self._task is not None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop."""
+        """Cancel the request in progress; called by the event loop."""
         self._transport = None
         if self._task is not None:
             self._task.cancel()
 
     def close(self) -> None:
-        """Ends the connection at once."""
+        """End the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
     def _advance(self) -> None:
-        """Takes what has come, until a request is whole or more is needed."""
+        """Parse what has arrived, until a request is complete or more bytes are needed."""
         while self._task is None and self._transport is not None:
             try:
                 event = self._h11.next_event()
-            except h11.RemoteProtocolError as problem:
-                self._answer(Response(problem.error_status_hint or 400, close=True))
+            except h11.RemoteProtocolError as error:
+                self._respond(Response(error.error_status_hint or 400, close=True))
                 return
             if isinstance(event, h11.Request):
-                self._head, self._body, self._body_bytes = event, [], 0
+                self._request_head, self._body, self._body_bytes = event, [], 0
             elif isinstance(event, h11.Data):
                 self._body_bytes += len(event.data)
                 if self._body_bytes > self._max_body_bytes:
-                    self._answer(Response(413, close=True))
+                    self._respond(Response(413, close=True))
                     return
                 self._body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self._begin()
+                self._start_handling()
             else:
                 return
 
-    def _begin(self) -> None:
-        assert self._head is not None
-        headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in self._head.headers}
+    def _start_handling(self) -> None:
+        assert self._request_head is not None
+        headers = {
+            name.decode("latin-1"): value.decode("latin-1") for name, value in self._request_head.headers
+        }
         request = Request(
-            self._head.method.decode("latin-1"),
-            self._head.target.decode("latin-1"),
+            self._request_head.method.decode("latin-1"),
+            self._request_head.target.decode("latin-1"),
             headers,
             b"".join(self._body),
         )
@@ -114,14 +121,14 @@
     async def _handle(self, request: Request) -> None:
         try:
             response = await self._handler(request)
-        except Exception as problem:  # a fault of ours must not leave the caller without an answer
-            log.event("handler_failed", target=request.target, error=repr(problem))
+        except Exception as error:  # a fault of the handler must not leave the client without a response
+            log.event("handler_failed", target=request.target, error=repr(error))
             response = Response(500, close=True)
         self._task = None
-        self._answer(response)
+        self._respond(response)
         self._advance()
 
-    def _answer(self, response: Response) -> None:
+    def _respond(self, response: Response) -> None:
         transport = self._transport
         if transport is None or self._h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -131,7 +138,7 @@
         if response.close:
             headers.append(("Connection", "close"))
         out = self._h11.send(h11.Response(status_code=response.status, headers=headers))
-        if self._head is None or self._head.method != b"HEAD":
+        if self._request_head is None or self._request_head.method != b"HEAD":
             out = (out or b"") + (self._h11.send(h11.Data(data=response.body)) or b"")
         out = (out or b"") + (self._h11.send(h11.EndOfMessage()) or b"")
         transport.write(out)
--- a/larkweir/cluster/links.py
+++ b/larkweir/cluster/links.py
@@ -1,4 +1,4 @@
-"""Connections between processes of the fleet: JSON lines over TCP, dialled again when they end, dead when silent."""
+"""Connections between processes of the fleet: messages as JSON lines over TCP, with an idle time-out and reconnects."""
 
 from __future__ import annotations
 
@@ -12,20 +12,25 @@
 from larkweir.cluster.tcp_options import set_tcp_options
 
 PING_INTERVAL_MS = 250.0
-IDLE_TIMEOUT_MS = 1_000.0  # after it a connection counts as dead, also where a cut is silent
-CONNECT_TIMEOUT_MS = (
-    200.0  # what a machine without power leaves unanswered is dialled anew soon: it may be back
-)
+IDLE_TIMEOUT_MS = 1_000.0  # a partition may drop packets without any reset
+CONNECT_TIMEOUT_MS = 200.0  # short: a machine that did not answer may be back soon
 MIN_RECONNECT_DELAY_MS = 120.0
 MAX_RECONNECT_DELAY_MS = 500.0
-MAX_UNSENT_BYTES = 16 * 1024 * 1024  # that a peer has not taken; then it is cut off
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # a peer that does not read more than this is disconnected
 
 _encoder = msgspec.json.Encoder()
 _decoder: msgspec.json.Decoder[Message] = msgspec.json.Decoder(Message)
 
 
 class Connection(asyncio.Protocol):
-    """One connection, whoever dialled it."""
+    """One connection, at either end.
+
+    Attributes:
+        node: the IP address of the other side; empty until it is known.
+        incarnation: of the process at the other side; empty until it is known.
+        received_ms: when bytes last arrived, by the loop's clock.
+        sent_ms: when a message was last sent.
+    """
 
     def __init__(
         self,
@@ -33,7 +38,13 @@
         on_lost: Callable[[Connection], None],
         on_made: Callable[[Connection], None] | None = None,
     ) -> None:
-        """Messages that can't be read end the connection."""
+        """Create the protocol of a connection that is about to be made.
+
+        Args:
+            on_message: called with each message but `Ping`. One that can't be decoded ends the connection.
+            on_lost: called once it has ended.
+            on_made: called once it has been made.
+        """
         self._on_message = on_message
         self._on_lost = on_lost
         self._on_made = on_made
@@ -41,7 +52,7 @@
         self._loop = asyncio.get_running_loop()
         self._line_chunks: list[bytes] = []
         self._buffered_bytes = 0
-        self.node = ""  # of the other side, once it is known
+        self.node = ""
         self.incarnation = ""
         self.received_ms = self.sent_ms = self._now_ms()
 
@@ -49,7 +60,7 @@
         return self._loop.time() * 1000.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop."""
+        """Notify `on_made`; called by the event loop."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=IDLE_TIMEOUT_MS)
@@ -57,7 +68,7 @@
             self._on_made(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop."""
+        """Notify `on_message` of each complete line; called by the event loop."""
         self.received_ms = self._now_ms()
         if b"\n" not in data:
             self._buffer(data)
@@ -82,13 +93,13 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop."""
+        """Notify `on_lost`; called by the event loop."""
         self._transport = None
         self._on_lost(self)
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a message is arriving that is not whole yet."""
+        """Whether a message has arrived in part."""
         return self._buffered_bytes > 0
 
     @property
@@ -97,7 +108,7 @@
         return self._transport is not None and not self._transport.is_closing()
 
     def send(self, message: Message) -> None:
-        """Queues one message; nothing where the connection has ended."""
+        """Queue one message; it is lost where the connection has ended, or ends before it is sent."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -107,7 +118,7 @@
         self._transport.write(_encoder.encode(message) + b"\n")
 
     def keep_alive(self) -> None:
-        """To be called several times a second: pings, and ends a connection whose other side is silent."""
+        """Ping, or end a connection that has been idle for too long; to be called several times a second."""
         now_ms = self._now_ms()
         if now_ms >= self.received_ms + IDLE_TIMEOUT_MS:
             self.close()
@@ -115,17 +126,23 @@
             self.send(Ping())
 
     def reset_idle_timeout(self) -> None:
-        """This process stood still: what it did not read in that time is not the other side's silence."""
+        """Restart the idle time-out, after this process was paused: it did not read what arrived in that time."""
         self.received_ms = self._now_ms()
 
     def close(self) -> None:
-        """Ends the connection at once; what was not sent is lost."""
+        """End the connection at once; what was not sent is lost."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class Link:
-    """A connection that this process dials, and dials again when it ends."""
+    """A connection that this process opens, and opens again when it ends.
+
+    Attributes:
+        node: the IP address of the other side.
+        connection: the connection; None while there is none.
+        failures: attempts in a row that made no connection.
+    """
 
     def __init__(
         self,
@@ -135,7 +152,15 @@
         on_made: Callable[[Connection], None],
         on_lost: Callable[[str], None],
     ) -> None:
-        """`node`: the IP number. `on_made` is to send the first message."""
+        """Create a link that connects at the next `keep_alive`.
+
+        Args:
+            node: the IP address to connect to.
+            port: the port to connect to.
+            on_message: called with each message.
+            on_made: called with each new connection; it sends the first message.
+            on_lost: called with the node when a connection has ended.
+        """
         self.node = node
         self._port = port
         self._on_message = on_message
@@ -146,24 +171,24 @@
         self._next_attempt_ms = 0.0
         self._delay_ms = MIN_RECONNECT_DELAY_MS
         self.connection: Connection | None = None
-        self.failures = 0  # dials in a row that made no connection
+        self.failures = 0
 
     def keep_alive(self) -> None:
-        """To be called several times a second: dials where there is no connection."""
+        """Keep the connection alive, or connect when that is due; to be called several times a second."""
         if self.connection is not None:
             self.connection.keep_alive()
         elif self._connecting is None and self._loop.time() * 1000.0 >= self._next_attempt_ms:
             self._connecting = self._loop.create_task(self._connect())
 
     def send(self, message: Message) -> bool:
-        """Whether there was a connection to send it on."""
+        """Send a message; return whether there was a connection to send it on."""
         if self.connection is None:
             return False
         self.connection.send(message)
         return True
 
     def close(self) -> None:
-        """For good."""
+        """End the connection for good."""
         if self._connecting is not None:
             self._connecting.cancel()
         if self.connection is not None:
--- a/larkweir/cluster/log.py
+++ b/larkweir/cluster/log.py
@@ -1,4 +1,4 @@
-"""Logs of the fleet: one JSON object a line on standard error, with named fields."""
+"""Structured logs of the fleet: one JSON object a line on standard error. `docs/operators/fleet-logs.md` lists them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,12 @@
 
 
 def configure(node: str, *, debug: bool = False) -> None:
-    """To be called once, before the first event."""
+    """Start to log; to be called once, before the first event.
+
+    Args:
+        node: the name that each line carries.
+        debug: also write events of `debug`.
+    """
     _common["node"] = node
     handler = picologging.StreamHandler(sys.stderr)
     handler.setFormatter(picologging.Formatter("%(message)s"))
@@ -24,17 +29,17 @@
 
 
 def event(name: str, **fields: Any) -> None:
-    """One event worth a line at any time: a change of state, a fault."""
+    """Log a change of state or a fault."""
     _logger.info(_line(name, fields))
 
 
 def is_debug_enabled() -> bool:
-    """Whether events that only help to find a fault are written."""
+    """Return whether events of `debug` are written."""
     return bool(_logger.isEnabledFor(picologging.DEBUG))
 
 
 def debug(name: str, **fields: Any) -> None:
-    """One event that only helps to find a fault; nothing unless debugging."""
+    """Log an event that only helps to find a fault; nothing unless `is_debug_enabled`."""
     if is_debug_enabled():
         _logger.debug(_line(name, fields))
 
--- a/larkweir/cluster/messages.py
+++ b/larkweir/cluster/messages.py
@@ -1,4 +1,8 @@
-"""What processes of the fleet tell each other: a JSON line each, on connections that a router or controller dials."""
+"""The wire protocol between routers and controllers: one JSON object a line, tagged by its field `type`.
+
+A router or controller opens a connection to each controller, and sends `Hello` first. The names on the wire are older
+than those of the attributes, and stay: processes of different versions form one fleet.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +19,20 @@
 
 
 class NodeRole(StrEnum):
-    """The role of whoever dialled."""
+    """The role of the process that opened a connection."""
 
     ROUTER = "router"
     CONTROLLER = "controller"
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """The first line of a connection. `incarnation` differs at every start of the process."""
+    """The first message on a connection.
+
+    Attributes:
+        node: the IP address of the sender.
+        role: its role.
+        incarnation: differs at every start of the process.
+    """
 
     node: str
     role: NodeRole = msgspec.field(name="kind")
@@ -30,72 +40,101 @@
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """Sent when there was nothing else to say for a while; silence means a dead connection."""
+    """Keeps an idle connection alive: one without any message counts as dead (`links.IDLE_TIMEOUT_MS`)."""
 
 
 class Pull(msgspec.Struct, frozen=True, tag="pull", omit_defaults=True):
-    """Asks for what its sender lacks. Answered by a `Delta` as soon as there is something, or after a while."""
+    """A long poll for what its sender lacks: answered by a `Delta` at once, or as soon as there is something, or late.
+
+    Attributes:
+        config_sequence: of the configuration in force at the sender; -1 for none.
+        vector: of the sender's upstreams; None where it is as in the last pull on this connection.
+        usage: by tenant, units that the sender has admitted since it started.
+        sent_ms: when it was sent, by the sender's monotonic clock.
+        queued_prefill_tokens: by engine, prompt tokens of the sender's calls that wait for prefill there.
+        outcomes: by upstream with recent failures, how the sender's calls ended there within the window.
+    """
 
-    # The sequence of the configuration in force at the sender; -1 for none.
     config_sequence: int = msgspec.field(default=-1, name="config")
-    vector: VersionVector | None = None  # None: as in the last one on this connection
-    usage: dict[str, float] = {}  # by tenant: units admitted in this life
-    sent_ms: float = 0.0  # by its sender's own steady clock
-    # By engine: prompt tokens of the sender's calls that wait for prefill there.
+    vector: VersionVector | None = None
+    usage: dict[str, float] = {}
+    sent_ms: float = 0.0
     queued_prefill_tokens: dict[str, int] = msgspec.field(default_factory=dict, name="waiting")
-    # By upstream with recent failures: how calls of the sender ended there within the window.
     outcomes: dict[str, OutcomeCounts] = msgspec.field(default_factory=dict, name="endings")
 
 
 class PrefillQueueUpdate(msgspec.Struct, frozen=True, tag="waiting"):
-    """From a router that has just sent a long prompt: `Pull.queued_prefill_tokens`, ahead of its next pull."""
+    """`Pull.queued_prefill_tokens` ahead of the next pull, from a router that has just sent a long prompt."""
 
     tokens: dict[str, int]
 
 
 class ConfigUpdate(msgspec.Struct, frozen=True):
-    """A committed configuration: whole, or what changed since `base_sequence`."""
+    """A committed configuration.
+
+    Attributes:
+        sequence: of this configuration.
+        base_sequence: of the configuration that `body` is a patch to; -1 where `body` is a whole configuration.
+        body: the patch or the configuration.
+    """
 
     sequence: int
-    base_sequence: int = msgspec.field(name="base")  # the sequence that `body` builds on; -1 for a whole one
+    base_sequence: int = msgspec.field(name="base")
     body: msgspec.Raw
 
 
 class Delta(msgspec.Struct, frozen=True, tag="delta", omit_defaults=True):
-    """What the puller lacked. Whoever takes it has seen `vector`."""
+    """The answer to a `Pull`.
+
+    Attributes:
+        config: a newer configuration; None for no change. Only routers are sent one.
+        records: versions of upstreams that the receiver lacks.
+        vector: what the receiver has seen once it has merged them.
+        controllers: the nodes of all known controllers; empty where they are as in the last delta on this connection.
+        router_count: routers that are connected to the sender.
+        quotas: the status of the tenants in `Pull.usage`.
+        queued_prefill_tokens: by engine, of the busiest engines, prompt tokens of all other routers that wait there.
+        ejected: upstreams that are to be left out; None where they are as in the last delta on this connection.
+    """
 
     config: ConfigUpdate | None = None
     records: list[Record] = []
     vector: VersionVector = {}
-    controllers: list[str] = []  # all that are known; none: as in the last one on this connection
+    controllers: list[str] = []
     router_count: int = msgspec.field(default=1, name="routers")
     quotas: dict[str, QuotaStatus] = {}
-    # By engine: the same, summed over all other routers, of the busiest engines.
     queued_prefill_tokens: dict[str, int] = msgspec.field(default_factory=dict, name="waiting")
-    ejected: list[str] | None = None  # upstreams to leave out; None: as in the last one on this connection
+    ejected: list[str] | None = None
 
 
 class Replication(msgspec.Struct, frozen=True, tag="replication"):
-    """From replica to replica."""
+    """A message of the replication protocol, from one controller's replica to another's."""
 
     message: ReplicationMessage
 
 
 class HeartbeatReport(msgspec.Struct, frozen=True, tag="heard"):
-    """Heartbeats of upstreams that came to this controller since it last told: the sequence by id."""
+    """Heartbeats of upstreams that arrived at this controller since its last report: the highest sequence by id."""
 
     sequences: dict[str, int]
 
 
 class PrimaryRequest(msgspec.Struct, frozen=True, tag="forward"):
-    """An operator's call, sent on to the primary: a command, or a read where there is none."""
+    """An operator's call, forwarded to the primary: a command, or a read of the configuration where there is none."""
 
     request_id: int = msgspec.field(name="ticket")
     command: Command | None
 
 
 class PrimaryResponse(msgspec.Struct, frozen=True, tag="forwarded"):
-    """How that call ended; `status` 0 where the outcome is unknown, and may be known when it is asked for again."""
+    """How a forwarded call ended.
+
+    Attributes:
+        request_id: of the `PrimaryRequest`.
+        status: an HTTP status; 0 where the outcome is unknown, which the same command, submitted again, finds out.
+        detail: why the call was rejected, in one line.
+        value: the configuration as text, where it was read; empty where there is none yet.
+    """
 
     request_id: int = msgspec.field(name="ticket")
     status: int
@@ -104,9 +143,13 @@
 
 
 class PlacementRequest(msgspec.Struct, frozen=True, tag="place"):
-    """A router asks which engine of a service keeps a prompt prefix.
+    """Asks which engine of a service is the owner of a prompt prefix.
 
-    `known_engine`: where the router has sent it before.
+    Attributes:
+        service: whose engines are meant.
+        prefix: the name of the prefix.
+        prompt_tokens: of the whole prompt.
+        known_engine: where the router has sent the prefix before; None for nowhere.
     """
 
     service: str
@@ -116,7 +159,13 @@
 
 
 class PlacementResponse(msgspec.Struct, frozen=True, tag="placed"):
-    """The answer; `engine` is None where none is ready. `is_cached`: the head was placed there before."""
+    """The answer to a `PlacementRequest`.
+
+    Attributes:
+        prefix: as in the request.
+        engine: the owner; None where no engine is ready.
+        is_cached: the prefix was placed there before, so its prefix cache may hold it.
+    """
 
     prefix: str = msgspec.field(name="head")
     engine: str | None
@@ -136,3 +185,4 @@
     | PlacementRequest
     | PlacementResponse
 )
+"""All messages; `type` tells them apart."""
--- a/larkweir/cluster/process_start.py
+++ b/larkweir/cluster/process_start.py
@@ -1,4 +1,4 @@
-"""When this process began, as near as its own code can tell: imported first by the program."""
+"""The time at which this process started, as near as its code can tell: the program imports this module first."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def process_started_ms(now_ms: float) -> float:
-    """On the clock of which `now_ms` is the present, by the steady clock's time since the first import."""
+    """Return the start in milliseconds of the clock on which `now_ms` is the present."""
     return now_ms - (time.monotonic() - _STARTED_S) * 1000.0
--- a/larkweir/cluster/settings.py
+++ b/larkweir/cluster/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: YAML, at the path that the variable LARKWEIR_CONFIG holds."""
+"""The settings file of a process: YAML, at the path in the environment variable LARKWEIR_CONFIG."""
 
 from __future__ import annotations
 
@@ -15,11 +15,17 @@
 
 
 class SettingsError(LarkweirError, ValueError):
-    """The file can't be used; one line that names the key."""
+    """The settings file can't be read, or a value in it is invalid; the message names the key."""
 
 
 class Listen(msgspec.Struct, frozen=True):
-    """Addresses (`IP:PORT`) to serve on; None for what this role does not serve."""
+    """Addresses (`IP:PORT`) to listen on; None for what this role does not serve.
+
+    Attributes:
+        front: for clients' requests, at a router.
+        ready: for readiness checks of the platform, at a router.
+        control: for operators, upstreams and readiness checks, at a controller.
+    """
 
     front: str | None = None
     ready: str | None = None
@@ -27,13 +33,29 @@
 
 
 class FaultTolerance(msgspec.Struct, frozen=True):
-    """What may be lost at once."""
+    """The faults that the fleet is to survive.
+
+    Attributes:
+        machines: controllers that may be lost at once.
+    """
 
     machines: int = 1
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Figures of the deployment's rules; the defaults are cautious."""
+    """Service levels that the deployment promises; the defaults are cautious.
+
+    Attributes:
+        drain_ms: from the acknowledgement that an upstream drains until no router sends it new requests.
+        grace_s: from SIGTERM until the platform kills a process.
+        config_ms: from the acknowledgement of a configuration until all routers use it.
+        retry_budget_ratio: attempts beyond the first for each request, within `budget_window_s`.
+        budget_window_s: the window of the retry budget.
+        retry_budget_slack: attempts beyond the first that are allowed on top of the ratio.
+        quota_window_s: the window in which a tenant's quota is measured.
+        quota_over: the fraction by which a quota may be exceeded in it.
+        recover_s: from the end of a fault until the fleet serves as before.
+    """
 
     drain_ms: float = 2_000.0
     grace_s: float = 8.0
@@ -47,7 +69,13 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the platform gives a process."""
+    """The resources that the platform grants a process.
+
+    Attributes:
+        memory_mb: memory.
+        max_fds: open file descriptors.
+        link_mbps: bandwidth of its network link.
+    """
 
     memory_mb: int = 300
     max_fds: int = 4_096
@@ -55,7 +83,23 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What a process is told at its start. Unknown keys are ignored."""
+    """The settings of one process. Unknown keys are ignored.
+
+    Attributes:
+        node: its name, for logs.
+        ip: its IP address, by which the other processes know it.
+        zone: its failure domain.
+        port_range: the first and last port that it may use.
+        seeds: control addresses (`HOST:PORT`) of controllers.
+        listen: addresses to serve on.
+        bootstrap: whether the seeds may form the first membership.
+        counts_for_quorum: whether the machine was counted on for a majority.
+        data_dir: the folder of a controller's durable state.
+        heartbeat_ms: the interval of upstreams' heartbeats.
+        fault_tolerance: the faults to survive.
+        bounds: service levels.
+        limits: resources.
+    """
 
     node: str
     ip: str
@@ -73,17 +117,21 @@
 
     @property
     def peer_port(self) -> int:
-        """The port on which controllers are reached by other processes of the fleet."""
+        """The port on which controllers accept connections of other processes of the fleet."""
         return self.port_range[0]
 
     @property
     def seed_nodes(self) -> tuple[str, ...]:
-        """The seeds as nodes: the IP numbers of their control addresses, in order of name."""
+        """The IP addresses of the seeds, sorted."""
         return tuple(sorted({parse_address(seed)[0] for seed in self.seeds}))
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Host and port of `HOST:PORT`; SettingsError where it is none."""
+    """Split `HOST:PORT`.
+
+    Raises:
+        SettingsError: it is no such address.
+    """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65_536:
         raise SettingsError(f"{address!r} is not HOST:PORT")
@@ -91,15 +139,19 @@
 
 
 def parse(text: str | bytes) -> Settings:
-    """The settings; SettingsError, one line that names the key, where they do not do."""
+    """Parse the text of a settings file.
+
+    Raises:
+        SettingsError: it is no YAML, or a value is missing or invalid.
+    """
     try:
         raw: Any = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
-    except yaml.YAMLError as problem:
-        raise SettingsError("the file is no YAML: " + " ".join(str(problem).split())) from None
+    except yaml.YAMLError as error:
+        raise SettingsError("the file is no YAML: " + " ".join(str(error).split())) from None
     try:
         settings = msgspec.convert(raw, Settings)
-    except msgspec.ValidationError as problem:
-        raise SettingsError(str(problem)) from None
+    except msgspec.ValidationError as error:
+        raise SettingsError(str(error)) from None
     for address in (*settings.seeds, settings.listen.front, settings.listen.ready, settings.listen.control):
         if address is not None:
             parse_address(address)
@@ -109,15 +161,22 @@
 
 
 def path() -> str:
-    """Where the file lies."""
+    """Return the path of the settings file."""
     return os.environ.get(VARIABLE, DEFAULT_PATH)
 
 
 def load(where: str | None = None) -> Settings:
-    """Reads and checks the file; SettingsError where it can't be read or does not do."""
+    """Read and parse the settings file.
+
+    Args:
+        where: its path; None for `path()`.
+
+    Raises:
+        SettingsError: it can't be read, or its content is invalid.
+    """
     name = path() if where is None else where
     try:
         with open(name, "rb") as file:
             return parse(file.read())
-    except OSError as problem:
-        raise SettingsError(f"{name}: {problem.strerror}") from None
+    except OSError as error:
+        raise SettingsError(f"{name}: {error.strerror}") from None
--- a/larkweir/cluster/settings_watcher.py
+++ b/larkweir/cluster/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Reads the settings file again when it has changed, with or without a signal."""
+"""Reloads the settings file when it has changed, with or without a signal."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class SettingsWatcher:
-    """The settings in force, and a look at the file from time to time."""
+    """The settings in force, compared with the file from time to time."""
 
     def __init__(self, settings: Settings, on_changed: Callable[[Settings], None]) -> None:
-        """`on_changed` is given settings that differ from those before."""
+        """Start from settings that were just loaded; `on_changed` is called with new ones that differ."""
         self._settings = settings
         self._on_changed = on_changed
         self._checked_ms = 0.0
         self._file_version = _file_version()
 
     def tick(self, now_ms: float) -> None:
-        """To be called at any rate; looks once a second."""
+        """Reload the file if it has changed; checks every `CHECK_INTERVAL_MS`, however often it is called."""
         if now_ms < self._checked_ms + CHECK_INTERVAL_MS:
             return
         self._checked_ms = now_ms
@@ -32,11 +32,11 @@
             self.reload()
 
     def reload(self) -> None:
-        """Reads the file; one that does not do is a line in the log, and changes nothing."""
+        """Load the file; an invalid one is logged, and the settings stay as they are."""
         try:
             settings = load()
-        except SettingsError as problem:
-            log.event("settings_rejected", error=str(problem))
+        except SettingsError as error:
+            log.event("settings_rejected", error=str(error))
             return
         if settings != self._settings:
             self._settings = settings
--- a/larkweir/cluster/tcp_options.py
+++ b/larkweir/cluster/tcp_options.py
@@ -5,15 +5,18 @@
 import asyncio
 import socket
 
-TCP_KEEPALIVE_S = 1  # tcp(7) takes whole seconds
+TCP_KEEPALIVE_S = 1  # a whole number of seconds by tcp(7)
 
 
 def set_tcp_options(
     transport: asyncio.BaseTransport, user_timeout_ms: float, *, keepalive: bool = False
 ) -> None:
-    """Small writes go out at once; bytes that stay unacknowledged for that long end the connection (tcp(7)).
+    """Disable Nagle's algorithm and bound the time to notice that the other side is gone.
 
-    `keepalive`: the other side is probed after a second of silence, so that one that is gone or cut off shows.
+    Args:
+        transport: of the connection; one without a socket is left as it is.
+        user_timeout_ms: the connection ends when bytes stay unacknowledged for this long (TCP_USER_TIMEOUT).
+        keepalive: probe the other side after a second without traffic (SO_KEEPALIVE).
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
@@ -26,4 +29,4 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, TCP_KEEPALIVE_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, TCP_KEEPALIVE_S)
     except OSError:
-        pass  # the connection has ended: its protocol is told
+        pass  # the connection has ended, of which its protocol is notified
