--- a/tests/controller/test_delivery_confirmation.py
+++ b/tests/controller/test_delivery_confirmation.py
@@ -28,10 +28,10 @@
         self.router = self.subscribe("r", NodeRole.ROUTER)
         self.controller = self.subscribe("d", NodeRole.CONTROLLER)
 
-    def subscribe(self, node: str, kind: NodeRole) -> Subscriber:
+    def subscribe(self, node: str, role: NodeRole) -> Subscriber:
         connection = Connection(lambda connection, message: None, lambda connection: None)
         connection.node = node
-        self.subscriptions.add(connection, kind)
+        self.subscriptions.add(connection, role)
         subscriber = self.subscriptions.get(connection)
         assert subscriber is not None
         return subscriber
--- a/tests/controller/test_primary_client.py
+++ b/tests/controller/test_primary_client.py
@@ -7,7 +7,7 @@
 
 import pytest
 from larkweir_replication.messages import Command
-from larkweir_replication.replica import ReplicaStatus
+from larkweir_replication.status import ReplicaStatus
 
 from larkweir.cluster.messages import PrimaryRequest, PrimaryResponse
 from larkweir.controller import primary_client
