--- /dev/null
+++ b/tests/controller/test_background_tasks.py
@@ -0,0 +1,74 @@
+"""Tasks are kept until they end, and cancelled at the close."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+
+import pytest
+
+from larkweir.controller.background_tasks import BackgroundTasks
+
+
+def test_a_task_without_another_reference_runs_to_its_end() -> None:
+    async def scene() -> None:
+        ended = asyncio.Event()
+
+        async def work() -> None:
+            await asyncio.sleep(0.01)
+            ended.set()
+
+        tasks = BackgroundTasks()
+        tasks.start(work())
+        gc.collect()
+        async with asyncio.timeout(5.0):
+            await ended.wait()
+
+    asyncio.run(scene())
+
+
+def test_the_close_cancels_what_has_not_ended() -> None:
+    async def scene() -> None:
+        begun, cancelled = asyncio.Event(), asyncio.Event()
+
+        async def work() -> None:
+            begun.set()
+            try:
+                await asyncio.Event().wait()
+            except asyncio.CancelledError:
+                cancelled.set()
+                raise
+
+        tasks = BackgroundTasks()
+        tasks.start(work())
+        await begun.wait()
+        tasks.close()
+        async with asyncio.timeout(5.0):
+            await cancelled.wait()
+
+    asyncio.run(scene())
+
+
+@pytest.mark.filterwarnings("ignore::pytest.PytestUnraisableExceptionWarning")
+def test_a_task_that_fails_takes_no_other_with_it() -> None:
+    async def scene() -> None:
+        ended = asyncio.Event()
+
+        async def fail() -> None:
+            raise ValueError("as planned")
+
+        async def work() -> None:
+            await asyncio.sleep(0.01)
+            ended.set()
+
+        reported: list[dict[str, object]] = []
+        asyncio.get_running_loop().set_exception_handler(lambda loop, context: reported.append(context))
+        tasks = BackgroundTasks()
+        tasks.start(fail())
+        tasks.start(work())
+        async with asyncio.timeout(5.0):
+            await ended.wait()
+        gc.collect()
+        assert [str(one["exception"]) for one in reported] == ["as planned"]
+
+    asyncio.run(scene())
