--- a/larkweir/controller/prefix_placement.py
+++ b/larkweir/controller/prefix_placement.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 import msgspec
-from larkweir_balancing.engines import rendezvous_weight
+from larkweir_balancing.rendezvous import rendezvous_weight
 
 MAX_PREFIXES = 65_536  # the one that was requested least recently is dropped first
 REPORT_DELAY_MS = 400.0  # a prefix placed so recently is not in the reports of waiting prefill yet
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from larkweir_balancing.decision_options import OPTIONS
-from larkweir_balancing.engines import Prompt
 from larkweir_balancing.interface import Outcome
+from larkweir_balancing.prompt import Prompt
 
 from larkweir.router.request_log import RequestNote
 from larkweir.router.upstream_call import UpstreamConnection
--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from larkweir_balancing.engines import Prompt
+from larkweir_balancing.prompt import Prompt
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -6,8 +6,9 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from larkweir_balancing.engines import UpstreamSelector, UpstreamStatus
 from larkweir_balancing.fleet_outlier_detection import OutcomeWindow
+from larkweir_balancing.token_list import UpstreamStatus
+from larkweir_balancing.upstream_selection import UpstreamSelector
 from larkweir_quotas.quota_limiter import QuotaLimiter
 from larkweir_quotas.retry_budget import RetryBudget
 from larkweir_registry.records import Upstream, UpstreamState
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -9,8 +9,8 @@
 
 import h11
 from larkweir_balancing.decision_options import OPTIONS
-from larkweir_balancing.engines import Prompt
 from larkweir_balancing.interface import Outcome
+from larkweir_balancing.prompt import Prompt
 
 from larkweir.cluster import log
 from larkweir.router.answers import ANSWERS, Answer, ErrorKind
--- a/larkweir/router/fleet_view.py
+++ b/larkweir/router/fleet_view.py
@@ -5,7 +5,7 @@
 import asyncio
 import secrets
 
-from larkweir_balancing.engines import rendezvous_weight
+from larkweir_balancing.rendezvous import rendezvous_weight
 from larkweir_registry.records import VersionVector
 from larkweir_registry.registry import Registry
 
--- a/larkweir/router/prompt_keepers.py
+++ b/larkweir/router/prompt_keepers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from larkweir_balancing.engines import Prompt
+from larkweir_balancing.prompt import Prompt
 
 from larkweir.cluster.messages import PlacementRequest, PlacementResponse
 
--- a/larkweir/router/request_log.py
+++ b/larkweir/router/request_log.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 import msgspec
-from larkweir_balancing.engines import SelectionReason
+from larkweir_balancing.upstream_selection import SelectionReason
 
 
 class AttemptNote(msgspec.Struct, omit_defaults=True):
--- a/packages/balancing/tests/test_balancing_engines.py
+++ b/packages/balancing/tests/test_balancing_engines.py
@@ -8,17 +8,16 @@
 import pytest
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from larkweir_balancing.engines import (
-    FULL_BACKOFF_MS,
+from larkweir_balancing.interface import Outcome
+from larkweir_balancing.prompt import Prompt
+from larkweir_balancing.token_list import MAX_AWAITING_FIRST_EVENT, UpstreamStatus
+from larkweir_balancing.upstream_backoff import FULL_BACKOFF_MS
+from larkweir_balancing.upstream_selection import (
     IN_TIME_FACTOR,
-    MAX_AWAITING_FIRST_EVENT,
     PREFILL_BACKLOG_FRACTIONS,
-    Prompt,
     SelectionReason,
     UpstreamSelector,
-    UpstreamStatus,
 )
-from larkweir_balancing.interface import Outcome
 
 NO_PROMPT = Prompt()
 IDS = [f"u{n}" for n in range(6)]
--- a/tests/balancing/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -22,7 +22,6 @@
 import pytest
 from larkweir_balancing import Balancer
 from larkweir_balancing.door import Door
-from larkweir_balancing.engines import Prompt, UpstreamSelector, UpstreamStatus
 from larkweir_balancing.fleet_outlier_detection import (
     FleetOutlierDetector,
     OutcomeCounts,
@@ -56,7 +55,10 @@
     TimerFired,
 )
 from larkweir_balancing.prefill_time import PrefillTime
+from larkweir_balancing.prompt import Prompt
 from larkweir_balancing.proof import Proof, Seen
+from larkweir_balancing.token_list import UpstreamStatus
+from larkweir_balancing.upstream_selection import UpstreamSelector
 from larkweir_balancing.wire import decode_settings, encode_action
 from larkweir_balancing.wirehost import serve
 
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from larkweir_balancing.engines import DEFAULT_LATENCY_TARGET_MS, Prompt
+from larkweir_balancing.prompt import DEFAULT_LATENCY_TARGET_MS, Prompt
 
 from larkweir.cluster.settings import SettingsError, parse
 from larkweir.router.answers import ANSWERS, ErrorKind
--- a/tests/system/test_silent_upstreams.py
+++ b/tests/system/test_silent_upstreams.py
@@ -5,8 +5,9 @@
 from collections.abc import Iterator
 
 import pytest
-from larkweir_balancing.engines import Prompt, UpstreamSelector
 from larkweir_balancing.fleet_outlier_detection import OutcomeCounts
+from larkweir_balancing.prompt import Prompt
+from larkweir_balancing.upstream_selection import UpstreamSelector
 from larkweir_registry.records import Upstream, UpstreamState
 
 from tests.system.router_model import KINDS, REPEATABLE, FakeUpstream, Play, answer_of
