--- a/tests/system/test_mixed_versions.py
+++ b/tests/system/test_mixed_versions.py
@@ -307,6 +307,20 @@
     assert (len(first.seen) - before[0], len(second.seen) - before[1]) == (0, 5 * len(fleet.fronts))
 
 
+async def change_without(fleet: MixedFleet, number: int, document: dict[str, Any]) -> None:
+    """One controller is killed, and comes back behind a change; both others know it, the primary or not."""
+    await fleet.kill(fleet.control[number])
+    path = f"/later-{number}/"
+    changed = {**document, "routes": [*document["routes"], route_to(path)]}
+    assert (await fleet.put(changed, document["generation"] - 1)).status == 200
+    for other in {0, 1, 2} - {number}:
+        assert (await fleet.read(other, "/config"))["generation"] == document["generation"]
+    await fleet.beat("s")
+    for router in range(len(fleet.fronts)):
+        await until_in_force(fleet, router, path + "x")
+    fleet.start_controller(number)
+
+
 def route_to(path: str) -> dict[str, Any]:
     return {
         "name": path.strip("/"),
@@ -350,16 +364,7 @@
         await change_and_drain(fleet, second, "/later/x")
         await fleet.beat("s")
         for number in range(len(controllers) if len(controllers) > 1 else 0):
-            await fleet.kill(fleet.control[number])
-            generation = 3 + number
-            routes = [*first["routes"], route_to(f"/later-{generation}/")]
-            assert (
-                await fleet.put({**first, "generation": generation, "routes": routes}, generation - 1)
-            ).status == 200
-            await fleet.beat("s")
-            for router in range(len(routers)):
-                await until_in_force(fleet, router, f"/later-{generation}/x")
-            fleet.start_controller(number)
+            await change_without(fleet, number, {**first, "generation": 3 + number})
 
     play(fleet, scene)
 
@@ -406,10 +411,13 @@
         await replace(reader)
         assert (await fleet.read(0, "/config"), await upstreams_known(), await place(fleet, 0, HEAD)) == left
         assert (await fleet.read(0, "/status"))["sequence"] >= sequence
+        assert (await fleet.put(change, 1, "PATCH")).status == 200, "sent again, it is known as carried out"
+        assert await fleet.read(0, "/config") == left[0]
         third = {**left[0], "generation": 3}
         assert (await fleet.put(third, 2)).status == 200
         await replace(writer)
         assert await fleet.read(0, "/config") == third
+        assert (await fleet.put(third, 2)).status == 200, "sent again, it is known as carried out"
         assert (await upstreams_known(), await place(fleet, 0, HEAD)) == left[1:]
 
     play(fleet, scene)
