--- a/larkweir/coordination/edits/ended.py
+++ b/larkweir/coordination/edits/ended.py
@@ -15,7 +15,7 @@
 class Fleet(Protocol):
     """The owners' part, as far as this goes."""
 
-    def holds(self, name: str) -> tuple[int, int, bytes] | None:
+    def owned_state(self, name: str) -> tuple[int, int, bytes] | None:
         """Term, number and state of a duty that this process owns."""
         ...
 
@@ -36,7 +36,7 @@
 
     def due(self, fleet: Fleet, parts: Mapping[str, tuple[str, str]]) -> Iterator[End]:
         """`parts`: by key, the routes and pools that are or were on trial here."""
-        held = fleet.holds("verdicts")
+        held = fleet.owned_state("verdicts")
         if held is None:
             return
         term, number, state = held
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -1,19 +1,16 @@
-"""Hands: the fleet's owners as a part of a balancer: one timer, the mail of two channels, and the keeper's disk on a
-thread of its own. Not imported where `[owners]` is off.
+"""Attaches the fleet's duties to a balancer: one timer, two channels of the peers' transport, and an acceptor's file on
+a thread of its own. Not imported where `[owners]` is off.
 
-What is under way here no request waits for. This life takes part while the peers' address is its own: a successor
-comes up, finds the address taken, and begins when this one has handed over.
+No request waits for anything here. A process takes part while the peers' address is its own: a successor finds the
+address taken, and begins when this process has handed over.
 """
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Callable, Sequence
-from concurrent.futures import Future, ThreadPoolExecutor
-from contextlib import suppress
 from random import Random
 from secrets import randbits
-from typing import Protocol, TypeVar
+from typing import Protocol
 
 from larkweir_balancing import Balancer
 from larkweir_owners.acceptor import Acceptor
@@ -22,32 +19,33 @@
 from larkweir_owners.duty_manager import DutyManager
 from larkweir_owners.file_system import LockedFolder
 from larkweir_owners.lease_timing import LeaseTiming
-from larkweir_owners.messages import Incarnation, ReplicaSet, Version
+from larkweir_owners.messages import Incarnation, ReplicaSet
 from larkweir_peers.hands import Socket
 
 from larkweir.config.options import Operator
 from larkweir.config.peering import keeping
 from larkweir.config.platform import Config, ConfigError
-from larkweir.coordination.duties.messages import Report, decode_report, encode_report
-from larkweir.coordination.duties.ports import FleetTask
+from larkweir.coordination.disk_thread import DiskThread
+from larkweir.coordination.duties.messages import decode_report
 from larkweir.coordination.duties.table import CaptureTasks, HealthSource, TaskContext, create_tasks
+from larkweir.coordination.ownership_log import OwnershipLog, status_facts
+from larkweir.coordination.task_runner import LoggedDuty, TaskRunner
 from larkweir.core.clock import Clock, Timer
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.ports import Decisions
 from larkweir.core.stderr_log import StderrLog
 from larkweir.routes.hands import Routes
 
-T = TypeVar("T")
-OWNERS, REPORTS = 1, 4  # channels of the peers' mail
-STEP_MS = 250.0  # between two looks at a duty that nothing has come for
-RESEND_MS = 100.0  # until a folder that a predecessor still has is tried again
-LEAVE_MS = 250.0  # for handing over, at the most
-KEPT_MS = 250.0  # that a successor waits for its predecessor's word on the keeper's file
-MOST_SAID = 5  # lines on effects, a second: the log takes ten, and who owns is to be told beside them
+OWNERS, REPORTS = 1, 4  # channels of the peers' transport
+STEP_MS = 250.0  # between two steps of a duty that nothing wakes
+REOPEN_MS = 100.0  # until an address or a folder that a predecessor still has is tried again
+RELEASE_TIMEOUT_MS = 250.0  # for handing over all duties
+RELEASE_CHECK_MS = 5.0
+FINGERPRINT_TIMEOUT_MS = 250.0  # that a successor waits for its predecessor's message on the acceptor's file
 
 
 class Host(Protocol):
-    """What a balancer gives to this part."""
+    """What a balancer gives to this plugin."""
 
     config: Config
     clock: Clock
@@ -56,410 +54,318 @@
     dispatcher: Dispatcher
     decisions: Decisions
     peers: Socket | None
-    owners: Part | None
+    owners: OwnersPlugin | None
     captures: CaptureTasks | None
     closers: list[Callable[[], None]]
     facts: list[Callable[[], dict[str, object]]]
 
 
-class _Told:
-    """A duty, with what is taken told to the log."""
-
-    def __init__(self, work: FleetTask, say: Callable[[str], None]) -> None:
-        self.work = work
-        self.name = work.name
-        self._say = say
-
-    def step(self, state: bytes, now_ms: float) -> bytes | None:
-        return self.work.step(state, now_ms)
-
-    def on_committed(self, state: bytes, version: Version) -> None:
-        self.work.on_committed(state, version)
-        if state and self.work.is_notable():
-            self._say(f"owners: {self.name} {version[0]}.{version[1]} taken")
-
-
-class Part:
+class OwnersPlugin:
     """From `attach` to `close`. `pause` and `hold` may be called at any time."""
 
     def __init__(self, host: Host, socket: Socket, options: Operator, me: str) -> None:
+        """`me`: this process's name among the peers."""
         own = options.owners
         self.me = me
         self.options = own
-        self.keepers = ReplicaSet(1, own.keepers)
-        self.keeps = me in own.keepers
-        self._clock, self._log, self._routes = host.clock, host.log, host.routes
-        self._socket = socket
-        self._host = host  # captures are plugged in later
-        self._loop = asyncio.get_running_loop()
+        self.replica_set = ReplicaSet(1, own.keepers)
+        self.is_replica = me in own.keepers
+        self.manager: DutyManager | None = None  # while this process takes part
+        # Called with the fingerprint of the acceptor's file once that is closed for a successor.
+        self.on_file_closed: Callable[[str], None] = lambda fingerprint: None
+        self._clock, self._routes, self._socket = host.clock, host.routes, socket
+        self._host = host  # captures are attached later
+        self._log = OwnershipLog(host.log.write, host.clock.now_ms)
         self._rng = Random()
-        self._mail = socket.mail(OWNERS, self._came)
-        self._reports = socket.mail(REPORTS, self._reported)
-        self._times = LeaseTiming(lease_ms=own.lease_ms, step_ms=STEP_MS)
-        self.owners: DutyManager | None = None
-        self.works: dict[str, FleetTask] = {}
+        self._transport = socket.mail(OWNERS, self._on_message)
+        self._reports = socket.mail(REPORTS, self._on_report)
+        self._timing = LeaseTiming(lease_ms=own.lease_ms, step_ms=STEP_MS)
+        self._runner = TaskRunner({}, me, self._reports.post)
         self._timer: Timer | None = None
         self._due_ms = 0.0
-        self._owned: dict[str, int] = {}  # with their terms
-        self._why = ""  # the next that is given up is given up for this
-        self._rests = self._closed = self._leaving = False
-        self.kept: Callable[[str], None] = (
-            lambda mark: None
-        )  # told of the file once it is closed for a successor
-        self._expects = False  # a predecessor may tell that
-        self._mark = ""
-        self._found: AcceptorState | None = None  # waits for it
-        self._holds = 0  # how often this life has given the name to a successor, or taken it back
-        self._thread: ThreadPoolExecutor | None = None
+        self._is_suspended = self._is_closed = self._is_handing_over = False
+        self._handovers = 0  # how often this process has given the name to a successor, or taken it back
+        self._expects_fingerprint = False  # a predecessor may send it
+        self._fingerprint = ""
+        self._opened_state: AcceptorState | None = None  # waits for it
+        self._thread = DiskThread()
         self._file: AcceptorFile | None = None
-        self._flushing = False
-        self._trouble = ""
-        self._mode = ""  # of the keeper, as the log has it
-        self._said = 0
-        self._said_ms = 0.0
-        self._fired: Timer | None = self._clock.after(0.0, self._begin)
+        self._is_flushing = False
+        self._file_fault = ""
+        self._begin_timer: Timer | None = self._clock.after(0.0, self._begin)
 
-    # ------------------------------------------------ begin, end
+    # ------------------------------------------------ begin
 
     def _begin(self) -> None:
-        """Once the address is this life's, and the keeper's file open where it is one."""
-        self._fired = None
-        if self._closed or self._leaving or self.owners is not None:
+        """Take part, once the address is this process's and the acceptor's file, if it is a replica, is open."""
+        self._begin_timer = None
+        if self._is_closed or self._is_handing_over or self.manager is not None:
             return
         if not self._socket.open:
-            self._fired = self._clock.after(RESEND_MS, self._begin)
+            self._begin_timer = self._clock.after(REOPEN_MS, self._begin)
             return
-        if not self.keeps:
-            self._build(None)
+        if not self.is_replica:
+            self._start(None)
             return
-        self._thread = self._thread or ThreadPoolExecutor(1, "keeper")
-        file = AcceptorFile(LockedFolder(self.options.folder), self.keepers, lambda: randbits(63))
-        self._then(self._thread.submit(_opened, file), lambda found: self._opened(file, found))
+        file = AcceptorFile(LockedFolder(self.options.folder), self.replica_set, lambda: randbits(63))
+        self._thread.run(lambda: _opened(file), lambda found: self._on_opened(file, found))
 
-    def _opened(self, file: AcceptorFile, found: AcceptorState | str) -> None:
-        if self._closed or self._leaving or self.owners is not None:
-            self._shut(file)
+    def _on_opened(self, file: AcceptorFile, found: AcceptorState | str) -> None:
+        if self._is_closed or self._is_handing_over or self.manager is not None:
+            self._close_file(file)
         elif isinstance(found, str):
-            if found != self._trouble:
-                self._trouble = found
-                self._say(
+            if found != self._file_fault:
+                self._file_fault = found
+                self._log.write(
                     f"owners: {self.options.folder}: {found}; tried again; this process takes no part until then"
                 )
-            self._shut(file)
-            self._fired = self._clock.after(RESEND_MS, self._begin)
+            self._close_file(file)
+            self._begin_timer = self._clock.after(REOPEN_MS, self._begin)
         else:
-            self._trouble = ""
-            self._file, self._found = file, found
-            if self._expects and not self._mark:
-                self._fired = self._clock.after(KEPT_MS, self._vote)
+            self._file_fault = ""
+            self._file, self._opened_state = file, found
+            if self._expects_fingerprint and not self._fingerprint:
+                self._begin_timer = self._clock.after(FINGERPRINT_TIMEOUT_MS, self._start_acceptor)
             else:
-                self._vote()
-
-    def expect(self) -> None:
-        """This life is a successor: it may be told what its predecessor's keeper has closed."""
-        self._expects = True
-
-    def told(self, mark: str) -> None:
-        """By the predecessor, which has closed its file for good. Nothing where that is too late, or not this file."""
-        self._mark = mark
-        if self._found is not None:
-            self._vote()
-
-    def _vote(self) -> None:
-        """As the keeper of the file that is open; at once where the mark says that it is the newest there is."""
-        if self._fired is not None:
-            self._fired.cancel()
-            self._fired = None
-        found, self._found = self._found, None
-        if found is not None:
-            self._build(Acceptor(self.me, found, self._mark))
-        self._expects, self._mark = False, ""
-
-    def _build(self, keeper: Acceptor | None) -> None:
-        life = randbits(31)
-        # The clock, by which lives of reports count, goes on over this process's lives.
-        seat = TaskContext(
-            int(self._clock.now_ms()), self._routes, self._settle, self._host.captures, self.me, self._scout
+                self._start_acceptor()
+
+    def expect_fingerprint(self) -> None:
+        """This process is a successor: `on_predecessor_closed` may be called."""
+        self._expects_fingerprint = True
+
+    def on_predecessor_closed(self, fingerprint: str) -> None:
+        """The predecessor has closed its file for good. Ignored where that is too late, or of another file."""
+        self._fingerprint = fingerprint
+        if self._opened_state is not None:
+            self._start_acceptor()
+
+    def _start_acceptor(self) -> None:
+        """As the acceptor of the open file; it votes at once where the fingerprint says that the file is the newest."""
+        if self._begin_timer is not None:
+            self._begin_timer.cancel()
+            self._begin_timer = None
+        state, self._opened_state = self._opened_state, None
+        if state is not None:
+            self._start(Acceptor(self.me, state, self._fingerprint))
+        self._expects_fingerprint, self._fingerprint = False, ""
+
+    def _start(self, acceptor: Acceptor | None) -> None:
+        incarnation = randbits(31)
+        # The clock, by which incarnations of reports are ordered, goes on over restarts of this process.
+        context = TaskContext(
+            int(self._clock.now_ms()),
+            self._routes,
+            self._after_step,
+            self._host.captures,
+            self.me,
+            self._health_source,
         )
-        self.works = create_tasks(self.options.duties, seat)
-        self.owners = DutyManager(
+        tasks = create_tasks(self.options.duties, context)
+        self._runner = TaskRunner(tasks, self.me, self._reports.post)
+        self.manager = DutyManager(
             self.me,
-            life,
-            self.keepers,
-            [_Told(work, self._tell) for work in self.works.values()],
-            self._mail,
+            incarnation,
+            self.replica_set,
+            [LoggedDuty(task, self._log.on_committed) for task in tasks.values()],
+            self._transport,
             self._rng.random,
-            self._pick,
-            self._times,
-            keeper,
+            self._sample,
+            self._timing,
+            acceptor,
         )
-        if self._rests:
-            self.owners.drain(self._clock.now_ms())
+        if self._is_suspended:
+            self.manager.drain(self._clock.now_ms())
         self._due_ms = self._clock.now_ms()
-        self._turn()
+        self._on_timer()
 
-    def _scout(self) -> HealthSource:
-        from larkweir.coordination.scouting import (
-            SharedHealthAdapter,  # what is not taken part in is not imported
-        )
+    def _health_source(self) -> HealthSource:
+        from larkweir.coordination.scouting import SharedHealthAdapter  # not imported without the duty
 
         dispatcher = self._host.dispatcher
-        return SharedHealthAdapter(self._deciding, lambda: dispatcher.upstreams.targets, dispatcher.heard)
+        return SharedHealthAdapter(self._balancers, lambda: dispatcher.upstreams.targets, dispatcher.heard)
 
-    def _deciding(self) -> list[Balancer]:
+    def _balancers(self) -> list[Balancer]:
         if self._routes is not None:
             return [pool.decisions for pool in self._routes.switch.pools.values()]
         return [self._host.decisions] if isinstance(self._host.decisions, Balancer) else []
 
-    def _pick(self, names: Sequence[str], most: int) -> Sequence[str]:
-        return self._rng.sample(list(names), min(most, len(names)))
+    def _sample(self, names: Sequence[str], count: int) -> Sequence[str]:
+        return self._rng.sample(list(names), min(count, len(names)))
+
+    # ------------------------------------------------ end
 
     def _stop(self) -> None:
-        """Nothing of it any more; the file is closed behind what is being flushed."""
+        """Take no part any more; the file is closed after what is being flushed."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        for name in self._owned:
-            self._say(f"owners: {name} given up: not handed over in time")
-        works, self.works = self.works, {}
-        keeper = self.owners.acceptor if self.owners is not None else None
-        votes_as = keeper.voting_incarnation if keeper is not None else None
-        self.owners, self._owned, self._mode, self._found = (
-            None,
-            {},
-            "",
-            None,
-        )  # it answers nobody from here on
+        self._log.on_stopped()
+        acceptor = self.manager.acceptor if self.manager is not None else None
+        voting_incarnation = acceptor.voting_incarnation if acceptor is not None else None
+        self.manager, self._opened_state = None, None  # it answers nobody from here on
+        runner, self._runner = self._runner, TaskRunner({}, self.me, self._reports.post)
         file, self._file = self._file, None
         if file is not None:
-            self._shut(file, votes_as)
-        for work in works.values():
-            work.on_left_fleet()
+            self._close_file(file, voting_incarnation)
+        runner.leave()
+
+    def _close_file(self, file: AcceptorFile, voting_incarnation: Incarnation | None = None) -> None:
+        handovers = self._handovers
+
+        def closed(fingerprint: str) -> None:
+            if fingerprint and handovers == self._handovers:
+                self.on_file_closed(fingerprint)
 
-    def _shut(self, file: AcceptorFile, votes_as: Incarnation | None = None) -> None:
-        assert self._thread is not None
-        holds, done = self._holds, self._thread.submit(file.close, votes_as)
-        if votes_as is not None and self._leaving:
-            self._then(done, lambda mark: self.kept(mark) if mark and holds == self._holds else None)
+        is_told = voting_incarnation is not None and self._is_handing_over
+        self._thread.run(lambda: file.close(voting_incarnation), closed if is_told else None)
 
     def pause(self, paused: bool, ends: bool = False) -> None:
-        """Paused, or draining towards its end: it hands over what it owns and takes nothing; it goes on as a keeper."""
-        rests = paused or ends or self._leaving
-        if rests == self._rests:
+        """Paused, or draining towards its end: this process hands over its duties and acquires none; as a replica it
+        goes on.
+        """
+        is_suspended = paused or ends or self._is_handing_over
+        if is_suspended == self._is_suspended:
             return
-        self._rests = rests
-        self._why = "draining" if ends else "a successor goes on" if self._leaving else "paused"
-        if self.owners is None:
+        self._is_suspended = is_suspended
+        handing_over = "a successor goes on" if self._is_handing_over else "paused"
+        self._log.release_reason = "draining" if ends else handing_over
+        if self.manager is None:
             return
-        now = self._clock.now_ms()
-        if rests:
-            self.owners.drain(now)
+        now_ms = self._clock.now_ms()
+        if is_suspended:
+            self.manager.drain(now_ms)
         else:
-            self._why = ""
-            self.owners.resume(now)
-        self._settle()
+            self._log.release_reason = ""
+            self.manager.resume(now_ms)
+        self._after_step()
 
     def hold(self, held: bool) -> None:
-        """Held: a successor goes on under the name; it gets the address once all is handed over."""
-        if held and not self._leaving:
-            self._leaving = True
-            self._holds += 1
+        """Held: a successor goes on under the name; it gets the address once all duties are handed over."""
+        if held and not self._is_handing_over:
+            self._is_handing_over = True
+            self._handovers += 1
             self.pause(False)
-            self._left(self._clock.now_ms() + LEAVE_MS)
-        elif not held and self._leaving:
-            self._leaving = self._rests = False
-            self._holds += 1
+            self._wait_released(self._clock.now_ms() + RELEASE_TIMEOUT_MS)
+        elif not held and self._is_handing_over:
+            self._is_handing_over = self._is_suspended = False
+            self._handovers += 1
             self._stop()
             self._socket.hold(False)
-            if self._fired is not None:
-                self._fired.cancel()
-            self._fired = self._clock.after(0.0, self._begin)
+            if self._begin_timer is not None:
+                self._begin_timer.cancel()
+            self._begin_timer = self._clock.after(0.0, self._begin)
 
-    def _left(self, until_ms: float) -> None:
-        if not self._leaving or self._closed:
+    def _wait_released(self, deadline_ms: float) -> None:
+        if not self._is_handing_over or self._is_closed:
             return
-        if self.owners is not None and self.owners.owned_duties and self._clock.now_ms() < until_ms:
-            self._clock.after(5.0, lambda: self._left(until_ms))
+        manager = self.manager
+        if manager is not None and manager.owned_duties and self._clock.now_ms() < deadline_ms:
+            self._clock.after(RELEASE_CHECK_MS, lambda: self._wait_released(deadline_ms))
             return
         self._stop()
         self._socket.hold(True)
 
     def close(self) -> None:
-        """For good, before the socket is closed."""
-        self._closed = True
-        if self._fired is not None:
-            self._fired.cancel()
+        """End for good, before the peers' socket is closed."""
+        self._is_closed = True
+        if self._begin_timer is not None:
+            self._begin_timer.cancel()
         self._stop()
-        if self._thread is not None:
-            self._thread.shutdown(wait=False)
+        self._thread.close()
 
-    # ------------------------------------------------ turns
+    # ------------------------------------------------ turns of the loop
 
-    def _came(self, source: str, item: bytes, now_ms: float) -> None:
-        if self.owners is not None:
-            self.owners.on_message(source, item, now_ms)
-            self._settle()
+    def _on_message(self, source: str, item: bytes, now_ms: float) -> None:
+        if self.manager is not None:
+            self.manager.on_message(source, item, now_ms)
+            self._after_step()
 
-    def _reported(self, source: str, item: bytes, now_ms: float) -> None:
+    def _on_report(self, source: str, item: bytes, now_ms: float) -> None:
         report = decode_report(item)
-        if report is not None:
-            for work in self.works.values():
-                work.on_report(source, report, now_ms)
-            self._poke(now_ms)
+        if report is None:
+            return
+        self._runner.on_report(source, report, now_ms)
+        if self.manager is not None:  # an owner's next step may depend on it
+            for name in self.manager.owned_duties:
+                self.manager.wake(name, now_ms)
+            self._after_step()
 
-    def _turn(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        owners = self.owners
-        if owners is None:
+        manager = self.manager
+        if manager is None:
             return
-        now = self._clock.now_ms()
-        if now - self._due_ms > self._times.max_lag_ms:
-            self._why = f"{now - self._due_ms:.0f} ms late"
-        owners.on_lag(now - self._due_ms, now)
-        for name, work in self.works.items():
-            if now >= work.next_ms:
-                for report in work.tick(now):
-                    self._report(name, report, now)
-                owners.wake(name, now)
-        owners.tick(now)
-        self._settle()
-
-    def _poke(self, now_ms: float) -> None:
-        """Something has come that an owner's next step may rest on."""
-        if self.owners is not None:
-            for name in self.owners.owned_duties:
-                self.owners.wake(name, now_ms)
-            self._settle()
-
-    def _report(self, name: str, report: Report, now_ms: float) -> None:
-        assert self.owners is not None
-        record = self.owners.replicator.records.get(name)
-        if record is None or not record.owner:
+        now_ms = self._clock.now_ms()
+        lag_ms = now_ms - self._due_ms
+        if lag_ms > self._timing.max_lag_ms:
+            self._log.release_reason = f"{lag_ms:.0f} ms late"
+        manager.on_lag(lag_ms, now_ms)
+        self._runner.tick(manager, now_ms)
+        manager.tick(now_ms)
+        self._after_step()
+
+    def _after_step(self) -> None:
+        """After each call of the manager: flush what waits, log what has changed, and set the timer."""
+        manager = self.manager
+        if manager is None:
             return
-        if record.owner == self.me:
-            self.works[name].on_report(self.me, report, now_ms)
-        else:
-            self._reports.post(record.owner, encode_report(report))
-
-    def _settle(self) -> None:
-        """After each call of the rules: what is to be flushed, who owns what now, when it goes on."""
-        owners = self.owners
-        if owners is None:
-            return
-        self._flush()
-        if owners.acceptor is not None and owners.acceptor.mode != self._mode:
-            self._mode = owners.acceptor.mode
-            self._say(f"owners: keeper: {self._mode}")
-        self._compare(owners)
-        due = min(owners.next_ms, *(work.next_ms for work in self.works.values()), float("inf"))
-        now = self._clock.now_ms()
-        due = max(due, now)
+        self._flush(manager)
+        self._log.update(manager, keeps_reason=self._is_suspended)
+        due_ms = max(min(manager.next_ms, self._runner.next_ms), self._clock.now_ms())
         if self._timer is not None:
-            if self._due_ms <= due:
+            if self._due_ms <= due_ms:
                 return  # it looks again then
             self._timer.cancel()
-        self._due_ms = due
-        self._timer = self._clock.at(due, self._turn)
-
-    def _compare(self, owners: DutyManager) -> None:
-        owned = {}
-        for name in owners.owned_duties:
-            record = owners.leaderships[name].record
-            owned[name] = record.term if record is not None else 0
-        if owned == self._owned:
-            return
-        for name in self._owned:
-            if name not in owned:
-                record = owners.leaderships[name].record
-                by = f"{record.owner} has it" if record is not None and record.owner else "handed over"
-                self._say(f"owners: {name} given up: {self._why or by}")
-                self._why = self._why if self._rests else ""
-        for name, term in owned.items():
-            if self._owned.get(name) != term:
-                self._say(f"owners: {name} owned here, term {term}")
-        self._owned = owned
-
-    # ------------------------------------------------ the disk
-
-    def _flush(self) -> None:
-        """All that waits in one flush, behind the one that is under way."""
-        if self._flushing or self.owners is None or self._file is None or self._thread is None:
+        self._due_ms = due_ms
+        self._timer = self._clock.at(due_ms, self._on_timer)
+
+    def _flush(self, manager: DutyManager) -> None:
+        """Write all that waits in one flush, after the one that is under way."""
+        file = self._file
+        if self._is_flushing or file is None:
             return
-        steps = self.owners.take_outputs()
-        if not steps:
+        outputs = manager.take_outputs()
+        if not outputs:
             return
-        self._flushing = True
-        owners, file = self.owners, self._file
-        entries = [entry for step in steps for entry in step.entries]
-        done = self._thread.submit(file.append, entries)
-        self._then(done, lambda well: self._flushed(owners, file, steps, well))
-
-    def _flushed(
-        self, owners: DutyManager, file: AcceptorFile, steps: list[AcceptorOutput], well: bool
+        self._is_flushing = True
+        entries = [entry for output in outputs for entry in output.entries]
+        self._thread.run(
+            lambda: file.append(entries),
+            lambda is_written: self._on_flushed(manager, file, outputs, is_written),
+        )
+
+    def _on_flushed(
+        self, manager: DutyManager, file: AcceptorFile, outputs: list[AcceptorOutput], is_written: bool
     ) -> None:
-        self._flushing = False
-        if owners is self.owners:
-            if well:
-                now = self._clock.now_ms()
-                owners.on_all_flushed(steps, now)
+        self._is_flushing = False
+        if manager is self.manager:
+            if is_written:
+                manager.on_all_flushed(outputs, self._clock.now_ms())
             else:
-                self._say(f"owners: {self.options.folder}: {file.fault}; no keeper until the next start")
-                owners.on_flush_failed()
-        self._settle()
-
-    def _then(self, done: Future[T], then: Callable[[T], None]) -> None:
-        """Back from the thread, in a turn of the loop; nothing where the loop is over."""
+                folder = self.options.folder
+                self._log.write(f"owners: {folder}: {file.fault}; no keeper until the next start")
+                manager.on_flush_failed()
+        self._after_step()
 
-        def over(future: Future[T]) -> None:
-            with suppress(RuntimeError):
-                self._loop.call_soon_threadsafe(lambda: then(future.result()))
+    # ------------------------------------------------ for other plugins and operators
 
-        done.add_done_callback(over)
-
-    # ------------------------------------------------ words
-
-    def _say(self, line: str) -> None:
-        self._log.write(line)
-
-    def _tell(self, line: str) -> None:
-        """Of effects: so many a second, whatever an owner does."""
-        now = self._clock.now_ms()
-        if now - self._said_ms >= 1000.0:
-            self._said, self._said_ms = 0, now
-        self._said += 1
-        if self._said <= MOST_SAID:
-            self._say(line)
-
-    def holds(self, name: str) -> tuple[int, int, bytes] | None:
-        """Term, number and state of a duty that is owned here."""
-        if self.owners is None or name not in self.owners.owned_duties:
+    def owned_state(self, name: str) -> tuple[int, int, bytes] | None:
+        """Term, number and state of a duty that this process owns; None of any other."""
+        if self.manager is None or name not in self.manager.owned_duties:
             return None
-        record = self.owners.leaderships[name].record
+        record = self.manager.leaderships[name].record
         return (*record.version, record.value) if record is not None else None
 
     def facts(self) -> dict[str, object]:
         """For STATUS, one line's worth."""
-        if self.owners is None:
-            return {"owners": "closed" if self._closed else self._trouble.replace(" ", "-") or "waiting"}
-        status = self.owners.status()
-        duties = ",".join(
-            f"{name}:{of.phase}:{of.owner or 'nobody'}:{of.term}.{of.number}"
-            for name, of in status.duties.items()
-        )
-        found: dict[str, object] = {
-            "owners": duties or "none",
-            "owners_majority": int(status.has_majority),
-            "owners_keeper": status.mode or "no",
-            "owners_epoch": status.epoch,
-        }
-        wrong = {"late": status.stale_updates, "dropped": status.dropped}
-        wrong |= {f"{name}_failed": of.failed_steps for name, of in status.duties.items()}
-        told = ",".join(f"{name}:{count}" for name, count in wrong.items() if count)
-        return found | {"owners_dropped": told or "0"}
+        if self.manager is None:
+            fault = self._file_fault.replace(" ", "-")
+            return {"owners": "closed" if self._is_closed else fault or "waiting"}
+        return status_facts(self.manager.status())
 
 
 def _opened(file: AcceptorFile) -> AcceptorState | str:
-    """On the keeper's thread: the disk, or why not."""
+    """On the disk's thread: the file's state, or why it can't be opened."""
     try:
         return file.open()
     except OSError as problem:
@@ -467,10 +373,14 @@
 
 
 def attach(host: Host, options: Operator) -> None:
-    """The part, which begins once the peers' socket is open. ConfigError where the files don't do."""
+    """Attach the plugin, which begins once the peers' socket is open.
+
+    Raises:
+        ConfigError: the files don't allow it.
+    """
     if host.peers is None:
         raise ConfigError("owners.on: it needs peers: write on = true in [peers], or false here")
-    part = Part(host, host.peers, options, keeping(options, host.config).name)
-    host.owners = part
-    host.closers.insert(0, part.close)  # it hands over by the peers' socket
-    host.facts.append(part.facts)
+    plugin = OwnersPlugin(host, host.peers, options, keeping(options, host.config).name)
+    host.owners = plugin
+    host.closers.insert(0, plugin.close)  # it hands over by the peers' socket
+    host.facts.append(plugin.facts)
--- a/larkweir/lifecycle/incoming_handover.py
+++ b/larkweir/lifecycle/incoming_handover.py
@@ -92,7 +92,7 @@
         self._host.build_node(state)
         node = self._host.node
         if node.owners is not None:
-            node.owners.expect()
+            node.owners.expect_fingerprint()
         self._host.open_sockets()
         if state is None:  # nobody is left to say what it knew: as at any start
             node.begin()
@@ -168,7 +168,7 @@
             case Message(kind=MessageKind.GO, payload=HandoverState() as state):
                 self._on_late_go(state)
             case Message(kind=MessageKind.KEPT, payload=ReplicaMark() as kept) if node.owners is not None:
-                node.owners.told(kept.mark)
+                node.owners.on_predecessor_closed(kept.mark)
             case Message(kind=MessageKind.GIVE_UP):
                 self._host.post(StopRequested())
 
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -35,7 +35,7 @@
     from larkweir.background.runner import Runner
     from larkweir.coordination.captures.part import Part as Captures
     from larkweir.coordination.edits.part import Part as Edits
-    from larkweir.coordination.owners import Part
+    from larkweir.coordination.owners import OwnersPlugin
     from larkweir.lifecycle.channel import HandoverState
     from larkweir.lifecycle.seen import SeenElsewhere, Tell
     from larkweir.membership.remembered.evidence import Evidence
@@ -121,7 +121,7 @@
         self.remembered: RestoredMembers | None = None
         self.keeper: Keeper | None = None
         self.peers: Socket | None = None
-        self.owners: Part | None = None
+        self.owners: OwnersPlugin | None = None
         self.edits: Edits | None = None
         self.captures: Captures | None = None
         self.seen: SeenElsewhere | None = None  # where another process serves beside this one
--- a/larkweir/lifecycle/outgoing_handover.py
+++ b/larkweir/lifecycle/outgoing_handover.py
@@ -22,7 +22,7 @@
 from larkweir.lifecycle.replica_handoff import MarkDelivery, ReplicaHandoff
 
 if TYPE_CHECKING:  # imported where they are switched on
-    from larkweir.coordination.owners import Part
+    from larkweir.coordination.owners import OwnersPlugin
     from larkweir.lifecycle.host import Host
     from larkweir.lifecycle.upgrade import UpgradePeer
 
@@ -175,14 +175,14 @@
 
     # ------------------------------------------------ a keeper's file
 
-    def on_accepting(self, owners: Part, accepting: bool) -> None:
+    def on_accepting(self, owners: OwnersPlugin, accepting: bool) -> None:
         """What a keeper's file held is told to the successor that goes on with it; not once this process accepts again,
         when its keeper may write.
         """
         if accepting or self._replica_handoff is None:
             self._replica_handoff = ReplicaHandoff()
         handoff = self._replica_handoff
-        owners.kept = lambda mark: self._deliver(handoff.on_closed(mark))
+        owners.on_file_closed = lambda mark: self._deliver(handoff.on_closed(mark))
 
     def _deliver(self, delivery: MarkDelivery | None) -> None:
         if delivery is not None:
--- a/packages/owners/tests/test_owners_rules.py
+++ b/packages/owners/tests/test_owners_rules.py
@@ -239,6 +239,16 @@
     assert mail.sent[-1] == ("p3", StateUpdates((("d", record(1, 4)),)))
 
 
+def test_a_version_that_is_held_is_not_applied_again() -> None:
+    applied: list[tuple[int, int]] = []
+    followers = StateReplicator(
+        "p0", Post(), Registers(), lambda names, most: names[:most], lambda key, r: applied.append(r.version)
+    )
+    assert followers.apply("d", record(1, 2))
+    assert not followers.apply("d", record(1, 2))
+    assert (applied, followers.applied, followers.stale) == ([(1, 2)], 1, 0)
+
+
 def test_the_heir_hears_first_and_news_is_passed_on_once() -> None:
     mail = Post()
     followers = StateReplicator(
--- a/standins/world/system.py
+++ b/standins/world/system.py
@@ -213,7 +213,7 @@
     ("larkweir.coordination.part", "Random", drawn),
     ("larkweir.coordination.owners", "Random", drawn),
     ("larkweir.coordination.owners", "randbits", randbits),
-    ("larkweir.coordination.owners", "ThreadPoolExecutor", Pool),
+    ("larkweir.coordination.disk_thread", "ThreadPoolExecutor", Pool),
     ("larkweir.coordination.owners", "LockedFolder", _folder),
 )
 
--- a/tests/fleet/test_edits_part.py
+++ b/tests/fleet/test_edits_part.py
@@ -150,7 +150,7 @@
     def __init__(self, term: int, number: int, *keys: str) -> None:
         self._held = (term, number, encode_state(State(1, (), tuple((key, "worse") for key in keys))))
 
-    def holds(self, name: str) -> tuple[int, int, bytes] | None:
+    def owned_state(self, name: str) -> tuple[int, int, bytes] | None:
         return self._held if name == "verdicts" else None
 
 
