--- a/larkweir/router/answers.py
+++ b/larkweir/router/answers.py
@@ -7,7 +7,7 @@
 
 
 class ErrorKind(Enum):
-    """Why the router answers itself. The list is closed; `ANSWERS` has each."""
+    """Why the router answers itself. The list is closed; `ERROR_RESPONSES` has each."""
 
     BAD_REQUEST = "bad_request"
     HEADERS_TOO_LARGE = "headers_too_large"
@@ -18,14 +18,14 @@
     UNKNOWN_KEY = "unknown_key"
     OVER_QUOTA = "over_quota"
     NO_UPSTREAM = "no_upstream"  # none is ready, or all were tried; the request has not run
-    TURNED_AWAY = "turned_away"  # upstreams refused it unseen; it has not run
+    REJECTED = "turned_away"  # upstreams refused it unseen; it has not run
     UPSTREAM_FAILED = "upstream_failed"  # it may have run
     TIMED_OUT = "timed_out"  # it may have run
     TIMED_OUT_UNSENT = "timed_out_unsent"  # it has not run
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorResponse:
     """A status, and whether it promises that the request has not run and never will."""
 
     status: int
@@ -35,20 +35,20 @@
 
 STARTING_RETRY_S = 1.0  # a router that has just started knows the fleet in less than that
 UPSTREAM_RETRY_S = 0.8  # upstreams make themselves known about once a second
-FULL_RETRY_S = 0.3
-
-ANSWERS = {
-    ErrorKind.BAD_REQUEST: Answer(400, close=True),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(431, close=True),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, close=True),
-    ErrorKind.CLIENT_TOO_SLOW: Answer(408, close=True),
-    ErrorKind.NO_CONFIGURATION: Answer(503, retry_after_s=STARTING_RETRY_S),
-    ErrorKind.NO_ROUTE: Answer(404),
-    ErrorKind.UNKNOWN_KEY: Answer(401),
-    ErrorKind.OVER_QUOTA: Answer(429, retry_after_s=0.5),
-    ErrorKind.NO_UPSTREAM: Answer(503, retry_after_s=UPSTREAM_RETRY_S),
-    ErrorKind.TURNED_AWAY: Answer(503, retry_after_s=FULL_RETRY_S),
-    ErrorKind.UPSTREAM_FAILED: Answer(502),
-    ErrorKind.TIMED_OUT: Answer(504),
-    ErrorKind.TIMED_OUT_UNSENT: Answer(503, retry_after_s=FULL_RETRY_S),
+AT_CAPACITY_RETRY_S = 0.3
+
+ERROR_RESPONSES = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, close=True),
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(431, close=True),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, close=True),
+    ErrorKind.CLIENT_TOO_SLOW: ErrorResponse(408, close=True),
+    ErrorKind.NO_CONFIGURATION: ErrorResponse(503, retry_after_s=STARTING_RETRY_S),
+    ErrorKind.NO_ROUTE: ErrorResponse(404),
+    ErrorKind.UNKNOWN_KEY: ErrorResponse(401),
+    ErrorKind.OVER_QUOTA: ErrorResponse(429, retry_after_s=0.5),
+    ErrorKind.NO_UPSTREAM: ErrorResponse(503, retry_after_s=UPSTREAM_RETRY_S),
+    ErrorKind.REJECTED: ErrorResponse(503, retry_after_s=AT_CAPACITY_RETRY_S),
+    ErrorKind.UPSTREAM_FAILED: ErrorResponse(502),
+    ErrorKind.TIMED_OUT: ErrorResponse(504),
+    ErrorKind.TIMED_OUT_UNSENT: ErrorResponse(503, retry_after_s=AT_CAPACITY_RETRY_S),
 }
--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -10,7 +10,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 # Of one connection alone (RFC 9110, 7.6.1), or framed anew.
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -25,12 +25,12 @@
     )
 )
 # Set by the router, whatever the client sent.
-OWN_HEADERS = frozenset(
+ROUTER_HEADERS = frozenset(
     (b"content-length", b"x-api-key", b"x-tenant", b"x-deadline-ms", b"x-target-instance", b"priority")
 )
 
 
-class UpstreamHeaders(NamedTuple):
+class RoutingHeaders(NamedTuple):
     """What the router tells an upstream of a request beside the client's own headers."""
 
     deadline_ms: int
@@ -102,25 +102,29 @@
         head = parts[-2].partition(b":")[0].strip().decode("latin-1")
         return Prompt(head, tokens, min(tokens, head_tokens), aim_ms)
 
-    def upstream_headers(self, own: UpstreamHeaders) -> Headers:
+    def upstream_headers(self, routing: RoutingHeaders) -> Headers:
         """What goes to an upstream: the client's headers, without those of its connection, and the router's."""
-        dropped = HOP_BY_HOP | OWN_HEADERS
-        if own.last_event_id is not None:
+        dropped = HOP_BY_HOP_HEADERS | ROUTER_HEADERS
+        if routing.last_event_id is not None:
             dropped = dropped | {b"last-event-id"}
-        named = {
+        connection_options = {
             token.strip().lower()
             for name, value in self.headers
             if name == b"connection"
             for token in value.split(b",")
         }
-        headers = [(name, value) for name, value in self.headers if name not in dropped and name not in named]
-        headers.append((b"x-deadline-ms", b"%d" % own.deadline_ms))
-        headers.append((b"x-target-instance", own.instance.encode("latin-1")))
-        headers.append((b"priority", b"%d" % own.priority))
-        if own.tenant is not None:
-            headers.append((b"x-tenant", own.tenant.encode("latin-1")))
-        if own.last_event_id is not None:
-            headers.append((b"last-event-id", own.last_event_id))
+        headers = [
+            (name, value)
+            for name, value in self.headers
+            if name not in dropped and name not in connection_options
+        ]
+        headers.append((b"x-deadline-ms", b"%d" % routing.deadline_ms))
+        headers.append((b"x-target-instance", routing.instance.encode("latin-1")))
+        headers.append((b"priority", b"%d" % routing.priority))
+        if routing.tenant is not None:
+            headers.append((b"x-tenant", routing.tenant.encode("latin-1")))
+        if routing.last_event_id is not None:
+            headers.append((b"last-event-id", routing.last_event_id))
         if self.body or self.method in (b"POST", b"PUT", b"PATCH"):
             headers.append((b"content-length", b"%d" % len(self.body)))
         return headers
--- a/larkweir/router/configuration.py
+++ b/larkweir/router/configuration.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from random import Random
-from typing import Any
 
 import msgspec
 from larkweir_quotas.limits import RateLimit
@@ -41,14 +40,14 @@
     resumable: bool = False
 
     @property
-    def streams(self) -> bool:
+    def is_streaming(self) -> bool:
         """Whether answers are series of events."""
         return self.kind == STREAMING
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind == IDEMPOTENT or (self.streams and self.resumable)
+        return self.kind == IDEMPOTENT or (self.is_streaming and self.resumable)
 
     def service(self, rng: Random) -> str:
         """The service for one request, by the weights."""
@@ -63,7 +62,7 @@
 
     name: str
     max_conns: int = 100
-    engine: dict[str, Any] | None = None
+    engine: dict[str, object] | None = None
 
 
 class Tenant(msgspec.Struct, frozen=True):
@@ -77,7 +76,7 @@
     rate_per_s: float = 0.0
     burst: float = 0.0
 
-    def units(self, tokens: float | None) -> float:
+    def quota_units(self, tokens: float | None) -> float:
         """What one request counts, that is told to use so many tokens."""
         if self.unit != TOKEN_COUNT:
             return 1.0
@@ -124,14 +123,14 @@
         for routes in self._routes.values():
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
-    def route(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Of the host's routes the one with the longest prefix that begins the path."""
         for route in self._routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
-    def tenant(self, key: str) -> Tenant | None:
+    def find_tenant(self, key: str) -> Tenant | None:
         """Whose key that is."""
         return self._tenants.get(key)
 
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -16,7 +16,7 @@
 from larkweir.cluster.settings import Bounds
 from larkweir.router.answers import ErrorKind
 from larkweir.router.configuration import ConfigurationStore
-from larkweir.router.prompt_keepers import PromptKeepers
+from larkweir.router.prefix_affinity import PrefixAffinity
 from larkweir.router.upstream_pool import UpstreamPool
 
 if TYPE_CHECKING:
@@ -33,21 +33,21 @@
         self.configuration = ConfigurationStore()
         self.quotas = QuotaLimiter()
         self.pool = UpstreamPool()
-        self.keepers = PromptKeepers(link_mbps)
-        self.endings = OutcomeWindow()
+        self.prefix_affinity = PrefixAffinity(link_mbps)
+        self.outcomes = OutcomeWindow()
         self.connections: set[ClientConnection] = set()
-        self.announce: Callable[[], None] = lambda: None  # tells controllers of a long prompt at once
+        self.announce_waiting: Callable[[], None] = lambda: None  # tells controllers of a long prompt at once
         self.stopping = False
-        self.counts: dict[ErrorKind, int] = dict.fromkeys(ErrorKind, 0)
-        self._processes = 1
+        self.error_counts: dict[ErrorKind, int] = dict.fromkeys(ErrorKind, 0)
+        self._router_count = 1
         self._balancers: dict[str, UpstreamSelector] = {}
         self._retries: dict[str, RetryBudget] = {}
         self._upstreams: dict[str, Upstream] = {}
         self._ejected: set[str] = set()
 
-    def count(self, kind: ErrorKind) -> None:
+    def count_error(self, kind: ErrorKind) -> None:
         """An answer of the router's own."""
-        self.counts[kind] += 1
+        self.error_counts[kind] += 1
 
     def is_engine(self, service: str) -> bool:
         """Whether its upstreams are model engines."""
@@ -60,7 +60,7 @@
         balancer = self._balancers.get(service)
         if balancer is None:
             balancer = self._balancers[service] = UpstreamSelector(
-                self.rng, is_engine=self.is_engine(service), has_idle_connection=self._linked
+                self.rng, is_engine=self.is_engine(service), has_idle_connection=self._has_idle_connection
             )
             self._list(service, 0.0)
             balancer.set_ejected(self._ejected)
@@ -72,15 +72,15 @@
         if budget is None:
             bounds = self._bounds
             budget = RetryBudget(bounds.retry_budget_ratio, bounds.retry_budget_slack, bounds.budget_window_s)
-            budget.process_count = self._processes
+            budget.process_count = self._router_count
             self._retries[service] = budget
         return budget
 
-    def share_with(self, processes: int) -> None:
+    def set_router_count(self, routers: int) -> None:
         """How many routers there are, this one included."""
-        self._processes = self.quotas.process_count = processes
+        self._router_count = self.quotas.process_count = routers
         for budget in self._retries.values():
-            budget.process_count = processes
+            budget.process_count = routers
 
     def address(self, instance: str) -> str:
         """Where that upstream listens."""
@@ -91,7 +91,7 @@
         """Whether any is ready."""
         return any(upstream.state is UpstreamState.READY for upstream in self._upstreams.values())
 
-    def _linked(self, instance: str) -> bool:
+    def _has_idle_connection(self, instance: str) -> bool:
         upstream = self._upstreams.get(instance)
         return upstream is not None and self.pool.has_idle(upstream.address)
 
--- a/larkweir/router/event_stream.py
+++ b/larkweir/router/event_stream.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-PENDING_MOST_BYTES = 1024 * 1024  # of one event; a longer one is passed on in parts and can't be resumed
+MAX_PENDING_BYTES = 1024 * 1024  # of one event; a longer one is passed on in parts and can't be resumed
 
 
 class EventBuffer:
@@ -19,7 +19,7 @@
         self._pending += data
         end = self._end_of_last_event()
         if end == 0:
-            if len(self._pending) > PENDING_MOST_BYTES:
+            if len(self._pending) > MAX_PENDING_BYTES:
                 self.resumable = False
                 return self.flush()
             return b""
--- a/larkweir/router/node.py
+++ b/larkweir/router/node.py
@@ -14,14 +14,14 @@
 from larkweir.router.fleet_view import FleetView
 
 TICK_S = 0.1
-STANDSTILL_MS = 700.0
-EXPIRE_EVERY_TICKS = 10
+MIN_PAUSE_MS = 700.0
+TICKS_PER_EXPIRY = 10
 BACKLOG = 1_024
-LINGER_S = 2.6  # the platform asks every second and sends connections until the second time in vain
-FIRST_REQUEST_S = 0.2  # that a connection taken at the last moment has for its request to come
-LAST_ACCEPTS = 3  # turns of the event loop in which connections that wait in the kernel are still taken
-READY_BODY_BYTES = 1_024
-GRACE_MARGIN_S = 0.4
+ACCEPT_GRACE_S = 2.6  # the platform asks every second and sends connections until the second time in vain
+LAST_REQUEST_TIMEOUT_S = 0.2  # that a connection taken at the last moment has for its request to come
+FINAL_ACCEPT_TURNS = 3  # turns of the event loop in which connections that wait in the kernel are still taken
+MAX_READY_BODY_BYTES = 1_024
+SHUTDOWN_MARGIN_S = 0.4
 
 
 class Router:
@@ -53,7 +53,7 @@
         if listen.ready is not None:
             ready = parse_address(listen.ready)
             self._ready_server = await self._loop.create_server(
-                lambda: HttpServerConnection(self._answer_ready, READY_BODY_BYTES), *ready
+                lambda: HttpServerConnection(self._answer_ready, MAX_READY_BODY_BYTES), *ready
             )
         log.event("router_started", front=listen.front)
         self._ticking = self._loop.create_task(self._tick_forever(watch))
@@ -78,14 +78,14 @@
         count = 0
         while True:
             now_ms = self._loop.time() * 1000.0
-            if now_ms >= last_ms + STANDSTILL_MS:
+            if now_ms >= last_ms + MIN_PAUSE_MS:
                 log.event("stood_still")
                 self._view.excuse_silence()
             last_ms = now_ms
             self._view.tick()
             watch.tick(now_ms)
             count += 1
-            if count % EXPIRE_EVERY_TICKS == 0:
+            if count % TICKS_PER_EXPIRY == 0:
                 self._plane.pool.expire()
             await asyncio.sleep(TICK_S)
 
@@ -97,12 +97,12 @@
     async def _drain(self) -> None:
         """Takes what the platform still sends, answers what was taken, and ends before the platform's patience does."""
         self._plane.stopping = True
-        begun_s = self._loop.time()
+        started_s = self._loop.time()
         log.event("router_draining", connections=len(self._plane.connections))
-        end_s = begun_s + self._settings.bounds.grace_s - GRACE_MARGIN_S
-        await self._sleep_until(min(end_s - FIRST_REQUEST_S, begun_s + LINGER_S))
+        end_s = started_s + self._settings.bounds.grace_s - SHUTDOWN_MARGIN_S
+        await self._sleep_until(min(end_s - LAST_REQUEST_TIMEOUT_S, started_s + ACCEPT_GRACE_S))
         await self._stop_accepting()
-        await self._sleep_until(min(end_s, begun_s + LINGER_S + FIRST_REQUEST_S))
+        await self._sleep_until(min(end_s, started_s + ACCEPT_GRACE_S + LAST_REQUEST_TIMEOUT_S))
         while self._plane.connections and self._loop.time() < end_s:
             for connection in list(self._plane.connections):
                 connection.close_if_idle()
@@ -114,7 +114,7 @@
 
     async def _stop_accepting(self) -> None:
         """A request that came later could not be answered any more: its client is refused and goes elsewhere."""
-        for _ in range(LAST_ACCEPTS):
+        for _ in range(FINAL_ACCEPT_TURNS):
             await asyncio.sleep(0)
         if self._front is not None:
             self._front.close()
--- a/larkweir/router/request_log.py
+++ b/larkweir/router/request_trace.py
@@ -8,7 +8,7 @@
 from larkweir_balancing.upstream_selection import SelectionReason
 
 
-class AttemptNote(msgspec.Struct, omit_defaults=True):
+class AttemptTrace(msgspec.Struct, omit_defaults=True):
     """One upstream that a request went to. Times are milliseconds since the request was received."""
 
     upstream: str
@@ -25,36 +25,36 @@
 
 
 @dataclass(slots=True)
-class RequestNote:
+class RequestTrace:
     """A request's attempts, filled in as they go on."""
 
     received_ms: float
     placed_ms: int | None = None  # a controller had said where the head is kept, or nobody had in time
-    attempts: list[AttemptNote] = field(default_factory=list)
+    attempts: list[AttemptTrace] = field(default_factory=list)
 
-    def since(self, now_ms: float) -> int:
+    def elapsed_ms(self, now_ms: float) -> int:
         """Milliseconds since the request was received."""
         return round(now_ms - self.received_ms)
 
-    def chosen(self, upstream: str, reason: SelectionReason, waiting_tokens: float, now_ms: float) -> None:
+    def on_chosen(self, upstream: str, reason: SelectionReason, waiting_tokens: float, now_ms: float) -> None:
         """An attempt begins."""
-        self.attempts.append(AttemptNote(upstream, reason, self.since(now_ms), round(waiting_tokens)))
+        self.attempts.append(AttemptTrace(upstream, reason, self.elapsed_ms(now_ms), round(waiting_tokens)))
 
-    def written(self, tokens: float, now_ms: float) -> None:
+    def on_request_sent(self, tokens: float, now_ms: float) -> None:
         """The request has been written to the upstream."""
         self.attempts[-1].tokens = round(tokens)
-        self.attempts[-1].written_ms = self.since(now_ms)
+        self.attempts[-1].written_ms = self.elapsed_ms(now_ms)
 
-    def head(self, status: int, load: str, now_ms: float) -> None:
+    def on_head(self, status: int, load: str, now_ms: float) -> None:
         """The head of an answer came."""
         last = self.attempts[-1]
-        last.status, last.load, last.head_ms = status, load, self.since(now_ms)
+        last.status, last.load, last.head_ms = status, load, self.elapsed_ms(now_ms)
 
-    def first_event(self, now_ms: float) -> None:
+    def on_first_event(self, now_ms: float) -> None:
         """The first piece of a body came."""
-        self.attempts[-1].first_ms = self.since(now_ms)
+        self.attempts[-1].first_ms = self.elapsed_ms(now_ms)
 
-    def ended(self, ending: str) -> None:
+    def on_ended(self, ending: str) -> None:
         """The attempt is over without a whole answer."""
         if self.attempts:
             self.attempts[-1].ending = ending
--- a/larkweir/router/upstream_call.py
+++ b/larkweir/router/upstream_connection.py
@@ -16,30 +16,30 @@
 )
 MAX_HEADER_BYTES = 64 * 1024
 SIGNATURE = b"x-server-signature"
-FIRST_FAILURE = 300  # of the statuses
+MIN_FAILURE_STATUS = 300  # of the statuses
 Headers = list[tuple[bytes, bytes]]
 
 
-class Ending(Enum):
+class CallFailure(Enum):
     """How a call ended without a whole answer."""
 
     CLOSED = "closed"  # the connection ended; the request may have run
     GARBLED = "garbled"  # bytes that are no answer to it
 
 
-class CallListener(Protocol):
-    """Who a call reports to. After `call_done` or `call_failed` nothing more comes."""
+class ResponseListener(Protocol):
+    """Who a call reports to. After `on_response_end` or `on_call_failed` nothing more comes."""
 
-    def call_head(self, response: h11.Response) -> None:
+    def on_response_head(self, response: h11.Response) -> None:
         """The answer's head."""
 
-    def call_data(self, data: bytes) -> None:
+    def on_response_data(self, data: bytes) -> None:
         """A piece of its body."""
 
-    def call_done(self) -> None:
+    def on_response_end(self) -> None:
         """The answer is whole."""
 
-    def call_failed(self, ending: Ending) -> None:
+    def on_call_failed(self, ending: CallFailure) -> None:
         """There will be no more of an answer."""
 
 
@@ -54,13 +54,13 @@
         self._on_lost = on_lost
         self._transport: asyncio.Transport | None = None
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
-        self._listener: CallListener | None = None
+        self._listener: ResponseListener | None = None
         self._request: h11.Request | None = None
         self._request_id = b""
-        self._skipping = False  # an answer to an earlier request of this connection
+        self._is_stale_response = False  # an answer to an earlier request of this connection
         self._reusable = True
-        self.keep_alive_s: float | None = None  # as the upstream told
-        self.used = False  # at least one call was answered on it
+        self.keep_alive_s: float | None = None  # as the upstream advertised
+        self.has_served = False  # at least one call was answered on it
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the loop."""
@@ -74,7 +74,7 @@
         self._on_lost(self)
         listener, self._listener = self._listener, None
         if listener is not None:
-            listener.call_failed(Ending.CLOSED)
+            listener.on_call_failed(CallFailure.CLOSED)
 
     def eof_received(self) -> bool:
         """Called by the loop. An answer without a length ends so."""
@@ -94,12 +94,12 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def call(self, request: h11.Request, request_id: bytes, body: bytes, listener: CallListener) -> None:
+    def call(self, request: h11.Request, request_id: bytes, body: bytes, listener: ResponseListener) -> None:
         """Sends a request. The connection must be open and idle."""
         assert self._transport is not None
         assert self._listener is None
         self._request, self._request_id, self._listener = request, request_id, listener
-        self._skipping = False
+        self._is_stale_response = False
         out = self._h11.send(request) or b""
         if body:
             out += self._h11.send(h11.Data(data=body)) or b""
@@ -129,21 +129,21 @@
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError:
-                self._fail(Ending.GARBLED)
+                self._fail(CallFailure.GARBLED)
                 return
             if isinstance(event, h11.Response):
-                self._head(event)
+                self._on_head(event)
             elif isinstance(event, h11.Data):
-                if not self._skipping:
-                    self._listener.call_data(bytes(event.data))
+                if not self._is_stale_response:
+                    self._listener.on_response_data(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self._end()
+                self._on_end()
             elif isinstance(event, h11.ConnectionClosed):
-                self._fail(Ending.CLOSED)
+                self._fail(CallFailure.CLOSED)
             elif event is h11.NEED_DATA or event is h11.PAUSED:
                 return
 
-    def _head(self, response: h11.Response) -> None:
+    def _on_head(self, response: h11.Response) -> None:
         assert self._listener is not None
         echoed, signed = b"", False
         for name, value in response.headers:
@@ -152,40 +152,40 @@
             elif name == SIGNATURE:
                 signed = True
             elif name == b"keep-alive":
-                self.keep_alive_s = _timeout_of(value)
+                self.keep_alive_s = _parse_keep_alive(value)
             elif name == b"connection" and b"close" in value.lower():
                 self._reusable = False
         if echoed and echoed != self._request_id:
-            self._skipping = True
-        elif response.status_code < FIRST_FAILURE and not (echoed and signed):
-            self._fail(Ending.GARBLED)  # refusals may name no request, successes do
+            self._is_stale_response = True
+        elif response.status_code < MIN_FAILURE_STATUS and not (echoed and signed):
+            self._fail(CallFailure.GARBLED)  # refusals may name no request, successes do
         else:
             if not echoed:  # a second copy of it could not be told from the answer to the next request
                 self._reusable = False
-            self._listener.call_head(response)
+            self._listener.on_response_head(response)
 
-    def _end(self) -> None:
+    def _on_end(self) -> None:
         """One answer is whole: ours, or one that belongs to an earlier request."""
-        if self._skipping:
-            self._expect_another()
+        if self._is_stale_response:
+            self._restart_parser()
             return
         listener, self._listener = self._listener, None
-        self.used = True
+        self.has_served = True
         extra = bool(self._h11.trailing_data[0])
         reusable = self._reusable and not extra and self._h11.our_state is h11.DONE is self._h11.their_state
         if reusable and self._transport is not None:
             self._h11.start_next_cycle()
             self._on_idle(self)
         else:
-            self._close_quietly()
+            self._abort()
         assert listener is not None
-        listener.call_done()
+        listener.on_response_end()
 
-    def _expect_another(self) -> None:
+    def _restart_parser(self) -> None:
         """Begins to read anew, as if our request had just been sent: its answer is still to come."""
-        self._skipping = False
+        self._is_stale_response = False
         if self._h11.their_state is not h11.DONE or not self._reusable:
-            self._fail(Ending.CLOSED)
+            self._fail(CallFailure.CLOSED)
             return
         left = self._h11.trailing_data[0]
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
@@ -199,18 +199,18 @@
         if left:
             self._h11.receive_data(left)
 
-    def _fail(self, ending: Ending) -> None:
+    def _fail(self, ending: CallFailure) -> None:
         listener, self._listener = self._listener, None
-        self._close_quietly()
+        self._abort()
         if listener is not None:
-            listener.call_failed(ending)
+            listener.on_call_failed(ending)
 
-    def _close_quietly(self) -> None:
+    def _abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
 
-def _timeout_of(value: bytes) -> float | None:
+def _parse_keep_alive(value: bytes) -> float | None:
     """The seconds of `Keep-Alive: timeout=N` (RFC 2068, 19.7.1.1), None where it has none."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
--- a/larkweir/router/upstream_pool.py
+++ b/larkweir/router/upstream_pool.py
@@ -8,34 +8,34 @@
 from larkweir_balancing.decision_options import OPTIONS
 
 from larkweir.cluster.settings import parse_address
-from larkweir.router.upstream_call import UpstreamConnection
+from larkweir.router.upstream_connection import UpstreamConnection
 
-CONNECT_MOST_S = 0.4  # an upstream that is there answers in milliseconds
-CONNECT_LEAST_S = 0.1  # on a slow link the answer comes behind what that carries already
-DEVIATIONS = 4.0
-IDLE_MOST_S = 30.0
+MAX_CONNECT_TIMEOUT_S = 0.4  # an upstream that is there answers in milliseconds
+MIN_CONNECT_TIMEOUT_S = 0.1  # on a slow link the answer comes behind what that carries already
+DEVIATION_FACTOR = 4.0
+MAX_IDLE_S = 30.0
 IDLE_MARGIN_S = 1.0  # before an upstream closes an idle connection, by the time that it says
 
 
 @dataclass(slots=True)
-class ConnectPatience:
+class ConnectTimeout:
     """How long a new connection may take, by those that were made: as RFC 6298 sets a retransmission timer."""
 
-    seconds: float = CONNECT_MOST_S
+    seconds: float = MAX_CONNECT_TIMEOUT_S
     _mean_s: float | None = None
     _deviation_s: float = 0.0
 
-    def observe(self, taken_s: float) -> None:
+    def observe(self, elapsed_s: float) -> None:
         """A connection was made in that time."""
         if self._mean_s is None:
-            self._mean_s, self._deviation_s = taken_s, taken_s / 2.0
+            self._mean_s, self._deviation_s = elapsed_s, elapsed_s / 2.0
         else:
-            self._deviation_s += (abs(taken_s - self._mean_s) - self._deviation_s) / 4.0
-            self._mean_s += (taken_s - self._mean_s) / 8.0
+            self._deviation_s += (abs(elapsed_s - self._mean_s) - self._deviation_s) / 4.0
+            self._mean_s += (elapsed_s - self._mean_s) / 8.0
         if not OPTIONS.adaptive_connect_timeout:
             return
-        wanted_s = self._mean_s + DEVIATIONS * self._deviation_s
-        self.seconds = min(CONNECT_MOST_S, max(CONNECT_LEAST_S, wanted_s))
+        timeout_s = self._mean_s + DEVIATION_FACTOR * self._deviation_s
+        self.seconds = min(MAX_CONNECT_TIMEOUT_S, max(MIN_CONNECT_TIMEOUT_S, timeout_s))
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         """Opens nothing yet."""
         self._loop = asyncio.get_running_loop()
-        self._patience = ConnectPatience()
+        self._connect_timeout = ConnectTimeout()
         self._idle: dict[str, list[_Idle]] = {}
         self._addresses: dict[UpstreamConnection, str] = {}
 
@@ -71,31 +71,31 @@
     async def connect(self, address: str) -> UpstreamConnection:
         """A new connection. OSError or TimeoutError where there is none in time."""
         host, port = parse_address(address)
-        begun_s = self._loop.time()
-        async with asyncio.timeout(self._patience.seconds):
+        started_s = self._loop.time()
+        async with asyncio.timeout(self._connect_timeout.seconds):
             _, connection = await self._loop.create_connection(
-                lambda: UpstreamConnection(self._keep, self._lost), host, port
+                lambda: UpstreamConnection(self._on_idle, self._on_closed), host, port
             )
-        self._patience.observe(self._loop.time() - begun_s)
+        self._connect_timeout.observe(self._loop.time() - started_s)
         self._addresses[connection] = address
         return connection
 
-    def _keep(self, connection: UpstreamConnection) -> None:
-        told_s = connection.keep_alive_s
-        keep_s = IDLE_MOST_S if told_s is None else told_s - IDLE_MARGIN_S
+    def _on_idle(self, connection: UpstreamConnection) -> None:
+        advertised_s = connection.keep_alive_s
+        keep_s = MAX_IDLE_S if advertised_s is None else advertised_s - IDLE_MARGIN_S
         address = self._addresses.get(connection)
         if address is None or keep_s <= 0.0:
             connection.close()
             return
         self._idle.setdefault(address, []).append(_Idle(connection, self._loop.time() + keep_s))
 
-    def _lost(self, connection: UpstreamConnection) -> None:
+    def _on_closed(self, connection: UpstreamConnection) -> None:
         address = self._addresses.pop(connection, None)
         if address is None:
             return
-        left = [one for one in self._idle.get(address, ()) if one.connection is not connection]
-        if left:
-            self._idle[address] = left
+        remaining = [one for one in self._idle.get(address, ()) if one.connection is not connection]
+        if remaining:
+            self._idle[address] = remaining
         else:
             self._idle.pop(address, None)
 
--- a/tests/system/router_model.py
+++ b/tests/system/router_model.py
@@ -16,7 +16,7 @@
 from larkweir.cluster.settings import Bounds
 from larkweir.router.client_connection import ClientConnection
 from larkweir.router.data_plane import DataPlane
-from larkweir.router.upstream_call import UpstreamConnection
+from larkweir.router.upstream_connection import UpstreamConnection
 from larkweir.router.upstream_pool import UpstreamPool
 
 T = TypeVar("T")
@@ -262,7 +262,7 @@
         await asyncio.sleep(0)
         if address in self._model.refusing:
             raise ConnectionRefusedError
-        connection = UpstreamConnection(self._keep, self._lost)
+        connection = UpstreamConnection(self._on_idle, self._on_closed)
         self._addresses[connection] = address
         self._model.upstreams.append(FakeUpstream(self._model, connection))
         return connection
--- a/tests/system/test_connect_patience.py
+++ b/tests/system/test_connect_patience.py
@@ -4,30 +4,30 @@
 
 import pytest
 
-from larkweir.router.upstream_pool import CONNECT_LEAST_S, CONNECT_MOST_S, ConnectPatience
+from larkweir.router.upstream_pool import MAX_CONNECT_TIMEOUT_S, MIN_CONNECT_TIMEOUT_S, ConnectTimeout
 
 
 def test_nothing_is_known_at_first() -> None:
-    assert ConnectPatience().seconds == CONNECT_MOST_S
+    assert ConnectTimeout().seconds == MAX_CONNECT_TIMEOUT_S
 
 
 @pytest.mark.parametrize("taken_s", [0.001, 0.01])
 def test_quick_connections_make_it_short(taken_s: float) -> None:
-    patience = ConnectPatience()
+    patience = ConnectTimeout()
     for _ in range(20):
         patience.observe(taken_s)
-    assert patience.seconds == CONNECT_LEAST_S
+    assert patience.seconds == MIN_CONNECT_TIMEOUT_S
 
 
 def test_far_upstreams_are_given_their_time() -> None:
-    patience = ConnectPatience()
+    patience = ConnectTimeout()
     for _ in range(50):
         patience.observe(0.150)
         patience.observe(0.170)
-    assert 0.170 < patience.seconds <= CONNECT_MOST_S
+    assert 0.170 < patience.seconds <= MAX_CONNECT_TIMEOUT_S
 
 
 def test_it_never_grows_beyond_the_most() -> None:
-    patience = ConnectPatience()
+    patience = ConnectTimeout()
     patience.observe(10.0)
-    assert patience.seconds == CONNECT_MOST_S
+    assert patience.seconds == MAX_CONNECT_TIMEOUT_S
--- a/tests/system/test_right_caller_planted.py
+++ b/tests/system/test_right_caller_planted.py
@@ -12,7 +12,7 @@
 
 from larkweir.router.client_connection import ClientConnection
 from larkweir.router.exchange import Exchange
-from larkweir.router.upstream_call import UpstreamConnection
+from larkweir.router.upstream_connection import UpstreamConnection
 from tests.system import test_right_caller as scenes
 from tests.system.test_right_caller import RightCaller
 
@@ -30,9 +30,9 @@
 def any_answer_is_taken_for_this_request(patch: pytest.MonkeyPatch) -> None:
     def head(self: UpstreamConnection, response: h11.Response) -> None:
         assert self._listener is not None
-        self._listener.call_head(response)
+        self._listener.on_response_head(response)
 
-    patch.setattr(UpstreamConnection, "_head", head)
+    patch.setattr(UpstreamConnection, "_on_head", head)
 
 
 def bytes_on_an_idle_connection_are_kept(patch: pytest.MonkeyPatch) -> None:
@@ -48,47 +48,47 @@
     def failed(self: Exchange, ending: Any) -> None:
         from larkweir_balancing.interface import Outcome
 
-        self._release(Outcome.RESET)
-        if self._head_sent:
-            self._break()
-        elif self._may_send_again():
-            self._try()
+        self._end_attempt(Outcome.RESET)
+        if self._response_started:
+            self._abort_response()
+        elif self._take_retry():
+            self._start_attempt()
         else:
-            self._give_up()
+            self._respond_unavailable()
 
-    patch.setattr(Exchange, "call_failed", failed)
+    patch.setattr(Exchange, "on_call_failed", failed)
 
 
 def a_promise_is_passed_on_unseen(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Exchange, "call_head", Exchange._relay_head)
+    patch.setattr(Exchange, "on_response_head", Exchange._relay_head)
 
 
 def a_broken_answer_ends_as_if_whole(patch: pytest.MonkeyPatch) -> None:
     def broken(self: ClientConnection) -> None:
-        self.answer_end()
+        self.end_response()
 
-    patch.setattr(ClientConnection, "answer_broken", broken)
+    patch.setattr(ClientConnection, "abort_response", broken)
 
 
 def a_stream_begins_anew_elsewhere(patch: pytest.MonkeyPatch) -> None:
-    original = Exchange._resume
+    original = Exchange._resume_stream
 
     def resume(self: Exchange) -> None:
         if self._events is not None:
             self._events.last_id = None
         original(self)
 
-    patch.setattr(Exchange, "_resume", resume)
+    patch.setattr(Exchange, "_resume_stream", resume)
 
 
 def what_was_refused_elsewhere_counts_as_not_run(patch: pytest.MonkeyPatch) -> None:
-    original = Exchange._give_up
+    original = Exchange._respond_unavailable
 
     def give_up(self: Exchange) -> None:
-        self._may_have_run = False
+        self._may_have_executed = False
         original(self)
 
-    patch.setattr(Exchange, "_give_up", give_up)
+    patch.setattr(Exchange, "_respond_unavailable", give_up)
 
 
 def the_state_machine() -> None:
--- a/tests/system/test_router_wire.py
+++ b/tests/system/test_router_wire.py
@@ -24,7 +24,7 @@
 from larkweir.router.answers import ErrorKind
 from larkweir.router.client_connection import ClientConnection
 from larkweir.router.data_plane import DataPlane
-from larkweir.router.upstream_call import UpstreamConnection
+from larkweir.router.upstream_connection import UpstreamConnection
 from larkweir.router.upstream_pool import UpstreamPool
 from tests.system.router_model import TURNS, FakeTransport
 
@@ -169,7 +169,7 @@
             self.lines += [
                 f"{name} {number} closed" for number, one in enumerate(transports) if one.is_closing()
             ]
-        counted = {kind.value: count for kind, count in self.plane.counts.items() if count}
+        counted = {kind.value: count for kind, count in self.plane.error_counts.items() if count}
         if counted:
             self.lines.append(f"counted: {counted}")
         return self.lines
@@ -197,7 +197,7 @@
         scene = self._scene
         if address in scene.refusing:
             raise ConnectionRefusedError("refused")
-        connection = UpstreamConnection(self._keep, self._lost)
+        connection = UpstreamConnection(self._on_idle, self._on_closed)
         self._addresses[connection] = address
         number = len(scene.upstreams)
         transport = FakeTransport(
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -10,10 +10,10 @@
 from larkweir_balancing.prompt import DEFAULT_LATENCY_TARGET_MS, Prompt
 
 from larkweir.cluster.settings import SettingsError, parse
-from larkweir.router.answers import ANSWERS, ErrorKind
-from larkweir.router.client_request import ClientRequest, UpstreamHeaders
+from larkweir.router.answers import ERROR_RESPONSES, ErrorKind
+from larkweir.router.client_request import ClientRequest, RoutingHeaders
 from larkweir.router.event_stream import EventBuffer
-from larkweir.router.fleet_size import REMEMBERED_MS, FleetSize
+from larkweir.router.router_count import RETENTION_MS, RouterCount
 
 STREAM = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
 
@@ -77,7 +77,7 @@
     return ClientRequest(b"POST", b"/a/b?c=d", raw, b"body", 0.0)
 
 
-OWN = UpstreamHeaders(1500, "i-1", "tenant", 3, None)
+OWN = RoutingHeaders(1500, "i-1", "tenant", 3, None)
 
 
 def test_an_upstream_is_told_by_the_router_alone_who_the_tenant_is() -> None:
@@ -123,11 +123,11 @@
 
 
 def test_controllers_that_have_just_started_do_not_make_the_fleet_small() -> None:
-    size = FleetSize()
-    assert size.told(9, 0.0) == 9
-    assert [size.told(n, 5_000.0) for n in (1, 3, 8)] == [9, 9, 9]
-    assert size.told(10, 6_000.0) == 10
-    assert size.told(6, 6_000.0 + REMEMBERED_MS) == 6
+    size = RouterCount()
+    assert size.report(9, 0.0) == 9
+    assert [size.report(n, 5_000.0) for n in (1, 3, 8)] == [9, 9, 9]
+    assert size.report(10, 6_000.0) == 10
+    assert size.report(6, 6_000.0 + RETENTION_MS) == 6
 
 
 def test_nonsense_in_headers_counts_as_nothing_said() -> None:
@@ -138,6 +138,6 @@
 
 
 def test_every_kind_of_error_has_an_answer() -> None:
-    assert set(ANSWERS) == set(ErrorKind)
-    for kind, answer in ANSWERS.items():
+    assert set(ERROR_RESPONSES) == set(ErrorKind)
+    for kind, answer in ERROR_RESPONSES.items():
         assert (answer.retry_after_s is not None) == (answer.status in (429, 503)), kind
--- a/tests/system/test_silent_upstreams.py
+++ b/tests/system/test_silent_upstreams.py
@@ -28,7 +28,7 @@
     (exchange,) = [one._exchange for one in play.model.plane.connections if one._exchange is not None]
     attempt = exchange._attempt
     assert attempt is not None
-    play.do(lambda: attempt._wait_no_longer(exchange._overdue))
+    play.do(lambda: attempt._on_timer(exchange._on_overdue))
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
 
 
 def told(play: Play) -> dict[str, OutcomeCounts]:
-    return play.do(lambda: play.model.plane.endings.failing_upstreams(play.loop.time() * 1000.0))
+    return play.do(lambda: play.model.plane.outcomes.failing_upstreams(play.loop.time() * 1000.0))
 
 
 def instance_of(play: Play, upstream: FakeUpstream) -> str:
