--- a/larkweir/controller/call_outcome.py
+++ b/larkweir/controller/call_outcome.py
@@ -34,15 +34,15 @@
 UNKNOWN = Unknown()
 
 
-def to_message(ticket: int, outcome: CallOutcome) -> PrimaryResponse:
-    """The answer to the controller that forwarded the call under this ticket."""
+def to_message(request_id: int, outcome: CallOutcome) -> PrimaryResponse:
+    """The answer to the controller that forwarded the call under this id."""
     match outcome:
         case Completed(value):
-            return PrimaryResponse(ticket, STATUS_COMPLETED, value=value)
+            return PrimaryResponse(request_id, STATUS_COMPLETED, value=value)
         case Rejected(status, detail):
-            return PrimaryResponse(ticket, status, detail)
+            return PrimaryResponse(request_id, status, detail)
         case Unknown():
-            return PrimaryResponse(ticket, STATUS_UNKNOWN)
+            return PrimaryResponse(request_id, STATUS_UNKNOWN)
 
 
 def from_message(message: PrimaryResponse) -> CallOutcome:
--- a/larkweir/controller/heartbeat_monitor.py
+++ b/larkweir/controller/heartbeat_monitor.py
@@ -27,7 +27,7 @@
         contact: QuorumContact,
         on_update: Callable[[], None],
     ) -> None:
-        """`on_update` is called when an upstream was marked as silent, so that routers are informed."""
+        """`on_update` is called when an upstream has timed out, so that routers are informed."""
         self._registry = registry
         self._failure_detector = failure_detector
         self._links = links
@@ -41,7 +41,7 @@
             self._links.broadcast(HeartbeatReport(sequences))
 
     def evaluate(self) -> None:
-        """Marks upstreams as silent; without contact to a majority of controllers silence proves nothing."""
+        """Marks upstreams that have timed out; without contact to a majority of controllers silence proves nothing."""
         present_ms = now_ms()
         if not self._contact.was_connected:
             self._failure_detector.reset_observation(present_ms)
@@ -52,11 +52,11 @@
             if upstream.state is not UpstreamState.GONE and not upstream.has_timed_out
         ]
         for id_ in self._failure_detector.timed_out(watched, present_ms):
-            self._mark_silent(self._registry.upstreams[id_], present_ms)
+            self._mark_timed_out(self._registry.upstreams[id_], present_ms)
 
-    def _mark_silent(self, upstream: Upstream, present_ms: float) -> None:
+    def _mark_timed_out(self, upstream: Upstream, present_ms: float) -> None:
         sequence = max(upstream.sequence, self._failure_detector.last_sequence(upstream.id))
-        log.event("upstream_silent", id=upstream.id, sequence=sequence)
-        silent = msgspec.structs.replace(upstream, sequence=sequence, timed_out_sequence=sequence)
-        if self._registry.update(silent, present_ms):
+        log.event("upstream_timed_out", id=upstream.id, sequence=sequence)
+        timed_out = msgspec.structs.replace(upstream, sequence=sequence, timed_out_sequence=sequence)
+        if self._registry.update(timed_out, present_ms):
             self._on_update()
--- a/larkweir/controller/inspection.py
+++ b/larkweir/controller/inspection.py
@@ -48,7 +48,7 @@
     address: str
     zone: str
     state: str
-    is_silent: bool = msgspec.field(name="silent")
+    has_timed_out: bool = msgspec.field(name="silent")
     heartbeat_sequence: int = msgspec.field(name="sequence")
     waiting_tokens: int
 
@@ -123,7 +123,7 @@
         """All gauges, in the order in which they are printed."""
         status = self.status(linked)
         lag = max((router.sequences_behind for router in status.routers), default=0)
-        silent = sum(one.has_timed_out for one in self._state.registry.upstreams.values())
+        timed_out = sum(one.has_timed_out for one in self._state.registry.upstreams.values())
         waiting = sum(self._state.prefill_load.tokens_by_engine.values())
         return (
             Metric("primary", "1 where this controller is the primary", status.primary == self._node),
@@ -134,7 +134,7 @@
             Metric("routers", "routers that are connected", len(status.routers)),
             Metric("router_lag_max", "sequences that the oldest configuration of a router is behind", lag),
             Metric("upstreams_ready", "upstreams that are ready and heard of", status.upstreams_ready),
-            Metric("upstreams_silent", "upstreams whose heartbeats have stopped", silent),
+            Metric("upstreams_silent", "upstreams whose heartbeats have stopped", timed_out),
             Metric("waiting_tokens", "prompt tokens that wait to be read", waiting),
         )
 
--- a/larkweir/controller/prefix_placement.py
+++ b/larkweir/controller/prefix_placement.py
@@ -61,20 +61,20 @@
         self._outdated = set(self._engines)
 
     def place(
-        self, prefix: str, prompt_tokens: float, ready: Sequence[str], last_engine: str | None, now_ms: float
+        self, prefix: str, prompt_tokens: float, ready: Sequence[str], known_engine: str | None, now_ms: float
     ) -> Placement | None:
         """The engine that owns the prefix; None where none is ready.
 
-        `ready`: engines of the service. `last_engine`: where the router that asks has sent the prefix before.
+        `ready`: engines of the service. `known_engine`: where the router that asks has sent the prefix before.
         """
         engine = self._engines.get(prefix)
         if prefix in self._outdated:
             self._outdated.discard(prefix)
-            engine = self._corrected(prefix, engine, last_engine, ready)
+            engine = self._corrected(prefix, engine, known_engine, ready)
         is_cached = engine is not None and engine in ready
         if engine is None or not is_cached:
-            is_cached = last_engine in ready
-            engine = last_engine if last_engine in ready else self._select(prefix, ready, now_ms)
+            is_cached = known_engine in ready
+            engine = known_engine if known_engine in ready else self._select(prefix, ready, now_ms)
             if engine is None:
                 return None
             self._add(prefix, engine)
@@ -90,14 +90,14 @@
             self._outdated.discard(dropped)
 
     def _corrected(
-        self, prefix: str, engine: str | None, last_engine: str | None, ready: Sequence[str]
+        self, prefix: str, engine: str | None, known_engine: str | None, ready: Sequence[str]
     ) -> str | None:
         """After an absence: where a router has sent the prefix meanwhile."""
-        if last_engine is None or last_engine == engine or last_engine not in ready:
+        if known_engine is None or known_engine == engine or known_engine not in ready:
             return engine
-        self._engines[prefix] = last_engine
+        self._engines[prefix] = known_engine
         self.revision += 1
-        return last_engine
+        return known_engine
 
     def _select(self, prefix: str, ready: Sequence[str], now_ms: float) -> str | None:
         if not ready:
--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -24,8 +24,8 @@
         """Both are the controller's own."""
         self._driver = driver
         self._links = links
-        self._tickets = itertools.count(1)
-        self._forwarded: dict[int, asyncio.Future[CallOutcome]] = {}  # by ticket
+        self._request_ids = itertools.count(1)
+        self._forwarded: dict[int, asyncio.Future[CallOutcome]] = {}  # by request id
 
     async def call(self, command: Command | None) -> CallOutcome:
         """One attempt: a command, or a read where there is none. Unknown where no primary can be reached.
@@ -37,17 +37,17 @@
             return await self._driver.call(command)
         if replica.primary is None or not self._links.is_connected(replica.primary):
             return UNKNOWN
-        ticket = next(self._tickets)
+        request_id = next(self._request_ids)
         answer: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
-        self._forwarded[ticket] = answer
+        self._forwarded[request_id] = answer
         try:
-            self._links.send(replica.primary, PrimaryRequest(ticket, command))
+            self._links.send(replica.primary, PrimaryRequest(request_id, command))
             async with asyncio.timeout(FORWARD_TIMEOUT_S):
                 return await answer
         except TimeoutError:
             return UNKNOWN
         finally:
-            self._forwarded.pop(ticket, None)
+            self._forwarded.pop(request_id, None)
 
     async def serve(self, connection: Connection, forward: PrimaryRequest) -> None:
         """Another controller takes this one for the primary: carries out its call and answers."""
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -71,7 +71,7 @@
         subscriber = self._subscriptions.remove(connection)
         if subscriber is None:
             return
-        self._set_prefill_tokens(subscriber, {})
+        self._set_queued_prefill_tokens(subscriber, {})
         if subscriber.is_router:
             self._state.quotas.router_disconnected(connection.node, now_ms())
 
@@ -79,10 +79,10 @@
         """A router reports, between pulls, the prompt tokens of its calls that wait for prefill, by engine."""
         subscriber = self._subscriptions.get(connection)
         if subscriber is not None:
-            self._set_prefill_tokens(subscriber, tokens)
+            self._set_queued_prefill_tokens(subscriber, tokens)
 
-    def _set_prefill_tokens(self, subscriber: Subscriber, tokens: dict[str, int]) -> None:
-        before, subscriber.prefill_tokens = subscriber.prefill_tokens, tokens
+    def _set_queued_prefill_tokens(self, subscriber: Subscriber, tokens: dict[str, int]) -> None:
+        before, subscriber.queued_prefill_tokens = subscriber.queued_prefill_tokens, tokens
         self._state.prefill_load.replace(before, tokens)
 
     def pull(self, connection: Connection, pull: Pull) -> None:
@@ -94,8 +94,8 @@
         subscriber.pending_pull, subscriber.pulled_ms = pull, present_ms
         if pull.vector is not None:
             subscriber.vector = pull.vector
-        subscriber.configuration = pull.config_sequence
-        self._set_prefill_tokens(subscriber, pull.queued_prefill_tokens)
+        subscriber.config_sequence = pull.config_sequence
+        self._set_queued_prefill_tokens(subscriber, pull.queued_prefill_tokens)
         subscriber.outcome_counts = pull.outcomes
         if self._state.quotas.report(connection.incarnation, pull, present_ms):
             self.wake()
@@ -153,7 +153,7 @@
             controllers=controllers if controllers != subscriber.sent_controllers else [],
             router_count=max(1, self._subscriptions.router_count),
             quotas=state.quotas.statuses(pull, now_ms()),
-            queued_prefill_tokens=state.prefill_load.of_others(subscriber.prefill_tokens)
+            queued_prefill_tokens=state.prefill_load.of_others(subscriber.queued_prefill_tokens)
             if is_router
             else {},
             ejected=sorted(ejected) if has_new_ejected else None,
--- a/larkweir/controller/subscriptions.py
+++ b/larkweir/controller/subscriptions.py
@@ -20,8 +20,8 @@
     pending_pull: Pull | None = None  # until it is answered
     pulled_ms: float = 0.0
     vector: dict[str, int] = field(default_factory=dict)  # the registry's counters that it had seen
-    configuration: int = -1  # the sequence number of the one that it had in force
-    prefill_tokens: dict[str, int] = field(default_factory=dict)  # by engine: waiting prompts of its calls
+    config_sequence: int = -1  # of the configuration that it had in force
+    queued_prefill_tokens: dict[str, int] = field(default_factory=dict)  # by engine
     outcome_counts: dict[str, OutcomeCounts] = field(default_factory=dict)  # by upstream
     sent_ejected: frozenset[str] = frozenset()
     sent_controllers: list[str] = field(default_factory=list)
@@ -68,7 +68,7 @@
     def router_sequences(self) -> dict[str, int]:
         """By router, the sequence number of the configuration that it had in force at its last pull."""
         return {
-            one.connection.node: one.configuration for one in self._by_connection.values() if one.is_router
+            one.connection.node: one.config_sequence for one in self._by_connection.values() if one.is_router
         }
 
     def controllers_that_have(self, origin: str, counter: int) -> set[str]:
--- a/tests/controller/test_subscriptions.py
+++ b/tests/controller/test_subscriptions.py
@@ -38,8 +38,8 @@
 
 def test_routers_are_counted_and_controllers_are_not() -> None:
     def check(subscriptions: Subscriptions) -> None:
-        subscribe(subscriptions, "r", NodeRole.ROUTER).configuration = 4
-        subscribe(subscriptions, "c", NodeRole.CONTROLLER).configuration = 9
+        subscribe(subscriptions, "r", NodeRole.ROUTER).config_sequence = 4
+        subscribe(subscriptions, "c", NodeRole.CONTROLLER).config_sequence = 9
         assert subscriptions.router_count == 1
         assert subscriptions.router_sequences() == {"r": 4}
         assert subscriptions.nodes == {"r", "c"}
