--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -10,7 +10,7 @@
 
 import math
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from larkweir_balancing.admission_queue import AdmissionQueue
 from larkweir_balancing.callers import Callers
@@ -51,6 +51,9 @@
 from larkweir_balancing.servers import Fleet, Server
 from larkweir_balancing.slow_start import SlowStart
 
+if TYPE_CHECKING:
+    from larkweir_balancing.hearsay import Hearsay  # imported only where the feature is on
+
 LIST_COOKIE = 1 << 40  # a timer's, above every request id
 # From call to call for the list, by 0.5 to 1.5: in 6 s have to fit a pause, a call that fails after 2 s, and one more.
 LIST_PACE_MS = 1_000.0
@@ -87,7 +90,7 @@
         self._list_asked_ms = -1.0  # when last, after a failure; 0: the last call was good; -1: no list yet
         self._retries = settings.tuning.retry_cap / 2.0
         self._asked: dict[int, list[Request]] = {}
-        self.hearsay: Any = None  # a `larkweir_balancing.hearsay.Hearsay`, where copies tell each other
+        self.hearsay: Hearsay | None = None  # where replicas share what they find of servers
         self._handlers = {
             RequestArrived: self._on_request,
             AttemptEnded: self._on_attempt_end,
