--- a/packages/replication/tests/test_replication_journal.py
+++ b/packages/replication/tests/test_replication_journal.py
@@ -17,6 +17,7 @@
 from larkweir_replication.journal_files import FolderFiles
 from larkweir_replication.journal_records import encode_record
 from larkweir_replication.messages import DurableState, Epoch, Snapshot
+from replication_disk import MemoryFiles
 
 
 def durable(number: int, size: int = 10) -> DurableState:
@@ -27,11 +28,11 @@
     """The process ends here."""
 
 
-class MemoryFiles:
+class FaultyFiles(MemoryFiles):
     """Files whose writes may fail or be cut short; `lasting` is what a loss of power leaves."""
 
     def __init__(self) -> None:
-        self.files: dict[str, bytes] = {}
+        super().__init__()
         self.lasting: dict[str, bytes] = {}
         self.fail_at: int | None = None  # bytes of the next append that are written before the power goes
         self.full = False
@@ -43,11 +44,6 @@
                 raise PowerCutError
             self.calls_left -= 1
 
-    def read(self, name: str) -> bytes:
-        if name not in self.files:
-            raise FileNotFoundError(name)
-        return self.files[name]
-
     def append(self, name: str, offset: int, data: bytes) -> None:
         self._count_call()
         before = self.files.get(name, b"")[:offset]
@@ -58,12 +54,12 @@
             self.files[name] = before + data[: self.fail_at]
             self.lasting[name] = self.files[name]
             raise PowerCutError
-        self.files[name] = before + data
+        super().append(name, offset, data)
         self.lasting[name] = self.files[name]
 
     def replace(self, new_name: str, name: str) -> None:
         self._count_call()
-        self.files[name] = self.files.pop(new_name)
+        super().replace(new_name, name)
         self.lasting = dict(self.files)
 
     def lose_power(self) -> None:
@@ -72,7 +68,7 @@
 
 
 def test_the_newest_record_is_found_again() -> None:
-    files = MemoryFiles()
+    files = FaultyFiles()
     journal = Journal(files)
     assert journal.newest is None
     for number in range(1, 6):
@@ -83,7 +79,7 @@
 def test_power_lost_at_each_byte_of_a_write() -> None:
     line = len(encode_record(3, durable(3)))
     for cut in range(line):
-        files = MemoryFiles()
+        files = FaultyFiles()
         journal = Journal(files)
         journal.write(durable(1))
         journal.write(durable(2))
@@ -98,7 +94,7 @@
 
 
 def test_a_full_disk_loses_nothing_and_the_next_write_is_intact() -> None:
-    files = MemoryFiles()
+    files = FaultyFiles()
     journal = Journal(files)
     journal.write(durable(1))
     files.full = True
@@ -110,9 +106,9 @@
     assert Journal(files).newest == durable(3)
 
 
-def written(count: int) -> tuple[MemoryFiles, list[int]]:
+def written(count: int) -> tuple[FaultyFiles, list[int]]:
     """A file of so many records, and where each begins."""
-    files = MemoryFiles()
+    files = FaultyFiles()
     journal = Journal(files)
     starts = []
     for number in range(1, count + 1):
@@ -205,7 +201,7 @@
 def test_a_long_file_is_rewritten_and_power_lost_then_loses_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MIN_REWRITE_BYTES", 500)
     monkeypatch.setattr(module, "REWRITE_SIZE_FACTOR", 2)
-    files = MemoryFiles()
+    files = FaultyFiles()
     journal = Journal(files)
     for number in range(1, 40):
         journal.write(durable(number))
