--- a/packages/quotas/tests/quota_fleet.py
+++ b/packages/quotas/tests/quota_fleet.py
@@ -19,7 +19,7 @@
     """What a tenant may use, and how the fleet that keeps it is laid out."""
 
     routers: int = 9
-    ledgers: int = 3
+    tables: int = 3
     limit: RateLimit = LIMIT
     report_ms: float = 110.0
     request_units: float = 20.0
@@ -42,17 +42,17 @@
         self.rng = Random(seed)
         self.now_ms = 0.0
         self.routers = [self._router() for _ in range(deployment.routers)]
-        self.lives = [0] * deployment.routers
-        self.ledgers = [self._ledger() for _ in range(deployment.ledgers)]
+        self.incarnations = [0] * deployment.routers
+        self.tables = [self._table() for _ in range(deployment.tables)]
         self.cut: set[tuple[int, int]] = set()
-        self.frozen_ledgers: set[int] = set()
+        self.frozen_tables: set[int] = set()
         self._unread: list[
             tuple[int, str, dict[str, float], float]
         ] = []  # reports that wait at frozen ledgers
         self.admitted: list[tuple[float, float]] = []
-        self.refused: list[float] = []
+        self.rejected: list[float] = []
         self._next_report_ms = [
-            [self.rng.uniform(0.0, deployment.report_ms) for _ in self.ledgers] for _ in self.routers
+            [self.rng.uniform(0.0, deployment.report_ms) for _ in self.tables] for _ in self.routers
         ]
 
     def _router(self) -> QuotaLimiter:
@@ -61,71 +61,73 @@
         router.process_count = self.deployment.routers
         return router
 
-    def _ledger(self) -> UsageTable:
-        ledger = UsageTable()
-        ledger.set_limits({TENANT: self.deployment.limit}, self.now_ms)
-        return ledger
+    def _table(self) -> UsageTable:
+        table = UsageTable()
+        table.set_limits({TENANT: self.deployment.limit}, self.now_ms)
+        return table
 
-    def restart_ledger(self, number: int) -> None:
+    def restart_table(self, number: int) -> None:
         """Its memory is gone."""
-        self.ledgers[number] = self._ledger()
+        self.tables[number] = self._table()
 
     def restart_router(self, number: int) -> None:
         """Its counts begin anew."""
         self.routers[number] = self._router()
-        self.lives[number] += 1
+        self.incarnations[number] += 1
 
-    def freeze_ledger(self, number: int) -> None:
+    def freeze_table(self, number: int) -> None:
         """It stands still; each router has just sent it one more report."""
-        self.frozen_ledgers.add(number)
-        for place, router in enumerate(self.routers):
+        self.frozen_tables.add(number)
+        for index, router in enumerate(self.routers):
             counts = router.usage(f"l{number}", self.now_ms)
-            self._unread.append((number, f"r{place}/{self.lives[place]}", counts, self.now_ms))
+            self._unread.append((number, f"r{index}/{self.incarnations[index]}", counts, self.now_ms))
 
-    def thaw_ledgers(self) -> None:
+    def thaw_tables(self) -> None:
         """They read what waits for them, before anything else."""
         for number, process, counts, sent_ms in self._unread:
-            self.ledgers[number].record_report(process, counts, sent_ms, self.now_ms)
+            self.tables[number].record_report(process, counts, sent_ms, self.now_ms)
         self._unread.clear()
-        self.frozen_ledgers.clear()
+        self.frozen_tables.clear()
 
-    def tell_who_is_away(self) -> None:
+    def report_unreachable(self) -> None:
         """As the controllers do: each ledger knows how many routers it has lost."""
-        for number, ledger in enumerate(self.ledgers):
+        for number, table in enumerate(self.tables):
             away = sum((router, number) in self.cut for router in range(len(self.routers)))
-            ledger.set_unreachable(away / len(self.routers), self.deployment.over)
+            table.set_unreachable(away / len(self.routers), self.deployment.over)
 
     def advance(self, for_ms: float, per_s: float) -> None:
         """Lets time pass while clients ask for `per_s` units a second, at routers drawn by lot."""
         end_ms = self.now_ms + for_ms
         units = self.deployment.request_units
-        owed = 0.0
+        due_units = 0.0
         while self.now_ms < end_ms:
             self.now_ms += TICK_MS
             self._report_all()
-            owed += per_s * TICK_MS / 1_000.0
-            while owed >= units:
-                owed -= units
-                self._ask(self.rng.randrange(len(self.routers)), units)
+            due_units += per_s * TICK_MS / 1_000.0
+            while due_units >= units:
+                due_units -= units
+                self._request(self.rng.randrange(len(self.routers)), units)
 
-    def _ask(self, router: int, units: float) -> None:
+    def _request(self, router: int, units: float) -> None:
         if self.routers[router].admit(TENANT, units, self.now_ms) == 0.0:
             self.admitted.append((self.now_ms, units))
         else:
-            self.refused.append(self.now_ms)
+            self.rejected.append(self.now_ms)
 
     def _report_all(self) -> None:
         for number, router in enumerate(self.routers):
-            for place, ledger in enumerate(self.ledgers):
-                if self.now_ms < self._next_report_ms[number][place] or place in self.frozen_ledgers:
+            for index, table in enumerate(self.tables):
+                if self.now_ms < self._next_report_ms[number][index] or index in self.frozen_tables:
                     continue
-                if (number, place) in self.cut:
+                if (number, index) in self.cut:
                     continue
-                self._next_report_ms[number][place] = self.now_ms + self.deployment.report_ms
-                counts = router.usage(f"l{place}", self.now_ms)
-                ledger.record_report(f"r{number}/{self.lives[number]}", counts, self.now_ms, self.now_ms)
-                statements = ledger.statuses(list(counts), self.now_ms)
-                router.receive_statuses(f"l{place}", statements, self.now_ms)
+                self._next_report_ms[number][index] = self.now_ms + self.deployment.report_ms
+                counts = router.usage(f"l{index}", self.now_ms)
+                table.record_report(
+                    f"r{number}/{self.incarnations[number]}", counts, self.now_ms, self.now_ms
+                )
+                statuses = table.statuses(list(counts), self.now_ms)
+                router.receive_statuses(f"l{index}", statuses, self.now_ms)
 
     def most_in_a_window(self) -> float:
         """Units admitted within the fullest window."""
@@ -139,20 +141,20 @@
             most = max(most, window)
         return most
 
-    def refused_since(self, when_ms: float) -> int:
+    def rejected_since(self, when_ms: float) -> int:
         """Requests that were refused later than that."""
-        return sum(1 for refused_ms in self.refused if refused_ms > when_ms)
+        return sum(1 for refused_ms in self.rejected if refused_ms > when_ms)
 
 
-class Trouble:
+class FaultInjector:
     """Draws what happens to controllers and to the links between them and routers."""
 
     KINDS = (
-        "cut_ledger",
+        "cut_table",
         "cut_routers",
         "cut_all",
         "freeze",
-        "restart_ledger",
+        "restart_table",
         "restart_all",
         "restart_router",
     )
@@ -161,39 +163,39 @@
         self.fleet = fleet
         self.rng = fleet.rng
 
-    def strike(self) -> float:
+    def inject(self) -> float:
         """Begins one and gives how long it is to last; `end` is to be called then."""
         getattr(self, "_" + self.rng.choice(self.KINDS))()
-        self.fleet.tell_who_is_away()
+        self.fleet.report_unreachable()
         return self.rng.choice([300.0, STATUS_VALID_MS, 2_000.0, 8_000.0, 20_000.0])
 
-    def end(self) -> None:
+    def clear(self) -> None:
         """All links and processes are back."""
         self.fleet.cut.clear()
-        self.fleet.thaw_ledgers()
-        self.fleet.tell_who_is_away()
+        self.fleet.thaw_tables()
+        self.fleet.report_unreachable()
 
-    def _cut_ledger(self) -> None:
-        ledger = self.rng.randrange(len(self.fleet.ledgers))
-        self.fleet.cut = {(router, ledger) for router in range(len(self.fleet.routers))}
+    def _cut_table(self) -> None:
+        table = self.rng.randrange(len(self.fleet.tables))
+        self.fleet.cut = {(router, table) for router in range(len(self.fleet.routers))}
 
     def _cut_routers(self) -> None:
         some = self.rng.sample(range(len(self.fleet.routers)), max(1, len(self.fleet.routers) // 3))
-        self.fleet.cut = {(router, ledger) for router in some for ledger in range(len(self.fleet.ledgers))}
+        self.fleet.cut = {(router, table) for router in some for table in range(len(self.fleet.tables))}
 
     def _cut_all(self) -> None:
-        ledgers = range(len(self.fleet.ledgers))
-        self.fleet.cut = {(router, ledger) for router in range(len(self.fleet.routers)) for ledger in ledgers}
+        tables = range(len(self.fleet.tables))
+        self.fleet.cut = {(router, table) for router in range(len(self.fleet.routers)) for table in tables}
 
     def _freeze(self) -> None:
-        self.fleet.freeze_ledger(self.rng.randrange(len(self.fleet.ledgers)))
+        self.fleet.freeze_table(self.rng.randrange(len(self.fleet.tables)))
 
-    def _restart_ledger(self) -> None:
-        self.fleet.restart_ledger(self.rng.randrange(len(self.fleet.ledgers)))
+    def _restart_table(self) -> None:
+        self.fleet.restart_table(self.rng.randrange(len(self.fleet.tables)))
 
     def _restart_all(self) -> None:
-        for number in range(len(self.fleet.ledgers)):
-            self.fleet.restart_ledger(number)
+        for number in range(len(self.fleet.tables)):
+            self.fleet.restart_table(number)
 
     def _restart_router(self) -> None:
         self.fleet.restart_router(self.rng.randrange(len(self.fleet.routers)))
--- a/packages/quotas/tests/test_quotas_herd.py
+++ b/packages/quotas/tests/test_quotas_herd.py
@@ -10,26 +10,26 @@
 from larkweir_quotas.usage_table import UsageTable
 
 LIMIT = RateLimit(860_000.0, 860_000.0)  # tokens, as of the day on which it was seen
-OVER = 1.1
+TOLERANCE_FACTOR = 1.1
 SLACK = 190_000.0
 WINDOW_MS = 8_000.0
 REPORT_MS = 180.0
 STEP_MS = 10.0
 FOR_MS = 16_000.0
 MEAN_TOKENS = 8_000.0
-PRESSING = 3.0  # times the limit
+OVERSUBSCRIPTION_FACTOR = 3.0  # times the limit
 
 
 def admitted(processes: int, rng: Random) -> list[tuple[float, float]]:
     """When how many tokens were admitted; clients that are refused come back exactly when they are told to."""
-    ledger = UsageTable()
-    ledger.set_limits({"t": LIMIT}, 0.0)
+    table = UsageTable()
+    table.set_limits({"t": LIMIT}, 0.0)
     limiters = [QuotaLimiter(rng) for _ in range(processes)]
     next_ms = [rng.random() * REPORT_MS for _ in limiters]
     for limiter in limiters:
         limiter.set_limits({"t": LIMIT})
         limiter.process_count = processes
-    back: list[tuple[float, int, float]] = []
+    retries: list[tuple[float, int, float]] = []
     found: list[tuple[float, float]] = []
     now_ms = 0.0
     while now_ms < FOR_MS:
@@ -38,25 +38,27 @@
             if now_ms >= next_ms[number]:
                 next_ms[number] = now_ms + REPORT_MS
                 counts = limiter.usage("l", now_ms)
-                ledger.record_report(f"r{number}", counts, now_ms, now_ms)
-                limiter.receive_statuses("l", ledger.statuses(list(counts), now_ms), now_ms)
-        new = round(PRESSING * LIMIT.rate_per_s / MEAN_TOKENS * STEP_MS / 1_000.0)
-        asked = [(now_ms, rng.randrange(processes), rng.expovariate(1.0 / MEAN_TOKENS)) for _ in range(new)]
-        asked += [one for one in back if one[0] <= now_ms]
-        back = [one for one in back if one[0] > now_ms]
-        for _, number, units in asked:
+                table.record_report(f"r{number}", counts, now_ms, now_ms)
+                limiter.receive_statuses("l", table.statuses(list(counts), now_ms), now_ms)
+        new = round(OVERSUBSCRIPTION_FACTOR * LIMIT.rate_per_s / MEAN_TOKENS * STEP_MS / 1_000.0)
+        requested = [
+            (now_ms, rng.randrange(processes), rng.expovariate(1.0 / MEAN_TOKENS)) for _ in range(new)
+        ]
+        requested += [one for one in retries if one[0] <= now_ms]
+        retries = [one for one in retries if one[0] > now_ms]
+        for _, number, units in requested:
             wait_s = limiters[number].admit("t", units, now_ms)
             if wait_s == 0.0:
                 found.append((now_ms, units))
             else:
-                back.append((now_ms + 1_000.0 * wait_s, rng.randrange(processes), units))
+                retries.append((now_ms + 1_000.0 * wait_s, rng.randrange(processes), units))
     return found
 
 
 @pytest.mark.parametrize("processes", [89])
 @pytest.mark.parametrize("seed", range(3))
-def test_clients_that_come_back_together_do_not_pass_the_limit(processes: int, seed: int) -> None:
-    allowed = (LIMIT.rate_per_s * WINDOW_MS / 1_000.0 + LIMIT.burst) * OVER + SLACK
+def test_clients_that_retry_together_do_not_exceed_the_limit(processes: int, seed: int) -> None:
+    allowed = (LIMIT.rate_per_s * WINDOW_MS / 1_000.0 + LIMIT.burst) * TOLERANCE_FACTOR + SLACK
     found = admitted(processes, Random(seed))
     starts = [step * 100.0 for step in range(int((FOR_MS - WINDOW_MS) / 100.0))]
     windows = [sum(units for at_ms, units in found if start <= at_ms < start + WINDOW_MS) for start in starts]
--- a/packages/quotas/tests/test_quotas_planted.py
+++ b/packages/quotas/tests/test_quotas_planted.py
@@ -12,27 +12,27 @@
 from larkweir_quotas.quota_limiter import QuotaLimiter
 from larkweir_quotas.usage_table import UsageTable
 
-SEEDS_MOST = 60
+MAX_SEEDS = 60
 Patch = Callable[[pytest.MonkeyPatch], None]
 Find = Callable[[int], None]
 
 
-def late_use_is_charged_at_once(patch: pytest.MonkeyPatch) -> None:
+def late_reports_are_charged_at_once(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(usage_table, "LATE_REPORT_MS", float("inf"))
 
 
-def late_use_is_forgotten(patch: pytest.MonkeyPatch) -> None:
+def late_reports_are_dropped(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(token_bucket.TokenBucket, "charge_late", lambda self, amount, over_ms, now_ms: None)
     patch.setattr(usage_table, "LATE_REPORT_MS", 100.0)
 
 
-def nothing_is_kept_back_for_the_lost(patch: pytest.MonkeyPatch) -> None:
+def nothing_is_reserved_for_the_unreachable(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(UsageTable, "set_unreachable", lambda self, part, over: None)
     patch.setattr(quota_limiter, "ISOLATED_FRACTION", 3.0)
 
 
-def others_count_as_idle(patch: pytest.MonkeyPatch) -> None:
-    def by_ledger(self: QuotaLimiter, received: Any, state: Any, limit: Any, now_ms: float) -> float:
+def other_processes_count_as_idle(patch: pytest.MonkeyPatch) -> None:
+    def by_status(self: QuotaLimiter, received: Any, state: Any, limit: Any, now_ms: float) -> float:
         passed_s = (now_ms - received.received_ms) / 1000.0
         refilled = min(limit.burst, received.status.level + limit.rate_per_s * passed_s)
         return float(
@@ -40,22 +40,22 @@
             - max(state.admitted_units - received.admitted_units, received.status.used_per_s * passed_s)
         )
 
-    patch.setattr(QuotaLimiter, "_remaining_by_status", by_ledger)
+    patch.setattr(QuotaLimiter, "_remaining_by_status", by_status)
 
 
-def all_admit_at_once(patch: pytest.MonkeyPatch) -> None:
-    others_count_as_idle(patch)  # each of the two is enough in these plays
+def all_processes_admit_at_once(patch: pytest.MonkeyPatch) -> None:
+    other_processes_count_as_idle(patch)  # each of the two is enough in these plays
     patch.setattr(QuotaLimiter, "_stagger", lambda self, state, limit: 0.0)
 
 
-def a_fresh_ledger_gives_nothing(patch: pytest.MonkeyPatch) -> None:
+def a_new_table_starts_empty(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(usage_table, "INITIAL_FILL_FRACTION", -1.0)
 
 
-def old_statements_count(patch: pytest.MonkeyPatch) -> None:
+def old_statuses_count(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(quota_limiter, "STATUS_VALID_MS", 30_000.0)
 
-    def by_ledger(self: QuotaLimiter, received: Any, state: Any, limit: Any, now_ms: float) -> float:
+    def by_status(self: QuotaLimiter, received: Any, state: Any, limit: Any, now_ms: float) -> float:
         return float(
             limit.burst
             + limit.rate_per_s * (now_ms - received.received_ms) / 1000.0
@@ -63,40 +63,40 @@
             + received.admitted_units
         )
 
-    patch.setattr(QuotaLimiter, "_remaining_by_status", by_ledger)
+    patch.setattr(QuotaLimiter, "_remaining_by_status", by_status)
 
 
-def never_too_much(seed: int) -> None:
-    plays.test_the_sum_stays_under_the_limit_whoever_is_away(plays.LARGE, seed)
+def find_too_much(seed: int) -> None:
+    plays.test_the_sum_stays_under_the_limit_during_every_fault(plays.LARGE, seed)
 
 
-def never_too_much_in_a_herd(seed: int) -> None:
-    herd.test_clients_that_come_back_together_do_not_pass_the_limit(89, seed)
+def find_too_much_in_a_herd(seed: int) -> None:
+    herd.test_clients_that_retry_together_do_not_exceed_the_limit(89, seed)
 
 
-def never_too_little(seed: int) -> None:
-    plays.test_below_the_limit_nobody_is_refused_once_contact_is_back_for_a_second(seed)
+def find_too_little(seed: int) -> None:
+    plays.test_below_the_limit_nobody_is_rejected_a_second_after_a_fault(seed)
 
 
 # With the first seed to play: where one before it does not find the fault, that was seen, and takes a second a play.
 FAULTS: list[tuple[Patch, Find, int]] = [
-    (late_use_is_charged_at_once, never_too_little, 0),
-    (late_use_is_forgotten, never_too_much, 0),
-    (nothing_is_kept_back_for_the_lost, never_too_much, 0),
-    (all_admit_at_once, never_too_much, 43),
-    (others_count_as_idle, never_too_much_in_a_herd, 0),
-    (a_fresh_ledger_gives_nothing, never_too_little, 0),
-    (old_statements_count, never_too_much, 0),
+    (late_reports_are_charged_at_once, find_too_little, 0),
+    (late_reports_are_dropped, find_too_much, 0),
+    (nothing_is_reserved_for_the_unreachable, find_too_much, 0),
+    (all_processes_admit_at_once, find_too_much, 43),
+    (other_processes_count_as_idle, find_too_much_in_a_herd, 0),
+    (a_new_table_starts_empty, find_too_little, 0),
+    (old_statuses_count, find_too_much, 0),
 ]
 
 
 @pytest.mark.parametrize(("plant", "find", "first"), FAULTS, ids=lambda one: getattr(one, "__name__", ""))
 def test_the_plays_find_it(plant: Patch, find: Find, first: int, monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
-    for seed in range(first, first + SEEDS_MOST):
+    for seed in range(first, first + MAX_SEEDS):
         try:
             find(seed)
         except AssertionError:
             print(f"{plant.__name__}: found by seed {seed}")
             return
-    pytest.fail(f"{SEEDS_MOST} plays did not find it")
+    pytest.fail(f"{MAX_SEEDS} plays did not find it")
--- a/packages/registry/tests/test_registry.py
+++ b/packages/registry/tests/test_registry.py
@@ -36,7 +36,7 @@
     assert join(one, one) == one
 
 
-def test_draining_and_gone_are_never_left() -> None:
+def test_draining_and_gone_are_never_undone() -> None:
     registry = Registry("a")
     registry.update(upstream("u", 5, UpstreamState.DRAINING), 0.0)
     assert not registry.update(upstream("u", 9, UpstreamState.READY), 0.0)
@@ -46,7 +46,7 @@
     assert registry.upstreams["u"].state is UpstreamState.GONE
 
 
-def test_a_heartbeat_alone_is_no_news_but_the_end_of_a_silence_is() -> None:
+def test_a_heartbeat_alone_makes_no_version_but_the_end_of_a_time_out_does() -> None:
     registry = Registry("a")
     assert registry.update(upstream("u", 1), 0.0)
     assert not registry.update(upstream("u", 2), 0.0)
@@ -79,10 +79,10 @@
         timed_out_sequence=st.integers(-1, 9),
     )
     def note(self, name: str, id_: str, sequence: int, state: UpstreamState, timed_out_sequence: int) -> None:
-        said = upstream(id_, sequence, state, timed_out_sequence)
-        self.registries[name].update(said, 0.0)
+        reported = upstream(id_, sequence, state, timed_out_sequence)
+        self.registries[name].update(reported, 0.0)
         known = self.all.get(id_)
-        self.all[id_] = said if known is None else join(known, said)
+        self.all[id_] = reported if known is None else join(known, reported)
 
     @rule(source=st.sampled_from(NAMES), reader=st.sampled_from(NAMES))
     def exchange(self, source: str, reader: str) -> None:
@@ -94,7 +94,7 @@
         pull(self.reader, self.registries[source])
 
     @invariant()
-    def nothing_comes_back(self) -> None:
+    def no_departure_is_undone(self) -> None:
         now = {id_ for id_, one in self.reader.upstreams.items() if one.state is not UpstreamState.READY}
         assert self.drained <= now
         self.drained = now
@@ -115,7 +115,7 @@
 TestRegistries = Registries.TestCase
 
 
-def test_whoever_has_all_lacks_nothing() -> None:
+def test_a_replica_that_has_merged_all_lacks_nothing() -> None:
     registry, reader = Registry("a"), Registry("")
     registry.update(upstream("u", 1), 0.0)
     assert not registry.is_covered_by(reader.vector)
@@ -124,7 +124,7 @@
     assert registry.delta(reader.vector) == []
 
 
-def test_ready_ones_are_found_by_service_and_anew_after_each_change() -> None:
+def test_ready_upstreams_by_service_follow_each_change() -> None:
     registry = Registry("a")
     assert registry.ready_ids("s") == []
     registry.update(upstream("u0", 1), 0.0)
@@ -137,7 +137,7 @@
     assert registry.ready_ids("t") == []
 
 
-def test_what_has_gone_is_dropped_after_long() -> None:
+def test_tombstones_are_dropped_after_their_retention() -> None:
     registry = Registry("a")
     registry.update(upstream("u", 1, UpstreamState.GONE), 0.0)
     registry.prune(TOMBSTONE_RETENTION_MS - 1.0)
@@ -147,7 +147,7 @@
     assert registry.delta({}) == []
 
 
-def test_silence_counts_only_where_nobody_heard_and_this_one_was_listening() -> None:
+def test_a_time_out_needs_silence_at_all_registries_and_uninterrupted_observation() -> None:
     detector = FailureDetector(1_000.0, 0.0)
     detector.record_heartbeat("u", 1, 0.0)
     assert detector.timed_out(["u"], detector.timeout_ms - 1.0) == []
@@ -167,7 +167,7 @@
     assert detector.take_report() == {}
 
 
-def test_what_was_left_on_disk_is_found_again() -> None:
+def test_a_hint_file_is_restored() -> None:
     registry, later = Registry("a/1"), Registry("a/2")
     registry.update(upstream("u", 7, UpstreamState.DRAINING), 0.0)
     assert hint_file.restore(later, hint_file.encode(registry), 0.0)
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_a_damaged_file_is_noticed(seed: int) -> None:
+def test_a_damaged_hint_file_is_rejected(seed: int) -> None:
     registry, later = Registry("a/1"), Registry("a/2")
     registry.update(upstream("u", 7), 0.0)
     data = bytearray(hint_file.encode(registry))
@@ -188,7 +188,7 @@
     assert later.upstreams == {}
 
 
-def test_records_survive_their_encoding() -> None:
+def test_a_record_is_decoded_as_it_was_encoded() -> None:
     registry = Registry("a")
     registry.update(upstream("u", 3, UpstreamState.DRAINING), 0.0)
     (record,) = registry.delta({})
--- a/packages/registry/tests/test_registry_fleet.py
+++ b/packages/registry/tests/test_registry_fleet.py
@@ -26,7 +26,7 @@
     """A registry, and what it has heard of heartbeats."""
 
     name: str
-    life: int = 0
+    incarnation: int = 0
     up: bool = True
     frozen: bool = False
     registry: Registry = field(init=False)
@@ -34,16 +34,16 @@
 
     def start(self, now_ms: float) -> None:
         """A new life, with the upstreams that the one before left on disk."""
-        left = hint_file.encode(self.registry) if self.life else None
-        self.life += 1
+        left = hint_file.encode(self.registry) if self.incarnation else None
+        self.incarnation += 1
         self.up = True
-        self.registry = Registry(f"{self.name}/{self.life}")
+        self.registry = Registry(f"{self.name}/{self.incarnation}")
         self.detector = FailureDetector(HEARTBEAT_MS, now_ms)
         if left is not None:
             hint_file.restore(self.registry, left, now_ms)
 
     @property
-    def works(self) -> bool:
+    def is_running(self) -> bool:
         return self.up and not self.frozen
 
 
@@ -72,33 +72,35 @@
             controller.start(0.0)
         self.routers = [Registry("") for _ in range(4)]
         self.cut: set[tuple[str, str]] = set()
-        self.in_touch_since: dict[int, float] = dict.fromkeys(range(4), 0.0)
+        self.in_contact_since_ms: dict[int, float] = dict.fromkeys(range(4), 0.0)
         self.servers = [self._server(number) for number in range(6)]
         self.served = len(self.servers)
         self.calm = False  # upstreams neither pause nor send what comes late
 
     def _server(self, number: int) -> Server:
-        lives_ms = self.rng.uniform(5_000.0, 60_000.0)
-        return Server(f"u{number}", self.now_ms + lives_ms, self.rng.random() < 0.4, next_ms=self.now_ms)
+        lifetime_ms = self.rng.uniform(5_000.0, 60_000.0)
+        return Server(f"u{number}", self.now_ms + lifetime_ms, self.rng.random() < 0.4, next_ms=self.now_ms)
 
-    def linked(self, one: str, other: str) -> bool:
+    def is_linked(self, one: str, other: str) -> bool:
         return (one, other) not in self.cut and (other, one) not in self.cut
 
     def reaches_majority(self, controller: Controller) -> bool:
-        others = [one for one in self.controllers if one.works and self.linked(controller.name, one.name)]
+        others = [
+            one for one in self.controllers if one.is_running and self.is_linked(controller.name, one.name)
+        ]
         return len(others) >= 2  # itself included
 
     def tick(self) -> None:
         self.now_ms += TICK_MS
         for server in self.servers:
-            self._server_speaks(server)
-        self._controllers_talk()
+            self._send_heartbeat(server)
+        self._exchange_deltas()
         self._routers_pull()
         for controller in self.controllers:
-            if controller.works:
-                self._judge(controller)
+            if controller.is_running:
+                self._detect_failures(controller)
 
-    def _judge(self, controller: Controller) -> None:
+    def _detect_failures(self, controller: Controller) -> None:
         if not self.reaches_majority(controller):
             controller.detector.reset_observation(self.now_ms)
             return
@@ -114,8 +116,8 @@
             timed_out = Upstream(known.id, "s", known.address, "z", 1, sequence, known.state, sequence)
             registry.update(timed_out, self.now_ms)
 
-    def _server_speaks(self, server: Server) -> None:
-        self._late_heartbeats_come(server)
+    def _send_heartbeat(self, server: Server) -> None:
+        self._deliver_late_heartbeats(server)
         if server.dead_ms is not None or self.now_ms < server.next_ms:
             return
         if not self.calm and self.rng.random() < PAUSE_CHANCE:
@@ -128,32 +130,32 @@
             server.dead_ms = self.now_ms
             return
         state = UpstreamState.DRAINING if leaving else UpstreamState.READY
-        said = Upstream(server.id, "s", f"a-{server.id}", "z", 1, server.sequence, state)
+        reported = Upstream(server.id, "s", f"a-{server.id}", "z", 1, server.sequence, state)
         if not leaving and not self.calm and self.rng.random() < LATE_CHANCE:
-            server.late.append((self.now_ms + self.rng.uniform(500.0, 3_000.0), said))
+            server.late.append((self.now_ms + self.rng.uniform(500.0, 3_000.0), reported))
         for controller in self.rng.sample(self.controllers, 3):
-            if controller.works and self._tell(controller, said):
+            if controller.is_running and self._report(controller, reported):
                 if leaving:
                     server.gone_acknowledged_ms = server.dead_ms = self.now_ms
                 return
 
-    def _late_heartbeats_come(self, server: Server) -> None:
+    def _deliver_late_heartbeats(self, server: Server) -> None:
         """A copy of an earlier one, at whichever controller: it must undo nothing that was said since."""
-        for when_ms, said in list(server.late):
+        for when_ms, reported in list(server.late):
             if self.now_ms >= when_ms:
-                server.late.remove((when_ms, said))
+                server.late.remove((when_ms, reported))
                 controller = self.rng.choice(self.controllers)
-                if controller.works:
-                    controller.registry.update(said, self.now_ms)
+                if controller.is_running:
+                    controller.registry.update(reported, self.now_ms)
 
-    def _tell(self, controller: Controller, said: Upstream) -> bool:
+    def _report(self, controller: Controller, reported: Upstream) -> bool:
         """Whether it is acknowledged: a departure only once a majority of controllers has it."""
-        controller.detector.record_heartbeat(said.id, said.sequence, self.now_ms)
-        controller.registry.update(said, self.now_ms)
-        if said.state is UpstreamState.READY:
+        controller.detector.record_heartbeat(reported.id, reported.sequence, self.now_ms)
+        controller.registry.update(reported, self.now_ms)
+        if reported.state is UpstreamState.READY:
             return self.reaches_majority(controller)
-        self._controllers_talk()
-        knowing = [one for one in self.controllers if one.up and self._knows(one.registry, said.id)]
+        self._exchange_deltas()
+        knowing = [one for one in self.controllers if one.up and self._knows(one.registry, reported.id)]
         return len(knowing) >= 2 and self.reaches_majority(controller)
 
     @staticmethod
@@ -161,13 +163,13 @@
         known = registry.upstreams.get(id_)
         return known is not None and known.state is not UpstreamState.READY
 
-    def _controllers_talk(self) -> None:
+    def _exchange_deltas(self) -> None:
         for one in self.controllers:
-            if not one.works:
+            if not one.is_running:
                 continue
             report = one.detector.take_report()
             for other in self.controllers:
-                if other is one or not other.works or not self.linked(one.name, other.name):
+                if other is one or not other.is_running or not self.is_linked(one.name, other.name):
                     continue
                 delta = one.registry.delta(other.registry.vector)
                 changed = other.registry.merge(delta, one.registry.vector, self.now_ms)
@@ -177,30 +179,30 @@
     def _routers_pull(self) -> None:
         for number, router in enumerate(self.routers):
             for controller in self.controllers:
-                if controller.works and self.linked(f"r{number}", controller.name):
+                if controller.is_running and self.is_linked(f"r{number}", controller.name):
                     delta = controller.registry.delta(router.vector)
                     router.merge(delta, controller.registry.vector, self.now_ms)
 
     def check(self) -> None:
         """No router in touch draws what has been acknowledged as leaving, or passes over what beats all the time."""
         for number, router in enumerate(self.routers):
-            if self.now_ms < self.in_touch_since[number] + CONTACT_MS:
+            if self.now_ms < self.in_contact_since_ms[number] + CONTACT_MS:
                 continue
             ready = router.ready_ids("s")
             for server in self.servers:
-                left_ms = server.gone_acknowledged_ms
-                if left_ms is not None and self.now_ms >= left_ms + 4 * TICK_MS:
+                acknowledged_ms = server.gone_acknowledged_ms
+                if acknowledged_ms is not None and self.now_ms >= acknowledged_ms + 4 * TICK_MS:
                     assert server.id not in ready, f"{server.id} is drawn after it was let go"
 
 
-class Trouble:
+class FaultInjector:
     """What happens to controllers; all is over a while later."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.rng = fleet.rng
 
-    def strike(self) -> float:
+    def inject(self) -> float:
         fleet, controller = self.fleet, self.rng.choice(self.fleet.controllers)
         nodes = [one.name for one in fleet.controllers] + [f"r{n}" for n in range(len(fleet.routers))]
         kind = self.rng.choice(["cut", "cut_all", "freeze", "restart", "restart_all", "halves", "router_cut"])
@@ -220,19 +222,19 @@
         else:
             number = self.rng.randrange(len(fleet.routers))
             fleet.cut = {(f"r{number}", one.name) for one in fleet.controllers}
-            fleet.in_touch_since[number] = float("inf")
+            fleet.in_contact_since_ms[number] = float("inf")
         if kind in ("restart_all", "cut_all"):
-            fleet.in_touch_since = dict.fromkeys(fleet.in_touch_since, fleet.now_ms)
+            fleet.in_contact_since_ms = dict.fromkeys(fleet.in_contact_since_ms, fleet.now_ms)
         return self.rng.choice([300.0, 2_000.0, 8_000.0, 20_000.0])
 
-    def end(self) -> None:
+    def clear(self) -> None:
         fleet = self.fleet
         fleet.cut = set()
         for controller in fleet.controllers:
             if controller.frozen:
                 controller.frozen = False
                 controller.detector.reset_observation(fleet.now_ms)
-        fleet.in_touch_since = dict.fromkeys(fleet.in_touch_since, fleet.now_ms)
+        fleet.in_contact_since_ms = dict.fromkeys(fleet.in_contact_since_ms, fleet.now_ms)
 
 
 def run(fleet: Fleet, for_ms: float) -> None:
@@ -243,14 +245,14 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_returns_of_controllers_bring_nothing_back_and_lose_nothing(seed: int) -> None:
+def test_returning_controllers_undo_no_departure_and_lose_no_upstream(seed: int) -> None:
     fleet = Fleet(seed)
-    trouble = Trouble(fleet)
+    injector = FaultInjector(fleet)
     for _ in range(4):
         run(fleet, fleet.rng.uniform(500.0, 6_000.0))
-        for_ms = trouble.strike()
+        for_ms = injector.inject()
         run(fleet, for_ms)
-        trouble.end()
+        injector.clear()
         fleet.servers.append(fleet._server(fleet.served))
         fleet.served += 1
     fleet.calm = True
@@ -268,7 +270,7 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_a_controller_that_is_back_does_not_hold_silent_what_others_hear(seed: int) -> None:
+def test_a_returning_controller_does_not_time_out_what_others_receive(seed: int) -> None:
     fleet = Fleet(seed)
     for server in fleet.servers:
         server.ends_ms = float("inf")
@@ -280,7 +282,7 @@
     else:
         fleet.cut = {(away.name, one.name) for one in fleet.controllers if one is not away}
     run(fleet, 20_000.0)
-    Trouble(fleet).end()
+    FaultInjector(fleet).clear()
     for _ in range(200):
         fleet.tick()
         for router in fleet.routers:
--- a/packages/registry/tests/test_registry_planted.py
+++ b/packages/registry/tests/test_registry_planted.py
@@ -13,20 +13,20 @@
 from larkweir_registry.records import Upstream, UpstreamState, join
 from larkweir_registry.registry import Registry
 
-SEEDS_MOST = 60
+MAX_SEEDS = 60
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
 def departures_are_acknowledged_alone(patch: pytest.MonkeyPatch) -> None:
-    def tell(self: Any, controller: Any, said: Upstream) -> bool:
-        controller.detector.record_heartbeat(said.id, said.sequence, self.now_ms)
-        controller.registry.update(said, self.now_ms)
+    def report_alone(self: Any, controller: Any, reported: Upstream) -> bool:
+        controller.detector.record_heartbeat(reported.id, reported.sequence, self.now_ms)
+        controller.registry.update(reported, self.now_ms)
         return True
 
-    patch.setattr(plays.Fleet, "_tell", tell)
+    patch.setattr(plays.Fleet, "_report", report_alone)
 
 
-def the_newest_word_wins(patch: pytest.MonkeyPatch) -> None:
+def the_newest_heartbeat_wins(patch: pytest.MonkeyPatch) -> None:
     """Ready said later undoes draining said before."""
 
     def newest(one: Upstream, other: Upstream) -> Upstream:
@@ -37,11 +37,11 @@
     patch.setattr(registry, "join", newest)
 
 
-def silence_is_never_noticed(patch: pytest.MonkeyPatch) -> None:
+def time_outs_are_never_detected(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(FailureDetector, "timed_out", lambda self, ids, now_ms: [])
 
 
-def what_is_merged_is_not_passed_on(patch: pytest.MonkeyPatch) -> None:
+def merged_records_are_not_forwarded(patch: pytest.MonkeyPatch) -> None:
     original = Registry.delta
     patch.setattr(
         Registry,
@@ -50,8 +50,8 @@
     )
 
 
-def a_silence_is_never_taken_back(patch: pytest.MonkeyPatch) -> None:
-    def stay_silent(one: Upstream, other: Upstream) -> Upstream:
+def a_time_out_is_never_undone(patch: pytest.MonkeyPatch) -> None:
+    def stay_timed_out(one: Upstream, other: Upstream) -> Upstream:
         joined = join(one, other)
         if one.has_timed_out or other.has_timed_out:
             return msgspec.structs.replace(
@@ -59,19 +59,19 @@
             )
         return joined
 
-    patch.setattr(registry, "join", stay_silent)
+    patch.setattr(registry, "join", stay_timed_out)
 
 
-def returns(seed: int) -> None:
-    plays.test_returns_of_controllers_bring_nothing_back_and_lose_nothing(seed)
+def play_returns(seed: int) -> None:
+    plays.test_returning_controllers_undo_no_departure_and_lose_no_upstream(seed)
 
 
 FAULTS: list[tuple[Patch, Callable[[int], None]]] = [
-    (departures_are_acknowledged_alone, returns),
-    (the_newest_word_wins, returns),
-    (silence_is_never_noticed, returns),
-    (what_is_merged_is_not_passed_on, returns),
-    (a_silence_is_never_taken_back, returns),
+    (departures_are_acknowledged_alone, play_returns),
+    (the_newest_heartbeat_wins, play_returns),
+    (time_outs_are_never_detected, play_returns),
+    (merged_records_are_not_forwarded, play_returns),
+    (a_time_out_is_never_undone, play_returns),
 ]
 
 
@@ -80,10 +80,10 @@
     plant: Patch, find: Callable[[int], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    for seed in range(SEEDS_MOST):
+    for seed in range(MAX_SEEDS):
         try:
             find(seed)
         except AssertionError:
             print(f"{plant.__name__}: found by seed {seed}")
             return
-    pytest.fail(f"{SEEDS_MOST} plays did not find it")
+    pytest.fail(f"{MAX_SEEDS} plays did not find it")
