--- a/larkweir/controller/disk_writer.py
+++ b/larkweir/controller/disk_writer.py
@@ -8,6 +8,7 @@
 import threading
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum, auto
 
 from larkweir_replication.journal import Journal
 from larkweir_replication.journal_files import JournalFiles
@@ -26,17 +27,11 @@
     durable: DurableState
 
 
-@dataclass(frozen=True, slots=True)
-class _HintsChanged:
-    """There is a hint file to write."""
-
-
-@dataclass(frozen=True, slots=True)
-class _Stop:
-    """The thread is to end; what is still queued is not written."""
-
+class _Signal(Enum):
+    """What the queue holds beside records."""
 
-_Entry = _Record | _HintsChanged | _Stop
+    HINTS_CHANGED = auto()  # there is a hint file to write
+    STOP = auto()  # the thread is to end; what is still queued is not written
 
 
 class DiskWriter:
@@ -56,7 +51,7 @@
         self._loop = loop
         self._on_persisted = on_persisted
         self._on_failed = on_failed
-        self._entries: queue.SimpleQueue[_Entry] = queue.SimpleQueue()
+        self._entries: queue.SimpleQueue[_Record | _Signal] = queue.SimpleQueue()
         self._hints: dict[str, bytes] = {}  # by file; added by the loop's thread, removed by this one
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self._thread.start()
@@ -68,7 +63,7 @@
     def write_hint(self, name: str, data: bytes) -> None:
         """Replaces that file after the record that is being written. Nobody is notified whether that is done."""
         self._hints[name] = data
-        self._entries.put(_HintsChanged())
+        self._entries.put(_Signal.HINTS_CHANGED)
 
     def read_hint(self, name: str) -> bytes | None:
         """What `write_hint` left in an earlier incarnation, read at once; None where it can't be read."""
@@ -79,24 +74,25 @@
 
     def close(self) -> None:
         """Ends the thread; does not wait for it."""
-        self._entries.put(_Stop())
+        self._entries.put(_Signal.STOP)
 
     def _run(self) -> None:
         while True:
-            record: _Record | None = None
-            entry = self._entries.get()
-            while True:
-                if isinstance(entry, _Stop):
-                    return
-                if isinstance(entry, _Record):
-                    record = entry
-                if self._entries.empty():
-                    break
-                entry = self._entries.get()
-            if record is not None:
-                self._write_record(record)
+            entries = self._take_queued()
+            if _Signal.STOP in entries:
+                return
+            records = [entry for entry in entries if isinstance(entry, _Record)]
+            if records:
+                self._write_record(records[-1])
             self._write_hints()
 
+    def _take_queued(self) -> list[_Record | _Signal]:
+        """Waits for an entry, and takes it with all that are queued behind it."""
+        entries = [self._entries.get()]
+        while not self._entries.empty():
+            entries.append(self._entries.get())
+        return entries
+
     def _write_record(self, record: _Record) -> None:
         try:
             self._journal.write(record.durable)
