--- a/larkweir/controller/background_tasks.py
+++ b/larkweir/controller/background_tasks.py
@@ -9,7 +9,7 @@
 class BackgroundTasks:
     """Holds a reference to each task until it has ended, and cancels the remaining ones on close.
 
-    A task that fails takes no other with it: a bad request from another controller must not end this one.
+    A task that fails does not affect the others: an invalid request from another controller must not stop this one.
     """
 
     def __init__(self) -> None:
--- a/larkweir/controller/call_outcome.py
+++ b/larkweir/controller/call_outcome.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The call may or may not have taken effect; a retry finds out."""
+    """The call may or may not have taken effect; a retry with the same command shows which."""
 
 
 CallOutcome = Completed | Rejected | Unknown
--- a/larkweir/controller/clock.py
+++ b/larkweir/controller/clock.py
@@ -6,5 +6,9 @@
 
 
 def now_ms() -> float:
-    """Milliseconds that only rise. RuntimeError outside of an event loop."""
+    """Milliseconds that only rise.
+
+    Raises:
+        RuntimeError: no event loop is running.
+    """
     return asyncio.get_running_loop().time() * 1000.0
--- a/larkweir/controller/configuration_history.py
+++ b/larkweir/controller/configuration_history.py
@@ -25,9 +25,10 @@
         return self._versions[-1][0] if self._versions else -1
 
     def add(self, sequence: int, value: str) -> Document | None:
-        """Takes a committed value; its document where it is newer and differs, None otherwise.
+        """Adds a committed value. Returns its document if it is newer and different, None otherwise.
 
-        Raises msgspec.DecodeError for a value that is not JSON.
+        Raises:
+            msgspec.DecodeError: the value is not JSON.
         """
         if not value or sequence <= self.sequence:
             return None
--- a/larkweir/controller/disk_writer.py
+++ b/larkweir/controller/disk_writer.py
@@ -61,7 +61,7 @@
         self._entries.put(_Record(token, durable))
 
     def write_hint(self, name: str, data: bytes) -> None:
-        """Replaces that file after the record that is being written. Nobody is notified whether that is done."""
+        """Replaces that file after the record that is being written. Errors are only logged."""
         self._hints[name] = data
         self._entries.put(_Signal.HINTS_CHANGED)
 
--- a/larkweir/controller/heartbeat_monitor.py
+++ b/larkweir/controller/heartbeat_monitor.py
@@ -17,7 +17,7 @@
 
 
 class HeartbeatMonitor:
-    """Shares received heartbeats with the other controllers, and marks upstreams of which nobody receives any."""
+    """Shares received heartbeats with the other controllers, and marks upstreams of which none receives any."""
 
     def __init__(
         self,
--- a/larkweir/controller/listeners.py
+++ b/larkweir/controller/listeners.py
@@ -28,7 +28,11 @@
         on_message: Callable[[Connection, Message], None],
         on_lost: Callable[[Connection], None],
     ) -> None:
-        """For routers and other controllers. OSError where the address can't be used."""
+        """Accepts routers and other controllers.
+
+        Raises:
+            OSError: the address can't be listened to.
+        """
 
         def accept() -> Connection:
             connection = Connection(on_message, on_lost)
@@ -38,7 +42,11 @@
         await self._listen(accept, host, port)
 
     async def listen_to_http(self, host: str, port: int, handler: Handler, max_body_bytes: int) -> None:
-        """For operators and upstreams. OSError where the address can't be used."""
+        """Accepts operators and upstreams.
+
+        Raises:
+            OSError: the address can't be listened to.
+        """
 
         def accept() -> HttpServerConnection:
             connection = HttpServerConnection(handler, max_body_bytes)
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -52,7 +52,11 @@
     """One controller process."""
 
     def __init__(self, settings: Settings) -> None:
-        """Opens nothing yet but the data folder. OSError where that can't be read."""
+        """Opens nothing yet but the data folder.
+
+        Raises:
+            OSError: the data folder can't be read.
+        """
         self.settings = settings
         self._incarnation = secrets.token_hex(6)
         self._stopping = asyncio.Event()
@@ -122,7 +126,11 @@
         )
 
     async def run(self) -> None:
-        """Serves until SIGTERM or SIGINT. OSError where an address can't be listened to."""
+        """Serves until SIGTERM or SIGINT.
+
+        Raises:
+            OSError: an address can't be listened to.
+        """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
@@ -168,7 +176,7 @@
         ]
 
     def _process_paused(self) -> None:
-        """Nobody's silence in that time proves anything."""
+        """Missing heartbeats and messages during the pause prove nothing."""
         self._failure_detector.reset_observation(now_ms())
         self._placement.mark_outdated()
         self._links.excuse_silence()
--- a/larkweir/controller/prefix_placement.py
+++ b/larkweir/controller/prefix_placement.py
@@ -16,7 +16,7 @@
 
 MAX_PREFIXES = 65_536  # the one that was requested least recently is dropped first
 REPORT_DELAY_MS = 400.0  # a prefix placed so recently is not in the reports of waiting prefill yet
-MAX_EXCESS_TOKENS = 12_000.0  # waiting at an engine above the idlest one, up to which it is taken in its turn
+MAX_EXCESS_TOKENS = 12_000.0  # that an engine may have waiting above the idlest one and still be selected
 
 EngineByPrefix = dict[str, str]
 _decoder: msgspec.json.Decoder[EngineByPrefix] = msgspec.json.Decoder(EngineByPrefix)
@@ -57,7 +57,7 @@
         self._waiting_tokens = waiting_tokens
 
     def mark_outdated(self) -> None:
-        """Routers did not reach this controller for a while: of each prefix, the next that asks may know better."""
+        """Routers could not reach this controller: the next request for each prefix may correct its placement."""
         self._outdated = set(self._engines)
 
     def place(
@@ -65,7 +65,7 @@
     ) -> Placement | None:
         """The engine that owns the prefix; None where none is ready.
 
-        `ready`: engines of the service. `known_engine`: where the router that asks has sent the prefix before.
+        `ready`: engines of the service. `known_engine`: where the requesting router has sent the prefix before.
         """
         engine = self._engines.get(prefix)
         if prefix in self._outdated:
@@ -122,7 +122,7 @@
         return msgspec.json.encode(dict(self._engines))
 
     def restore(self, data: bytes) -> bool:
-        """Takes what `encode` returned; False where it can't be decoded."""
+        """Adds what `encode` returned; False if it can't be decoded."""
         try:
             self._engines.update(_decoder.decode(data))
         except msgspec.DecodeError:
--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -50,7 +50,7 @@
             self._forwarded.pop(request_id, None)
 
     async def serve(self, connection: Connection, forward: PrimaryRequest) -> None:
-        """Another controller takes this one for the primary: carries out its call and answers."""
+        """Carries out the call of a controller that sees this one as the primary, and answers it."""
         outcome = await self._driver.call(forward.command)
         connection.send(to_message(forward.request_id, outcome))
 
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -37,7 +37,7 @@
 
 
 class PullService:
-    """Keeps pulls pending until there is an update, or until they have been pending for long enough."""
+    """Keeps each pull pending until there is an update, `MAX_PENDING_MS` at most."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         self._state.prefill_load.replace(before, tokens)
 
     def pull(self, connection: Connection, pull: Pull) -> None:
-        """A process requests what it lacks, and reports."""
+        """A process reports its state and requests what it lacks."""
         subscriber = self._subscriptions.get(connection)
         if subscriber is None:
             return
@@ -104,7 +104,7 @@
             self._answer(subscriber, pull)
 
     def wake(self) -> None:
-        """Something has changed: pending pulls whose sender lacks it are answered soon."""
+        """Something has changed: within `BATCH_S` pending pulls of processes that lack it are answered."""
         if self._wake_timer is None:
             self._wake_timer = self._loop.call_later(BATCH_S, self._answer_updated)
 
--- a/larkweir/controller/quota_accounting.py
+++ b/larkweir/controller/quota_accounting.py
@@ -27,7 +27,7 @@
         self._usage_table.set_limits(limits_of(document), now_ms)
 
     def report(self, incarnation: str, pull: Pull, now_ms: float) -> bool:
-        """Takes a process' usage; whether others should be informed soon."""
+        """Adds a process' usage. Returns whether other processes should be informed soon."""
         return bool(self._usage_table.record_report(incarnation, pull.usage, pull.sent_ms, now_ms))
 
     def statuses(self, pull: Pull, now_ms: float) -> dict[str, QuotaStatus]:
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -31,7 +31,7 @@
 
 FOLDER = "replica"
 STATUS_TOO_OLD = 503
-LEAVE_TIMEOUT_S = 1.5  # for a machine that has just started and takes this one's place
+LEAVE_TIMEOUT_S = 1.5  # for a machine that has just started and is to replace this one
 LEAVE_POLL_S = 0.04
 
 
@@ -44,7 +44,11 @@
         send: Callable[[str, Message], None],
         on_committed: Callable[[Snapshot], None],
     ) -> None:
-        """Reads the journal; OSError where it can't be read. Both callbacks may be called at once."""
+        """Reads the journal. Both callbacks may be called before this returns.
+
+        Raises:
+            OSError: the journal can't be read.
+        """
         self._send = send
         self._on_committed = on_committed
         self._tickets = itertools.count(1)
@@ -142,7 +146,7 @@
             self._calls.pop(ticket, None)
 
     async def leave(self) -> None:
-        """Prepares a planned end: another replica leads, and takes this one's place where one stands by for that."""
+        """Prepares a planned end: another replica becomes primary, and replaces this member if one stands by."""
         loop = asyncio.get_running_loop()
         self.replica.leave(now_ms())
         self._carry_out()
--- a/larkweir/controller/subscriptions.py
+++ b/larkweir/controller/subscriptions.py
@@ -36,11 +36,11 @@
     """All subscribers. A connection subscribes with its hello and until it is lost."""
 
     def __init__(self) -> None:
-        """Nobody is connected."""
+        """No process is connected."""
         self._by_connection: dict[Connection, Subscriber] = {}
 
     def __iter__(self) -> Iterator[Subscriber]:
-        """In the order in which they came; a subscriber may be removed meanwhile."""
+        """In the order in which they subscribed; a subscriber may be removed during the iteration."""
         return iter(list(self._by_connection.values()))
 
     def add(self, connection: Connection, role: NodeRole) -> None:
--- a/larkweir/controller/tick_loop.py
+++ b/larkweir/controller/tick_loop.py
@@ -36,7 +36,7 @@
         self._on_paused = on_paused
 
     async def run(self) -> None:
-        """Until it is cancelled. What a task raises ends the loop."""
+        """Runs until it is cancelled. An exception of a task ends the loop."""
         last_ms = now_ms()
         for tick in itertools.count():
             await asyncio.sleep(TICK_S)
--- a/larkweir/controller/upstream_ejection.py
+++ b/larkweir/controller/upstream_ejection.py
@@ -26,7 +26,7 @@
         return self._ejections.ejected
 
     def evaluate(self, now_ms: float) -> bool:
-        """Ejects upstreams and takes them back; whether anything has changed. Several times a second."""
+        """Ejects and reinstates upstreams; returns whether any has changed. To be called several times a second."""
         outcome_counts = sum_outcomes(one.outcome_counts for one in self._subscriptions if one.outcome_counts)
         services = self._registry.ready_ids_by_service().values()
         has_changed = self._ejections.evaluate(services, outcome_counts, now_ms)
