--- /dev/null
+++ b/larkweir/router/admission.py
@@ -0,0 +1,62 @@
+"""Admission of a request: configuration, route, API key and quota, in that order."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from larkweir.router.answers import ErrorKind
+from larkweir.router.client_request import ClientRequest
+from larkweir.router.configuration import Route, Tenant
+from larkweir.router.data_plane import DataPlane
+
+
+@dataclass(frozen=True, slots=True)
+class Admission:
+    """An admitted request: where it goes, until when, and what was charged for it."""
+
+    route: Route
+    service: str
+    deadline_ms: float  # on the event loop's clock
+    tenant: Tenant | None  # None: the route is public, or there are no tenants
+    quota_units: float  # charged to `tenant`; to be refunded if the request is known not to have run
+
+
+@dataclass(frozen=True, slots=True)
+class Denial:
+    """A request that is answered with an error at once. Nothing was charged for it."""
+
+    kind: ErrorKind
+    route: Route | None = None
+    retry_after_s: float | None = None  # None: as `ERROR_RESPONSES` has it
+
+
+def admit(plane: DataPlane, request: ClientRequest, now_ms: float) -> Admission | Denial:
+    """Check a request against the configuration in force and charge it to its tenant's quota.
+
+    Draws the service by the route's weights and earns the service's retry budget.
+
+    Args:
+        plane: the router's shared state.
+        request: the whole request.
+        now_ms: the event loop's time.
+    """
+    table = plane.configuration.table
+    if table is None:
+        return Denial(ErrorKind.NO_CONFIGURATION)
+    route = table.find_route(request.host, request.path)
+    if route is None:
+        return Denial(ErrorKind.NO_ROUTE)
+    tenant: Tenant | None = None
+    quota_units = 0.0
+    if table.has_tenants and not route.public:
+        tenant = table.find_tenant(request.header(b"x-api-key").decode("latin-1"))
+        if tenant is None:
+            return Denial(ErrorKind.UNKNOWN_KEY, route)
+        quota_units = tenant.quota_units(request.tokens)
+        wait_s = plane.quotas.admit(tenant.name, quota_units, now_ms)
+        if wait_s > 0.0:
+            return Denial(ErrorKind.OVER_QUOTA, route, wait_s)
+    service = route.service(plane.rng)
+    plane.retry_budget(service).record_request(now_ms)
+    timeout_ms = min(route.timeout_ms, request.deadline_ms or route.timeout_ms)
+    return Admission(route, service, request.received_ms + timeout_ms, tenant, quota_units)
--- a/larkweir/router/answers.py
+++ b/larkweir/router/answers.py
@@ -1,13 +1,15 @@
-"""Every way in which a router itself ends a request, and the answer to each."""
+"""The errors with which a router itself ends a request, and the HTTP response to each."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
+from larkweir.router.client_request import Headers
+
 
 class ErrorKind(Enum):
-    """Why the router answers itself. The list is closed; `ERROR_RESPONSES` has each."""
+    """Why the router responds itself. `ERROR_RESPONSES` has each."""
 
     BAD_REQUEST = "bad_request"
     HEADERS_TOO_LARGE = "headers_too_large"
@@ -18,7 +20,7 @@
     UNKNOWN_KEY = "unknown_key"
     OVER_QUOTA = "over_quota"
     NO_UPSTREAM = "no_upstream"  # none is ready, or all were tried; the request has not run
-    REJECTED = "turned_away"  # upstreams refused it unseen; it has not run
+    REJECTED = "turned_away"  # by upstreams, which did not run it
     UPSTREAM_FAILED = "upstream_failed"  # it may have run
     TIMED_OUT = "timed_out"  # it may have run
     TIMED_OUT_UNSENT = "timed_out_unsent"  # it has not run
@@ -26,15 +28,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """A status, and whether it promises that the request has not run and never will."""
+    """A status without a body."""
 
     status: int
-    retry_after_s: float | None = None
-    close: bool = False
+    retry_after_s: float | None = None  # None: no `Retry-After` header
+    close: bool = False  # the connection can't be used any more
+
+    def headers(self, retry_after_s: float | None = None) -> Headers:
+        """The response's headers; `retry_after_s` in place of its own where it is given."""
+        headers = [(b"content-length", b"0")]
+        wait_s = self.retry_after_s if retry_after_s is None else retry_after_s
+        if wait_s is not None:
+            headers.append((b"retry-after", b"%.3f" % wait_s))
+        return headers
 
 
-STARTING_RETRY_S = 1.0  # a router that has just started knows the fleet in less than that
-UPSTREAM_RETRY_S = 0.8  # upstreams make themselves known about once a second
+STARTING_RETRY_S = 1.0  # a router that has just started has synchronised with the controllers by then
+UPSTREAM_RETRY_S = 0.8  # upstreams send a heartbeat about once a second
 AT_CAPACITY_RETRY_S = 0.3
 
 ERROR_RESPONSES = {
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -1,105 +1,148 @@
-"""One attempt at an upstream: what its balancer and the fleet are told of it, and how long it may stay silent."""
+"""One attempt at an upstream: its connection, its share of the upstream's backlog, its overdue timer, its outcome."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from larkweir_balancing.decision_options import OPTIONS
 from larkweir_balancing.interface import Outcome
 from larkweir_balancing.prompt import Prompt
 
+from larkweir.router.data_plane import DataPlane
 from larkweir.router.request_trace import RequestTrace
 from larkweir.router.upstream_connection import UpstreamConnection
 
-if TYPE_CHECKING:
-    from larkweir.router.data_plane import DataPlane
-
-MIN_ANNOUNCED_TOKENS = 4_000.0  # to be read, from which other routers are told at once
+MIN_ANNOUNCED_TOKENS = 4_000.0  # of prefill, from which other routers are notified at once
+# Outcomes that count for and against an upstream in the fleet's outlier detection; the rest says nothing of it.
 FAILURES = frozenset((Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR))
 SUCCESSES = frozenset((Outcome.OK, Outcome.REJECTED))
 
 
 class Attempt:
-    """From the choice of an upstream to the end of the call there."""
-
-    def __init__(self, plane: DataPlane, service: str, instance: str, prompt: Prompt, *, kept: bool) -> None:
-        """Spends the upstream's token. `kept`: the fleet has sent the head of the prompt there before."""
+    """From the selection of an upstream to the end of the call there. Owns the task that connects."""
+
+    def __init__(
+        self, plane: DataPlane, service: str, instance: str, prompt: Prompt, *, is_cached: bool
+    ) -> None:
+        """Take the upstream's token, and notify the fleet of a long prefill.
+
+        Args:
+            plane: the router's shared state.
+            service: of the upstream.
+            instance: the upstream's id.
+            prompt: what the request asks an engine to read.
+            is_cached: the fleet has sent the prefix of the prompt there before.
+        """
         self._plane = plane
         self._service = service
         self._prompt = prompt
         self._loop = asyncio.get_running_loop()
         self._sent_ms = 0.0
-        self._holds_token = True  # its token is spent
-        self._is_reported = False  # how it ends is known to the fleet already
+        self._holds_token = True
+        self._is_reported = False  # the fleet's outlier detection has its outcome
         self._overdue_timer: asyncio.TimerHandle | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        self._selector = plane.selector(service)
         self.instance = instance
         self.address = plane.address(instance)
-        self.connection: UpstreamConnection | None = None
-        balancer = plane.balancer(service)
-        self.queued_tokens = balancer.prefill_backlog_tokens(instance)
-        self.prefill_tokens = balancer.on_attempt_started(instance, prompt, self._now_ms(), is_cached=kept)
-        if (
-            OPTIONS.announce_long_prompts
-            and self.prefill_tokens >= MIN_ANNOUNCED_TOKENS
-            and plane.is_engine(service)
-        ):
+        self.connection: UpstreamConnection | None = None  # once the request has been sent
+        self.queued_tokens = self._selector.prefill_backlog_tokens(instance)
+        self.prefill_tokens = self._selector.on_attempt_started(
+            instance, prompt, self._now_ms(), is_cached=is_cached
+        )
+        is_long = self.prefill_tokens >= MIN_ANNOUNCED_TOKENS
+        if OPTIONS.announce_long_prompts and is_long and plane.is_engine(service):
             plane.announce_waiting()
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
 
+    def connect(
+        self, on_connected: Callable[[UpstreamConnection], None], on_failed: Callable[[str], None]
+    ) -> None:
+        """Take an idle connection, or open one.
+
+        Args:
+            on_connected: called with an open connection; at once where one is idle.
+            on_failed: called with the error where none could be made. Neither is called after `cancel_connect`.
+        """
+        connection = self._plane.pool.take(self.address)
+        if connection is not None:
+            on_connected(connection)
+        else:
+            self._connect_task = self._loop.create_task(self._open(on_connected, on_failed))
+
+    async def _open(
+        self, on_connected: Callable[[UpstreamConnection], None], on_failed: Callable[[str], None]
+    ) -> None:
+        try:
+            connection = await self._plane.pool.connect(self.address)
+        except (OSError, TimeoutError) as error:
+            self._connect_task = None
+            on_failed(str(error))
+            return
+        self._connect_task = None
+        if connection.is_open:
+            on_connected(connection)
+        else:
+            on_failed("reset at once")
+
+    def cancel_connect(self) -> None:
+        """Stop connecting, if that is under way."""
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+            self._connect_task = None
+
     def on_request_sent(self, connection: UpstreamConnection, on_overdue: Callable[[], None]) -> None:
-        """The request goes out on that connection. `on_overdue` is called where nothing comes back for too long."""
+        """The request goes out on that connection; `on_overdue` is called if no response arrives for too long."""
         self.connection = connection
         self._sent_ms = self._now_ms()
-        patience_ms = self._plane.balancer(self._service).overdue_after_ms(
-            self._prompt, self.prefill_tokens + self.queued_tokens
-        )
-        self._overdue_timer = self._loop.call_later(patience_ms / 1000.0, self._on_timer, on_overdue)
+        timeout_ms = self._selector.overdue_after_ms(self._prompt, self.prefill_tokens + self.queued_tokens)
+        self._overdue_timer = self._loop.call_later(timeout_ms / 1000.0, self._on_timer, on_overdue)
 
     def _on_timer(self, on_overdue: Callable[[], None]) -> None:
         self._overdue_timer = None
-        self._report(bad=True)
+        self._report(failed=True)
         on_overdue()
 
-    def on_first_event(self) -> None:
-        """The first piece of an answer has come. An engine has read the prompt then: its token returns."""
+    def _cancel_timer(self) -> None:
         if self._overdue_timer is not None:
             self._overdue_timer.cancel()
             self._overdue_timer = None
+
+    def on_first_event(self) -> None:
+        """A chunk of the response arrived. An engine has then prefilled the prompt, and its token is returned."""
+        self._cancel_timer()
         if not self._holds_token:
             return
         now_ms = self._now_ms()
-        balancer = self._plane.balancer(self._service)
-        balancer.prefill_time.observe(self.prefill_tokens + self.queued_tokens, now_ms - self._sent_ms)
+        tokens = self.prefill_tokens + self.queued_tokens
+        self._selector.prefill_time.observe(tokens, now_ms - self._sent_ms)
         if self._plane.is_engine(self._service):
             self._holds_token = False
-            balancer.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
+            self._selector.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
 
     def record_shedding(self) -> None:
-        """The upstream turned the call away though it has places, by its own word."""
-        self._report(bad=True)
+        """The upstream rejected the request though it reports capacity: that counts as a failure."""
+        self._report(failed=True)
 
     def end(self, outcome: Outcome, trace: RequestTrace | None) -> None:
-        """The call is over."""
+        """The call is over: return the token, and report the outcome to the selector and to the fleet."""
         if trace is not None and outcome is not Outcome.OK:
             trace.on_ended(outcome.name)
-        if self._overdue_timer is not None:
-            self._overdue_timer.cancel()
-            self._overdue_timer = None
+        self._cancel_timer()
         now_ms = self._now_ms()
-        balancer = self._plane.balancer(self._service)
         if self._holds_token:
-            balancer.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
-        balancer.on_outcome(self.instance, outcome, now_ms)
+            self._selector.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
+        self._selector.on_outcome(self.instance, outcome, now_ms)
         if outcome in FAILURES:
-            self._report(bad=True)
+            self._report(failed=True)
         elif outcome in SUCCESSES:
-            self._report(bad=False)
+            self._report(failed=False)
 
-    def _report(self, *, bad: bool) -> None:
+    def _report(self, *, failed: bool) -> None:
+        """Only the first report of an attempt counts."""
         if not self._is_reported:
             self._is_reported = True
-            self._plane.outcomes.record(self.instance, self._now_ms(), failed=bad)
+            self._plane.outcomes.record(self.instance, self._now_ms(), failed=failed)
--- a/larkweir/router/client_connection.py
+++ b/larkweir/router/client_connection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, cast
+from typing import cast
 
 import h11
 
@@ -11,11 +11,9 @@
 from larkweir.router.answers import ERROR_RESPONSES, ErrorKind
 from larkweir.router.client_request import ClientRequest, Headers
 from larkweir.router.configuration import Limits
+from larkweir.router.data_plane import DataPlane
 from larkweir.router.exchange import Exchange
 
-if TYPE_CHECKING:
-    from larkweir.router.data_plane import DataPlane
-
 USER_TIMEOUT_MS = 10_000.0
 MAX_PIPELINED_BYTES = 64 * 1024  # sent ahead while a request is being answered
 MAX_UNSENT_BYTES = 64 * 1024  # that the client has not taken, from which the upstream is held up
@@ -223,7 +221,7 @@
         """The head is written with the first piece behind it."""
         if self._plane.stopping and CLOSE_HEADER not in headers:
             headers = [*headers, CLOSE_HEADER]
-        out = self._h11.send(h11.Response(status_code=status, headers=headers))
+        out = self._h11.send(h11.Response(status_code=status, headers=list(headers)))
         if self._transport is not None and out:
             self._transport.write(out)
 
--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import NamedTuple
 
 from larkweir_balancing.prompt import Prompt
 
-Headers = list[tuple[bytes, bytes]]
+Headers = Sequence[tuple[bytes, bytes]]
 
 # Of one connection alone (RFC 9110, 7.6.1), or framed anew.
 HOP_BY_HOP_HEADERS = frozenset(
@@ -102,7 +103,7 @@
         head = parts[-2].partition(b":")[0].strip().decode("latin-1")
         return Prompt(head, tokens, min(tokens, head_tokens), aim_ms)
 
-    def upstream_headers(self, routing: RoutingHeaders) -> Headers:
+    def upstream_headers(self, routing: RoutingHeaders) -> list[tuple[bytes, bytes]]:
         """What goes to an upstream: the client's headers, without those of its connection, and the router's."""
         dropped = HOP_BY_HOP_HEADERS | ROUTER_HEADERS
         if routing.last_event_id is not None:
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -1,10 +1,10 @@
-"""What all requests of a router share: the configuration, the upstreams and their balancers, limits, connections."""
+"""What all requests of a router share: the configuration, the upstreams and their selectors, limits, connections."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from random import Random
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from larkweir_balancing.fleet_outlier_detection import OutcomeWindow
 from larkweir_balancing.token_list import UpstreamStatus
@@ -19,8 +19,15 @@
 from larkweir.router.prefix_affinity import PrefixAffinity
 from larkweir.router.upstream_pool import UpstreamPool
 
-if TYPE_CHECKING:
-    from larkweir.router.client_connection import ClientConnection
+
+class OpenConnection(Protocol):
+    """A client's connection, as the router's shutdown sees it."""
+
+    def close_if_idle(self) -> None:
+        """Close it unless a request is under way."""
+
+    def abort(self) -> None:
+        """Close it whatever is under way."""
 
 
 class DataPlane:
@@ -35,12 +42,12 @@
         self.pool = UpstreamPool()
         self.prefix_affinity = PrefixAffinity(link_mbps)
         self.outcomes = OutcomeWindow()
-        self.connections: set[ClientConnection] = set()
+        self.connections: set[OpenConnection] = set()
         self.announce_waiting: Callable[[], None] = lambda: None  # tells controllers of a long prompt at once
         self.stopping = False
         self.error_counts: dict[ErrorKind, int] = dict.fromkeys(ErrorKind, 0)
         self._router_count = 1
-        self._balancers: dict[str, UpstreamSelector] = {}
+        self._selectors: dict[str, UpstreamSelector] = {}
         self._retries: dict[str, RetryBudget] = {}
         self._upstreams: dict[str, Upstream] = {}
         self._ejected: set[str] = set()
@@ -55,18 +62,18 @@
         known = table.services.get(service) if table is not None else None
         return known is not None and known.engine is not None
 
-    def balancer(self, service: str) -> UpstreamSelector:
+    def selector(self, service: str) -> UpstreamSelector:
         """Of that service."""
-        balancer = self._balancers.get(service)
-        if balancer is None:
-            balancer = self._balancers[service] = UpstreamSelector(
+        selector = self._selectors.get(service)
+        if selector is None:
+            selector = self._selectors[service] = UpstreamSelector(
                 self.rng, is_engine=self.is_engine(service), has_idle_connection=self._has_idle_connection
             )
             self._list(service, 0.0)
-            balancer.set_ejected(self._ejected)
-        return balancer
+            selector.set_ejected(self._ejected)
+        return selector
 
-    def retries(self, service: str) -> RetryBudget:
+    def retry_budget(self, service: str) -> RetryBudget:
         """Of that service."""
         budget = self._retries.get(service)
         if budget is None:
@@ -98,20 +105,20 @@
     def waiting(self) -> dict[str, int]:
         """By engine, the prompt tokens of calls that wait there for their first event."""
         found: dict[str, int] = {}
-        for balancer in self._balancers.values():
-            found.update(balancer.own_prefill_backlog())
+        for selector in self._selectors.values():
+            found.update(selector.own_prefill_backlog())
         return found
 
     def peers_waiting(self, tokens: dict[str, float]) -> None:
         """The same of all other routers together, as last told."""
-        for balancer in self._balancers.values():
-            balancer.set_peer_prefill_backlog(tokens)
+        for selector in self._selectors.values():
+            selector.set_peer_prefill_backlog(tokens)
 
     def eject(self, upstreams: set[str]) -> None:
         """These are left out from now on, as far as others are left."""
         self._ejected = upstreams
-        for balancer in self._balancers.values():
-            balancer.set_ejected(upstreams)
+        for selector in self._selectors.values():
+            selector.set_ejected(upstreams)
 
     def update_upstreams(self, changed: list[Upstream], now_ms: float) -> None:
         """What the registry says of these is new."""
@@ -126,7 +133,7 @@
             else:
                 self._upstreams[upstream.id] = upstream
         for service in services:
-            if service in self._balancers:
+            if service in self._selectors:
                 self._list(service, now_ms)
 
     def _list(self, service: str, now_ms: float) -> None:
@@ -135,4 +142,4 @@
             for upstream in self._upstreams.values()
             if upstream.service == service
         }
-        self._balancers[service].update(listed, now_ms)
+        self._selectors[service].update(listed, now_ms)
--- a/larkweir/router/request_trace.py
+++ b/larkweir/router/request_trace.py
@@ -1,60 +1,101 @@
-"""What a router notes of a request's way, for its debug log: which upstreams, why these, how long each step took."""
+"""A request's line in the debug log: which upstreams it went to, why these, and how long each step took.
+
+The names of the fields are read by `benchmarks/fleet_losses.py`; `docs/operators/fleet-logs.md` describes them.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 import msgspec
+from larkweir_balancing.prompt import Prompt
 from larkweir_balancing.upstream_selection import SelectionReason
 
+from larkweir.cluster import log
+from larkweir.router.client_request import ClientRequest
+from larkweir.router.configuration import Route
+
 
 class AttemptTrace(msgspec.Struct, omit_defaults=True):
     """One upstream that a request went to. Times are milliseconds since the request was received."""
 
     upstream: str
     reason: SelectionReason  # why this one
-    chosen_ms: int
-    waiting_tokens: int = 0  # that were believed to wait there, this request's not among them
-    tokens: int = 0  # of this request that were expected to be read
-    written_ms: int | None = None
+    selected_ms: int = msgspec.field(name="chosen_ms")
+    backlog_tokens: int = msgspec.field(
+        name="waiting_tokens", default=0
+    )  # before it, by the router's estimate
+    prefill_tokens: int = msgspec.field(name="tokens", default=0)  # of this request
+    sent_ms: int | None = msgspec.field(name="written_ms", default=None)
     head_ms: int | None = None
-    first_ms: int | None = None  # the first event, or the first piece of a body
+    first_event_ms: int | None = msgspec.field(name="first_ms", default=None)  # or the first chunk of a body
     status: int = 0
     load: str = ""  # its own `X-Server-Load`: running, waiting, slots
-    ending: str = ""  # where it was no whole answer
+    outcome: str = msgspec.field(name="ending", default="")  # where the response was not complete
 
 
 @dataclass(slots=True)
 class RequestTrace:
-    """A request's attempts, filled in as they go on."""
+    """The steps of one request, recorded as they happen. Only kept while debugging.
+
+    Args:
+        received_ms: when the request was received, on the event loop's clock.
+    """
 
     received_ms: float
-    placed_ms: int | None = None  # a controller had said where the head is kept, or nobody had in time
+    placed_ms: int | None = None  # the owner of the prompt's prefix was known, or the controller timed out
+    first_event_ms: int | None = None  # of all attempts
     attempts: list[AttemptTrace] = field(default_factory=list)
 
     def elapsed_ms(self, now_ms: float) -> int:
         """Milliseconds since the request was received."""
         return round(now_ms - self.received_ms)
 
-    def on_chosen(self, upstream: str, reason: SelectionReason, waiting_tokens: float, now_ms: float) -> None:
+    def on_placed(self, now_ms: float) -> None:
+        """The owner of the prompt's prefix has been looked up, whether or not there is one."""
+        self.placed_ms = self.elapsed_ms(now_ms)
+
+    def on_selected(
+        self, upstream: str, reason: SelectionReason, backlog_tokens: float, now_ms: float
+    ) -> None:
         """An attempt begins."""
-        self.attempts.append(AttemptTrace(upstream, reason, self.elapsed_ms(now_ms), round(waiting_tokens)))
+        self.attempts.append(AttemptTrace(upstream, reason, self.elapsed_ms(now_ms), round(backlog_tokens)))
 
-    def on_request_sent(self, tokens: float, now_ms: float) -> None:
-        """The request has been written to the upstream."""
-        self.attempts[-1].tokens = round(tokens)
-        self.attempts[-1].written_ms = self.elapsed_ms(now_ms)
+    def on_request_sent(self, prefill_tokens: float, now_ms: float) -> None:
+        """The request has been sent to the upstream."""
+        self.attempts[-1].prefill_tokens = round(prefill_tokens)
+        self.attempts[-1].sent_ms = self.elapsed_ms(now_ms)
 
     def on_head(self, status: int, load: str, now_ms: float) -> None:
-        """The head of an answer came."""
+        """The head of a response arrived."""
         last = self.attempts[-1]
         last.status, last.load, last.head_ms = status, load, self.elapsed_ms(now_ms)
 
     def on_first_event(self, now_ms: float) -> None:
-        """The first piece of a body came."""
-        self.attempts[-1].first_ms = self.elapsed_ms(now_ms)
+        """A chunk of a body arrived; only the first one of a request is recorded."""
+        if self.first_event_ms is None:
+            self.first_event_ms = self.attempts[-1].first_event_ms = self.elapsed_ms(now_ms)
 
-    def on_ended(self, ending: str) -> None:
-        """The attempt is over without a whole answer."""
+    def on_ended(self, outcome: str) -> None:
+        """The attempt is over without a complete response."""
         if self.attempts:
-            self.attempts[-1].ending = ending
+            self.attempts[-1].outcome = outcome
+
+    def write(
+        self, request: ClientRequest, route: Route | None, prompt: Prompt, sent: int, now_ms: float
+    ) -> None:
+        """Write the line. `sent`: how often the request was sent to an upstream."""
+        log.debug(
+            "request",
+            id=request.header(b"x-request-id").decode("latin-1"),
+            route=route.name if route is not None else None,
+            tokens=request.tokens,
+            aim_ms=route.target_latency_ms if route is not None else None,
+            head=prompt.prefix,
+            head_tokens=round(prompt.prefix_tokens),
+            placed_ms=self.placed_ms,
+            attempts=self.attempts,
+            sent=sent,
+            first_ms=self.first_event_ms,
+            total_ms=self.elapsed_ms(now_ms),
+        )
--- /dev/null
+++ b/tests/router/test_exchange_state.py
@@ -0,0 +1,43 @@
+"""An exchange changes its state only as the table of transitions has it, and each row of the table is met."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import Phase, settings
+from hypothesis.stateful import run_state_machine_as_test
+
+from larkweir.router.exchange import Exchange
+from larkweir.router.exchange_state import TRANSITIONS, ExchangeState
+from tests.system.test_right_caller import RightCaller
+from tests.system.test_router_wire import SCENES, Scene, head, played
+
+SETTINGS = settings(
+    max_examples=30, stateful_step_count=40, deadline=None, phases=[Phase.generate], derandomize=True
+)
+
+
+def a_client_that_disconnects_while_the_prefix_is_placed(scene: Scene) -> None:
+    scene.configure()
+    scene.plane.prefix_affinity.send_lookup = lambda message: True
+    prompt = ("X-Token-Usage: 1460,80", "X-Prompt-Prefix: a:800,b:410,c:250")
+    client = scene.ask(head("POST", "/v1", *prompt, host="e.example"))
+    scene.do(lambda: client.end(None))
+
+
+def test_every_state_has_a_row() -> None:
+    assert set(TRANSITIONS) == set(ExchangeState)
+
+
+def test_transitions_are_those_of_the_table(monkeypatch: pytest.MonkeyPatch) -> None:
+    seen: set[tuple[ExchangeState, ExchangeState]] = set()
+    transition = Exchange._transition
+
+    def recorded(exchange: Exchange, state: ExchangeState) -> None:
+        seen.add((exchange._state, state))
+        transition(exchange, state)
+
+    monkeypatch.setattr(Exchange, "_transition", recorded)
+    for scene in (*SCENES, a_client_that_disconnects_while_the_prefix_is_placed):
+        played(scene)
+    run_state_machine_as_test(RightCaller, settings=SETTINGS)
+    assert seen == {(before, after) for before, afters in TRANSITIONS.items() for after in afters}
--- a/tests/system/test_right_caller_planted.py
+++ b/tests/system/test_right_caller_planted.py
@@ -49,7 +49,7 @@
         from larkweir_balancing.interface import Outcome
 
         self._end_attempt(Outcome.RESET)
-        if self._response_started:
+        if self._relay.has_started:
             self._abort_response()
         elif self._take_retry():
             self._start_attempt()
@@ -74,8 +74,8 @@
     original = Exchange._resume_stream
 
     def resume(self: Exchange) -> None:
-        if self._events is not None:
-            self._events.last_id = None
+        if self._relay.events is not None:
+            self._relay.events.last_id = None
         original(self)
 
     patch.setattr(Exchange, "_resume_stream", resume)
