--- a/larkweir/router/admission.py
+++ b/larkweir/router/admission.py
@@ -57,6 +57,6 @@
         if wait_s > 0.0:
             return Denial(ErrorKind.OVER_QUOTA, route, wait_s)
     service = route.service(plane.rng)
-    plane.retry_budget(service).record_request(now_ms)
+    plane.retry_budgets.budget(service).record_request(now_ms)
     timeout_ms = min(route.timeout_ms, request.deadline_ms or route.timeout_ms)
     return Admission(route, service, request.received_ms + timeout_ms, tenant, quota_units)
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -43,9 +43,9 @@
         self._is_reported = False  # the fleet's outlier detection has its outcome
         self._overdue_timer: asyncio.TimerHandle | None = None
         self._connect_task: asyncio.Task[None] | None = None
-        self._selector = plane.selector(service)
+        self._selector = plane.upstreams.selector(service)
         self.instance = instance
-        self.address = plane.address(instance)
+        self.address = plane.upstreams.address(instance)
         self.connection: UpstreamConnection | None = None  # once the request has been sent
         self.queued_tokens = self._selector.prefill_backlog_tokens(instance)
         self.prefill_tokens = self._selector.on_attempt_started(
@@ -53,7 +53,7 @@
         )
         is_long = self.prefill_tokens >= MIN_ANNOUNCED_TOKENS
         if OPTIONS.announce_long_prompts and is_long and plane.is_engine(service):
-            plane.announce_waiting()
+            plane.announce_backlog()
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -100,7 +100,7 @@
             self._respond_error(admitted.kind, admitted.retry_after_s)
             return
         self._admission = admitted
-        budget = self._plane.retry_budget(admitted.service)
+        budget = self._plane.retry_budgets.budget(admitted.service)
         self._retries = RetryAllowance(admitted.route.max_attempts, budget)
         self._deadline_timer = self._loop.call_at(admitted.deadline_ms / 1000.0, self._on_deadline)
         self._locate_prefix()
@@ -118,7 +118,7 @@
             self._start_attempt()
             return
         self._transition(ExchangeState.PLACING)
-        is_ready = plane.selector(service).is_ready
+        is_ready = plane.upstreams.selector(service).is_ready
         plane.prefix_affinity.find_owner(
             service, prompt, len(self._request.body), is_ready, self._on_prefix_owner
         )
@@ -135,7 +135,7 @@
     def _start_attempt(self) -> None:
         """Select the next upstream and connect, or respond with an error where none is left."""
         admission, _ = self._admitted()
-        selector = self._plane.selector(admission.service)
+        selector = self._plane.upstreams.selector(admission.service)
         owner = self._prefix_owner
         now_ms = self._now_ms()
         instance = selector.select(
@@ -229,7 +229,9 @@
         may_retry = OPTIONS.retry_overdue and admission.route.is_idempotent
         if not may_retry or self._state not in (ExchangeState.AWAITING, ExchangeState.RELAYING):
             return
-        has_others = self._plane.selector(admission.service).ready_count > len(self._tried_instances)
+        has_others = self._plane.upstreams.selector(admission.service).ready_count > len(
+            self._tried_instances
+        )
         can_restart = not self._relay.has_started or self._relay.can_resume
         if has_others and can_restart and self._take_retry():
             self._abort_attempt(Outcome.TIMEOUT)
--- a/larkweir/router/fleet_view.py
+++ b/larkweir/router/fleet_view.py
@@ -50,7 +50,7 @@
         self._synced: set[str] = set()
         self._configured_ms: float | None = None
         plane.prefix_affinity.send_lookup = self._send_lookup
-        plane.announce_waiting = self._announce_waiting
+        plane.announce_backlog = self._announce_waiting
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
@@ -113,7 +113,7 @@
 
     def _announce_waiting(self) -> None:
         """Tells every controller what waits at engines, ahead of the next pull."""
-        message = PrefillQueueUpdate(self._plane.waiting())
+        message = PrefillQueueUpdate(self._plane.upstreams.own_prefill_backlog())
         for link in self._links.values():
             link.send(message)
 
@@ -142,7 +142,7 @@
             vector=None if unchanged else vector,
             usage=usage,
             sent_ms=round(now_ms),
-            queued_prefill_tokens=self._plane.waiting(),
+            queued_prefill_tokens=self._plane.upstreams.own_prefill_backlog(),
             outcomes=self._plane.outcomes.failing_upstreams(now_ms),
         )
         connection.send(pull)
@@ -160,7 +160,7 @@
             self._configuration_changed()
         changed = self._registry.merge(message.records, message.vector, now_ms)
         if changed:
-            plane.update_upstreams(changed, now_ms)
+            plane.upstreams.update(changed, now_ms)
         self._controllers.update(message.controllers)
         if message.controllers:
             self._listed_controllers = set(message.controllers)
@@ -168,7 +168,7 @@
         plane.set_router_count(self._router_count.report(max(self._routers.values()), now_ms))
         plane.quotas.receive_statuses(connection.node, message.quotas, now_ms)
         self._waiting[connection.node] = message.queued_prefill_tokens
-        plane.peers_waiting(self._max_waiting())
+        plane.upstreams.set_peer_prefill_backlog(self._max_waiting())
         if message.ejected is not None:
             self._ejected[connection.node] = message.ejected
             self._apply_ejections()
@@ -176,7 +176,7 @@
         self._pull(connection)
 
     def _apply_ejections(self) -> None:
-        self._plane.eject({id_ for ids in self._ejected.values() for id_ in ids})
+        self._plane.upstreams.set_ejected({id_ for ids in self._ejected.values() for id_ in ids})
 
     def _max_waiting(self) -> dict[str, float]:
         """By engine the most that a controller tells: each hears only those routers that reach it."""
--- a/larkweir/router/node.py
+++ b/larkweir/router/node.py
@@ -91,7 +91,7 @@
 
     async def _answer_ready(self, request: Request) -> Response:
         plane = self._plane
-        ready = self._view.is_settled and plane.has_upstreams and not plane.stopping
+        ready = self._view.is_settled and plane.upstreams.has_ready and not plane.stopping
         return Response(200 if ready else 503, close=True)
 
     async def _drain(self) -> None:
--- a/larkweir/router/prefix_affinity.py
+++ b/larkweir/router/prefix_affinity.py
@@ -1,4 +1,4 @@
-"""Where the heads of prompts are kept, as the controllers place them: asked for once, remembered for a while."""
+"""Which engine owns a prompt's prefix, as the controllers place it: looked up once, cached for a while."""
 
 from __future__ import annotations
 
@@ -6,30 +6,28 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import NamedTuple
 
 from larkweir_balancing.prompt import Prompt
 
 from larkweir.cluster.messages import PlacementRequest, PlacementResponse
 
-CONTROLLER_TIMEOUT_S = (
-    0.04  # a controller answers in a few milliseconds; without it the head's own order decides
-)
-BODY_TRANSFER_FACTOR = (
-    2.0  # what a body takes on this router's link, in which other bodies may come, is waited for beside that
-)
-OWNER_TTL_MS = 30_000.0  # after it the controller is asked again, which keeps its memory of the head alive
-MAX_PREFIXES = 16_384
+# A controller responds in a few milliseconds; without its response the prefix's rendezvous order decides.
+CONTROLLER_TIMEOUT_S = 0.04
+# Added to that: so many times what the request's body takes on this router's link, behind which the response may come.
+BODY_TRANSFER_FACTOR = 2.0
+OWNER_TTL_MS = 30_000.0  # then the controller is asked again, which keeps its own entry alive
+MAX_PREFIXES = 16_384  # the one that was looked up longest ago is evicted first
 
 
-class PrefixOwner(NamedTuple):
-    """The engine that keeps a head, and whether it was sent there before."""
+@dataclass(frozen=True, slots=True)
+class PrefixOwner:
+    """An engine, and whether the prefix has been sent there before (so that its KV cache may hold it)."""
 
     engine: str
     is_cached: bool
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class _CachedOwner:
     owner: PrefixOwner
     until_ms: float
@@ -38,21 +36,23 @@
 @dataclass(slots=True)
 class _PendingLookup:
     timer: asyncio.TimerHandle
-    waiting: list[Callable[[PrefixOwner | None], None]] = field(default_factory=list)
+    callbacks: list[Callable[[PrefixOwner | None], None]] = field(default_factory=list)
 
 
 class PrefixAffinity:
-    """A router's memory of placements, and its open questions."""
+    """Owns the cached owners, by prefix, and the lookups that wait for a controller."""
 
     def __init__(self, link_mbps: float = 1_000.0) -> None:
-        """Knows nothing yet; `ask` is set by whoever holds the links to controllers.
+        """Know no owner yet. `send_lookup` is set by the owner of the links to controllers.
 
-        `link_mbps` is this router's.
+        Args:
+            link_mbps: the bandwidth of this router's network link, in megabits per second.
         """
         self._link_bytes_per_s = link_mbps * 1e6 / 8.0
         self._loop = asyncio.get_running_loop()
         self._owners: OrderedDict[str, _CachedOwner] = OrderedDict()
         self._lookups: dict[str, _PendingLookup] = {}
+        # Whether there is a controller to send it to.
         self.send_lookup: Callable[[PlacementRequest], bool] = lambda message: False
 
     def find_owner(
@@ -63,9 +63,14 @@
         is_ready: Callable[[str], bool],
         on_owner: Callable[[PrefixOwner | None], None],
     ) -> None:
-        """Calls `on_owner` with the engine that keeps the head, at once where that is known, else in some time.
-
-        None where nobody says. `body_bytes`: of the request, behind which the answer may come on this router's link.
+        """Call `on_owner` with the owner of the prompt's prefix: at once where it is cached, else later.
+
+        Args:
+            service: of the request.
+            prompt: whose prefix is looked up.
+            body_bytes: of the request, which may delay the controller's response on this router's link.
+            is_ready: whether an engine can take requests.
+            on_owner: called exactly once; with None where no controller responds in time or no engine is ready.
         """
         cached = self._owners.get(prompt.prefix)
         now_ms = self._loop.time() * 1000.0
@@ -74,7 +79,7 @@
             return
         pending = self._lookups.get(prompt.prefix)
         if pending is not None:
-            pending.waiting.append(on_owner)
+            pending.callbacks.append(on_owner)
             return
         last_known = cached.owner if cached is not None and is_ready(cached.owner.engine) else None
         lookup = PlacementRequest(
@@ -87,23 +92,22 @@
         timer = self._loop.call_later(timeout_s, self._resolve, prompt.prefix, last_known)
         self._lookups[prompt.prefix] = _PendingLookup(timer, [on_owner])
 
-    def on_placed(self, answer: PlacementResponse, now_ms: float) -> None:
-        """A controller's answer."""
-        if answer.engine is None:
-            self._resolve(answer.prefix, None)
+    def on_placed(self, response: PlacementResponse, now_ms: float) -> None:
+        """A controller responded: cache the owner, and resolve the lookup if it has not timed out."""
+        if response.engine is None:
+            self._resolve(response.prefix, None)
             return
-        self._owners[answer.prefix] = _CachedOwner(
-            PrefixOwner(answer.engine, is_cached=True), now_ms + OWNER_TTL_MS
-        )
-        self._owners.move_to_end(answer.prefix)
+        owner = PrefixOwner(response.engine, is_cached=True)  # from the next request on
+        self._owners[response.prefix] = _CachedOwner(owner, now_ms + OWNER_TTL_MS)
+        self._owners.move_to_end(response.prefix)
         if len(self._owners) > MAX_PREFIXES:
             self._owners.popitem(last=False)
-        self._resolve(answer.prefix, PrefixOwner(answer.engine, answer.is_cached))
+        self._resolve(response.prefix, PrefixOwner(response.engine, response.is_cached))
 
-    def _resolve(self, head: str, owner: PrefixOwner | None) -> None:
-        lookup = self._lookups.pop(head, None)
+    def _resolve(self, prefix: str, owner: PrefixOwner | None) -> None:
+        lookup = self._lookups.pop(prefix, None)
         if lookup is None:
             return
         lookup.timer.cancel()
-        for on_owner in lookup.waiting:
-            on_owner(owner)
+        for callback in lookup.callbacks:
+            callback(owner)
--- a/larkweir/router/router_count.py
+++ b/larkweir/router/router_count.py
@@ -1,4 +1,4 @@
-"""How many routers share the limits, as controllers tell."""
+"""How many routers share quotas and retry budgets, as controllers report it."""
 
 from __future__ import annotations
 
@@ -6,15 +6,20 @@
 
 
 class RouterCount:
-    """The most that was told of late: a router that believes in a smaller fleet takes too large a part of a limit."""
+    """The highest count reported of late: a router that believes in a smaller fleet uses too much of a limit."""
 
     def __init__(self) -> None:
-        """Nothing was told yet."""
+        """Assume that this router is alone."""
         self._max_routers = 1
         self._reported_ms = float("-inf")
 
     def report(self, routers: int, now_ms: float) -> int:
-        """A controller counts so many at present; how many to reckon with."""
+        """Take in a report, and return the count to reckon with.
+
+        Args:
+            routers: that a controller counts at present.
+            now_ms: the event loop's time.
+        """
         if routers >= self._max_routers or now_ms >= self._reported_ms + RETENTION_MS:
             self._max_routers, self._reported_ms = max(1, routers), now_ms
         return self._max_routers
--- /dev/null
+++ b/larkweir/router/upstream_directory.py
@@ -0,0 +1,112 @@
+"""The upstreams that a router knows, and a selector for each service."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from random import Random
+
+from larkweir_balancing.token_list import UpstreamStatus
+from larkweir_balancing.upstream_selection import UpstreamSelector
+from larkweir_registry.records import Upstream, UpstreamState
+
+
+class UpstreamDirectory:
+    """Owns the list of upstreams, their selectors and the set of ejected ones. Ids are the registry's."""
+
+    def __init__(
+        self,
+        rng: Random,
+        is_engine: Callable[[str], bool],
+        has_idle_connection: Callable[[str], bool],
+        on_gone: Callable[[str], None],
+    ) -> None:
+        """Know no upstream yet.
+
+        Args:
+            rng: that all selectors draw from.
+            is_engine: whether the upstreams of a service are model engines.
+            has_idle_connection: whether a connection to an address (`IP:PORT`) is idle.
+            on_gone: called with the address of an upstream that is gone.
+        """
+        self._rng = rng
+        self._is_engine = is_engine
+        self._address_has_idle = has_idle_connection
+        self._on_gone = on_gone
+        self._upstreams: dict[str, Upstream] = {}
+        self._selectors: dict[str, UpstreamSelector] = {}
+        self._ejected: set[str] = set()
+
+    def __contains__(self, id_: str) -> bool:
+        """Whether that upstream is known and not gone."""
+        return id_ in self._upstreams
+
+    def address(self, id_: str) -> str:
+        """Where that upstream listens (`IP:PORT`). KeyError where it is not known."""
+        return self._upstreams[id_].address
+
+    @property
+    def has_ready(self) -> bool:
+        """Whether any upstream of any service is ready."""
+        return any(upstream.state is UpstreamState.READY for upstream in self._upstreams.values())
+
+    def selector(self, service: str) -> UpstreamSelector:
+        """The selector of that service; made at its first use."""
+        selector = self._selectors.get(service)
+        if selector is None:
+            selector = self._selectors[service] = UpstreamSelector(
+                self._rng, is_engine=self._is_engine(service), has_idle_connection=self._has_idle_connection
+            )
+            self._list(service, 0.0)
+            selector.set_ejected(self._ejected)
+        return selector
+
+    def _has_idle_connection(self, id_: str) -> bool:
+        upstream = self._upstreams.get(id_)
+        return upstream is not None and self._address_has_idle(upstream.address)
+
+    def own_prefill_backlog(self) -> dict[str, int]:
+        """By engine, the prompt tokens of this router's calls that wait for their first event."""
+        found: dict[str, int] = {}
+        for selector in self._selectors.values():
+            found.update(selector.own_prefill_backlog())
+        return found
+
+    def set_peer_prefill_backlog(self, tokens: dict[str, float]) -> None:
+        """The same of all other routers together, by engine, as last reported."""
+        for selector in self._selectors.values():
+            selector.set_peer_prefill_backlog(tokens)
+
+    def set_ejected(self, ids: set[str]) -> None:
+        """These are not selected from now on, as long as others are left."""
+        self._ejected = ids
+        for selector in self._selectors.values():
+            selector.set_ejected(ids)
+
+    def update(self, changed: Iterable[Upstream], now_ms: float) -> None:
+        """Take over changes of the registry.
+
+        Args:
+            changed: the upstreams that are new or differ.
+            now_ms: the event loop's time.
+        """
+        services = set()
+        for upstream in changed:
+            before = self._upstreams.get(upstream.id)
+            services.add(upstream.service or (before.service if before else ""))
+            if upstream.state is UpstreamState.GONE:
+                self._upstreams.pop(upstream.id, None)
+                if before is not None:
+                    self._on_gone(before.address)
+            else:
+                self._upstreams[upstream.id] = upstream
+        for service in services:
+            if service in self._selectors:
+                self._list(service, now_ms)
+
+    def _list(self, service: str, now_ms: float) -> None:
+        listed = {
+            upstream.id: UpstreamStatus(upstream.state is UpstreamState.READY, upstream.has_timed_out)
+            for upstream in self._upstreams.values()
+            if upstream.service == service
+        }
+        self._selectors[service].update(listed, now_ms)
--- a/tests/system/loopback.py
+++ b/tests/system/loopback.py
@@ -301,7 +301,7 @@
 
     async def until_ready(self, number: int = 0) -> None:
         """The router says that it is, and knows every upstream that was registered."""
-        known = self.nodes[self.fronts[number]]._plane._upstreams
+        known = self.nodes[self.fronts[number]]._plane.upstreams
 
         async def ready() -> bool:
             reply = await ask(self.ready[number], "GET", "/ready")
--- a/tests/system/router_model.py
+++ b/tests/system/router_model.py
@@ -296,7 +296,7 @@
         body = {"generation": 1, "routes": routes, "services": [{"name": "s"}]}
         self.plane.configuration.apply(ConfigUpdate(1, -1, msgspec.Raw(msgspec.json.encode(body))))
         listed = [Upstream(f"i{n}", "s", address, "z") for n, address in enumerate(self.ADDRESSES)]
-        self.plane.update_upstreams(listed, 0.0)
+        self.plane.upstreams.update(listed, 0.0)
 
     def runs_of(self, head: h11.Request) -> Run:
         """Notes that an upstream has got a request."""
--- a/tests/system/test_router_wire.py
+++ b/tests/system/test_router_wire.py
@@ -124,7 +124,7 @@
             table = self.plane.configuration.table
             assert table is not None
             self.plane.quotas.set_limits(table.quotas)
-            self.plane.update_upstreams(listed, self.now_s * 1000.0)
+            self.plane.upstreams.update(listed, self.now_s * 1000.0)
 
         self.do(apply)
 
--- a/tests/system/test_silent_upstreams.py
+++ b/tests/system/test_silent_upstreams.py
@@ -95,7 +95,7 @@
 
 def test_without_another_upstream_a_silent_call_is_waited_for(play: Play) -> None:
     gone = Upstream("i1", "s", play.model.ADDRESSES[1], "z", sequence=1, state=UpstreamState.GONE)
-    play.do(lambda: play.model.plane.update_upstreams([gone], 0.0))
+    play.do(lambda: play.model.plane.upstreams.update([gone], 0.0))
     sent = play.request(play.client(), "safe")
     overdue(play)
     play.answer(play.waiting()[0])
