--- a/larkweir/coordination/duties/drill.py
+++ b/larkweir/coordination/duties/drill.py
@@ -32,7 +32,7 @@
         self.next_ms = 0.0
 
     def on_report(self, source: str, report: Report, now_ms: float) -> None:
-        """Copies have nothing to report."""
+        """Balancers have nothing to report."""
         pass
 
     def tick(self, now_ms: float) -> list[Report]:
--- a/larkweir/coordination/duties/messages.py
+++ b/larkweir/coordination/duties/messages.py
@@ -1,4 +1,4 @@
-"""The reports that copies send to the owner of a duty, and their encoding (MessagePack). Pure logic.
+"""The reports that balancers send to the owner of a duty, and their encoding (MessagePack). Pure logic.
 
 Reports are cumulative under one term: a lost, duplicated or late one does no harm, since the next repeats everything,
 and an older one is recognised by its number.
@@ -18,8 +18,8 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, array_like=True):
-    """What one copy has seen of one canary since the term began. `logs`: the bets' logarithms in thousandths, rounded
-    down, by kind of bad end and factor. `counts`: requests, bad ends and slow ends, each the control's and the
+    """What one balancer has seen of one canary since the term began. `logs`: the bets' logarithms in thousandths,
+    rounded down, by kind of bad end and factor. `counts`: requests, bad ends and slow ends, each the control's and the
     canary's.
     """
 
@@ -30,7 +30,7 @@
 
 
 class RampRow(msgspec.Struct, frozen=True, array_like=True):
-    """A ramp in this copy's operator file, and this copy's step of it."""
+    """A ramp in this balancer's operator file, and this balancer's step of it."""
 
     key: str
     span_ms: float
@@ -38,24 +38,24 @@
 
 
 class EvidenceReport(msgspec.Struct, frozen=True, array_like=True, tag="v"):
-    """One copy's evidence on canaries."""
+    """One balancer's evidence on canaries."""
 
-    incarnation: int  # of the copy: higher after each restart
+    incarnation: int  # of the balancer: higher after each restart
     term: int  # under which it is counted
-    number: int  # counts the reports of this life
+    number: int  # counts the reports of this incarnation
     rows: tuple[Evidence, ...]
 
 
 class RampReport(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """One copy's ramps."""
+    """One balancer's ramps."""
 
     incarnation: int
     rows: tuple[RampRow, ...]
 
 
 class Sighting(msgspec.Struct, frozen=True, array_like=True):
-    """What this copy itself knows of a server. `out`: it has ejected it. `found`: 0 nothing yet, 1 failing, 2 healthy
-    by a probe, 3 healthy by a call, `age_ms` before this was sent.
+    """What this balancer itself knows of a server. `is_ejected`: by this balancer. `finding`: 0 nothing yet, 1 failing,
+    2 healthy by a probe, 3 healthy by a call, `age_ms` before this was sent.
     """
 
     key: bytes
@@ -65,7 +65,7 @@
 
 
 class SightingReport(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """What one copy knows of ejected servers."""
+    """What one balancer knows of ejected servers."""
 
     incarnation: int
     number: int
@@ -73,7 +73,7 @@
 
 
 class CaptureReport(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """What one copy sees of each kind of request, as `larkweir_captures.wire` packs it."""
+    """What one balancer sees of each kind of request, as `larkweir_captures.wire` packs it."""
 
     incarnation: int
     item: bytes
--- a/larkweir/coordination/duties/ports.py
+++ b/larkweir/coordination/duties/ports.py
@@ -11,7 +11,7 @@
 
 
 class FleetTask(Protocol):
-    """A duty as the balancer runs it: `larkweir_owners.ports.Duty`, and what each copy does for it."""
+    """A duty as the balancer runs it: `larkweir_owners.ports.Duty`, and what each balancer does for it."""
 
     next_ms: float  # when `tick` is due; at an owner `step` follows it at once
 
@@ -26,24 +26,24 @@
         """A majority of the register's replicas has a state."""
 
     def on_report(self, source: str, report: Report, now_ms: float) -> None:
-        """A report of a copy has arrived. Any process may receive one; the owner uses it."""
+        """A report of a balancer has arrived. Any process may receive one; the owner uses it."""
         ...
 
     def tick(self, now_ms: float) -> list[Report]:
-        """As a copy: the reports to send to the owner now."""
+        """As a balancer: the reports to send to the owner now."""
         ...
 
     def on_left_fleet(self) -> None:
-        """This process has left the fleet: what the duty controls here goes on as without owners."""
+        """This process has left the fleet: what the duty controls here goes on as it does without owners."""
         ...
 
     def is_notable(self) -> bool:
-        """Whether the state taken last is more than a heartbeat. Called once for each."""
+        """Whether the state committed last is more than a heartbeat. Called once for each."""
         ...
 
 
 class LocalSighting(NamedTuple):
-    """What a copy's decisions know of a server by themselves; the fields are those of `messages.Sighting`."""
+    """What a balancer's decisions know of a server by themselves; the fields are those of `messages.Sighting`."""
 
     is_ejected: bool
     finding: int
@@ -58,5 +58,5 @@
         ...
 
     def on_finding(self, key: bytes, finding: int, age_ms: float, is_prober: bool) -> None:
-        """A finding of others. `turn`: this copy is to probe. Ignored for a server that is not ejected here."""
+        """A finding of others; `is_prober`: this balancer is to probe. Ignored of a server that is not ejected here."""
         ...
--- a/larkweir/coordination/duties/probers.py
+++ b/larkweir/coordination/duties/probers.py
@@ -1,13 +1,13 @@
-"""Which copy probes an ejected server for all others, and what it found. Pure logic.
+"""Which balancer probes an ejected server for all others, and what it found. Pure logic.
 
-A server is taken up once two copies have ejected it, and dropped once it was found healthy. Of the copies that have
-ejected it the owner gives one the turn, by rendezvous hashing; the next one has it after three bad findings, or when
-the owner does not hear from its prober. So a prober that has crashed, or that alone is cut off from the server,
-spoils one turn. Where the platform's settings allow no probes, findings are the outcomes of the probers' own calls;
-as these are sent there by chance, two copies have the turn at once.
+A server is taken up once two balancers have ejected it, and dropped once it was found healthy. Of the balancers that
+have ejected it the owner gives one the turn, by rendezvous hashing; the next one has it after three bad findings, or
+when the prober's reports stop. So a prober that has crashed, or that alone is cut off from the server, spoils one turn.
+Where the platform's settings allow no probes, findings are the outcomes of the probers' own calls; as these are sent
+there by chance, two balancers have the turn at once.
 
 A finding has an age: since when it was found, as far as that is known. It travels with the owner's state, and each
-copy's decisions weigh it (`larkweir_balancing/hearsay.py`). A late state may make it seem younger by as long as the
+balancer's decisions weigh it (`larkweir_balancing/hearsay.py`). A late state may make it seem younger by as long as the
 state took: it keeps a server out, or has it tried, for no longer than the decisions allow for one finding.
 """
 
@@ -31,35 +31,35 @@
     heartbeat_due,
 )
 
-MAX_SERVERS = 64  # at a time; further ones are each copy's own
-MAX_TRACKED_SERVERS = 2 * MAX_SERVERS  # of which the owner has heard
+MAX_SERVERS = 64  # at a time; further ones are each balancer's own
+MAX_TRACKED_SERVERS = 2 * MAX_SERVERS  # that the owner keeps account of
 MAX_CANDIDATES = 8  # of a server: the first by rendezvous
-MAX_BALANCERS = 4096  # of which the owner has heard
-MIN_EJECTIONS = 2  # copies that have left a server out before it is the fleet's matter
+MAX_BALANCERS = 4096  # that the owner keeps account of
+MIN_EJECTIONS = 2  # balancers that have ejected a server before the fleet probes it together
 PROBERS_BY_CALL = 2  # that have the turn at once where probes are not allowed
 MAX_BAD_FINDINGS = 3  # bad findings, after which the next has the turn
-PROBER_REPORT_MS = 1_000.0  # from word to word of whose turn it is
-PROBER_TIMEOUT_MS = 2_500.0  # a prober that is not heard of for so long has lost it
+PROBER_REPORT_MS = 1_000.0  # from report to report of the prober
+PROBER_TIMEOUT_MS = 2_500.0  # a prober without a report for so long loses its turn
 MIN_STATE_INTERVAL_MS = 500.0  # between two states
-CLOSE_AFTER_MS = 4_000.0  # a server that was found well is let go after that
-CHECK_INTERVAL_MS = 250.0  # between two looks of a copy
+CLOSE_AFTER_MS = 4_000.0  # a server that was found healthy is dropped after that
+CHECK_INTERVAL_MS = 250.0  # between two checks of a balancer
 KEY_BYTES = 8  # bytes
-TAG_BYTES = 4  # bytes that stand for a copy; two that share theirs both have the turn, which does no harm
+TAG_BYTES = 4  # bytes that stand for a balancer; two that share theirs both have the turn, which does no harm
 NOTHING, FAILING, PROBED, SERVED = range(4)
 
 
 def key_of(name: str) -> bytes:
-    """A server's key, the same at all copies; `name` is where it listens."""
+    """A server's key, the same at all balancers; `name` is where it listens."""
     return blake2b(name.encode(), digest_size=KEY_BYTES).digest()
 
 
 def tag_of(copy: str) -> bytes:
-    """The bytes that stand for a copy in a state."""
+    """The bytes that stand for a balancer in a state."""
     return blake2b(copy.encode(), digest_size=TAG_BYTES).digest()
 
 
 def prober_rank(key: bytes, copy: str) -> bytes:
-    """A copy's place in the order of turns; the lowest is first."""
+    """A balancer's place in the order of turns; the lowest is first."""
     return blake2b(copy.encode(), digest_size=KEY_BYTES, key=key).digest()
 
 
@@ -86,20 +86,20 @@
 class _Server:
     """One server, at the owner."""
 
-    ejected_report_ms: float  # when any copy last said that it has left it out
-    candidates: dict[bytes, str] = field(default_factory=dict)  # by rank, with who it is
-    reported_ms: dict[str, float] = field(default_factory=dict)  # when each of them last told of it
+    ejected_report_ms: float  # when any balancer last reported it as ejected
+    candidates: dict[bytes, str] = field(default_factory=dict)  # names by rank
+    reported_ms: dict[str, float] = field(default_factory=dict)  # when each of them last reported it
     finding: int = NOTHING
     finding_ms: float = float("-inf")
-    turns: int = 0  # that are over
-    turn_began_ms: float = 0.0  # when the present one began
-    bad_findings: int = 0  # findings in it
+    turns: int = 0  # that have ended
+    turn_began_ms: float = 0.0  # when the present turn began
+    bad_findings: int = 0  # in the present turn
     probers: tuple[str, ...] = ()
     is_open: bool = False
 
 
 class Probers(ReplicatedTask[State]):
-    """The duty at one copy, and at its owner."""
+    """The duty at one balancer, and at its owner."""
 
     name = "probers"
 
@@ -110,23 +110,22 @@
         self._tag = tag_of(me)
         self._has_new_state = False
         self._state_ms = float("-inf")
-        # As a copy
+        # As a balancer
         self._resends: dict[bytes, Resend] = {}
-        self._sent: dict[bytes, tuple[int, float, float]] = {}  # in its turn: what, found when, told when
+        # As the prober of a server: what was reported, when it was found, when it was reported.
+        self._sent: dict[bytes, tuple[int, float, float]] = {}
         self._known_keys: set[bytes] = set()
         self._number = 0
         # As the owner
         self._servers: dict[bytes, _Server] = {}
-        self._last_reports: dict[
-            str, tuple[int, int]
-        ] = {}  # of each copy: life, and number of its last report
+        self._last_reports: dict[str, tuple[int, int]] = {}  # incarnation and number, by balancer
         self._base_term = 0
         self._written_ms = float("-inf")
 
     # ------------------------------------------------ the owner
 
     def on_report(self, source: str, report: Report, now_ms: float) -> None:
-        """A copy's report on ejected servers; an older one than the last is ignored."""
+        """A balancer's report on ejected servers; an older one than the last is ignored."""
         if not isinstance(report, SightingReport):
             return
         last = self._last_reports.pop(source, None)
@@ -166,7 +165,7 @@
         finding_ms = now_ms - row.age_ms
         if row.finding == NOTHING or finding_ms <= server.finding_ms:
             return
-        # Of others a call that was served tells, and one that was not where a probe had said that all is well.
+        # Of others only a served call counts, and a failed one where a probe had found the server healthy.
         prober = source in server.probers
         if prober or row.finding == SERVED or (row.finding == FAILING and server.finding == PROBED):
             server.bad_findings += prober and row.finding == FAILING
@@ -209,8 +208,8 @@
         return encode_state(new)
 
     def _go_on_from(self, held: State, now_ms: float) -> None:
-        """Take over from the former owner: its state, with what copies have reported since. They report their ejected
-        servers anew, and then turns are given.
+        """Take over from the former owner: its state, with what balancers have reported since. They report their
+        ejected servers anew, and then turns are given.
         """
         state_age_ms = now_ms - self._state_ms if self._state_ms > float("-inf") else 0.0
         lately = {
@@ -233,15 +232,14 @@
         return not told or now_ms - server.ejected_report_ms >= REFRESH_MS + PROBER_TIMEOUT_MS
 
     def _assign_probers(self, key: bytes, server: _Server, now_ms: float) -> None:
-        """Choose who has the turn."""
+        """Choose the probers."""
         many = 1 if self._probes() else PROBERS_BY_CALL
         few = len(server.probers) < min(many, len(server.candidates))
         whole = server.bad_findings < MAX_BAD_FINDINGS and not few
         for name in server.probers:
             if now_ms - max(server.turn_began_ms, server.reported_ms.get(name, 0.0)) >= PROBER_TIMEOUT_MS:
-                server.candidates.pop(
-                    prober_rank(key, name), None
-                )  # it comes back when it tells of the server again
+                # It is a candidate again when it reports the server again.
+                server.candidates.pop(prober_rank(key, name), None)
             whole = whole and prober_rank(key, name) in server.candidates
         if whole:
             return
@@ -251,26 +249,27 @@
         server.probers = tuple((ranked[first:] + ranked[:first])[:many])
         server.turn_began_ms, server.bad_findings = now_ms, 0
 
-    # ------------------------------------------------ every copy
+    # ------------------------------------------------ every balancer
 
     def _notable_part(self, state: State) -> object:
         return {row.key for row in state.rows}
 
     def _on_state(self, before: State) -> None:
-        # A renewed lease brings the same state under a later version: nothing in it is any newer for that.
+        # A renewed lease brings the same state under a later version: it is no newer for that.
         self._has_new_state = self._has_new_state or self.state.heartbeat_count != before.heartbeat_count
 
     def on_left_fleet(self) -> None:
         """Findings lose their weight with age by themselves."""
 
     def tick(self, now_ms: float) -> list[Report]:
-        """Pass findings to the decisions, and report what this copy knows."""
+        """Pass findings to the decisions, and report what this balancer knows."""
         if self._has_new_state:
             self._state_ms = now_ms
         held, late = self.state, now_ms - self._state_ms
         known = self._health.sightings(now_ms)
         named = {row.key for row in held.rows}
-        for key in self._known_keys - named:  # let go; where it is still left out here, that is said anew
+        # Dropped by the fleet; where a server is still ejected here, that is reported anew.
+        for key in self._known_keys - named:
             self._resends.pop(key, None)
         self._known_keys = named
         turns: set[bytes] = set()
@@ -300,8 +299,8 @@
         return reports
 
     def _should_report(self, key: bytes, item: LocalSighting, turn: bool, now_ms: float) -> bool:
-        """Whether to report a server now. A copy that has the turn reports each finding, and every `HERE_MS` that it is
-        there; the others report changes.
+        """Whether to report a server now. A balancer that has the turn reports each finding, and every
+        `PROBER_REPORT_MS` that it is there; the others report changes.
         """
         sent = self._sent.get(key)
         finding_ms = round(now_ms - item.age_ms, 3) if item.finding else 0.0
@@ -321,5 +320,5 @@
 
 
 def _urgent_part(state: State) -> object:
-    """The part of a state that copies must have at once when it changes."""
+    """The part of a state that balancers must have at once when it changes."""
     return [(row.key, row.finding > FAILING, bool(row.probers)) for row in state.rows]
--- a/larkweir/coordination/duties/ramps.py
+++ b/larkweir/coordination/duties/ramps.py
@@ -1,14 +1,14 @@
-"""Ramps and evacuations, stepped once for all copies. Pure logic.
+"""Ramps and evacuations, stepped once for all balancers. Pure logic.
 
 An evacuation is a ramp of the fraction of a zone that drains. The register holds each ramp's step, from 1 to
-`Ramp.STEPS`. The owner increments it once the present step has been in force for a twentieth of the ramp's span by
-its own clock, counted from when it first saw that step. A new owner counts from when it saw the step, so that a step
-may last longer over an owner's crash, never shorter; and since each write is conditional on the state before it, no
-step is skipped or undone.
-
-A copy never goes back. It follows the register's step, a restarted copy at once. Without heartbeats of an owner it
-goes on from its own step by its own clock, as it does without owners; once there is an owner again it waits until the
-fleet has caught up. The fleet begins at the lowest step that any copy reports in the first half second.
+`Ramp.STEPS`. The owner increments it once the present step has been in force for a twentieth of the ramp's span by its
+own clock, counted from when it first saw that step. A new owner counts from when it saw the step, so that a step may
+last longer over an owner's crash, never shorter; and since each write is conditional on the state before it, no step is
+skipped or undone.
+
+A balancer never goes back. It follows the register's step, a restarted balancer at once. Without heartbeats of an owner
+it goes on from its own step by its own clock, as it does without owners; once there is an owner again it waits until
+the fleet has caught up. The fleet begins at the lowest step that any balancer reports in the first half second.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from larkweir.coordination.duties.timing import FORGET_MS, OwnerHeartbeat, Resend, heartbeat_due
 from larkweir.routes.split import Ramp
 
-MAX_RAMPS = 64  # at a time; further ones are each copy's own
-OPENING_MS = 500.0  # from the first word of a ramp until it counts
-CHECK_INTERVAL_MS = 250.0  # between two looks of a copy
+MAX_RAMPS = 64  # at a time; further ones are each balancer's own
+OPENING_MS = 500.0  # from the first report of a ramp until it is in the register
+CHECK_INTERVAL_MS = 250.0  # between two checks of a balancer
 LAST_STEP = Ramp.STEPS
 
 
@@ -74,7 +74,7 @@
 
 
 class Ramps(ReplicatedTask[State]):
-    """The duty at one copy, and at its owner."""
+    """The duty at one balancer, and at its owner."""
 
     name = "ramps"
 
@@ -84,10 +84,9 @@
         self._routes = ramping
         self._heartbeat = OwnerHeartbeat()
         self._local_ramps: dict[str, _LocalRamp] = {}
-        self._first_seen: dict[
-            str, tuple[int, float]
-        ] = {}  # of the register: the step, and when it was seen first
-        self._reported_ms: dict[str, float] = {}  # when any copy told of it
+        # Of the register's ramps: the step, and when it was seen first.
+        self._first_seen: dict[str, tuple[int, float]] = {}
+        self._reported_ms: dict[str, float] = {}  # when any balancer reported it
         self._pending: dict[str, _PendingRamp] = {}
         self._heartbeat_ms = float("-inf")
         self._stepped_term = 0
@@ -95,7 +94,7 @@
     # ------------------------------------------------ the owner
 
     def on_report(self, source: str, report: Report, now_ms: float) -> None:
-        """A copy's ramps: keeps those that the register holds, and opens new ones."""
+        """A balancer's ramps: keeps those that the register holds, and opens new ones."""
         if not isinstance(report, RampReport):
             return
         held = {ramp.key for ramp in self.state.ramps}
@@ -140,7 +139,7 @@
         return encode_state(State(held.heartbeat_count + 1, tuple(found)))
 
     def _note_steps(self, held: State, now_ms: float) -> None:
-        """Record when each step was seen first: at the first call after it was taken, so rather late than early."""
+        """Record when each step was seen first: at the first call after it was committed, rather late than early."""
         if len(self._first_seen) != len(held.ramps):
             keys = {ramp.key for ramp in held.ramps}
             self._first_seen = {key: value for key, value in self._first_seen.items() if key in keys}
@@ -149,7 +148,7 @@
             if seen is None or seen[0] != ramp.step:
                 self._first_seen[ramp.key] = (ramp.step, now_ms)
 
-    # ------------------------------------------------ every copy
+    # ------------------------------------------------ every balancer
 
     def _notable_part(self, state: State) -> object:
         return state.ramps
@@ -158,7 +157,7 @@
         self._heartbeat.received()
 
     def on_left_fleet(self) -> None:
-        """Each ramp keeps its step, and goes on from there by this copy's clock."""
+        """Each ramp keeps its step, and goes on from there by this balancer's clock."""
 
     def tick(self, now_ms: float) -> list[Report]:
         """Set the step of each ramp here, and report ramps that are due."""
--- a/larkweir/coordination/duties/replicated.py
+++ b/larkweir/coordination/duties/replicated.py
@@ -1,4 +1,4 @@
-"""What duties have in common whose state is a struct in the register, which every copy follows. Pure logic."""
+"""What duties have in common whose state is a struct in the register, which every balancer follows. Pure logic."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 def state_decoder(kind: type[State]) -> Callable[[bytes], State]:
-    """A reader of the register. A state that can't be read is the empty one: the duty begins anew, and copies do not go
-    back.
+    """A reader of the register. A state that can't be read is the empty one: the duty begins anew, and balancers do not
+    go back.
     """
     decoder: msgspec.msgpack.Decoder[State] = msgspec.msgpack.Decoder(kind)
 
@@ -31,16 +31,18 @@
 
 
 def retain_keys(held: dict[Key, Value], keys: Container[Key]) -> None:
-    """Delete what is held under other keys."""
+    """Delete the values of all other keys."""
     for key in [key for key in held if key not in keys]:
         del held[key]
 
 
 class ReplicatedTask(Generic[State]):
-    """A duty's state as this copy has taken it last. Subclasses say what of it is news, and add the duty's own work."""
+    """A duty's state as it was committed last. Subclasses say which changes of it are notable, and add the duty's own
+    work.
+    """
 
     def __init__(self, incarnation: int, read: Callable[[bytes], State]) -> None:
-        """`life`: of this copy's reports; a restarted copy has a higher one."""
+        """`incarnation`: of this balancer's reports; a restarted balancer has a higher one."""
         self.next_ms = 0.0  # when `tick` is due
         self.state = read(b"")
         self.rejected = 0  # reports, or rows of them, that were malformed or beyond the bounds
@@ -56,14 +58,14 @@
         self._on_state(before)
 
     def is_notable(self) -> bool:
-        """Whether what was taken since the last call has news in it, and was not just a heartbeat."""
+        """Whether what was committed since the last call is more than a heartbeat."""
         found, self._has_news = self._has_news, False
         return found
 
     def _notable_part(self, state: State) -> object:
-        """What of a state is news when it changes."""
+        """The part of a state that is notable when it changes."""
         raise NotImplementedError
 
     def _on_state(self, before: State) -> None:
-        """A state was taken after `before`."""
+        """A state was committed after `before`."""
         raise NotImplementedError
--- a/larkweir/coordination/duties/table.py
+++ b/larkweir/coordination/duties/table.py
@@ -31,7 +31,7 @@
 class TaskContext(NamedTuple):
     """What a balancer gives to a duty that runs in it."""
 
-    incarnation: int  # of this copy's reports: higher than a former one's
+    incarnation: int  # of this balancer's reports: higher than a former one's
     routes: Routes | None  # None where no route is configured
     wake: Callable[[], None]  # to be called when the duty's `next_ms` is earlier than it was
     captures: CaptureTasks | None = None  # None where they are off
--- a/larkweir/coordination/duties/thresholds.py
+++ b/larkweir/coordination/duties/thresholds.py
@@ -1,9 +1,9 @@
 """The coordinator of captures as a duty: the register holds the table of sampling thresholds. Pure logic.
 
-A table has the (term, number) of its register record, so that tables never go back, whoever writes. Copies report to
+A table has the (term, number) of its register record, so that tables never go back, whoever writes. Balancers report to
 the owner once a second what they see; a report says all of it, so that a lost or duplicated one does no harm. A new
-owner begins with the table in the register, which stays in force until copies have reported to it. Without an owner
-there are no newer tables, and each copy goes by its own `hold_ms`.
+owner begins with the table in the register, which stays in force until balancers have reported to it. Without an owner
+there are no newer tables, and each balancer goes by its own `hold_ms`.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class ThresholdFollower(Protocol):
-    """This copy's captures."""
+    """This balancer's captures."""
 
     def follow(self, table: Table, now_ms: float) -> bool:
         """Go by a table; returns whether it was newer than the last."""
 
 
 class _NullTransport:
-    """A transport that sends nothing: copies get tables from the register, not from the coordinator."""
+    """A transport that sends nothing: balancers get tables from the register, not from the coordinator."""
 
     def post(self, to: str, item: bytes) -> bool:
         return False
@@ -39,7 +39,7 @@
 
 
 class CaptureThresholds:
-    """The duty at one copy, and at its owner."""
+    """The duty at one balancer, and at its owner."""
 
     name = "captures"
 
@@ -51,20 +51,23 @@
         hold_ms: float,
         rest: float,
     ) -> None:
-        """`report`: what this copy would tell, once; empty if there is nothing new. Whoever has some sets `next_ms`."""
+        """`report`: what this balancer has to report, once; empty if there is nothing new. Whoever has a report sets
+        `next_ms`.
+        """
         self.next_ms = 0.0
         self.rejected = 0
         self._incarnation, self._node, self._report = incarnation, node, report
         self._hold_ms, self._rest = hold_ms, rest
-        self._coordinator: Coordinator | None = None  # while this copy owns the duty, and until another does
+        # While this balancer owns the duty, and until another does.
+        self._coordinator: Coordinator | None = None
         self._term = 0
-        self._table: Table | None = None  # taken, and not followed yet
+        self._table: Table | None = None  # committed, and not followed yet
         self._has_news = False
 
     # ------------------------------------------------ the owner
 
     def on_report(self, source: str, report: Report, now_ms: float) -> None:
-        """A copy's report, for the coordinator; ignored where this process is not the owner."""
+        """A balancer's report, for the coordinator; ignored where this process is not the owner."""
         if not isinstance(report, CaptureReport) or self._coordinator is None:
             return
         seen = unpack(report.item)
@@ -85,10 +88,10 @@
         it.tick(now_ms)
         return pack(it.table) if it.table.number != before else None
 
-    # ------------------------------------------------ every copy
+    # ------------------------------------------------ every balancer
 
     def on_committed(self, state: bytes, version: Version) -> None:
-        """Keep a table until the next `tick`; a new term ends this process's coordinator."""
+        """Hold a table until the next `tick`; a new term ends this process's coordinator."""
         self._has_news = version[0] != self._term
         if self._has_news:
             self._term = version[0]
@@ -106,8 +109,8 @@
         """Rates hold as they are for `hold_ms`, and then the safe part of them."""
 
     def tick(self, now_ms: float) -> list[Report]:
-        """Follow the table that was taken, and report what this copy has seen."""
-        self.next_ms = float("inf")  # until a table is taken or a report is to be told
+        """Follow the table that was committed, and report what this balancer has seen."""
+        self.next_ms = float("inf")  # until a table is committed or there is a report
         if self._table is not None:
             self._node.follow(self._table, now_ms)
             self._table = None
--- a/larkweir/coordination/duties/timing.py
+++ b/larkweir/coordination/duties/timing.py
@@ -5,11 +5,11 @@
 from __future__ import annotations
 
 HEARTBEAT_INTERVAL_MS = 1500.0  # of an owner's heartbeats, while there is something to do
-CHECK_INTERVAL_MS = 1000.0  # the longest pause between two checks of a copy for anything new
-OWNER_TIMEOUT_MS = 4000.0  # without a heartbeat, after which a copy goes on without an owner
-FORGET_MS = 120_000.0  # without any copy's report, after which a row is dropped
-REFRESH_MS = 30_000.0  # after which a copy repeats a row that has not changed
-REPORT_MS = 50.0  # between two reports of one copy
+CHECK_INTERVAL_MS = 1000.0  # the longest pause between two checks of a balancer for anything new
+OWNER_TIMEOUT_MS = 4000.0  # without a heartbeat, after which a balancer goes on without an owner
+FORGET_MS = 120_000.0  # without any balancer's report, after which a row is dropped
+REFRESH_MS = 30_000.0  # after which a balancer repeats a row that has not changed
+REPORT_MS = 50.0  # between two reports of one balancer
 RESEND_MS = (250.0, 1000.0)  # after which a changed row is repeated, in case it was lost
 
 
@@ -19,7 +19,7 @@
 
 
 class OwnerHeartbeat:
-    """Whether there is an owner, as a copy sees it: by the states that arrive, whatever membership says."""
+    """Whether there is an owner, as a balancer sees it: by the states that arrive, whatever membership says."""
 
     __slots__ = ("_fresh", "_received_ms")
 
--- a/larkweir/coordination/duties/verdicts.py
+++ b/larkweir/coordination/duties/verdicts.py
@@ -1,21 +1,21 @@
 """One verdict on a canary, from what the whole fleet has seen of it. Pure logic.
 
-Why it is valid: under the hypothesis "the canary is no worse", each factor's bet of each copy is a non-negative
-martingale that starts at 1: at each bad end it is multiplied by a value whose expectation, given everything before,
-is at most 1, since no request is in two copies' evidence. So for each factor the product over all copies, in whatever
-order their reports arrive, is such a martingale as well, and so is the mean over the factors. (A product of the
-copies' mixed stakes would be valid too, but weaker: it pays for the choice of the factor in each copy.) By Ville's
-inequality that mean reaches 2/alpha, for one of two kinds of bad ends, with a probability of at most alpha/2, over
-all copies together and however often it is checked (products of sequential e-values: Vovk and Wang 2021).
-
-Evidence counts under a term. Each copy reports the growth of its bets since the term began; the owner adds that to
-the total at the time it took the term, and writes the new total with its heartbeats. What an owner had received and
-not written is lost with it: a bet that pauses stays fair, since the loss of an owner does not depend on how requests
-ended. Nothing is counted twice, whichever process crashes or resumes late. Logarithms are rounded down, which is the
-safe side.
-
-A copy does not end a canary by itself while the fleet's state names that canary and the owner's heartbeats arrive.
-Without them it does as without an owner: each copy by its own alarm.
+Why it is valid: under the hypothesis "the canary is no worse", each factor's bet of each balancer is a non-negative
+martingale that starts at 1: at each bad end it is multiplied by a value whose expectation, given everything before, is
+at most 1, since no request is in two balancers' evidence. So for each factor the product over all balancers, in
+whatever order their reports arrive, is such a martingale as well, and so is the mean over the factors. (A product of
+the balancers' mixed stakes would be valid too, but weaker: it pays for the choice of the factor in each balancer.) By
+Ville's inequality that mean reaches 2/alpha, for one of two kinds of bad ends, with a probability of at most alpha/2,
+over all balancers together and however often it is checked (products of sequential e-values: Vovk and Wang 2021).
+
+Evidence counts under a term. Each balancer reports the growth of its bets since the term began; the owner adds that to
+the total at the time it took the term, and writes the new total with its heartbeats. What an owner had received and not
+written is lost with it: a bet that pauses stays fair, since the loss of an owner does not depend on how requests ended.
+Nothing is counted twice, whichever process crashes or resumes late. Logarithms are rounded down, which is the safe
+side.
+
+A balancer does not end a canary by itself while the fleet's state names that canary and the owner's heartbeats arrive.
+Without them it does as without an owner: each balancer by its own alarm.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 )
 from larkweir.routes.trial import FACTORS, Trial, nobody, rates
 
-MAX_TRIALS = 24  # at a time; further ones are each copy's own
+MAX_TRIALS = 24  # at a time; further ones are each balancer's own
 MAX_ENDED = 16
 MAX_REASON_CHARS = 100  # characters
 LOG_COUNT = 2 * len(FACTORS)
@@ -56,7 +56,7 @@
 
 
 class CanaryTotal(msgspec.Struct, frozen=True, array_like=True):
-    """One canary in the register: all copies' evidence."""
+    """One canary in the register: all balancers' evidence."""
 
     key: str
     alpha: float
@@ -93,7 +93,9 @@
 
 
 class CanaryTrials(Protocol):
-    """The routes' side: canaries on trial at this copy, by a key that is the same wherever the file says the same."""
+    """The routes' side: canaries on trial at this balancer, by a key that is the same wherever the file says the
+    same.
+    """
 
     def on_trial(self) -> Mapping[str, Trial]:
         """The canaries on trial here, by key."""
@@ -113,7 +115,9 @@
 
 @dataclass(slots=True)
 class _FleetEvidence:
-    """One canary under the present term, at the owner. `logs` and `counts` are sums over all copies; `rows` by copy."""
+    """One canary under the present term, at the owner. `logs` and `counts` are sums over all balancers; `rows` by
+    balancer.
+    """
 
     alpha: float
     logs: list[int] = field(default_factory=lambda: [0] * LOG_COUNT)
@@ -124,7 +128,7 @@
 
 @dataclass(slots=True)
 class _Baseline:
-    """One canary at this copy: its bets when the term began."""
+    """One canary at this balancer: its bets when the term began."""
 
     logs: tuple[float, ...]
     counts: tuple[int, ...]
@@ -132,7 +136,7 @@
 
 
 class Verdicts(ReplicatedTask[State]):
-    """The duty at one copy, and at its owner."""
+    """The duty at one balancer, and at its owner."""
 
     name = "verdicts"
 
@@ -143,7 +147,7 @@
         super().__init__(incarnation, decode_state)
         self._routes = routes
         self._heartbeat = OwnerHeartbeat()
-        # As a copy
+        # As a balancer
         self._baselines: dict[str, _Baseline] = {}
         self._baselines_term = 0
         self._number = 0
@@ -160,7 +164,7 @@
     # ------------------------------------------------ the owner
 
     def on_report(self, source: str, report: Report, now_ms: float) -> None:
-        """A copy's evidence. Reports of an older term are ignored."""
+        """A balancer's evidence. Reports of an older term are ignored."""
         if not isinstance(report, EvidenceReport) or report.term < max(self._evidence_term, self._term):
             return
         if report.term > self._evidence_term:
@@ -196,7 +200,7 @@
             return
         if old is not None and (report.incarnation, report.number) <= (old.incarnation, old.number):
             return
-        # All evidence of a new life is new, and what its former life reported stays in the sum.
+        # All evidence of a new incarnation is new, and what the former one reported stays in the sum.
         before = old if old is not None and old.incarnation == report.incarnation else None
         for sums, new, last in (
             (found.logs, row.logs, before.logs if before is not None else None),
@@ -250,7 +254,7 @@
         counts = tuple(one + other for one, other in zip(base.counts, found.counts, strict=True))
         return CanaryTotal(key, base.alpha, logs, counts)
 
-    # ------------------------------------------------ every copy
+    # ------------------------------------------------ every balancer
 
     def _notable_part(self, state: State) -> object:
         return state.ended
--- a/larkweir/coordination/scouting.py
+++ b/larkweir/coordination/health_sharing.py
@@ -1,5 +1,5 @@
-"""Hands: what a balancer's decisions know of upstreams that they have left out, by keys that all balancers share, and
-what others have found, told to them. Not imported where the duty "probers" is off.
+"""What a balancer's decisions know of upstreams that they have ejected, by keys that all balancers share, and what
+others have found, passed on to them. Not imported where the duty "probers" is off.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 
 class SharedHealthAdapter:
-    """`duties.table.Scout` over all decisions of this process: an upstream that is in several pools may be left
-    out by some of them.
+    """`duties.table.HealthSource` over all decisions of this process: an upstream that is in several pools may be
+    ejected by some of them.
     """
 
     def __init__(
@@ -27,14 +27,14 @@
         tell: Callable[[Heard], None],
     ) -> None:
         self._decisions, self._targets, self._tell = decisions, targets, tell
-        self._numbers: dict[bytes, int] = {}  # of what was known at the last look
+        self._numbers: dict[bytes, int] = {}  # of the upstreams at the last check
         self._listeners()
 
     def probes(self) -> bool:
         return any(balancer.settings.may_probe for balancer in self._decisions())
 
     def _listeners(self) -> list[Hearsay]:
-        """Each balancer hears; those of a later generation from when it is first looked at."""
+        """What each pool's decisions share; those of a later generation take part from the next check on."""
         found: list[Hearsay] = []
         for balancer in self._decisions():
             if balancer.hearsay is None:
@@ -63,7 +63,7 @@
 
 
 def _joined(other: LocalSighting | None, told: Told) -> LocalSighting:
-    """Left out where any has left it out; of what they found, the newest."""
+    """Ejected where any has ejected it; of the findings, the newest."""
     finding = NOTHING
     if told.good is not None:
         finding = FAILING if not told.good else SERVED if told.by_call else PROBED
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -179,7 +179,7 @@
         self._on_timer()
 
     def _health_source(self) -> HealthSource:
-        from larkweir.coordination.scouting import SharedHealthAdapter  # not imported without the duty
+        from larkweir.coordination.health_sharing import SharedHealthAdapter  # not imported without the duty
 
         dispatcher = self._host.dispatcher
         return SharedHealthAdapter(self._balancers, lambda: dispatcher.upstreams.targets, dispatcher.heard)
--- a/standins/probing.py
+++ b/standins/probing.py
@@ -34,7 +34,7 @@
 from larkweir.config.options import Route
 from larkweir.coordination.duties.ports import FleetTask
 from larkweir.coordination.duties.probers import Probers
-from larkweir.coordination.scouting import SharedHealthAdapter
+from larkweir.coordination.health_sharing import SharedHealthAdapter
 from standins.duties import Copy, Fleet
 
 DEADLINE_MS = 4_000.0
--- a/tests/fleet/test_probers.py
+++ b/tests/fleet/test_probers.py
@@ -55,7 +55,7 @@
 )
 from larkweir.coordination.duties.replicated import encode_state
 from larkweir.coordination.duties.timing import HEARTBEAT_INTERVAL_MS, OWNER_TIMEOUT_MS, REFRESH_MS
-from larkweir.coordination.scouting import SharedHealthAdapter
+from larkweir.coordination.health_sharing import SharedHealthAdapter
 from standins.probing import Copier, Server, World
 
 KEY_A = key_of("10.9.1.1:8080")
@@ -506,7 +506,7 @@
     code = (
         "import sys, larkweir.coordination.owners, larkweir.lifecycle.node\n"
         "off = {'larkweir_balancing.hearsay', 'larkweir.coordination.duties.probers'}\n"
-        "off.add('larkweir.coordination.scouting')\n"
+        "off.add('larkweir.coordination.health_sharing')\n"
         "assert not off & set(sys.modules)"
     )
     subprocess.run([sys.executable, "-c", code], check=True, timeout=60)
