--- a/packages/replication/src/larkweir_replication/confirmation.py
+++ b/packages/replication/src/larkweir_replication/confirmation.py
@@ -1,4 +1,4 @@
-"""Answers that hold only if this was still the primary after they were asked for: reads, and rejections."""
+"""Answers that hold only if this was still the primary after they were requested: reads and rejections."""
 
 from __future__ import annotations
 
--- a/packages/replication/src/larkweir_replication/election_timer.py
+++ b/packages/replication/src/larkweir_replication/election_timer.py
@@ -24,11 +24,11 @@
         return now_ms >= self._deadline_ms
 
     def restart(self, now_ms: float, wait_ms: float) -> None:
-        """Waits so long from now."""
+        """Waits `wait_ms` from now on."""
         self._deadline_ms = now_ms + wait_ms
 
     def extend(self, now_ms: float, wait_ms: float) -> None:
-        """Waits at least so long from now."""
+        """Waits at least `wait_ms` from now on."""
         self._deadline_ms = max(self._deadline_ms, now_ms + wait_ms)
 
     def draw_election_timeout_ms(self, is_leaving: bool) -> float:
--- a/packages/replication/src/larkweir_replication/errors.py
+++ b/packages/replication/src/larkweir_replication/errors.py
@@ -8,7 +8,7 @@
 
 
 class NotRecoveredError(ReplicationError):
-    """A replica that has no state yet was asked for it: a fault of the caller, never of the network."""
+    """A replica that has no state yet was used as if it had one: a programming error, never of the network."""
 
     def __init__(self, node: str) -> None:
         """`node`: the replica."""
--- a/packages/replication/src/larkweir_replication/journal.py
+++ b/packages/replication/src/larkweir_replication/journal.py
@@ -2,8 +2,8 @@
 
 Each record is synced before the next one is written, so that a crash leaves at most one torn line, at the end; nobody
 was notified of what it held. Damage anywhere else means that the file may have lost what its replica promised: then
-nothing in it is trusted, and it is kept for the search for the cause. The system calls come in as `JournalFiles`, so
-that a test can stop at every one of them without a disk.
+nothing in it is trusted, and it is retained for the analysis of the cause. The system calls come in as
+`JournalFiles`, so that a test can stop at every one of them without a disk.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 JOURNAL_FILE = "replica.log"
 NEW_JOURNAL_FILE = "replica.log.new"
 DAMAGED_JOURNAL_FILE = "replica.log.damaged"
-# The file is rewritten once it is longer than the first, and than so many times the record that is written. With
-# records of 4 MB the file, a damaged one beside it and the new one stay under 70 MB, about half of a machine's disk.
+# The file is rewritten once it exceeds both the minimum and this multiple of the record that is written. With records
+# of 4 MB the file, a damaged one beside it and the new one stay under 70 MB, about half of a machine's disk.
 MIN_REWRITE_BYTES = 2 * 1024 * 1024
 REWRITE_SIZE_FACTOR = 8
 
--- a/packages/replication/src/larkweir_replication/leader_lease.py
+++ b/packages/replication/src/larkweir_replication/leader_lease.py
@@ -9,7 +9,7 @@
 from larkweir_replication.messages import Snapshot
 from larkweir_replication.timing import Timing
 
-MAX_OPEN_ROUNDS = 64  # rounds whose sending time is kept
+MAX_OPEN_ROUNDS = 64  # rounds whose sending time is retained
 
 
 class LeaderLease:
--- a/packages/replication/src/larkweir_replication/leadership.py
+++ b/packages/replication/src/larkweir_replication/leadership.py
@@ -26,8 +26,8 @@
 from larkweir_replication.state_replicator import StateReplicator
 from larkweir_replication.timing import Timing
 
-MAX_LEASES_WITHOUT_QUORUM = 3.0  # a term ends after so many leases without an answer of a majority
-MAX_GROWTH_WAIT_MS = 4_000.0  # commands wait so long for a group of the target size
+MAX_LEASES_WITHOUT_QUORUM = 3.0  # durations of a lease without a quorum after which a term ends
+MAX_GROWTH_WAIT_MS = 4_000.0  # the longest wait of commands for a group of the target size
 
 PrimaryMessage = HeartbeatAck | Accepted | Join | Leave
 
--- a/packages/replication/src/larkweir_replication/member_tracker.py
+++ b/packages/replication/src/larkweir_replication/member_tracker.py
@@ -62,7 +62,7 @@
         return next_step(self._state.newest(), target_member_count, self._state.node, candidates)
 
     def _silent_members(self, silence_ms: float, now_ms: float) -> list[str]:
-        """Members that have been silent for so long, the longest first."""
+        """Members that have been silent for `silence_ms` or longer, the longest first."""
         members = self._state.newest().members
         contacts_ms = {node: self._last_contact_ms.get(node, self._begun_ms) for node in members}
         contacts_ms.pop(self._state.node, None)
--- a/packages/replication/src/larkweir_replication/membership.py
+++ b/packages/replication/src/larkweir_replication/membership.py
@@ -19,8 +19,8 @@
 
     standby: Sequence[str]
     leaving: Sequence[str]
-    replaceable: Sequence[str]  # silent for so long that a node that stands by replaces them
-    removable: Sequence[str]  # silent for so long that a group that is too large does without them
+    replaceable: Sequence[str]  # silent beyond `replace_after_silence_ms`: a standby node replaces them
+    removable: Sequence[str]  # silent beyond `remove_after_silence_ms`: a group above its target drops them
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/replication/src/larkweir_replication/timing.py
+++ b/packages/replication/src/larkweir_replication/timing.py
@@ -13,7 +13,7 @@
     lease_duration_ms: float = (
         320.0  # from a heartbeat on; meanwhile its receiver helps to elect no other primary
     )
-    lease_margin_ms: float = 40.0  # the holder stops so long before the lease ends
+    lease_margin_ms: float = 40.0  # before the end of the lease, at which its holder stops relying on it
     election_timeout_ms: float = 350.0  # without a message of the primary, before a candidacy
     election_timeout_spread_ms: float = 250.0  # added at random, up to so much
     connect_grace_ms: float = 60.0  # for connections after a start; at random up to twice as long
@@ -22,5 +22,5 @@
     join_interval_ms: float = 300.0  # between requests of a node that is no member
     leave_interval_ms: float = 100.0  # between requests of a node that is about to stop
     leaving_election_delay_ms: float = 500.0  # added to the election timeout of a node that is about to stop
-    replace_after_silence_ms: float = 1_500.0  # a member that is silent for so long may be replaced
+    replace_after_silence_ms: float = 1_500.0  # after which a silent member may be replaced
     remove_after_silence_ms: float = 3_000.0  # the same, removed from a group that is larger than its target
