--- a/packages/quotas/tests/test_quotas.py
+++ b/packages/quotas/tests/test_quotas_reports.py
@@ -1,14 +1,13 @@
-"""Quotas and retry budgets over many processes, with reports that lag, ledgers that die and processes cut off."""
+"""Quotas over many processes whose reports lag, with tables that are lost and processes that are isolated."""
 
 from __future__ import annotations
 
 from random import Random
 
 import pytest
-from larkweir_quotas.limits import ISOLATED_FRACTION, QuotaStatus, RateLimit
-from larkweir_quotas.quota_limiter import STATUS_VALID_MS, QuotaLimiter
-from larkweir_quotas.retry_budget import RetryBudget
-from larkweir_quotas.usage_table import INITIAL_FILL_FRACTION, UsageTable
+from larkweir_quotas.limits import ISOLATED_FRACTION, RateLimit
+from larkweir_quotas.quota_limiter import QuotaLimiter
+from larkweir_quotas.usage_table import UsageTable
 
 LIMITS = {"t": RateLimit(1_000.0, 2_000.0)}
 WINDOW_MS = 8_000.0
@@ -108,68 +107,3 @@
     fleet.tables["l0"].set_limits(LIMITS, fleet.now_ms)
     play(fleet, 2, times_limit=6.0, for_ms=25_000.0)
     assert fleet.most_in_a_window() <= 1.1 * ALLOWED + 1_000.0
-
-
-def test_a_rejection_names_when_to_retry_and_a_refund_counts() -> None:
-    limiter = QuotaLimiter()
-    limiter.set_limits(LIMITS)
-    limiter.receive_statuses("l", {"t": QuotaStatus(-500.0, 0.0)}, 0.0)
-    assert limiter.admit("t", 10.0, 0.0) == pytest.approx(0.5)
-    limiter.receive_statuses("l", {"t": QuotaStatus(5.0, 0.0)}, 0.0)
-    assert limiter.admit("t", 10.0, 0.0) == 0.0
-    assert limiter.admit("t", 10.0, 0.0) > 0.0
-    limiter.refund("t", 10.0)
-    assert limiter.admit("t", 10.0, 0.0) == 0.0
-
-
-def test_a_tenant_without_a_limit_is_always_admitted() -> None:
-    limiter = QuotaLimiter()
-    assert limiter.admit("other", 1e9, 0.0) == 0.0
-
-
-def test_statuses_that_are_too_old_are_ignored() -> None:
-    limiter = QuotaLimiter()
-    limiter.set_limits(LIMITS)
-    limiter.process_count = 10
-    limiter.receive_statuses("l", {"t": QuotaStatus(1e9, 0.0)}, 0.0)
-    admitted = 0
-    while limiter.admit("t", 10.0, STATUS_VALID_MS) == 0.0:
-        admitted += 1
-    assert admitted * 10.0 <= 2_000.0 / 10 + 10.0
-
-
-def test_the_first_report_of_an_incarnation_only_sets_the_base() -> None:
-    table = UsageTable()
-    table.set_limits(LIMITS, 0.0)
-    assert table.statuses(["t"], 0.0)["t"].level == 2_000.0 * INITIAL_FILL_FRACTION
-    table.record_report("r", {"t": 1_900.0}, 1_000.0, 1_000.0)
-    assert table.statuses(["t"], 1_000.0)["t"].level == 2_000.0
-    assert table.record_report("r", {"t": 3_500.0}, 1_000.0, 1_000.0) == ["t"]
-    assert table.statuses(["t"], 1_000.0)["t"].level == 400.0
-
-
-def test_retries_of_all_processes_stay_within_the_budget() -> None:
-    rng = Random(1)
-    budgets = [RetryBudget(0.2, 58.0, 10.0) for _ in range(9)]
-    requests: list[float] = []
-    retries: list[float] = []
-    now_ms = 0.0
-    for budget in budgets:
-        budget.process_count = 9
-    while now_ms < 60_000.0:
-        now_ms += rng.expovariate(0.05)
-        budget = rng.choice(budgets)
-        budget.record_request(now_ms)
-        requests.append(now_ms)
-        if budget.try_consume(now_ms):
-            retries.append(now_ms)
-    for end in range(10_000, 60_000, 250):
-        inside = [when for when in requests if end - 10_000 < when <= end]
-        again = [when for when in retries if end - 10_000 < when <= end]
-        assert len(again) <= 0.2 * len(inside) + 58.0
-
-
-def test_a_single_process_can_retry_at_once_but_not_for_ever() -> None:
-    budget = RetryBudget(0.2, 10.0, 10.0)
-    assert sum(budget.try_consume(0.0) for _ in range(100)) == 7
-    assert budget.try_consume(10_001.0)
--- /dev/null
+++ b/packages/quotas/tests/test_quotas_retry_budget.py
@@ -0,0 +1,34 @@
+"""Retry budgets of one and of several processes."""
+
+from __future__ import annotations
+
+from random import Random
+
+from larkweir_quotas.retry_budget import RetryBudget
+
+
+def test_retries_of_all_processes_stay_within_the_budget() -> None:
+    rng = Random(1)
+    budgets = [RetryBudget(0.2, 58.0, 10.0) for _ in range(9)]
+    requests: list[float] = []
+    retries: list[float] = []
+    now_ms = 0.0
+    for budget in budgets:
+        budget.process_count = 9
+    while now_ms < 60_000.0:
+        now_ms += rng.expovariate(0.05)
+        budget = rng.choice(budgets)
+        budget.record_request(now_ms)
+        requests.append(now_ms)
+        if budget.try_consume(now_ms):
+            retries.append(now_ms)
+    for end in range(10_000, 60_000, 250):
+        inside = [when for when in requests if end - 10_000 < when <= end]
+        again = [when for when in retries if end - 10_000 < when <= end]
+        assert len(again) <= 0.2 * len(inside) + 58.0
+
+
+def test_a_single_process_can_retry_at_once_but_not_for_ever() -> None:
+    budget = RetryBudget(0.2, 10.0, 10.0)
+    assert sum(budget.try_consume(0.0) for _ in range(100)) == 7
+    assert budget.try_consume(10_001.0)
--- a/packages/registry/tests/test_registry.py
+++ b/packages/registry/tests/test_registry.py
@@ -1,41 +1,17 @@
-"""Records that join, and registries that pull from each other in any order."""
+"""Registries that merge deltas of each other in any order."""
 
 from __future__ import annotations
 
-from random import Random
-
-import msgspec
-import pytest
-from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from larkweir_registry import hint_file
-from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.records import Upstream, UpstreamState, join
 from larkweir_registry.registry import TOMBSTONE_RETENTION_MS, Registry
+from registry_factories import upstream
 
 IDS = ("u0", "u1", "u2")
 NAMES = ("a", "b", "c")
 
 
-def upstream(
-    id_: str, sequence: int = 0, state: UpstreamState = UpstreamState.READY, timed_out_sequence: int = -1
-) -> Upstream:
-    return Upstream(id_, "s", "127.0.0.1:80", "z", 4, sequence, state, timed_out_sequence)
-
-
-upstreams = st.builds(
-    upstream, st.just("u"), st.integers(0, 5), st.sampled_from(UpstreamState), st.integers(-1, 5)
-)
-
-
-@given(upstreams, upstreams, upstreams)
-def test_a_join_does_not_depend_on_order(one: Upstream, two: Upstream, three: Upstream) -> None:
-    assert join(one, two) == join(two, one)
-    assert join(one, join(two, three)) == join(join(one, two), three)
-    assert join(one, one) == one
-
-
 def test_draining_and_gone_are_never_undone() -> None:
     registry = Registry("a")
     registry.update(upstream("u", 5, UpstreamState.DRAINING), 0.0)
@@ -145,51 +121,3 @@
     registry.prune(TOMBSTONE_RETENTION_MS)
     assert registry.upstreams == {}
     assert registry.delta({}) == []
-
-
-def test_a_time_out_needs_silence_at_all_registries_and_uninterrupted_observation() -> None:
-    detector = FailureDetector(1_000.0, 0.0)
-    detector.record_heartbeat("u", 1, 0.0)
-    assert detector.timed_out(["u"], detector.timeout_ms - 1.0) == []
-    assert detector.timed_out(["u"], detector.timeout_ms) == ["u"]
-    detector.record_peer_heartbeats({"u": 2}, 3_000.0)
-    assert detector.timed_out(["u"], detector.timeout_ms) == []
-    detector.reset_observation(10_000.0)
-    assert detector.timed_out(["u"], 10_001.0) == []
-    assert detector.timed_out(["u"], 10_000.0 + detector.timeout_ms) == ["u"]
-
-
-def test_heartbeats_are_reported_once() -> None:
-    detector = FailureDetector(1_000.0, 0.0)
-    detector.record_heartbeat("u", 1, 0.0)
-    detector.record_heartbeat("u", 1, 5.0)
-    assert detector.take_report() == {"u": 1}
-    assert detector.take_report() == {}
-
-
-def test_a_hint_file_is_restored() -> None:
-    registry, later = Registry("a/1"), Registry("a/2")
-    registry.update(upstream("u", 7, UpstreamState.DRAINING), 0.0)
-    assert hint_file.restore(later, hint_file.encode(registry), 0.0)
-    assert later.upstreams == registry.upstreams
-
-
-@pytest.mark.parametrize("seed", range(50))
-def test_a_damaged_hint_file_is_rejected(seed: int) -> None:
-    registry, later = Registry("a/1"), Registry("a/2")
-    registry.update(upstream("u", 7), 0.0)
-    data = bytearray(hint_file.encode(registry))
-    rng = Random(seed)
-    if rng.random() < 0.5:
-        data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
-    else:
-        del data[rng.randrange(len(data)) :]
-    assert not hint_file.restore(later, bytes(data), 0.0)
-    assert later.upstreams == {}
-
-
-def test_a_record_is_decoded_as_it_was_encoded() -> None:
-    registry = Registry("a")
-    registry.update(upstream("u", 3, UpstreamState.DRAINING), 0.0)
-    (record,) = registry.delta({})
-    assert msgspec.json.decode(msgspec.json.encode(record), type=type(record)) == record
--- a/packages/registry/tests/test_registry_planted.py
+++ b/packages/registry/tests/test_registry_planted.py
@@ -7,6 +7,7 @@
 
 import msgspec
 import pytest
+import registry_fleet
 import test_registry_fleet as plays
 from larkweir_registry import registry
 from larkweir_registry.failure_detector import FailureDetector
@@ -23,7 +24,7 @@
         controller.registry.update(reported, self.now_ms)
         return True
 
-    patch.setattr(plays.Fleet, "_report", report_alone)
+    patch.setattr(registry_fleet.Fleet, "_report", report_alone)
 
 
 def the_newest_heartbeat_wins(patch: pytest.MonkeyPatch) -> None:
