--- a/larkweir/cluster/configuration/changes.py
+++ b/larkweir/cluster/configuration/changes.py
@@ -34,7 +34,7 @@
     """A change of the configuration.
 
     Attributes:
-        patch: whether `body` is a patch; else it is a whole configuration.
+        patch: whether `body` is a patch; else it is a complete configuration.
         base: the version that the change builds on; 0 for the first.
         body: JSON, as the operator sent it.
     """
--- a/larkweir/cluster/configuration/schema.py
+++ b/larkweir/cluster/configuration/schema.py
@@ -70,7 +70,7 @@
 
 
 class Configuration(_Item):
-    """A whole configuration."""
+    """A complete configuration."""
 
     generation: int = Field(ge=1)
     routes: list[Route]
--- a/larkweir/cluster/messages.py
+++ b/larkweir/cluster/messages.py
@@ -74,7 +74,7 @@
 
     Attributes:
         sequence: of this configuration.
-        base_sequence: of the configuration that `body` is a patch to; -1 where `body` is a whole configuration.
+        base_sequence: of the configuration that `body` is a patch to; -1 where `body` is a complete configuration.
         body: the patch or the configuration.
     """
 
@@ -148,7 +148,7 @@
     Attributes:
         service: whose engines are meant.
         prefix: the name of the prefix.
-        prompt_tokens: of the whole prompt.
+        prompt_tokens: length of the prompt.
         known_engine: where the router has sent the prefix before; None for nowhere.
     """
 
--- a/packages/quotas/tests/quota_fleet.py
+++ b/packages/quotas/tests/quota_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in memory: routers that limit tenants, ledgers that hear them late, cuts, freezes and restarts."""
+"""A fleet in memory: routers that limit tenants, usage tables that receive their reports late, and faults of both."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """What a tenant may use, and how the fleet that keeps it is laid out."""
+    """The limit of a tenant, and the size of the fleet that enforces it."""
 
     routers: int = 9
     tables: int = 3
@@ -25,7 +25,7 @@
     request_units: float = 20.0
     window_ms: float = 8_000.0
     over: float = 0.1
-    slack: float = 2_600.0  # in the proportion of the deployments' sheets
+    slack: float = 2_600.0  # in the same ratio as in deployments
 
     @property
     def allowed(self) -> float:
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """Routers and ledgers on one clock. `cut` holds pairs (router, ledger) that do not hear each other."""
+    """Routers and usage tables on one clock. `cut` holds pairs (router, table) that do not reach each other."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.deployment = deployment
@@ -48,7 +48,7 @@
         self.frozen_tables: set[int] = set()
         self._unread: list[
             tuple[int, str, dict[str, float], float]
-        ] = []  # reports that wait at frozen ledgers
+        ] = []  # reports that wait at paused tables
         self.admitted: list[tuple[float, float]] = []
         self.rejected: list[float] = []
         self._next_report_ms = [
@@ -67,36 +67,36 @@
         return table
 
     def restart_table(self, number: int) -> None:
-        """Its memory is gone."""
+        """Replace a table by an empty one."""
         self.tables[number] = self._table()
 
     def restart_router(self, number: int) -> None:
-        """Its counts begin anew."""
+        """Replace a router by one that counts from 0."""
         self.routers[number] = self._router()
         self.incarnations[number] += 1
 
     def freeze_table(self, number: int) -> None:
-        """It stands still; each router has just sent it one more report."""
+        """Pause a table, just after each router has sent it one more report."""
         self.frozen_tables.add(number)
         for index, router in enumerate(self.routers):
             counts = router.usage(f"l{number}", self.now_ms)
             self._unread.append((number, f"r{index}/{self.incarnations[index]}", counts, self.now_ms))
 
     def thaw_tables(self) -> None:
-        """They read what waits for them, before anything else."""
+        """Resume all tables; they read the reports that wait for them first."""
         for number, process, counts, sent_ms in self._unread:
             self.tables[number].record_report(process, counts, sent_ms, self.now_ms)
         self._unread.clear()
         self.frozen_tables.clear()
 
     def report_unreachable(self) -> None:
-        """As the controllers do: each ledger knows how many routers it has lost."""
+        """Notify each table how many routers do not reach it, as controllers do."""
         for number, table in enumerate(self.tables):
             away = sum((router, number) in self.cut for router in range(len(self.routers)))
             table.set_unreachable(away / len(self.routers), self.deployment.over)
 
     def advance(self, for_ms: float, per_s: float) -> None:
-        """Lets time pass while clients ask for `per_s` units a second, at routers drawn by lot."""
+        """Let time pass while clients request `per_s` units a second, at random routers."""
         end_ms = self.now_ms + for_ms
         units = self.deployment.request_units
         due_units = 0.0
@@ -130,7 +130,7 @@
                 router.receive_statuses(f"l{index}", statuses, self.now_ms)
 
     def most_in_a_window(self) -> float:
-        """Units admitted within the fullest window."""
+        """Return the units admitted within the fullest window."""
         most = window = 0.0
         start = 0
         for when_ms, units in self.admitted:
@@ -142,12 +142,12 @@
         return most
 
     def rejected_since(self, when_ms: float) -> int:
-        """Requests that were refused later than that."""
+        """Return how many requests were rejected later than that."""
         return sum(1 for refused_ms in self.rejected if refused_ms > when_ms)
 
 
 class FaultInjector:
-    """Draws what happens to controllers and to the links between them and routers."""
+    """Draws faults of controllers, routers and the links between them."""
 
     KINDS = (
         "cut_table",
@@ -164,13 +164,13 @@
         self.rng = fleet.rng
 
     def inject(self) -> float:
-        """Begins one and gives how long it is to last; `end` is to be called then."""
+        """Inject a fault; return after how many milliseconds `clear` is to be called."""
         getattr(self, "_" + self.rng.choice(self.KINDS))()
         self.fleet.report_unreachable()
         return self.rng.choice([300.0, STATUS_VALID_MS, 2_000.0, 8_000.0, 20_000.0])
 
     def clear(self) -> None:
-        """All links and processes are back."""
+        """End all faults."""
         self.fleet.cut.clear()
         self.fleet.thaw_tables()
         self.fleet.report_unreachable()
--- a/packages/quotas/tests/test_quotas_golden.py
+++ b/packages/quotas/tests/test_quotas_golden.py
@@ -14,7 +14,7 @@
 STATUSES = [
     (QuotaStatus(1_500.0, 320.0), b"[1500.0,320.0,false]"),
     (QuotaStatus(-40.5, 0.0, True), b"[-40.5,0.0,true]"),
-    (QuotaStatus(7, 3, False), b"[7,3,false]"),  # as a ledger writes it: rounded
+    (QuotaStatus(7, 3, False), b"[7,3,false]"),  # as a usage table writes it: rounded
 ]
 
 
--- a/packages/quotas/tests/test_quotas_herd.py
+++ b/packages/quotas/tests/test_quotas_herd.py
@@ -1,4 +1,4 @@
-"""A tenant far beyond its limit, whose refused clients come back to all processes at the same moment."""
+"""An oversubscribed tenant whose rejected clients retry at all processes at the same moment."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from larkweir_quotas.quota_limiter import QuotaLimiter
 from larkweir_quotas.usage_table import UsageTable
 
-LIMIT = RateLimit(860_000.0, 860_000.0)  # tokens, as of the day on which it was seen
+LIMIT = RateLimit(860_000.0, 860_000.0)  # tokens, as on the day on which the fault was seen
 TOLERANCE_FACTOR = 1.1
 SLACK = 190_000.0
 WINDOW_MS = 8_000.0
@@ -21,7 +21,7 @@
 
 
 def admitted(processes: int, rng: Random) -> list[tuple[float, float]]:
-    """When how many tokens were admitted; clients that are refused come back exactly when they are told to."""
+    """Return when how many tokens were admitted; clients that are rejected retry exactly when they should."""
     table = UsageTable()
     table.set_limits({"t": LIMIT}, 0.0)
     limiters = [QuotaLimiter(rng) for _ in range(processes)]
--- a/packages/quotas/tests/test_quotas_planted.py
+++ b/packages/quotas/tests/test_quotas_planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in ledgers and limiters: the plays of `test_quotas_returns` must find each."""
+"""Faults planted in usage tables and limiters: the runs of `test_quotas_returns` must find each."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def all_processes_admit_at_once(patch: pytest.MonkeyPatch) -> None:
-    other_processes_count_as_idle(patch)  # each of the two is enough in these plays
+    other_processes_count_as_idle(patch)  # each of the two is enough in these runs
     patch.setattr(QuotaLimiter, "_stagger", lambda self, state, limit: 0.0)
 
 
--- a/packages/quotas/tests/test_quotas_reports.py
+++ b/packages/quotas/tests/test_quotas_reports.py
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """Routers that report to ledgers every `lag_ms`, on a clock of the test's."""
+    """Routers that report to usage tables every `lag_ms`, on a clock of the test's."""
 
     def __init__(self, routers: int, tables: int, lag_ms: float) -> None:
         self.now_ms = 0.0
@@ -63,7 +63,7 @@
 
 
 def play(fleet: Fleet, seed: int, times_limit: float, for_ms: float) -> float:
-    """Asks for so many times the limit; the part that was admitted."""
+    """Request `times_limit` times the limit; return the fraction that was admitted."""
     rng = Random(seed)
     requested = admitted = 0
     while fleet.now_ms < for_ms:
--- a/packages/quotas/tests/test_quotas_returns.py
+++ b/packages/quotas/tests/test_quotas_returns.py
@@ -1,4 +1,4 @@
-"""Ledgers that were cut off, stood still or were started anew: never too much is admitted, nor too little."""
+"""Usage tables that were cut off, paused or restarted: neither too much is admitted nor too little."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from quota_fleet import Deployment, FaultInjector, Fleet
 
 SEEDS = int(os.environ.get("QUOTA_SEEDS", "10"))
-CONVERGENCE_MS = 1_000.0  # after the return of contact, in which a request may still be refused
+CONVERGENCE_MS = 1_000.0  # after a fault, in which a request may still be rejected
 SMALL = Deployment()
 LARGE = Deployment(
     routers=63, tables=5, report_ms=130.0, request_units=40.0, limit=RateLimit(2_000.0, 3_200.0)
--- a/packages/registry/src/larkweir_registry/registry.py
+++ b/packages/registry/src/larkweir_registry/registry.py
@@ -8,9 +8,7 @@
 
 from larkweir_registry.records import Record, Upstream, UpstreamState, VersionVector, join
 
-TOMBSTONE_RETENTION_MS = (
-    300_000.0  # that the record of an upstream that has gone is kept; no message is as late
-)
+TOMBSTONE_RETENTION_MS = 300_000.0  # how long a GONE record is retained; no message is that late
 
 
 class Registry:
--- a/packages/registry/tests/registry_fleet.py
+++ b/packages/registry/tests/registry_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in memory: registries of controllers, routers that read them, upstreams; cuts, freezes, restarts, returns."""
+"""A fleet in memory: registries of controllers, routers that read them, upstreams, and faults of all of them."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 TICK_MS = 50.0
 HEARTBEAT_MS = 1_000.0
-PAUSE_MS = 9_000.0  # an upstream that stands still, and comes back
+PAUSE_MS = 9_000.0  # an upstream that is paused, and resumes
 PAUSE_CHANCE = 0.01  # of each heartbeat
 LATE_CHANCE = 0.1
-CONTACT_MS = 2_000.0  # from a return until a machine is held to what others know
+CONTACT_MS = 2_000.0  # after a fault, until a router is expected to know what the others do
 
 
 @dataclass
 class Controller:
-    """A registry, and what it has heard of heartbeats."""
+    """A registry and its failure detector."""
 
     name: str
     incarnation: int = 0
@@ -30,7 +30,7 @@
     detector: FailureDetector = field(init=False)
 
     def start(self, now_ms: float) -> None:
-        """A new life, with the upstreams that the one before left on disk."""
+        """Start a new incarnation, with the hint file that the one before wrote."""
         left = hint_file.encode(self.registry) if self.incarnation else None
         self.incarnation += 1
         self.up = True
@@ -46,7 +46,7 @@
 
 @dataclass
 class Server:
-    """An upstream: what it last said, and until when it is to live."""
+    """An upstream: its heartbeats so far, and when it is to end."""
 
     id: str
     ends_ms: float
@@ -55,11 +55,11 @@
     next_ms: float = 0.0
     gone_acknowledged_ms: float | None = None
     dead_ms: float | None = None
-    late: list[tuple[float, Upstream]] = field(default_factory=list)  # heartbeats that are still on their way
+    late: list[tuple[float, Upstream]] = field(default_factory=list)  # heartbeats that are still in transit
 
 
 class Fleet:
-    """Three controllers, some routers that each pull from all they reach, and upstreams that come and go."""
+    """Three controllers, some routers that each pull from all they reach, and upstreams that start and end."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -72,7 +72,7 @@
         self.in_contact_since_ms: dict[int, float] = dict.fromkeys(range(4), 0.0)
         self.servers = [self._server(number) for number in range(6)]
         self.served = len(self.servers)
-        self.calm = False  # upstreams neither pause nor send what comes late
+        self.calm = False  # whether upstreams neither pause nor send late heartbeats
 
     def _server(self, number: int) -> Server:
         lifetime_ms = self.rng.uniform(5_000.0, 60_000.0)
@@ -137,7 +137,7 @@
                 return
 
     def _deliver_late_heartbeats(self, server: Server) -> None:
-        """A copy of an earlier one, at whichever controller: it must undo nothing that was said since."""
+        """Deliver a copy of an earlier heartbeat at any controller: it must undo nothing that was reported since."""
         for when_ms, reported in list(server.late):
             if self.now_ms >= when_ms:
                 server.late.remove((when_ms, reported))
@@ -181,7 +181,7 @@
                     router.merge(delta, controller.registry.vector, self.now_ms)
 
     def check(self) -> None:
-        """No router in touch draws what has been acknowledged as leaving, or passes over what beats all the time."""
+        """No router in contact selects an upstream whose departure was acknowledged."""
         for number, router in enumerate(self.routers):
             if self.now_ms < self.in_contact_since_ms[number] + CONTACT_MS:
                 continue
@@ -193,7 +193,7 @@
 
 
 class FaultInjector:
-    """What happens to controllers; all is over a while later."""
+    """Draws faults of controllers and links, each of which is cleared a while later."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
--- a/packages/registry/tests/test_registry.py
+++ b/packages/registry/tests/test_registry.py
@@ -38,7 +38,7 @@
 
 
 class Registries(RuleBasedStateMachine):
-    """Three registries that hear different heartbeats and pull from each other, and a reader of all."""
+    """Three registries that receive different heartbeats and pull from each other, and a reader of all."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/packages/registry/tests/test_registry_golden.py
+++ b/packages/registry/tests/test_registry_golden.py
@@ -1,4 +1,4 @@
-"""Bytes as version 0.2 of the fleet wrote them: the hint file of a controller, and what registries send each other.
+"""Bytes as version 0.2 of the fleet wrote them: the hint file of a controller, and records in messages.
 
 The fleet is updated one process at a time, so each of these is read and written the same by every later version.
 """
--- a/packages/registry/tests/test_registry_planted.py
+++ b/packages/registry/tests/test_registry_planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in registries: the plays of `test_registry_fleet` must find each."""
+"""Faults planted in registries: the runs of `test_registry_fleet` must find each."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def the_newest_heartbeat_wins(patch: pytest.MonkeyPatch) -> None:
-    """Ready said later undoes draining said before."""
+    """A later heartbeat that reports READY undoes an earlier one that reports DRAINING."""
 
     def newest(one: Upstream, other: Upstream) -> Upstream:
         return max(
