--- /dev/null
+++ b/tests/controller/test_placement_requests.py
@@ -0,0 +1,77 @@
+"""Among which engines a prefix is placed."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+from larkweir_registry.records import Upstream, UpstreamState
+from larkweir_registry.registry import Registry
+
+from larkweir.cluster.messages import PlacementRequest, PlacementResponse
+from larkweir.controller.placement_requests import PlacementRequests
+from larkweir.controller.prefix_placement import PrefixPlacement
+from larkweir.controller.subscriptions import Subscriptions
+from larkweir.controller.upstream_ejection import UpstreamEjection
+
+
+class Ejection(UpstreamEjection):
+    """Ejects what the test says."""
+
+    names: frozenset[str] = frozenset()
+
+    @property
+    def ejected(self) -> frozenset[str]:
+        return self.names
+
+
+@pytest.fixture
+def registry() -> Registry:
+    made = Registry("c/1")
+    for id_ in ("e0", "e1"):
+        made.update(Upstream(id_, "s", "127.0.0.1:1", "z"), 0.0)
+    made.update(Upstream("e2", "s", "127.0.0.1:1", "z", state=UpstreamState.DRAINING), 0.0)
+    made.update(Upstream("other", "t", "127.0.0.1:1", "z"), 0.0)
+    return made
+
+
+@pytest.fixture
+def ejection(registry: Registry) -> Ejection:
+    return Ejection(registry, Subscriptions())
+
+
+def answers(registry: Registry, ejection: Ejection, *requests: PlacementRequest) -> list[PlacementResponse]:
+    async def run() -> list[PlacementResponse]:
+        placements = PlacementRequests(registry, ejection, PrefixPlacement())
+        return [placements.answer(request) for request in requests]
+
+    return asyncio.run(run())
+
+
+def test_a_prefix_is_placed_at_a_ready_engine_of_its_service(registry: Registry, ejection: Ejection) -> None:
+    found = answers(registry, ejection, *(PlacementRequest("s", f"p{n}", 50_000.0) for n in range(8)))
+    assert {one.engine for one in found} == {"e0", "e1"}
+
+
+def test_ejected_engines_are_left_out(registry: Registry, ejection: Ejection) -> None:
+    ejection.names = frozenset({"e0"})
+    found = answers(registry, ejection, *(PlacementRequest("s", f"p{n}", 50_000.0) for n in range(8)))
+    assert {one.engine for one in found} == {"e1"}
+
+
+def test_where_all_are_ejected_none_is_left_out(registry: Registry, ejection: Ejection) -> None:
+    ejection.names = frozenset({"e0", "e1"})
+    found = answers(registry, ejection, *(PlacementRequest("s", f"p{n}", 50_000.0) for n in range(8)))
+    assert {one.engine for one in found} == {"e0", "e1"}
+
+
+def test_where_none_is_ready_there_is_no_engine(registry: Registry, ejection: Ejection) -> None:
+    assert answers(registry, ejection, PlacementRequest("unknown", "p", 1.0)) == [
+        PlacementResponse("p", None)
+    ]
+
+
+def test_the_second_request_finds_the_prefix_cached(registry: Registry, ejection: Ejection) -> None:
+    first, second = answers(registry, ejection, *[PlacementRequest("s", "p", 1.0)] * 2)
+    assert not first.is_cached
+    assert second == PlacementResponse("p", first.engine, True)
--- a/tests/controller/test_quorum_contact.py
+++ b/tests/controller/test_quorum_contact.py
@@ -6,7 +6,10 @@
 from pathlib import Path
 
 import msgspec
+import pytest
 
+from larkweir.controller.quorum_contact import QuorumContact
+from tests.controller.conftest import FakeLinks, FakeReplica
 from tests.system.loopback import Fleet, Upstream, ask, play
 from tests.system.test_fleet import configuration, fine, serve
 
@@ -83,3 +86,66 @@
         assert [(await one).status for one in (stale, fresh)] == [503, 503]
 
     play(tmp_path, scene)
+
+
+class Known:
+    """The part of the known controllers that names this one."""
+
+    own_node = "c"
+
+
+class Regained:
+    """Counts how often contact was regained."""
+
+    def __init__(self) -> None:
+        self.count = 0
+
+    def __call__(self) -> None:
+        self.count += 1
+
+
+@pytest.fixture
+def regained() -> Regained:
+    return Regained()
+
+
+@pytest.fixture
+def contact(replica: FakeReplica, links: FakeLinks, regained: Regained) -> QuorumContact:
+    replica.accept("c", "d", "e")
+    return QuorumContact(Known(), replica, links, regained)  # type: ignore[arg-type]
+
+
+def test_a_majority_counts_this_controller(contact: QuorumContact, links: FakeLinks) -> None:
+    assert not contact.is_connected()
+    links.connected = {"d"}
+    assert contact.is_connected()
+
+
+def test_while_members_change_a_majority_of_both_groups_is_needed(
+    contact: QuorumContact, replica: FakeReplica
+) -> None:
+    replica.accept("c", "d", "f", previous=("c", "d", "e"))
+    assert contact.is_quorum({"d"})
+    assert not contact.is_quorum({"f"})
+    assert contact.is_quorum({"e", "f"})
+
+
+def test_without_a_member_list_there_is_no_majority(contact: QuorumContact, replica: FakeReplica) -> None:
+    replica.accepted = None
+    assert not contact.is_quorum({"d", "e"})
+
+
+def test_contact_that_is_regained_is_notified_once(
+    contact: QuorumContact, links: FakeLinks, regained: Regained
+) -> None:
+    links.connected = {"d"}
+    contact.update()
+    links.connected = set()
+    contact.update()
+    assert not contact.was_connected
+    assert regained.count == 0
+    links.connected = {"e"}
+    contact.update()
+    contact.update()
+    assert contact.was_connected
+    assert regained.count == 1
--- /dev/null
+++ b/tests/controller/test_registry_sync.py
@@ -0,0 +1,77 @@
+"""What a controller pulls from another one, and what it does with the answer."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from larkweir_registry.failure_detector import FailureDetector
+from larkweir_registry.records import Record, Upstream
+from larkweir_registry.registry import Registry
+
+from larkweir.cluster.links import Connection
+from larkweir.cluster.messages import Delta, Message, Pull
+from larkweir.controller.registry_sync import RegistrySync
+
+UPSTREAM = Upstream("u", "s", "127.0.0.1:1", "z", sequence=7)
+
+
+class Recorded(Connection):
+    """A connection of which the test sees what is sent."""
+
+    def __init__(self) -> None:
+        super().__init__(lambda connection, message: None, lambda connection: None)
+        self.sent: list[Message] = []
+
+    def send(self, message: Message) -> None:
+        self.sent.append(message)
+
+
+class Scene:
+    """One registry that pulls on one connection. Made inside a loop."""
+
+    def __init__(self) -> None:
+        self.updates = 0
+        self.registry = Registry("c/1")
+        self.failure_detector = FailureDetector(1_000.0, 0.0)
+        self.connection = Recorded()
+        self.sync = RegistrySync(self.registry, self.failure_detector, self._updated)
+
+    def _updated(self) -> None:
+        self.updates += 1
+
+
+def play(scene: Callable[[Scene], None]) -> None:
+    async def run() -> None:
+        scene(Scene())
+
+    asyncio.run(run())
+
+
+def test_the_first_pull_has_the_vector() -> None:
+    def scene(made: Scene) -> None:
+        made.registry.update(UPSTREAM, 0.0)
+        made.sync.begin(made.connection)
+        assert made.connection.sent == [Pull(vector={"c/1": 1})]
+
+    play(scene)
+
+
+def test_records_are_merged_and_the_next_pull_has_the_new_vector() -> None:
+    def scene(made: Scene) -> None:
+        made.sync.received(made.connection, Delta(records=[Record(UPSTREAM, "d/1", 4)], vector={"d/1": 4}))
+        assert made.registry.upstreams == {"u": UPSTREAM}
+        assert made.failure_detector.last_sequence("u") == 7
+        assert made.updates == 1
+        assert made.connection.sent == [Pull(vector={"d/1": 4})]
+
+    play(scene)
+
+
+def test_without_an_update_the_next_pull_leaves_the_vector_out() -> None:
+    def scene(made: Scene) -> None:
+        made.sync.received(made.connection, Delta())
+        assert made.updates == 0
+        assert made.connection.sent == [Pull()]
+
+    play(scene)
