--- /dev/null
+++ b/larkweir/router/fleet_sync.py
@@ -0,0 +1,139 @@
+"""Synchronisation with the controllers: pulls their updates into the data plane, and reports this router's usage."""
+
+from __future__ import annotations
+
+import asyncio
+import secrets
+
+from larkweir_registry.records import VersionVector
+from larkweir_registry.registry import Registry
+
+from larkweir.cluster import log
+from larkweir.cluster.links import Connection
+from larkweir.cluster.messages import (
+    Delta,
+    Hello,
+    Message,
+    NodeRole,
+    PlacementResponse,
+    PrefillQueueUpdate,
+    Pull,
+)
+from larkweir.cluster.settings import Settings
+from larkweir.router.controller_links import ControllerLinks
+from larkweir.router.controller_reports import ControllerReports
+from larkweir.router.data_plane import DataPlane
+from larkweir.router.router_count import RouterCount
+
+INITIAL_SYNC_TIMEOUT_MS = 400.0  # after the first configuration, for another controller to have a newer one
+
+
+class FleetSync:
+    """One pull is always outstanding at each connected controller; its response begins the next one."""
+
+    def __init__(self, settings: Settings, plane: DataPlane) -> None:
+        """Dial nothing yet. `plane` is updated from now on, and sends its prefix lookups through this."""
+        self._ip = settings.ip
+        self._plane = plane
+        self._loop = asyncio.get_running_loop()
+        self._incarnation = secrets.token_hex(6)
+        self._registry = Registry("")
+        self._links = ControllerLinks(settings, self._on_message, self._on_connected, self._on_disconnected)
+        self._sent_vectors: dict[str, VersionVector] = {}  # by controller: of the last pull
+        self._reports = ControllerReports()
+        self._router_count = RouterCount()
+        self._responded: set[str] = set()  # controllers that have, since this process started
+        self._configured_ms: float | None = None
+        plane.prefix_affinity.send_lookup = self._links.send_lookup
+        plane.announce_backlog = self._announce_backlog
+
+    def _now_ms(self) -> float:
+        return self._loop.time() * 1000.0
+
+    def tick(self) -> None:
+        """Keep the connections alive; to be called several times a second."""
+        self._links.keep_alive()
+
+    def close(self) -> None:
+        """End all connections at once."""
+        self._links.close()
+
+    def update_settings(self, settings: Settings) -> None:
+        """The settings file has changed: pull from new seeds too."""
+        self._ip = settings.ip
+        self._links.update_settings(settings)
+
+    def on_process_paused(self) -> None:
+        """This process did not run for a while: no controller has timed out by that."""
+        self._links.reset_idle_timeouts()
+
+    @property
+    def is_synced(self) -> bool:
+        """Whether a configuration is in force, and a majority of controllers has responded or had the time to."""
+        if self._configured_ms is None:
+            return False
+        controllers = self._links.nodes
+        has_majority = 2 * len(self._responded & controllers) > len(controllers)
+        return has_majority or self._now_ms() >= self._configured_ms + INITIAL_SYNC_TIMEOUT_MS
+
+    def _announce_backlog(self) -> None:
+        """Report this router's prefill backlog to every controller, ahead of the next pull."""
+        self._links.broadcast(PrefillQueueUpdate(self._plane.upstreams.own_prefill_backlog()))
+
+    def _on_connected(self, connection: Connection) -> None:
+        connection.send(Hello(self._ip, NodeRole.ROUTER, self._incarnation))
+        self._sent_vectors.pop(connection.node, None)
+        self._pull(connection)
+
+    def _on_disconnected(self, node: str) -> None:
+        if self._reports.remove(node):
+            self._plane.upstreams.set_ejected(self._reports.ejected())
+        log.debug("link_lost", to=node)
+
+    def _pull(self, connection: Connection) -> None:
+        plane, now_ms = self._plane, self._now_ms()
+        usage = plane.quotas.usage(connection.node, now_ms)
+        vector = dict(self._registry.vector)
+        is_unchanged = self._sent_vectors.get(connection.node) == vector
+        self._sent_vectors[connection.node] = vector
+        pull = Pull(
+            config_sequence=plane.configuration.sequence,
+            vector=None if is_unchanged else vector,
+            usage=usage,
+            sent_ms=round(now_ms),
+            queued_prefill_tokens=plane.upstreams.own_prefill_backlog(),
+            outcomes=plane.outcomes.failing_upstreams(now_ms),
+        )
+        connection.send(pull)
+
+    def _on_message(self, connection: Connection, message: Message) -> None:
+        if isinstance(message, PlacementResponse):
+            self._plane.prefix_affinity.on_placed(message, self._now_ms())
+        elif isinstance(message, Delta):
+            self._on_delta(connection, message)
+
+    def _on_delta(self, connection: Connection, delta: Delta) -> None:
+        """Take over what this router lacked, and pull again."""
+        plane, node, now_ms = self._plane, connection.node, self._now_ms()
+        if delta.config is not None and plane.configuration.apply(delta.config):
+            self._on_configuration_changed()
+        changed = self._registry.merge(delta.records, delta.vector, now_ms)
+        if changed:
+            plane.upstreams.update(changed, now_ms)
+        self._links.update_listed(delta.controllers)
+        self._reports.update(node, delta)
+        plane.set_router_count(self._router_count.report(self._reports.max_router_count(), now_ms))
+        plane.quotas.receive_statuses(node, delta.quotas, now_ms)
+        plane.upstreams.set_peer_prefill_backlog(self._reports.max_queued_tokens())
+        if delta.ejected is not None:
+            plane.upstreams.set_ejected(self._reports.ejected())
+        self._responded.add(node)
+        self._pull(connection)
+
+    def _on_configuration_changed(self) -> None:
+        table = self._plane.configuration.table
+        assert table is not None
+        self._plane.quotas.set_limits(table.quotas)
+        if self._configured_ms is None:
+            self._configured_ms = self._now_ms()
+        log.event("configuration", version=table.version, sequence=self._plane.configuration.sequence)
