--- a/larkweir/coordination/duties/probers.py
+++ b/larkweir/coordination/duties/probers.py
@@ -173,10 +173,10 @@
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         """The next state: at once for a change, else with a heartbeat."""
-        held = decode_state(state)
+        current = decode_state(state)
         if self._base_term != self._term:  # the first step under this term
             self._base_term, self._written_ms = self._term, float("-inf")
-            self._go_on_from(held, now_ms)
+            self._go_on_from(current, now_ms)
         if now_ms - self._written_ms < MIN_STATE_INTERVAL_MS:
             return None
         for key, server in list(self._servers.items()):
@@ -199,28 +199,28 @@
             for key, server in self._servers.items()
             if server.is_open
         )
-        new = State(held.heartbeat_count + 1, rows)
-        if not rows and not held.rows:
+        new = State(current.heartbeat_count + 1, rows)
+        if not rows and not current.rows:
             return None
-        if _urgent_part(new) == _urgent_part(held) and not heartbeat_due(self._written_ms, now_ms):
+        if _urgent_part(new) == _urgent_part(current) and not heartbeat_due(self._written_ms, now_ms):
             return None
         self._written_ms = now_ms
         return encode_state(new)
 
-    def _go_on_from(self, held: State, now_ms: float) -> None:
+    def _go_on_from(self, current: State, now_ms: float) -> None:
         """Take over from the former owner: its state, with what balancers have reported since. They report their
         ejected servers anew, and then turns are given.
         """
         state_age_ms = now_ms - self._state_ms if self._state_ms > float("-inf") else 0.0
-        lately = {
+        recent = {
             key: it for key, it in self._servers.items() if now_ms - it.ejected_report_ms < PROBER_TIMEOUT_MS
         }
         self._servers = {}
-        for row in held.rows[:MAX_SERVERS]:
-            server = self._servers[row.key] = lately.pop(row.key, _Server(now_ms))
+        for row in current.rows[:MAX_SERVERS]:
+            server = self._servers[row.key] = recent.pop(row.key, _Server(now_ms))
             server.finding, server.finding_ms = row.finding, now_ms - state_age_ms - row.age_ms
             server.is_open, server.turn_began_ms, server.probers = True, now_ms, ()
-        for key, server in lately.items():
+        for key, server in recent.items():
             server.is_open = False
             self._servers[key] = server
 
@@ -228,25 +228,25 @@
     def _is_done(server: _Server, now_ms: float) -> bool:
         if server.is_open and server.finding > FAILING:
             return now_ms - server.finding_ms >= CLOSE_AFTER_MS
-        told = server.candidates or now_ms - server.turn_began_ms < PROBER_TIMEOUT_MS
-        return not told or now_ms - server.ejected_report_ms >= REFRESH_MS + PROBER_TIMEOUT_MS
+        is_reported = server.candidates or now_ms - server.turn_began_ms < PROBER_TIMEOUT_MS
+        return not is_reported or now_ms - server.ejected_report_ms >= REFRESH_MS + PROBER_TIMEOUT_MS
 
     def _assign_probers(self, key: bytes, server: _Server, now_ms: float) -> None:
         """Choose the probers."""
-        many = 1 if self._probes() else PROBERS_BY_CALL
-        few = len(server.probers) < min(many, len(server.candidates))
-        whole = server.bad_findings < MAX_BAD_FINDINGS and not few
+        prober_count = 1 if self._probes() else PROBERS_BY_CALL
+        has_too_few = len(server.probers) < min(prober_count, len(server.candidates))
+        is_complete = server.bad_findings < MAX_BAD_FINDINGS and not has_too_few
         for name in server.probers:
             if now_ms - max(server.turn_began_ms, server.reported_ms.get(name, 0.0)) >= PROBER_TIMEOUT_MS:
                 # It is a candidate again when it reports the server again.
                 server.candidates.pop(prober_rank(key, name), None)
-            whole = whole and prober_rank(key, name) in server.candidates
-        if whole:
+            is_complete = is_complete and prober_rank(key, name) in server.candidates
+        if is_complete:
             return
         ranked = [server.candidates[at] for at in sorted(server.candidates)]
         server.turns += server.bad_findings >= MAX_BAD_FINDINGS
         first = server.turns % max(1, len(ranked))
-        server.probers = tuple((ranked[first:] + ranked[:first])[:many])
+        server.probers = tuple((ranked[first:] + ranked[:first])[:prober_count])
         server.turn_began_ms, server.bad_findings = now_ms, 0
 
     # ------------------------------------------------ every balancer
@@ -265,15 +265,15 @@
         """Pass findings to the decisions, and report what this balancer knows."""
         if self._has_new_state:
             self._state_ms = now_ms
-        held, late = self.state, now_ms - self._state_ms
+        current, late = self.state, now_ms - self._state_ms
         known = self._health.sightings(now_ms)
-        named = {row.key for row in held.rows}
+        named = {row.key for row in current.rows}
         # Dropped by the fleet; where a server is still ejected here, that is reported anew.
         for key in self._known_keys - named:
             self._resends.pop(key, None)
         self._known_keys = named
         turns: set[bytes] = set()
-        for row in held.rows if late < OWNER_TIMEOUT_MS else ():
+        for row in current.rows if late < OWNER_TIMEOUT_MS else ():
             if row.key not in known:
                 continue
             if self._tag in row.probers:
@@ -290,7 +290,7 @@
             if self._should_report(key, item, key in turns, now_ms)
         ]
         self.next_ms = now_ms + (
-            CHECK_INTERVAL_MS if known or held.rows or self._servers else HEARTBEAT_INTERVAL_MS
+            CHECK_INTERVAL_MS if known or current.rows or self._servers else HEARTBEAT_INTERVAL_MS
         )
         reports: list[Report] = []
         for part in batches(rows):
--- a/larkweir/coordination/duties/ramps.py
+++ b/larkweir/coordination/duties/ramps.py
@@ -97,30 +97,30 @@
         """A balancer's ramps: keeps those that the register holds, and opens new ones."""
         if not isinstance(report, RampReport):
             return
-        held = {ramp.key for ramp in self.state.ramps}
+        current = {ramp.key for ramp in self.state.ramps}
         for row in report.rows[:MAX_ROWS]:
             if len(row.key) > 64 or not 1 <= row.step <= LAST_STEP or not 0.0 < row.span_ms <= 1e10:
                 self.rejected += 1
-            elif row.key in held:
+            elif row.key in current:
                 self._reported_ms[row.key] = now_ms
             elif row.key in self._pending:
                 pending = self._pending[row.key]
                 pending.step = min(pending.step, row.step)
-            elif len(self._pending) + len(held) < MAX_RAMPS:
+            elif len(self._pending) + len(current) < MAX_RAMPS:
                 self._pending[row.key] = _PendingRamp(now_ms, row.span_ms, row.step)
             else:
                 self.rejected += 1
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         """The next state: at once for a step or a new ramp, else with a heartbeat."""
-        held = decode_state(state)
-        self._note_steps(held, now_ms)
+        current = decode_state(state)
+        self._note_steps(current, now_ms)
         if self._stepped_term != self._term:  # the first step under this term
             self._stepped_term = self._term
-            self._reported_ms = {ramp.key: now_ms for ramp in held.ramps}
+            self._reported_ms = {ramp.key: now_ms for ramp in current.ramps}
             self._heartbeat_ms = float("-inf")
         found: list[RampStep] = []
-        for ramp in held.ramps:
+        for ramp in current.ramps:
             if now_ms - self._reported_ms.setdefault(ramp.key, now_ms) >= FORGET_MS:
                 del self._reported_ms[ramp.key]
                 continue
@@ -133,17 +133,17 @@
                     found.append(RampStep(key, pending.span_ms, pending.step))
                     self._reported_ms[key] = now_ms
         is_moving = any(ramp.step < LAST_STEP for ramp in found)
-        if tuple(found) == held.ramps and (not is_moving or not heartbeat_due(self._heartbeat_ms, now_ms)):
+        if tuple(found) == current.ramps and (not is_moving or not heartbeat_due(self._heartbeat_ms, now_ms)):
             return None
         self._heartbeat_ms = now_ms
-        return encode_state(State(held.heartbeat_count + 1, tuple(found)))
+        return encode_state(State(current.heartbeat_count + 1, tuple(found)))
 
-    def _note_steps(self, held: State, now_ms: float) -> None:
+    def _note_steps(self, current: State, now_ms: float) -> None:
         """Record when each step was seen first: at the first call after it was committed, rather late than early."""
-        if len(self._first_seen) != len(held.ramps):
-            keys = {ramp.key for ramp in held.ramps}
+        if len(self._first_seen) != len(current.ramps):
+            keys = {ramp.key for ramp in current.ramps}
             self._first_seen = {key: value for key, value in self._first_seen.items() if key in keys}
-        for ramp in held.ramps:
+        for ramp in current.ramps:
             seen = self._first_seen.get(ramp.key)
             if seen is None or seen[0] != ramp.step:
                 self._first_seen[ramp.key] = (ramp.step, now_ms)
--- a/larkweir/coordination/duties/replicated.py
+++ b/larkweir/coordination/duties/replicated.py
@@ -30,10 +30,10 @@
     return read
 
 
-def retain_keys(held: dict[Key, Value], keys: Container[Key]) -> None:
+def retain_keys(values: dict[Key, Value], keys: Container[Key]) -> None:
     """Delete the values of all other keys."""
-    for key in [key for key in held if key not in keys]:
-        del held[key]
+    for key in [key for key in values if key not in keys]:
+        del values[key]
 
 
 class ReplicatedTask(Generic[State]):
@@ -48,18 +48,18 @@
         self.rejected = 0  # reports, or rows of them, that were malformed or beyond the bounds
         self._incarnation, self._read = incarnation, read
         self._term = 0  # of the state
-        self._has_news = False
+        self._is_changed = False
 
     def on_committed(self, state: bytes, version: Version) -> None:
         """Follow a state that a majority of the register's replicas has."""
         before, self.state = self.state, self._read(state)
         self._term, self.next_ms = version[0], 0.0
-        self._has_news = self._has_news or self._notable_part(self.state) != self._notable_part(before)
+        self._is_changed = self._is_changed or self._notable_part(self.state) != self._notable_part(before)
         self._on_state(before)
 
     def is_notable(self) -> bool:
         """Whether what was committed since the last call is more than a heartbeat."""
-        found, self._has_news = self._has_news, False
+        found, self._is_changed = self._is_changed, False
         return found
 
     def _notable_part(self, state: State) -> object:
--- a/larkweir/coordination/duties/thresholds.py
+++ b/larkweir/coordination/duties/thresholds.py
@@ -62,7 +62,7 @@
         self._coordinator: Coordinator | None = None
         self._term = 0
         self._table: Table | None = None  # committed, and not followed yet
-        self._has_news = False
+        self._is_new_term = False
 
     # ------------------------------------------------ the owner
 
@@ -92,8 +92,8 @@
 
     def on_committed(self, state: bytes, version: Version) -> None:
         """Hold a table until the next `tick`; a new term ends this process's coordinator."""
-        self._has_news = version[0] != self._term
-        if self._has_news:
+        self._is_new_term = version[0] != self._term
+        if self._is_new_term:
             self._term = version[0]
             self._coordinator = None  # what was reported belongs to a former term
         table = read(state)
@@ -103,7 +103,7 @@
 
     def is_notable(self) -> bool:
         """Whether the term is a new one."""
-        return self._has_news  # of a table's changes there may be one a second
+        return self._is_new_term  # of a table's changes there may be one a second
 
     def on_left_fleet(self) -> None:
         """Rates hold as they are for `hold_ms`, and then the safe part of them."""
--- a/larkweir/coordination/duties/verdicts.py
+++ b/larkweir/coordination/duties/verdicts.py
@@ -212,10 +212,10 @@
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         """The next state: at once for a verdict or a new canary, else with a heartbeat."""
-        held = decode_state(state)
+        current = decode_state(state)
         if self._base_term != self._term:  # the first step under this term
             self._base_term, self._heartbeat_ms = self._term, float("-inf")
-            self._base = {total.key: total for total in held.totals}
+            self._base = {total.key: total for total in current.totals}
             if self._evidence_term != self._term:
                 self._evidence.clear()
                 self._evidence_term = self._term
@@ -223,7 +223,7 @@
                 found.reported_ms = now_ms
             for key, total in self._base.items():
                 self._evidence.setdefault(key, _FleetEvidence(total.alpha, reported_ms=now_ms))
-        ended = dict(held.ended)
+        ended = dict(current.ended)
         totals: list[CanaryTotal] = []
         for key, found in list(self._evidence.items()):
             if now_ms - found.reported_ms >= FORGET_MS:
@@ -235,16 +235,16 @@
                     ended[key] = reason
                 else:
                     totals.append(total)
-        named = {total.key for total in totals} == {total.key for total in held.totals}
+        named = {total.key for total in totals} == {total.key for total in current.totals}
         if (
             named
-            and len(ended) == len(held.ended)
+            and len(ended) == len(current.ended)
             and (not totals or not heartbeat_due(self._heartbeat_ms, now_ms))
         ):
             return None
         self._heartbeat_ms = now_ms
-        kept = tuple(ended.items())[-MAX_ENDED:]
-        return encode_state(State(held.heartbeat_count + 1, tuple(totals), kept))
+        recent = tuple(ended.items())[-MAX_ENDED:]
+        return encode_state(State(current.heartbeat_count + 1, tuple(totals), recent))
 
     def _total(self, key: str, found: _FleetEvidence) -> CanaryTotal:
         base = self._base.get(key)
--- a/larkweir/coordination/health_sharing.py
+++ b/larkweir/coordination/health_sharing.py
@@ -31,6 +31,7 @@
         self._listeners()
 
     def probes(self) -> bool:
+        """Whether the platform's settings allow probes."""
         return any(balancer.settings.may_probe for balancer in self._decisions())
 
     def _listeners(self) -> list[Hearsay]:
@@ -43,6 +44,7 @@
         return found
 
     def sightings(self, now_ms: float) -> Mapping[bytes, LocalSighting]:
+        """Upstreams that are ejected here, or were until a moment ago, by key."""
         self._numbers.clear()
         targets, found = self._targets(), dict[bytes, LocalSighting]()
         for listener in self._listeners():
@@ -56,6 +58,7 @@
         return found
 
     def on_finding(self, key: bytes, finding: int, age_ms: float, is_prober: bool) -> None:
+        """Pass a finding of others on to the decisions."""
         number = self._numbers.get(key)
         if number is not None:
             good = None if finding == NOTHING else finding != FAILING
--- a/packages/owners/src/larkweir_owners/duty_manager.py
+++ b/packages/owners/src/larkweir_owners/duty_manager.py
@@ -89,10 +89,10 @@
         sample: Sampler,
         timing: LeaseTiming | None = None,
         acceptor: Acceptor | None = None,
-        held: Iterable[tuple[str, Record]] = (),
+        initial_records: Iterable[tuple[str, Record]] = (),
     ) -> None:
         """`incarnation`: random, made at each start; `jitter`: returns a number from 0 to 1; `sample`: so many of a
-        list, at random; `held`: records of an earlier incarnation, from a store.
+        list, at random; `initial_records`: of an earlier incarnation, from a store.
         """
         self.me = me
         self.acceptor = acceptor
@@ -104,7 +104,7 @@
             replica_set = acceptor.state.replica_set
         self.proposer = Proposer(me, incarnation, replica_set, self._outbox, jitter)
         self.replicator = StateReplicator(
-            me, self._outbox, self.proposer, sample, self._on_applied, held, jitter()
+            me, self._outbox, self.proposer, sample, self._on_applied, initial_records, jitter()
         )
         self.set_change = ReplicaSetChange(self.proposer, self._outbox)
         self.duties = {duty.name: duty for duty in duties}
--- a/packages/owners/src/larkweir_owners/leadership.py
+++ b/packages/owners/src/larkweir_owners/leadership.py
@@ -229,8 +229,8 @@
         if watch.has_majority and watch.record is not None:
             # A register that holds less than what has counted: more disks are lost than is allowed for. The known
             # state goes on from here, under a term above all that was seen
-            held_version = result.record.version if result.record is not None else NO_VERSION
-            self._register_behind = held_version if held_version < watch.record.version else None
+            register_version = result.record.version if result.record is not None else NO_VERSION
+            self._register_behind = register_version if register_version < watch.record.version else None
         if result.record is not None:  # this round may have completed what its owner left half done
             watch.learn(result.record, is_fresh=False)
         self.next_ms = watch.now_ms + self.timing.check_ms
--- a/packages/owners/src/larkweir_owners/state_replicator.py
+++ b/packages/owners/src/larkweir_owners/state_replicator.py
@@ -47,16 +47,16 @@
         registers: Registers,
         sample: Sampler,
         on_applied: Callable[[str, Record], None],
-        held: Iterable[tuple[str, Record]] = (),
+        initial_records: Iterable[tuple[str, Record]] = (),
         first_digest_fraction: float = 1.0,
     ) -> None:
         """`on_applied` is called with each record that is applied, in the order of its versions.
         `first_digest_fraction`: 0 to 1, of the interval until the second digest, so that processes that start together
-        don't send theirs at the same moments. `held`: what an earlier incarnation of this process held, from a store;
-        without it the first versions that arrive are applied, whichever they are.
+        don't send theirs at the same moments. `initial_records`: what an earlier incarnation of this process held, from
+        a store; without it the first versions that arrive are applied, whichever they are.
         """
         self.me = me
-        self.records: dict[str, Record] = dict(held)
+        self.records: dict[str, Record] = dict(initial_records)
         self.next_ms = 0.0
         self.applied = 0
         self.stale = 0  # updates that were older than what is held
@@ -80,15 +80,15 @@
 
     def apply(self, key: str, record: Record) -> bool:
         """Hold a record; False where its version is not above the one held."""
-        held = self.records.get(key)
-        if held is not None and not record.version > held.version:
-            if record.version != held.version:
+        known = self.records.get(key)
+        if known is not None and not record.version > known.version:
+            if record.version != known.version:
                 self.stale += 1
             return False
-        if held is None and len(self.records) >= MAX_KEYS:
+        if known is None and len(self.records) >= MAX_KEYS:
             return False
-        if held is not None and record.update_count > held.update_count + 1:
-            self.skipped += record.update_count - held.update_count - 1
+        if known is not None and record.update_count > known.update_count + 1:
+            self.skipped += record.update_count - known.update_count - 1
         self.records[key] = record
         self.applied += 1
         if key in self._wanted and self._wanted[key][0] <= record.version:
@@ -137,12 +137,12 @@
 
     def _is_renewal(self, key: str, record: Record) -> bool:
         """Whether it is nothing but a renewed lease."""
-        held = self.records.get(key)
+        known = self.records.get(key)
         return (
-            held is not None
-            and record.update_count == held.update_count
+            known is not None
+            and record.update_count == known.update_count
             and (record.term, record.owner, record.preferred_owner)
-            == (held.term, held.owner, held.preferred_owner)
+            == (known.term, known.owner, known.preferred_owner)
         )
 
     def _owner_reaches_all(self, updates: Sequence[tuple[str, Record]], source: str) -> bool:
