--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -22,10 +22,10 @@
 from typing import NamedTuple
 
 import uvloop
-from larkweir_peers.frames import State
-from larkweir_peers.hands import Socket
-from larkweir_peers.pace import Pace
-from larkweir_peers.peers import Peers
+from larkweir_peers.messages import MemberState
+from larkweir_peers.protocol import PeerProtocol
+from larkweir_peers.protocol_config import ProtocolConfig
+from larkweir_peers.transport import PeerTransport
 from larkweir_simulated import Network
 
 from larkweir.core.clock import Clock
@@ -46,17 +46,17 @@
     hours: float  # of one process each
 
 
-def play(number: int, lost: float, seed: int, pace: Pace, slow: int = 0, deaths: int = 1) -> Play:
+def play(number: int, lost: float, seed: int, pace: ProtocolConfig, slow: int = 0, deaths: int = 1) -> Play:
     """One run, to the byte by its seed. Of `slow` processes each datagram waits for 600 ms, and none crashes; of others
     so many at once.
     """
     net = Network(seed, lost=lost)
     names = [f"127.0.{n // 250}.{n % 250 + 1}:7946" for n in range(number)]
     well = set(names[slow:])
-    fleet: dict[str, Peers] = {}
+    fleet: dict[str, PeerProtocol] = {}
     timers: dict[str, tuple[float, object]] = {}
     found: list[float] = []
-    wrong = {State.SUSPECT: 0, State.DEAD: 0}
+    wrong = {MemberState.SUSPECT: 0, MemberState.DEAD: 0}
     crashed, crash_ms = set[str](), 0.0
 
     def out(name: str) -> None:
@@ -64,9 +64,9 @@
         while peers.datagrams:
             to, data = peers.datagrams.popleft()
             net.send(name, to, data)
-        while peers.members.events:
-            event = peers.members.events.popleft()
-            if event.name in crashed and event.state is State.DEAD:
+        while peers.membership.events:
+            event = peers.membership.events.popleft()
+            if event.name in crashed and event.state is MemberState.DEAD:
                 found.append(event.at_ms - crash_ms)
             elif event.state in wrong and event.name in well and event.name not in crashed:
                 wrong[event.state] += 1
@@ -82,7 +82,7 @@
         out(name)
 
     def start(name: str, late_ms: float) -> None:
-        peers = fleet[name] = Peers(name, names, Random(net.rng.random()), 0.0, 1_000, KEYS, pace)
+        peers = fleet[name] = PeerProtocol(name, names, Random(net.rng.random()), 0.0, 1_000, KEYS, pace)
 
         def came(source: str, data: bytes) -> None:
             if late_ms:
@@ -91,7 +91,7 @@
                 work(source, data)
 
         def work(source: str, data: bytes) -> None:
-            peers.came(source, data, net.now_ms)
+            peers.on_datagram(source, data, net.now_ms)
             out(name)
 
         net.listen(name, came)
@@ -112,13 +112,15 @@
             del fleet[name]
     net.run(net.now_ms + (CRASH_MS if not slow and deaths == 1 else 60_000.0), 10**9)
     hours = net.now_ms / 3_600_000.0 * number
-    return Play(sends, size, found, wrong[State.SUSPECT], wrong[State.DEAD], hours)
+    return Play(sends, size, found, wrong[MemberState.SUSPECT], wrong[MemberState.DEAD], hours)
 
 
 def table(pool: ProcessPoolExecutor, plays: dict[int, int]) -> None:
     print(HEAD)
     jobs = {
-        (number, lost): [pool.submit(play, number, lost, seed, Pace()) for seed in range(plays[number])]
+        (number, lost): [
+            pool.submit(play, number, lost, seed, ProtocolConfig()) for seed in range(plays[number])
+        ]
         for lost in (0.0, 0.1)
         for number in plays
     }
@@ -144,7 +146,10 @@
     print(
         f"3 of 30 slow, {plays} plays of 90 s: the 27 others, suspected by anyone and held to be lost by anyone"
     )
-    ways = {"with local health": Pace(), "without": Pace(health_most=0, confirmations=0)}
+    ways = {
+        "with local health": ProtocolConfig(),
+        "without": ProtocolConfig(max_health_score=0, suspicion_confirmations=0),
+    }
     jobs = {
         way: [pool.submit(play, 30, 0.0, seed, pace, 3) for seed in range(plays)]
         for way, pace in ways.items()
@@ -163,11 +168,11 @@
     one = opened(names, 0)
     try:
         await asyncio.sleep(10.0)
-        assert one.peers.members.counts()[State.DEAD] == 0, "the others are not there"
-        used, at, sent = resource.getrusage(resource.RUSAGE_SELF), time.monotonic(), one.peers.sent
+        assert one.protocol.membership.counts_by_state()[MemberState.DEAD] == 0, "the others are not there"
+        used, at, sent = resource.getrusage(resource.RUSAGE_SELF), time.monotonic(), one.protocol.sent
         await asyncio.sleep(seconds)
         after, took = resource.getrusage(resource.RUSAGE_SELF), time.monotonic() - at
-        print(f"one real process of {number}, {took:.0f} s: {(one.peers.sent - sent) / took:.2f} sends/s")
+        print(f"one real process of {number}, {took:.0f} s: {(one.protocol.sent - sent) / took:.2f} sends/s")
         return (after.ru_utime - used.ru_utime + after.ru_stime - used.ru_stime) / took
     finally:
         one.close()
@@ -175,12 +180,12 @@
         await others.wait()
 
 
-def opened(names: list[str], number: int) -> Socket:
+def opened(names: list[str], number: int) -> PeerTransport:
     loop = asyncio.get_running_loop()
     clock = Clock(loop)
     now = clock.now_ms()
-    peers = Peers(names[number], names, Random(number), now, int(now), KEYS)
-    sock = Socket(peers, names[number], clock, lambda line: None)
+    peers = PeerProtocol(names[number], names, Random(number), now, int(now), KEYS)
+    sock = PeerTransport(peers, names[number], clock, lambda line: None)
     sock.start()
     return sock
 
@@ -204,7 +209,7 @@
     if options.one:
         number, lost, seed = int(options.one[0]), float(options.one[1]), int(options.one[2])
         print(HEAD)
-        done = [play(number, lost, seed, Pace(), deaths=options.deaths)]
+        done = [play(number, lost, seed, ProtocolConfig(), deaths=options.deaths)]
         row(number, lost, done, options.deaths)
         return
     if options.others:
--- a/larkweir/coordination/captures/part.py
+++ b/larkweir/coordination/captures/part.py
@@ -28,7 +28,7 @@
 from larkweir.upstreams.pool import UpstreamPool
 
 if TYPE_CHECKING:
-    from larkweir_peers.hands import Mail, Socket
+    from larkweir_peers.transport import Channel, PeerTransport
 
     from larkweir.coordination.duties.thresholds import CaptureThresholds
     from larkweir.routes.hands import Routes
@@ -49,7 +49,7 @@
     dispatcher: Dispatcher
     upstreams: UpstreamPool
     routes: Routes | None
-    peers: Socket | None
+    peers: PeerTransport | None
     captures: Part | None
     closers: list[Callable[[], None]]
     facts: list[Callable[[], dict[str, object]]]
@@ -60,7 +60,7 @@
     """Asks go to peers; reports to whoever owns the duty, by its own way."""
 
     def __init__(self) -> None:
-        self.mail: Mail | None = None
+        self.mail: Channel | None = None
         self.report = b""  # the newest, not told yet
         self.told: Callable[[], None] = lambda: None  # there is one
 
@@ -104,7 +104,7 @@
             gossip=False,
         )
         if host.peers is not None:
-            self._post.mail = host.peers.mail(CAPTURES, self._came)
+            self._post.mail = host.peers.open_channel(CAPTURES, self._came)
         dispatcher, upstreams, routes = host.dispatcher, host.upstreams, host.routes
 
         def trace_of(number: int) -> bytes:
--- a/larkweir/coordination/edits/part.py
+++ b/larkweir/coordination/edits/part.py
@@ -19,7 +19,7 @@
 from larkweir_edits.log import Calls, FileLog, peek
 from larkweir_edits.schema import Tables
 from larkweir_edits.whole import FAULT, Whole
-from larkweir_peers.hands import Socket
+from larkweir_peers.transport import PeerTransport
 
 from larkweir.config.options import Operator
 from larkweir.config.peering import merging
@@ -52,7 +52,7 @@
     log: StderrLog
     options: Operator
     routes: Routes | None
-    peers: Socket | None
+    peers: PeerTransport | None
     edits: Part | None
     closers: list[Callable[[], None]]
     facts: list[Callable[[], dict[str, object]]]
@@ -135,12 +135,12 @@
         self._start = None
         if self._closed or self._held or self._disk is not None:
             return
-        socket = self._host.peers
-        if socket is None or not socket.open:
+        transport = self._host.peers
+        if transport is None or not transport.is_open:
             self._again(AGAIN_MS)
             return
         if self._posts.mail is None:
-            self._posts.mail = socket.mail(EDITS, self._came)
+            self._posts.mail = transport.open_channel(EDITS, self._came)
         self._then(self._thread.submit(self._open), self._opened)
 
     def _again(self, delay_ms: float) -> None:
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -20,7 +20,7 @@
 from larkweir_owners.file_system import LockedFolder
 from larkweir_owners.lease_timing import LeaseTiming
 from larkweir_owners.messages import Incarnation, ReplicaSet
-from larkweir_peers.hands import Socket
+from larkweir_peers.transport import PeerTransport
 
 from larkweir.config.options import Operator
 from larkweir.config.peering import keeping
@@ -53,7 +53,7 @@
     routes: Routes | None
     dispatcher: Dispatcher
     decisions: Decisions
-    peers: Socket | None
+    peers: PeerTransport | None
     owners: OwnersPlugin | None
     captures: CaptureTasks | None
     closers: list[Callable[[], None]]
@@ -63,7 +63,7 @@
 class OwnersPlugin:
     """From `attach` to `close`. `pause` and `hold` may be called at any time."""
 
-    def __init__(self, host: Host, socket: Socket, options: Operator, me: str) -> None:
+    def __init__(self, host: Host, socket: PeerTransport, options: Operator, me: str) -> None:
         """`me`: this process's name among the peers."""
         own = options.owners
         self.me = me
@@ -77,8 +77,8 @@
         self._host = host  # captures are attached later
         self._log = OwnershipLog(host.log.write, host.clock.now_ms)
         self._rng = Random()
-        self._transport = socket.mail(OWNERS, self._on_message)
-        self._reports = socket.mail(REPORTS, self._on_report)
+        self._transport = socket.open_channel(OWNERS, self._on_message)
+        self._reports = socket.open_channel(REPORTS, self._on_report)
         self._timing = LeaseTiming(lease_ms=own.lease_ms, step_ms=STEP_MS)
         self._runner = TaskRunner({}, me, self._reports.post)
         self._timer: Timer | None = None
@@ -101,7 +101,7 @@
         self._begin_timer = None
         if self._is_closed or self._is_handing_over or self.manager is not None:
             return
-        if not self._socket.open:
+        if not self._socket.is_open:
             self._begin_timer = self._clock.after(REOPEN_MS, self._begin)
             return
         if not self.is_replica:
@@ -250,7 +250,7 @@
             self._is_handing_over = self._is_suspended = False
             self._handovers += 1
             self._stop()
-            self._socket.hold(False)
+            self._socket.set_suspended(False)
             if self._begin_timer is not None:
                 self._begin_timer.cancel()
             self._begin_timer = self._clock.after(0.0, self._begin)
@@ -263,7 +263,7 @@
             self._clock.after(RELEASE_CHECK_MS, lambda: self._wait_released(deadline_ms))
             return
         self._stop()
-        self._socket.hold(True)
+        self._socket.set_suspended(True)
 
     def close(self) -> None:
         """End for good, before the peers' socket is closed."""
--- a/larkweir/coordination/part.py
+++ b/larkweir/coordination/part.py
@@ -9,10 +9,10 @@
 from stat import S_IROTH
 from typing import Protocol
 
-from larkweir_peers.hands import Socket
-from larkweir_peers.pace import Pace
-from larkweir_peers.peers import Peers, PeersError
-from larkweir_peers.seal import KEY_LEAST, KEY_MOST, KEYS_MOST
+from larkweir_peers.authentication import MAX_KEY_BYTES, MAX_KEYS, MIN_KEY_BYTES
+from larkweir_peers.protocol import PeerProtocol, PeersError
+from larkweir_peers.protocol_config import ProtocolConfig
+from larkweir_peers.transport import PeerTransport
 
 from larkweir.config.options import Operator
 from larkweir.config.peering import peering
@@ -29,7 +29,7 @@
     config: Config
     clock: Clock
     log: StderrLog
-    peers: Socket | None
+    peers: PeerTransport | None
     closers: list[Callable[[], None]]
     facts: list[Callable[[], dict[str, object]]]
     generations: list[Callable[[Config, Operator | None], None]]
@@ -44,23 +44,28 @@
     own, config, clock = options.peers, host.config, host.clock
     named = peering(own, config)
     keys = read_keys(own.key_file) if own.key_file else ()
-    pace = Pace(probe_ms=own.probe_ms, ack_ms=own.ack_ms, per_s=own.datagrams_per_s, burst=own.burst)
+    protocol_config = ProtocolConfig(
+        probe_interval_ms=own.probe_ms,
+        ack_timeout_ms=own.ack_ms,
+        datagrams_per_s=own.datagrams_per_s,
+        burst_datagrams=own.burst,
+    )
     now = clock.now_ms()
     try:
-        peers = Peers(named.name, named.others, Random(), now, int(now), keys, pace)
+        protocol = PeerProtocol(named.name, named.others, Random(), now, int(now), keys, protocol_config)
     except PeersError as problem:
         raise ConfigError(f"peers: {problem}") from None
-    sock = Socket(peers, named.listen, clock, host.log.write)
-    clock.after(0.0, sock.start)
-    host.peers = sock
-    host.closers.append(sock.close)
-    host.facts.append(sock.facts)
+    transport = PeerTransport(protocol, named.listen, clock, host.log.write)
+    clock.after(0.0, transport.start)
+    host.peers = transport
+    host.closers.append(transport.close)
+    host.facts.append(transport.status_fields)
 
     def relist(config: Config, options: Operator | None) -> None:
         """A reload: the list alone counts now; the reading has checked it (`peering`)."""
         if options is None:
             return
-        line = sock.relist(peering(options.peers, config).others)
+        line = transport.replace_peers(peering(options.peers, config).others)
         if line:
             host.log.write(line)
 
@@ -77,8 +82,8 @@
     except OSError as problem:
         raise ConfigError(f"peers.key_file: {path!r} can't be read: {problem.strerror}") from None
     lines = [line.strip() for line in text.splitlines() if line.strip()]
-    if len(text) > KEY_FILE_MOST or not 1 <= len(lines) <= KEYS_MOST:
-        raise ConfigError(f"peers.key_file: {path!r} has {len(lines)} lines; write one to {KEYS_MOST} keys")
-    if any(len(line) < KEY_LEAST for line in lines):
-        raise ConfigError(f"peers.key_file: {path!r} has a key under {KEY_LEAST} characters")
-    return tuple(line if len(line) <= KEY_MOST else blake2b(line).digest() for line in lines)
+    if len(text) > KEY_FILE_MOST or not 1 <= len(lines) <= MAX_KEYS:
+        raise ConfigError(f"peers.key_file: {path!r} has {len(lines)} lines; write one to {MAX_KEYS} keys")
+    if any(len(line) < MIN_KEY_BYTES for line in lines):
+        raise ConfigError(f"peers.key_file: {path!r} has a key under {MIN_KEY_BYTES} characters")
+    return tuple(line if len(line) <= MAX_KEY_BYTES else blake2b(line).digest() for line in lines)
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -30,7 +30,7 @@
 from larkweir.upstreams.pool import UpstreamPool
 
 if TYPE_CHECKING:
-    from larkweir_peers.hands import Socket
+    from larkweir_peers.transport import PeerTransport
 
     from larkweir.background.runner import Runner
     from larkweir.coordination.captures.part import Part as Captures
@@ -120,7 +120,7 @@
         self.runner: Runner | None = None  # of work beside requests, where any part has some
         self.remembered: RestoredMembers | None = None
         self.keeper: Keeper | None = None
-        self.peers: Socket | None = None
+        self.peers: PeerTransport | None = None
         self.owners: OwnersPlugin | None = None
         self.edits: Edits | None = None
         self.captures: Captures | None = None
@@ -157,7 +157,7 @@
         if self.owners is not None:
             self.owners.hold(held)
         elif self.peers is not None:
-            self.peers.hold(held)
+            self.peers.set_suspended(held)
 
     def close(self) -> None:
         """Nothing runs any more, but the listener."""
--- a/packages/peers/src/larkweir_peers/names.py
+++ b/packages/peers/src/larkweir_peers/addresses.py
@@ -2,35 +2,39 @@
 
 from __future__ import annotations
 
-SIZE = 6
+ADDRESS_BYTES = 6
 
 
-def packed(name: str) -> bytes:
+def pack_address(address: str) -> bytes:
     """`10.3.0.1:7946` as six bytes, network order; ValueError where it is no such address with a port from 1."""
-    host, _, port = name.rpartition(":")
+    host, _, port = address.rpartition(":")
     parts = host.split(".")
     if (
         len(parts) != 4
-        or not all(_number(part, 255) for part in parts)
-        or not _number(port, 65535)
+        or not all(_is_decimal(part, 255) for part in parts)
+        or not _is_decimal(port, 65535)
         or not int(port)
     ):
-        raise ValueError(f"{name!r:.60} is not an IPv4 address and port, such as 10.3.0.1:7946")
+        raise ValueError(f"{address!r:.60} is not an IPv4 address and port, such as 10.3.0.1:7946")
     return bytes(map(int, parts)) + int(port).to_bytes(2, "big")
 
 
-def named(raw: bytes) -> str:
+def unpack_address(raw: bytes) -> str:
     """The name that six bytes stand for."""
     return f"{raw[0]}.{raw[1]}.{raw[2]}.{raw[3]}:{raw[4] << 8 | raw[5]}"
 
 
-def loopback(name: str) -> bool:
+def is_loopback(address: str) -> bool:
     """Whether it never leaves the machine (RFC 1122 section 3.2.1.3)."""
-    return name.startswith("127.")
+    return address.startswith("127.")
 
 
-def _number(text: str, most: int) -> bool:
+def _is_decimal(text: str, maximum: int) -> bool:
     """One way to write each number: a name is compared as text."""
     return (
-        text.isascii() and text.isdigit() and len(text) <= 5 and int(text) <= most and str(int(text)) == text
+        text.isascii()
+        and text.isdigit()
+        and len(text) <= 5
+        and int(text) <= maximum
+        and str(int(text)) == text
     )
--- a/packages/peers/tests/test_peers_fleet.py
+++ b/packages/peers/tests/test_peers_fleet.py
@@ -5,9 +5,9 @@
 from random import Random
 
 import pytest
-from larkweir_peers.frames import MOST, State
-from larkweir_peers.members import Event
-from larkweir_peers.peers import Item, Peers
+from larkweir_peers.membership import MemberEvent
+from larkweir_peers.messages import MAX_DATAGRAM_BYTES, MemberState
+from larkweir_peers.protocol import Item, PeerProtocol
 from larkweir_simulated.network import Network
 
 NAMES = [f"127.0.0.{n}:7946" for n in range(1, 31)]
@@ -22,19 +22,21 @@
     def __init__(self, seed: int, lost: float = 0.0, doubled: float = 0.0, names: list[str] = NAMES) -> None:
         self.net = Network(seed, delay_ms=RTT, lost=lost, doubled=doubled)
         self.names = names
-        self.members: dict[str, Peers] = {}
-        self.events: list[tuple[str, Event]] = []  # who believes, and what
+        self.membership: dict[str, PeerProtocol] = {}
+        self.events: list[tuple[str, MemberEvent]] = []  # who believes, and what
         self.items: list[tuple[str, Item]] = []
         self.slow: dict[str, float] = {}  # a handler that takes its time before each datagram
         self._timers: dict[str, object] = {}
         for name in names:
             self.start(name)
 
-    def start(self, name: str, clock_ms: float = 0.0) -> Peers:
+    def start(self, name: str, clock_ms: float = 0.0) -> PeerProtocol:
         """A life of a process; `clock_ms` is what its clock is off by."""
         net, now = self.net, self.net.now_ms
         life = int(BORN_MS + now + clock_ms)
-        peers = self.members[name] = Peers(name, self.names, Random(net.rng.random()), now, life, KEYS)
+        peers = self.membership[name] = PeerProtocol(
+            name, self.names, Random(net.rng.random()), now, life, KEYS
+        )
 
         def came(source: str, data: bytes) -> None:
             if name in self.slow:
@@ -43,7 +45,7 @@
                 work(source, data)
 
         def work(source: str, data: bytes) -> None:
-            peers.came(source, data, net.now_ms)
+            peers.on_datagram(source, data, net.now_ms)
             self._out(name)
 
         net.listen(name, came)
@@ -51,39 +53,39 @@
         return peers
 
     def _out(self, name: str) -> None:
-        peers, net = self.members[name], self.net
+        peers, net = self.membership[name], self.net
         while peers.datagrams:
             to, data = peers.datagrams.popleft()
-            assert len(data) <= MOST
+            assert len(data) <= MAX_DATAGRAM_BYTES
             net.send(name, to, data)
         while peers.items:
             self.items.append((name, peers.items.popleft()))
-        while peers.members.events:
-            self.events.append((name, peers.members.events.popleft()))
+        while peers.membership.events:
+            self.events.append((name, peers.membership.events.popleft()))
         timer = self._timers.get(name)
         if timer is not None:
             timer.cancel()  # type: ignore[attr-defined]
         self._timers[name] = net.at(peers.next_ms, lambda: self._tick(name), name)
 
     def _tick(self, name: str) -> None:
-        self.members[name].tick(self.net.now_ms)
-        assert self.members[name].next_ms > self.net.now_ms  # else the timer would spin
+        self.membership[name].tick(self.net.now_ms)
+        assert self.membership[name].next_ms > self.net.now_ms  # else the timer would spin
         self._out(name)
 
     def post(self, source: str, to: str, item: bytes) -> bool:
-        done = self.members[source].post(to, 1, item, self.net.now_ms)
+        done = self.membership[source].post(to, 1, item, self.net.now_ms)
         self._out(source)
         return done
 
     def kill(self, *names: str) -> None:
         for name in names:
             self.net.kill(name)
-            del self.members[name]
+            del self.membership[name]
 
     def run(self, ms: float) -> None:
         self.net.run(self.net.now_ms + ms)
 
-    def said(self, state: State, of: str, since_ms: float = 0.0) -> dict[str, float]:
+    def said(self, state: MemberState, of: str, since_ms: float = 0.0) -> dict[str, float]:
         """Who came to believe that first, and when."""
         found: dict[str, float] = {}
         for who, event in self.events:
@@ -91,7 +93,7 @@
                 found.setdefault(who, event.at_ms - since_ms)
         return found
 
-    def wrongly(self, state: State, but: set[str]) -> set[tuple[str, str]]:
+    def wrongly(self, state: MemberState, but: set[str]) -> set[tuple[str, str]]:
         return {
             (who, event.name) for who, event in self.events if event.state is state and event.name not in but
         }
@@ -99,7 +101,7 @@
     def agree(self, dead: set[str] = frozenset()) -> bool:  # type: ignore[assignment]
         """Whether everyone that runs believes what is so."""
         return all(
-            set(peers.alive()) == set(self.names) - {name} - dead for name, peers in self.members.items()
+            set(peers.alive()) == set(self.names) - {name} - dead for name, peers in self.membership.items()
         )
 
 
@@ -112,9 +114,9 @@
     crashed, at = NAMES[seed], fleet.net.now_ms
     fleet.kill(crashed)
     fleet.run(12_000.0)
-    found = fleet.said(State.DEAD, crashed, at)
+    found = fleet.said(MemberState.DEAD, crashed, at)
     assert len(found) == 29 and min(found.values()) > 2_950.0 and max(found.values()) < 10_000.0
-    assert not fleet.wrongly(State.DEAD, {crashed}) and fleet.agree({crashed})
+    assert not fleet.wrongly(MemberState.DEAD, {crashed}) and fleet.agree({crashed})
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -123,7 +125,7 @@
     fleet.run(15_000.0)
     fleet.net.split([NAMES[:12], NAMES[12:]])
     fleet.run(60_000.0)
-    for name, peers in fleet.members.items():
+    for name, peers in fleet.membership.items():
         side = NAMES[:12] if name in NAMES[:12] else NAMES[12:]
         assert set(peers.alive()) == set(side) - {name}
     fleet.net.heal()
@@ -145,8 +147,8 @@
             fleet.net.go_on(name)
         fleet.run(15_000.0)
         assert fleet.agree()
-    assert not fleet.wrongly(State.DEAD, stopped) and not fleet.wrongly(State.SUSPECT, stopped)
-    assert fleet.said(State.DEAD, NAMES[0])  # 30 s are longer than any suspicion
+    assert not fleet.wrongly(MemberState.DEAD, stopped) and not fleet.wrongly(MemberState.SUSPECT, stopped)
+    assert fleet.said(MemberState.DEAD, NAMES[0])  # 30 s are longer than any suspicion
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -157,12 +159,12 @@
     slow = set(NAMES[:3])
     fleet.slow = dict.fromkeys(slow, 600.0)
     fleet.run(60_000.0)
-    assert not fleet.wrongly(State.DEAD, set()) and not fleet.wrongly(State.SUSPECT, slow)
-    assert all(fleet.members[name].health.score >= 5 for name in slow)
-    assert sum(fleet.members[name].health.score for name in NAMES[3:]) <= 5
+    assert not fleet.wrongly(MemberState.DEAD, set()) and not fleet.wrongly(MemberState.SUSPECT, slow)
+    assert all(fleet.membership[name].health.score >= 5 for name in slow)
+    assert sum(fleet.membership[name].health.score for name in NAMES[3:]) <= 5
     fleet.slow.clear()
     fleet.run(30_000.0)
-    assert fleet.agree() and not any(peers.health.score for peers in fleet.members.values())
+    assert fleet.agree() and not any(peers.health.score for peers in fleet.membership.values())
 
 
 def test_a_new_life_takes_the_place_of_the_former_one_also_with_its_clock_behind() -> None:
@@ -170,16 +172,16 @@
     fleet.run(10_000.0)
     for clock_ms in (0.0, -500_000.0):
         name = NAMES[7]
-        before = fleet.members[name].members.incarnation
+        before = fleet.membership[name].membership.incarnation
         fleet.kill(name)
         fleet.run(300.0)
         fleet.start(name, clock_ms)
         fleet.run(10_000.0)
-        assert fleet.members[name].members.incarnation > before
-        assert {peers.members.table[name].incarnation for n, peers in fleet.members.items() if n != name} == {
-            fleet.members[name].members.incarnation
-        }
-        assert fleet.agree() and not fleet.said(State.DEAD, name)
+        assert fleet.membership[name].membership.incarnation > before
+        assert {
+            peers.membership.members[name].incarnation for n, peers in fleet.membership.items() if n != name
+        } == {fleet.membership[name].membership.incarnation}
+        assert fleet.agree() and not fleet.said(MemberState.DEAD, name)
 
 
 def test_a_listed_one_that_never_runs_is_held_to_be_lost_until_it_does() -> None:
--- a/packages/peers/tests/test_peers_golden.py
+++ b/packages/peers/tests/test_peers_golden.py
@@ -6,29 +6,40 @@
 from random import Random
 
 import pytest
-from larkweir_peers.frames import KINDS, Ack, Ask, Frame, Nack, News, Part, Ping, decode, encode
-from larkweir_peers.names import named, packed
-from larkweir_peers.parts import Pieces, cut
-from larkweir_peers.peers import Peers
-from larkweir_peers.seal import Seal
+from larkweir_peers.addresses import pack_address, unpack_address
+from larkweir_peers.authentication import DatagramAuthenticator
+from larkweir_peers.fragmentation import Reassembler, split_item
+from larkweir_peers.messages import (
+    MESSAGE_TYPES,
+    Ack,
+    Fragment,
+    MemberUpdate,
+    Message,
+    Nack,
+    Ping,
+    PingRequest,
+    decode,
+    encode,
+)
+from larkweir_peers.protocol import PeerProtocol
 
 GOLDEN = Path(__file__).parent / "golden"
 A, B, C = (f"127.0.0.1:{7001 + n}" for n in range(3))
 KEY, OLD_KEY = b"sixteen letters!", b"the key of before"
-HEAD = (packed(A), (1_700_000_000_000 << 16) + 2, 0xDEADBEEF, 2**40 + 1)
+HEAD = (pack_address(A), (1_700_000_000_000 << 16) + 2, 0xDEADBEEF, 2**40 + 1)
 NEWS = [
-    News(packed(B), 1, 1_700_000_000_000 << 16),
-    News(packed(C), 2, 5, packed(B)),
-    News(packed(B), 3, 0),
-    News(packed(C), 4, 2**63 - 1),
+    MemberUpdate(pack_address(B), 1, 1_700_000_000_000 << 16),
+    MemberUpdate(pack_address(C), 2, 5, pack_address(B)),
+    MemberUpdate(pack_address(B), 3, 0),
+    MemberUpdate(pack_address(C), 4, 2**63 - 1),
 ]
-FRAMES: dict[str, Frame] = {
+FRAMES: dict[str, Message] = {
     "ping": Ping(*HEAD, NEWS),
-    "ping_alone": Ping(packed(A), 1 << 16, 0, 0, []),
+    "ping_alone": Ping(pack_address(A), 1 << 16, 0, 0, []),
     "ack": Ack(*HEAD, NEWS[:1], 77),
-    "ask": Ask(*HEAD, [], packed(C)),
+    "ask": PingRequest(*HEAD, [], pack_address(C)),
     "nack": Nack(*HEAD, [], 78),
-    "part": Part(*HEAD, NEWS[1:2], 255, 2**33, 1, 44, bytes(range(40))),
+    "part": Fragment(*HEAD, NEWS[1:2], 255, 2**33, 1, 44, bytes(range(40))),
 }
 LARGE = bytes(range(256)) * 2
 
@@ -42,9 +53,9 @@
 FOUND = {name: rows(f"{name}.hex") for name in ("frames", "exchange")}
 
 
-def processes() -> dict[str, Peers]:
+def processes() -> dict[str, PeerProtocol]:
     return {
-        name: Peers(name, (A, B, C), Random(name), 0.0, life, (KEY,))
+        name: PeerProtocol(name, (A, B, C), Random(name), 0.0, life, (KEY,))
         for name, life in ((A, 1_000), (B, 2_000), (C, 3_000))
     }
 
@@ -69,7 +80,7 @@
             for to, data in going:
                 found.append((f"{turn}:{name}>{to}", data))
                 if not silent & {name, to}:
-                    peers[to].came(name, data, now_ms)
+                    peers[to].on_datagram(name, data, now_ms)
     assert [tuple(item) for item in peers[B].items] == [(A, 2, LARGE), (A, 3, b"")]
     found += [
         (f"{name}:{cause}", count.to_bytes(4, "big"))
@@ -86,22 +97,26 @@
 
 
 def test_every_kind_of_frame_is_here() -> None:
-    assert {type(frame) for frame in FRAMES.values()} == set(KINDS.values())
+    assert {type(frame) for frame in FRAMES.values()} == set(MESSAGE_TYPES.values())
 
 
 def test_a_name_and_a_tag_are_as_before() -> None:
-    assert packed(A) == FOUND["frames"]["name"] and named(FOUND["frames"]["name"]) == A
+    assert pack_address(A) == FOUND["frames"]["name"] and unpack_address(FOUND["frames"]["name"]) == A
     sealed = FOUND["frames"]["sealed"]
-    assert Seal((KEY, OLD_KEY)).close(packed(B), FOUND["frames"]["ping"]) == sealed
-    assert Seal((OLD_KEY, KEY)).open(packed(B), sealed) == FOUND["frames"]["ping"]
-    assert Seal((KEY,)).open(packed(C), sealed) is None
+    assert DatagramAuthenticator((KEY, OLD_KEY)).sign(pack_address(B), FOUND["frames"]["ping"]) == sealed
+    assert DatagramAuthenticator((OLD_KEY, KEY)).verify(pack_address(B), sealed) == FOUND["frames"]["ping"]
+    assert DatagramAuthenticator((KEY,)).verify(pack_address(C), sealed) is None
 
 
 def test_an_item_in_pieces_comes_together() -> None:
     pieces = [FOUND["frames"][f"piece{number}"] for number in range(3)]
-    assert cut(LARGE) == pieces
-    whole = Pieces()
-    assert [whole.put(A, 1, 2, n, 3, piece, 0.0) for n, piece in enumerate(pieces)] == [None, None, LARGE]
+    assert split_item(LARGE) == pieces
+    whole = Reassembler()
+    assert [whole.add_fragment(A, 1, 2, n, 3, piece, 0.0) for n, piece in enumerate(pieces)] == [
+        None,
+        None,
+        LARGE,
+    ]
 
 
 def test_an_exchange_is_datagram_by_datagram_as_before() -> None:
--- a/packages/peers/tests/test_peers_hands.py
+++ b/packages/peers/tests/test_peers_hands.py
@@ -10,14 +10,16 @@
 from random import Random
 
 import pytest
-from larkweir_peers.frames import State
-from larkweir_peers.hands import Mail, Socket
-from larkweir_peers.members import Event
-from larkweir_peers.pace import Pace
-from larkweir_peers.peers import Peers
+from larkweir_peers.membership import MemberEvent
+from larkweir_peers.messages import MemberState
+from larkweir_peers.protocol import PeerProtocol
+from larkweir_peers.protocol_config import ProtocolConfig
+from larkweir_peers.transport import Channel, PeerTransport
 
 KEYS = (b"sixteen letters!",)
-QUICK = Pace(probe_ms=50.0, ack_ms=20.0, per_s=2_000.0, burst=500.0)
+QUICK = ProtocolConfig(
+    probe_interval_ms=50.0, ack_timeout_ms=20.0, datagrams_per_s=2_000.0, burst_datagrams=500.0
+)
 LIVES = count(1)
 
 
@@ -48,17 +50,19 @@
 
     def __init__(self, name: str, names: list[str], listen: str = "") -> None:
         self.log: list[str] = []
-        self.events: list[Event] = []
+        self.events: list[MemberEvent] = []
         self.came: list[tuple[str, bytes]] = []
         clock = LoopClock()
         life = int(clock.now_ms()) + next(LIVES)
-        self.peers = Peers(name, names, Random(name), clock.now_ms(), life, KEYS, QUICK)
-        self.socket = Socket(self.peers, listen or name, clock, self.log.append, self.events.append)
-        self.mail: Mail = self.socket.mail(1, lambda source, item, now_ms: self.came.append((source, item)))
+        self.peers = PeerProtocol(name, names, Random(name), clock.now_ms(), life, KEYS, QUICK)
+        self.socket = PeerTransport(self.peers, listen or name, clock, self.log.append, self.events.append)
+        self.mail: Channel = self.socket.open_channel(
+            1, lambda source, item, now_ms: self.came.append((source, item))
+        )
         self.socket.start()
 
-    def state(self, name: str) -> State:
-        return self.peers.members.table[name].state
+    def state(self, name: str) -> MemberState:
+        return self.peers.membership.members[name].state
 
 
 @asynccontextmanager
@@ -82,9 +86,9 @@
 
 
 def meet(made: list[Life]) -> Callable[[], bool]:
-    names = [life.peers.me for life in made]
+    names = [life.peers.address for life in made]
     return lambda: all(
-        life.state(name) is State.ALIVE for life in made for name in names if name != life.peers.me
+        life.state(name) is MemberState.ALIVE for life in made for name in names if name != life.peers.address
     )
 
 
@@ -99,7 +103,7 @@
             await until(lambda: len(made[1].came) == len(made[2].came) == 3, "each item")
             assert made[1].came == [(names[0], item) for item in items]
             assert set(made[0].mail.alive()) == {names[1], names[2]}
-            facts = made[0].socket.facts()
+            facts = made[0].socket.status_fields()
             assert facts["peers"] == "2/2" and facts["peers_dropped"] == "0"
             assert any("are there" in line for line in made[0].log)
 
@@ -117,10 +121,10 @@
                 stranger.sendto(data, (host, int(port)))
             dropped = made[0].peers.dropped
             await until(lambda: dropped["stranger"] + dropped["too_long"] == 4, "all four counted")
-            assert "stranger:3" in str(made[0].socket.facts()["peers_dropped"])
-            made[0].socket._receivers[1] = lambda source, item, now_ms: 1 / 0  # a part that fails
+            assert "stranger:3" in str(made[0].socket.status_fields()["peers_dropped"])
+            made[0].socket._handlers[1] = lambda source, item, now_ms: 1 / 0  # a part that fails
             made[1].mail.post(names[0], b"bad")
-            await until(lambda: made[0].socket.told_wrong == 1, "the part has failed")
+            await until(lambda: made[0].socket.handler_errors == 1, "the part has failed")
             made[0].mail.post(names[1], b"good")
             await until(lambda: made[1].came == [(names[0], b"good")], "and the socket goes on")
             made[0].socket.post(names[1], 9, b"for no part")
@@ -137,15 +141,15 @@
         async with lives(names, 3) as made:
             await until(meet(made), "all three know each other")
             made[0].socket.close()
-            await until(lambda: made[2].state(names[0]) is State.LEFT, "the word that it leaves")
-            made[1].socket.hold(True)  # its socket is gone, and it says nothing
-            await until(lambda: made[2].state(names[1]) is State.DEAD, "that it is lost")
+            await until(lambda: made[2].state(names[0]) is MemberState.LEFT, "the word that it leaves")
+            made[1].socket.set_suspended(True)  # its socket is gone, and it says nothing
+            await until(lambda: made[2].state(names[1]) is MemberState.DEAD, "that it is lost")
             assert [event.state for event in made[2].events if event.name == names[1]][-2:] == [
-                State.SUSPECT,
-                State.DEAD,
+                MemberState.SUSPECT,
+                MemberState.DEAD,
             ]
-            made[1].socket.hold(False)
-            await until(lambda: made[2].state(names[1]) is State.ALIVE, "that it is back")
+            made[1].socket.set_suspended(False)
+            await until(lambda: made[2].state(names[1]) is MemberState.ALIVE, "that it is back")
 
     asyncio.run(play())
 
@@ -155,19 +159,19 @@
         names = free_names(2)
         async with lives(names, 2) as made:
             await until(meet(made), "both know each other")
-            before = made[1].peers.members.table[names[0]].incarnation
+            before = made[1].peers.membership.members[names[0]].incarnation
             after = Life(names[0], names)
-            assert not after.socket.open and made[0].socket.open and "until it is free" in after.log[0]
+            assert not after.socket.is_open and made[0].socket.is_open and "until it is free" in after.log[0]
             assert not after.mail.post(names[1], b"x")
-            made[0].socket.hold(True)
+            made[0].socket.set_suspended(True)
             await until(
                 lambda: after.mail.post(names[1], b"of the new life"), "the address, and the other's life"
             )
             await until(lambda: made[1].came, "its item")
             assert made[1].came == [(names[0], b"of the new life")]
-            assert made[1].peers.members.table[names[0]].incarnation > before
+            assert made[1].peers.membership.members[names[0]].incarnation > before
             made[0].socket.close()  # says nothing: the name is the successor's
-            assert made[1].state(names[0]) is State.ALIVE
+            assert made[1].state(names[0]) is MemberState.ALIVE
             after.socket.close()
 
     asyncio.run(play())
@@ -178,6 +182,6 @@
         names = free_names(2)
         async with lives(names, 1) as (life,):
             with pytest.raises(ValueError, match="channel 1"):
-                life.socket.mail(1, lambda source, item, now_ms: None)
+                life.socket.open_channel(1, lambda source, item, now_ms: None)
 
     asyncio.run(play())
--- a/standins/duties.py
+++ b/standins/duties.py
@@ -11,9 +11,9 @@
 from larkweir_owners.duty_manager import DutyManager
 from larkweir_owners.lease_timing import LeaseTiming, Phase
 from larkweir_owners.messages import Record, ReplicaSet
-from larkweir_peers.pace import Bucket, Pace
-from larkweir_peers.parts import cut
-from larkweir_peers.peers import Peers
+from larkweir_peers.fragmentation import split_item
+from larkweir_peers.protocol import PeerProtocol
+from larkweir_peers.protocol_config import ProtocolConfig, TokenBucket
 from larkweir_simulated import Due, Network
 
 from larkweir.config.options import Route
@@ -54,9 +54,9 @@
             self.disk = self.disk or AcceptorState(fleet.rng.getrandbits(31), fleet.keepers)
             keeper = Acceptor(self.name, self.disk.copy())
         life = fleet.rng.getrandbits(31)
-        pace = Pace()
-        self._bucket = Bucket(pace.per_s, pace.burst, network.now_ms)
-        self._left = pace.burst * Peers.RESERVE
+        config = ProtocolConfig()
+        self._bucket = TokenBucket(config.datagrams_per_s, config.burst_datagrams, network.now_ms)
+        self._left = config.burst_datagrams * PeerProtocol.MEMBERSHIP_RESERVE_FRACTION
         works = self.duties(int(network.now_ms))
         self.works = {work.name: work for work in works}
         self.owners = DutyManager(
@@ -90,8 +90,8 @@
 
     def _send(self, to: str, data: bytes) -> bool:
         network = self.fleet.network
-        pieces = len(cut(data))
-        if not self._bucket.take(pieces, self._left, network.now_ms):
+        pieces = len(split_item(data))
+        if not self._bucket.try_acquire(pieces, self._left, network.now_ms):
             self.refused += 1
             return False
         self.fleet.datagrams += pieces
--- a/standins/world/system.py
+++ b/standins/world/system.py
@@ -209,7 +209,7 @@
     ("larkweir.lifecycle.config_loader", "load_options", _operator_file),
     ("larkweir.lifecycle.handover", "Successor", Successor),
     ("larkweir.lifecycle.upgrade", "socket_path", _no_meeting_place),
-    ("larkweir_peers.hands", "socket", SocketModule()),
+    ("larkweir_peers.transport", "socket", SocketModule()),
     ("larkweir.coordination.part", "Random", drawn),
     ("larkweir.coordination.owners", "Random", drawn),
     ("larkweir.coordination.owners", "randbits", randbits),
--- a/tests/fleet/test_edits_part.py
+++ b/tests/fleet/test_edits_part.py
@@ -49,7 +49,7 @@
     def __init__(self, name: str, post: Post, folder: Path, text: str, **edits: Any) -> None:
         self.name, self.post, self.folder = name, post, folder
         self.lines: list[str] = []
-        self.log, self.peers, self.open = self, self, True
+        self.log, self.peers, self.is_open = self, self, True
         self.receiver: Callable[[str, bytes, float], None] | None = None
         self.edits: Part | None = None
         self.owners: Any = None
@@ -72,7 +72,7 @@
         return options
 
     # The socket, as far as the part goes
-    def mail(self, channel: int, came: Callable[[str, bytes, float], None]) -> Host:
+    def open_channel(self, channel: int, came: Callable[[str, bytes, float], None]) -> Host:
         self.receiver = came
         return self
 
@@ -122,8 +122,10 @@
 
 @pytest.fixture(autouse=True)
 def mailed(monkeypatch: pytest.MonkeyPatch) -> None:
-    real = Host.mail
-    monkeypatch.setattr(Host, "mail", lambda self, channel, came: (real(self, channel, came), _Mail(self))[1])
+    real = Host.open_channel
+    monkeypatch.setattr(
+        Host, "open_channel", lambda self, channel, came: (real(self, channel, came), _Mail(self))[1]
+    )
 
 
 async def until(true: Callable[[], Any], what: str, hosts: Sequence[Host] = ()) -> None:
--- a/tests/scenes/test_fleet.py
+++ b/tests/scenes/test_fleet.py
@@ -9,9 +9,9 @@
 import sys
 from collections import Counter
 
-from larkweir_peers.frames import LIFE_BITS, Ping, encode
-from larkweir_peers.names import packed
-from larkweir_peers.seal import Seal
+from larkweir_peers.addresses import pack_address
+from larkweir_peers.authentication import DatagramAuthenticator
+from larkweir_peers.messages import REFUTATION_BITS, Ping, encode
 
 from standins.manager import ROOT
 from tests.scenes.fleet import Fleet, written
@@ -86,17 +86,17 @@
         await fleet.start(u0, names=("north", "south"), more=(third,), peers={"key_file": str(key)})
         north, south = fleet.members
         await north.shows(peers="1/2", drop_forged="0")
-        mallory = Seal([b"a key of somebody else"])
-        right = Seal([key.read_bytes().strip()])
-        me, it, other = packed(third), packed(north.address), packed(south.address)
+        mallory = DatagramAuthenticator([b"a key of somebody else"])
+        right = DatagramAuthenticator([key.read_bytes().strip()])
+        me, it, other = pack_address(third), pack_address(north.address), pack_address(south.address)
         host, _, port = north.address.rpartition(":")
         datagrams = (
             ("stranger", "from an address that is not listed", stranger, b"good morning"),
             ("forged", "no tag", listed, b"good morning"),
-            ("forged", "a ping with another key's tag", listed, mallory.close(it, ping(me))),
-            ("forged", "a ping to south", listed, right.close(other, ping(me))),
-            ("version", "of another release", listed, right.close(it, bytes((99,)) + ping(me)[1:])),
-            ("not_itself", "a ping in south's name", listed, right.close(it, ping(other))),
+            ("forged", "a ping with another key's tag", listed, mallory.sign(it, ping(me))),
+            ("forged", "a ping to south", listed, right.sign(other, ping(me))),
+            ("version", "of another release", listed, right.sign(it, bytes((99,)) + ping(me)[1:])),
+            ("not_itself", "a ping in south's name", listed, right.sign(it, ping(other))),
         )
         seen = Counter[str]()
         for cause, what, sock, data in datagrams:
@@ -113,7 +113,7 @@
 
 
 def ping(sender: bytes) -> bytes:
-    return encode(Ping(sender, 1 << LIFE_BITS, 0, 1, []))
+    return encode(Ping(sender, 1 << REFUTATION_BITS, 0, 1, []))
 
 
 @scene()
--- a/tests/scenes/test_peers.py
+++ b/tests/scenes/test_peers.py
@@ -6,9 +6,19 @@
 import signal
 import socket
 
-from larkweir_peers.frames import LIFE_BITS, Ack, Ask, Frame, Part, Ping, decode, encode, short_life
-from larkweir_peers.names import packed
-from larkweir_peers.seal import Seal
+from larkweir_peers.addresses import pack_address
+from larkweir_peers.authentication import DatagramAuthenticator
+from larkweir_peers.messages import (
+    REFUTATION_BITS,
+    Ack,
+    Fragment,
+    Message,
+    Ping,
+    PingRequest,
+    decode,
+    encode,
+    short_process_start,
+)
 
 from standins.peers import PATIENCE_S
 from standins.relay import Relay
@@ -24,34 +34,38 @@
     def __init__(self, s: Scene, sock: socket.socket, to: Member) -> None:
         self._s, self._sock, self._to = s, sock, to
         self.name = f"127.0.0.1:{sock.getsockname()[1]}"
-        self._seal = Seal([KEY])
-        self._me, self._it = packed(self.name), packed(to.address)
+        self._seal = DatagramAuthenticator([KEY])
+        self._me, self._it = pack_address(self.name), pack_address(to.address)
         host, _, port = to.address.rpartition(":")
         self._address = host, int(port)
         self.number = 0
 
-    def says(self, what: str, frame: Frame) -> None:
+    def says(self, what: str, frame: Message) -> None:
         self._s.script.line("east", self._to.name, what)
-        self._sock.sendto(self._seal.close(self._it, encode(frame)), self._address)
+        self._sock.sendto(self._seal.sign(self._it, encode(frame)), self._address)
 
     def ping(self, life: int, number: int = 0) -> Ping:
         self.number = number or self.number + 1
-        return Ping(self._me, life << LIFE_BITS, 0, self.number, [])
+        return Ping(self._me, life << REFUTATION_BITS, 0, self.number, [])
 
-    def item(self, life: int, to: int) -> Part:
+    def item(self, life: int, to: int) -> Fragment:
         """Of one piece, on a channel that no part listens on, for a life of the receiver."""
         self.number += 1
-        return Part(self._me, life << LIFE_BITS, short_life(to), self.number, [], 77, 1, 0, 1, b"x")
+        return Fragment(
+            self._me, life << REFUTATION_BITS, short_process_start(to), self.number, [], 77, 1, 0, 1, b"x"
+        )
 
-    async def hears(self, what: str, kind: type[Frame], telling: int = 0) -> Frame:
+    async def hears(self, what: str, kind: type[Message], telling: int = 0) -> Message:
         """The next datagram of this kind, and with this life of its own told; what else comes goes by the clock."""
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(PATIENCE_S):
             while True:
-                data = self._seal.open(self._me, await loop.sock_recv(self._sock, 512))
+                data = self._seal.verify(self._me, await loop.sock_recv(self._sock, 512))
                 assert data is not None, "a datagram that is not signed for east"
                 frame = decode(data)
-                told = {news.incarnation >> LIFE_BITS for news in frame.news if news.who == self._me}
+                told = {
+                    news.incarnation >> REFUTATION_BITS for news in frame.updates if news.member == self._me
+                }
                 if isinstance(frame, kind) and (not telling or telling in told):
                     self._s.script.line(self._to.name, "east", what)
                     return frame
@@ -89,7 +103,9 @@
         await north.shows(drop_again="1")
 
         s.script.part("Items")
-        east.says("an item for another life of north", east.item(2, answer.incarnation - (9 << LIFE_BITS)))
+        east.says(
+            "an item for another life of north", east.item(2, answer.incarnation - (9 << REFUTATION_BITS))
+        )
         await north.shows(drop_not_this_life="1")
         east.says("an item for a part that is off", east.item(2, answer.incarnation))
         await north.shows(drop_no_part="1")
@@ -145,10 +161,10 @@
         goes by the clock.
         """
         frame, words = decode(data), ""
-        if isinstance(frame, Ask) and [frame.sender, frame.who] == cut[:2]:
-            asked.add(frame.number)
+        if isinstance(frame, PingRequest) and [frame.sender, frame.target] == cut[:2]:
+            asked.add(frame.sequence_number)
             words = "probe <west> for me"
-        elif isinstance(frame, Ack) and [frame.sender] == cut[2:] and frame.of in asked:
+        elif isinstance(frame, Ack) and [frame.sender] == cut[2:] and frame.request_number in asked:
             words = "<west> has answered"
         if not words or words in told:
             return None
@@ -163,7 +179,7 @@
     north, south, west = fleet.members
     for it in fleet.members:
         await it.shows(peers="2/2")
-    cut += [packed(it.address) for it in (north, west, south)]
+    cut += [pack_address(it.address) for it in (north, west, south)]
     relay.cut_one_way("west", "north")
     await relay.takes("north", "south")
     await relay.takes("south", "north")
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -48,7 +48,7 @@
     "larkweir_owners.acceptor_file",
     "larkweir_owners.file_system",
     "larkweir_peers",
-    "larkweir_peers.hands",
+    "larkweir_peers.transport",
     "larkweir_quotas",
     "larkweir_registry",
     "larkweir_replication",
