--- a/tests/system/test_configuration.py
+++ b/tests/system/test_configuration.py
@@ -187,26 +187,26 @@
 
 def test_the_longest_prefix_of_the_host_wins() -> None:
     made = table()
-    assert made.route("a.example", "/one/x").name == "r1"  # type: ignore[union-attr]
-    assert made.route("a.example", "/one/two/x").name == "r2"  # type: ignore[union-attr]
-    assert made.route("a.example", "/two/") is None
-    assert made.route("b.example", "/one/") is None
+    assert made.find_route("a.example", "/one/x").name == "r1"  # type: ignore[union-attr]
+    assert made.find_route("a.example", "/one/two/x").name == "r2"  # type: ignore[union-attr]
+    assert made.find_route("a.example", "/two/") is None
+    assert made.find_route("b.example", "/one/") is None
 
 
 def test_tenants_are_found_by_key_and_count_in_their_unit() -> None:
     made = table()
-    tenant = made.tenant("k2")
+    tenant = made.find_tenant("k2")
     assert tenant is not None
     assert tenant.name == "x"
-    assert tenant.units(120.0) == 120.0
-    assert made.tenant("nobody's") is None
+    assert tenant.quota_units(120.0) == 120.0
+    assert made.find_tenant("nobody's") is None
     assert set(made.quotas) == {"x"}
 
 
 def test_weights_are_kept() -> None:
     split = [{"backend": "s", "weight": 9}, {"backend": "t", "weight": 1}]
     made = table(changed(routes=[route("r", "/", backend=None, traffic_split=split)]))
-    found = made.route("a.example", "/x")
+    found = made.find_route("a.example", "/x")
     assert found is not None
     rng = Random(1)
     to_s = sum(found.service(rng) == "s" for _ in range(2_000))
@@ -226,4 +226,4 @@
     assert store.apply(update(8, {"generation": 9, "remove": {"routes": ["r2"]}}, base=5))
     assert store.table is not None
     assert store.table.version == 9
-    assert store.table.route("a.example", "/one/two/x").name == "r1"  # type: ignore[union-attr]
+    assert store.table.find_route("a.example", "/one/two/x").name == "r1"  # type: ignore[union-attr]
