--- a/larkweir/router/client_connection.py
+++ b/larkweir/router/client_connection.py
@@ -1,8 +1,9 @@
-"""A client's connection over h11: requests in turn, each as one exchange."""
+"""A client's HTTP/1.1 connection (h11): its requests one after the other, each as one exchange."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from typing import cast
 
 import h11
@@ -14,17 +15,20 @@
 from larkweir.router.data_plane import DataPlane
 from larkweir.router.exchange import Exchange
 
-USER_TIMEOUT_MS = 10_000.0
-MAX_PIPELINED_BYTES = 64 * 1024  # sent ahead while a request is being answered
-MAX_UNSENT_BYTES = 64 * 1024  # that the client has not taken, from which the upstream is held up
+USER_TIMEOUT_MS = 10_000.0  # sent bytes that stay unacknowledged for so long: the client is gone
+MAX_PIPELINED_BYTES = 64 * 1024  # received while a request is in progress; then reading pauses
+MAX_UNSENT_BYTES = 64 * 1024  # buffered for the client; then reading from the upstream pauses
 CLOSE_HEADER = (b"connection", b"close")
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client."""
+    """One connection of a client: limits and time-outs of its requests, and the writer of their responses.
+
+    Implements `response_relay.ResponseWriter` and `data_plane.OpenConnection`.
+    """
 
     def __init__(self, plane: DataPlane) -> None:
-        """Registers with the data plane once it is made."""
+        """The connection is in `plane.connections` from `connection_made` to `connection_lost`."""
         self._plane = plane
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -39,12 +43,11 @@
         self._timer: asyncio.TimerHandle | None = None
         self._is_idle_timer = False
         self._writable = True
-        self._chunks: list[bytes] = []
 
-    # Called by the loop
+    # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop."""
+        """The client has connected: wait for its first request."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
         self._transport = transport
         transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
@@ -53,7 +56,7 @@
         self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop."""
+        """The connection has ended: cancel the request in progress."""
         self._transport = None
         self._plane.connections.discard(self)
         self._stop_timer()
@@ -62,21 +65,21 @@
             exchange.cancel()
 
     def eof_received(self) -> bool:
-        """Called by the loop. A client that sends no more has gone."""
+        """A client that has closed its side has disconnected: the transport is closed."""
         return False
 
     def pause_writing(self) -> None:
-        """Called by the loop."""
+        """The client does not keep up: `send_body` returns False from now on."""
         self._writable = False
 
     def resume_writing(self) -> None:
-        """Called by the loop."""
+        """The client has caught up."""
         self._writable = True
         if self._exchange is not None:
             self._exchange.on_client_writable()
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop."""
+        """Bytes of the next request; those of pipelined ones wait until it is their turn."""
         self._h11.receive_data(data)
         if self._exchange is not None:
             self._pipelined_bytes += len(data)
@@ -87,7 +90,7 @@
             self._start_header_timer()
         self._advance()
 
-    # Times
+    # Time-outs
 
     def _start_idle_timer(self) -> None:
         self._start_timer(self._limits.idle_timeout_ms, self.close_if_idle)
@@ -97,9 +100,9 @@
         self._start_timer(self._limits.header_timeout_ms, self._on_request_timeout)
         self._is_idle_timer = False
 
-    def _start_timer(self, for_ms: float, then: object) -> None:
+    def _start_timer(self, timeout_ms: float, on_timeout: Callable[[], None]) -> None:
         self._stop_timer()
-        self._timer = self._loop.call_later(for_ms / 1000.0, then)  # type: ignore[arg-type]
+        self._timer = self._loop.call_later(timeout_ms / 1000.0, on_timeout)
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -115,23 +118,23 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing of a request has come that is not answered."""
+        """Whether no byte of an unanswered request has been received."""
         return self._exchange is None and self._request_head is None and self._is_idle_timer
 
     def close_if_idle(self) -> None:
-        """Ends a connection on which nobody waits."""
+        """Close the connection unless a request is under way."""
         if self.is_idle and self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Ends the connection whatever is under way."""
+        """Close the connection whatever is under way."""
         if self._transport is not None:
             self._transport.abort()
 
     # Requests
 
     def _advance(self) -> None:
-        """Takes what has come, until a request is whole or more is needed."""
+        """Parse what has been received, until a request is complete or more bytes are needed."""
         while self._exchange is None and self._transport is not None and not self._transport.is_closing():
             try:
                 event = self._h11.next_event()
@@ -186,7 +189,7 @@
         exchange.start()
 
     def _on_exchange_done(self) -> None:
-        """The exchange is over; the answer may have ended the connection."""
+        """The exchange is over: close the connection, or go on with the next request."""
         self._exchange = None
         self._request_head = None
         transport = self._transport
@@ -205,7 +208,7 @@
             transport.close()
 
     def _reject(self, kind: ErrorKind) -> None:
-        """Answers what can't be read as a request, and ends the connection."""
+        """Respond to what is no valid request within the limits, and close the connection."""
         self._stop_timer()
         if self._transport is None:
             return
@@ -215,10 +218,10 @@
             self.end_response()
         self._transport.close()
 
-    # Answers
+    # response_relay.ResponseWriter
 
     def start_response(self, status: int, headers: Headers) -> None:
-        """The head is written with the first piece behind it."""
+        """Send the head of a response; a router that stops adds `Connection: close`."""
         if self._plane.stopping and CLOSE_HEADER not in headers:
             headers = [*headers, CLOSE_HEADER]
         out = self._h11.send(h11.Response(status_code=status, headers=list(headers)))
@@ -226,24 +229,24 @@
             self._transport.write(out)
 
     def send_body(self, data: bytes) -> bool:
-        """Passed on as it comes; False while the client does not keep up."""
+        """Send a chunk of the body; False while the client does not keep up."""
         out = self._h11.send(h11.Data(data=data))
         if self._transport is not None and out:
             self._transport.write(out)
         return self._writable
 
     def end_response(self) -> None:
-        """The answer is whole."""
+        """Mark the response as complete; it is aborted where it is shorter than its head promised."""
         try:
             out = self._h11.send(h11.EndOfMessage())
-        except h11.LocalProtocolError:  # fewer bytes than its head promised
+        except h11.LocalProtocolError:  # fewer bytes than its Content-Length
             self.abort_response()
             return
         if self._transport is not None and out:
             self._transport.write(out)
 
     def abort_response(self) -> None:
-        """Closes without the mark of a whole answer; what was passed on still arrives."""
+        """Close without the mark of a complete response; what was sent before still arrives."""
         self._h11.send_failed()
         if self._transport is not None:
             self._transport.close()
--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -1,16 +1,15 @@
-"""A client's request as the router reads it, and the headers that go on to an upstream."""
+"""A client's request as the router reads it, and the headers that are forwarded to an upstream."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from larkweir_balancing.prompt import Prompt
 
 Headers = Sequence[tuple[bytes, bytes]]
 
-# Of one connection alone (RFC 9110, 7.6.1), or framed anew.
+# Of one connection only (RFC 9110, 7.6.1), or set anew by the framing of the next.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -31,28 +30,29 @@
 )
 
 
-class RoutingHeaders(NamedTuple):
-    """What the router tells an upstream of a request beside the client's own headers."""
+@dataclass(frozen=True, slots=True)
+class RoutingHeaders:
+    """What the router adds to a request that it forwards."""
 
-    deadline_ms: int
+    deadline_ms: int  # that remain
     instance: str
     tenant: str | None
     priority: int
-    last_event_id: bytes | None
+    last_event_id: bytes | None  # of the stream that is resumed; None: the client's own header is kept
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One whole request. Header names are in lower case."""
+    """One complete request. Header names are in lower case."""
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
-    received_ms: float
+    received_ms: float  # on the event loop's clock
 
     def header(self, name: bytes) -> bytes:
-        """The first of that name, or nothing."""
+        """The first value of that name, or an empty one."""
         for found, value in self.headers:
             if found == name:
                 return value
@@ -60,17 +60,17 @@
 
     @property
     def host(self) -> str:
-        """Without a port."""
+        """The host that the client names, without a port, in lower case."""
         return self.header(b"host").decode("latin-1").partition(":")[0].lower()
 
     @property
     def path(self) -> str:
-        """Without a query."""
+        """The target without its query."""
         return self.target.decode("latin-1").partition("?")[0]
 
     @property
     def deadline_ms(self) -> float | None:
-        """For how long the client waits, where it says so."""
+        """How long the client waits, in milliseconds (`X-Deadline-Ms`); None where it does not say."""
         text = self.header(b"x-deadline-ms")
         try:
             return max(0.0, float(text)) if text else None
@@ -79,7 +79,7 @@
 
     @property
     def tokens(self) -> float | None:
-        """Of its prompt and the most it generates, where it says so."""
+        """Tokens of its prompt and the most it generates (`X-Token-Usage`); None where it does not say."""
         text = self.header(b"x-token-usage")
         if not text:
             return None
@@ -88,23 +88,24 @@
         except ValueError:
             return None
 
-    def prompt(self, aim_ms: float) -> Prompt:
-        """What it asks an engine to read. Its head is named by the deepest part that it shares with others.
+    def prompt(self, target_ms: float) -> Prompt:
+        """What an engine has to prefill. Its prefix is named by the deepest block that it shares with others.
 
-        `aim_ms`: in which its first event is wanted.
+        Args:
+            target_ms: the latency target of its first event, in milliseconds.
         """
         usage = self.header(b"x-token-usage").partition(b",")[0]
         tokens = float(usage) if usage.strip().isdigit() else 0.0
-        parts = self.header(b"x-prompt-prefix").split(b",")
-        if len(parts) < 2:
-            return Prompt(tokens=tokens, latency_target_ms=aim_ms)
-        sizes = [part.partition(b":")[2].strip() for part in parts[:-1]]
-        head_tokens = float(sum(int(size) for size in sizes if size.isdigit()))
-        head = parts[-2].partition(b":")[0].strip().decode("latin-1")
-        return Prompt(head, tokens, min(tokens, head_tokens), aim_ms)
+        blocks = self.header(b"x-prompt-prefix").split(b",")
+        if len(blocks) < 2:
+            return Prompt(tokens=tokens, latency_target_ms=target_ms)
+        sizes = [block.partition(b":")[2].strip() for block in blocks[:-1]]
+        prefix_tokens = float(sum(int(size) for size in sizes if size.isdigit()))
+        prefix = blocks[-2].partition(b":")[0].strip().decode("latin-1")
+        return Prompt(prefix, tokens, min(tokens, prefix_tokens), target_ms)
 
     def upstream_headers(self, routing: RoutingHeaders) -> list[tuple[bytes, bytes]]:
-        """What goes to an upstream: the client's headers, without those of its connection, and the router's."""
+        """The headers for an upstream: the client's, without those of its connection, and the router's."""
         dropped = HOP_BY_HOP_HEADERS | ROUTER_HEADERS
         if routing.last_event_id is not None:
             dropped = dropped | {b"last-event-id"}
--- a/larkweir/router/configuration.py
+++ b/larkweir/router/configuration.py
@@ -1,4 +1,7 @@
-"""The configuration as a router uses it: routes by host and path, tenants by key, services, limits."""
+"""The configuration as a router uses it: routes by host and path, tenants by key, services, limits.
+
+The fields of the structs are named as in the operators' document; fields that a router does not use are ignored.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +20,14 @@
 
 
 class WeightedBackend(msgspec.Struct, frozen=True):
-    """One part of a route's traffic."""
+    """A service's weight in a route's traffic split."""
 
     backend: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Which requests go to which service."""
+    """Which requests go to which service, and how."""
 
     name: str
     host: str
@@ -32,33 +35,33 @@
     kind: str = NON_IDEMPOTENT
     timeout_ms: float = 10_000.0
     target_latency_ms: float = 1_000.0
-    priority: int = 5
+    priority: int = 5  # 0 to 9, forwarded to upstreams
     backend: str | None = None
     traffic_split: tuple[WeightedBackend, ...] | None = None
     max_attempts: int = 1
-    public: bool = False
-    resumable: bool = False
+    public: bool = False  # no API key is asked for
+    resumable: bool = False  # a broken stream can go on behind an event's id
 
     @property
     def is_streaming(self) -> bool:
-        """Whether answers are series of events."""
+        """Whether responses are streams of events."""
         return self.kind == STREAMING
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind == IDEMPOTENT or (self.is_streaming and self.resumable)
 
     def service(self, rng: Random) -> str:
-        """The service for one request, by the weights."""
+        """Draw the service for one request, by the weights of the traffic split."""
         if not self.traffic_split:
             return self.backend or ""
-        parts = self.traffic_split
-        return rng.choices(parts, [part.weight for part in parts])[0].backend
+        backends = self.traffic_split
+        return rng.choices(backends, [one.weight for one in backends])[0].backend
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A group of upstreams that do the same."""
+    """A group of interchangeable upstreams. `engine`: present where they are model engines."""
 
     name: str
     max_conns: int = 100
@@ -66,25 +69,25 @@
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """A customer."""
+    """A customer, its API keys and its rate limit."""
 
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
     unit: str = "requests"
-    plain_tokens: float = 0.0
-    rate_per_s: float = 0.0
+    plain_tokens: float = 0.0  # charged for a request that does not say how many tokens it uses
+    rate_per_s: float = 0.0  # in `unit`; 0: no limit
     burst: float = 0.0
 
     def quota_units(self, tokens: float | None) -> float:
-        """What one request counts, that is told to use so many tokens."""
+        """What one request is charged. `tokens`: that it says it uses; None: it does not say."""
         if self.unit != TOKEN_COUNT:
             return 1.0
         return self.plain_tokens if tokens is None else tokens
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What a client may send, and how long it may take."""
+    """How much a client may send, and how long it may take."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -93,7 +96,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """One version of the whole. Unknown fields are ignored."""
+    """One version of the document."""
 
     generation: int
     routes: tuple[Route, ...]
@@ -103,10 +106,10 @@
 
 
 class RoutingTable:
-    """One version, indexed. Never changed: the next version is another object."""
+    """One version, indexed. It never changes: the next version is another object."""
 
     def __init__(self, configuration: Configuration) -> None:
-        """Of a configuration that a controller has found valid."""
+        """`configuration` has been validated by a controller."""
         self.version = configuration.generation
         self.limits = configuration.limits
         self.services = {service.name: service for service in configuration.services}
@@ -124,28 +127,32 @@
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Of the host's routes the one with the longest prefix that begins the path."""
+        """Of the host's routes, the one with the longest prefix of the path; None where there is none."""
         for route in self._routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def find_tenant(self, key: str) -> Tenant | None:
-        """Whose key that is."""
+        """The tenant with that API key; None where there is none."""
         return self._tenants.get(key)
 
 
 class ConfigurationStore:
-    """The version in force in this process; it only ever rises."""
+    """Owns the version in force in this process, which only rises."""
 
     def __init__(self) -> None:
-        """None is in force yet."""
+        """No version is in force yet."""
         self.sequence = -1
         self.table: RoutingTable | None = None
         self._document: Document = {}
 
     def apply(self, update: ConfigUpdate) -> bool:
-        """Whether a newer version came into force. One that builds on another than ours is passed over."""
+        """Put a newer version in force; whether it was. A patch of another version than this one is ignored.
+
+        Raises:
+            msgspec.ValidationError: the document is not one that a controller accepts.
+        """
         if update.sequence <= self.sequence:
             return False
         body = msgspec.json.decode(update.body)
--- a/larkweir/router/event_stream.py
+++ b/larkweir/router/event_stream.py
@@ -1,21 +1,21 @@
-"""Whole events of a `text/event-stream`, so that a stream that breaks can go on elsewhere behind its last one."""
+"""Complete events of a `text/event-stream` (WHATWG HTML, 9.2), so that a broken stream can be resumed elsewhere."""
 
 from __future__ import annotations
 
-MAX_PENDING_BYTES = 1024 * 1024  # of one event; a longer one is passed on in parts and can't be resumed
+MAX_PENDING_BYTES = 1024 * 1024  # of one event; a longer one is relayed in chunks and can't be resumed
 
 
 class EventBuffer:
-    """Holds back what is no whole event yet, and knows the id of the last one that was passed on."""
+    """Buffers an incomplete event, and knows the id of the last one that was relayed."""
 
     def __init__(self) -> None:
-        """Nothing has come."""
+        """Nothing has been received."""
         self._pending = b""
         self.last_id: bytes | None = None
         self.resumable = True
 
     def feed(self, data: bytes) -> bytes:
-        """The whole events so far, to be passed on now."""
+        """Take in a chunk; return the complete events, to be relayed now."""
         self._pending += data
         end = self._end_of_last_event()
         if end == 0:
@@ -23,25 +23,25 @@
                 self.resumable = False
                 return self.flush()
             return b""
-        whole, self._pending = self._pending[:end], self._pending[end:]
-        for line in whole.splitlines():
+        complete, self._pending = self._pending[:end], self._pending[end:]
+        for line in complete.splitlines():
             if line.startswith(b"id:"):
                 self.last_id = line[3:].strip()
-        return whole
+        return complete
 
     def _end_of_last_event(self) -> int:
         ends = [
-            at + len(mark)
-            for mark in (b"\n\n", b"\r\n\r\n", b"\r\r")
-            if (at := self._pending.rfind(mark)) >= 0
+            at + len(separator)
+            for separator in (b"\n\n", b"\r\n\r\n", b"\r\r")
+            if (at := self._pending.rfind(separator)) >= 0
         ]
         return max(ends, default=0)
 
     def flush(self) -> bytes:
-        """What is left when the stream has ended whole."""
-        rest, self._pending = self._pending, b""
-        return rest
+        """The stream is complete: return what is buffered."""
+        remaining, self._pending = self._pending, b""
+        return remaining
 
     def restart(self) -> None:
-        """The stream broke: what is no whole event is dropped, since it comes again."""
+        """The stream broke: drop the incomplete event, which the next upstream sends again."""
         self._pending = b""
--- a/larkweir/router/upstream_connection.py
+++ b/larkweir/router/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream and the call on it, over h11."""
+"""One HTTP/1.1 connection (h11) to an upstream, and the call on it."""
 
 from __future__ import annotations
 
@@ -12,72 +12,76 @@
 from larkweir.cluster.tcp_options import set_tcp_options
 
 USER_TIMEOUT_MS = (
-    1_200.0  # written bytes that stay unacknowledged for so long: the upstream is gone or cut off
+    1_200.0  # sent bytes that stay unacknowledged for so long: the upstream is gone or partitioned
 )
 MAX_HEADER_BYTES = 64 * 1024
-SIGNATURE = b"x-server-signature"
-MIN_FAILURE_STATUS = 300  # of the statuses
-Headers = list[tuple[bytes, bytes]]
+SIGNATURE_HEADER = b"x-server-signature"
+MIN_FAILURE_STATUS = 300  # a lower status is a success, which must name its request and be signed
 
 
 class CallFailure(Enum):
-    """How a call ended without a whole answer."""
+    """How a call ended without a complete response. The values appear in the debug log (field `ending`)."""
 
     CLOSED = "closed"  # the connection ended; the request may have run
-    GARBLED = "garbled"  # bytes that are no answer to it
+    GARBLED = "garbled"  # what was received is no response to the request
 
 
 class ResponseListener(Protocol):
-    """Who a call reports to. After `on_response_end` or `on_call_failed` nothing more comes."""
+    """What a call reports to. After `on_response_end` or `on_call_failed` nothing more is called."""
 
     def on_response_head(self, response: h11.Response) -> None:
-        """The answer's head."""
+        """The head of the response."""
 
     def on_response_data(self, data: bytes) -> None:
-        """A piece of its body."""
+        """A chunk of its body."""
 
     def on_response_end(self) -> None:
-        """The answer is whole."""
+        """The response is complete."""
 
-    def on_call_failed(self, ending: CallFailure) -> None:
-        """There will be no more of an answer."""
+    def on_call_failed(self, failure: CallFailure) -> None:
+        """The response will not be completed."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection; a call at a time."""
+    """One connection; one call at a time.
+
+    A response that names another request is a late one of an earlier call on this connection (a copy, or one that
+    was given up by the upstream's side only): it is skipped. A success that names no request, or is not signed, is
+    not taken for a response.
+    """
 
     def __init__(
-        self, on_idle: Callable[[UpstreamConnection], None], on_lost: Callable[[UpstreamConnection], None]
+        self, on_idle: Callable[[UpstreamConnection], None], on_closed: Callable[[UpstreamConnection], None]
     ):
-        """`on_idle`: a call is over and the connection can serve another. `on_lost`: it has ended."""
+        """`on_idle` is called when a call is over and another can be made, `on_closed` when the connection ends."""
         self._on_idle = on_idle
-        self._on_lost = on_lost
+        self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
         self._listener: ResponseListener | None = None
         self._request: h11.Request | None = None
         self._request_id = b""
-        self._is_stale_response = False  # an answer to an earlier request of this connection
-        self._reusable = True
-        self.keep_alive_s: float | None = None  # as the upstream advertised
-        self.has_served = False  # at least one call was answered on it
+        self._is_stale_response = False  # what is being read responds to an earlier request
+        self._is_reusable = True
+        self.keep_alive_s: float | None = None  # idle time that the upstream advertises; None: it does not
+        self.has_served = False  # at least one call was completed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop."""
+        """The connection can be used."""
         transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS, keepalive=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop."""
+        """The connection has ended, and the call on it has failed."""
         self._transport = None
-        self._on_lost(self)
+        self._on_closed(self)
         listener, self._listener = self._listener, None
         if listener is not None:
             listener.on_call_failed(CallFailure.CLOSED)
 
     def eof_received(self) -> bool:
-        """Called by the loop. An answer without a length ends so."""
+        """The upstream has closed its side: that completes a response without a length."""
         if self._listener is not None:
             self._h11.receive_data(b"")
             self._advance()
@@ -89,13 +93,20 @@
         return self._transport is not None and not self._transport.is_closing()
 
     def close(self) -> None:
-        """Ends the connection, and the call on it without a report."""
+        """End the connection, and the call on it without a report."""
         self._listener = None
         if self._transport is not None:
             self._transport.abort()
 
     def call(self, request: h11.Request, request_id: bytes, body: bytes, listener: ResponseListener) -> None:
-        """Sends a request. The connection must be open and idle."""
+        """Send a request. The connection must be open and idle.
+
+        Args:
+            request: the head, with a `Content-Length` where there is a body.
+            request_id: the value of its `X-Request-Id`, which the response must repeat; empty: it has none.
+            body: the whole body.
+            listener: reported to until the call is over.
+        """
         assert self._transport is not None
         assert self._listener is None
         self._request, self._request_id, self._listener = request, request_id, listener
@@ -112,13 +123,13 @@
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """It does again."""
+        """The client has caught up."""
         if self._transport is not None and not self._transport.is_reading():
             self._transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop."""
-        if self._listener is None:  # bytes that belong to no request
+        """Bytes of a response; on an idle connection they end it."""
+        if self._listener is None:  # no request is in progress
             self.close()
             return
         self._h11.receive_data(data)
@@ -149,30 +160,32 @@
         for name, value in response.headers:
             if name == b"x-request-id":
                 echoed = value
-            elif name == SIGNATURE:
+            elif name == SIGNATURE_HEADER:
                 signed = True
             elif name == b"keep-alive":
                 self.keep_alive_s = _parse_keep_alive(value)
             elif name == b"connection" and b"close" in value.lower():
-                self._reusable = False
+                self._is_reusable = False
         if echoed and echoed != self._request_id:
             self._is_stale_response = True
         elif response.status_code < MIN_FAILURE_STATUS and not (echoed and signed):
-            self._fail(CallFailure.GARBLED)  # refusals may name no request, successes do
+            self._fail(CallFailure.GARBLED)  # errors may name no request, successes do
         else:
-            if not echoed:  # a second copy of it could not be told from the answer to the next request
-                self._reusable = False
+            if not echoed:  # a copy of it could not be told from the response to the next request
+                self._is_reusable = False
             self._listener.on_response_head(response)
 
     def _on_end(self) -> None:
-        """One answer is whole: ours, or one that belongs to an earlier request."""
+        """A response is complete: that to the call, or a late one to an earlier request."""
         if self._is_stale_response:
             self._restart_parser()
             return
         listener, self._listener = self._listener, None
         self.has_served = True
         extra = bool(self._h11.trailing_data[0])
-        reusable = self._reusable and not extra and self._h11.our_state is h11.DONE is self._h11.their_state
+        reusable = (
+            self._is_reusable and not extra and self._h11.our_state is h11.DONE is self._h11.their_state
+        )
         if reusable and self._transport is not None:
             self._h11.start_next_cycle()
             self._on_idle(self)
@@ -182,28 +195,28 @@
         listener.on_response_end()
 
     def _restart_parser(self) -> None:
-        """Begins to read anew, as if our request had just been sent: its answer is still to come."""
+        """Parse from here on as if the request had just been sent: its response is still to arrive."""
         self._is_stale_response = False
-        if self._h11.their_state is not h11.DONE or not self._reusable:
+        if self._h11.their_state is not h11.DONE or not self._is_reusable:
             self._fail(CallFailure.CLOSED)
             return
-        left = self._h11.trailing_data[0]
+        remaining = self._h11.trailing_data[0]
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
         assert self._request is not None
         self._h11.send(self._request)
-        # The body has been written: the state machine is told of its end without its bytes.
+        # The body has been sent already: the parser only has to count its bytes.
         length = next((int(value) for name, value in self._request.headers if name == b"content-length"), 0)
         if length:
             self._h11.send(h11.Data(data=bytes(length)))
         self._h11.send(h11.EndOfMessage())
-        if left:
-            self._h11.receive_data(left)
+        if remaining:
+            self._h11.receive_data(remaining)
 
-    def _fail(self, ending: CallFailure) -> None:
+    def _fail(self, failure: CallFailure) -> None:
         listener, self._listener = self._listener, None
         self._abort()
         if listener is not None:
-            listener.on_call_failed(ending)
+            listener.on_call_failed(failure)
 
     def _abort(self) -> None:
         if self._transport is not None:
@@ -211,7 +224,7 @@
 
 
 def _parse_keep_alive(value: bytes) -> float | None:
-    """The seconds of `Keep-Alive: timeout=N` (RFC 2068, 19.7.1.1), None where it has none."""
+    """The seconds of `Keep-Alive: timeout=N` (RFC 2068, 19.7.1.1) or of a bare number; None where there are none."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit():
--- a/tests/system/test_connect_patience.py
+++ b/tests/system/test_connect_patience.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from larkweir.router.upstream_pool import MAX_CONNECT_TIMEOUT_S, MIN_CONNECT_TIMEOUT_S, ConnectTimeout
+from larkweir.router.connect_timeout import MAX_CONNECT_TIMEOUT_S, MIN_CONNECT_TIMEOUT_S, ConnectTimeout
 
 
 def test_nothing_is_known_at_first() -> None:
--- a/tests/system/test_rules.py
+++ b/tests/system/test_rules.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from itertools import pairwise
 
 import pytest
@@ -105,7 +106,7 @@
 def test_a_client_that_goes_on_with_a_stream_says_so_unless_the_router_does() -> None:
     asked = request(last_event_id="4")
     assert dict(asked.upstream_headers(OWN))[b"last-event-id"] == b"4"
-    resumed = asked.upstream_headers(OWN._replace(last_event_id=b"9"))
+    resumed = asked.upstream_headers(replace(OWN, last_event_id=b"9"))
     assert [value for name, value in resumed if name == b"last-event-id"] == [b"9"]
 
 
