--- /dev/null
+++ b/tests/cluster/configurations.py
@@ -0,0 +1,50 @@
+"""A valid configuration, and some that are not."""
+
+from __future__ import annotations
+
+import copy
+from typing import Any
+
+
+def route(name: str, prefix: str, **fields: Any) -> dict[str, Any]:
+    return {
+        "name": name,
+        "host": "a.example",
+        "path_prefix": prefix,
+        "kind": "idempotent",
+        "timeout_ms": 1000,
+        "backend": "s",
+        **fields,
+    }
+
+
+VALID: dict[str, Any] = {
+    "generation": 3,
+    "routes": [route("r1", "/one/"), route("r2", "/one/two/")],
+    "services": [{"name": "s", "health_path": "/health", "max_conns": 10}, {"name": "t"}],
+    "limits": {"max_header_bytes": 16384, "idle_timeout_ms": 15000},
+    "tenants": [
+        {"name": "x", "api_keys": ["k1", "k2"], "rate_per_s": 10, "burst": 5, "unit": "token_count"},
+        {"name": "y", "api_keys": ["k3"]},
+    ],
+}
+
+
+def changed(**fields: Any) -> dict[str, Any]:
+    return {**copy.deepcopy(VALID), **fields}
+
+
+INVALID = {
+    "unknown service": changed(routes=[route("r1", "/one/", backend="nobody")]),
+    "unknown service in a split": changed(
+        routes=[route("r1", "/one/", backend=None, traffic_split=[{"backend": "nobody", "weight": 1}])]
+    ),
+    "same place": changed(routes=[route("r1", "/one/"), route("r2", "/one/")]),
+    "no weight": changed(routes=[route("r1", "/", traffic_split=[{"backend": "s", "weight": 0}])]),
+    "no timeout": changed(routes=[route("r1", "/one/", timeout_ms=0)]),
+    "no generation": {key: value for key, value in VALID.items() if key != "generation"},
+    "shared key": changed(tenants=[{"name": "x", "api_keys": ["k"]}, {"name": "y", "api_keys": ["k"]}]),
+    "two of a name": changed(services=[{"name": "s"}, {"name": "s"}]),
+    "no list": changed(routes={}),
+    "no service": changed(routes=[route("r1", "/one/", backend=None)]),
+}
--- /dev/null
+++ b/tests/cluster/test_configuration_changes.py
@@ -0,0 +1,82 @@
+"""Operators' changes: versions, patches and identities."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from larkweir.cluster.configuration.changes import (
+    ConfigurationChange,
+    Rejection,
+    RejectionReason,
+    apply_change,
+)
+from tests.cluster.configurations import INVALID, VALID, changed, route
+
+
+def put(document: object, base: int) -> ConfigurationChange:
+    return ConfigurationChange(False, base, msgspec.json.encode(document).decode())
+
+
+def apply(value: str, change: ConfigurationChange) -> Any:
+    return apply_change(value, change.encode())
+
+
+def refusal(value: str, change: ConfigurationChange) -> RejectionReason:
+    refused = apply(value, change).err()
+    assert isinstance(refused, Rejection)
+    return refused.reason
+
+
+def test_a_change_builds_on_the_version_in_place() -> None:
+    value = apply("", put(VALID, 0)).ok()
+    assert msgspec.json.decode(value) == VALID
+    assert refusal(value, put(changed(generation=4), 2)) is RejectionReason.STALE
+    assert refusal(value, put(changed(generation=3), 3)) is RejectionReason.INVALID
+    assert refusal(value, put(changed(generation=2), 3)) is RejectionReason.INVALID
+    assert refusal(value, ConfigurationChange(False, 3, '{"generation": 4, "rou')) is RejectionReason.INVALID
+    assert refusal(value, ConfigurationChange(False, 3, "[]")) is RejectionReason.INVALID
+    for document in INVALID.values():
+        fresh = document | {"generation": 9} if "generation" in document else document
+        assert refusal(value, put(fresh, 3)) is RejectionReason.INVALID
+    assert apply(value, put(changed(generation=9), 3)).is_ok()
+
+
+def test_a_patch_changes_what_it_names() -> None:
+    value = apply("", put(VALID, 0)).ok()
+    patch = {
+        "generation": 5,
+        "upsert": {"routes": [route("r1", "/one/", timeout_ms=7), route("r9", "/nine/")]},
+        "remove": {"routes": ["r2"], "tenants": ["y"]},
+    }
+    found = msgspec.json.decode(
+        apply(value, ConfigurationChange(True, 3, msgspec.json.encode(patch).decode())).ok()
+    )
+    assert [one["name"] for one in found["routes"]] == ["r1", "r9"]
+    assert found["routes"][0]["timeout_ms"] == 7
+    assert [one["name"] for one in found["tenants"]] == ["x"]
+    assert found["generation"] == 5
+    bad = {"generation": 6, "remove": {"services": ["s"]}}
+    assert (
+        refusal(value, ConfigurationChange(True, 3, msgspec.json.encode(bad).decode()))
+        is RejectionReason.INVALID
+    )
+    assert (
+        refusal("", ConfigurationChange(True, 0, msgspec.json.encode(patch).decode()))
+        is RejectionReason.INVALID
+    )
+
+
+def test_the_same_order_has_the_same_identity_and_another_has_not() -> None:
+    assert put(VALID, 0).identity == put(VALID, 0).identity
+    assert (
+        len(
+            {
+                put(VALID, 0).identity,
+                put(VALID, 1).identity,
+                ConfigurationChange(True, 0, put(VALID, 0).body).identity,
+            }
+        )
+        == 3
+    )
--- /dev/null
+++ b/tests/cluster/test_configuration_schema.py
@@ -0,0 +1,19 @@
+"""Valid and invalid configurations."""
+
+from __future__ import annotations
+
+import pytest
+
+from larkweir.cluster.configuration.schema import first_problem
+from tests.cluster.configurations import INVALID, VALID
+
+
+def test_a_valid_one_is_valid() -> None:
+    assert first_problem(VALID) is None
+
+
+@pytest.mark.parametrize("name", INVALID)
+def test_invalid_ones_are_told_apart(name: str) -> None:
+    problem = first_problem(INVALID[name])
+    assert problem
+    assert "\n" not in problem
