--- a/larkweir/cluster/settings.py
+++ b/larkweir/cluster/settings.py
@@ -10,7 +10,7 @@
 
 from larkweir.cluster.errors import LarkweirError
 
-VARIABLE = "LARKWEIR_CONFIG"
+ENVIRONMENT_VARIABLE = "LARKWEIR_CONFIG"
 DEFAULT_PATH = "/etc/larkweir/settings.yaml"
 
 
@@ -162,7 +162,7 @@
 
 def path() -> str:
     """Return the path of the settings file."""
-    return os.environ.get(VARIABLE, DEFAULT_PATH)
+    return os.environ.get(ENVIRONMENT_VARIABLE, DEFAULT_PATH)
 
 
 def load(where: str | None = None) -> Settings:
--- a/larkweir/system/demo.py
+++ b/larkweir/system/demo.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from larkweir.cluster.controller_client import ControllersUnreachableError, call_controllers
-from larkweir.cluster.settings import VARIABLE
+from larkweir.cluster.settings import ENVIRONMENT_VARIABLE
 
 CONTROLLERS = 3
 ROUTERS = 2
@@ -163,7 +163,7 @@
             "-m",
             "larkweir.system",
             role,
-            env={**os.environ, VARIABLE: str(path)},
+            env={**os.environ, ENVIRONMENT_VARIABLE: str(path)},
             stdout=asyncio.subprocess.DEVNULL,  # whoever reads the demonstration's output sees its end
             stderr=log,
         )
