--- /dev/null
+++ b/tests/cluster/test_http_server.py
@@ -0,0 +1,69 @@
+"""The HTTP server of control interfaces, over a socket."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from larkweir.cluster.http_server import HttpServerConnection, Request, Response
+
+MAX_BODY_BYTES = 8
+
+
+async def echo(request: Request) -> Response:
+    if request.target == "/fault":
+        raise RuntimeError("a fault of the handler")
+    return Response(200, request.method.encode() + b" " + request.body, close=request.target == "/last")
+
+
+def exchange(sent: bytes, until: bytes = b"") -> bytes:
+    """Return what the server sends, up to these last bytes or to the end of the connection."""
+
+    async def scene() -> bytes:
+        loop = asyncio.get_running_loop()
+        server = await loop.create_server(lambda: HttpServerConnection(echo, MAX_BODY_BYTES), "127.0.0.1", 0)
+        reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
+        writer.write(sent)
+        received = b""
+        async with asyncio.timeout(5.0):
+            while not until or not received.endswith(until):
+                data = await reader.read(65_536)
+                if not data:
+                    break
+                received += data
+        writer.close()
+        server.close()
+        return received
+
+    return asyncio.run(scene())
+
+
+def test_requests_on_one_connection_are_answered_in_order() -> None:
+    sent = (
+        b"PUT /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\none"
+        + b"GET /last HTTP/1.1\r\nHost: h\r\n\r\n"
+    )
+    received = exchange(sent)
+    assert received.count(b"HTTP/1.1 200") == 2
+    assert received.index(b"PUT one") < received.index(b"GET ")
+    assert received.endswith(b"Connection: close\r\n\r\nGET ")
+
+
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [
+        (b"PUT /a HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n123456789", b"413"),
+        (b"no request\r\n\r\n", b"400"),
+        (b"GET /fault HTTP/1.1\r\nHost: h\r\n\r\n", b"500"),
+    ],
+)
+def test_what_is_too_long_invalid_or_fails_ends_the_connection(sent: bytes, status: bytes) -> None:
+    received = exchange(sent)
+    assert received.startswith(b"HTTP/1.1 " + status)
+
+
+def test_a_head_request_gets_no_body() -> None:
+    received = exchange(b"HEAD /last HTTP/1.1\r\nHost: h\r\n\r\n")
+    assert b"Content-Length: 5\r\n" in received
+    assert received.endswith(b"\r\n\r\n")
