--- a/tests/cluster/test_configuration_changes.py
+++ b/tests/cluster/test_configuration_changes.py
@@ -23,23 +23,26 @@
     return apply_change(value, change.encode())
 
 
-def refusal(value: str, change: ConfigurationChange) -> RejectionReason:
-    refused = apply(value, change).err()
-    assert isinstance(refused, Rejection)
-    return refused.reason
+def rejection_reason(value: str, change: ConfigurationChange) -> RejectionReason:
+    rejection = apply(value, change).err()
+    assert isinstance(rejection, Rejection)
+    return rejection.reason
 
 
 def test_a_change_builds_on_the_version_in_place() -> None:
     value = apply("", put(VALID, 0)).ok()
     assert msgspec.json.decode(value) == VALID
-    assert refusal(value, put(changed(generation=4), 2)) is RejectionReason.STALE
-    assert refusal(value, put(changed(generation=3), 3)) is RejectionReason.INVALID
-    assert refusal(value, put(changed(generation=2), 3)) is RejectionReason.INVALID
-    assert refusal(value, ConfigurationChange(False, 3, '{"generation": 4, "rou')) is RejectionReason.INVALID
-    assert refusal(value, ConfigurationChange(False, 3, "[]")) is RejectionReason.INVALID
+    assert rejection_reason(value, put(changed(generation=4), 2)) is RejectionReason.STALE
+    assert rejection_reason(value, put(changed(generation=3), 3)) is RejectionReason.INVALID
+    assert rejection_reason(value, put(changed(generation=2), 3)) is RejectionReason.INVALID
+    assert (
+        rejection_reason(value, ConfigurationChange(False, 3, '{"generation": 4, "rou'))
+        is RejectionReason.INVALID
+    )
+    assert rejection_reason(value, ConfigurationChange(False, 3, "[]")) is RejectionReason.INVALID
     for document in INVALID.values():
-        fresh = document | {"generation": 9} if "generation" in document else document
-        assert refusal(value, put(fresh, 3)) is RejectionReason.INVALID
+        candidate = document | {"generation": 9} if "generation" in document else document
+        assert rejection_reason(value, put(candidate, 3)) is RejectionReason.INVALID
     assert apply(value, put(changed(generation=9), 3)).is_ok()
 
 
@@ -59,16 +62,16 @@
     assert found["generation"] == 5
     bad = {"generation": 6, "remove": {"services": ["s"]}}
     assert (
-        refusal(value, ConfigurationChange(True, 3, msgspec.json.encode(bad).decode()))
+        rejection_reason(value, ConfigurationChange(True, 3, msgspec.json.encode(bad).decode()))
         is RejectionReason.INVALID
     )
     assert (
-        refusal("", ConfigurationChange(True, 0, msgspec.json.encode(patch).decode()))
+        rejection_reason("", ConfigurationChange(True, 0, msgspec.json.encode(patch).decode()))
         is RejectionReason.INVALID
     )
 
 
-def test_the_same_order_has_the_same_identity_and_another_has_not() -> None:
+def test_equal_changes_have_equal_identities_and_others_have_not() -> None:
     assert put(VALID, 0).identity == put(VALID, 0).identity
     assert (
         len(
--- a/tests/cluster/test_links.py
+++ b/tests/cluster/test_links.py
@@ -11,10 +11,10 @@
 from larkweir.cluster.messages import Hello, Message, NodeRole
 
 NODE = "127.0.0.1"
-TURNS = 20  # of the event loop after the hold: by then a dial that was cancelled has ended
+LOOP_ITERATIONS = 20  # of the event loop after the hold: by then a dial that was cancelled has ended
 
 
-def test_a_link_made_while_its_process_stands_still_is_usable_or_dialled_again() -> None:
+def test_a_link_made_while_its_process_is_paused_is_usable_or_connected_again() -> None:
     """The event loop is held from the moment a connection is made until the time of its dial is up.
 
     The dial may be cancelled then, though it has succeeded. Whatever becomes of that connection, the link does not
@@ -26,7 +26,7 @@
         arrived: list[Message] = []
         made: list[Connection] = []
 
-        def hold_the_first(connection: Connection) -> None:
+        def block_at_the_first(connection: Connection) -> None:
             made.append(connection)
             end_s = time.monotonic() + CONNECT_TIMEOUT_MS / 1000.0
             while len(made) == 1 and time.monotonic() < end_s:
@@ -36,10 +36,10 @@
             lambda: Connection(lambda _, message: arrived.append(message), lambda _: None), NODE, 0
         )
         port = server.sockets[0].getsockname()[1]
-        link = Link(NODE, port, lambda _, message: None, hold_the_first, lambda _: None)
+        link = Link(NODE, port, lambda _, message: None, block_at_the_first, lambda _: None)
         sent: list[Message] = []
         async with asyncio.timeout(10.0):
-            while not set(arrived) & set(sent[TURNS:]):
+            while not set(arrived) & set(sent[LOOP_ITERATIONS:]):
                 link.keep_alive()
                 if made:
                     sent.append(Hello(NODE, NodeRole.ROUTER, str(len(sent))))
--- a/tests/cluster/test_messages_golden.py
+++ b/tests/cluster/test_messages_golden.py
@@ -75,13 +75,13 @@
 
 
 @pytest.mark.parametrize(("message", "line"), zip(MESSAGES, OTHERS, strict=True))
-def test_a_message_is_written_and_read_as_ever(message: Message, line: bytes) -> None:
+def test_a_message_is_written_and_read_the_same(message: Message, line: bytes) -> None:
     assert msgspec.json.encode(message) == line
     assert msgspec.json.decode(line, type=Message) == message
 
 
 @pytest.mark.parametrize("line", REPLICATION)
-def test_a_line_of_replication_is_read_and_written_as_ever(line: bytes) -> None:
+def test_a_replication_message_is_read_and_written_the_same(line: bytes) -> None:
     message = msgspec.json.decode(line, type=Message)
     assert isinstance(message, Replication)
     assert msgspec.json.encode(message) == line
@@ -115,11 +115,11 @@
 
 
 def test_the_value_that_a_change_makes() -> None:
-    whole = '{"generation":4,"routes":[],"services":[{"name":"s","max_conns":3,"kept":{"as":"it is"}}]}'
-    first = apply_change("", ConfigurationChange(False, 0, whole).encode()).unwrap()
-    assert first == whole
-    assert configuration_version(whole) == 4
-    assert apply_change(whole, CHANGE.encode()).unwrap() == whole.replace(":4,", ":5,", 1).removesuffix(
+    complete = '{"generation":4,"routes":[],"services":[{"name":"s","max_conns":3,"kept":{"as":"it is"}}]}'
+    first = apply_change("", ConfigurationChange(False, 0, complete).encode()).unwrap()
+    assert first == complete
+    assert configuration_version(complete) == 4
+    assert apply_change(complete, CHANGE.encode()).unwrap() == complete.replace(":4,", ":5,", 1).removesuffix(
         "}"
     ) + (',"tenants":[{"name":"é"}]}')
 
