--- a/larkweir/cluster/links.py
+++ b/larkweir/cluster/links.py
@@ -202,8 +202,8 @@
         except (OSError, TimeoutError):
             self.failures += 1
             if self.connection is not None:
-                # The dial was cancelled in the loop iteration in which it succeeded. uvloop closes the transport then
-                # without a call of connection_lost, and the link would keep a dead connection.
+                # The attempt was cancelled in the loop iteration in which it succeeded. uvloop closes the transport
+                # then without a call of connection_lost, and the link would keep a dead connection.
                 self.connection.connection_lost(None)
             else:
                 self._retry_later()
--- a/tests/cluster/test_links.py
+++ b/tests/cluster/test_links.py
@@ -1,4 +1,4 @@
-"""A link of the fleet whose process stands still while it dials."""
+"""A link whose process is paused while it connects."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from larkweir.cluster.messages import Hello, Message, NodeRole
 
 NODE = "127.0.0.1"
-LOOP_ITERATIONS = 20  # of the event loop after the hold: by then a dial that was cancelled has ended
+LOOP_ITERATIONS = 20  # after the pause: by then an attempt that was cancelled has ended
 
 
 def test_a_link_made_while_its_process_is_paused_is_usable_or_connected_again() -> None:
-    """The event loop is held from the moment a connection is made until the time of its dial is up.
+    """The event loop is blocked from the moment a connection is made until its time-out is over.
 
-    The dial may be cancelled then, though it has succeeded. Whatever becomes of that connection, the link does not
-    keep one that is dead: `keep_alive` and `send` go on working, and what is sent later arrives.
+    The attempt may be cancelled then, though it has succeeded. Whatever happens to that connection, the link does not
+    keep a dead one: `keep_alive` and `send` go on working, and what is sent later arrives.
     """
 
     async def scene() -> None:
--- a/tests/cluster/test_messages_golden.py
+++ b/tests/cluster/test_messages_golden.py
@@ -1,7 +1,7 @@
 """Lines as version 0.2 of the fleet wrote them: one of every kind that its processes send each other.
 
 The fleet is updated one process at a time, so each of these is read and written the same by every later version.
-`tests/cluster/golden_messages.jsonl` holds the lines; what they say stands here beside them, in the same order.
+`tests/cluster/golden_messages.jsonl` holds the lines; the messages are given here, in the same order.
 """
 
 from __future__ import annotations
