--- a/larkweir/system/cli.py
+++ b/larkweir/system/cli.py
@@ -15,15 +15,15 @@
 EXIT_DATA = 3
 
 
-class _Lazy(click.Group):
-    """Operators' commands are imported when one is asked for: a daemon starts without them."""
+class _LazyGroup(click.Group):
+    """Imports operators' commands only when one is called, so that a daemon starts without them."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Names in order."""
+        """Return the names of all commands, sorted."""
         return sorted([*super().list_commands(ctx), *(str(one.name) for one in _operator_commands())])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of that name, None for none."""
+        """Return the command of that name; None for none."""
         found = super().get_command(ctx, cmd_name)
         if found is not None:
             return found
@@ -36,7 +36,7 @@
     return COMMANDS
 
 
-@click.group(cls=_Lazy)
+@click.group(cls=_LazyGroup)
 def main() -> None:
     """A router fleet for a language model."""
 
@@ -67,15 +67,15 @@
 
 
 def _run(serve: Callable[[Settings], Awaitable[None]], *, debug: bool = False) -> None:
-    """Reads the settings and serves until told to stop; a bad file is one line and exit code 2."""
+    """Read the settings and serve until SIGTERM; an invalid file is reported in one line, with exit code 2."""
     import uvloop
 
     from larkweir.cluster import log
 
     try:
         settings = load()
-    except SettingsError as problem:
-        click.echo(f"settings: {problem}", err=True)
+    except SettingsError as error:
+        click.echo(f"settings: {error}", err=True)
         sys.exit(EXIT_SETTINGS)
     log.configure(settings.node, debug=debug)
 
@@ -87,6 +87,6 @@
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(begin())
-    except OSError as problem:
-        click.echo(f"{problem.filename or 'data'}: {problem.strerror}", err=True)
+    except OSError as error:
+        click.echo(f"{error.filename or 'data'}: {error.strerror}", err=True)
         sys.exit(EXIT_DATA)
--- a/larkweir/system/demo.py
+++ b/larkweir/system/demo.py
@@ -23,9 +23,9 @@
 HOST = "demo.example"
 KEY = "demo-key"
 HEARTBEAT_S = 1.0
-READING_TOKENS_PER_S = 20_000.0
-EVENT_S = 0.05
-EVENTS = 8
+PREFILL_TOKENS_PER_S = 20_000.0
+EVENT_INTERVAL_S = 0.05
+EVENT_COUNT = 8
 
 CONFIGURATION: dict[str, Any] = {
     "generation": 1,
@@ -48,17 +48,17 @@
 
 
 class Engine:
-    """An emulated engine: reads a prompt at a fixed rate, then gives events one by one."""
+    """An emulated engine: prefills a prompt at a fixed rate, then sends events at fixed intervals."""
 
     def __init__(self, id_: str, address: str) -> None:
-        """`address`: HOST:PORT to listen on."""
+        """Create an engine that will listen on `address` (HOST:PORT)."""
         self.id = id_
         self.address = address
         self._sequence = 0
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens."""
+        """Start to listen."""
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
@@ -83,22 +83,22 @@
     ) -> None:
         headers = dict(head.headers)
         usage = headers.get(b"x-token-usage", b"0").partition(b",")[0]
-        await asyncio.sleep((int(usage) if usage.isdigit() else 0) / READING_TOKENS_PER_S)
+        await asyncio.sleep((int(usage) if usage.isdigit() else 0) / PREFILL_TOKENS_PER_S)
         answer = [
             (b"Content-Type", b"text/event-stream"),
             (b"X-Request-Id", headers.get(b"x-request-id", b"")),
             (b"X-Server-Signature", self.id.encode()),
         ]
         out = connection.send(h11.Response(status_code=200, headers=answer)) or b""
-        for number in range(int(headers.get(b"last-event-id", b"0")) + 1, EVENTS + 1):
-            piece = f"id: {number}\ndata: word {number} of {self.id}\n\n".encode()
-            writer.write(out + (connection.send(h11.Data(data=piece)) or b""))
+        for number in range(int(headers.get(b"last-event-id", b"0")) + 1, EVENT_COUNT + 1):
+            event = f"id: {number}\ndata: word {number} of {self.id}\n\n".encode()
+            writer.write(out + (connection.send(h11.Data(data=event)) or b""))
             out = b""
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
         writer.write(out + (connection.send(h11.EndOfMessage()) or b""))
 
     def heartbeat(self) -> bytes:
-        """The body of its next one."""
+        """Return the body of the next heartbeat."""
         self._sequence += 1
         return msgspec.json.encode(
             {
@@ -113,10 +113,10 @@
 
 
 class Demo:
-    """The processes and engines of one demonstration, in a folder that is removed behind it."""
+    """The processes and engines of one demonstration, with their files in one folder."""
 
     def __init__(self, folder: Path, subnet: int, port: int) -> None:
-        """Addresses are 127.78.SUBNET.*; ports from `port` on."""
+        """Create a demonstration on the addresses 127.78.SUBNET.*, with four ports from `port` on."""
         self._folder = folder
         self._subnet = subnet
         self._port = port
@@ -130,7 +130,7 @@
         return f"127.78.{self._subnet}.{host}"
 
     async def start(self) -> None:
-        """Starts all, gives the fleet its configuration, and returns once all routers are ready."""
+        """Start all processes, configure the fleet, and return once all routers are ready."""
         for address in self.controls:
             await self._spawn("controller", address, {"control": address})
         for address, ready in zip(self.fronts, self._readies, strict=True):
@@ -138,7 +138,7 @@
         for engine in self._engines:
             await engine.start()
         await asyncio.to_thread(self._configure)
-        await self._beat()
+        await self._send_heartbeats()
         for address in self._readies:
             await asyncio.to_thread(call_controllers, [address], "GET", "/ready")
 
@@ -164,7 +164,7 @@
             "larkweir.system",
             role,
             env={**os.environ, ENVIRONMENT_VARIABLE: str(path)},
-            stdout=asyncio.subprocess.DEVNULL,  # whoever reads the demonstration's output sees its end
+            stdout=asyncio.subprocess.DEVNULL,  # so that a reader of the demonstration's output sees its end
             stderr=log,
         )
         self._processes.append(process)
@@ -174,26 +174,26 @@
         if answer.status != 200:
             raise ControllersUnreachableError(f"{answer.status} {answer.body.decode(errors='replace')}")
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         for engine in self._engines:
             body = engine.heartbeat()
             await asyncio.to_thread(call_controllers, self.controls, "PUT", f"/instances/{engine.id}", body)
 
     async def run(self) -> None:
-        """Goes on until it is cancelled."""
+        """Send heartbeats until it is cancelled."""
         while True:
             await asyncio.sleep(HEARTBEAT_S)
-            await self._beat()
+            await self._send_heartbeats()
 
     async def stop(self) -> None:
-        """Ends all processes."""
+        """Kill all processes."""
         for process in self._processes:
             if process.returncode is None:
                 process.kill()
             await process.wait()
 
     def introduction(self) -> str:
-        """What can be done with it."""
+        """Return the text that tells a user what to try."""
         at = ",".join(self.controls)
         return "\n".join(
             (
@@ -212,7 +212,7 @@
 
 
 async def play() -> None:
-    """The whole demonstration, until SIGINT or SIGTERM."""
+    """Run the demonstration until SIGINT or SIGTERM."""
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands for operators: the configuration, who is there, and what a data folder holds."""
+"""Commands for operators: the configuration, the members and upstreams, and the content of a data folder."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 )
 
 CONTROLLERS_VARIABLE = "LARKWEIR_CONTROLLERS"
-EXIT_REFUSED = 1
-EXIT_NOBODY = 3
+EXIT_REJECTED = 1
+EXIT_UNREACHABLE = 3
 EXIT_DAMAGED = 4
 
 at = click.option(
@@ -42,31 +42,31 @@
 ) -> ControllerResponse:
     try:
         return call_controllers([one.strip() for one in controllers.split(",")], method, path, body, base)
-    except ControllersUnreachableError as problem:
-        click.echo(f"no answer: {problem}", err=True)
-        sys.exit(EXIT_NOBODY)
+    except ControllersUnreachableError as error:
+        click.echo(f"no answer: {error}", err=True)
+        sys.exit(EXIT_UNREACHABLE)
 
 
-def _must(answer: ControllerResponse) -> Any:
-    """The answer's JSON; ends the command where it was refused."""
-    found = msgspec.json.decode(answer.body) if answer.body else {}
-    if answer.status >= 300:
+def _decode_accepted(response: ControllerResponse) -> Any:
+    """Return the response's JSON; exit the command where the call was rejected."""
+    found = msgspec.json.decode(response.body) if response.body else {}
+    if response.status >= 300:
         detail = found.get("error", "") if isinstance(found, dict) else ""
-        click.echo(f"{answer.controller} refused it: {answer.status} {detail}".rstrip(), err=True)
-        sys.exit(EXIT_REFUSED)
+        click.echo(f"{response.controller} refused it: {response.status} {detail}".rstrip(), err=True)
+        sys.exit(EXIT_REJECTED)
     return found
 
 
-def _document(path: str) -> dict[str, Any]:
+def _read_document(path: str) -> dict[str, Any]:
     try:
-        found = msgspec.json.decode(Path(path).read_bytes())
-    except (OSError, msgspec.DecodeError) as problem:
-        click.echo(f"{path}: {problem}", err=True)
-        sys.exit(EXIT_REFUSED)
-    if not isinstance(found, dict):
+        document = msgspec.json.decode(Path(path).read_bytes())
+    except (OSError, msgspec.DecodeError) as error:
+        click.echo(f"{path}: {error}", err=True)
+        sys.exit(EXIT_REJECTED)
+    if not isinstance(document, dict):
         click.echo(f"{path}: no object", err=True)
-        sys.exit(EXIT_REFUSED)
-    return found
+        sys.exit(EXIT_REJECTED)
+    return document
 
 
 def _print_json(found: object) -> None:
@@ -82,7 +82,7 @@
 @at
 def config_get(controllers: str) -> None:
     """Prints the newest configuration."""
-    _print_json(_must(_call(controllers, "GET", "/config")))
+    _print_json(_decode_accepted(_call(controllers, "GET", "/config")))
 
 
 @config.command("put")
@@ -104,8 +104,8 @@
 
 
 def _change(controllers: str, method: str, base: int, file: str) -> None:
-    document = _document(file)
-    _must(_call(controllers, method, "/config", msgspec.json.encode(document), base))
+    document = _read_document(file)
+    _decode_accepted(_call(controllers, method, "/config", msgspec.json.encode(document), base))
     click.echo(f"version {document.get('generation')} is acknowledged")
 
 
@@ -113,10 +113,10 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def config_check(file: str) -> None:
     """Whether FILE is a valid configuration; names the first fault."""
-    problem = first_problem(_document(file))
+    problem = first_problem(_read_document(file))
     if problem is not None:
         click.echo(f"{file}: {problem}", err=True)
-        sys.exit(EXIT_REFUSED)
+        sys.exit(EXIT_REJECTED)
     click.echo(f"{file} is valid")
 
 
@@ -125,7 +125,7 @@
 @click.argument("new", type=click.Path(dir_okay=False))
 def config_diff(old: str, new: str) -> None:
     """Prints the patch that makes NEW of OLD."""
-    _print_json(make_patch(_document(old), _document(new)))
+    _print_json(make_patch(_read_document(old), _read_document(new)))
 
 
 @click.command()
@@ -133,7 +133,7 @@
 @as_json
 def status(controllers: str, raw: bool) -> None:
     """Who leads, in which epoch, and how far routers are behind, as each controller sees it."""
-    found = [_must(_call(one, "GET", "/status")) for one in controllers.split(",")]
+    found = [_decode_accepted(_call(one, "GET", "/status")) for one in controllers.split(",")]
     if raw:
         _print_json(found)
         return
@@ -151,7 +151,7 @@
 @as_json
 def members(controllers: str, raw: bool) -> None:
     """The controllers that vote."""
-    found = _must(_call(controllers, "GET", "/status"))
+    found = _decode_accepted(_call(controllers, "GET", "/status"))
     if raw:
         _print_json(found["members"])
         return
@@ -164,7 +164,7 @@
 @as_json
 def upstreams(controllers: str, raw: bool) -> None:
     """All upstreams that a controller knows."""
-    found = _must(_call(controllers, "GET", "/upstreams"))
+    found = _decode_accepted(_call(controllers, "GET", "/upstreams"))
     if raw:
         _print_json(found)
         return
--- a/tests/system/test_operator_commands.py
+++ b/tests/system/test_operator_commands.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner, Result
 
 from larkweir.system.cli import main
-from larkweir.system.operator_commands import EXIT_DAMAGED, EXIT_NOBODY, EXIT_REFUSED
+from larkweir.system.operator_commands import EXIT_DAMAGED, EXIT_REJECTED, EXIT_UNREACHABLE
 from tests.system.loopback import Fleet, ask, play
 from tests.system.test_fleet import configuration, fine, serve
 
@@ -36,7 +36,7 @@
         assert msgspec.json.decode(done.output)["generation"] == 5
         whole = file(tmp_path, "whole.json", configuration(9))
         done = await command("config", "put", *at, "--base", "1", whole)
-        assert done.exit_code == EXIT_REFUSED
+        assert done.exit_code == EXIT_REJECTED
         assert "412 the version in place is 5, not 1" in done.output
 
     play(tmp_path, scene)
@@ -82,11 +82,11 @@
     bad = file(tmp_path, "bad.json", configuration(services=[]))
     assert run("config", "check", good).output == f"{good} is valid\n"
     done = run("config", "check", bad)
-    assert done.exit_code == EXIT_REFUSED
+    assert done.exit_code == EXIT_REJECTED
     assert "there is no service s" in done.output
     (tmp_path / "torn.json").write_text('{"gen')
-    assert run("config", "check", str(tmp_path / "torn.json")).exit_code == EXIT_REFUSED
-    assert run("config", "check", str(tmp_path / "missing.json")).exit_code == EXIT_REFUSED
+    assert run("config", "check", str(tmp_path / "torn.json")).exit_code == EXIT_REJECTED
+    assert run("config", "check", str(tmp_path / "missing.json")).exit_code == EXIT_REJECTED
     newer = file(tmp_path, "newer.json", configuration(2))
     assert msgspec.json.decode(run("config", "diff", good, newer).output) == {
         "upsert": {},
@@ -98,7 +98,7 @@
 def test_nobody_answers(tmp_path: Path, monkeypatch: Any) -> None:
     monkeypatch.setattr("larkweir.cluster.controller_client.TOTAL_TIMEOUT_S", 0.0)
     done = run("status", "--at", "127.0.0.1:1")
-    assert done.exit_code == EXIT_NOBODY
+    assert done.exit_code == EXIT_UNREACHABLE
     assert "127.0.0.1:1" in done.output
 
 
