--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -39,7 +39,7 @@
         self._prompt = prompt
         self._loop = asyncio.get_running_loop()
         self._sent_ms = 0.0
-        self._holds_token = True
+        self._has_token = True
         self._is_reported = False  # the fleet's outlier detection has its outcome
         self._overdue_timer: asyncio.TimerHandle | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -114,13 +114,13 @@
     def on_first_event(self) -> None:
         """A chunk of the response arrived. An engine has then prefilled the prompt, and its token is returned."""
         self._cancel_timer()
-        if not self._holds_token:
+        if not self._has_token:
             return
         now_ms = self._now_ms()
         tokens = self.prefill_tokens + self.queued_tokens
         self._selector.prefill_time.observe(tokens, now_ms - self._sent_ms)
         if self._plane.is_engine(self._service):
-            self._holds_token = False
+            self._has_token = False
             self._selector.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
 
     def record_shedding(self) -> None:
@@ -133,7 +133,7 @@
             trace.on_ended(outcome.name)
         self._cancel_timer()
         now_ms = self._now_ms()
-        if self._holds_token:
+        if self._has_token:
             self._selector.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
         self._selector.on_outcome(self.instance, outcome, now_ms)
         if outcome in FAILURES:
--- a/larkweir/router/response_classification.py
+++ b/larkweir/router/response_classification.py
@@ -77,7 +77,7 @@
 
 def classify_without_retry(head: ResponseHead, route: Route, *, response_started: bool) -> ResponseClass:
     """The class of a response that may have run, where no retry is left."""
-    false_promise = head.status in NOT_EXECUTED_STATUSES and not route.is_idempotent
-    if false_promise or (response_started and head.status != HTTPStatus.OK):
+    is_false_guarantee = head.status in NOT_EXECUTED_STATUSES and not route.is_idempotent
+    if is_false_guarantee or (response_started and head.status != HTTPStatus.OK):
         return ResponseClass.UNUSABLE
     return ResponseClass.RELAYABLE
--- a/larkweir/router/upstream_connection.py
+++ b/larkweir/router/upstream_connection.py
@@ -163,7 +163,7 @@
             elif name == SIGNATURE_HEADER:
                 signed = True
             elif name == b"keep-alive":
-                self.keep_alive_s = _parse_keep_alive(value)
+                self.keep_alive_s = _parse_idle_timeout(value)
             elif name == b"connection" and b"close" in value.lower():
                 self._is_reusable = False
         if echoed and echoed != self._request_id:
@@ -223,7 +223,7 @@
             self._transport.abort()
 
 
-def _parse_keep_alive(value: bytes) -> float | None:
+def _parse_idle_timeout(value: bytes) -> float | None:
     """The seconds of `Keep-Alive: timeout=N` (RFC 2068, 19.7.1.1) or of a bare number; None where there are none."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
--- a/larkweir/router/upstream_pool.py
+++ b/larkweir/router/upstream_pool.py
@@ -62,12 +62,12 @@
 
     def _on_idle(self, connection: UpstreamConnection) -> None:
         advertised_s = connection.keep_alive_s
-        keep_s = MAX_IDLE_S if advertised_s is None else advertised_s - IDLE_MARGIN_S
+        idle_timeout_s = MAX_IDLE_S if advertised_s is None else advertised_s - IDLE_MARGIN_S
         address = self._addresses.get(connection)
-        if address is None or keep_s <= 0.0:
+        if address is None or idle_timeout_s <= 0.0:
             connection.close()
             return
-        self._idle.setdefault(address, []).append(_Idle(connection, self._loop.time() + keep_s))
+        self._idle.setdefault(address, []).append(_Idle(connection, self._loop.time() + idle_timeout_s))
 
     def _on_closed(self, connection: UpstreamConnection) -> None:
         address = self._addresses.pop(connection, None)
