--- a/packages/alone.py
+++ b/packages/alone.py
@@ -17,7 +17,7 @@
 import venv
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from shutil import copytree
+from shutil import copy, copytree
 
 HERE = Path(__file__).resolve().parent
 TOGETHER = 4
@@ -60,6 +60,7 @@
         done = subprocess.run(install, env=env, capture_output=True, text=True, check=False)
         if done.returncode == 0:
             copytree(HERE / name / "tests", place / "tests")
+            copy(HERE / name / "README.md", place / "README.md")  # a test runs its example
             test = [python, "-m", "pytest", "-q", "-p", "no:cacheprovider", "--rootdir", folder, "tests"]
             done = subprocess.run(test, env=env, cwd=folder, capture_output=True, text=True, check=False)
     return name, done.returncode, time.monotonic() - begun, done.stdout + done.stderr
