--- a/larkweir/cluster/configuration/documents.py
+++ b/larkweir/cluster/configuration/documents.py
@@ -28,10 +28,7 @@
     upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
         raise PatchError("upsert and remove are objects of lists")
-    result = dict(document)
-    for key, value in patch.items():
-        if key not in ("upsert", "remove"):
-            result[key] = value
+    result = {**document, **{key: value for key, value in patch.items() if key not in ("upsert", "remove")}}
     for key in {*upsert, *remove}:
         if key in COLLECTIONS:
             result[key] = _apply_to_items(result.get(key, []), upsert.get(key, []), remove.get(key, []), key)
--- a/packages/replication/src/larkweir_replication/confirmation.py
+++ b/packages/replication/src/larkweir_replication/confirmation.py
@@ -22,6 +22,7 @@
     """Keeps answers until a majority has acknowledged the heartbeat round that was sent after the question."""
 
     def __init__(self) -> None:
+        """Nothing waits to be confirmed."""
         self._queue: deque[_AwaitingConfirmation] = deque()
 
     def add_rejection(self, number: int, finished: CommandFinished) -> None:
--- a/tests/controller/test_heartbeat_monitor.py
+++ b/tests/controller/test_heartbeat_monitor.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-
 import pytest
 from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.records import Upstream, UpstreamState
@@ -52,10 +50,10 @@
 
 
 @pytest.fixture
-def scene(links: FakeLinks, monkeypatch: pytest.MonkeyPatch) -> Iterator[Scene]:
+def scene(links: FakeLinks, monkeypatch: pytest.MonkeyPatch) -> Scene:
     made = Scene(links)
     monkeypatch.setattr(heartbeat_monitor, "now_ms", lambda: made.present_ms)
-    yield made
+    return made
 
 
 def test_received_heartbeats_are_sent_to_the_others_once(scene: Scene, links: FakeLinks) -> None:
--- a/tests/controller/test_operator_api.py
+++ b/tests/controller/test_operator_api.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Iterator
 
 import msgspec
 import pytest
@@ -18,10 +17,9 @@
 
 
 @pytest.fixture(autouse=True)
-def little_patience(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+def little_patience(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "RETRY_PAUSE_S", 0.0)
     monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.2)
-    yield
 
 
 class Primary:
