--- a/packages/peers/src/larkweir_peers/membership.py
+++ b/packages/peers/src/larkweir_peers/membership.py
@@ -32,6 +32,13 @@
     at_ms: float
 
 
+class ListChange(NamedTuple):
+    """The addresses by which a new list of peers differs from the one before."""
+
+    added: list[str]
+    removed: list[str]
+
+
 @dataclass(slots=True)
 class Member:
     """What is known of a listed peer. `name` is its address as text."""
@@ -120,8 +127,8 @@
 
     # The list
 
-    def replace_peers(self, others: Sequence[str], now_ms: float) -> tuple[list[str], list[str]]:
-        """Replace the list of members; returns the names that were added and those that were removed.
+    def replace_peers(self, others: Sequence[str], now_ms: float) -> ListChange:
+        """Replace the list of members; returns what has changed.
 
         Added members are assumed to be alive. Of a removed one nothing is kept, and a suspicion that only it had
         reported ends. The others keep their state.
@@ -143,7 +150,7 @@
                 self._withdraw_suspicion(suspect, reporter, now_ms)
         self._alive = None
         self._reschedule_expiry()
-        return added, removed
+        return ListChange(added, removed)
 
     def _remove(self, member: Member) -> None:
         del self.members[member.name], self._by_address[member.address_bytes]
@@ -250,10 +257,10 @@
 
     def _new_suspicion(self, reporter: bytes, now_ms: float) -> Suspicion:
         process_count, confirmations = self.live_count, self._config.suspicion_confirmations
-        min_timeout_ms, max_timeout_ms = self._config.suspicion_timeouts_ms(process_count)
+        timeouts = self._config.suspicion_timeouts_ms(process_count)
         can_be_confirmed = process_count - 2 >= confirmations
         needed = confirmations if can_be_confirmed else 0
-        return Suspicion(now_ms, min_timeout_ms, max_timeout_ms, needed, {reporter: None})
+        return Suspicion(now_ms, timeouts.min_ms, timeouts.max_ms, needed, {reporter: None})
 
     def _set_state(self, member: Member, state: MemberState, incarnation: int, now_ms: float) -> None:
         before, member.state, member.incarnation, member.suspicion = member.state, state, incarnation, None
--- a/packages/peers/src/larkweir_peers/protocol.py
+++ b/packages/peers/src/larkweir_peers/protocol.py
@@ -13,7 +13,7 @@
 from larkweir_peers.failure_detector import FailureDetector
 from larkweir_peers.fragmentation import Reassembler
 from larkweir_peers.local_health import LocalHealth
-from larkweir_peers.membership import GONE_STATES, Member, Membership
+from larkweir_peers.membership import GONE_STATES, ListChange, Member, Membership
 from larkweir_peers.messages import (
     MAX_DATAGRAM_BYTES,
     MAX_ITEM_BYTES,
@@ -99,8 +99,8 @@
         if len(others) > MAX_PEERS:
             raise PeersError(f"{len(others)} names; {MAX_PEERS} at the most")
 
-    def replace_peers(self, others: Sequence[str], now_ms: float) -> tuple[list[str], list[str]]:
-        """Replace the list of peers; returns the names that were added and those that were removed.
+    def replace_peers(self, others: Sequence[str], now_ms: float) -> ListChange:
+        """Replace the list of peers; returns what has changed.
 
         Of a removed peer everything is dropped but its replay window, of the last `MAX_REMOVED_WINDOWS`: else its old
         datagrams could be replayed once it is listed again.
@@ -109,7 +109,8 @@
             PeersError: as for the constructor; nothing is changed.
         """
         self._validate(others, others)
-        added, removed = self.membership.replace_peers(others, now_ms)
+        change = self.membership.replace_peers(others, now_ms)
+        added, removed = change
         removed_names = frozenset(removed)
         for name in removed:
             self._reassembler.forget_peer(name)
@@ -125,7 +126,7 @@
         if removed_names:
             self.items = deque(item for item in self.items if item.source not in removed_names)
         self._failure_detector.on_peers_replaced(added, removed_names)
-        return added, removed
+        return change
 
     # State
 
--- a/packages/peers/src/larkweir_peers/protocol_config.py
+++ b/packages/peers/src/larkweir_peers/protocol_config.py
@@ -4,6 +4,14 @@
 
 from dataclasses import dataclass
 from math import ceil, log10
+from typing import NamedTuple
+
+
+class SuspicionTimeouts(NamedTuple):
+    """The bounds of a suspicion's time-out."""
+
+    min_ms: float
+    max_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +34,7 @@
         """How often each process passes an update on (SWIM section 4.1)."""
         return self.retransmit_factor * ceil(log10(process_count + 1))
 
-    def suspicion_timeouts_ms(self, process_count: int) -> tuple[float, float]:
-        """The minimum and the maximum time-out of a suspicion."""
+    def suspicion_timeouts_ms(self, process_count: int) -> SuspicionTimeouts:
+        """The time-out of a suspicion: the maximum without confirmations, the minimum with all."""
         min_ms = self.suspicion_factor * max(1.0, log10(max(1, process_count))) * self.probe_interval_ms
-        return min_ms, min_ms * self.max_suspicion_factor
+        return SuspicionTimeouts(min_ms, min_ms * self.max_suspicion_factor)
