--- a/packages/peers/tests/fleet_peers.py
+++ b/packages/peers/tests/fleet_peers.py
@@ -27,7 +27,7 @@
     def __init__(self, seed: int, lost: float = 0.0, doubled: float = 0.0, names: list[str] = NAMES) -> None:
         self.net = Network(seed, delay_ms=RTT, lost=lost, doubled=doubled)
         self.names = names
-        self.membership: dict[str, PeerProtocol] = {}
+        self.processes: dict[str, PeerProtocol] = {}
         self.events: list[tuple[str, MemberEvent]] = []  # who believes, and what
         self.items: list[tuple[str, Item]] = []
         self.slow: dict[str, float] = {}  # a handler that takes its time before each datagram
@@ -38,27 +38,27 @@
     def start(self, name: str, clock_ms: float = 0.0) -> PeerProtocol:
         """A life of a process; `clock_ms` is what its clock is off by."""
         net, now = self.net, self.net.now_ms
-        life = int(BORN_MS + now + clock_ms)
-        peers = self.membership[name] = PeerProtocol(
-            name, self.names, Random(net.rng.random()), now, life, KEYS
+        process_start_ms = int(BORN_MS + now + clock_ms)
+        peers = self.processes[name] = PeerProtocol(
+            name, self.names, Random(net.rng.random()), now, process_start_ms, KEYS
         )
 
-        def came(source: str, data: bytes) -> None:
+        def on_datagram(source: str, data: bytes) -> None:
             if name in self.slow:
-                net.after(self.slow[name], lambda: work(source, data), name)
+                net.after(self.slow[name], lambda: handle(source, data), name)
             else:
-                work(source, data)
+                handle(source, data)
 
-        def work(source: str, data: bytes) -> None:
+        def handle(source: str, data: bytes) -> None:
             peers.on_datagram(source, data, net.now_ms)
             self._out(name)
 
-        net.listen(name, came)
+        net.listen(name, on_datagram)
         self._out(name)
         return peers
 
     def _out(self, name: str) -> None:
-        peers, net = self.membership[name], self.net
+        peers, net = self.processes[name], self.net
         while peers.datagrams:
             to, data = peers.datagrams.popleft()
             assert len(data) <= MAX_DATAGRAM_BYTES
@@ -73,24 +73,24 @@
         self._timers[name] = net.at(peers.next_ms, lambda: self._tick(name), name)
 
     def _tick(self, name: str) -> None:
-        self.membership[name].tick(self.net.now_ms)
-        assert self.membership[name].next_ms > self.net.now_ms  # else the timer would spin
+        self.processes[name].tick(self.net.now_ms)
+        assert self.processes[name].next_ms > self.net.now_ms  # else the timer would spin
         self._out(name)
 
     def post(self, source: str, to: str, item: bytes) -> bool:
-        done = self.membership[source].post(to, 1, item, self.net.now_ms)
+        done = self.processes[source].post(to, 1, item, self.net.now_ms)
         self._out(source)
         return done
 
     def kill(self, *names: str) -> None:
         for name in names:
             self.net.kill(name)
-            del self.membership[name]
+            del self.processes[name]
 
     def run(self, ms: float) -> None:
         self.net.run(self.net.now_ms + ms)
 
-    def said(self, state: MemberState, of: str, since_ms: float = 0.0) -> dict[str, float]:
+    def reported(self, state: MemberState, of: str, since_ms: float = 0.0) -> dict[str, float]:
         """Who came to believe that first, and when."""
         found: dict[str, float] = {}
         for who, event in self.events:
@@ -98,13 +98,15 @@
                 found.setdefault(who, event.at_ms - since_ms)
         return found
 
-    def wrongly(self, state: MemberState, but: set[str]) -> set[tuple[str, str]]:
+    def wrong_reports(self, state: MemberState, except_for: set[str]) -> set[tuple[str, str]]:
         return {
-            (who, event.name) for who, event in self.events if event.state is state and event.name not in but
+            (who, event.name)
+            for who, event in self.events
+            if event.state is state and event.name not in except_for
         }
 
-    def agree(self, dead: set[str] = frozenset()) -> bool:  # type: ignore[assignment]
+    def has_one_view(self, dead: set[str] = frozenset()) -> bool:  # type: ignore[assignment]
         """Whether everyone that runs believes what is so."""
         return all(
-            set(peers.alive()) == set(self.names) - {name} - dead for name, peers in self.membership.items()
+            set(peers.alive()) == set(self.names) - {name} - dead for name, peers in self.processes.items()
         )
--- a/packages/peers/tests/rig_peers.py
+++ b/packages/peers/tests/rig_peers.py
@@ -16,25 +16,28 @@
 KEY = b"sixteen letters!"
 
 
-def one(
-    me: str, keys: tuple[bytes, ...] = (KEY,), life: int = 1_000, config: ProtocolConfig | None = None
+def new_process(
+    me: str,
+    keys: tuple[bytes, ...] = (KEY,),
+    process_start_ms: int = 1_000,
+    config: ProtocolConfig | None = None,
 ) -> PeerProtocol:
-    return PeerProtocol(me, NAMES, Random(me), 0.0, life, keys, config)
+    return PeerProtocol(me, NAMES, Random(me), 0.0, process_start_ms, keys, config)
 
 
-def sent(peers: PeerProtocol, to: str) -> list[bytes]:
+def take_sent(peers: PeerProtocol, to: str) -> list[bytes]:
     """What has gone out to one since it was last asked."""
     found = [item.data for item in peers.datagrams if item.to == to]
     peers.datagrams.clear()
     return found
 
 
-def met(*both: PeerProtocol, now: float = 0.0) -> None:
+def introduce(*processes: PeerProtocol, now: float = 0.0) -> None:
     """Each has heard of the others' lives."""
-    for one_ in both:
-        for other in both:
-            if one_ is not other:
-                one_.sender.ping(other.address, now)
-                for data in sent(one_, other.address):
-                    other.on_datagram(one_.address, data, now)
+    for sender_process in processes:
+        for other in processes:
+            if sender_process is not other:
+                sender_process.sender.ping(other.address, now)
+                for data in take_sent(sender_process, other.address):
+                    other.on_datagram(sender_process.address, data, now)
                 other.datagrams.clear()
--- a/packages/peers/tests/test_peers_errors.py
+++ b/packages/peers/tests/test_peers_errors.py
@@ -9,7 +9,7 @@
 from larkweir_peers.drop_reasons import DropReason
 from larkweir_peers.fragmentation import Reassembler
 from larkweir_peers.messages import decode
-from rig_peers import A, B, one
+from rig_peers import A, B, new_process
 
 
 def test_errors_have_one_root_which_is_a_value_error() -> None:
@@ -26,7 +26,7 @@
     with pytest.raises(errors.FragmentError):
         Reassembler().add_fragment(A, 1, 1, 2, 2, b"", 0.0)
     with pytest.raises(errors.ItemError):
-        one(A).post(B, 0, b"", 0.0)
+        new_process(A).post(B, 0, b"", 0.0)
     with pytest.raises(errors.MessageDecodeError) as caught:
         decode(b"\x07\x01")
     assert caught.value.reason is DropReason.UNKNOWN_VERSION
--- a/packages/peers/tests/test_peers_failure_detector.py
+++ b/packages/peers/tests/test_peers_failure_detector.py
@@ -11,33 +11,33 @@
     encode,
 )
 from larkweir_peers.protocol import PeerProtocol
-from rig_peers import KEY, NAMES, A, B, C, D, met, one, sent
+from rig_peers import KEY, NAMES, A, B, C, D, introduce, new_process, take_sent
 
 
-def frames(peers: PeerProtocol, to: str) -> list[object]:
+def taken_messages(peers: PeerProtocol, to: str) -> list[object]:
     return [
         decode(DatagramAuthenticator((KEY,)).verify(pack_address(to), data) or b"")
-        for data in sent(peers, to)
+        for data in take_sent(peers, to)
     ]
 
 
-def test_who_is_asked_about_one_that_it_does_not_list_says_that_it_is_here() -> None:
+def test_a_ping_request_for_an_unlisted_target_is_answered_with_a_nack() -> None:
     """The asker's own health goes by such answers."""
-    a, b = one(A), one(B)
-    met(a, b)
+    a, b = new_process(A), new_process(B)
+    introduce(a, b)
     b.replace_peers((A, C), 1.0)
     a.sender._last_sequence_number += 1
-    ask = PingRequest(
+    request = PingRequest(
         pack_address(A), a.membership.incarnation, 0, a.sender._last_sequence_number, [], pack_address(D)
     )
-    b.on_datagram(A, DatagramAuthenticator((KEY,)).sign(pack_address(B), encode(ask)), 1.0)
-    (answer,) = frames(b, A)
+    b.on_datagram(A, DatagramAuthenticator((KEY,)).sign(pack_address(B), encode(request)), 1.0)
+    (answer,) = taken_messages(b, A)
     assert isinstance(answer, Nack) and answer.request_number == a.sender._last_sequence_number
 
 
-def test_a_probe_of_who_went_accuses_nobody() -> None:
-    a = one(A)
-    met(a, one(B), one(C), one(D))
+def test_a_probe_of_a_removed_peer_reports_nobody() -> None:
+    a = new_process(A)
+    introduce(a, new_process(B), new_process(C), new_process(D))
     a.tick(a.next_ms)
     probe = a._failure_detector._probe
     assert probe is not None
--- a/packages/peers/tests/test_peers_fleet.py
+++ b/packages/peers/tests/test_peers_fleet.py
@@ -11,34 +11,34 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("lost", [0.0, 0.1])
-def test_a_crash_is_found_by_all_and_nobody_else_is_accused(seed: int, lost: float) -> None:
+def test_a_crash_is_detected_by_all_and_nobody_else_is_suspected_dead(seed: int, lost: float) -> None:
     fleet = Fleet(seed, lost=lost, doubled=lost)
     fleet.run(20_000.0)
-    assert fleet.agree()
+    assert fleet.has_one_view()
     crashed, at = NAMES[seed], fleet.net.now_ms
     fleet.kill(crashed)
     fleet.run(12_000.0)
-    found = fleet.said(MemberState.DEAD, crashed, at)
+    found = fleet.reported(MemberState.DEAD, crashed, at)
     assert len(found) == 29 and min(found.values()) > 2_950.0 and max(found.values()) < 10_000.0
-    assert not fleet.wrongly(MemberState.DEAD, {crashed}) and fleet.agree({crashed})
+    assert not fleet.wrong_reports(MemberState.DEAD, {crashed}) and fleet.has_one_view({crashed})
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_cut_parts_the_fleet_and_it_heals(seed: int) -> None:
+def test_a_partition_splits_the_fleet_and_heals(seed: int) -> None:
     fleet = Fleet(seed, lost=0.02)
     fleet.run(15_000.0)
     fleet.net.split([NAMES[:12], NAMES[12:]])
     fleet.run(60_000.0)
-    for name, peers in fleet.membership.items():
+    for name, peers in fleet.processes.items():
         side = NAMES[:12] if name in NAMES[:12] else NAMES[12:]
         assert set(peers.alive()) == set(side) - {name}
     fleet.net.heal()
     fleet.run(15_000.0)
-    assert fleet.agree()
+    assert fleet.has_one_view()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_that_was_stopped_accuses_nobody_and_comes_back(seed: int) -> None:
+def test_a_paused_process_reports_nobody_and_is_alive_again(seed: int) -> None:
     """SIGSTOP and SIGCONT: what it had under way had run out meanwhile."""
     fleet = Fleet(seed)
     stopped = set(NAMES[:3])
@@ -50,55 +50,59 @@
         for name in stopped:
             fleet.net.go_on(name)
         fleet.run(15_000.0)
-        assert fleet.agree()
-    assert not fleet.wrongly(MemberState.DEAD, stopped) and not fleet.wrongly(MemberState.SUSPECT, stopped)
-    assert fleet.said(MemberState.DEAD, NAMES[0])  # 30 s are longer than any suspicion
+        assert fleet.has_one_view()
+    assert not fleet.wrong_reports(MemberState.DEAD, stopped) and not fleet.wrong_reports(
+        MemberState.SUSPECT, stopped
+    )
+    assert fleet.reported(MemberState.DEAD, NAMES[0])  # 30 s are longer than any suspicion
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_slow_ones_doubt_themselves_before_they_accuse_others(seed: int) -> None:
+def test_slow_processes_lower_their_local_health_before_they_suspect_others(seed: int) -> None:
     """Lifeguard: each datagram waits at a slow one for longer than a probe lasts."""
     fleet = Fleet(seed)
     fleet.run(10_000.0)
     slow = set(NAMES[:3])
     fleet.slow = dict.fromkeys(slow, 600.0)
     fleet.run(60_000.0)
-    assert not fleet.wrongly(MemberState.DEAD, set()) and not fleet.wrongly(MemberState.SUSPECT, slow)
-    assert all(fleet.membership[name].health.score >= 5 for name in slow)
-    assert sum(fleet.membership[name].health.score for name in NAMES[3:]) <= 5
+    assert not fleet.wrong_reports(MemberState.DEAD, set()) and not fleet.wrong_reports(
+        MemberState.SUSPECT, slow
+    )
+    assert all(fleet.processes[name].health.score >= 5 for name in slow)
+    assert sum(fleet.processes[name].health.score for name in NAMES[3:]) <= 5
     fleet.slow.clear()
     fleet.run(30_000.0)
-    assert fleet.agree() and not any(peers.health.score for peers in fleet.membership.values())
+    assert fleet.has_one_view() and not any(peers.health.score for peers in fleet.processes.values())
 
 
-def test_a_new_life_takes_the_place_of_the_former_one_also_with_its_clock_behind() -> None:
+def test_a_new_process_replaces_the_former_one_also_with_its_clock_behind() -> None:
     fleet = Fleet(5)
     fleet.run(10_000.0)
     for clock_ms in (0.0, -500_000.0):
         name = NAMES[7]
-        before = fleet.membership[name].membership.incarnation
+        before = fleet.processes[name].membership.incarnation
         fleet.kill(name)
         fleet.run(300.0)
         fleet.start(name, clock_ms)
         fleet.run(10_000.0)
-        assert fleet.membership[name].membership.incarnation > before
+        assert fleet.processes[name].membership.incarnation > before
         assert {
-            peers.membership.members[name].incarnation for n, peers in fleet.membership.items() if n != name
-        } == {fleet.membership[name].membership.incarnation}
-        assert fleet.agree() and not fleet.said(MemberState.DEAD, name)
+            peers.membership.members[name].incarnation for n, peers in fleet.processes.items() if n != name
+        } == {fleet.processes[name].membership.incarnation}
+        assert fleet.has_one_view() and not fleet.reported(MemberState.DEAD, name)
 
 
-def test_a_listed_one_that_never_runs_is_held_to_be_lost_until_it_does() -> None:
+def test_a_listed_peer_that_never_runs_is_dead_until_it_does() -> None:
     fleet = Fleet(6)
     fleet.kill(NAMES[0], NAMES[1])
     fleet.run(40_000.0)
-    assert fleet.agree({NAMES[0], NAMES[1]})
+    assert fleet.has_one_view({NAMES[0], NAMES[1]})
     fleet.start(NAMES[0])
     fleet.run(10_000.0)
-    assert fleet.agree({NAMES[1]})
+    assert fleet.has_one_view({NAMES[1]})
 
 
-def test_items_arrive_or_not_but_never_twice_and_never_torn() -> None:
+def test_items_arrive_or_not_but_never_twice_and_never_incomplete() -> None:
     fleet = Fleet(7, lost=0.05, doubled=0.2)
     fleet.run(5_000.0)
     posted: dict[tuple[str, str], list[bytes]] = {}
@@ -109,12 +113,14 @@
         if fleet.post(source, to, item):
             posted.setdefault((source, to), []).append(item)
         fleet.run(100.0)
-    came = [(item.source, to, item.data) for to, item in fleet.items]
-    assert len(came) == len(set(came)) and all(data in posted[source, to] for source, to, data in came)
-    assert len(came) > 200
+    received = [(item.source, to, item.data) for to, item in fleet.items]
+    assert len(received) == len(set(received)) and all(
+        data in posted[source, to] for source, to, data in received
+    )
+    assert len(received) > 200
 
 
-def test_idle_each_sends_what_it_would_in_a_fleet_of_any_size() -> None:
+def test_an_idle_process_sends_as_much_in_a_fleet_of_any_size() -> None:
     """Counted where the start's rumours are over."""
     sends = {}
     for number in (10, 60):
--- a/packages/peers/tests/test_peers_fragmentation.py
+++ b/packages/peers/tests/test_peers_fragmentation.py
@@ -13,50 +13,52 @@
 
 
 @given(st.binary(max_size=MAX_ITEM_BYTES), st.randoms())
-def test_pieces_in_any_order_make_the_item(item: bytes, random: object) -> None:
-    pieces, places = Reassembler(), list(enumerate(split_item(item)))
-    random.shuffle(places)  # type: ignore[attr-defined]
-    came = [pieces.add_fragment("a", 1, 7, n, len(places), data, 0.0) for n, data in places]
-    assert came[-1] == item and set(came[:-1]) <= {None}
-    assert not len(pieces) and not pieces.buffered_bytes
+def test_fragments_in_any_order_make_the_item(item: bytes, random: object) -> None:
+    reassembler, indexed = Reassembler(), list(enumerate(split_item(item)))
+    random.shuffle(indexed)  # type: ignore[attr-defined]
+    results = [reassembler.add_fragment("a", 1, 7, n, len(indexed), data, 0.0) for n, data in indexed]
+    assert results[-1] == item and set(results[:-1]) <= {None}
+    assert not len(reassembler) and not reassembler.buffered_bytes
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 40), st.integers(0, 3000)), max_size=400))
-def test_pieces_that_never_complete_stay_within_bounds(came: list[tuple[int, int, int]]) -> None:
-    pieces, now = Reassembler(), 0.0
-    for peer, serial, later in came:
+def test_incomplete_items_stay_within_bounds(results: list[tuple[int, int, int]]) -> None:
+    reassembler, now = Reassembler(), 0.0
+    for peer, serial, later in results:
         now += later
-        for place in range(0, 43, 6):
-            pieces.add_fragment(f"p{peer}", 1, serial, place, 44, b"x" * MAX_FRAGMENT_BYTES, now)
-        pieces.expire(now)
-        assert len(pieces) <= Reassembler.MAX_ITEMS and pieces.buffered_bytes <= Reassembler.MAX_BYTES
-        own = [key for key in pieces._partial if key[0] == f"p{peer}"]
+        for index in range(0, 43, 6):
+            reassembler.add_fragment(f"p{peer}", 1, serial, index, 44, b"x" * MAX_FRAGMENT_BYTES, now)
+        reassembler.expire(now)
+        assert (
+            len(reassembler) <= Reassembler.MAX_ITEMS and reassembler.buffered_bytes <= Reassembler.MAX_BYTES
+        )
+        own = [key for key in reassembler._partial if key[0] == f"p{peer}"]
         assert (
             len(own) <= Reassembler.MAX_ITEMS_PER_PEER
-            and sum(pieces._partial[k].size_bytes for k in own) <= Reassembler.MAX_BYTES_PER_PEER
+            and sum(reassembler._partial[k].size_bytes for k in own) <= Reassembler.MAX_BYTES_PER_PEER
         )
-        assert all(now - item.started_ms < Reassembler.MAX_AGE_MS for item in pieces._partial.values())
-    pieces.expire(now + Reassembler.MAX_AGE_MS)
+        assert all(now - item.started_ms < Reassembler.MAX_AGE_MS for item in reassembler._partial.values())
+    reassembler.expire(now + Reassembler.MAX_AGE_MS)
     assert (
-        not len(pieces)
-        and not pieces.buffered_bytes
-        and not pieces._keys_by_peer
-        and not pieces._bytes_by_peer
+        not len(reassembler)
+        and not reassembler.buffered_bytes
+        and not reassembler._keys_by_peer
+        and not reassembler._bytes_by_peer
     )
 
 
-def test_bounds_of_pieces_are_reached_and_the_oldest_goes() -> None:
-    pieces = Reassembler()
+def test_the_oldest_incomplete_item_is_evicted_at_the_bounds() -> None:
+    reassembler = Reassembler()
     for peer in range(40):
         for serial in range(Reassembler.MAX_ITEMS_PER_PEER + 4):
-            pieces.add_fragment(f"p{peer}", 1, serial, 0, 2, b"x" * MAX_FRAGMENT_BYTES, 0.0)
+            reassembler.add_fragment(f"p{peer}", 1, serial, 0, 2, b"x" * MAX_FRAGMENT_BYTES, 0.0)
     assert (
-        len(pieces) == Reassembler.MAX_ITEMS
-        and pieces.dropped == 40 * (Reassembler.MAX_ITEMS_PER_PEER + 4) - Reassembler.MAX_ITEMS
+        len(reassembler) == Reassembler.MAX_ITEMS
+        and reassembler.dropped == 40 * (Reassembler.MAX_ITEMS_PER_PEER + 4) - Reassembler.MAX_ITEMS
     )
-    assert pieces.add_fragment("p39", 1, 3, 1, 2, b"", 0.0) is None  # given up: it begins anew
-    assert pieces.add_fragment("p39", 1, 19, 1, 2, b"y", 0.0) == b"x" * MAX_FRAGMENT_BYTES + b"y"
+    assert reassembler.add_fragment("p39", 1, 3, 1, 2, b"", 0.0) is None  # given up: it begins anew
+    assert reassembler.add_fragment("p39", 1, 19, 1, 2, b"y", 0.0) == b"x" * MAX_FRAGMENT_BYTES + b"y"
     with pytest.raises(ValueError):
-        pieces.add_fragment("p39", 1, 18, 0, 3, b"x" * MAX_FRAGMENT_BYTES, 0.0)  # another count
+        reassembler.add_fragment("p39", 1, 18, 0, 3, b"x" * MAX_FRAGMENT_BYTES, 0.0)  # another count
     with pytest.raises(ValueError):
-        pieces.add_fragment("p39", 1, 50, 0, 2, b"short", 0.0)
+        reassembler.add_fragment("p39", 1, 50, 0, 2, b"short", 0.0)
--- a/packages/peers/tests/test_peers_golden.py
+++ b/packages/peers/tests/test_peers_golden.py
@@ -27,19 +27,19 @@
 A, B, C = (f"127.0.0.1:{7001 + n}" for n in range(3))
 KEY, OLD_KEY = b"sixteen letters!", b"the key of before"
 HEAD = (pack_address(A), (1_700_000_000_000 << 16) + 2, 0xDEADBEEF, 2**40 + 1)
-NEWS = [
+UPDATES = [
     MemberUpdate(pack_address(B), 1, 1_700_000_000_000 << 16),
     MemberUpdate(pack_address(C), 2, 5, pack_address(B)),
     MemberUpdate(pack_address(B), 3, 0),
     MemberUpdate(pack_address(C), 4, 2**63 - 1),
 ]
-FRAMES: dict[str, Message] = {
-    "ping": Ping(*HEAD, NEWS),
+MESSAGES: dict[str, Message] = {
+    "ping": Ping(*HEAD, UPDATES),
     "ping_alone": Ping(pack_address(A), 1 << 16, 0, 0, []),
-    "ack": Ack(*HEAD, NEWS[:1], 77),
+    "ack": Ack(*HEAD, UPDATES[:1], 77),
     "ask": PingRequest(*HEAD, [], pack_address(C)),
     "nack": Nack(*HEAD, [], 78),
-    "part": Fragment(*HEAD, NEWS[1:2], 255, 2**33, 1, 44, bytes(range(40))),
+    "part": Fragment(*HEAD, UPDATES[1:2], 255, 2**33, 1, 44, bytes(range(40))),
 }
 LARGE = bytes(range(256)) * 2
 
@@ -55,8 +55,8 @@
 
 def processes() -> dict[str, PeerProtocol]:
     return {
-        name: PeerProtocol(name, (A, B, C), Random(name), 0.0, life, (KEY,))
-        for name, life in ((A, 1_000), (B, 2_000), (C, 3_000))
+        name: PeerProtocol(name, (A, B, C), Random(name), 0.0, process_start_ms, (KEY,))
+        for name, process_start_ms in ((A, 1_000), (B, 2_000), (C, 3_000))
     }
 
 
@@ -73,10 +73,10 @@
             silent.clear()
         if turn == 55:
             peers[B].leave(now_ms)
-        for name, one in peers.items():
-            one.tick(now_ms)
-            going = [(item.to, item.data) for item in one.datagrams]
-            one.datagrams.clear()
+        for name, process in peers.items():
+            process.tick(now_ms)
+            going = [(item.to, item.data) for item in process.datagrams]
+            process.datagrams.clear()
             for to, data in going:
                 found.append((f"{turn}:{name}>{to}", data))
                 if not silent & {name, to}:
@@ -84,23 +84,23 @@
     assert [tuple(item) for item in peers[B].items] == [(A, 2, LARGE), (A, 3, b"")]
     found += [
         (f"{name}:{cause}", count.to_bytes(4, "big"))
-        for name, one in peers.items()
-        for cause, count in one.dropped.items()
+        for name, process in peers.items()
+        for cause, count in process.dropped.items()
     ]
     return found
 
 
-@pytest.mark.parametrize("name", FRAMES)
-def test_a_frame_is_read_and_written_as_before(name: str) -> None:
-    assert encode(FRAMES[name]) == FOUND["frames"][name]
-    assert decode(FOUND["frames"][name]) == FRAMES[name]
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_message_is_decoded_and_encoded_as_before(name: str) -> None:
+    assert encode(MESSAGES[name]) == FOUND["frames"][name]
+    assert decode(FOUND["frames"][name]) == MESSAGES[name]
 
 
-def test_every_kind_of_frame_is_here() -> None:
-    assert {type(frame) for frame in FRAMES.values()} == set(MESSAGE_TYPES.values())
+def test_every_type_of_message_is_here() -> None:
+    assert {type(message) for message in MESSAGES.values()} == set(MESSAGE_TYPES.values())
 
 
-def test_a_name_and_a_tag_are_as_before() -> None:
+def test_an_address_and_a_tag_are_as_before() -> None:
     assert pack_address(A) == FOUND["frames"]["name"] and unpack_address(FOUND["frames"]["name"]) == A
     sealed = FOUND["frames"]["sealed"]
     assert DatagramAuthenticator((KEY, OLD_KEY)).sign(pack_address(B), FOUND["frames"]["ping"]) == sealed
@@ -108,11 +108,11 @@
     assert DatagramAuthenticator((KEY,)).verify(pack_address(C), sealed) is None
 
 
-def test_an_item_in_pieces_comes_together() -> None:
-    pieces = [FOUND["frames"][f"piece{number}"] for number in range(3)]
-    assert split_item(LARGE) == pieces
-    whole = Reassembler()
-    assert [whole.add_fragment(A, 1, 2, n, 3, piece, 0.0) for n, piece in enumerate(pieces)] == [
+def test_an_item_in_fragments_is_reassembled() -> None:
+    fragments = [FOUND["frames"][f"piece{number}"] for number in range(3)]
+    assert split_item(LARGE) == fragments
+    reassembler = Reassembler()
+    assert [reassembler.add_fragment(A, 1, 2, n, 3, piece, 0.0) for n, piece in enumerate(fragments)] == [
         None,
         None,
         LARGE,
--- a/packages/peers/tests/test_peers_membership.py
+++ b/packages/peers/tests/test_peers_membership.py
@@ -13,13 +13,13 @@
     decode,
 )
 from larkweir_peers.protocol import PeerProtocol
-from rig_peers import KEY, A, B, C, D, met, one, sent
+from rig_peers import KEY, A, B, C, D, introduce, new_process, take_sent
 
 # What is believed: (belief before, rumour, belief after). Incarnations are small here.
 S, T = MemberState, 5
 
 
-RUMOURS = [
+CASES = [
     ((S.ALIVE, T), (S.ALIVE, T), (S.ALIVE, T)),
     ((S.ALIVE, T), (S.ALIVE, T + 1), (S.ALIVE, T + 1)),
     ((S.ALIVE, T), (S.SUSPECT, T - 1), (S.ALIVE, T)),
@@ -43,12 +43,12 @@
 ]
 
 
-@pytest.mark.parametrize(("before", "rumour", "after"), RUMOURS)
-def test_rumours_go_by_incarnation_then_by_state(
-    before: tuple[MemberState, int], rumour: tuple[MemberState, int], after: object
+@pytest.mark.parametrize(("before", "update", "after"), CASES)
+def test_updates_are_ordered_by_incarnation_then_by_state(
+    before: tuple[MemberState, int], update: tuple[MemberState, int], after: object
 ) -> None:
-    a = one(A)
-    for state, incarnation in (before, rumour):
+    a = new_process(A)
+    for state, incarnation in (before, update):
         by = pack_address(C) if state is S.SUSPECT else b""
         a.membership.on_update(MemberUpdate(pack_address(B), state, incarnation, by), 0.0)
     member = a.membership.members[B]
@@ -58,52 +58,52 @@
 
 
 @pytest.mark.parametrize("state", [S.SUSPECT, S.DEAD, S.LEFT, S.ALIVE])
-def test_what_is_said_of_oneself_is_refuted_unless_it_is_old(state: MemberState) -> None:
-    a = one(A)
+def test_updates_about_this_process_are_refuted_unless_outdated(state: MemberState) -> None:
+    a = new_process(A)
     own = a.membership.incarnation
     a.membership.on_update(MemberUpdate(pack_address(A), state, own - 1), 0.0)
     assert a.membership.incarnation == own and a.health.score == 0
     a.membership.on_update(MemberUpdate(pack_address(A), state, own + (state is S.ALIVE)), 0.0)
     assert a.membership.incarnation > own and a.health.score == (state is not S.ALIVE)
     a.sender.ping(B, 0.0)
-    frame = decode(DatagramAuthenticator((KEY,)).verify(pack_address(B), sent(a, B)[0]) or b"")
-    assert MemberUpdate(pack_address(A), S.ALIVE, a.membership.incarnation) in frame.updates
+    message = decode(DatagramAuthenticator((KEY,)).verify(pack_address(B), take_sent(a, B)[0]) or b"")
+    assert MemberUpdate(pack_address(A), S.ALIVE, a.membership.incarnation) in message.updates
 
 
-def test_a_rumour_of_nobody_and_a_suspicion_by_nobody_count_for_nothing() -> None:
-    a = one(A)
+def test_updates_of_unlisted_members_and_reporters_are_ignored() -> None:
+    a = new_process(A)
     assert not a.membership.on_update(MemberUpdate(pack_address("127.9.9.9:9"), S.DEAD, 1), 0.0)
     a.membership.on_update(MemberUpdate(pack_address(B), S.SUSPECT, 1, pack_address("127.9.9.9:9")), 0.0)
     assert a.membership.members[B].state is S.UNHEARD and not a.membership.events
 
 
-def test_a_suspect_is_told_first_and_a_lost_one_learns_what_is_said_of_it() -> None:
+def test_a_suspect_is_notified_first_and_a_dead_member_learns_its_state() -> None:
     """Lifeguard's buddy."""
-    a, b = one(A), one(B)
-    met(a, b)
+    a, b = new_process(A), new_process(B)
+    introduce(a, b)
     for name in (B, C, D):  # the last is the newest rumour
         a.membership.on_probe_failed(name, 0.0)
     a.sender.ping(B, 1.0)
-    (data,) = sent(a, B)
-    frame = decode(DatagramAuthenticator((KEY,)).verify(pack_address(B), data) or b"")
-    assert frame.updates[0] == MemberUpdate(
+    (data,) = take_sent(a, B)
+    message = decode(DatagramAuthenticator((KEY,)).verify(pack_address(B), data) or b"")
+    assert message.updates[0] == MemberUpdate(
         pack_address(B), S.SUSPECT, b.membership.incarnation, pack_address(A)
     )
     b.on_datagram(A, data, 2.0)
-    a.on_datagram(B, sent(b, A)[0], 3.0)
+    a.on_datagram(B, take_sent(b, A)[0], 3.0)
     assert a.membership.members[B].state is S.ALIVE
     a.membership.on_update(MemberUpdate(pack_address(B), S.DEAD, b.membership.incarnation), 4.0)
     b.sender.ack(A, 1, 5.0)
-    a.on_datagram(B, sent(b, A)[0], 5.0)  # it speaks, and does not know
-    assert len(sent(a, B)) == 1
+    a.on_datagram(B, take_sent(b, A)[0], 5.0)  # it speaks, and does not know
+    assert len(take_sent(a, B)) == 1
     assert a.membership.members[B].state is S.DEAD and a.post(
         B, 1, b"all the same", 6.0
     )  # no more than a belief
-    b.on_datagram(A, sent(a, B)[-1], 6.0)
+    b.on_datagram(A, take_sent(a, B)[-1], 6.0)
     assert [item.data for item in b.items] == [b"all the same"]
 
 
-def test_the_first_that_suspected_is_told_whatever_the_hashes() -> None:
+def test_the_first_reporter_is_passed_on_whatever_the_hashes() -> None:
     """So that a run of a seed can be had again under any PYTHONHASHSEED."""
     names = [f"127.0.0.{n}:7946" for n in range(1, 16)]
     a = PeerProtocol(names[0], tuple(names[1:]), Random(1), 0.0, 1, (KEY,))
@@ -113,12 +113,12 @@
             a.membership.on_update(
                 MemberUpdate(pack_address(who), MemberState.SUSPECT, 1, pack_address(by)), 1.0
             )
-    told = [a.membership.updates_for(a.membership.members[who], 1)[0].reporter for who in names[1:5]]
-    assert told == [pack_address(by) for by in names[5:9]]
+    reporters = [a.membership.updates_for(a.membership.members[who], 1)[0].reporter for who in names[1:5]]
+    assert reporters == [pack_address(by) for by in names[5:9]]
 
 
-def test_a_standstill_of_this_process_puts_suspicions_off_and_judges_nobody() -> None:
-    a = one(A)
+def test_a_pause_of_this_process_postpones_suspicions_and_reports_nobody() -> None:
+    a = new_process(A)
     a.membership.on_probe_failed(B, 0.0)
     due = a.membership.due_ms
     a.tick(a.next_ms)
@@ -130,17 +130,17 @@
     a.membership.on_message_from(a.membership.members[C], T, 0.0)
     a.membership.on_update(MemberUpdate(pack_address(C), S.DEAD, 0), 0.0)
     assert MemberUpdate(pack_address(C), S.ALIVE, T) in [
-        rumour.update for rumour in a.membership._updates._latest.values()
+        update.update for update in a.membership._updates._latest.values()
     ]  # it is corrected
 
 
-def test_who_leaves_says_so_and_refutes_nothing() -> None:
-    a, b = one(A), one(B)
-    met(a, b)
+def test_a_leaving_process_announces_it_and_refutes_nothing() -> None:
+    a, b = new_process(A), new_process(B)
+    introduce(a, b)
     a.leave(1.0)
-    b.on_datagram(A, sent(a, B)[0], 1.0)
+    b.on_datagram(A, take_sent(a, B)[0], 1.0)
     assert b.membership.members[A].state is S.LEFT
     b.sender.ping(A, 2.0)
     own = a.membership.incarnation
-    a.on_datagram(B, sent(b, A)[0], 2.0)
+    a.on_datagram(B, take_sent(b, A)[0], 2.0)
     assert a.membership.incarnation == own
--- a/packages/peers/tests/test_peers_messages.py
+++ b/packages/peers/tests/test_peers_messages.py
@@ -35,30 +35,30 @@
 HEAD = (b"\xff" * 6, LONG, 2**32 - 1, LONG)
 
 
-def news(number: int) -> list[MemberUpdate]:
+def updates(number: int) -> list[MemberUpdate]:
     return [MemberUpdate(b"\xff" * 6, 2, LONG, b"\xff" * 6)] * number
 
 
 LARGEST = [
-    Ping(*HEAD, news(max_updates(0))),
-    Ack(*HEAD, news(max_updates(9)), LONG),
-    PingRequest(*HEAD, news(max_updates(8)), ME),
-    Nack(*HEAD, news(max_updates(9)), LONG),
+    Ping(*HEAD, updates(max_updates(0))),
+    Ack(*HEAD, updates(max_updates(9)), LONG),
+    PingRequest(*HEAD, updates(max_updates(8)), ME),
+    Nack(*HEAD, updates(max_updates(9)), LONG),
     *(
-        Fragment(*HEAD, news(max_updates(n + 15)), 255, LONG, MAX_FRAGMENTS - 1, MAX_FRAGMENTS, b"x" * n)
+        Fragment(*HEAD, updates(max_updates(n + 15)), 255, LONG, MAX_FRAGMENTS - 1, MAX_FRAGMENTS, b"x" * n)
         for n in range(MAX_FRAGMENT_BYTES + 1)
     ),
 ]
 
 
-@pytest.mark.parametrize("frame", LARGEST[:4] + LARGEST[4::47], ids=lambda frame: type(frame).__name__)
-def test_the_largest_frame_of_each_kind_fits_and_comes_back(frame: Ping) -> None:
-    assert len(encode(frame)) + TAG_BYTES <= MAX_DATAGRAM_BYTES
-    assert decode(encode(frame)) == frame
+@pytest.mark.parametrize("message", LARGEST[:4] + LARGEST[4::47], ids=lambda message: type(message).__name__)
+def test_the_largest_message_of_each_type_fits_and_is_decoded(message: Ping) -> None:
+    assert len(encode(message)) + TAG_BYTES <= MAX_DATAGRAM_BYTES
+    assert decode(encode(message)) == message
 
 
-def test_a_piece_of_any_length_fits_with_its_news() -> None:
-    assert all(len(encode(frame)) + TAG_BYTES <= MAX_DATAGRAM_BYTES for frame in LARGEST)
+def test_a_fragment_of_any_length_fits_with_its_updates() -> None:
+    assert all(len(encode(message)) + TAG_BYTES <= MAX_DATAGRAM_BYTES for message in LARGEST)
     assert max_updates(0) >= 6 and MAX_FRAGMENTS * MAX_FRAGMENT_BYTES >= MAX_ITEM_BYTES
 
 
@@ -86,7 +86,7 @@
         (GOOD[:2] + b"\x91" * 200, "malformed"),
     ],
 )
-def test_what_is_no_frame_has_a_cause(data: bytes, cause: str) -> None:
+def test_what_is_not_a_message_has_a_drop_reason(data: bytes, cause: str) -> None:
     with pytest.raises(MessageDecodeError, match=f"^{cause}$"):
         decode(data)
 
@@ -98,9 +98,9 @@
     st.integers(0, 255),
 )
 def test_no_bytes_raise_anything_else(kind: int, data: bytes, at: int, byte: int) -> None:
-    for whole in (bytes((1, kind)) + data, GOOD[:at] + bytes((byte,)) + GOOD[at + 1 :]):
+    for candidate in (bytes((1, kind)) + data, GOOD[:at] + bytes((byte,)) + GOOD[at + 1 :]):
         try:
-            frame = decode(whole)
+            message = decode(candidate)
         except MessageDecodeError:
             continue
-        assert decode(encode(frame)) == frame
+        assert decode(encode(message)) == message
--- a/packages/peers/tests/test_peers_rate_limiter.py
+++ b/packages/peers/tests/test_peers_rate_limiter.py
@@ -5,10 +5,10 @@
 from random import Random
 
 from larkweir_peers.rate_limiter import TokenBucket
-from rig_peers import A, B, met, one
+from rig_peers import A, B, introduce, new_process
 
 
-def test_the_budget_holds_in_any_time_and_items_leave_some_for_membership() -> None:
+def test_the_limit_holds_in_any_time_and_membership_has_a_reserve() -> None:
     random, now, taken = Random(3), 0.0, [(0.0, 0)]
     bucket = TokenBucket(50.0, 20.0, 0.0)
     for _ in range(2_000):
@@ -17,12 +17,12 @@
         if bucket.try_acquire(number, 0.0, now):
             taken.append((now, number))
     for at in range(0, len(taken), 5):
-        whole = 0
+        total = 0
         for when, number in taken[at : at + 200]:
-            whole += number
-            assert whole <= 20.0 + 50.0 * (when - taken[at][0]) / 1000.0 + 1e-6
-    a, b = one(A), one(B)
-    met(a, b)
+            total += number
+            assert total <= 20.0 + 50.0 * (when - taken[at][0]) / 1000.0 + 1e-6
+    a, b = new_process(A), new_process(B)
+    introduce(a, b)
     while a.post(B, 1, b"x", 0.0):
         pass
     assert a.sender.rejected == 1 and a.sender.ping(B, 0.0) is not None
--- a/packages/peers/tests/test_peers_replace_peers.py
+++ b/packages/peers/tests/test_peers_replace_peers.py
@@ -17,17 +17,17 @@
 )
 from larkweir_peers.protocol import PeerProtocol
 from larkweir_peers.protocol_config import ProtocolConfig
-from rig_peers import KEY, A, B, C, D, met, one, sent
+from rig_peers import KEY, A, B, C, D, introduce, new_process, take_sent
 
 S = MemberState
 
 
-def test_of_who_went_nothing_is_left_and_who_stays_keeps_what_is_known_of_it() -> None:
-    a, b, c = one(A, config=ProtocolConfig(suspicion_confirmations=2)), one(B), one(C)
-    met(a, b, c)
+def test_of_a_removed_peer_nothing_remains_and_the_others_are_unchanged() -> None:
+    a, b, c = new_process(A, config=ProtocolConfig(suspicion_confirmations=2)), new_process(B), new_process(C)
+    introduce(a, b, c)
     b.post(A, 1, b"whole", 0.0)
     b.post(A, 1, b"x" * (2 * MAX_FRAGMENT_BYTES), 0.0)
-    for data in sent(b, A)[:2]:
+    for data in take_sent(b, A)[:2]:
         a.on_datagram(B, data, 0.0)
     a.post(B, 1, b"on its way", 0.0)
     a.membership.on_probe_failed(B, 0.0)
@@ -45,20 +45,20 @@
     assert a.replace_peers((A, C, D), 1.0) == ([], [B])
     assert not a.items and not len(a._reassembler) and not a._reassembler._keys_by_peer
     assert all(item.to != B for item in a.datagrams) and not a.post(B, 1, b"", 1.0)
-    for held in (
+    for table in (
         a.membership.members,
         a._windows,
         a.sender._hinted_ms,
         a.membership._suspects,
         a.membership._unhealthy,
     ):
-        assert B not in held
+        assert B not in table
     assert pack_address(B) not in a.membership._updates and pack_address(B) not in a.membership._by_address
     state = {name: member.state for name, member in a.membership.members.items()}
     assert state == {C: S.SUSPECT, D: S.UNHEARD}  # D was suspected by none but B
     assert a.membership.members[C].incarnation == 1_000 << REFUTATION_BITS
     assert a.membership.members[C].suspicion.reporters.keys() == {pack_address(D)}  # type: ignore[union-attr]
-    for data in sent(b, A):
+    for data in take_sent(b, A):
         a.on_datagram(B, data, 1.0)
     a.membership.on_update(MemberUpdate(pack_address(D), S.SUSPECT, 0, pack_address(B)), 1.0)
     assert not a.items and a.membership.members[D].state is S.UNHEARD
@@ -70,12 +70,12 @@
     assert a.membership.live_count == 2 and a.membership.due_ms == float("inf") and a.alive() == (B,)
 
 
-def test_who_went_and_came_back_is_believed_nothing_that_it_said_before() -> None:
-    a, b = one(A), one(B)
-    met(a, b)
+def test_old_datagrams_of_a_peer_that_is_listed_again_are_dropped() -> None:
+    a, b = new_process(A), new_process(B)
+    introduce(a, b)
     b.post(A, 1, b"once", 0.0)
     b.post(A, 1, b"late", 0.0)
-    once, late = sent(b, A)
+    once, late = take_sent(b, A)
     a.on_datagram(B, once, 0.0)
     a.items.clear()
     a.replace_peers((C,), 1.0)
@@ -85,14 +85,14 @@
     a.on_datagram(B, once, 2.0)
     assert a.dropped["again"] == 1 and not a.items
     b.post(A, 1, b"more", 3.0)
-    a.on_datagram(B, sent(b, A)[-1], 3.0)
+    a.on_datagram(B, take_sent(b, A)[-1], 3.0)
     assert [item.data for item in a.items] == [b"more"] and a.membership.members[B].state is S.ALIVE
 
 
-def test_what_is_kept_of_those_that_went_is_bounded() -> None:
-    a, random = one(A), Random(1)
-    b = one(B)
-    met(a, b)
+def test_replay_windows_of_removed_peers_are_bounded() -> None:
+    a, random = new_process(A), Random(1)
+    b = new_process(B)
+    introduce(a, b)
     names = [f"127.1.{n // 200}.{n % 200 + 1}:9" for n in range(3_000)]
     for n in range(0, 3_000, 500):
         a.replace_peers(names[n : n + 500], float(n))
@@ -121,24 +121,24 @@
 
 
 @pytest.mark.parametrize(
-    ("others", "keys", "words"),
+    ("others", "keys", "expected"),
     [
         ((B, "there"), (KEY,), "not an IPv4"),
         ((B, "10.0.0.1:1"), (), "takes a key"),
         ([f"127.{n >> 8}.{n & 255}.1:9" for n in range(4_097)], (KEY,), "4096 at the most"),
     ],
 )
-def test_a_list_that_does_not_do_changes_nothing(
-    others: tuple[str, ...], keys: tuple[bytes, ...], words: str
+def test_an_invalid_list_changes_nothing(
+    others: tuple[str, ...], keys: tuple[bytes, ...], expected: str
 ) -> None:
-    a = one(A, keys)
-    with pytest.raises(PeersError, match=words):
+    a = new_process(A, keys)
+    with pytest.raises(PeersError, match=expected):
         a.replace_peers(others, 1.0)
     assert tuple(a.membership.members) == (B, C, D)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_fleet_whose_lists_change_one_process_after_the_other(seed: int) -> None:
+def test_a_fleet_whose_lists_change_process_by_process(seed: int) -> None:
     """Four go, for good, and four others come; for seconds the lists differ, a twentieth is lost."""
     fleet = Fleet(seed, lost=0.05, names=list(FLEET[:24]))
     fleet.run(10_000.0)
@@ -147,24 +147,24 @@
         fleet.start(name)
     at = fleet.net.now_ms
     for name in FLEET[4:24]:
-        fleet.membership[name].replace_peers(fleet.names, fleet.net.now_ms)
+        fleet.processes[name].replace_peers(fleet.names, fleet.net.now_ms)
         fleet.run(200.0)
     fleet.kill(*FLEET[:4])
     fleet.run(15_000.0)
-    assert fleet.agree()
-    assert not {found for found in fleet.wrongly(S.DEAD, set(FLEET[:4])) if found[0] in fleet.names}
+    assert fleet.has_one_view()
+    assert not {found for found in fleet.wrong_reports(S.DEAD, set(FLEET[:4])) if found[0] in fleet.names}
     crashed = FLEET[25]
     fleet.kill(crashed)
     fleet.run(12_000.0)
-    assert len(fleet.said(S.DEAD, crashed, at)) == 23  # who came is watched as the others are
+    assert len(fleet.reported(S.DEAD, crashed, at)) == 23  # who came is watched as the others are
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_lists_that_change_at_random_break_nothing_and_one_list_at_last_is_one_view(seed: int) -> None:
+def test_random_list_changes_break_nothing_and_one_list_ends_in_one_view(seed: int) -> None:
     fleet, random = Fleet(seed, lost=0.1, doubled=0.1, names=list(FLEET[:10])), Random(seed)
     for _ in range(150):
         name = random.choice(FLEET[:10])
-        peers = fleet.membership[name]
+        peers = fleet.processes[name]
         listed = random.sample(FLEET[:14], random.randrange(1, 14))
         peers.replace_peers(listed, fleet.net.now_ms)
         fleet._out(name)  # as the hands do after each call
@@ -180,9 +180,9 @@
             members.members
         )
     for name in FLEET[:10]:
-        fleet.membership[name].replace_peers(FLEET[:10], fleet.net.now_ms)
+        fleet.processes[name].replace_peers(FLEET[:10], fleet.net.now_ms)
         fleet._out(name)
     fleet.run(30_000.0)
-    assert fleet.agree()
-    came = [(item.source, to, item.data) for to, item in fleet.items]
-    assert len(came) == len(set(came)) and came
+    assert fleet.has_one_view()
+    received = [(item.source, to, item.data) for to, item in fleet.items]
+    assert len(received) == len(set(received)) and received
--- a/packages/peers/tests/test_peers_replay_window.py
+++ b/packages/peers/tests/test_peers_replay_window.py
@@ -8,20 +8,20 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3 * ReplayWindow.SIZE)), max_size=200))
-def test_the_window_takes_a_number_once(came: list[tuple[int, int]]) -> None:
+def test_the_replay_window_accepts_a_number_once(numbers: list[tuple[int, int]]) -> None:
     """Against a model that remembers all."""
     window, seen, top = ReplayWindow(), set[tuple[int, int]](), dict[int, int]()
-    life = 0
-    for each, number in came:
-        fault = window.check(each, number)
-        if each < life:
-            assert fault == "former_life"
+    process_start = 0
+    for start, number in numbers:
+        reason = window.check(start, number)
+        if start < process_start:
+            assert reason == "former_life"
             continue
-        life = each
-        highest = top.get(each, -1)
+        process_start = start
+        highest = top.get(start, -1)
         if number <= highest - ReplayWindow.SIZE:
-            assert fault == "late"
+            assert reason == "late"
         else:
-            assert fault == ("again" if (each, number) in seen else None)
-            seen.add((each, number))
-            top[each] = max(highest, number)
+            assert reason == ("again" if (start, number) in seen else None)
+            seen.add((start, number))
+            top[start] = max(highest, number)
--- a/packages/peers/tests/test_peers_suspicion.py
+++ b/packages/peers/tests/test_peers_suspicion.py
@@ -10,17 +10,17 @@
 )
 from larkweir_peers.protocol_config import ProtocolConfig
 from larkweir_peers.suspicion import Suspicion
-from rig_peers import A, B, C, D, one
+from rig_peers import A, B, C, D, new_process
 
 S = MemberState
 
 
-def test_a_suspicion_is_shorter_by_each_that_shares_it() -> None:
+def test_each_further_reporter_shortens_a_suspicion() -> None:
     """Lifeguard section IV-B: from most to least, by the logarithm."""
     by = [bytes((n,)) for n in range(4)]
     due = [Suspicion(100.0, 1_000.0, 6_000.0, 3, dict.fromkeys(by[: n + 1])).due_ms for n in range(4)]
     assert due[0] == 6_100.0 and due[2] == pytest.approx(2_137.6, abs=0.1) and due[3] == 1_100.0
-    a = one(A, config=ProtocolConfig(suspicion_confirmations=2))
+    a = new_process(A, config=ProtocolConfig(suspicion_confirmations=2))
     least, most = a.config.suspicion_timeouts_ms(4)
     assert least == 2_000.0 and most == 12_000.0
     for source, due_ms in ((B, most), (C, least + (most - least) * 0.369), (A, least)):
--- a/packages/peers/tests/test_peers_update_queue.py
+++ b/packages/peers/tests/test_peers_update_queue.py
@@ -16,7 +16,7 @@
     return list(out.values())
 
 
-def test_the_least_sent_come_first_then_the_newest_and_each_is_sent_so_often() -> None:
+def test_the_least_sent_are_first_then_the_newest_and_each_is_sent_to_its_limit() -> None:
     queue = UpdateQueue()
     queue.add(update(1))
     queue.add(update(2))
