--- a/larkweir/budget/chain.py
+++ b/larkweir/budget/chain.py
@@ -271,7 +271,7 @@
             first.left = 0
         if key is not None and len(self.open_keys) < self.MOST_KEYS:
             self.open_keys[key] = account
-        event.attempts = account.left
+        event.attempts_left = account.left
         way = b", ".join((*hops, self._hop))
         return Ticket(self, account, way, worth, trusted, event.class_index, key, ride)
 
--- a/larkweir/cli/members.py
+++ b/larkweir/cli/members.py
@@ -7,7 +7,7 @@
 import sys
 import time
 
-from larkweir_balancing.proof import FLOOR, SEND_FIRST
+from larkweir_balancing.restored_trust import DIRECT_SEND_CONFIDENCE, MIN_CONFIDENCE
 
 from larkweir.cli.state import BAD, WELL, read_store
 from larkweir.membership.remembered.evidence import DAY_MS, HOUR_MS, Source, confidence
@@ -56,7 +56,13 @@
     for row in held["instances"]:
         known = told.rows[row["instanceId"]]
         value = confidence(known, told.churn, Source.KEPT, told.clock_doubt, now)
-        use = "not used" if value < FLOOR else "sent to" if value >= SEND_FIRST else "probed first"
+        use = (
+            "not used"
+            if value < MIN_CONFIDENCE
+            else "sent to"
+            if value >= DIRECT_SEND_CONFIDENCE
+            else "probed first"
+        )
         print(
             f"{row['instanceId']:<24.60} {row['hostPort']:<22} {row.get('zone', ''):<10.40} {row['lifecycle']:<8} "
             f"{_ago(known.heard_ms, now):>8} {_ago(known.proved_ms, now):>8} {known.how.name.lower():<9} "
--- a/larkweir/coordination/duties/probers.py
+++ b/larkweir/coordination/duties/probers.py
@@ -7,8 +7,9 @@
 there by chance, two balancers have the turn at once.
 
 A finding has an age: since when it was found, as far as that is known. It travels with the owner's state, and each
-balancer's decisions weigh it (`larkweir_balancing/hearsay.py`). A late state may make it seem younger by as long as the
-state took: it keeps a server out, or has it tried, for no longer than the decisions allow for one finding.
+balancer's decisions weigh it (`larkweir_balancing/shared_health.py`). A late state may make it seem younger by as
+long as the state took: it keeps a server out, or has it tried, for no longer than the decisions allow for one
+finding.
 """
 
 from __future__ import annotations
--- a/larkweir/coordination/health_sharing.py
+++ b/larkweir/coordination/health_sharing.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from larkweir_balancing import Balancer
-from larkweir_balancing.hearsay import Hearsay, Told
-from larkweir_balancing.interface import Heard
+from larkweir_balancing.interface import PeerHealthReport
+from larkweir_balancing.shared_health import LocalHealth, SharedHealth
 
 from larkweir.coordination.duties.ports import LocalSighting
 from larkweir.coordination.duties.probers import FAILING, NOTHING, PROBED, SERVED, key_of
@@ -24,7 +24,7 @@
         self,
         decisions: Callable[[], Iterable[Balancer]],
         targets: Callable[[], Mapping[int, UpstreamInfo]],
-        tell: Callable[[Heard], None],
+        tell: Callable[[PeerHealthReport], None],
     ) -> None:
         self._decisions, self._targets, self._tell = decisions, targets, tell
         self._numbers: dict[bytes, int] = {}  # of the upstreams at the last check
@@ -34,13 +34,13 @@
         """Whether the platform's settings allow probes."""
         return any(balancer.settings.may_probe for balancer in self._decisions())
 
-    def _listeners(self) -> list[Hearsay]:
+    def _listeners(self) -> list[SharedHealth]:
         """What each pool's decisions share; those of a later generation take part from the next check on."""
-        found: list[Hearsay] = []
+        found: list[SharedHealth] = []
         for balancer in self._decisions():
-            if balancer.hearsay is None:
-                balancer.hearsay = Hearsay(balancer.judge)
-            found.append(balancer.hearsay)
+            if balancer.shared_health is None:
+                balancer.shared_health = SharedHealth(balancer.outliers)
+            found.append(balancer.shared_health)
         return found
 
     def sightings(self, now_ms: float) -> Mapping[bytes, LocalSighting]:
@@ -48,7 +48,7 @@
         self._numbers.clear()
         targets, found = self._targets(), dict[bytes, LocalSighting]()
         for listener in self._listeners():
-            for told in listener.told(now_ms):
+            for told in listener.local_health(now_ms):
                 target = targets.get(told.server)
                 if target is None:
                     continue
@@ -62,15 +62,15 @@
         number = self._numbers.get(key)
         if number is not None:
             good = None if finding == NOTHING else finding != FAILING
-            self._tell(Heard(number, good, age_ms, finding == SERVED, is_prober))
+            self._tell(PeerHealthReport(number, good, age_ms, finding == SERVED, is_prober))
 
 
-def _joined(other: LocalSighting | None, told: Told) -> LocalSighting:
+def _joined(other: LocalSighting | None, told: LocalHealth) -> LocalSighting:
     """Ejected where any has ejected it; of the findings, the newest."""
     finding = NOTHING
-    if told.good is not None:
-        finding = FAILING if not told.good else SERVED if told.by_call else PROBED
-    mine = LocalSighting(told.out, finding, told.age_ms if finding else 0.0)
+    if told.is_healthy is not None:
+        finding = FAILING if not told.is_healthy else SERVED if told.from_request else PROBED
+    mine = LocalSighting(told.is_ejected, finding, told.age_ms if finding else 0.0)
     if other is None:
         return mine
     newer = mine if finding and (not other.finding or mine.age_ms < other.age_ms) else other
--- a/larkweir/core/dispatcher.py
+++ b/larkweir/core/dispatcher.py
@@ -12,16 +12,16 @@
 from functools import partial
 
 from larkweir_balancing.interface import (
-    BodyCame,
     ClientGone,
     Effect,
     Event,
-    Heard,
     ListKind,
     ListUpdate,
+    PeerHealthReport,
     Reconfigured,
     ReportMode,
     RequestArrived,
+    RequestBodyReceived,
     ServerState,
     TimerFired,
 )
@@ -154,7 +154,7 @@
         stream = message.stream
         is_arriving = stream is not None and not stream.ended
         if is_arriving:
-            event.coming = True
+            event.body_incomplete = True
             deadline_ms = math.inf
         request = ActiveRequest(number, caller, message, deadline_ms, trace, self._max_attempts)
         request.time_left_ms = time_left_ms
@@ -199,7 +199,7 @@
         for attempt in request.attempts:
             if attempt is not None:
                 attempt.on_body_received(request.deadline_ms)
-        self.deliver(BodyCame(request.number))
+        self.deliver(RequestBodyReceived(request.number))
 
     # ------------------------------------------------ clients
 
@@ -259,7 +259,7 @@
                     upstream.number, upstream.address, ServerState.GONE, upstream.started_ms
                 )
 
-    def heard(self, event: Heard) -> None:
+    def heard(self, event: PeerHealthReport) -> None:
         """Another replica's finding of an upstream's health."""
         self.deliver(event)
 
--- a/larkweir/core/request_parser.py
+++ b/larkweir/core/request_parser.py
@@ -120,5 +120,5 @@
         if event.class_index >= len(classes) or classes[event.class_index].name != cls.name:
             raise FramingError(503, f"class {cls.name!r:.60} was removed before this request's turn")
         if classes[event.class_index] != cls:
-            event.terms = cls
-        event.attempts = max_attempts
+            event.class_at_arrival = cls
+        event.attempts_left = max_attempts
--- a/larkweir/door/guard.py
+++ b/larkweir/door/guard.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from random import Random
 
-from larkweir_balancing.door import Door
 from larkweir_balancing.interface import Settings
+from larkweir_balancing.load_shedding import LoadShedder
 
 from larkweir.config.options import Door as Options
 from larkweir.core.clock import Clock
@@ -33,7 +33,7 @@
         log: Callable[[str], None],
     ) -> None:
         """`known` tells an id that is open, or was until lately, here or at another life of this balancer."""
-        self.door = Door(settings.classes, Random(seed), options.high, options.low)
+        self.door = LoadShedder(settings.classes, Random(seed), options.high, options.low)
         self._clock = clock
         self._known = known
         self._log = log
@@ -52,17 +52,18 @@
 
     def _turn(self, busy_ms: float, whole_ms: float) -> None:
         door = self.door
-        door.turn(busy_ms, whole_ms)
-        if door.shed > self._said and self._clock.now_ms() - self._said_ms > self.SAY_MS:
+        door.on_iteration(busy_ms, whole_ms)
+        if door.shed_count > self._said and self._clock.now_ms() - self._said_ms > self.SAY_MS:
             self._said_ms = self._clock.now_ms()
             self._log(
-                f"door: turns of {door.turn_ms:.0f} ms, {door.part:.0%} turned away, {door.shed - self._said} since"
+                f"door: turns of {door.mean_busy_ms:.0f} ms, {door.shed_fraction:.0%} turned away, "
+                f"{door.shed_count - self._said} since"
             )
-            self._said = door.shed
+            self._said = door.shed_count
 
     def refusal_for(self, message: Message) -> Headers | None:
         """The headers of a refusal, or None where the message is to be read on."""
-        if not self.door.shedding:
+        if not self.door.is_shedding:
             return None
         self._clock.loop_iteration()  # a turn that only sheds is one too
         named = trace = b""
--- a/larkweir/lab/balancers.py
+++ b/larkweir/lab/balancers.py
@@ -104,7 +104,7 @@
         account = self.world.accounts.get(request)
         cls, tenant = self.world.kinds[request]
         left = None if account is None else account.left
-        self.tell(RequestArrived(request, cls, left_ms, tenant=tenant, attempts=left))
+        self.tell(RequestArrived(request, cls, left_ms, tenant=tenant, attempts_left=left))
 
     def _act(self, action: Action) -> None:
         world = self.world
@@ -125,7 +125,9 @@
         spent = self.world.now - call.sent_ms
         left = None if account is None else account.left
         self.tell(
-            AttemptEnded(call.request, call.number, call.server.number, outcome, final, spent, left=left)
+            AttemptEnded(
+                call.request, call.number, call.server.number, outcome, final, spent, attempts_left=left
+            )
         )
 
     def idle(self, server: int) -> None:
--- a/larkweir/logs/follow.py
+++ b/larkweir/logs/follow.py
@@ -14,13 +14,13 @@
     Action,
     AnswerStarted,
     AttemptEnded,
-    BodyCame,
     ClientGone,
     Event,
     Fail,
     Outcome,
     Refuse,
     RequestArrived,
+    RequestBodyReceived,
     Send,
     Settings,
 )
@@ -109,7 +109,7 @@
             self.arrived(now_ms, event)  # type: ignore[arg-type]
         elif kind is AttemptEnded:
             self.attempt(now_ms, event)  # type: ignore[arg-type]
-        elif isinstance(event, BodyCame):
+        elif isinstance(event, RequestBodyReceived):
             told = self._coming.pop(event.request, None)
             if told is not None:
                 told[0].due_ms = now_ms + told[1]
@@ -130,7 +130,7 @@
             elif isinstance(action, Fail):
                 self.over(now_ms, action.request, FAILED)
         if isinstance(event, AttemptEnded):
-            if event.final and (event.outcome is Outcome.OK or self._begun(event)):
+            if event.is_final and (event.outcome is Outcome.OK or self._begun(event)):
                 self.over(now_ms, event.request, SERVED)
         elif isinstance(event, ClientGone):
             self.over(now_ms, event.request, GONE)
@@ -162,7 +162,7 @@
             return
         left = event.time_left_ms
         told = Told(now_ms, now_ms + left, trace, names, left, event.expected_ms, event.client_retry, mark)
-        if event.coming:
+        if event.body_incomplete:
             self._coming[event.request] = (told, left)
         else:
             self._open[event.request] = told
--- a/larkweir/logs/watch.py
+++ b/larkweir/logs/watch.py
@@ -53,7 +53,7 @@
     ) -> None:
         """`part` of the requests is told of; `trace_of` a request's id, `address_of` where an upstream listens."""
         self.decisions = decisions
-        self._fleet = decisions.fleet if isinstance(decisions, Balancer) else None
+        self._fleet = decisions.table if isinstance(decisions, Balancer) else None
         self._part = part
         self._address_of = address_of
         self._say = say
--- a/larkweir/membership/remembered/entries.py
+++ b/larkweir/membership/remembered/entries.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from larkweir_balancing.interface import Outcome
-from larkweir_balancing.proof import FLOOR, Proof, Seen
+from larkweir_balancing.restored_trust import MIN_CONFIDENCE, ObservedEvidence, RestoredTrust
 
 from larkweir.membership.remembered.evidence import (
     NEVER_SEEN,
@@ -50,7 +50,7 @@
     row: Evidence
     confidence_by_age: float = 0.0  # as of the last review
     failure_factor: float = 1.0  # what refusals and failures have left of it
-    seen: Seen = Seen.NOTHING
+    seen: ObservedEvidence = ObservedEvidence.NOTHING
     identified: bool = False  # an answer has said that it is this one
     place_shown: bool = False  # an answer has said where it is
     is_other_instance: bool = False  # an answer has said that another is at its address
@@ -58,24 +58,24 @@
     failed: int = 0  # probes in a row
     anonymous_answers: int = 0  # answers that did not say which one it is
     due_ms: float = 0.0  # when its next probe is due; 0: none is
-    announced: Proof | None = None  # what the decisions were told last
+    announced: RestoredTrust | None = None  # what the decisions were told last
 
     @property
     def confidence(self) -> float:
         """0 to 1."""
-        return 1.0 if self.seen is Seen.ANSWER else self.confidence_by_age * self.failure_factor
+        return 1.0 if self.seen is ObservedEvidence.ANSWER else self.confidence_by_age * self.failure_factor
 
     @property
     def lost(self) -> bool:
         """Whether it is not used, for now."""
-        return self.is_other_instance or self.confidence < FLOOR
+        return self.is_other_instance or self.confidence < MIN_CONFIDENCE
 
 
 class Change(NamedTuple):
     """What the decisions are to be told of one upstream."""
 
     name: str
-    proof: Proof | None  # None: it is not used any more
+    proof: RestoredTrust | None  # None: it is not used any more
     place: Place
 
 
@@ -130,7 +130,7 @@
             place, row = self._rows[name]
             entry = Entry(name, place, row)
             entry.confidence_by_age = self._confidence_by_age(entry, now_ms)
-            if entry.confidence_by_age < FLOOR:
+            if entry.confidence_by_age < MIN_CONFIDENCE:
                 self._distrusted += 1
                 continue
             self.entries[name] = entry
@@ -147,14 +147,14 @@
             return False
         return (
             entry.lost
-            or entry.seen is Seen.NOTHING
+            or entry.seen is ObservedEvidence.NOTHING
             or (self.identifies and not entry.identified and entry.anonymous_answers < MAX_ANONYMOUS_ANSWERS)
         )
 
     def _announce(self, entry: Entry) -> Change:
         entry.announced = None
         if not entry.lost:
-            entry.announced = Proof(
+            entry.announced = RestoredTrust(
                 entry.confidence,
                 entry.seen,
                 entry.identified,
@@ -166,9 +166,11 @@
     def _classify(self, entry: Entry) -> None:
         lost = entry.lost
         (self._lost.add if lost else self._lost.discard)(entry.name)
-        (self._proved.add if not lost and entry.seen is not Seen.NOTHING else self._proved.discard)(
-            entry.name
-        )
+        (
+            self._proved.add
+            if not lost and entry.seen is not ObservedEvidence.NOTHING
+            else self._proved.discard
+        )(entry.name)
 
     def _changes_of(self, entry: Entry) -> list[Change]:
         """What the decisions are to be told of it; nothing where its confidence has changed a little."""
@@ -179,8 +181,8 @@
         if before is None or after is None:
             return [] if before is after else [change]
         if (
-            before._replace(trust=0.0) == after._replace(trust=0.0)
-            and abs(before.trust - after.trust) < MIN_CONFIDENCE_CHANGE
+            before._replace(confidence=0.0) == after._replace(confidence=0.0)
+            and abs(before.confidence - after.confidence) < MIN_CONFIDENCE_CHANGE
         ):
             entry.announced = before
             return []
@@ -221,9 +223,11 @@
             if identity is not None and identity.instance != name:
                 entry.is_other_instance = True
                 return False, self._changes_of(entry) + self._open_more(now_ms)
-            self._record_answer(entry, Seen.PROBE if probe else Seen.ANSWER, identity, now_ms)
+            self._record_answer(
+                entry, ObservedEvidence.PROBE if probe else ObservedEvidence.ANSWER, identity, now_ms
+            )
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR):
-            if entry.seen is not Seen.ANSWER:  # of one that has served, ejection is the judge
+            if entry.seen is not ObservedEvidence.ANSWER:  # of one that has served, ejection is the judge
                 entry.failure_factor = after_failure(entry.failure_factor, outcome is Outcome.CONNECT_FAILED)
             entry.failed += probe
         if self._wants_probe(entry) and (probe or not entry.probing):
@@ -241,7 +245,7 @@
         heappush(self._due, (at_ms, entry.name))
 
     def _record_answer(
-        self, entry: Entry, seen: Seen, identity: UpstreamIdentity | None, now_ms: float
+        self, entry: Entry, seen: ObservedEvidence, identity: UpstreamIdentity | None, now_ms: float
     ) -> None:
         entry.seen = max(entry.seen, seen)
         entry.failed = 0
@@ -257,13 +261,13 @@
         entry.row = entry.row._replace(proved_ms=now_ms, how=self._kind_of(entry, seen))
         entry.confidence_by_age = self._confidence_by_age(entry, now_ms)
         # It is there; what it failed is not forgotten.
-        entry.failure_factor = max(entry.failure_factor, 2.0 * FLOOR)
+        entry.failure_factor = max(entry.failure_factor, 2.0 * MIN_CONFIDENCE)
 
     @staticmethod
-    def _kind_of(entry: Entry, seen: Seen) -> EvidenceKind:
+    def _kind_of(entry: Entry, seen: ObservedEvidence) -> EvidenceKind:
         if entry.identified:
             return EvidenceKind.SHOWN
-        return EvidenceKind.ANSWERED if seen is Seen.ANSWER else EvidenceKind.PROBED
+        return EvidenceKind.ANSWERED if seen is ObservedEvidence.ANSWER else EvidenceKind.PROBED
 
     def review(self, now_ms: float, max_count: int = 500) -> tuple[bool, list[Change]]:
         """Review the confidence in all, `max_count` a call. Returns whether that was the last of them, and what the
@@ -274,7 +278,11 @@
         names = self._order[self._reviewed : min(self._next, self._reviewed + max_count)]
         for name in names:
             entry = self.entries.get(name)
-            if entry is not None and entry.seen is not Seen.ANSWER and not entry.is_other_instance:
+            if (
+                entry is not None
+                and entry.seen is not ObservedEvidence.ANSWER
+                and not entry.is_other_instance
+            ):
                 entry.failure_factor = min(1.0, RECOVERY_FACTOR * entry.failure_factor)
                 entry.confidence_by_age = self._confidence_by_age(entry, now_ms)
                 if self._wants_probe(entry) and not entry.probing:
@@ -288,7 +296,7 @@
         return last, found
 
     def _confidence_by_age(self, entry: Entry, now_ms: float) -> float:
-        seen = entry.seen is not Seen.NOTHING  # by this process, and its clock
+        seen = entry.seen is not ObservedEvidence.NOTHING  # by this process, and its clock
         return confidence(
             entry.row,
             self.churn,
@@ -309,7 +317,9 @@
         just restarted; what it says has left has left.
         """
         answer = [
-            name for name, entry in self.entries.items() if entry.seen is not Seen.NOTHING and not entry.lost
+            name
+            for name, entry in self.entries.items()
+            if entry.seen is not ObservedEvidence.NOTHING and not entry.lost
         ]
         missing = [name for name in answer if name not in listed and name not in left]
         if not answer or len(answer) - len(missing) >= MIN_LISTED_SHARE * len(answer):
--- a/larkweir/routes/hands.py
+++ b/larkweir/routes/hands.py
@@ -278,8 +278,8 @@
             carried, carries = {}, {}
             for zone, part in zoned.items():
                 decisions = self.switch.pools[part].decisions
-                carried[zone] = decisions.limiter.load
-                carries[zone] = decisions.limiter.window if decisions.fleet.ready_count else 0.0
+                carried[zone] = decisions.limiter.mean_in_flight
+                carries[zone] = decisions.limiter.window if decisions.table.ready_count else 0.0
             self._shares[name] = self._spills[name].look(carried, carries)
         self._clock.after(self.LOOK_MS, self._look)
 
@@ -392,7 +392,7 @@
         found: dict[str, object] = {
             "routes": len(self.router.routes),
             "pools": ",".join(
-                f"{name}:{pool.decisions.fleet.ready_count}" for name, pool in self.switch.pools.items()
+                f"{name}:{pool.decisions.table.ready_count}" for name, pool in self.switch.pools.items()
             )[:300],
             "pools_left": len(self.switch.left),
         }
--- a/larkweir/routes/switch.py
+++ b/larkweir/routes/switch.py
@@ -19,24 +19,24 @@
     Action,
     AnswerStarted,
     AttemptEnded,
-    BodyCame,
     Cancel,
     ClientGone,
     CloseIdle,
     Effect,
     Event,
     Fail,
-    Heard,
     ListKind,
     ListUpdate,
     Log,
     Outcome,
+    PeerHealthReport,
     PeerMessage,
     Probe,
     ProbeEnded,
     Reconfigured,
     Refuse,
     RequestArrived,
+    RequestBodyReceived,
     Send,
     ServerEntry,
     ServerState,
@@ -123,9 +123,9 @@
             return self._timer(event)
         if isinstance(event, ListUpdate):
             return self._list(event)
-        if isinstance(event, AnswerStarted | BodyCame | ClientGone):
+        if isinstance(event, AnswerStarted | RequestBodyReceived | ClientGone):
             return self._of_request(event)
-        if isinstance(event, Heard):
+        if isinstance(event, PeerHealthReport):
             having = list(self.has.get(event.server, ()))
             return [action for pool in having for action in self._out(pool, self._tell(pool, event))]
         if isinstance(event, ProbeEnded):
@@ -155,7 +155,7 @@
         pool.requests += 1
         reserved = self._reserved(choice)
         if reserved:
-            event = replace(event, attempts=self._share(pool, held, reserved))
+            event = replace(event, attempts_left=self._share(pool, held, reserved))
         return self._out(pool, self._tell(pool, event), held)
 
     def _reserved(self, choice: Choice) -> int:
@@ -165,8 +165,8 @@
     def _share(self, pool: Pool, held: Held, reserved: int) -> int:
         """Attempts that its present pool may make: of those that are left in all, less what is kept for others."""
         left = pool.decisions.settings.max_attempts - held.sent
-        if held.arrived.attempts is not None:
-            left = min(left, held.arrived.attempts - held.sent)
+        if held.arrived.attempts_left is not None:
+            left = min(left, held.arrived.attempts_left - held.sent)
         return max(1, left - reserved) if left > 0 else 0
 
     def _pool(self, choice: Choice) -> Pool | None:
@@ -192,15 +192,15 @@
         number = event.attempt - held.first
         if number >= 0:
             told = event if not held.first else replace(event, attempt=number)
-            if event.left is not None and (reserved := self._reserved(held.choice)):
-                told = replace(told, left=max(0, event.left - reserved))
+            if event.attempts_left is not None and (reserved := self._reserved(held.choice)):
+                told = replace(told, attempts_left=max(0, event.attempts_left - reserved))
             actions = self._out(pool, self._tell(pool, told), held)
         else:
             actions = []
         self._settle(event.request, held)
         return actions
 
-    def _of_request(self, event: AnswerStarted | BodyCame | ClientGone) -> list[Action]:
+    def _of_request(self, event: AnswerStarted | RequestBodyReceived | ClientGone) -> list[Action]:
         held = self._requests.get(event.request)
         if held is None:
             return []
@@ -209,8 +209,8 @@
             self._over(held, False)
             if held.first:
                 told = replace(event, attempt=event.attempt - held.first)
-        elif isinstance(event, BodyCame):
-            held.arrived.coming = False
+        elif isinstance(event, RequestBodyReceived):
+            held.arrived.body_incomplete = False
             held.due_ms = self.now + held.arrived.time_left_ms
         actions = self._out(held.pool, self._tell(held.pool, told), held)
         if isinstance(event, ClientGone):
@@ -276,7 +276,7 @@
             elif isinstance(action, CloseIdle):
                 for other in self.has.get(action.server, ()):
                     if other is not pool:
-                        other.decisions.unlink(action.server)
+                        other.decisions.on_connections_closed(action.server)
                 found.append(action)
             elif isinstance(action, SetTimer | Log) or pool.name == self.main:
                 found.append(action)
@@ -288,7 +288,7 @@
         choice = held.choice
         left = held.due_ms - self.now
         safe = held.arrived.class_in(held.pool.decisions.settings).effect is Effect.SAFE
-        if (safe or not held.ran) and not held.out and left > 0.0 and not held.arrived.coming:
+        if (safe or not held.ran) and not held.out and left > 0.0 and not held.arrived.body_incomplete:
             choice.at += 1
             pool = self._pool(choice)
             if pool is not None:
@@ -298,7 +298,7 @@
                 self._leave(before)
                 share = self._share(pool, held, self._reserved(choice))
                 if share:
-                    again = replace(held.arrived, time_left_ms=left, attempts=share)
+                    again = replace(held.arrived, time_left_ms=left, attempts_left=share)
                     return self._out(pool, self._tell(pool, again), held)
         return self._give_up(action, held)
 
@@ -380,7 +380,9 @@
     def _tell_counts(self, pool: Pool) -> None:
         for number in pool.counted:
             counts = self._out_at.get(number, {})
-            pool.decisions.elsewhere(number, sum(counts.values()) - counts.get(id(pool), 0), self.now)
+            pool.decisions.set_other_in_flight(
+                number, sum(counts.values()) - counts.get(id(pool), 0), self.now
+            )
         pool.counted.clear()
 
     def settle(self) -> None:
--- a/larkweir/storms/gate.py
+++ b/larkweir/storms/gate.py
@@ -93,8 +93,8 @@
         return True
 
     def _share(self, upstream: int, now_ms: float) -> float:
-        server = self._balancer.fleet.servers.get(upstream)
-        return 1.0 if server is None else self._balancer.slow_start.share(server, now_ms)
+        server = self._balancer.table.servers.get(upstream)
+        return 1.0 if server is None else self._balancer.slow_start.capacity_fraction(server, now_ms)
 
     def is_allowed(self, upstream: int, now_ms: float) -> bool:
         """Whether a new connection to an upstream may be opened now. In calm, to a warm one, always."""
--- a/larkweir/storms/watch.py
+++ b/larkweir/storms/watch.py
@@ -87,7 +87,7 @@
             self._close(event.request)
         elif isinstance(event, Reconfigured):
             storm.configure(event.settings)
-        self.balancer.slow_start.part = storm.usual_part
+        self.balancer.slow_start.earn_fraction = storm.usual_part
         actions = self.balancer.handle(now_ms, event)
         for action in actions:
             if isinstance(action, Send):
@@ -121,7 +121,7 @@
         self.storm.call_ended(now_ms, event.outcome, spent, item.cls)
         if event.outcome is Outcome.OK:
             self.storm.served(now_ms, item.client)
-        if event.final or event.outcome is Outcome.OK or item.over:
+        if event.is_final or event.outcome is Outcome.OK or item.over:
             self._close(event.request)
 
     def _close(self, request: int) -> None:
@@ -138,12 +138,12 @@
         slow = self.balancer.slow_start
         ready = cold = 0
         share = 0.0
-        for server in self.balancer.fleet.servers.values():
+        for server in self.balancer.table.servers.values():
             if server.ready:
                 ready += 1
                 if slow.is_cold(server, now_ms):
                     cold += 1
-                    share += slow.share(server, now_ms)
+                    share += slow.capacity_fraction(server, now_ms)
                 else:
                     share += 1.0
         self.storm.listed(now_ms, ready, cold, share / ready if ready else 1.0)
--- a/packages/balancing/src/larkweir_balancing/admission_queue.py
+++ b/packages/balancing/src/larkweir_balancing/admission_queue.py
@@ -19,27 +19,32 @@
     may wait, a standing queue may not).
     """
 
-    INTERVAL = 0.5  # of the aim, for so long
-    MOST = 4096  # that wait at once
-    OVER_TURN = 16  # every so many turns, one over its share goes first: guards against starving it for good
+    STANDING_FRACTION = 0.5  # of the aim, for so long
+    MAX_WAITING = 4096  # that wait at once
+    OVER_SHARE_TURN = (
+        16  # every so many turns, one over its share goes first: guards against starving it for good
+    )
 
     def __init__(self, settings: Settings) -> None:
         self._queues: list[OrderedDict[int, None]] = []
-        self._turns: list[float] = []
+        self._next_pass: list[float] = []
         self._weights: list[float] = []
         self._count = 0
-        self._over = 0  # of them, over their share
-        self._taken = 0
-        self._pass = 0.0
+        self._over_share_count = 0  # of them, over their share
+        self._popped = 0
+        self._current_pass = 0.0
         # Since when some have waited without a break, within their share and over it; below 0: none does.
-        self._occupied_ms = [-1.0, -1.0]
-        self._at: dict[int, int] = {}  # which queue a request waits in
+        self._occupied_since_ms = [-1.0, -1.0]
+        self._queue_of: dict[int, int] = {}  # which queue a request waits in
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
         """The weights are the classes' worth; who waits already stays. Classes keep their places; there may be more."""
         # Of the aim: how long a burst may wait, and how long where the room has not been empty.
-        self._patience, self._standing = settings.tuning.queue_patience, settings.tuning.queue_standing
+        self._burst_wait_fraction, self._standing_wait_fraction = (
+            settings.tuning.queue_patience,
+            settings.tuning.queue_standing,
+        )
         had = len(self._weights)
         self._weights = [max(cls.worth, 0.001) for cls in settings.classes]
         self._classes = count = len(self._weights)
@@ -47,11 +52,13 @@
             fresh: list[OrderedDict[int, None]] = [OrderedDict() for _ in range(2 * (count - had))]
             self._queues = [*self._queues[:had], *fresh[::2], *self._queues[had:], *fresh[1::2]]
             none = [0.0] * (count - had)
-            self._turns = [*self._turns[:had], *none, *self._turns[had:], *none]
-            self._at = {request: at if at < had else at + count - had for request, at in self._at.items()}
+            self._next_pass = [*self._next_pass[:had], *none, *self._next_pass[had:], *none]
+            self._queue_of = {
+                request: at if at < had else at + count - had for request, at in self._queue_of.items()
+            }
         # Guards against a class whose worth was little before: it would wait for all the turns that this had cost it.
-        latest = [self._pass + 1.0 / weight for weight in (*self._weights, *self._weights)]
-        self._turns = [min(turn, most) for turn, most in zip(self._turns, latest, strict=True)]
+        latest = [self._current_pass + 1.0 / weight for weight in (*self._weights, *self._weights)]
+        self._next_pass = [min(turn, most) for turn, most in zip(self._next_pass, latest, strict=True)]
 
     def __len__(self) -> int:
         return self._count
@@ -59,18 +66,18 @@
     def __bool__(self) -> bool:
         return self._count > 0
 
-    def patience_ms(
+    def max_wait_ms(
         self, now_ms: float, aim_ms: float, aim_left_ms: float, pace_ms: float, over_share: bool
     ) -> float:
         """How long a request may wait; `pace_ms` is the mean time from place to place."""
-        part = self._patience
-        since = self._occupied_ms[over_share]
-        if since >= 0.0 and now_ms - since > self.INTERVAL * aim_ms:
+        part = self._burst_wait_fraction
+        since = self._occupied_since_ms[over_share]
+        if since >= 0.0 and now_ms - since > self.STANDING_FRACTION * aim_ms:
             # Where places come seldom, one or two of them: else no one would be there to take the next.
-            part = min(part, max(self._standing, 2.0 * pace_ms / aim_ms))
+            part = min(part, max(self._standing_wait_fraction, 2.0 * pace_ms / aim_ms))
         return part * aim_left_ms
 
-    def enter(
+    def try_enter(
         self,
         now_ms: float,
         request: int,
@@ -80,23 +87,23 @@
         pace_ms: float,
     ) -> bool:
         """Let it wait, if its turn can come while it does; False: it is to be answered at once."""
-        if self._count >= self.MOST or patience_ms <= 0.0:
+        if self._count >= self.MAX_WAITING or patience_ms <= 0.0:
             return False
         at = class_index + self._classes * over_share
-        if self._ahead(at) * pace_ms > patience_ms:
+        if self._count_ahead(at) * pace_ms > patience_ms:
             return False
         queue = self._queues[at]
         if not queue:  # one that comes anew has saved up no turns
-            self._turns[at] = max(self._turns[at], self._pass)
+            self._next_pass[at] = max(self._next_pass[at], self._current_pass)
         queue[request] = None
-        self._at[request] = at
-        if self._occupied_ms[over_share] < 0.0:
-            self._occupied_ms[over_share] = now_ms
+        self._queue_of[request] = at
+        if self._occupied_since_ms[over_share] < 0.0:
+            self._occupied_since_ms[over_share] = now_ms
         self._count += 1
-        self._over += over_share
+        self._over_share_count += over_share
         return True
 
-    def _ahead(self, at: int) -> float:
+    def _count_ahead(self, at: int) -> float:
         """How many go before one that joins this queue now, about."""
         own = len(self._queues[at]) + 1
         if at >= self._classes:
@@ -108,35 +115,35 @@
                 ahead += min(len(self._queues[other]), own * self._weights[other] / weight)
         return ahead
 
-    def take(self) -> int | None:
+    def pop_next(self) -> int | None:
         """Whose turn it is; it waits no more."""
         if not self._count:
             return None
-        within = self._count - self._over
-        self._taken += 1
-        over = not within or (self._over > 0 and self._taken % self.OVER_TURN == 0)
+        within = self._count - self._over_share_count
+        self._popped += 1
+        over = not within or (self._over_share_count > 0 and self._popped % self.OVER_SHARE_TURN == 0)
         low, high = (self._classes, 2 * self._classes) if over else (0, self._classes)
-        at = min((n for n in range(low, high) if self._queues[n]), key=self._turns.__getitem__)
-        self._pass = self._turns[at]
-        self._turns[at] += 1.0 / self._weights[at % self._classes]
+        at = min((n for n in range(low, high) if self._queues[n]), key=self._next_pass.__getitem__)
+        self._current_pass = self._next_pass[at]
+        self._next_pass[at] += 1.0 / self._weights[at % self._classes]
         request, _ = self._queues[at].popitem(last=False)
-        del self._at[request]
-        self._leave(at)
+        del self._queue_of[request]
+        self._on_removed(at)
         return request
 
-    def drop(self, request: int) -> bool:
+    def remove(self, request: int) -> bool:
         """It waits no more, whatever its turn; whether it did."""
-        at = self._at.pop(request, None)
+        at = self._queue_of.pop(request, None)
         if at is None:
             return False
         del self._queues[at][request]
-        self._leave(at)
+        self._on_removed(at)
         return True
 
-    def _leave(self, at: int) -> None:
+    def _on_removed(self, at: int) -> None:
         self._count -= 1
-        self._over -= at >= self._classes
-        if not self._over:
-            self._occupied_ms[True] = -1.0
-        if self._count == self._over:
-            self._occupied_ms[False] = -1.0
+        self._over_share_count -= at >= self._classes
+        if not self._over_share_count:
+            self._occupied_since_ms[True] = -1.0
+        if self._count == self._over_share_count:
+            self._occupied_since_ms[False] = -1.0
--- a/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
+++ b/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
@@ -15,7 +15,7 @@
 
 from larkweir_balancing.interface import Outcome, RequestClass, Settings
 
-UNTELLING = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # of the servers' state
+INCONCLUSIVE = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # of the servers' state
 
 
 class Verdict(Enum):
@@ -30,34 +30,34 @@
 Arbiter = Callable[[int, Verdict, int], Verdict]
 
 
-class Sums:
+class RoundSums:
     """Of some calls that have ended: how many, what their times would be at low load, and what queues added."""
 
-    __slots__ = ("added", "base", "calls", "late", "squares", "turned_away")
+    __slots__ = ("added_ms", "added_squares", "base_ms", "calls", "full", "timed_out")
 
     def __init__(self) -> None:
         self.clear()
 
     def clear(self) -> None:
         self.calls = 0
-        self.turned_away = 0
-        self.late = 0  # of the calls, those that were given up: what they would have taken is a guess
-        self.base = 0.0
-        self.added = 0.0
-        self.squares = 0.0  # of what queues added
+        self.full = 0
+        self.timed_out = 0  # of the calls, those that were given up: what they would have taken is a guess
+        self.base_ms = 0.0
+        self.added_ms = 0.0
+        self.added_squares = 0.0  # of what queues added
 
     def add(self, base: float, added: float) -> None:
         self.calls += 1
-        self.base += base
-        self.added += added
-        self.squares += added * added
+        self.base_ms += base
+        self.added_ms += added
+        self.added_squares += added * added
 
     def error(self) -> float:
         """The standard error of the mean of what queues added."""
         if self.calls < 2:
             return 0.0
-        mean = self.added / self.calls
-        return math.sqrt(max(0.0, self.squares / self.calls - mean * mean) / (self.calls - 1))
+        mean = self.added_ms / self.calls
+        return math.sqrt(max(0.0, self.added_squares / self.calls - mean * mean) / (self.calls - 1))
 
 
 class ConcurrencyLimiter:
@@ -73,59 +73,72 @@
     takes a small step with every answer; several seconds may lie between two of them.
     """
 
-    MEMORY = 1.0 / 16.0  # weight of a new sample in the running means
+    SAMPLE_WEIGHT = 1.0 / 16.0  # weight of a new sample in the running means
     # What queues may add to the latency at low load: a multiple of it, but at least and at most such parts of the way
     # from it to the aim. A small window has no other place for its queue than the servers; one that counts has.
-    LEAST, TOLERANCE, TARGET = 0.15, 2.0, 0.5
-    COUNTED_TOLERANCE, COUNTED_TARGET = 0.25, 0.3
-    BASE_RISE = 0.1  # of a small window: the latency at low load is followed down at once and up slowly
+    MIN_TOLERANCE_FRACTION, TOLERANCE_FACTOR, MAX_TOLERANCE_FRACTION = 0.15, 2.0, 0.5
+    COUNTED_TOLERANCE_FACTOR, COUNTED_MAX_TOLERANCE_FRACTION = 0.25, 0.3
+    BASE_RISE_FACTOR = (
+        0.1  # of a small window: the latency at low load is followed down at once and up slowly
+    )
     GAIN = 0.2  # of a small window, an answer, for a latency off by the whole target
-    FIRST_LEVEL = 4.0  # calls a server is first taken to bear, from all copies together
+    FIRST_CALLS_PER_SERVER = 4.0  # calls a server is first taken to bear, from all copies together
     FIRST_WINDOW = 0.5  # at the least, until there is evidence
-    FIRST_CALLS = 8.0  # of a copy that is nearly alone, at the most, or one for each server
-    LEAST_WINDOW = (
+    FIRST_WINDOW_ALONE = 8.0  # of a copy that is nearly alone, at the most, or one for each server
+    MIN_WINDOW = (
         0.1  # a part of a call is admitted by chance: copies of low rate must be able to shed as well
     )
-    MOST_WINDOW = 100_000.0  # no evidence is good for more
-    OUT_MEMORY = 1.0 / 8.0
-    HEADROOM = 0.9  # of the window, at most open to traffic over its tenant's share
-    CLOSE = 0.05  # by which that part closes with each refusal of a call within its share
-    SPARE = 0.02  # the share of such refusals at which it stands still
+    MAX_WINDOW = 100_000.0  # no evidence is good for more
+    IN_FLIGHT_SAMPLE_WEIGHT = 1.0 / 8.0
+    MAX_OVER_SHARE_FRACTION = 0.9  # of the window, at most open to traffic over its tenant's share
+    OVER_SHARE_CLOSE_STEP = 0.05  # by which that part closes with each refusal of a call within its share
+    OVER_SHARE_SPARE_FRACTION = 0.02  # the share of such refusals at which it stands still
     # Calls: a smaller window is kept by chance, a larger one by count. One of many copies sees in its answers what the
     # others do as well, and goes by small steps for longer.
-    SMALL, SMALL_OF_MANY = 2.0, 8.0
-    FEW = 2  # copies that are not many
-    USED = 0.6  # of the window out: what a call finds that tells whether the window is too large
-    DOUBLING = 0.25  # of the tolerance: while queues add less than that, the window doubles each round trip
-    LEAP = 4.0  # tolerances that such a doubling may add to the latency at low load, if it was one too many
-    HEED = 1.0 / 8.0  # weight of a new sample in that
-    FAIR = 0.25  # of the tolerance, at most, that a round's gain of the root of the window may add to the latency
-    LEAST_ROUND, MOST_ROUND = 8, 64  # calls: a round is as many as the window, within these bounds
-    GROWTH = 0.5  # of what the mean time says that the window is too small: taken back is all of it
-    LIFT = 1.03  # of the ceiling, with every round that finds nothing there
-    MOST_DOUBT = 1.0  # tolerances, that are put down to chance
-    STEEPEST = 0.5  # of the window, that one round takes back
-    CROWDED = (
+    MIN_COUNTED_WINDOW, MIN_COUNTED_WINDOW_OF_MANY = 2.0, 8.0
+    FEW_REPLICAS = 2  # copies that are not many
+    USED_FRACTION = 0.6  # of the window out: what a call finds that tells whether the window is too large
+    DOUBLING_QUEUE_FRACTION = (
+        0.25  # of the tolerance: while queues add less than that, the window doubles each round trip
+    )
+    DOUBLING_TOLERANCES = (
+        4.0  # tolerances that such a doubling may add to the latency at low load, if it was one too many
+    )
+    QUEUE_SAMPLE_WEIGHT = 1.0 / 8.0  # weight of a new sample in that
+    # Of the tolerance, that a round's growth by the root of the window may add to the latency at most.
+    FAIR_GROWTH_FRACTION = 0.25
+    MIN_ROUND_CALLS, MAX_ROUND_CALLS = 8, 64  # calls: a round is as many as the window, within these bounds
+    GROWTH_FRACTION = 0.5  # of what the mean time says that the window is too small: taken back is all of it
+    CEILING_LIFT_FACTOR = 1.03  # of the ceiling, with every round that finds nothing there
+    MAX_DOUBT_TOLERANCES = 1.0  # tolerances, that are put down to chance
+    MIN_ROUND_FACTOR = 0.5  # of the window, that one round takes back
+    FULL_FRACTION = (
         0.1  # of a round's calls turned away, from which the window is too large whatever the others' time
     )
-    LIGHT = 0.5  # of the window: a call with no more than that beside it tells the latency at low load
+    LIGHT_LOAD_FRACTION = (
+        0.5  # of the window: a call with no more than that beside it tells the latency at low load
+    )
     BASE_GAIN = 0.25  # of what such a round says that it has changed
-    HALF, FRUITLESS = (
+    HALVED_FRACTION, FRUITLESS_FRACTION = (
         0.5,
         0.85,
     )  # of the window, with which more than that of the latency is left: no queue was ours
-    LEAST_SCALE = 0.1  # of the usual time, that the smallest request takes
-    MOST_SIZE = 4.0  # of the usual, as far as one answer tells of the slope
-    SLOPE_MEMORY = 1.0 / 128.0  # weight of a new sample in it
-    SURE = 16  # answers, from which the latency at low load is more than a guess
-    KEEP = 8  # answers that the tolerance is kept for; it changes with rounds
-    ACTIVE = 64.0  # requests: a class that was not among the last so many binds nobody
+    MIN_SIZE_SCALE = 0.1  # of the usual time, that the smallest request takes
+    MAX_SIZE = 4.0  # of the usual, as far as one answer tells of the slope
+    SLOPE_SAMPLE_WEIGHT = 1.0 / 128.0  # weight of a new sample in it
+    MIN_KNOWN_SAMPLES = 16  # answers, from which the latency at low load is more than a guess
+    TOLERANCE_REUSE = 8  # answers that the tolerance is kept for; it changes with rounds
+    ACTIVE_ARRIVALS = 64.0  # requests: a class that was not among the last so many binds nobody
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         self._rng = rng
         self.arbiter: Arbiter | None = None  # chooses whom to let in, of as many as the window lets in
         self._classes: Sequence[RequestClass] = settings.classes
-        self.small = self.SMALL if settings.copies <= self.FEW else self.SMALL_OF_MANY
+        self.min_counted_window = (
+            self.MIN_COUNTED_WINDOW
+            if settings.copies <= self.FEW_REPLICAS
+            else self.MIN_COUNTED_WINDOW_OF_MANY
+        )
         self.window = self.FIRST_WINDOW  # calls that may be out at once; opened by the first list
         self._first = self.FIRST_WINDOW  # what the first list opened
         self.opened = False
@@ -133,20 +146,20 @@
         # Of the upstreams' time alone, by class: the running mean, and what it is at low load.
         self.mean = [cls.aim_ms / 3.0 for cls in settings.classes]
         self.base = list(self.mean)
-        self._seen = [0] * count  # answers, while they are few
-        self._known = [0] * count  # the same, in a window of any size
-        self._sizes = [0.0] * count  # the sum of the sizes of those answers
-        self.over_part = self.HEADROOM
-        self._out_mean = 0.0  # as arrivals find it
-        self.doubling = True
+        self._base_samples = [0] * count  # answers, while they are few
+        self._mean_samples = [0] * count  # the same, in a window of any size
+        self._base_sizes = [0.0] * count  # the sum of the sizes of those answers
+        self.over_share_fraction = self.MAX_OVER_SHARE_FRACTION
+        self._mean_in_flight = 0.0  # as arrivals find it
+        self.is_doubling = True
         self._queued = 0.0  # running mean of what queues add, in tolerances
-        self._added = 0.0  # the same in milliseconds
-        self._last = [-math.inf] * count  # the arrival that each class had last
+        self._mean_added_ms = 0.0  # the same in milliseconds
+        self._last_arrival = [-math.inf] * count  # the arrival that each class had last
         self._arrivals = 0.0
         self._round = 1
-        self._full, self._light = Sums(), Sums()
+        self._full_round, self._light_round = RoundSums(), RoundSums()
         self._ceiling = math.inf  # the window that would have been right when queues were last met
-        self._closing: tuple[float, float] | None = (
+        self._closing_from: tuple[float, float] | None = (
             None  # window and mean time when it began to close, or halved
         )
         # Of a call's time at low load, the part that goes by its request's size: of the tiers from here on, this one.
@@ -159,23 +172,27 @@
         class may have taken the place of one that is no more.
         """
         more = len(settings.classes) - len(self._classes)
-        for values, first in ((self.mean, 0.0), (self.base, 0.0), (self._last, -math.inf)):
+        for values, first in ((self.mean, 0.0), (self.base, 0.0), (self._last_arrival, -math.inf)):
             values.extend([first] * more)
-        self._seen.extend([0] * more)
-        self._known.extend([0] * more)
-        self._sizes.extend([0.0] * more)
+        self._base_samples.extend([0] * more)
+        self._mean_samples.extend([0] * more)
+        self._base_sizes.extend([0.0] * more)
         for at, after in enumerate(settings.classes):
             before = self._classes[at] if at < len(self._classes) else None
             if before is None or before.name != after.name:
                 self.mean[at] = self.base[at] = after.aim_ms / 3.0
-                self._seen[at] = self._known[at] = 0
-                self._sizes[at] = 0.0
-                self._last[at] = -math.inf
+                self._base_samples[at] = self._mean_samples[at] = 0
+                self._base_sizes[at] = 0.0
+                self._last_arrival[at] = -math.inf
             elif before.aim_ms != after.aim_ms:  # guards against refusing all for a guess from the old aim
                 self.mean[at] = min(self.mean[at], after.aim_ms / 3.0)
                 self.base[at] = min(self.base[at], after.aim_ms / 3.0)
         self._classes = settings.classes
-        self.small = self.SMALL if settings.copies <= self.FEW else self.SMALL_OF_MANY
+        self.min_counted_window = (
+            self.MIN_COUNTED_WINDOW
+            if settings.copies <= self.FEW_REPLICAS
+            else self.MIN_COUNTED_WINDOW_OF_MANY
+        )
 
     def open(self, ready: int, copies: int) -> None:
         """The first list: as many calls as its servers are taken to bear from each copy, but of a copy that is nearly
@@ -183,291 +200,316 @@
         """
         if not self.opened and ready:
             self.opened = True
-            share = self.FIRST_LEVEL * ready / copies
-            self.window = self._first = max(self.FIRST_WINDOW, min(share, max(self.FIRST_CALLS, ready)))
+            share = self.FIRST_CALLS_PER_SERVER * ready / copies
+            self.window = self._first = max(
+                self.FIRST_WINDOW, min(share, max(self.FIRST_WINDOW_ALONE, ready))
+            )
 
-    def lost_one(self, of: int) -> None:
+    def on_capacity_lost(self, servers: int) -> None:
         """One of so many servers that bear the window is sent nothing from now on."""
-        if self.counts:
-            self.window = max(self.small, self.window * (1.0 - 1.0 / max(2, of)))
+        if self.is_counted:
+            self.window = max(self.min_counted_window, self.window * (1.0 - 1.0 / max(2, servers)))
 
     @property
-    def load(self) -> float:
+    def mean_in_flight(self) -> float:
         """Calls out, as arrivals of late have found them."""
-        return self._out_mean
+        return self._mean_in_flight
 
     # ------------------------------------------------ letting in
 
     @property
-    def counts(self) -> bool:
+    def is_counted(self) -> bool:
         """Whether the window is a hard bound, that can be waited for."""
-        return self.window >= self.small
+        return self.window >= self.min_counted_window
 
-    def arrive(self, class_index: int, out: int, waiting: int, over_share: bool) -> Verdict:
+    def admit(self, class_index: int, in_flight: int, waiting: int, over_share: bool) -> Verdict:
         """What is to become of a request, as `_verdict` says unless there is an arbiter."""
-        verdict = self._verdict(class_index, out, waiting, over_share)
+        verdict = self._own_verdict(class_index, in_flight, waiting, over_share)
         return verdict if self.arbiter is None else self.arbiter(class_index, verdict, waiting)
 
-    def _verdict(self, class_index: int, out: int, waiting: int, over_share: bool) -> Verdict:
+    def _own_verdict(self, class_index: int, in_flight: int, waiting: int, over_share: bool) -> Verdict:
         """A request has come while `out` calls are out and `waiting` requests wait for a place.
 
         Traffic over its tenant's share may fill a part of the window only, and that part closes while requests within
         their share find it full: guards against a tenant's burst crowding the others out.
         """
         self._arrivals += 1.0
-        self._last[class_index] = self._arrivals
-        self._out_mean += self.OUT_MEMORY * (out - self._out_mean)
-        if self.counts:
+        self._last_arrival[class_index] = self._arrivals
+        self._mean_in_flight += self.IN_FLIGHT_SAMPLE_WEIGHT * (in_flight - self._mean_in_flight)
+        if self.is_counted:
             if over_share:
-                full = waiting > 0 or out >= self.window * self.over_part
+                full = waiting > 0 or in_flight >= self.window * self.over_share_fraction
             else:
-                full = waiting > 0 or out + 1.0 > self.window
-                self._steer_over_part(waiting > self.window)
+                full = waiting > 0 or in_flight + 1.0 > self.window
+                self._adjust_over_share(waiting > self.window)
             return Verdict.WAIT if full else Verdict.GO
         # The mean, and a refusal by chance, not a hard limit: a copy of low rate has none or a few calls out by chance
         # alone, and its window may be below one.
         limit = self.window * (0.8 + 0.6 * self._rng.random())
         if over_share:
-            return Verdict.REFUSE if self._out_mean >= limit * self.over_part else Verdict.GO
-        full = self._out_mean >= limit
-        self._steer_over_part(full)
+            return Verdict.REFUSE if self._mean_in_flight >= limit * self.over_share_fraction else Verdict.GO
+        full = self._mean_in_flight >= limit
+        self._adjust_over_share(full)
         return Verdict.REFUSE if full else Verdict.GO
 
-    def _steer_over_part(self, full: bool) -> None:
-        step = -self.CLOSE if full else self.CLOSE * self.SPARE
-        self.over_part = min(self.HEADROOM, max(0.0, self.over_part + step))
+    def _adjust_over_share(self, full: bool) -> None:
+        step = (
+            -self.OVER_SHARE_CLOSE_STEP
+            if full
+            else self.OVER_SHARE_CLOSE_STEP * self.OVER_SHARE_SPARE_FRACTION
+        )
+        self.over_share_fraction = min(
+            self.MAX_OVER_SHARE_FRACTION, max(0.0, self.over_share_fraction + step)
+        )
 
-    def places(self, out: int) -> int:
+    def free_slots(self, in_flight: int) -> int:
         """How many that wait may go now."""
-        return max(0, int(self.window - out)) if self.counts else max(0, 1 - out)
+        return max(0, int(self.window - in_flight)) if self.is_counted else max(0, 1 - in_flight)
 
-    def pace_ms(self, class_index: int) -> float:
+    def slot_interval_ms(self, class_index: int) -> float:
         """The mean time from place to place; 0 while that can't be told, as the window opens with every answer."""
-        return 0.0 if self.doubling else self.mean[class_index] / self.window
+        return 0.0 if self.is_doubling else self.mean[class_index] / self.window
 
-    def least_ms(self, class_index: int) -> float:
+    def min_latency_ms(self, class_index: int) -> float:
         """What a request of the usual size takes at the least; 0 while nothing is known of it but a guess."""
-        known = self._known[class_index] >= self.SURE
+        known = self._mean_samples[class_index] >= self.MIN_KNOWN_SAMPLES
         return min(self.base[class_index], self.mean[class_index]) if known else 0.0
 
-    def scale(self, size: float) -> float:
+    def size_scale(self, size: float) -> float:
         """By what factor the time at low load of a request of this size is that of the usual one."""
-        return max(self.LEAST_SCALE, 1.0 + self._slope * (size - 1.0))
+        return max(self.MIN_SIZE_SCALE, 1.0 + self._slope * (size - 1.0))
 
     def _learn_slope(self, at: int, spent_ms: float, size: float) -> None:
         """What of a call's time goes by its size: a regression over all classes, on their own means."""
-        beside = min(self.MOST_SIZE, size) - 1.0
+        beside = min(self.MAX_SIZE, size) - 1.0
         beyond = (spent_ms - self.mean[at]) / max(0.01, self.base[at])
-        self._spread += self.SLOPE_MEMORY * (beside * beside - self._spread)
-        self._along += self.SLOPE_MEMORY * (beside * min(self.MOST_SIZE, beyond) - self._along)
+        self._spread += self.SLOPE_SAMPLE_WEIGHT * (beside * beside - self._spread)
+        self._along += self.SLOPE_SAMPLE_WEIGHT * (beside * min(self.MAX_SIZE, beyond) - self._along)
         if self._spread > 0.0:
             self._slope = min(1.0, max(0.0, self._along / self._spread))
 
-    def mark(self, out: int) -> int:
+    def round_of(self, in_flight: int) -> int:
         """What a call is to bear that begins while `out` others are out, and to be handed back with its end: the round
         that it counts in, if it fills the window; its negative, if it is one of few; 0 for one between.
         """
-        calls = out + 1.0
-        if calls >= self.USED * self.window:
+        calls = in_flight + 1.0
+        if calls >= self.USED_FRACTION * self.window:
             return self._round
-        return -self._round if calls <= self.LIGHT * self.window else 0
+        return -self._round if calls <= self.LIGHT_LOAD_FRACTION * self.window else 0
 
     # ------------------------------------------------ steering
 
     def tolerance_ms(self) -> float:
         """What queues may add to the latency at low load: the least over the classes in use."""
         least = math.inf
-        times, most = self.TOLERANCE, self.TARGET
-        if self.counts:
-            times, most = self.COUNTED_TOLERANCE, self.COUNTED_TARGET
-        horizon = self._arrivals - self.ACTIVE * len(self._classes)
+        times, most = self.TOLERANCE_FACTOR, self.MAX_TOLERANCE_FRACTION
+        if self.is_counted:
+            times, most = self.COUNTED_TOLERANCE_FACTOR, self.COUNTED_MAX_TOLERANCE_FRACTION
+        horizon = self._arrivals - self.ACTIVE_ARRIVALS * len(self._classes)
         for at, cls in enumerate(self._classes):
-            if self._last[at] >= horizon:
+            if self._last_arrival[at] >= horizon:
                 room = max(0.0, cls.aim_ms - self.base[at])
-                own = min(max(times * self.base[at], self.LEAST * room), most * room)
+                own = min(max(times * self.base[at], self.MIN_TOLERANCE_FRACTION * room), most * room)
                 least = min(least, own)
         return 1.0 if least == math.inf else max(least, 0.001)
 
-    def ended(
+    def record_end(
         self,
         class_index: int,
         outcome: Outcome,
         spent_ms: float,
-        out: int,
-        mark: int = 0,
-        tries: int = 1,
+        in_flight: int,
+        limiter_round: int = 0,
+        attempts: int = 1,
         size: float = 1.0,
     ) -> None:
         """An attempt has ended after `spent_ms` at the upstream; `out` are still out, and `tries` of its request were
         begun by now. `mark` is what it was given when it was sent, and `size` its work, by the mean of its class.
         """
-        if outcome in UNTELLING or outcome is Outcome.CONNECT_FAILED:
+        if outcome in INCONCLUSIVE or outcome is Outcome.CONNECT_FAILED:
             return
         if outcome is Outcome.OK:
             if size != 1.0:  # without a hint there is nothing to learn of the slope
                 self._learn_slope(class_index, spent_ms, size)
-            self.mean[class_index] += self.MEMORY * (spent_ms - self.mean[class_index])
-            self._known[class_index] += self._known[class_index] < self.SURE
-        if self.counts:
-            self._count(class_index, outcome, spent_ms, out, mark, tries, size)
+            self.mean[class_index] += self.SAMPLE_WEIGHT * (spent_ms - self.mean[class_index])
+            self._mean_samples[class_index] += self._mean_samples[class_index] < self.MIN_KNOWN_SAMPLES
+        if self.is_counted:
+            self._steer_counted(class_index, outcome, spent_ms, in_flight, limiter_round, attempts, size)
         else:
-            self._step(class_index, outcome, spent_ms, out, tries)
+            self._steer_small(class_index, outcome, spent_ms, in_flight, attempts)
 
-    def _step(self, at: int, outcome: Outcome, spent_ms: float, out: int, tries: int) -> None:
+    def _steer_small(self, at: int, outcome: Outcome, spent_ms: float, in_flight: int, attempts: int) -> None:
         """Steer a small window. A failure counts as a whole aim."""
         aim = self._classes[at].aim_ms
         if outcome is Outcome.FULL:
-            if tries < 2:
+            if attempts < 2:
                 return  # one full server is nothing that another attempt would not mend
             # One call too many is out; refusals come fast, so they must weigh more than slow answers.
             step = -min(1.0, 0.25 * self.window)
         elif outcome is Outcome.OK:
             # The mean, not single answers: those differ by their work, which says nothing of the load.
             beyond = self.mean[at] - self.base[at]
-            self.base[at] += self.MEMORY * beyond * (1.0 if beyond < 0.0 else self.BASE_RISE)
+            self.base[at] += self.SAMPLE_WEIGHT * beyond * (1.0 if beyond < 0.0 else self.BASE_RISE_FACTOR)
             target = min(self.base[at], aim) + self.tolerance_ms()
             step = self.GAIN * max(-min(1.0, self.window), 1.0 - spent_ms / target)
         else:
             step = -self.GAIN * min(1.0, self.window, spent_ms / aim)
-        if step < 0.0 or out + 1.0 >= self.USED * self.window:  # an unused window says nothing
-            self.window = max(self.LEAST_WINDOW, self.window + step)
-        self.doubling = False
+        if step < 0.0 or in_flight + 1.0 >= self.USED_FRACTION * self.window:  # an unused window says nothing
+            self.window = max(self.MIN_WINDOW, self.window + step)
+        self.is_doubling = False
 
-    def _count(
-        self, at: int, outcome: Outcome, spent_ms: float, out: int, mark: int, tries: int, size: float
+    def _steer_counted(
+        self,
+        at: int,
+        outcome: Outcome,
+        spent_ms: float,
+        in_flight: int,
+        limiter_round: int,
+        attempts: int,
+        size: float,
     ) -> None:
         """Steer a window that counts."""
         self._keep -= 1
         if self._keep <= 0:
             self._tolerance = self.tolerance_ms()
-            self._keep = self.KEEP if self._seen[at] >= self.LEAST_ROUND else 1
+            self._keep = self.TOLERANCE_REUSE if self._base_samples[at] >= self.MIN_ROUND_CALLS else 1
         tolerance = self._tolerance
         # Guards against taking a spell of heavy requests for queues: their time at low load is by their size.
-        scale = self.scale(size)
+        scale = self.size_scale(size)
         base = self.base[at] * scale
         if outcome is Outcome.FULL:
-            self._full.turned_away += (
-                tries > 1
+            self._full_round.full += (
+                attempts > 1
             )  # one full server is nothing that another attempt would not mend
-            self.doubling = self.doubling and tries < 2
+            self.is_doubling = self.is_doubling and attempts < 2
         elif outcome is Outcome.OK:
-            if self._seen[at] < self.LEAST_ROUND:
+            if self._base_samples[at] < self.MIN_ROUND_CALLS:
                 # Before it is known, what queues add is taken off by what they add to the other classes.
-                self._seen[at] += 1
-                self._sizes[at] += scale
-                own = max(0.01, spent_ms - max(0.0, self._added))
-                self.base[at] = max(0.01, self.base[at] + (own - self.base[at] * scale) / self._sizes[at])
+                self._base_samples[at] += 1
+                self._base_sizes[at] += scale
+                own = max(0.01, spent_ms - max(0.0, self._mean_added_ms))
+                self.base[at] = max(
+                    0.01, self.base[at] + (own - self.base[at] * scale) / self._base_sizes[at]
+                )
                 base = self.base[at] * scale
             added = spent_ms - base
-            self._added += self.HEED * (added - self._added)
-            self._heed(added / tolerance)
-            if mark == self._round:
-                self._full.add(base, added)
-                if self.doubling:
+            self._mean_added_ms += self.QUEUE_SAMPLE_WEIGHT * (added - self._mean_added_ms)
+            self._note_queueing(added / tolerance)
+            if limiter_round == self._round:
+                self._full_round.add(base, added)
+                if self.is_doubling:
                     # Less where the aim leaves little room: one doubling too many would put every call past it.
-                    step = min(1.0, self.LEAP * tolerance / base)
-                    self.window = min(self.MOST_WINDOW, self.window + step)
+                    step = min(1.0, self.DOUBLING_TOLERANCES * tolerance / base)
+                    self.window = min(self.MAX_WINDOW, self.window + step)
             elif added > tolerance:
-                self._narrow(out)
-            if mark < 0:
-                self._light.add(base, added)
+                self._narrow_unused(in_flight)
+            if limiter_round < 0:
+                self._light_round.add(base, added)
         elif spent_ms > base + tolerance:
             # It has taken too long, and nobody knows how long it would have been.
-            self._heed(4.0)
-            if mark == self._round:
-                self._full.add(base, max(spent_ms, 2.0 * (base + tolerance)) - base)
-                self._full.late += 1
+            self._note_queueing(4.0)
+            if limiter_round == self._round:
+                self._full_round.add(base, max(spent_ms, 2.0 * (base + tolerance)) - base)
+                self._full_round.timed_out += 1
             else:
-                self._narrow(out)
-        ended = self._full.calls + self._full.turned_away
-        if ended >= self.LEAST_ROUND and ended >= self._enough(tolerance):
+                self._narrow_unused(in_flight)
+        ended = self._full_round.calls + self._full_round.full
+        if ended >= self.MIN_ROUND_CALLS and ended >= self._round_calls(tolerance):
             self._end_round(tolerance)
-        if self._light.calls >= self.LEAST_ROUND and self._light.calls >= self._enough(tolerance):
+        if self._light_round.calls >= self.MIN_ROUND_CALLS and self._light_round.calls >= self._round_calls(
+            tolerance
+        ):
             # A round of few: it tells the latency at low load. Where that is what it was, the next burst may open the
             # window as the first one did, whatever was met before.
-            if self._light.added < self.DOUBLING * tolerance * self._light.calls:
-                self.doubling, self._queued, self._ceiling = True, 0.0, math.inf
-            self._rescale(self._light, self.BASE_GAIN)
-            self._light.clear()
-
-    def _narrow(self, out: int) -> None:
+            if (
+                self._light_round.added_ms
+                < self.DOUBLING_QUEUE_FRACTION * tolerance * self._light_round.calls
+            ):
+                self.is_doubling, self._queued, self._ceiling = True, 0.0, math.inf
+            self._rescale(self._light_round, self.BASE_GAIN)
+            self._light_round.clear()
+
+    def _narrow_unused(self, in_flight: int) -> None:
         """There are queues, and what is out does not fill the window: it is far too wide, and no round will ever tell.
         Guards against one that stands open from better times, and lets everything wait at the servers until it is late.
         """
-        used = max(self._first, (out + 1.0) / self.USED)
+        used = max(self._first, (in_flight + 1.0) / self.USED_FRACTION)
         if used < self.window:
-            self.window += self.MEMORY * (used - self.window)
+            self.window += self.SAMPLE_WEIGHT * (used - self.window)
 
-    def _heed(self, queued: float) -> None:
+    def _note_queueing(self, queued: float) -> None:
         """The doubling ends with the first queue that is worth the name."""
-        self._queued += self.HEED * (min(queued, 4.0) - self._queued)
-        if self._queued > self.DOUBLING:
-            self.doubling = False
+        self._queued += self.QUEUE_SAMPLE_WEIGHT * (min(queued, 4.0) - self._queued)
+        if self._queued > self.DOUBLING_QUEUE_FRACTION:
+            self.is_doubling = False
 
-    def _enough(self, tolerance: float) -> float:
+    def _round_calls(self, tolerance: float) -> float:
         """Calls to a round. One that goes badly is over sooner."""
-        sums = self._full
-        if sums.calls >= self.LEAST_ROUND and sums.added > sums.base + 2.0 * sums.calls * tolerance:
-            return self.LEAST_ROUND
-        return min(max(self.LEAST_ROUND, self.window), self.MOST_ROUND)
+        sums = self._full_round
+        if sums.calls >= self.MIN_ROUND_CALLS and sums.added_ms > sums.base_ms + 2.0 * sums.calls * tolerance:
+            return self.MIN_ROUND_CALLS
+        return min(max(self.MIN_ROUND_CALLS, self.window), self.MAX_ROUND_CALLS)
 
-    def _rescale(self, sums: Sums, gain: float) -> None:
+    def _rescale(self, sums: RoundSums, gain: float) -> None:
         """Move the latency at low load, of all classes alike, to what some calls say."""
-        factor = 1.0 + gain * (max(0.25, (sums.base + sums.added) / sums.base) - 1.0)
+        factor = 1.0 + gain * (max(0.25, (sums.base_ms + sums.added_ms) / sums.base_ms) - 1.0)
         self.base = [
             max(0.01, min(base * factor, cls.aim_ms))
             for base, cls in zip(self.base, self._classes, strict=True)
         ]
 
     def _end_round(self, tolerance: float) -> None:
-        sums = self._full
+        sums = self._full_round
         calls = max(1, sums.calls)
-        base, added = sums.base / calls, sums.added / calls
+        base, added = sums.base_ms / calls, sums.added_ms / calls
         latency = base + added
         if not sums.calls:
             factor = 1.0
         else:
             # Guards against closing for chance: the times of a few calls differ by their work, without any queue.
-            doubt = min(sums.error(), self.MOST_DOUBT * tolerance)
+            doubt = min(sums.error(), self.MAX_DOUBT_TOLERANCES * tolerance)
             factor = (base + tolerance) / max(latency, 0.001)
             if 1.0 >= factor > (base + tolerance) / (base + tolerance + doubt):
                 factor = 1.0
             elif factor > 1.0:
-                self._closing = None
-                factor = 1.0 if self.doubling else 1.0 + self.GROWTH * (min(factor, 3.0) - 1.0)
+                self._closing_from = None
+                factor = 1.0 if self.is_doubling else 1.0 + self.GROWTH_FRACTION * (min(factor, 3.0) - 1.0)
                 if self.window * factor > self._ceiling:
                     # Where queues were met before it goes on by small steps: there is least to win and most to lose.
                     factor = max(1.0, self._ceiling / self.window)
-                    self._ceiling *= self.LIFT
+                    self._ceiling *= self.CEILING_LIFT_FACTOR
             else:
                 factor = (base + tolerance + doubt) / latency
-                self._ceiling = max(self.small, self.window * factor)
-                if self._closing_in_vain(latency, sums):
+                self._ceiling = max(self.min_counted_window, self.window * factor)
+                if self._is_closing_in_vain(latency, sums):
                     self._rescale(sums, 1.0)
                     self._ceiling, factor = math.inf, 1.0
             if added < 0.0:
                 self._rescale(sums, self.BASE_GAIN)
-        if sums.turned_away > self.CROWDED * (sums.calls + sums.turned_away):
+        if sums.full > self.FULL_FRACTION * (sums.calls + sums.full):
             factor = min(factor, 0.7)
         # The root, for a gain that is more of a small window than of a large one: lets late copies catch up.
         fair = 0.0
-        if not self.doubling and factor > self.STEEPEST:
-            fair = min(math.sqrt(self.window), self.FAIR * self.window * tolerance / max(base, 0.01))
+        if not self.is_doubling and factor > self.MIN_ROUND_FACTOR:
+            fair = min(
+                math.sqrt(self.window), self.FAIR_GROWTH_FRACTION * self.window * tolerance / max(base, 0.01)
+            )
         self.window = min(
-            self.MOST_WINDOW, max(self.small - 0.5, self.window * max(self.STEEPEST, factor) + fair)
+            self.MAX_WINDOW,
+            max(self.min_counted_window - 0.5, self.window * max(self.MIN_ROUND_FACTOR, factor) + fair),
         )
         sums.clear()
         self._round += 1
 
-    def _closing_in_vain(self, latency: float, sums: Sums) -> bool:
+    def _is_closing_in_vain(self, latency: float, sums: RoundSums) -> bool:
         """While the window closes: whether the latency is the same with half of it. Guards against closing it for ever
         on a tier that has become slower for each call, where no queue of ours is to blame.
         """
-        if self._closing is None or sums.late > self.CROWDED * sums.calls:
-            self._closing = (self.window, latency)
+        if self._closing_from is None or sums.timed_out > self.FULL_FRACTION * sums.calls:
+            self._closing_from = (self.window, latency)
             return False
-        window, before = self._closing
-        if self.window > max(self.HALF * window, self.small + 1.0):
+        window, before = self._closing_from
+        if self.window > max(self.HALVED_FRACTION * window, self.min_counted_window + 1.0):
             return False
-        self._closing = (self.window, latency)
-        return latency > self.FRUITLESS * before
+        self._closing_from = (self.window, latency)
+        return latency > self.FRUITLESS_FRACTION * before
--- a/packages/balancing/src/larkweir_balancing/interface.py
+++ b/packages/balancing/src/larkweir_balancing/interface.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from larkweir_balancing.proof import Proof
+    from larkweir_balancing.restored_trust import RestoredTrust
 
 
 class SettingsError(ValueError):
@@ -85,7 +85,7 @@
     OFF = "off"
 
 
-def _check(owner: str, name: str, value: float, low: float, high: float = math.inf) -> None:
+def _require_number(owner: str, name: str, value: float, low: float, high: float = math.inf) -> None:
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
         bound = f"at least {low:g}" if high == math.inf else f"between {low:g} and {high:g}"
         raise SettingsError(f"{owner}{name}: {value!r} is not a number {bound}")
@@ -110,10 +110,10 @@
     attempts: int = 0  # at the most, where the class has a bound of its own; 0: as the settings say
 
     def __post_init__(self) -> None:
-        _check("class.", "aim_ms", self.aim_ms, 0.001)
-        _check("class.", "deadline_ms", self.deadline_ms, 0.001)
+        _require_number("class.", "aim_ms", self.aim_ms, 0.001)
+        _require_number("class.", "deadline_ms", self.deadline_ms, 0.001)
         for name in ("worth", "late_worth", "memory_ms", "aim_stretch"):
-            _check("class.", name, getattr(self, name), 0.0)
+            _require_number("class.", name, getattr(self, name), 0.0)
 
 
 @dataclass(slots=True, frozen=True)
@@ -125,8 +125,8 @@
     name: str = ""
 
     def __post_init__(self) -> None:
-        _check("tenant.", "quota_per_s", self.quota_per_s, 0.0)
-        _check("tenant.", "fraction", self.fraction, 0.0)
+        _require_number("tenant.", "quota_per_s", self.quota_per_s, 0.0)
+        _require_number("tenant.", "fraction", self.fraction, 0.0)
 
 
 @dataclass(slots=True, frozen=True)
@@ -206,8 +206,8 @@
                 "int",
                 "float",
             ):
-                _check("", item.name, value, low.get(item.name, 0.0))
-        _check("", "cold_share", self.cold_share, 0.0, 1.0)
+                _require_number("", item.name, value, low.get(item.name, 0.0))
+        _require_number("", "cold_share", self.cold_share, 0.0, 1.0)
         if self.my_zone >= self.zones:
             raise SettingsError(f"my_zone: {self.my_zone!r} is not below the number of zones, {self.zones}")
         longest = max(self.cold_ms, *(cls.deadline_ms for cls in self.classes))
@@ -216,13 +216,15 @@
 
 # Numbers of zones and report values are places in these; the rest says who this copy is. Classes keep their places, to
 # which more may be added.
-FIXED = "zones my_zone me tier tiers tick_ms on_request_discovery may_probe report_mode report_fields".split()
+FIXED_SETTINGS = (
+    "zones my_zone me tier tiers tick_ms on_request_discovery may_probe report_mode report_fields".split()
+)
 
 
 def fixed_difference(old: Settings, new: Settings) -> str:
     """What two settings differ in that no balancer can change while it runs; empty if nothing."""
     fewer = "fewer classes" if len(new.classes) < len(old.classes) else ""
-    return next((name for name in FIXED if getattr(old, name) != getattr(new, name)), fewer)
+    return next((name for name in FIXED_SETTINGS if getattr(old, name) != getattr(new, name)), fewer)
 
 
 # Events: what the caller tells the module.
@@ -239,7 +241,7 @@
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    proof: Proof | None = None  # None: discovery vouches for it
+    restored_trust: RestoredTrust | None = None  # None: discovery vouches for it
 
 
 @dataclass(slots=True)
@@ -261,22 +263,22 @@
     expected_ms: float | None = None
     client_retry: bool = False
     write: bool = False
-    attempts: int | None = None  # that it may still cost, where the tier above says so
+    attempts_left: int | None = None  # that it may still cost, where the tier above says so
     # Its last byte is still to come, and no server can begin it before: `BodyCame` tells of that. `time_left_ms` counts
     # from then on.
-    coming: bool = False
+    body_incomplete: bool = False
     choice: object | None = None  # of whoever chose these decisions among several; never looked at here
     # Its class as it stood when the request was received, where a `Reconfigured` has changed it since; None: as the
     # settings have it.
-    terms: RequestClass | None = None
+    class_at_arrival: RequestClass | None = None
 
     def class_in(self, settings: Settings) -> RequestClass:
         """The class that the request is held to."""
-        return self.terms or settings.classes[self.class_index]
+        return self.class_at_arrival or settings.classes[self.class_index]
 
 
 @dataclass(slots=True)
-class BodyCame:
+class RequestBodyReceived:
     """The last byte of a request that was told of while it came."""
 
     request: int
@@ -300,10 +302,10 @@
     attempt: int
     server: int
     outcome: Outcome
-    final: bool
+    is_final: bool
     spent_ms: float = 0.0
     report: Sequence[float] = ()
-    left: int | None = None  # attempts that the request may still cost, where it has a budget
+    attempts_left: int | None = None  # attempts that the request may still cost, where it has a budget
     # Of `spent_ms`, what was surely spent at the upstream and on the way; None: it can't be told apart from what
     # this process added.
     upstream_ms: float | None = None
@@ -328,14 +330,14 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class PeerHealthReport:
     """What another copy has found of a server: hearsay, which counts only for a server that is left out here."""
 
     server: int
-    good: bool | None = None  # None: nothing is known of it yet
+    is_healthy: bool | None = None  # None: nothing is known of it yet
     age_ms: float = 0.0  # since it was found, at the least
-    by_call: bool = False  # by a real call, which tells more than a probe
-    turn: bool = False  # this copy is to look, for itself and the others
+    from_request: bool = False  # by a real call, which tells more than a probe
+    is_probe_turn: bool = False  # this copy is to look, for itself and the others
 
 
 @dataclass(slots=True)
@@ -358,13 +360,13 @@
 Event = (
     ListUpdate
     | RequestArrived
-    | BodyCame
+    | RequestBodyReceived
     | AnswerStarted
     | AttemptEnded
     | ClientGone
     | TimerFired
     | ProbeEnded
-    | Heard
+    | PeerHealthReport
     | PeerMessage
     | Reconfigured
 )
@@ -423,7 +425,7 @@
 
 
 @dataclass(slots=True)
-class TellPeer:
+class SendToPeer:
     """`peer` of None reaches every peer."""
 
     peer: int | None
@@ -445,4 +447,6 @@
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | CloseIdle | TellPeer | FetchList | WatchList | Log
+Action = (
+    Send | Cancel | Refuse | Fail | SetTimer | Probe | CloseIdle | SendToPeer | FetchList | WatchList | Log
+)
--- /dev/null
+++ b/packages/balancing/src/larkweir_balancing/load_shedding.py
@@ -0,0 +1,158 @@
+"""Rules: what is turned away at the door, when this process itself is what requests wait for.
+
+The window of `concurrency_limiter` limits what the upstreams are given. It can't help where the core that this
+process runs on is the limit: then every request waits here, whoever is asked, and one that is refused after it has
+been read, weighed and queued has cost nearly as much as one that is served. The sign is the length of a turn of the
+event loop, which handles all that has come since the last one: below the limit turns are as long as the work that is
+there, and above it each is longer than the one before, until requests are late before they are read.
+
+Nothing here does input or output or reads a clock. Times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from random import Random
+
+from larkweir_balancing.interface import RequestClass
+
+
+class LoadShedder:
+    """Sheds a part of what comes, least worth first, while turns are too long.
+
+    A request passes through three turns at least: one that reads it, one that reads the upstream's answer, and what is
+    written goes out at its end. So a turn may last a quarter of the tightest aim. With hysteresis: shedding begins
+    where the mean turn is longer than `high`, and ends where nothing has been shed for `REST` aims.
+    """
+
+    SAMPLE_WEIGHT = 0.25  # weight of a new turn in the means
+    GAIN = 0.3  # of the part that is shed, for a turn twice as long as the target
+    REFUSAL_COST = 0.25  # what a request turned away costs, by one that is let in
+    MAX_SHED_FRACTION = 0.95  # of any class and kind: nobody is shut out for good
+    QUIET_TARGETS = 0.5  # aims without anything to be shed, after which the door stands open
+    TRAFFIC_SAMPLE_WEIGHT = 1.0 / 64.0  # weight of a request in what the classes bring
+    MAX_ITERATION_FACTOR = (
+        4.0  # times `high`: a turn longer than that tells no more (a process that stood still)
+    )
+
+    def __init__(
+        self, classes: Sequence[RequestClass], rng: Random, high: float = 0.25, low: float = 0.15
+    ) -> None:
+        """`high` and `low`: of the tightest aim, the mean turn from which shedding begins, and to which it steers."""
+        self._rng = rng
+        self._high, self._low = high, low
+        self.shed_fraction = 0.0  # of what comes, that is to be shed
+        self.is_shedding = False
+        self.shed_count = 0  # so far
+        self.mean_busy_ms = 0.0  # the mean
+        self._quiet_ms = 0.0  # since something was last to be shed
+        self._previous_busy_ms = 0.0  # of the turn before
+        self._arrived = self._admitted = 0  # since the last turn ended
+        # Of some turns while it sheds: requests, what they cost in units of one let in, and times.
+        self._requests = self._units = self._busy_ms = self._elapsed_ms = self._previous_elapsed_ms = 0.0
+        # By class, repeats before first tries: what part of all that comes it brings, and the odds that one is shed.
+        self._traffic_fractions = [0.5 / len(classes)] * (2 * len(classes))
+        self._shed_odds = [0.0] * (2 * len(classes))
+        self._names = [cls.name for cls in classes]
+        self.configure(classes)
+
+    def configure(self, classes: Sequence[RequestClass]) -> None:
+        """New figures. Classes keep their places; there may be more, and a new one may have the place of one that is no
+        more: it begins as a new one.
+        """
+        share = 0.5 / len(classes)
+        more = 2 * len(classes) - len(self._traffic_fractions)
+        self._traffic_fractions += [share] * more
+        self._shed_odds += [0.0] * more
+        names = [cls.name for cls in classes]
+        for at, (before, after) in enumerate(zip(self._names, names, strict=False)):
+            if before != after:
+                self._traffic_fractions[2 * at : 2 * at + 2] = [share, share]
+                self._shed_odds[2 * at : 2 * at + 2] = [0.0, 0.0]
+        self._names = names
+        self._target_ms = min(cls.aim_ms for cls in classes)
+        # Of equal worth, repeats go first: they have been refused before, and come from who does not wait.
+        self._shed_order = sorted(range(2 * len(classes)), key=lambda at: (classes[at // 2].worth, at % 2))
+
+    def on_iteration(self, busy_ms: float, elapsed_ms: float) -> None:
+        """A turn of the loop has ended, in which this process was busy for so long; `whole_ms` with the wait before."""
+        high, low = self._high * self._target_ms, self._low * self._target_ms
+        busy_ms = min(busy_ms, self.MAX_ITERATION_FACTOR * high)
+        elapsed_ms = max(busy_ms, min(elapsed_ms, self.MAX_ITERATION_FACTOR * high))
+        self.mean_busy_ms += self.SAMPLE_WEIGHT * (busy_ms - self.mean_busy_ms)
+        before, self._previous_busy_ms = self._previous_busy_ms, busy_ms
+        if not self.is_shedding:
+            # Turns that grow from one to the next tell the load at once. One that is long after a short one does not:
+            # the process may have stood still.
+            growing = busy_ms > high and before > 0.5 * low
+            if not growing and self.mean_busy_ms <= high:
+                return
+            self.is_shedding, self._quiet_ms = True, 0.0
+            self._arrived = self._admitted = 0
+            self._requests = self._units = self._busy_ms = self._elapsed_ms = 0.0
+            self._previous_elapsed_ms = elapsed_ms
+            if growing and busy_ms > before:
+                self.shed_fraction = self._excess_fraction(
+                    min(busy_ms / before, 1.0 / (1.0 - self.MAX_SHED_FRACTION))
+                )
+                self._distribute()
+            return
+        self._count(busy_ms, elapsed_ms)
+        # What has come, at what it costs, is so many times what this core can do; all that is beyond is shed. That
+        # alone would leave turns as long as they are: the rest steers them between the two bounds.
+        load = (
+            self._requests / self._elapsed_ms * self._busy_ms / self._units
+            if self._units and self._elapsed_ms
+            else 1.0
+        )
+        target = 0.5 * (high + low)
+        self.shed_fraction = min(
+            self.MAX_SHED_FRACTION,
+            max(0.0, self._excess_fraction(load) + self.GAIN * (busy_ms - target) / target),
+        )
+        self._quiet_ms = (
+            0.0
+            if self.shed_fraction > 0.0 or self.mean_busy_ms > low
+            else self._quiet_ms + max(elapsed_ms, 1.0)
+        )
+        if self._quiet_ms > self.QUIET_TARGETS * self._target_ms:
+            self.is_shedding = False
+        self._distribute()
+
+    def _excess_fraction(self, load: float) -> float:
+        """The part that must be shed of so many times what this core can do; below 0 where it could do more."""
+        return (load - 1.0) / (max(load, 0.1) * (1.0 - self.REFUSAL_COST))
+
+    def _count(self, busy_ms: float, whole_ms: float) -> None:
+        keep = 1.0 - self.SAMPLE_WEIGHT
+        self._requests = keep * self._requests + self._arrived
+        self._units = (
+            keep * self._units + self._admitted + self.REFUSAL_COST * (self._arrived - self._admitted)
+        )
+        self._busy_ms = keep * self._busy_ms + busy_ms
+        # What is read in a turn has come while the one before went on.
+        self._elapsed_ms = keep * self._elapsed_ms + (self._previous_elapsed_ms or whole_ms)
+        self._previous_elapsed_ms = whole_ms
+        self._arrived = self._admitted = 0
+
+    def _distribute(self) -> None:
+        """Least worth first: each class's odds, so that all together make up the part."""
+        left = self.shed_fraction * sum(self._traffic_fractions)
+        for at in self._shed_order:
+            brings = self._traffic_fractions[at]
+            self._shed_odds[at] = min(self.MAX_SHED_FRACTION, left / brings) if brings > 0.0 else 0.0
+            left = max(0.0, left - brings * self._shed_odds[at])
+
+    def admits(self, class_index: int, is_retry: bool) -> bool:
+        """Whether a request that has come while the door sheds is let in; `again`: it is marked as a repeat."""
+        at = 2 * class_index + (not is_retry)
+        self._traffic_fractions = [
+            item - self.TRAFFIC_SAMPLE_WEIGHT * item for item in self._traffic_fractions
+        ]
+        self._traffic_fractions[at] += self.TRAFFIC_SAMPLE_WEIGHT
+        self._arrived += 1
+        if self._rng.random() >= self._shed_odds[at]:
+            self._admitted += 1
+            return True
+        self.shed_count += 1
+        return False
--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -13,30 +13,30 @@
 from typing import TYPE_CHECKING, Any
 
 from larkweir_balancing.admission_queue import AdmissionQueue
-from larkweir_balancing.callers import Callers
+from larkweir_balancing.caller_stats import CallerStats
 from larkweir_balancing.concurrency_limiter import ConcurrencyLimiter, Verdict
-from larkweir_balancing.drawing import Drawing
+from larkweir_balancing.connections import ConnectionTracker
 from larkweir_balancing.interface import (
     NEVER_RAN,
     Action,
     AnswerStarted,
     AttemptEnded,
-    BodyCame,
     ClientGone,
     CloseIdle,
     ContractError,
     Event,
     Fail,
-    Heard,
     ListKind,
     ListUpdate,
     Outcome,
+    PeerHealthReport,
     PeerMessage,
     Probe,
     ProbeEnded,
     Reconfigured,
     Refuse,
     RequestArrived,
+    RequestBodyReceived,
     Send,
     SetTimer,
     Settings,
@@ -44,15 +44,15 @@
     WatchList,
     fixed_difference,
 )
-from larkweir_balancing.judging import Judge
-from larkweir_balancing.legality import Attempt, Request
-from larkweir_balancing.links import Links
-from larkweir_balancing.probing import Probes
-from larkweir_balancing.servers import Fleet, Server
+from larkweir_balancing.load_probing import LoadProbing
+from larkweir_balancing.outlier_ejection import OutlierDetector
+from larkweir_balancing.retry_safety import Attempt, Request
+from larkweir_balancing.selection import ServerSelector
+from larkweir_balancing.servers import Server, ServerTable
 from larkweir_balancing.slow_start import SlowStart
 
 if TYPE_CHECKING:
-    from larkweir_balancing.hearsay import Hearsay  # imported only where the feature is on
+    from larkweir_balancing.shared_health import SharedHealth  # imported only where the feature is on
 
 LIST_COOKIE = 1 << 40  # a timer's, above every request id
 # From call to call for the list, by 0.5 to 1.5: in 6 s have to fit a pause, a call that fails after 2 s, and one more.
@@ -62,64 +62,68 @@
 class Balancer:
     """One copy of the decision logic, in front of one tier."""
 
-    UNSEEN_PRICE = 0.25  # a call that a server never looked at cost no work
+    NEVER_RAN_RETRY_PRICE = 0.25  # a call that a server never looked at cost no work
     # Of the usual latency, that must be left for a call to be tried. Guards against work that nobody can use,
     # and against time-outs held against servers that were given no time.
-    HOPE = 0.25
+    MIN_USEFUL_FRACTION = 0.25
     # Of the time at low load of a request so heavy, by its hint. Guards against work of many times the usual, which
     # is never done in time and keeps others from it.
-    TOO_HEAVY = 0.75
+    TOO_HEAVY_FRACTION = 0.75
 
     def __init__(self, settings: Settings, seed: int, limiter: ConcurrencyLimiter | None = None) -> None:
         """`limiter`: another way to steer the window than its own."""
         self.settings = settings
         self.rng = Random(seed)
-        self.fleet = Fleet(settings.zones)
-        self.slow_start = SlowStart(settings, self.rng, self.fleet)
-        self.links = Links(settings)
+        self.table = ServerTable(settings.zones)
+        self.slow_start = SlowStart(settings, self.rng, self.table)
+        self.connections = ConnectionTracker(settings)
         self.limiter = ConcurrencyLimiter(settings, self.rng) if limiter is None else limiter
-        self.waiting = AdmissionQueue(settings)
-        self.callers = Callers(settings)
-        self.probes = Probes(settings, self.rng)
-        self.judge = Judge(settings, self.rng, self.fleet, self.limiter, self.callers, self.probes)
-        self.drawing = Drawing(settings, self.rng, self.fleet, self.links, self.slow_start, self.judge)
+        self.queue = AdmissionQueue(settings)
+        self.caller_stats = CallerStats(settings)
+        self.load_probing = LoadProbing(settings, self.rng)
+        self.outliers = OutlierDetector(
+            settings, self.rng, self.table, self.limiter, self.caller_stats, self.load_probing
+        )
+        self.selector = ServerSelector(
+            settings, self.rng, self.table, self.connections, self.slow_start, self.outliers
+        )
         self._latency = self.limiter.mean  # of the upstreams' time alone
         self.requests: dict[int, Request] = {}
-        self.now = -1.0
-        self.out: list[Action] = []
+        self.now_ms = -1.0
+        self.actions: list[Action] = []
         self._list_asked_ms = -1.0  # when last, after a failure; 0: the last call was good; -1: no list yet
-        self._retries = settings.tuning.retry_cap / 2.0
-        self._asked: dict[int, list[Request]] = {}
-        self.hearsay: Hearsay | None = None  # where replicas share what they find of servers
+        self._retry_budget = settings.tuning.retry_cap / 2.0
+        self._awaiting_probe: dict[int, list[Request]] = {}
+        self.shared_health: SharedHealth | None = None  # where replicas share what they find of servers
         self._handlers = {
             RequestArrived: self._on_request,
             AttemptEnded: self._on_attempt_end,
-            BodyCame: self._on_body_came,
+            RequestBodyReceived: self._on_body_came,
             TimerFired: self._on_timer,
             ProbeEnded: self._on_probe,
             ListUpdate: self._on_list,
             ClientGone: self._on_client_gone,
             AnswerStarted: self._on_answer_started,
-            Heard: lambda event: self.hearsay and self.hearsay.heard(event, self.now, self.out),
+            PeerHealthReport: self._on_peer_report,
             PeerMessage: lambda event: None,
             Reconfigured: self._on_reconfigured,
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take one event; returns the actions to carry out, in order, at the same time."""
-        if not now_ms >= self.now:
-            raise ContractError(f"time went back from {self.now} to {now_ms}")
-        self.now = now_ms
+        if not now_ms >= self.now_ms:
+            raise ContractError(f"time went back from {self.now_ms} to {now_ms}")
+        self.now_ms = now_ms
         if (handler := self._handlers.get(type(event))) is None:
             raise ContractError(f"unknown event {event!r}")
-        self.out = []
-        self.fleet.give_back(now_ms)
-        if (stale := self.links.stale(now_ms)) is not None:
+        self.actions = []
+        self.table.return_tokens(now_ms)
+        if (stale := self.connections.find_expired(now_ms)) is not None:
             self._close(stale)
         handler(event)  # type: ignore[operator]
-        if self.waiting:
-            self._let_in()
-        return self.out
+        if self.queue:
+            self._admit_waiting()
+        return self.actions
 
     # ------------------------------------------------ the ordinary path
 
@@ -129,91 +133,103 @@
             raise ContractError(f"request id {event.request} used twice")
         if not 0 <= at < len(self.settings.classes):
             raise ContractError(f"request {event.request}: class {at} is not in the settings")
-        request = Request(event, self.settings, self.now)
+        request = Request(event, self.settings, self.now_ms)
         self.requests[request.id] = request
-        self.slow_start.earn(self.now, self.judge.fail_share)
+        self.slow_start.earn(self.now_ms, self.outliers.failure_rate)
         tuning = self.settings.tuning
-        self._retries = min(tuning.retry_cap, self._retries + tuning.retry_ratio)
-        request.size = self.callers.came(event, self.now)
-        request.aim_ms = min(request.deadline_ms, self.callers.aim_ms(event, request.cls, self.now))
-        over_share = self.callers.over_share(event)
-        left = request.aim_ms - self.now
-        heavy = self.TOO_HEAVY * self.limiter.least_ms(at) * request.size if event.expected_ms else 0.0
+        self._retry_budget = min(tuning.retry_cap, self._retry_budget + tuning.retry_ratio)
+        request.size = self.caller_stats.record_arrival(event, self.now_ms)
+        request.useful_until_ms = min(
+            request.deadline_ms, self.caller_stats.useful_until_ms(event, request.request_class, self.now_ms)
+        )
+        over_share = self.caller_stats.is_over_share(event)
+        left = request.useful_until_ms - self.now_ms
+        heavy = (
+            self.TOO_HEAVY_FRACTION * self.limiter.min_latency_ms(at) * request.size
+            if event.expected_ms
+            else 0.0
+        )
         verdict = Verdict.GO  # inner tiers do not shed: who has been let in above is served
-        if left <= max(self.HOPE * self._latency[at], heavy):
+        if left <= max(self.MIN_USEFUL_FRACTION * self._latency[at], heavy):
             verdict = Verdict.REFUSE
         elif not self.settings.tier:
-            verdict = self.limiter.arrive(at, self.fleet.out, len(self.waiting), over_share)
+            verdict = self.limiter.admit(at, self.table.in_flight, len(self.queue), over_share)
         if verdict is Verdict.GO:
-            self._place(request)
-        elif verdict is Verdict.REFUSE or not self._wait(request, left, over_share):
-            self._answer(request)
+            self._begin_placement(request)
+        elif verdict is Verdict.REFUSE or not self._try_enqueue(request, left, over_share):
+            self._refuse_or_fail(request)
 
-    def _place(self, request: Request) -> None:
-        self.drawing.begin(request)
-        self._next(request)
+    def _begin_placement(self, request: Request) -> None:
+        self.selector.begin_round(request)
+        self._place_next(request)
 
-    def _next(self, request: Request) -> None:
-        if self.now + self.settings.tick_ms >= request.aim_ms:
-            self._answer(request)
+    def _place_next(self, request: Request) -> None:
+        if self.now_ms + self.settings.tick_ms >= request.useful_until_ms:
+            self._refuse_or_fail(request)
             return
-        server = self.drawing.draw(request, self.now)
-        if server is not None and self.probes.pay(request, self._latency[request.class_index], self.now):
-            self._ask(request, server)
-        elif server is None or (request.probes and self.probes.singly):  # every drawn server was busy
-            self._hold(request)
+        server = self.selector.select(request, self.now_ms)
+        if server is not None and self.load_probing.should_probe(
+            request, self._latency[request.class_index], self.now_ms
+        ):
+            self._probe(request, server)
+        elif server is None or (
+            request.probe_count and self.load_probing.serves_singly
+        ):  # every drawn server was busy
+            self._poll_later(request)
         else:
             self._send(request, server)
 
     def _send(self, request: Request, server: Server) -> None:
-        if not request.may_go_to(server, self.now):
+        if not request.can_send_to(server, self.now_ms):
             raise AssertionError("a send that legality forbids")
         request.wake_ms = math.inf
-        self.slow_start.spend(server, self.now)
-        idle = self.links.idle_ms(server, self.now)
-        if idle is not None and idle > self.links.keep_ms:
+        self.slow_start.spend(server, self.now_ms)
+        idle = self.connections.idle_ms(server, self.now_ms)
+        if idle is not None and idle > self.connections.max_idle_ms:
             self._close(server)
             idle = None
-        ahead, mark = server.outstanding, self.limiter.mark(self.fleet.out)
-        attempt = Attempt(server, server.cell, self.now, ahead, idle, mark)
-        self.out.append(Send(request.id, server.id, request.aim_ms - self.now, request.write_by_ms()))
+        ahead, mark = server.in_flight, self.limiter.round_of(self.table.in_flight)
+        attempt = Attempt(server, server.cell, self.now_ms, ahead, idle, mark)
+        self.actions.append(
+            Send(request.id, server.id, request.useful_until_ms - self.now_ms, request.write_by_ms())
+        )
         request.attempts.append(attempt)
-        if not request.coming:
-            self._count(attempt)
-        self.links.use(server, self.now)
-        request.out += 1
+        if not request.body_incomplete:
+            self._start_counting(attempt)
+        self.connections.record_use(server, self.now_ms)
+        request.in_flight += 1
 
-    def _count(self, attempt: Attempt) -> None:
+    def _start_counting(self, attempt: Attempt) -> None:
         """It is among the calls out from here on."""
-        attempt.counts = True
-        attempt.server.outstanding += 1
-        self.fleet.out += 1
-        self.fleet.earn_token(attempt.server, self.now)
-
-    def _uncount(self, attempt: Attempt) -> None:
-        if attempt.counts:
-            attempt.counts = False
-            attempt.server.outstanding -= 1
-            self.fleet.out -= 1
-
-    def _on_body_came(self, event: BodyCame) -> None:
+        attempt.is_counted = True
+        attempt.server.in_flight += 1
+        self.table.in_flight += 1
+        self.table.earn_token(attempt.server, self.now_ms)
+
+    def _stop_counting(self, attempt: Attempt) -> None:
+        if attempt.is_counted:
+            attempt.is_counted = False
+            attempt.server.in_flight -= 1
+            self.table.in_flight -= 1
+
+    def _on_body_came(self, event: RequestBodyReceived) -> None:
         """Guards against calls whose body comes slowly: no server works on them, so they fill no window until now."""
         request = self.requests.get(event.request)
-        if request is None or not request.coming:
+        if request is None or not request.body_incomplete:
             return
-        request.coming = False
-        late = self.now - request.came_ms  # its time runs from here on
-        request.came_ms += late
-        request.aim_ms += late
+        request.body_incomplete = False
+        late = self.now_ms - request.arrived_ms  # its time runs from here on
+        request.arrived_ms += late
+        request.useful_until_ms += late
         request.deadline_ms += late
         for attempt in request.attempts:
             if attempt.outcome is None:
-                attempt.sent_ms = self.now
-                self._count(attempt)
+                attempt.sent_ms = self.now_ms
+                self._start_counting(attempt)
 
     def _close(self, server: Server) -> None:
-        self.links.drop(server)
-        self.out.append(CloseIdle(server.id))
+        self.connections.remove(server)
+        self.actions.append(CloseIdle(server.id))
 
     def _on_attempt_end(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
@@ -223,219 +239,235 @@
         if attempt.outcome is not None:
             return
         attempt.outcome = outcome
-        request.out -= 1
-        if event.left is not None:  # what was given back counts again, what is out elsewhere does not
-            request.limit(event.left)
-        self._uncount(attempt)
+        request.in_flight -= 1
+        if (
+            event.attempts_left is not None
+        ):  # what was given back counts again, what is out elsewhere does not
+            request.limit_attempts(event.attempts_left)
+        self._stop_counting(attempt)
         spent = event.spent_ms if event.upstream_ms is None else event.upstream_ms
         server, at = attempt.server, request.class_index
         usual = self._latency[at]
-        if not request.started:
-            tries, mark = len(request.attempts), attempt.mark
-            self.limiter.ended(at, outcome, spent, self.fleet.out, mark, tries, request.size)
-        self.drawing.compare_zones(request, attempt, spent)
-        self.links.learn(attempt, spent, usual, request.cls.aim_ms)
+        if not request.is_answered:
+            tries, mark = len(request.attempts), attempt.limiter_round
+            self.limiter.record_end(at, outcome, spent, self.table.in_flight, mark, tries, request.size)
+        self.selector.record_zone_cost(request, attempt, spent)
+        self.connections.record_end(attempt, spent, usual, request.request_class.aim_ms)
         if outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
-            server.silent = True
-            if not server.outstanding and server.linked:
-                self.links.drop(server)
+            server.unresponsive = True
+            if not server.in_flight and server.has_connection:
+                self.connections.remove(server)
                 if outcome is Outcome.TIMEOUT:  # the connection may be dead without a word
-                    self.out.append(CloseIdle(server.id))
-        elif server.linked:
-            self.links.use(server, self.now)
-        self.judge.ended(request, attempt, spent, usual, self.now)
-        if self.hearsay is not None:
-            self.hearsay.ended(server, outcome, self.now)
-        self.fleet.earn_token(server, self.now)
-        if request.started or event.final or outcome is Outcome.OK:
-            request.started = True
-            self._forget(request)
+                    self.actions.append(CloseIdle(server.id))
+        elif server.has_connection:
+            self.connections.record_use(server, self.now_ms)
+        self.outliers.record_end(request, attempt, spent, usual, self.now_ms)
+        if self.shared_health is not None:
+            self.shared_health.on_attempt_end(server, outcome, self.now_ms)
+        self.table.earn_token(server, self.now_ms)
+        if request.is_answered or event.is_final or outcome is Outcome.OK:
+            request.is_answered = True
+            self._finish(request)
         elif outcome is Outcome.REJECTED:
             # Guards the servers against a caller's bad requests, which each of them would turn away in turn.
-            self.out.append(Fail(request.id))
-            self._forget(request)
-        elif not request.out:
-            self._again(request, outcome)
+            self.actions.append(Fail(request.id))
+            self._finish(request)
+        elif not request.in_flight:
+            self._retry_or_answer(request, outcome)
 
-    def _again(self, request: Request, outcome: Outcome) -> None:
+    def _retry_or_answer(self, request: Request, outcome: Outcome) -> None:
         """Nothing is out any more and nothing was served: another attempt, or the final answer."""
-        useful = request.aim_ms - self.now > 0.75 * self._latency[request.class_index]
-        price = self.UNSEEN_PRICE if outcome in NEVER_RAN else 1.0
-        if useful and self._retries >= price and request.may_go_somewhere(self.now):
-            self._retries -= price
-            self._place(request)
+        useful = request.useful_until_ms - self.now_ms > 0.75 * self._latency[request.class_index]
+        price = self.NEVER_RAN_RETRY_PRICE if outcome in NEVER_RAN else 1.0
+        if useful and self._retry_budget >= price and request.can_attempt(self.now_ms):
+            self._retry_budget -= price
+            self._begin_placement(request)
         else:
-            self._answer(request)
+            self._refuse_or_fail(request)
 
-    def _forget(self, request: Request) -> None:
+    def _finish(self, request: Request) -> None:
         """The request is over; its attempts still out keep it known until their ends have come."""
-        if not request.started and self.now - request.came_ms > 0.5 * request.cls.aim_ms:
-            self.callers.unserved()
-        request.started = True
-        self.waiting.drop(request.id)
-        if not request.out:
+        if not request.is_answered and self.now_ms - request.arrived_ms > 0.5 * request.request_class.aim_ms:
+            self.caller_stats.record_unserved()
+        request.is_answered = True
+        self.queue.remove(request.id)
+        if not request.in_flight:
             self.requests.pop(request.id, None)
 
-    def _answer(self, request: Request) -> None:
+    def _refuse_or_fail(self, request: Request) -> None:
         """The final answer of a request that will not be served.
 
         A refusal tells when to come again: what could not be placed now finds the same servers busy a moment
         later, and a repeat at once would take a place from a request that can still be in time.
         """
         wait = self.settings.max_retry_after_ms
-        self.out.append(Refuse(request.id, wait) if request.may_be_refused() else Fail(request.id))
-        self._forget(request)
+        self.actions.append(Refuse(request.id, wait) if request.can_refuse() else Fail(request.id))
+        self._finish(request)
 
     # ------------------------------------------------ waiting for a place, a report, or a server
 
-    def _wait(self, request: Request, left_ms: float, over_share: bool) -> bool:
+    def _try_enqueue(self, request: Request, left_ms: float, over_share: bool) -> bool:
         """Let it wait for a place in the window; False where its turn would not come in time.
 
         Who has waited in vain is answered at once; nothing is held back until its deadline.
         """
         at = request.class_index
-        pace = self.limiter.pace_ms(at)
-        patience = self.waiting.patience_ms(self.now, request.cls.aim_ms, left_ms, pace, over_share)
+        pace = self.limiter.slot_interval_ms(at)
+        patience = self.queue.max_wait_ms(
+            self.now_ms, request.request_class.aim_ms, left_ms, pace, over_share
+        )
         most = min(patience, left_ms - self._latency[at] - self.settings.tick_ms)
-        if not self.waiting.enter(self.now, request.id, at, over_share, most, pace):
+        if not self.queue.try_enter(self.now_ms, request.id, at, over_share, most, pace):
             return False
-        self._wake(request, most)
+        self._set_wake_timer(request, most)
         return True
 
-    def _let_in(self) -> None:
+    def _admit_waiting(self) -> None:
         """Those whose turn has come, as far as there are places."""
-        for _ in range(self.limiter.places(self.fleet.out)):
-            if (turn := self.waiting.take()) is None:
+        for _ in range(self.limiter.free_slots(self.table.in_flight)):
+            if (turn := self.queue.pop_next()) is None:
                 return
-            self._place(self.requests[turn])
+            self._begin_placement(self.requests[turn])
 
-    def _ask(self, request: Request, server: Server) -> None:
+    def _probe(self, request: Request, server: Server) -> None:
         """Is the drawn server idle?"""
-        request.probes += 1
-        request.asked = server
-        self.fleet.spend_token(server)  # reserved: two requests of this copy must not settle on one report
-        self._asked.setdefault(server.id, []).append(request)
-        self.out.append(Probe(server.id))
-        self._wake(request, 2.0 * self.settings.tick_ms + 3.0 * self.probes.echo_ms)
+        request.probe_count += 1
+        request.probed_server = server
+        self.table.spend_token(server)  # reserved: two requests of this copy must not settle on one report
+        self._awaiting_probe.setdefault(server.id, []).append(request)
+        self.actions.append(Probe(server.id))
+        self._set_wake_timer(request, 2.0 * self.settings.tick_ms + 3.0 * self.load_probing.mean_probe_ms)
 
     def _on_probe(self, event: ProbeEnded) -> None:
-        waiting = self._asked.get(event.server)
-        if self.hearsay is not None and self.hearsay.probed(event, self.now) and not waiting:
+        waiting = self._awaiting_probe.get(event.server)
+        if (
+            self.shared_health is not None
+            and self.shared_health.on_probe_end(event, self.now_ms)
+            and not waiting
+        ):
             return
         request = waiting.pop(0) if waiting else None
         if not waiting:
-            self._asked.pop(event.server, None)
-        server = self.fleet.servers.get(event.server)
-        level = self.probes.heard(event)
+            self._awaiting_probe.pop(event.server, None)
+        server = self.table.servers.get(event.server)
+        level = self.load_probing.on_probe_end(event)
         if server is None:
             return
         if level >= 0.5:
             pause = 0.25 * sum(self._latency) / len(self._latency) * (0.5 + self.rng.random())
-            self.fleet.withhold(server, self.now + pause)
+            self.table.withhold_token(server, self.now_ms + pause)
         else:
-            self.fleet.earn_token(server, self.now)
-        if request is None or request.started or request.asked is not server:
+            self.table.earn_token(server, self.now_ms)
+        if request is None or request.is_answered or request.probed_server is not server:
             return
-        request.asked = None
-        if level < 0.5 and request.may_go_to(server, self.now):
+        request.probed_server = None
+        if level < 0.5 and request.can_send_to(server, self.now_ms):
             self._send(request, server)
         else:
-            self._next(request)
+            self._place_next(request)
 
-    def _hold(self, request: Request) -> None:
+    def _poll_later(self, request: Request) -> None:
         """Nothing ready, legal and believed idle now: look again shortly, while an answer can still count."""
         latency = self._latency[request.class_index]
-        last = request.aim_ms - 0.75 * latency
-        vain = self.fleet.remembered and not self.fleet.hope(request.cls)
-        if vain or self.now >= last or not request.may_go_somewhere(self.now):
-            self._answer(request)
+        last = request.useful_until_ms - 0.75 * latency
+        vain = self.table.restored_count and not self.table.may_admit_restored(request.request_class)
+        if vain or self.now_ms >= last or not request.can_attempt(self.now_ms):
+            self._refuse_or_fail(request)
             return
         # Guards against a herd: while polls find nearly nothing idle, several copies see the same server fall
         # idle before the first send shows. How often polls find one tells how often all copies together ask.
-        asks = 4.0 * (self.probes.echo_ms + self.settings.tick_ms)
-        crowd = asks / (latency * max(self.probes.idle_share, 0.001))
+        asks = 4.0 * (self.load_probing.mean_probe_ms + self.settings.tick_ms)
+        crowd = asks / (latency * max(self.load_probing.idle_share, 0.001))
         pause = latency / 32.0 * max(1.0, min(crowd, 16.0)) * (0.5 + self.rng.random())
-        self._wake(request, max(self.settings.tick_ms, min(pause, last - self.now)))
+        self._set_wake_timer(request, max(self.settings.tick_ms, min(pause, last - self.now_ms)))
 
-    def _wake(self, request: Request, delay_ms: float) -> None:
+    def _set_wake_timer(self, request: Request, delay_ms: float) -> None:
         # Guards against a request lost while a report is awaited: a call may arrive with less time left than that.
-        delay_ms = max(0.0, min(delay_ms, request.aim_ms - self.settings.tick_ms - self.now))
-        request.wake_ms = self.now + delay_ms
-        self.out.append(SetTimer(request.id, delay_ms))
+        delay_ms = max(0.0, min(delay_ms, request.useful_until_ms - self.settings.tick_ms - self.now_ms))
+        request.wake_ms = self.now_ms + delay_ms
+        self.actions.append(SetTimer(request.id, delay_ms))
 
     def _on_timer(self, event: TimerFired) -> None:
         if event.cookie == LIST_COOKIE:
-            self.out.append(WatchList(True))
+            self.actions.append(WatchList(True))
             return
         request = self.requests.get(event.cookie)
         # Half a tick, since a caller's clock may round below what was asked for.
-        if request is None or request.started or self.now + self.settings.tick_ms / 2.0 < request.wake_ms:
+        if (
+            request is None
+            or request.is_answered
+            or self.now_ms + self.settings.tick_ms / 2.0 < request.wake_ms
+        ):
             return
-        if self.waiting and self.waiting.drop(request.id):  # it has waited in vain
-            self._answer(request)
-        elif request.asked is not None:  # no report in time: the silence counts as busy
-            request.asked = None
-            self._next(request)
+        if self.queue and self.queue.remove(request.id):  # it has waited in vain
+            self._refuse_or_fail(request)
+        elif request.probed_server is not None:  # no report in time: the silence counts as busy
+            request.probed_server = None
+            self._place_next(request)
         else:  # it was held
-            request.polled = True
-            self._place(request)
+            request.has_waited = True
+            self._begin_placement(request)
 
     # ------------------------------------------------ what else is told
 
     def _on_list(self, event: ListUpdate) -> None:
         if event.kind is not ListKind.FAILED:
-            fresh, gone = self.fleet.update(event)
+            fresh, gone = self.table.update(event)
             for server in gone:  # its connections died with it
-                self.links.drop(server)
-            self.slow_start.look(self.now)
-            self.limiter.open(self.fleet.ready_count, self.settings.copies)
+                self.connections.remove(server)
+            self.slow_start.refresh(self.now_ms)
+            self.limiter.open(self.table.ready_count, self.settings.copies)
             for server in fresh:
-                self.fleet.earn_token(server, self.now)
+                self.table.earn_token(server, self.now_ms)
         if self.settings.on_request_discovery and event.kind is not ListKind.PROOF:
-            self._follow_list(event.kind)
+            self._poll_list(event.kind)
 
-    def _follow_list(self, kind: ListKind) -> None:
+    def _poll_list(self, kind: ListKind) -> None:
         """Where the list must be asked for: subscribe once, spread out, and ask again after a failure."""
         if kind is ListKind.FAILED:
             # Guards against a herd on a discovery service of fixed capacity. A call that was long in vain has paused.
             pace = min(self.settings.ask_within_ms, LIST_PACE_MS) * (0.5 + self.rng.random())
-            pause = max(pace / 4.0, (self._list_asked_ms or self.now) + pace - self.now)
-            self._list_asked_ms = self.now + pause
-            self.out.append(SetTimer(LIST_COOKIE, pause))
+            pause = max(pace / 4.0, (self._list_asked_ms or self.now_ms) + pace - self.now_ms)
+            self._list_asked_ms = self.now_ms + pause
+            self.actions.append(SetTimer(LIST_COOKIE, pause))
             return
         if self._list_asked_ms < 0.0:
             # The cached list serves at first; a quarter of the duty's interval leaves time for calls that fail.
-            self.out.append(SetTimer(LIST_COOKIE, self.rng.random() * self.settings.ask_within_ms / 4.0))
+            self.actions.append(SetTimer(LIST_COOKIE, self.rng.random() * self.settings.ask_within_ms / 4.0))
         self._list_asked_ms = 0.0
 
+    def _on_peer_report(self, event: PeerHealthReport) -> None:
+        if self.shared_health is not None:
+            self.shared_health.on_peer_report(event, self.now_ms, self.actions)
+
     def _on_client_gone(self, event: ClientGone) -> None:
         if (request := self.requests.get(event.request)) is not None:
-            self._forget(request)
+            self._finish(request)
 
     def _on_answer_started(self, event: AnswerStarted) -> None:
         if (request := self.requests.get(event.request)) is not None:
-            request.started = True
-            if not request.cls.streaming and 0 <= event.attempt < len(request.attempts):
+            request.is_answered = True
+            if not request.request_class.streaming and 0 <= event.attempt < len(request.attempts):
                 # A long answer: the work is done, and how long its bytes take is the client's pace.
-                self._uncount(request.attempts[event.attempt])
-                self.fleet.earn_token(request.attempts[event.attempt].server, self.now)
+                self._stop_counting(request.attempts[event.attempt])
+                self.table.earn_token(request.attempts[event.attempt].server, self.now_ms)
 
-    def elsewhere(self, number: int, count: int, now_ms: float) -> None:
+    def set_other_in_flight(self, number: int, count: int, now_ms: float) -> None:
         """So many calls of other decisions of this process are at a server: it is as little idle as with our own."""
-        server = self.fleet.servers.get(number)
-        if server is not None and server.others != count:
-            self.now = max(self.now, now_ms)
-            server.outstanding += count - server.others
-            server.others = count
-            self.fleet.earn_token(server, self.now)
-
-    def unlink(self, number: int) -> None:
+        server = self.table.servers.get(number)
+        if server is not None and server.other_in_flight != count:
+            self.now_ms = max(self.now_ms, now_ms)
+            server.in_flight += count - server.other_in_flight
+            server.other_in_flight = count
+            self.table.earn_token(server, self.now_ms)
+
+    def on_connections_closed(self, number: int) -> None:
         """Other decisions of this process have closed the connections to a server that lay idle."""
-        if (server := self.fleet.servers.get(number)) is not None:
-            self.links.drop(server)
+        if (server := self.table.servers.get(number)) is not None:
+            self.connections.remove(server)
 
-    def _by_class(self) -> dict[str, list[float]]:
-        return {"latency": self._latency, "base": self.limiter.base, "work": self.callers.work}
+    def _learned_by_class(self) -> dict[str, list[float]]:
+        return {"latency": self._latency, "base": self.limiter.base, "work": self.caller_stats.mean_cost}
 
     def learned(self) -> dict[str, Any]:
         """What another life of this copy may go on from, as plain values: the means by class name, and the
@@ -446,10 +478,10 @@
         return {
             "credit": credit,
             "window": self.limiter.window,
-            "retries": self._retries,
-            "idle_share": self.probes.idle_share,
-            "most_running": self.probes.most_running,
-        } | {key: dict(zip(names, values, strict=True)) for key, values in self._by_class().items()}
+            "retries": self._retry_budget,
+            "idle_share": self.load_probing.idle_share,
+            "most_running": self.load_probing.max_running,
+        } | {key: dict(zip(names, values, strict=True)) for key, values in self._learned_by_class().items()}
 
     def adopt(self, learned: dict[str, Any]) -> None:
         """Go on from what another life has learned; values that are none are passed over."""
@@ -458,16 +490,18 @@
             good = isinstance(value, int | float) and not isinstance(value, bool) and 0.0 <= value < math.inf
             return min(float(value), high) if good else old
 
-        limiter, probes = self.limiter, self.probes
+        limiter, probes = self.limiter, self.load_probing
         self.slow_start.credit = number(learned.get("credit"), 0.0, SlowStart.CREDIT_CAP)
         # Guards against a life that crashes again and again, each time with attempts to spare.
-        self._retries = number(learned.get("retries"), self._retries, self.settings.tuning.retry_cap / 2.0)
-        window = number(learned.get("window"), limiter.window, limiter.MOST_WINDOW)
-        limiter.window = max(limiter.LEAST_WINDOW, window)
+        self._retry_budget = number(
+            learned.get("retries"), self._retry_budget, self.settings.tuning.retry_cap / 2.0
+        )
+        window = number(learned.get("window"), limiter.window, limiter.MAX_WINDOW)
+        limiter.window = max(limiter.MIN_WINDOW, window)
         limiter.opened = limiter.opened or "window" in learned
         probes.idle_share = number(learned.get("idle_share"), probes.idle_share, 1.0)
-        probes.most_running = number(learned.get("most_running"), probes.most_running)
-        for key, values in self._by_class().items():
+        probes.max_running = number(learned.get("most_running"), probes.max_running)
+        for key, values in self._learned_by_class().items():
             told = learned.get(key)
             if isinstance(told, dict):
                 for at, cls in enumerate(self.settings.classes):
@@ -481,11 +515,11 @@
         old, new = self.settings, event.settings
         if problem := fixed_difference(old, new):
             raise ContractError(f"{problem} can't change in service")
-        self.settings = self.judge.settings = self.drawing.settings = self.probes.settings = new
-        for part in (self.links, self.limiter, self.waiting, self.callers):
+        self.settings = self.outliers.settings = self.selector.settings = self.load_probing.settings = new
+        for part in (self.connections, self.limiter, self.queue, self.caller_stats):
             part.configure(new)
-        self.slow_start.configure(new, self.now)
+        self.slow_start.configure(new, self.now_ms)
         for at, (before, after) in enumerate(zip(old.classes, new.classes, strict=False)):
             if before.name != after.name:  # another has taken the place of one that is no more
-                for server in self.fleet.servers.values():
-                    server.shunned.pop(at, None)
+                for server in self.table.servers.values():
+                    server.ejected_for_class.pop(at, None)
--- a/packages/balancing/src/larkweir_balancing/proof.py
+++ b/packages/balancing/src/larkweir_balancing/restored_trust.py
@@ -15,7 +15,7 @@
 from larkweir_balancing.interface import Effect, Group, RequestClass
 
 
-class Seen(IntEnum):
+class ObservedEvidence(IntEnum):
     """What has been seen of a remembered server in this life; a later one includes those before it."""
 
     NOTHING = 0
@@ -23,42 +23,48 @@
     ANSWER = 2  # it has served a request
 
 
-class Proof(NamedTuple):
-    trust: float  # 0 to 1: the odds that it is still there
-    seen: Seen = Seen.NOTHING
-    belongs: bool = False  # it has shown that it is the one that the list means
-    placed: bool = False  # and in which zone and cell it is
-    pending: bool = False  # a probe of it is out or due: more may be known in a moment
+class RestoredTrust(NamedTuple):
+    confidence: float  # 0 to 1: the odds that it is still there
+    evidence: ObservedEvidence = ObservedEvidence.NOTHING
+    is_verified: bool = False  # it has shown that it is the one that the list means
+    has_location: bool = False  # and in which zone and cell it is
+    probe_pending: bool = False  # a probe of it is out or due: more may be known in a moment
 
 
-FLOOR = 0.1  # under which a server is not used at all
+MIN_CONFIDENCE = 0.1  # under which a server is not used at all
 # From which a safe request is tried there at once: more likely than not it is served, and a probe first would cost each
 # the time of one call.
-SEND_FIRST = 0.5
+DIRECT_SEND_CONFIDENCE = 0.5
 # Own calls out at once, by what was seen. A server that is not there costs each of them an attempt; one that answers
 # probes and fails requests shows that with the first few.
-AT_ONCE = {Seen.NOTHING: 1, Seen.PROBE: 4}
+MAX_IN_FLIGHT = {ObservedEvidence.NOTHING: 1, ObservedEvidence.PROBE: 4}
 
 
-def trusted(cls: RequestClass, proof: Proof) -> bool:
+def is_trusted(cls: RequestClass, trust: RestoredTrust) -> bool:
     """Whether a request of this class may go there, were it alone."""
-    if proof.trust < FLOOR:
+    if trust.confidence < MIN_CONFIDENCE:
         return False
     if cls.effect is Effect.SAFE:
         # Where no probe is to come, a safe request is the probe.
-        return proof.seen > Seen.NOTHING or proof.trust >= SEND_FIRST or not proof.pending
-    if not proof.belongs or proof.seen is Seen.NOTHING:
+        return (
+            trust.evidence > ObservedEvidence.NOTHING
+            or trust.confidence >= DIRECT_SEND_CONFIDENCE
+            or not trust.probe_pending
+        )
+    if not trust.is_verified or trust.evidence is ObservedEvidence.NOTHING:
         return False
     if cls.effect is Effect.KEYED and cls.group is not Group.ALL:
-        return proof.placed  # its repeats are dropped inside a zone or cell: which one must not be a guess
+        return (
+            trust.has_location
+        )  # its repeats are dropped inside a zone or cell: which one must not be a guess
     return True
 
 
-def admits(cls: RequestClass, proof: Proof, out: int) -> bool:
+def is_admitted(cls: RequestClass, trust: RestoredTrust, in_flight: int) -> bool:
     """Whether a request of this class may go there now, with so many own calls there."""
-    return out < AT_ONCE.get(proof.seen, out + 1) and trusted(cls, proof)
+    return in_flight < MAX_IN_FLIGHT.get(trust.evidence, in_flight + 1) and is_trusted(cls, trust)
 
 
-def hopeful(cls: RequestClass, proof: Proof) -> bool:
+def may_become_trusted(cls: RequestClass, trust: RestoredTrust) -> bool:
     """Whether waiting may make it one that a request of this class may go to."""
-    return proof.trust >= FLOOR and (proof.pending or trusted(cls, proof))
+    return trust.confidence >= MIN_CONFIDENCE and (trust.probe_pending or is_trusted(cls, trust))
--- /dev/null
+++ b/packages/balancing/src/larkweir_balancing/retry_safety.py
@@ -0,0 +1,117 @@
+"""Rules: what may be sent where, and again; and what is known of a request and its attempts, by which that is told."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from larkweir_balancing.interface import NEVER_RAN, Effect, Group, Outcome, RequestArrived, Settings
+from larkweir_balancing.restored_trust import is_admitted
+from larkweir_balancing.servers import Server
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class Attempt:
+    server: Server
+    cell: int
+    sent_ms: float
+    in_flight_before: int = 0  # own calls that were out there already
+    connection_idle_ms: float | None = (
+        None  # how long its connection had lain unused; None: it opens a new one
+    )
+    limiter_round: int = 0  # the limiter's
+    outcome: Outcome | None = None  # None: outstanding
+    is_counted: bool = False  # among the calls out: it may be at work, or wait, at its server
+
+
+class Request:
+    """A request, under the settings that it came with: the one place that says whether it may be sent, or refused."""
+
+    __slots__ = (
+        "arrived_ms",
+        "attempts",
+        "body_incomplete",
+        "class_index",
+        "deadline_ms",
+        "has_waited",
+        "id",
+        "ignores_zone",
+        "in_flight",
+        "is_answered",
+        "max_attempts",
+        "needs_idle_server",
+        "probe_count",
+        "probed_server",
+        "request_class",
+        "settings",
+        "size",
+        "useful_until_ms",
+        "wake_ms",
+    )
+
+    def __init__(self, event: RequestArrived, settings: Settings, now_ms: float) -> None:
+        self.id = event.request
+        self.settings = settings
+        self.class_index = event.class_index
+        self.request_class = event.class_in(settings)
+        self.arrived_ms = now_ms
+        self.deadline_ms = now_ms + event.time_left_ms
+        self.useful_until_ms = self.deadline_ms  # after this an answer is worth nothing; set by the balancer
+        self.attempts: list[Attempt] = []
+        self.limit_attempts(event.attempts_left)
+        self.in_flight = 0  # attempts outstanding
+        self.wake_ms = math.inf  # when its timer counts; an older timer is ignored
+        self.is_answered = False  # a streamed answer has begun, or the request is over
+        self.probed_server: Server | None = None  # whose load report is awaited
+        self.has_waited = False  # has been held and looks again
+        self.needs_idle_server = False  # is sent only to a server that says it is idle
+        self.probe_count = 0  # in this round of draws
+        self.size = 1.0  # its cost hint, by the mean of its class
+        self.body_incomplete = event.body_incomplete  # its last byte is still to come
+        self.ignores_zone = False  # draws over all zones, although crossing costs
+
+    def limit_attempts(self, attempts_left: int | None) -> None:
+        """Attempts, by the settings, the class's bound, and what is left of its own budget where it has one."""
+        most = min(self.settings.max_attempts, self.request_class.attempts or self.settings.max_attempts)
+        self.max_attempts = most if attempts_left is None else min(most, len(self.attempts) + attempts_left)
+
+    def may_have_run(self) -> list[Attempt]:
+        """Attempts not proven never to have run; outstanding and cancelled ones count."""
+        return [a for a in self.attempts if a.outcome is None or a.outcome not in NEVER_RAN]
+
+    def can_send_to(self, server: Server, now_ms: float) -> bool:
+        if not server.ready:
+            return False  # draining, gone or delisted: kept from the moment this copy is told
+        if server.restored_trust is not None and not is_admitted(
+            self.request_class, server.restored_trust, server.in_flight
+        ):
+            return False
+        return self.can_attempt(now_ms) and (not self.attempts or self._is_in_group(server))
+
+    def can_attempt(self, now_ms: float) -> bool:
+        """Whether any further attempt is open at all, to a server still to be chosen."""
+        if self.is_answered or now_ms >= self.deadline_ms or len(self.attempts) >= self.max_attempts:
+            return False
+        if self.in_flight and not self.settings.second_copies:
+            return False
+        return now_ms < self.write_by_ms()
+
+    def write_by_ms(self) -> float:
+        """Until when a further attempt may be written: servers drop repeats for its memory, unsafe ones never."""
+        if not self.attempts or self.request_class.effect is Effect.SAFE or not (ran := self.may_have_run()):
+            return math.inf
+        memory_ms = self.request_class.memory_ms if self.request_class.effect is Effect.KEYED else 0.0
+        return ran[0].sent_ms + memory_ms - self.settings.tick_ms
+
+    def _is_in_group(self, server: Server) -> bool:
+        if self.request_class.effect is not Effect.KEYED or self.request_class.group is Group.ALL:
+            return True
+        ran = self.may_have_run()
+        cells = self.request_class.group is Group.ZONE or all(a.cell == server.cell for a in ran)
+        return cells and all(a.server.zone == server.zone for a in ran)
+
+    def can_refuse(self) -> bool:
+        """A refusal tells the client that trying again is harmless."""
+        effect = self.request_class.effect
+        harmless = effect is Effect.SAFE or (effect is Effect.KEYED and self.request_class.group is Group.ALL)
+        return not self.is_answered and (harmless or not self.may_have_run())
--- a/packages/balancing/src/larkweir_balancing/servers.py
+++ b/packages/balancing/src/larkweir_balancing/servers.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from larkweir_balancing.interface import ListKind, ListUpdate, RequestClass, ServerState
-from larkweir_balancing.proof import Proof, hopeful
+from larkweir_balancing.restored_trust import RestoredTrust, may_become_trusted
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -21,46 +21,46 @@
     started_ms: float
     cell: int = 0
     ready: bool = False  # else it drains, or is gone
-    proof: Proof | None = None  # None: discovery vouches for it
-    outstanding: int = 0  # own calls, with those of other decisions of this process
-    others: int = 0  # the latter alone
-    answered_ms: float = -1.0  # when it last served one
-    level: int = -1  # the list it is drawn from; -1: none, its token is spent or withheld
-    until_ms: float = 0.0  # its token is withheld until then, on evidence of being busy or unwell
-    strikes: int = 0  # failed attempts in a row
-    silent: bool = False  # the last that it was sent has no answer, in time or at all
+    restored_trust: RestoredTrust | None = None  # None: discovery vouches for it
+    in_flight: int = 0  # own calls, with those of other decisions of this process
+    other_in_flight: int = 0  # the latter alone
+    last_success_ms: float = -1.0  # when it last served one
+    list_level: int = -1  # the list it is drawn from; -1: none, its token is spent or withheld
+    withheld_until_ms: float = 0.0  # its token is withheld until then, on evidence of being busy or unwell
+    consecutive_failures: int = 0  # failed attempts in a row
+    unresponsive: bool = False  # the last that it was sent has no answer, in time or at all
     ejections: int = 0  # since its last success
     # By class: its failures in a row, and until when its token does not count for that class.
-    shunned: dict[int, tuple[int, float]] = field(default_factory=dict)
+    ejected_for_class: dict[int, tuple[int, float]] = field(default_factory=dict)
     # Running mean of its answers' times, by the usual of their class and size.
     slowness: float | None = None
-    linked: bool = False  # this copy holds a connection to it, as far as it knows
-    used_ms: float = 0.0  # when that connection last carried anything
+    has_connection: bool = False  # this copy holds a connection to it, as far as it knows
+    connection_used_ms: float = 0.0  # when that connection last carried anything
 
 
 @dataclass(slots=True, eq=False, repr=False)
-class DrawList:
+class SampleList:
     """Servers to draw from: an array and an index into it, so adding, removing and drawing are O(1)."""
 
     items: list[Server] = field(default_factory=list)
-    at: dict[int, int] = field(default_factory=dict)
+    positions: dict[int, int] = field(default_factory=dict)
 
     def add(self, server: Server) -> None:
-        if server.id not in self.at:
-            self.at[server.id] = len(self.items)
+        if server.id not in self.positions:
+            self.positions[server.id] = len(self.items)
             self.items.append(server)
 
     def discard(self, server: Server) -> None:
-        at = self.at.pop(server.id, None)
+        at = self.positions.pop(server.id, None)
         if at is None:
             return
         last = self.items.pop()
         if last is not server:
             self.items[at] = last
-            self.at[last.id] = at
+            self.positions[last.id] = at
 
 
-def draw(lists: Iterable[DrawList], rng: Random) -> Server | None:
+def sample(lists: Iterable[SampleList], rng: Random) -> Server | None:
     """Uniform over the union of the lists."""
     total = 0
     for part in lists:
@@ -73,18 +73,18 @@
     return None
 
 
-class Fleet:
+class ServerTable:
     """The list as discovery told it, with the ready servers and the token holders of each zone."""
 
-    MAX_LEVEL = 64  # servers with more own calls than this are not told apart
+    MAX_IN_FLIGHT_LEVEL = 64  # servers with more own calls than this are not told apart
 
     def __init__(self, zones: int) -> None:
         self.servers: dict[int, Server] = {}
-        self.ready = [DrawList() for _ in range(zones)]
+        self.ready = [SampleList() for _ in range(zones)]
         # By own calls outstanding; the first entry is the token list, the others serve the raised level.
-        self.levels = [[DrawList() for _ in range(zones)]]
-        self.out = 0  # own calls outstanding, at all servers
-        self.ready_count = self.remembered = 0
+        self.by_in_flight = [[SampleList() for _ in range(zones)]]
+        self.in_flight = 0  # own calls outstanding, at all servers
+        self.ready_count = self.restored_count = 0
         self.ejected: set[Server] = set()  # of those whose token is withheld
         self._withheld: list[tuple[float, int, Server]] = []  # heap of tokens to give back
         self._serial = 0
@@ -110,10 +110,10 @@
                 self.servers[server.id] = server
                 fresh.append(server)
                 while server.zone >= len(self.ready):  # a zone that the settings did not name
-                    for lists in (self.ready, *self.levels):
-                        lists.append(DrawList())
+                    for lists in (self.ready, *self.by_in_flight):
+                        lists.append(SampleList())
             server.ready = entry.state is ServerState.READY
-            server.proof = entry.proof
+            server.restored_trust = entry.restored_trust
             server.cell = entry.cell
             if server.ready:
                 self.ready[server.zone].add(server)
@@ -121,14 +121,14 @@
                 self.ready[server.zone].discard(server)
                 self.spend_token(server)
         self.ready_count = sum(len(part.items) for part in self.ready)
-        if update.kind in (ListKind.CACHED, ListKind.PROOF) or self.remembered:
-            self.remembered = sum(server.proof is not None for server in self.servers.values())
+        if update.kind in (ListKind.CACHED, ListKind.PROOF) or self.restored_count:
+            self.restored_count = sum(server.restored_trust is not None for server in self.servers.values())
         return fresh, gone
 
-    def hope(self, cls: RequestClass) -> bool:
+    def may_admit_restored(self, cls: RequestClass) -> bool:
         """Whether there is a server that may take this class now or in a moment, where some are only remembered."""
-        found = (server.proof for server in self.servers.values() if server.ready)
-        return any(proof is None or hopeful(cls, proof) for proof in found)
+        found = (server.restored_trust for server in self.servers.values() if server.ready)
+        return any(proof is None or may_become_trusted(cls, proof) for proof in found)
 
     def _remove(self, server: Server) -> Server:
         server.ready = False
@@ -140,28 +140,28 @@
     def earn_token(self, server: Server, now_ms: float) -> None:
         """List the server by its own calls outstanding, at none as a token holder, unless withheld."""
         self.spend_token(server)
-        if server.until_ms <= now_ms and server.ready:
-            server.level = min(server.outstanding, self.MAX_LEVEL)
-            while server.level >= len(self.levels):
-                self.levels.append([DrawList() for _ in self.ready])
-            self.levels[server.level][server.zone].add(server)
+        if server.withheld_until_ms <= now_ms and server.ready:
+            server.list_level = min(server.in_flight, self.MAX_IN_FLIGHT_LEVEL)
+            while server.list_level >= len(self.by_in_flight):
+                self.by_in_flight.append([SampleList() for _ in self.ready])
+            self.by_in_flight[server.list_level][server.zone].add(server)
 
     def spend_token(self, server: Server) -> None:
-        if server.level >= 0:
-            self.levels[server.level][server.zone].discard(server)
-            server.level = -1
+        if server.list_level >= 0:
+            self.by_in_flight[server.list_level][server.zone].discard(server)
+            server.list_level = -1
 
-    def withhold(self, server: Server, until_ms: float) -> None:
+    def withhold_token(self, server: Server, until_ms: float) -> None:
         """Keep the token back until a time; `give_back` returns it."""
         self.spend_token(server)
-        if until_ms > server.until_ms:
-            server.until_ms = until_ms
+        if until_ms > server.withheld_until_ms:
+            server.withheld_until_ms = until_ms
             self._serial += 1
             heappush(self._withheld, (until_ms, self._serial, server))
 
-    def give_back(self, now_ms: float) -> None:
+    def return_tokens(self, now_ms: float) -> None:
         while self._withheld and self._withheld[0][0] <= now_ms:
             server = heappop(self._withheld)[2]
-            if server.until_ms <= now_ms:
+            if server.withheld_until_ms <= now_ms:
                 self.ejected.discard(server)
             self.earn_token(server, now_ms)
--- /dev/null
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -0,0 +1,198 @@
+"""Rules: what other copies have found of servers that are left out here, and what it is worth by its age.
+
+Hearsay never puts a server out, and never sends: it moves the time at which a server that this copy itself has left out
+is tried again, later or sooner, within bounds that this copy's own knowledge sets. What it brings back is drawn under
+the same rules as ever: its own list must name it, slow start counts, a silent one gets what may be repeated first. A
+probe goes out only for a copy's turn, only where the settings allow probes, and only to a server that takes requests.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterator
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from larkweir_balancing.concurrency_limiter import INCONCLUSIVE
+from larkweir_balancing.interface import Action, Outcome, PeerHealthReport, Probe, ProbeEnded
+from larkweir_balancing.outlier_ejection import OutlierDetector
+from larkweir_balancing.servers import Server
+
+MAX_SERVERS = 256  # servers; of further ones nothing is heard
+REPORT_LIFETIME_MS = 12_000.0  # from this age on hearsay counts for nothing
+MAX_HOLD_MS = 6_000.0  # that a new bad word keeps a server out; with the trust in it, it shrinks evenly
+# Over which copies bring back what was found well: a wrong word costs the first few, and one that has just started is
+# spared until the list tells of that.
+RESTORE_SPREAD_MS = 3_000.0
+RECHECK_INTERVAL_MS = 2_000.0  # from look to look, by the copy whose turn it is
+PROBE_TIMEOUT_MS = 3_000.0  # a probe that has not ended by then is not waited for
+
+
+def report_confidence(age_ms: float) -> float:
+    """Of a word of this age, from 1 down to 0; what comes from ahead of time is new."""
+    return max(0.0, 1.0 - max(0.0, age_ms) / REPORT_LIFETIME_MS)
+
+
+class LocalHealth(NamedTuple):
+    """What this copy knows of a server by itself. `out`: it has left it out because calls came to nothing there, and
+    has served nothing there since. One that is slow, and no more than that, is each copy's own matter.
+    """
+
+    server: int
+    is_ejected: bool
+    is_healthy: bool | None
+    age_ms: float
+    from_request: bool
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class _ServerHealth:
+    server: Server
+    failed_ms: float  # its last failure here
+    found_ms: float  # when this copy found something itself, and what
+    is_healthy: bool | None = None
+    from_request: bool = False
+    is_failing: bool = False  # not slow alone
+    restored_on_report: bool = False  # brought back on hearsay, and not heard of since
+    report_was_wrong: bool = False  # that was wrong: no good word counts until it has served this copy
+    probed_ms: float = -math.inf  # of the last probe for others
+    probe_in_flight: bool = False  # it is out
+
+
+class SharedHealth:
+    """One copy's. It knows the servers that `judge` has left out, and says until when."""
+
+    def __init__(self, judge: OutlierDetector) -> None:
+        self._detector = judge
+        self._servers: dict[int, _ServerHealth] = {}
+        self.untracked = 0  # servers beyond the bound
+
+    # ------------------------------------------------ what this copy finds
+
+    def on_attempt_end(self, server: Server, outcome: Outcome, now_ms: float) -> None:
+        """A call has ended, and the judge has looked at it."""
+        fails = bool(server.ejections) and outcome is not Outcome.OK
+        known = self._track(server, now_ms) if fails else self._servers.get(server.id)
+        if known is None or known.server is not server or outcome in INCONCLUSIVE:
+            return
+        known.is_failing = fails or (known.is_failing and server.ejections > 0)
+        known.found_ms, known.from_request, known.is_healthy = now_ms, True, not server.ejections
+        if server.ejections:
+            known.failed_ms = now_ms
+            known.report_was_wrong = known.report_was_wrong or known.restored_on_report
+        else:
+            known.report_was_wrong = False
+        known.restored_on_report = False
+
+    def on_probe_end(self, event: ProbeEnded, now_ms: float) -> bool:
+        """A probe has ended; whether it was asked for here."""
+        known = self._servers.get(event.server)
+        if known is None or not known.probe_in_flight:
+            return False
+        known.probe_in_flight = False
+        if event.outcome not in INCONCLUSIVE and known.server.ejections and known.found_ms <= known.probed_ms:
+            known.found_ms, known.from_request, known.is_healthy = now_ms, False, event.outcome is Outcome.OK
+            self._apply(known, known.is_healthy, False, 0.0, now_ms)
+        return True
+
+    def local_health(self, now_ms: float) -> Iterator[LocalHealth]:
+        """Of each server that is left out, or was until a moment ago."""
+        for number, known in list(self._servers.items()):
+            over = (
+                known.is_healthy is True
+                and known.from_request
+                and now_ms - known.found_ms >= REPORT_LIFETIME_MS
+            )
+            if over or not self._is_listed(known):
+                del self._servers[number]
+                continue
+            age = now_ms - known.found_ms
+            yield LocalHealth(number, known.is_failing, known.is_healthy, age, known.from_request)
+
+    def _is_listed(self, known: _ServerHealth) -> bool:
+        return known.server.ready and self._detector.table.servers.get(known.server.id) is known.server
+
+    def _track(self, server: Server, now_ms: float) -> _ServerHealth | None:
+        known = self._servers.get(server.id)
+        if known is None or known.server is not server:
+            if known is None and len(self._servers) >= MAX_SERVERS:
+                self.untracked += 1
+                return None
+            known = self._servers[server.id] = _ServerHealth(server, now_ms, -math.inf)
+        return known
+
+    # ------------------------------------------------ what others have found
+
+    def on_peer_report(self, event: PeerHealthReport, now_ms: float, out: list[Action]) -> None:
+        """Nothing of a server that the list doesn't name, that drains, or that has not been left out here."""
+        server = self._detector.table.servers.get(event.server)
+        if server is None or not server.ready or not server.ejections:
+            return
+        known = self._track(server, now_ms)
+        if known is None:
+            return
+        if event.is_probe_turn:
+            self._recheck(known, now_ms, out)
+        elif (
+            event.is_healthy is not None and now_ms - event.age_ms > known.found_ms
+        ):  # else this copy knows better
+            self._apply(known, event.is_healthy, event.from_request, event.age_ms, now_ms)
+
+    def _apply(
+        self, known: _ServerHealth, is_healthy: bool, from_request: bool, age_ms: float, now_ms: float
+    ) -> None:
+        """Move the time at which it is tried again."""
+        server, worth = known.server, report_confidence(age_ms)
+        if worth <= 0.0:
+            return
+        if not is_healthy:
+            # Guards against a wrong word that never ends: after that at the latest this copy finds out for itself.
+            last = known.failed_ms + self._detector.settings.longest_ms
+            known.restored_on_report = False
+            self._extend_ejection(server, min(now_ms + MAX_HOLD_MS * worth, last), now_ms)
+        elif (
+            not known.restored_on_report
+            and not known.report_was_wrong
+            and (from_request or server.unresponsive)
+        ):
+            # A probe speaks for a server that gave no sign of life, not for one that answers, and answers badly.
+            known.restored_on_report = True
+            self._restore(server, now_ms + RESTORE_SPREAD_MS * self._detector.rng.random(), now_ms)
+
+    def _extend_ejection(self, server: Server, until_ms: float, now_ms: float) -> None:
+        """Within the judge's own bound of how many are ejected at once."""
+        fleet = self._detector.table
+        if server not in fleet.ejected:
+            if len(fleet.ejected) >= self._detector.settings.tuning.eject_most * fleet.ready_count:
+                return
+            if until_ms <= max(now_ms, server.withheld_until_ms):
+                return
+            fleet.ejected.add(server)
+        fleet.withhold_token(server, until_ms)
+
+    def _restore(self, server: Server, at_ms: float, now_ms: float) -> None:
+        if server.withheld_until_ms > at_ms:
+            server.withheld_until_ms = 0.0
+            self._detector.table.withhold_token(server, at_ms)
+
+    def _recheck(self, known: _ServerHealth, now_ms: float, out: list[Action]) -> None:
+        """This copy's turn: a probe; where none is allowed, or probes tell nothing, the next call drawn there."""
+        server = known.server
+        if now_ms - max(known.probed_ms, known.found_ms) < RECHECK_INTERVAL_MS:
+            return
+        if known.probe_in_flight and now_ms - known.probed_ms < PROBE_TIMEOUT_MS:
+            return
+        if (
+            self._detector.settings.may_probe
+            and server.unresponsive
+            and not (known.restored_on_report or known.report_was_wrong)
+        ):
+            known.probed_ms, known.probe_in_flight = now_ms, True
+            out.append(Probe(server.id))
+            self._extend_ejection(
+                server,
+                min(now_ms + MAX_HOLD_MS, known.failed_ms + self._detector.settings.longest_ms),
+                now_ms,
+            )
+        else:
+            self._restore(server, now_ms, now_ms)
--- a/packages/balancing/src/larkweir_balancing/token_list.py
+++ b/packages/balancing/src/larkweir_balancing/token_list.py
@@ -16,7 +16,7 @@
 
 from larkweir_balancing.decision_options import OPTIONS
 from larkweir_balancing.interface import ListKind, ListUpdate, ServerEntry, ServerState
-from larkweir_balancing.servers import DrawList, Fleet, Server, draw
+from larkweir_balancing.servers import SampleList, Server, ServerTable, sample
 
 MAX_AWAITING_FIRST_EVENT = 4  # own requests that wait for one, from which an engine is not believed idle
 MAX_SAMPLES = 8  # random samples before all are looked at
@@ -38,7 +38,7 @@
         self._rng = rng
         self._is_engine = is_engine
         self._has_idle_connection = has_idle_connection
-        self._servers = Fleet(zones=1)
+        self._servers = ServerTable(zones=1)
         self._numbers: dict[str, int] = {}
         self._ids: dict[int, str] = {}
         self._next_number = 0
@@ -127,33 +127,33 @@
 
     def return_tokens(self, now_ms: float) -> None:
         """Give back the tokens whose backoff is over."""
-        self._servers.give_back(now_ms)
+        self._servers.return_tokens(now_ms)
 
     def withhold_token(self, server: Server, until_ms: float) -> None:
         """Keep the token back until then."""
-        self._servers.withhold(server, until_ms)
+        self._servers.withhold_token(server, until_ms)
 
     def add_in_flight(self, server: Server, count: int, now_ms: float) -> None:
         """So many more of this router's requests, or fewer, count there; with none a token is earned."""
-        server.others = max(0, server.others + count)
+        server.other_in_flight = max(0, server.other_in_flight + count)
         if self._is_engine and OPTIONS.tokens_by_first_event:
-            server.outstanding = max(0, server.others - (MAX_AWAITING_FIRST_EVENT - 1))
+            server.in_flight = max(0, server.other_in_flight - (MAX_AWAITING_FIRST_EVENT - 1))
         else:
-            server.outstanding = server.others
+            server.in_flight = server.other_in_flight
         self._servers.earn_token(server, now_ms)
 
     # Sampling: uniform, without the excluded ones
 
     def sample_holder(self, excluded: Collection[int]) -> Server | None:
         """A token holder."""
-        return self._sample(self._servers.levels[0], excluded)
+        return self._sample(self._servers.by_in_flight[0], excluded)
 
     def sample_connected_holder(self, excluded: Collection[int]) -> Server | None:
         """A token holder with an idle connection, as far as a few samples find one."""
         if not OPTIONS.prefer_open_connections:
             return None
         for _ in range(MAX_SAMPLES):
-            server = draw(self._servers.levels[0], self._rng)
+            server = sample(self._servers.by_in_flight[0], self._rng)
             if server is None:
                 return None
             if server.id not in excluded and self._has_idle_connection(self._ids[server.id]):
@@ -163,16 +163,16 @@
     def sample_ready(self, excluded: Collection[int], now_ms: float) -> Server | None:
         """A ready one; those whose token is withheld only where there is no other."""
         for _ in range(MAX_SAMPLES):
-            server = draw(self._servers.ready, self._rng)
+            server = sample(self._servers.ready, self._rng)
             if server is None:
                 return None
-            if server.id not in excluded and server.until_ms <= now_ms:
+            if server.id not in excluded and server.withheld_until_ms <= now_ms:
                 return server
         return self._sample(self._servers.ready, excluded)
 
-    def _sample(self, lists: list[DrawList], excluded: Collection[int]) -> Server | None:
+    def _sample(self, lists: list[SampleList], excluded: Collection[int]) -> Server | None:
         for _ in range(MAX_SAMPLES):
-            server = draw(lists, self._rng)
+            server = sample(lists, self._rng)
             if server is None:
                 return None
             if server.id not in excluded:
--- a/packages/balancing/src/larkweir_balancing/upstream_backoff.py
+++ b/packages/balancing/src/larkweir_balancing/upstream_backoff.py
@@ -21,10 +21,10 @@
     if outcome is Outcome.FULL:
         return FULL_BACKOFF_MS if OPTIONS.full_backoff else None
     if outcome in NOT_UPSTREAM_FAULTS:
-        server.strikes = 0
+        server.consecutive_failures = 0
         return None
     if not OPTIONS.failure_backoff:
         return None
-    backoff_ms: float = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2**server.strikes)
-    server.strikes = min(server.strikes + 1, MAX_COUNTED_FAILURES)
+    backoff_ms: float = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2**server.consecutive_failures)
+    server.consecutive_failures = min(server.consecutive_failures + 1, MAX_COUNTED_FAILURES)
     return backoff_ms
--- a/packages/balancing/src/larkweir_balancing/upstream_selection.py
+++ b/packages/balancing/src/larkweir_balancing/upstream_selection.py
@@ -167,7 +167,7 @@
         best_ms = 0.0
         known = self._upstreams.server(prefix_owner) if prefix_owner is not None else None
         for server in self._prefixes.owners(prompt.prefix, known):
-            if server.level != 0 or server.id in barred:
+            if server.list_level != 0 or server.id in barred:
                 continue
             has_prefix = (is_cached and server is known) or self._prefixes.is_cached(prompt.prefix, server)
             expected_ms = self._expected_ms(server, prompt, has_prefix=has_prefix)
@@ -217,7 +217,7 @@
     def _add_attempts(self, server: Server, count: int, tokens: float, now_ms: float) -> None:
         self._upstreams.add_in_flight(server, count, now_ms)
         if self._is_engine:
-            self._backlog.add_own(server.id, tokens, has_attempts=server.others > 0)
+            self._backlog.add_own(server.id, tokens, has_attempts=server.other_in_flight > 0)
 
     def on_outcome(self, id_: str, outcome: Outcome, now_ms: float) -> None:
         """How an attempt there ended. Evidence that it is unhealthy or full keeps its token back for a while."""
--- a/packages/balancing/src/larkweir_balancing/wire.py
+++ b/packages/balancing/src/larkweir_balancing/wire.py
@@ -33,12 +33,12 @@
     RequestArrived,
     RequestClass,
     Send,
+    SendToPeer,
     ServerEntry,
     ServerState,
     SetTimer,
     Settings,
     SettingsError,
-    TellPeer,
     Tenant,
     TimerFired,
     WatchList,
@@ -252,7 +252,7 @@
         return _CANCEL.pack(1, inst, action.request, action.attempt)
     if isinstance(action, CloseIdle):
         return _CLOSE.pack(2, inst, action.server >> 16, action.server & 0xFFFF)
-    if isinstance(action, TellPeer):
+    if isinstance(action, SendToPeer):
         peer = ALL_PEERS if action.peer is None else action.peer
         return _POST.pack(6, inst, peer, len(action.payload)) + action.payload
     if isinstance(action, FetchList):
--- a/packages/balancing/tests/balancing_driver.py
+++ b/packages/balancing/tests/balancing_driver.py
@@ -12,7 +12,6 @@
     Action,
     AnswerStarted,
     AttemptEnded,
-    BodyCame,
     Cancel,
     Effect,
     Event,
@@ -26,6 +25,7 @@
     Reconfigured,
     Refuse,
     RequestArrived,
+    RequestBodyReceived,
     RequestClass,
     Send,
     ServerEntry,
@@ -109,7 +109,7 @@
             share = self.settings.cold_share
             grown = sum(share + (1 - share) * (self.now - e.started_ms) / self.settings.cold_ms for e in cold)
             self.cold_allowance += grown / len(ready)
-        return self.feed(RequestArrived(self.next_id, class_index, left, tenant, coming=coming))
+        return self.feed(RequestArrived(self.next_id, class_index, left, tenant, body_incomplete=coming))
 
     def body_came(self, request: int) -> list[Action]:
         """The last byte: the request's time runs from here, and so does that of the attempt that carries it."""
@@ -119,7 +119,7 @@
         for one in owed.tries:
             if one.outcome is None:
                 one.expires = min(owed.deadline, self.now + one.timeout)
-        return self.feed(BodyCame(request))
+        return self.feed(RequestBodyReceived(request))
 
     def start_answer(self, request: int, attempt: int) -> list[Action]:
         """A long answer begins: it is the answer, and has no deadline."""
@@ -149,7 +149,9 @@
             owed.over = True
         left = 0 if owed.coming else None  # a part of its body is gone
         spent = self.now - one.sent
-        return self.feed(AttemptEnded(request, attempt, one.server, outcome, owed.over, spent, left=left))
+        return self.feed(
+            AttemptEnded(request, attempt, one.server, outcome, owed.over, spent, attempts_left=left)
+        )
 
     def echo(self, report: tuple[float, ...], outcome: Outcome = Outcome.OK) -> list[Action]:
         return self.feed(ProbeEnded(self.probes.pop(0), outcome, 1.0, report))
@@ -253,4 +255,4 @@
         others = sum(
             self.owed[r].started and self.owed[r].tries[n].expires < math.inf for r, n in self.open_tries()
         )
-        assert self.balancer.fleet.out == out + others
+        assert self.balancer.table.in_flight == out + others
--- a/packages/balancing/tests/test_balancing_door.py
+++ b/packages/balancing/tests/test_balancing_door.py
@@ -8,8 +8,8 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from larkweir_balancing.door import Door
 from larkweir_balancing.interface import Effect, RequestClass
+from larkweir_balancing.load_shedding import LoadShedder
 
 AIM_MS = 400.0
 CLASSES = (
@@ -24,7 +24,7 @@
 
     def __init__(self, per_ms: float, dear: float = 0.25, again: float = 0.0, seed: int = 1) -> None:
         self.rng = Random(seed)
-        self.door = Door(CLASSES, Random(seed + 1))
+        self.door = LoadShedder(CLASSES, Random(seed + 1))
         self.per_ms, self.dear, self.again = per_ms, dear, again
         self.now = 0.0
         self.turn_ms = 1.0
@@ -37,7 +37,7 @@
         for _ in range(int(self.turn_ms * self.per_ms + self.rng.random())):
             kind = (int(self.rng.random() < self.dear), self.rng.random() < self.again)
             self.came[kind] = self.came.get(kind, 0) + 1
-            if not self.door.shedding or self.door.admits(*kind):
+            if not self.door.is_shedding or self.door.admits(*kind):
                 self.let_in[kind] = self.let_in.get(kind, 0) + 1
                 spent += SERVE_MS
             else:
@@ -46,7 +46,7 @@
         self.turn_ms = min(2_000.0, max(1.0, spent))
         self.now += self.turn_ms
         self.longest = max(self.longest, self.turn_ms)
-        self.door.turn(spent, self.turn_ms)
+        self.door.on_iteration(spent, self.turn_ms)
 
     def run(self, ms: float) -> None:
         self.came, self.let_in, self.longest = {}, {}, 0.0
@@ -61,7 +61,7 @@
 def test_below_its_limit_a_core_turns_nobody_away() -> None:
     core = Core(0.9 / SERVE_MS)
     core.run(20_000.0)
-    assert not core.door.shed
+    assert not core.door.shed_count
 
 
 @pytest.mark.parametrize("times", [1.5, 3.0])
@@ -87,10 +87,10 @@
 def test_an_overload_that_ends_opens_the_door_again_within_a_second() -> None:
     core = Core(3.0 / SERVE_MS)
     core.run(5_000.0)
-    assert core.door.shedding
+    assert core.door.is_shedding
     core.per_ms = 0.5 / SERVE_MS
     core.run(2_000.0)
-    assert not core.door.shedding
+    assert not core.door.is_shedding
     core.run(2_000.0)
     assert core.part((0, False), (1, False)) == 1.0
 
@@ -99,38 +99,41 @@
     # Guards against shedding for a process that stood still once: SIGSTOP, a page fault, a neighbour on the core.
     core = Core(0.5 / SERVE_MS)
     core.run(1_000.0)
-    core.door.turn(2_000.0, 2_000.0)
+    core.door.on_iteration(2_000.0, 2_000.0)
     core.run(1_000.0)
     assert core.part((0, False)) > 0.9
-    assert not core.door.shedding
+    assert not core.door.is_shedding
 
 
 @given(turns=st.lists(st.floats(0.0, 1e7), max_size=200), seed=st.integers(0, 99))
 def test_whatever_the_turns_the_odds_are_odds_and_someone_is_let_in(turns: list[float], seed: int) -> None:
     rng = Random(seed)
-    door = Door(CLASSES, Random(seed))
+    door = LoadShedder(CLASSES, Random(seed))
     for lasted in turns:
-        door.turn(lasted, 1.5 * lasted)
-        if door.shedding:
+        door.on_iteration(lasted, 1.5 * lasted)
+        if door.is_shedding:
             door.admits(rng.randrange(2), rng.random() < 0.5)
-        assert 0.0 <= door.part <= Door.MOST
-        assert all(0.0 <= odds <= Door.MOST for odds in door._odds)
+        assert 0.0 <= door.shed_fraction <= LoadShedder.MAX_SHED_FRACTION
+        assert all(0.0 <= odds <= LoadShedder.MAX_SHED_FRACTION for odds in door._shed_odds)
     for _ in range(400):
-        door.turn(0.0, 1.0)
-    assert not door.shedding
+        door.on_iteration(0.0, 1.0)
+    assert not door.is_shedding
 
 
 def test_a_class_that_takes_the_place_of_another_begins_as_a_new_one() -> None:
     """What was learned of the one that is no more says nothing of it: neither what it brings, nor its odds."""
-    door = Door(CLASSES, Random(1))
-    door.shedding = True
+    door = LoadShedder(CLASSES, Random(1))
+    door.is_shedding = True
     for _ in range(500):
         door.admits(0, False)
-        door.turn(AIM_MS, AIM_MS)
-    assert door._odds[1] > 0.5 and door._brings[1] > 0.9
-    kept = door._brings[2:], door._odds[2:]
+        door.on_iteration(AIM_MS, AIM_MS)
+    assert door._shed_odds[1] > 0.5 and door._traffic_fractions[1] > 0.9
+    kept = door._traffic_fractions[2:], door._shed_odds[2:]
     door.configure((replace(CLASSES[0], name="new"), CLASSES[1]))
-    new = Door(CLASSES, Random(1))
-    assert (door._brings[:2], door._odds[:2]) == (new._brings[:2], new._odds[:2])
-    assert (door._brings[2:], door._odds[2:]) == kept
+    new = LoadShedder(CLASSES, Random(1))
+    assert (door._traffic_fractions[:2], door._shed_odds[:2]) == (
+        new._traffic_fractions[:2],
+        new._shed_odds[:2],
+    )
+    assert (door._traffic_fractions[2:], door._shed_odds[2:]) == kept
     assert all(door.admits(0, False) for _ in range(20))  # until the next turn says what is to be shed
--- a/packages/balancing/tests/test_balancing_hearsay.py
+++ b/packages/balancing/tests/test_balancing_hearsay.py
@@ -10,16 +10,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from larkweir_balancing import Balancer
-from larkweir_balancing.hearsay import HOLD_MS, LOOK_MS, MOST, SPREAD_MS, TRUST_MS, Hearsay, trust
 from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
     Effect,
     Event,
-    Heard,
     ListKind,
     ListUpdate,
     Outcome,
+    PeerHealthReport,
     Probe,
     ProbeEnded,
     RequestArrived,
@@ -31,6 +30,15 @@
     Settings,
     TimerFired,
 )
+from larkweir_balancing.shared_health import (
+    MAX_HOLD_MS,
+    MAX_SERVERS,
+    RECHECK_INTERVAL_MS,
+    REPORT_LIFETIME_MS,
+    RESTORE_SPREAD_MS,
+    SharedHealth,
+    report_confidence,
+)
 
 SICK = 3
 
@@ -44,7 +52,7 @@
         )
         self.balancer = Balancer(self.settings, seed)
         if hears:
-            self.balancer.hearsay = Hearsay(self.balancer.judge)
+            self.balancer.shared_health = SharedHealth(self.balancer.outliers)
         self.now = 1_000.0
         self.ends: dict[int, Outcome] = {}
         self.sent: list[tuple[float, int]] = []
@@ -102,7 +110,7 @@
         self.run(2_000.0)
         self.ends[SICK] = end
         for _ in range(200):
-            if self.balancer.fleet.servers[SICK] in self.balancer.fleet.ejected:
+            if self.balancer.table.servers[SICK] in self.balancer.table.ejected:
                 return
             self.run(20.0)
         raise AssertionError("never left out")
@@ -110,12 +118,12 @@
     def sicken_long(self, end: Outcome = Outcome.CONNECT_FAILED) -> None:
         """Until it is left out for longer than a good word would take to bring it back."""
         self.sicken(end)
-        while self.until < self.now + SPREAD_MS + 1_000.0:
+        while self.until < self.now + RESTORE_SPREAD_MS + 1_000.0:
             self.run(20.0)
 
     @property
     def until(self) -> float:
-        return self.balancer.fleet.servers[SICK].until_ms
+        return self.balancer.table.servers[SICK].withheld_until_ms
 
     def tries(self) -> int:
         return sum(server == SICK for _, server in self.sent)
@@ -125,7 +133,7 @@
     ("age_ms", "worth"), [(-5.0, 1.0), (0.0, 1.0), (3_000.0, 0.75), (11_999.0, 0.0), (1e9, 0.0)]
 )
 def test_trust_shrinks_evenly_with_age(age_ms: float, worth: float) -> None:
-    assert trust(age_ms) == pytest.approx(worth, abs=1e-3)
+    assert report_confidence(age_ms) == pytest.approx(worth, abs=1e-3)
 
 
 @pytest.mark.parametrize("age_ms", [0.0, 3_000.0, 6_000.0, 9_000.0])
@@ -134,19 +142,28 @@
     desk.sicken()
     desk.run(10_000.0, per_s=0.0)
     before = desk.until
-    desk.tell(Heard(SICK, False, age_ms))
-    assert desk.until == pytest.approx(max(before, desk.now + HOLD_MS * (1.0 - age_ms / TRUST_MS)))
+    desk.tell(PeerHealthReport(SICK, False, age_ms))
+    assert desk.until == pytest.approx(
+        max(before, desk.now + MAX_HOLD_MS * (1.0 - age_ms / REPORT_LIFETIME_MS))
+    )
 
 
 def test_words_of_a_server_that_the_own_list_does_not_name_do_nothing() -> None:
     desk = Desk()
-    for word in (Heard(99, False), Heard(99, True, by_call=True), Heard(99, turn=True)):
+    for word in (
+        PeerHealthReport(99, False),
+        PeerHealthReport(99, True, from_request=True),
+        PeerHealthReport(99, is_probe_turn=True),
+    ):
         assert desk.tell(word) == []
-    assert list(desk.balancer.hearsay.told(desk.now)) == [] and 99 not in desk.balancer.fleet.servers
+    assert (
+        list(desk.balancer.shared_health.local_health(desk.now)) == []
+        and 99 not in desk.balancer.table.servers
+    )
 
 
 def test_a_server_that_drains_is_neither_probed_nor_brought_back() -> None:
-    for word in (Heard(SICK, turn=True), Heard(SICK, True, by_call=True)):
+    for word in (PeerHealthReport(SICK, is_probe_turn=True), PeerHealthReport(SICK, True, from_request=True)):
         desk = Desk()
         desk.sicken()
         desk.list({n: ServerState.DRAINING if n == SICK else ServerState.READY for n in range(8)})
@@ -161,7 +178,7 @@
 def test_a_bad_word_puts_out_nothing_that_is_well_here() -> None:
     desk, still = Desk(), Desk()
     for _ in range(30):
-        desk.tell(Heard(SICK, False))
+        desk.tell(PeerHealthReport(SICK, False))
         desk.run(100.0)
         still.run(100.0)
     assert desk.sent == still.sent and desk.tries() > 10
@@ -172,10 +189,10 @@
     desk.sicken_long()
     desk.run(100.0, per_s=0.0)
     before = desk.until
-    desk.tell(Heard(SICK, True, 200.0, by_call=True))
+    desk.tell(PeerHealthReport(SICK, True, 200.0, from_request=True))
     assert desk.until == before
-    desk.tell(Heard(SICK, True, 50.0, by_call=True))
-    assert desk.until <= desk.now + SPREAD_MS
+    desk.tell(PeerHealthReport(SICK, True, 50.0, from_request=True))
+    assert desk.until <= desk.now + RESTORE_SPREAD_MS
 
 
 def test_a_bad_word_without_end_is_followed_by_a_try_of_ones_own() -> None:
@@ -184,7 +201,7 @@
     left, before = desk.now, desk.tries()
     desk.ends.clear()
     while desk.tries() == before and desk.now < left + 120_000.0:
-        desk.tell(Heard(SICK, False))
+        desk.tell(PeerHealthReport(SICK, False))
         desk.run(500.0)
     assert 10_000.0 < desk.now - left < desk.settings.longest_ms + 5_000.0
 
@@ -195,7 +212,7 @@
         desk.sicken()
         desk.run(20_000.0)
     assert one.sent == other.sent
-    assert other.tell(Heard(SICK, False)) == []
+    assert other.tell(PeerHealthReport(SICK, False)) == []
 
 
 @pytest.mark.parametrize("by_call", [True, False])
@@ -206,7 +223,7 @@
         one.sicken()
     before = desk.tries()
     for _ in range(60):
-        desk.tell(Heard(SICK, True, by_call=by_call))
+        desk.tell(PeerHealthReport(SICK, True, from_request=by_call))
         desk.run(250.0)
         alone.run(250.0)
     assert before < desk.tries() <= alone.tries() + 2
@@ -214,8 +231,8 @@
     desk.run(60_000.0)
     desk.sicken()  # it has served since: a good word counts again
     desk.run(50.0, per_s=0.0)
-    desk.tell(Heard(SICK, True, by_call=by_call))
-    assert desk.until <= desk.now + SPREAD_MS
+    desk.tell(PeerHealthReport(SICK, True, from_request=by_call))
+    assert desk.until <= desk.now + RESTORE_SPREAD_MS
 
 
 def test_copies_bring_a_server_back_one_after_the_other() -> None:
@@ -224,9 +241,12 @@
         desk = Desk(seed=seed)
         desk.sicken_long()
         desk.run(50.0, per_s=0.0)
-        desk.tell(Heard(SICK, True, by_call=True))
+        desk.tell(PeerHealthReport(SICK, True, from_request=True))
         waits.append(desk.until - desk.now)
-    assert 0.0 <= min(waits) < 0.3 * SPREAD_MS and 0.7 * SPREAD_MS < max(waits) <= SPREAD_MS
+    assert (
+        0.0 <= min(waits) < 0.3 * RESTORE_SPREAD_MS
+        and 0.7 * RESTORE_SPREAD_MS < max(waits) <= RESTORE_SPREAD_MS
+    )
 
 
 def test_a_probe_says_nothing_of_a_server_that_answers_badly() -> None:
@@ -234,10 +254,10 @@
     desk.sicken_long(Outcome.ERROR)
     desk.run(50.0, per_s=0.0)
     before = desk.until
-    desk.tell(Heard(SICK, True, by_call=False))
+    desk.tell(PeerHealthReport(SICK, True, from_request=False))
     assert desk.until == before
-    desk.run(2.0 * LOOK_MS, per_s=0.0)
-    desk.tell(Heard(SICK, turn=True))
+    desk.run(2.0 * RECHECK_INTERVAL_MS, per_s=0.0)
+    desk.tell(PeerHealthReport(SICK, is_probe_turn=True))
     assert not desk.probes and desk.until <= desk.now
 
 
@@ -245,20 +265,25 @@
     desk = Desk()
     desk.sicken()
     for _ in range(200):
-        desk.tell(Heard(SICK, turn=True))
+        desk.tell(PeerHealthReport(SICK, is_probe_turn=True))
         desk.run(100.0)
     begun, before = desk.probes[0][0], desk.tries()
-    assert all(later - at >= LOOK_MS for (at, _), (later, _) in pairwise(desk.probes))
+    assert all(later - at >= RECHECK_INTERVAL_MS for (at, _), (later, _) in pairwise(desk.probes))
     assert len(desk.probes) >= 5 and not any(server == SICK and at > begun for at, server in desk.sent)
-    told = next(item for item in desk.balancer.hearsay.told(desk.now) if item.server == SICK)
-    assert told.out and told.good is False and not told.by_call and told.age_ms < desk.now - begun
+    told = next(item for item in desk.balancer.shared_health.local_health(desk.now) if item.server == SICK)
+    assert (
+        told.is_ejected
+        and told.is_healthy is False
+        and not told.from_request
+        and told.age_ms < desk.now - begun
+    )
     desk.well = True
     desk.ends.clear()
-    desk.tell(Heard(SICK, turn=True))
-    desk.run(LOOK_MS + SPREAD_MS + 1_000.0)
+    desk.tell(PeerHealthReport(SICK, is_probe_turn=True))
+    desk.run(RECHECK_INTERVAL_MS + RESTORE_SPREAD_MS + 1_000.0)
     assert desk.tries() > before
-    told = next(item for item in desk.balancer.hearsay.told(desk.now) if item.server == SICK)
-    assert not told.out and told.good is True and told.by_call
+    told = next(item for item in desk.balancer.shared_health.local_health(desk.now) if item.server == SICK)
+    assert not told.is_ejected and told.is_healthy is True and told.from_request
 
 
 def test_where_no_probe_is_allowed_the_turn_is_the_next_call_drawn_there() -> None:
@@ -266,30 +291,30 @@
     for one in (desk, alone):
         one.sicken()
     for _ in range(200):
-        desk.tell(Heard(SICK, turn=True))
+        desk.tell(PeerHealthReport(SICK, is_probe_turn=True))
         desk.run(100.0)
         alone.run(100.0)
     assert not desk.probes
-    assert alone.tries() < desk.tries() <= alone.tries() + 20_000.0 / LOOK_MS
+    assert alone.tries() < desk.tries() <= alone.tries() + 20_000.0 / RECHECK_INTERVAL_MS
 
 
 def test_what_is_known_is_bounded_and_forgets_what_is_gone() -> None:
-    desk = Desk(servers=2 * MOST + 10)
-    hearsay = desk.balancer.hearsay
-    for server in desk.balancer.fleet.servers.values():
+    desk = Desk(servers=2 * MAX_SERVERS + 10)
+    hearsay = desk.balancer.shared_health
+    for server in desk.balancer.table.servers.values():
         server.ejections = 1
-        desk.tell(Heard(server.id, False))
-    assert len(list(hearsay.told(desk.now))) == MOST and hearsay.refused == MOST + 10
+        desk.tell(PeerHealthReport(server.id, False))
+    assert len(list(hearsay.local_health(desk.now))) == MAX_SERVERS and hearsay.untracked == MAX_SERVERS + 10
     desk.list({0: ServerState.READY}, started_ms=5.0)  # the same number, another process
-    assert list(hearsay.told(desk.now)) == []
+    assert list(hearsay.local_health(desk.now)) == []
 
 
 def test_no_more_are_out_at_once_than_the_judge_allows() -> None:
     desk = Desk()
-    for server in desk.balancer.fleet.servers.values():
+    for server in desk.balancer.table.servers.values():
         server.ejections = 1  # tried again, and not served from yet
-        desk.tell(Heard(server.id, False))
-    assert len(desk.balancer.fleet.ejected) == desk.settings.tuning.eject_most * 8
+        desk.tell(PeerHealthReport(server.id, False))
+    assert len(desk.balancer.table.ejected) == desk.settings.tuning.eject_most * 8
 
 
 WORDS = st.tuples(
@@ -326,13 +351,13 @@
                     desk.ends[at] = (Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.ERROR)[item % 3]
         else:
             assert isinstance(item, tuple)
-            desk.tell(Heard(*item))
+            desk.tell(PeerHealthReport(*item))
         sent, probed = len(desk.sent), len(desk.probes)
         desk.run(300.0)
         ready = {n for n, state in states.items() if state is ServerState.READY}
         assert {server for _, server in desk.sent[sent:]} <= ready
         assert {server for _, server in desk.probes[probed:]} <= ready
-        fleet = desk.balancer.fleet
+        fleet = desk.balancer.table
         assert len(fleet.ejected) <= desk.settings.tuning.eject_most * 8 + 1
     desk.run(5_000.0, per_s=0.0)
     assert not desk.balancer.requests
--- a/packages/balancing/tests/test_balancing_policy.py
+++ b/packages/balancing/tests/test_balancing_policy.py
@@ -9,7 +9,7 @@
 
 import pytest
 from balancing_driver import Driver, Owed
-from larkweir_balancing.callers import Usual
+from larkweir_balancing.caller_stats import UsualValue
 from larkweir_balancing.interface import (
     AnswerStarted,
     AttemptEnded,
@@ -35,8 +35,8 @@
     Tenant,
     WatchList,
 )
-from larkweir_balancing.legality import Attempt, Request
 from larkweir_balancing.policy import LIST_PACE_MS, Balancer
+from larkweir_balancing.retry_safety import Attempt, Request
 from larkweir_balancing.servers import Server
 
 SAFE = RequestClass(100.0, 400.0, Effect.SAFE)
@@ -339,11 +339,11 @@
     for _ in range(50):
         bench.request(0)
         number = bench.next_id
-        server = bench.balancer.fleet.servers[bench.owed[number].tries[0].server]
+        server = bench.balancer.table.servers[bench.owed[number].tries[0].server]
         bench.end(number, 0, Outcome.REJECTED)
         assert bench.owed[number].over and len(bench.owed[number].tries) == 1
-        assert (server.strikes, server.outstanding, server.level) == (0, 0, 0)
-    assert bench.balancer.judge.fail_share <= 0.1 and not bench.balancer.requests
+        assert (server.consecutive_failures, server.in_flight, server.list_level) == (0, 0, 0)
+    assert bench.balancer.outliers.failure_rate <= 0.1 and not bench.balancer.requests
 
 
 def test_every_refusal_tells_when_to_come_again() -> None:
@@ -394,7 +394,7 @@
 
 def two_failures_of_one(bench: Driver, others: int, outcome: Outcome, after_ms: float = 0.0) -> int:
     """Two calls in a row of one server fail, while so many calls are out beside them; that server."""
-    bench.balancer.judge.fail_share = 0.1
+    bench.balancer.outliers.failure_rate = 0.1
     for _ in range(others + 2):
         bench.request(class_index=1)
     bench.now += after_ms
@@ -415,7 +415,7 @@
     ):
         bench = driver(replace(PLAIN, tier=1, tiers=2), servers=2 if others == 1 else 4)
         server = two_failures_of_one(bench, others, outcome)
-        assert (bench.balancer.fleet.servers[server] in bench.balancer.fleet.ejected) is ejected
+        assert (bench.balancer.table.servers[server] in bench.balancer.table.ejected) is ejected
 
 
 def test_a_failure_that_took_its_time_withholds_no_token() -> None:
@@ -425,9 +425,9 @@
         bench.request(class_index=1)
         server = bench.owed[1].tries[0].server
         bench.now += after
-        bench.balancer.judge.fail_share = 1.0  # nothing is ejected
+        bench.balancer.outliers.failure_rate = 1.0  # nothing is ejected
         bench.end(1, 0, Outcome.ERROR)
-        assert (bench.balancer.fleet.servers[server].until_ms > bench.now) is withheld
+        assert (bench.balancer.table.servers[server].withheld_until_ms > bench.now) is withheld
 
 
 def test_retries_stop_when_their_budget_is_spent() -> None:
@@ -533,9 +533,9 @@
 def test_where_nobody_holds_a_token_an_ejected_server_is_drawn_last() -> None:
     for seed in range(30):  # by chance alone one of four would draw it
         bench = driver(servers=4, seed=seed)
-        fleet = bench.balancer.fleet
+        fleet = bench.balancer.table
         fleet.ejected.add(fleet.servers[0])
-        fleet.withhold(fleet.servers[0], bench.now + 1_000.0)
+        fleet.withhold_token(fleet.servers[0], bench.now + 1_000.0)
         bench.actions.clear()
         for _ in range(4):  # no more calls than servers: own counts do not choose yet
             bench.request()
@@ -548,9 +548,9 @@
     for worse in (False, True):
         bench = Driver(settings, 1)
         bench.list(ListKind.CACHED, tuple(ServerEntry(n, zone=n % 2) for n in range(6)))
-        bench.balancer.judge.behind = [1.0, 1.1]
+        bench.balancer.outliers.queue_ratio = [1.0, 1.1]
         if worse:
-            bench.balancer.drawing.cost = [0.9, 0.1]
+            bench.balancer.selector.zone_cost = [0.9, 0.1]
         for _ in range(6):
             bench.request()
         stays.append(sum(server % 2 == 0 for server in sends(bench.actions)))
@@ -559,7 +559,7 @@
 
 
 def test_usual_needs_a_clear_majority() -> None:
-    usual = Usual()
+    usual = UsualValue()
     rng = Random(3)
     assert all(usual.vote(rng.uniform(0.0, 1000.0), 1.0) for _ in range(500))
     for _ in range(50):
@@ -656,17 +656,17 @@
     server = Server(1, 0, 0, 0.0, ready=True)
     for outcome in outcomes:
         request.attempts.append(Attempt(server, 0, 100.0, outcome=outcome))
-        request.out += outcome is None
+        request.in_flight += outcome is None
     return request, server
 
 
 def test_a_keyed_call_is_not_repeated_after_the_memory_of_its_first_send() -> None:
     keyed = RequestClass(200.0, 5000.0, Effect.KEYED, group=Group.ALL, memory_ms=300.0)
     request, server = judged(PLAIN, keyed, [Outcome.RESET])
-    assert request.may_go_to(server, 390.0)
-    assert not request.may_go_to(server, 400.0)
+    assert request.can_send_to(server, 390.0)
+    assert not request.can_send_to(server, 400.0)
     unrun = judged(PLAIN, keyed, [Outcome.FULL])
-    assert unrun[0].may_go_to(unrun[1], 4000.0)
+    assert unrun[0].can_send_to(unrun[1], 4000.0)
 
 
 def test_a_repeat_may_be_written_until_the_memory_of_the_first_that_may_have_run_ends() -> None:
@@ -682,7 +682,7 @@
     for cls in (SAFE, replace(UNSAFE, memory_ms=300.0)):
         request, server = judged(PLAIN, cls, [Outcome.RESET])
         assert (request.write_by_ms() == math.inf) is (cls is SAFE)
-        assert request.may_go_to(server, 110.0) is (cls is SAFE)
+        assert request.can_send_to(server, 110.0) is (cls is SAFE)
 
 
 @pytest.mark.parametrize("memory_ms", [100.0, 3000.0])
@@ -703,25 +703,25 @@
 
 def test_no_second_copy_where_none_is_allowed() -> None:
     request, server = judged(PLAIN, SAFE, [None])
-    assert not request.may_go_to(server, 110.0)
+    assert not request.can_send_to(server, 110.0)
     request, server = judged(replace(PLAIN, second_copies=True), SAFE, [None])
-    assert request.may_go_to(server, 110.0)
+    assert request.can_send_to(server, 110.0)
 
 
 def test_outstanding_and_cancelled_attempts_count_as_may_have_run() -> None:
     for outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET):
         request, server = judged(replace(PLAIN, second_copies=True), UNSAFE, [outcome])
-        assert not request.may_go_to(server, 110.0)
-        assert not request.may_be_refused()
+        assert not request.can_send_to(server, 110.0)
+        assert not request.can_refuse()
     for outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT):
         request, server = judged(PLAIN, UNSAFE, [outcome])
-        assert request.may_go_to(server, 110.0)
-        assert request.may_be_refused()
+        assert request.can_send_to(server, 110.0)
+        assert request.can_refuse()
 
 
 def test_no_more_attempts_than_allowed() -> None:
     request, server = judged(PLAIN, SAFE, [Outcome.RESET] * 4)
-    assert not request.may_go_to(server, 110.0)
+    assert not request.can_send_to(server, 110.0)
 
 
 def zones_drawn(price: float, home: Outcome) -> Counter[int]:
@@ -798,7 +798,7 @@
     for n in range(200):
         for tenant in (0, 1):
             event = RequestArrived(n, 0, 400.0, tenant, client_retry=tenant == 0 and n % 8 != 0)
-            verdicts[tenant, event.client_retry] = bench.balancer.callers.over_share(event)
+            verdicts[tenant, event.client_retry] = bench.balancer.caller_stats.is_over_share(event)
     assert verdicts == {(0, False): False, (0, True): True, (1, False): False}
 
 
@@ -877,7 +877,7 @@
     for outcome in [Outcome.OK, Outcome.RESET, Outcome.RESET] * 6:
         bench.request(class_index=1)
         bench.end(bench.next_id, 0, outcome)
-    assert len(bench.balancer.links.items.items) <= 3
+    assert len(bench.balancer.connections.connected.items) <= 3
 
 
 def test_a_server_that_fails_one_class_is_kept_for_the_others() -> None:
@@ -922,14 +922,14 @@
     (first,) = [a for a in balancer.handle(1.0, RequestArrived(1, 0, 4000.0)) if isinstance(a, Send)]
     new = replace(old, max_attempts=1, classes=(RequestClass(500.0, 2000.0, Effect.SAFE),))
     balancer.handle(2.0, Reconfigured(new))
-    assert balancer.fleet.servers[first.server].outstanding == 1
+    assert balancer.table.servers[first.server].in_flight == 1
     (second,) = [a for a in balancer.handle(3.0, RequestArrived(2, 0, 2000.0)) if isinstance(a, Send)]
     assert second.timeout_ms <= 500.0 < first.timeout_ms
     again = balancer.handle(4.0, AttemptEnded(1, 0, first.server, Outcome.ERROR, False, 3.0))
     assert any(isinstance(a, Send) and a.request == 1 for a in again)
     again = balancer.handle(5.0, AttemptEnded(2, 0, second.server, Outcome.ERROR, False, 2.0))
     assert not any(isinstance(a, Send) for a in again)
-    assert sum(server.outstanding for server in balancer.fleet.servers.values()) == 1
+    assert sum(server.in_flight for server in balancer.table.servers.values()) == 1
 
 
 def test_shapes_that_requests_are_held_by_can_t_change() -> None:
@@ -945,11 +945,15 @@
     settings = replace(PLAIN, cold_ms=100.0, cold_share=0.1)
     balancer = Balancer(settings, 1)
     balancer.handle(1000.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(1, started_ms=500.0), ServerEntry(2)]))
-    slow, server = balancer.slow_start, balancer.fleet.servers[1]
-    assert not slow._sum and not slow.is_cold(server, 1000.0)
+    slow, server = balancer.slow_start, balancer.table.servers[1]
+    assert not slow._cold_capacity and not slow.is_cold(server, 1000.0)
     balancer.handle(1001.0, Reconfigured(replace(settings, cold_ms=10_000.0)))
     # Half a second of ten, from a tenth on: the other server, which is warm, counts for nothing.
-    assert slow._sum == slow.share(server, 1001.0) == pytest.approx(0.1 + 0.9 * 501.0 / 10_000.0)
+    assert (
+        slow._cold_capacity
+        == slow.capacity_fraction(server, 1001.0)
+        == pytest.approx(0.1 + 0.9 * 501.0 / 10_000.0)
+    )
 
 
 def test_the_cold_credit_is_one_for_both_lives() -> None:
@@ -967,7 +971,7 @@
     balancer.adopt(dict.fromkeys(("credit", "window", "idle_share", "most_running"), value))
     balancer.adopt({"latency": value, "base": {PLAIN.classes[0].name: "x"}, "work": value})
     assert balancer._latency == before and 0.0 <= balancer.slow_start.credit <= 2.0
-    assert math.isfinite(balancer.limiter.window) and 0.0 <= balancer.probes.idle_share <= 1.0
+    assert math.isfinite(balancer.limiter.window) and 0.0 <= balancer.load_probing.idle_share <= 1.0
 
 
 @pytest.mark.parametrize(("copies", "kept"), [(1, False), (2, True)])
@@ -986,5 +990,5 @@
             first, server = out.pop(0)
             spent = 200.0 if server < 4 else 400.0
             balancer.handle(now, AttemptEnded(first, 0, server, Outcome.OK, True, spent))
-        held += sum(server.until_ms > now for server in balancer.fleet.servers.values())
+        held += sum(server.withheld_until_ms > now for server in balancer.table.servers.values())
     assert (held > 100) is kept and (held == 0) is not kept
