--- a/packages/balancing/tests/test_balancing_proof.py
+++ b/packages/balancing/tests/test_balancing_proof.py
@@ -21,7 +21,15 @@
     ServerState,
     Settings,
 )
-from larkweir_balancing.proof import FLOOR, SEND_FIRST, Proof, Seen, admits, hopeful, trusted
+from larkweir_balancing.restored_trust import (
+    DIRECT_SEND_CONFIDENCE,
+    MIN_CONFIDENCE,
+    ObservedEvidence,
+    RestoredTrust,
+    is_admitted,
+    is_trusted,
+    may_become_trusted,
+)
 
 LOOK = RequestClass(400.0, 1000.0, Effect.SAFE, name="look")
 MOVE = RequestClass(400.0, 1000.0, Effect.UNSAFE, name="move")
@@ -30,53 +38,58 @@
 CLASSES = (LOOK, MOVE, POST, MAIL)
 
 SEEN, BELONGS, PLACED = (
-    Proof(0.9, Seen.PROBE),
-    Proof(0.9, Seen.PROBE, True),
-    Proof(0.9, Seen.PROBE, True, True),
+    RestoredTrust(0.9, ObservedEvidence.PROBE),
+    RestoredTrust(0.9, ObservedEvidence.PROBE, True),
+    RestoredTrust(0.9, ObservedEvidence.PROBE, True, True),
 )
 
 
 @pytest.mark.parametrize(
     ("proof", "allowed"),
     [
-        (Proof(FLOOR / 2.0, Seen.ANSWER, True, True), ""),
-        (Proof(SEND_FIRST), "look"),
-        (Proof(SEND_FIRST, pending=True), "look"),
-        (Proof(0.3, pending=True), ""),  # a probe comes first
-        (Proof(0.3), "look"),  # none will: the request is the probe
-        (Proof(0.9, belongs=True, placed=True), "look"),  # it showed that in a life before
+        (RestoredTrust(MIN_CONFIDENCE / 2.0, ObservedEvidence.ANSWER, True, True), ""),
+        (RestoredTrust(DIRECT_SEND_CONFIDENCE), "look"),
+        (RestoredTrust(DIRECT_SEND_CONFIDENCE, probe_pending=True), "look"),
+        (RestoredTrust(0.3, probe_pending=True), ""),  # a probe comes first
+        (RestoredTrust(0.3), "look"),  # none will: the request is the probe
+        (RestoredTrust(0.9, is_verified=True, has_location=True), "look"),  # it showed that in a life before
         (SEEN, "look"),
         (BELONGS, "look mail move"),
         (PLACED, "look mail move post"),
     ],
 )
-def test_which_classes_may_go_to_a_remembered_server(proof: Proof, allowed: str) -> None:
-    assert [cls.name for cls in CLASSES if trusted(cls, proof)] == [
+def test_which_classes_may_go_to_a_remembered_server(proof: RestoredTrust, allowed: str) -> None:
+    assert [cls.name for cls in CLASSES if is_trusted(cls, proof)] == [
         cls.name for cls in CLASSES if cls.name in allowed.split()
     ]
 
 
 proofs = st.builds(
-    Proof, st.floats(0.0, 1.0), st.sampled_from(Seen), st.booleans(), st.booleans(), st.booleans()
+    RestoredTrust,
+    st.floats(0.0, 1.0),
+    st.sampled_from(ObservedEvidence),
+    st.booleans(),
+    st.booleans(),
+    st.booleans(),
 )
 
 
 @given(proofs, st.integers(0, 100))
-def test_what_is_known_more_never_allows_less(proof: Proof, out: int) -> None:
+def test_what_is_known_more_never_allows_less(proof: RestoredTrust, out: int) -> None:
     for cls in CLASSES:
-        better = [proof._replace(belongs=True), proof._replace(placed=True)]
-        if proof.seen < Seen.ANSWER:
-            better.append(proof._replace(seen=Seen(proof.seen + 1)))
+        better = [proof._replace(is_verified=True), proof._replace(has_location=True)]
+        if proof.evidence < ObservedEvidence.ANSWER:
+            better.append(proof._replace(evidence=ObservedEvidence(proof.evidence + 1)))
         for more in better:
-            assert admits(cls, proof, out) <= admits(cls, more, out)
-        assert admits(cls, proof, out) <= trusted(cls, proof) <= hopeful(cls, proof)
+            assert is_admitted(cls, proof, out) <= is_admitted(cls, more, out)
+        assert is_admitted(cls, proof, out) <= is_trusted(cls, proof) <= may_become_trusted(cls, proof)
         if cls.effect is not Effect.SAFE:
-            assert not admits(cls, proof._replace(belongs=False), out)
+            assert not is_admitted(cls, proof._replace(is_verified=False), out)
 
 
-def module(*proofs: Proof | None, discovery: bool = False) -> Balancer:
+def module(*proofs: RestoredTrust | None, discovery: bool = False) -> Balancer:
     balancer = Balancer(Settings(CLASSES, max_attempts=3, tier=1, tiers=2, on_request_discovery=discovery), 1)
-    entries = [ServerEntry(n + 1, proof=proof) for n, proof in enumerate(proofs)]
+    entries = [ServerEntry(n + 1, restored_trust=proof) for n, proof in enumerate(proofs)]
     balancer.handle(0.0, ListUpdate(ListKind.CACHED, 1, entries))
     return balancer
 
@@ -87,17 +100,22 @@
 
 
 def test_one_call_at_once_before_the_first_proof_and_as_many_as_come_after_an_answer() -> None:
-    balancer = module(Proof(0.9))
+    balancer = module(RestoredTrust(0.9))
     assert sends(balancer, 1.0, 1, LOOK) == [1]
     assert sends(balancer, 2.0, 2, LOOK) == []  # held: the first call may prove it in a moment
-    balancer.handle(3.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, proof=Proof(1.0, Seen.ANSWER))]))
+    balancer.handle(
+        3.0,
+        ListUpdate(
+            ListKind.PROOF, 1, [ServerEntry(1, restored_trust=RestoredTrust(1.0, ObservedEvidence.ANSWER))]
+        ),
+    )
     found = [server for number in range(3, 9) for server in sends(balancer, 4.0, number, LOOK)]
     assert found == [1] * 6
 
 
 def test_what_no_server_will_take_is_refused_at_once_and_what_a_probe_may_change_is_not() -> None:
     for pending in (False, True):
-        balancer = module(Proof(0.9, pending=pending))
+        balancer = module(RestoredTrust(0.9, probe_pending=pending))
         found = balancer.handle(1.0, RequestArrived(1, CLASSES.index(MOVE), 1000.0))
         refused = any(isinstance(action, Refuse) for action in found)
         assert refused is not pending
@@ -105,33 +123,33 @@
 
 
 def test_a_repeat_of_a_keyed_request_goes_only_to_a_server_whose_zone_is_shown() -> None:
-    balancer = module(PLACED, BELONGS._replace(pending=True))
+    balancer = module(PLACED, BELONGS._replace(probe_pending=True))
     assert sends(balancer, 1.0, 1, POST) == [1]
     again = balancer.handle(2.0, AttemptEnded(1, 0, 1, Outcome.RESET, False, 1.0))
     assert all(action.server == 1 for action in again if isinstance(action, Send))
 
 
 def test_discoverys_word_ends_it_without_a_gap() -> None:
-    balancer = module(Proof(0.9), Proof(0.9))
+    balancer = module(RestoredTrust(0.9), RestoredTrust(0.9))
     (first,) = sends(balancer, 1.0, 1, LOOK)
     balancer.handle(2.0, ListUpdate(ListKind.FULL, 2, [ServerEntry(1), ServerEntry(2)]))
-    assert balancer.fleet.servers[first].outstanding == 1  # what is out there is known still
-    assert not balancer.fleet.remembered
+    assert balancer.table.servers[first].in_flight == 1  # what is out there is known still
+    assert not balancer.table.restored_count
     assert len(sends(balancer, 3.0, 2, MOVE)) == 1
     done = balancer.handle(4.0, AttemptEnded(1, 0, first, Outcome.OK, True, 3.0))
     assert not any(isinstance(action, Send) for action in done)
 
 
 def test_a_server_that_is_not_trusted_any_more_is_gone_for_new_requests() -> None:
-    balancer = module(Proof(0.9), Proof(0.9))
+    balancer = module(RestoredTrust(0.9), RestoredTrust(0.9))
     balancer.handle(1.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, ServerState.GONE)]))
     assert {sends(balancer, 2.0, number, LOOK)[0] for number in (1,)} == {2}
-    assert balancer.fleet.remembered == 1
+    assert balancer.table.restored_count == 1
 
 
 def test_a_proof_is_no_word_of_discovery() -> None:
     """Where the list must be asked for, asking goes on as if nothing had come."""
-    balancer = module(Proof(0.9), discovery=True)
+    balancer = module(RestoredTrust(0.9), discovery=True)
     balancer._list_asked_ms = 4_000.0
-    out = balancer.handle(1.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, proof=PLACED)]))
+    out = balancer.handle(1.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, restored_trust=PLACED)]))
     assert out == [] and balancer._list_asked_ms == 4_000.0
--- a/standins/cold_fleet.py
+++ b/standins/cold_fleet.py
@@ -314,7 +314,7 @@
 
     def _handle(self, copy: int, event: Event) -> None:
         balancer = self.copies[copy]
-        for action in balancer.handle(max(self.now, balancer.now), event):
+        for action in balancer.handle(max(self.now, balancer.now_ms), event):
             self._carry_out(copy, balancer, action)
 
     def _later(self, copy: int, balancer: Balancer, delay_ms: float, event: Event) -> None:
--- a/standins/limiters.py
+++ b/standins/limiters.py
@@ -24,17 +24,19 @@
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         super().__init__(settings, rng)
-        self.small, self.doubling = 1.0, False
+        self.min_counted_window, self.is_doubling = 1.0, False
 
     def open(self, ready: int, copies: int) -> None:
         if not self.opened and ready:
             self.opened, self.window = True, self.FIRST
             self._servers = ready
 
-    def _count(self, at: int, outcome: Outcome, spent_ms: float, out: int, mark: int, tries: int) -> None:
+    def _steer_counted(
+        self, at: int, outcome: Outcome, spent_ms: float, out: int, mark: int, tries: int
+    ) -> None:
         if outcome is not Outcome.ERROR and not (outcome is Outcome.FULL and tries < 2):
             self.steer(self.now_ms(), outcome is Outcome.OK, spent_ms, out)
-        self.window = min(max(self.window, 1.0), self.MOST_WINDOW)
+        self.window = min(max(self.window, 1.0), self.MAX_WINDOW)
 
     def steer(self, now_ms: float, served: bool, spent_ms: float, out: int) -> None:
         raise NotImplementedError
@@ -43,11 +45,11 @@
 class Before(ConcurrencyLimiter):
     """A step with every answer towards three times the latency at low load: the rule of 0.2.0."""
 
-    LEAST = 0.0
+    MIN_TOLERANCE_FRACTION = 0.0
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         super().__init__(settings, rng)
-        self.small = math.inf
+        self.min_counted_window = math.inf
 
 
 class Fixed(Other):
--- a/standins/probing.py
+++ b/standins/probing.py
@@ -131,7 +131,7 @@
         assert server.state is ServerState.READY, "a call to a server that drains"
         self._sent[action.request] += 1
         seen.calls += 1
-        trial = self.balancer.fleet.servers[server.number].ejections > 0
+        trial = self.balancer.table.servers[server.number].ejections > 0
         seen.trials += trial
         seen.trials_away += trial and server.away
         well = self._reaches(server) and not server.mute
--- a/standins/world/balancers.py
+++ b/standins/world/balancers.py
@@ -371,7 +371,7 @@
         }
         found += [f"{self.name} is left with {n} {what}" for what, n in counts.items() if n]
         balancer: Any = node.decisions
-        held = [s for s in getattr(balancer.fleet, "servers", {}).values() if getattr(s, "outstanding", 0)]
+        held = [s for s in getattr(balancer.table, "servers", {}).values() if getattr(s, "in_flight", 0)]
         if held:
             found.append(f"{self.name} counts calls out at {len(held)} upstreams")
         return found
--- a/standins/world/planted.py
+++ b/standins/world/planted.py
@@ -237,7 +237,11 @@
     return lambda real: property(lambda self: value, lambda self, other: None)
 
 
-POOL, LEGAL, DISPATCHER = "larkweir.upstreams.pool", "larkweir_balancing.legality", "larkweir.core.dispatcher"
+POOL, LEGAL, DISPATCHER = (
+    "larkweir.upstreams.pool",
+    "larkweir_balancing.retry_safety",
+    "larkweir.core.dispatcher",
+)
 REQUEST, TABLE = "larkweir.core.active_request", "larkweir.core.request_table"
 HTTP, LISTENER = "larkweir.protocols.http1.upstreams", "larkweir.protocols.listener"
 
@@ -259,8 +263,10 @@
         _always(False),
     ),
     Planted("what may have run counts as never run", "churn", LEGAL, "NEVER_RAN", _all_outcomes),
-    Planted("a keyed request goes on in another zone", "asleep", LEGAL, "Request._in_group", _always(True)),
-    Planted("what may have run is refused", "asleep", LEGAL, "Request.may_be_refused", _always(True)),
+    Planted(
+        "a keyed request goes on in another zone", "asleep", LEGAL, "Request._is_in_group", _always(True)
+    ),
+    Planted("what may have run is refused", "asleep", LEGAL, "Request.can_refuse", _always(True)),
     Planted("the end of a request does not close it", "churn", REQUEST, "ActiveRequest.finish", _answers_on),
     Planted(
         "a request that is over is not forgotten", "calm", TABLE, "RequestTable.remove_if_done", _nothing
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -275,8 +275,8 @@
     for made, every in ((few, 20), (many, 4)):
         for n in range(40):
             outcome = Outcome.FULL if n % every == 0 else Outcome.OK
-            made.arrive(0, 19, 0, False)
-            made.ended(0, outcome, 5.0, 19, made.mark(19), 2)
+            made.admit(0, 19, 0, False)
+            made.record_end(0, outcome, 5.0, 19, made.round_of(19), 2)
     assert many.window < 20.0 <= few.window
 
 
@@ -300,14 +300,14 @@
     def enter(self, cls: int, over: bool, patience: float, pace: float) -> None:
         self.now += 1.0
         self.next += 1
-        if self.room.enter(self.now, self.next, cls, over, patience, pace):
+        if self.room.try_enter(self.now, self.next, cls, over, patience, pace):
             assert patience > 0.0
             self.inside.append((self.next, cls, over))
 
     @precondition(lambda self: self.inside)
     @rule()
     def take(self) -> None:
-        turn = self.room.take()
+        turn = self.room.pop_next()
         found = next(item for item in self.inside if item[0] == turn)
         same = [item for item in self.inside if item[1:] == found[1:]]
         assert same[0] == found
@@ -317,7 +317,7 @@
     @rule(data=st.data())
     def drop(self, data: st.DataObject) -> None:
         gone = data.draw(st.sampled_from(self.inside))
-        assert self.room.drop(gone[0]) and not self.room.drop(gone[0])
+        assert self.room.remove(gone[0]) and not self.room.remove(gone[0])
         self.inside.remove(gone)
 
     @invariant()
@@ -325,7 +325,7 @@
         assert len(self.room) == len(self.inside)
         assert bool(self.room) == bool(self.inside)
         if not self.inside:
-            assert self.room.take() is None
+            assert self.room.pop_next() is None
 
 
 TestRoom = Room.TestCase
@@ -337,35 +337,35 @@
 def test_classes_take_turns_by_their_worth_and_none_starves() -> None:
     room = AdmissionQueue(Settings(classes=CLASSES))
     for n in range(200):
-        assert room.enter(0.0, n, n % 2, False, 1_000.0, 0.0)
-    turns = [room.take() for _ in range(90)]
+        assert room.try_enter(0.0, n, n % 2, False, 1_000.0, 0.0)
+    turns = [room.pop_next() for _ in range(90)]
     assert sum(turn is not None and turn % 2 == 1 for turn in turns) == 80  # eight of nine
 
 
 def test_traffic_over_its_share_goes_last_but_goes() -> None:
     room = AdmissionQueue(Settings(classes=CLASSES))
     for n in range(100):
-        assert room.enter(0.0, n, 0, n < 50, 1_000.0, 0.0)
-    turns = [room.take() for _ in range(48)]
+        assert room.try_enter(0.0, n, 0, n < 50, 1_000.0, 0.0)
+    turns = [room.pop_next() for _ in range(48)]
     over = sum(turn is not None and turn < 50 for turn in turns)
     assert over == 3
 
 
 def test_a_burst_may_wait_and_a_standing_queue_may_not() -> None:
     room = AdmissionQueue(Settings(classes=CLASSES))
-    room.enter(0.0, 1, 0, False, 1_000.0, 0.0)
-    assert room.patience_ms(1.0, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.25 * AIM_MS)
-    assert room.patience_ms(AIM_MS, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.1 * AIM_MS)
-    room.take()
-    assert room.patience_ms(AIM_MS, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.25 * AIM_MS)
+    room.try_enter(0.0, 1, 0, False, 1_000.0, 0.0)
+    assert room.max_wait_ms(1.0, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.25 * AIM_MS)
+    assert room.max_wait_ms(AIM_MS, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.1 * AIM_MS)
+    room.pop_next()
+    assert room.max_wait_ms(AIM_MS, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.25 * AIM_MS)
 
 
 def test_who_cannot_have_a_turn_in_time_is_told_at_once() -> None:
     room = AdmissionQueue(Settings(classes=CLASSES))
     for n in range(10):
-        room.enter(0.0, n, 0, False, 100.0, 9.5)
-    assert not room.enter(0.0, 99, 0, False, 100.0, 9.5)
-    assert room.enter(0.0, 99, 1, False, 100.0, 9.5)  # of more worth: few of the others go before it
+        room.try_enter(0.0, n, 0, False, 100.0, 9.5)
+    assert not room.try_enter(0.0, 99, 0, False, 100.0, 9.5)
+    assert room.try_enter(0.0, 99, 1, False, 100.0, 9.5)  # of more worth: few of the others go before it
 
 
 @pytest.mark.parametrize(("spread", "closes"), [(175.0, False), (0.0, True)])
@@ -374,14 +374,14 @@
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(410.0, 1000.0, Effect.SAFE),)), Random(1))
     limiter.open(8, 1)
     for _ in range(40):
-        limiter.arrive(0, 7, 0, False)
-        limiter.ended(0, Outcome.OK, 100.0, 7, limiter.mark(7))
-    limiter.doubling = False
+        limiter.admit(0, 7, 0, False)
+        limiter.record_end(0, Outcome.OK, 100.0, 7, limiter.round_of(7))
+    limiter.is_doubling = False
     windows = []
     for n in range(40):
         out = int(limiter.window) - 1
-        limiter.arrive(0, out, 0, False)
-        limiter.ended(0, Outcome.OK, 185.0 + spread * (-1) ** n, out, limiter.mark(out))
+        limiter.admit(0, out, 0, False)
+        limiter.record_end(0, Outcome.OK, 185.0 + spread * (-1) ** n, out, limiter.round_of(out))
         windows.append(limiter.window)
     assert (windows[-1] < windows[20]) is closes  # the first round still holds calls of before
 
@@ -392,13 +392,13 @@
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(410.0, 1000.0, Effect.SAFE),)), Random(1))
     limiter.open(8, 1)
     for _ in range(200):
-        limiter.arrive(0, 7, 0, False)
-        limiter.ended(0, Outcome.OK, 50.0, 7, limiter.mark(7))
+        limiter.admit(0, 7, 0, False)
+        limiter.record_end(0, Outcome.OK, 50.0, 7, limiter.round_of(7))
     before = least = limiter.window
     for _ in range(64):
         out = int(limiter.window) - 1
-        limiter.arrive(0, out, 0, False)
-        limiter.ended(0, Outcome.OK, 200.0, out, limiter.mark(out), size=size)
+        limiter.admit(0, out, 0, False)
+        limiter.record_end(0, Outcome.OK, 200.0, out, limiter.round_of(out), size=size)
         least = min(least, limiter.window)
     assert (least < before) is closes
 
@@ -409,10 +409,10 @@
     rng = Random(seed)
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(1500.0, 4000.0, Effect.SAFE),)), Random(1))
     limiter.open(10, 1)
-    sizes = [rng.expovariate(1.0) for _ in range(ConcurrencyLimiter.LEAST_ROUND)]
+    sizes = [rng.expovariate(1.0) for _ in range(ConcurrencyLimiter.MIN_ROUND_CALLS)]
     for size in sizes:
-        limiter.arrive(0, 7, 0, False)
-        limiter.ended(0, Outcome.OK, 200.0 + 200.0 * size, 7, limiter.mark(7), size=size)
+        limiter.admit(0, 7, 0, False)
+        limiter.record_end(0, Outcome.OK, 200.0 + 200.0 * size, 7, limiter.round_of(7), size=size)
     mean = sum(sizes) / len(sizes)
     assert limiter.base[0] <= (200.0 + 200.0 * mean) / mean + 1.0
     assert limiter.base[0] * mean >= 0.6 * (200.0 + 200.0 * mean)  # what queues seemed to add is taken off
@@ -428,8 +428,8 @@
     limiter.open(10, 1)
     for _ in range(count):
         size = rng.expovariate(1.0)
-        limiter.arrive(0, 7, 0, False)
-        limiter.ended(0, Outcome.OK, fixed_ms + by_size_ms * size, 7, limiter.mark(7), size=size)
+        limiter.admit(0, 7, 0, False)
+        limiter.record_end(0, Outcome.OK, fixed_ms + by_size_ms * size, 7, limiter.round_of(7), size=size)
     return limiter
 
 
@@ -438,7 +438,7 @@
     own = 400.0 / tiers
     limiter = learned(tiers, 400.0 - own, own)
     assert limiter.base[0] == pytest.approx(400.0, rel=0.08)
-    assert limiter.base[0] * limiter.scale(4.0) == pytest.approx(400.0 + 3.0 * own, rel=0.08)
+    assert limiter.base[0] * limiter.size_scale(4.0) == pytest.approx(400.0 + 3.0 * own, rel=0.08)
 
 
 @pytest.mark.parametrize(
@@ -446,8 +446,8 @@
 )
 def test_what_of_the_time_goes_by_the_size_is_learned(fixed: float, by_size: float, part: float) -> None:
     limiter = learned(2, fixed, by_size, 1_500)
-    assert limiter.scale(2.0) == pytest.approx(1.0 + part, abs=0.1)
-    assert limiter.scale(0.0) >= ConcurrencyLimiter.LEAST_SCALE
+    assert limiter.size_scale(2.0) == pytest.approx(1.0 + part, abs=0.1)
+    assert limiter.size_scale(0.0) >= ConcurrencyLimiter.MIN_SIZE_SCALE
 
 
 @pytest.mark.parametrize(("outcome", "first"), [(Outcome.RESET, 4.0 / 5.0), (Outcome.ERROR, 1.0)])
@@ -458,8 +458,8 @@
     settings = Settings(classes=(RequestClass(1500.0, 4000.0, Effect.SAFE),), max_attempts=1)
     balancer = Balancer(settings, 1)
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(5)]))
-    limiter, lost = balancer.limiter, balancer.fleet.servers[3]
-    limiter.window, limiter.doubling = 40.0, False
+    limiter, lost = balancer.limiter, balancer.table.servers[3]
+    limiter.window, limiter.is_doubling = 40.0, False
     now, parts = 0.0, {}
     for request in range(1_000):
         now += 10.0
--- a/tests/balancing/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -21,30 +21,28 @@
 
 import pytest
 from larkweir_balancing import Balancer
-from larkweir_balancing.door import Door
 from larkweir_balancing.fleet_outlier_detection import (
     FleetOutlierDetector,
     OutcomeCounts,
     OutcomeWindow,
     sum_outcomes,
 )
-from larkweir_balancing.hearsay import Hearsay
 from larkweir_balancing.interface import (
     Action,
     AttemptEnded,
-    BodyCame,
     ClientGone,
     Effect,
     Event,
     Group,
-    Heard,
     ListKind,
     ListUpdate,
     Outcome,
+    PeerHealthReport,
     Probe,
     ProbeEnded,
     Reconfigured,
     RequestArrived,
+    RequestBodyReceived,
     RequestClass,
     Send,
     ServerEntry,
@@ -54,9 +52,11 @@
     Tenant,
     TimerFired,
 )
+from larkweir_balancing.load_shedding import LoadShedder
 from larkweir_balancing.prefill_time import PrefillTime
 from larkweir_balancing.prompt import Prompt
-from larkweir_balancing.proof import Proof, Seen
+from larkweir_balancing.restored_trust import ObservedEvidence, RestoredTrust
+from larkweir_balancing.shared_health import SharedHealth
 from larkweir_balancing.token_list import UpstreamStatus
 from larkweir_balancing.upstream_selection import UpstreamSelector
 from larkweir_balancing.wire import decode_settings, encode_action
@@ -434,7 +434,7 @@
         RequestClass(100.0, 400.0, Effect.SAFE, worth=1.0, name="a"),
         RequestClass(400.0, 900.0, Effect.UNSAFE, worth=8.0, name="b"),
     ]
-    door = Door(classes, Random(24))
+    door = LoadShedder(classes, Random(24))
     values: list[Any] = []
     for turn in range(1_200):
         if turn == 700:
@@ -444,8 +444,8 @@
         load = 60.0 if 200 < turn < 500 or turn > 800 else 6.0
         let_in = [door.admits(rng.randrange(2), rng.random() < 0.3) for _ in range(rng.randrange(8))]
         busy_ms = load * rng.uniform(0.5, 1.5) * (0.2 + 0.2 * sum(let_in))
-        door.turn(busy_ms, busy_ms + rng.uniform(0.0, 10.0))
-        values.append((let_in, door.part, door.shedding, door.shed, door.turn_ms))
+        door.on_iteration(busy_ms, busy_ms + rng.uniform(0.0, 10.0))
+        values.append((let_in, door.shed_fraction, door.is_shedding, door.shed_count, door.mean_busy_ms))
     return values
 
 
@@ -482,7 +482,7 @@
         self.rng = Random(seed)
         self.settings = self.tuned(1.0)
         self.balancer = Balancer(self.settings, seed)
-        self.balancer.hearsay = Hearsay(self.balancer.judge)
+        self.balancer.shared_health = SharedHealth(self.balancer.outliers)
         self.now_ms = 1_000.0
         self.values: list[Any] = []
         self.sick = {3, 7}
@@ -570,15 +570,23 @@
     rng = copy.rng
     proofs = [
         None,
-        Proof(0.9),
-        Proof(0.4, pending=True),
-        Proof(0.6, Seen.PROBE, belongs=True, placed=True),
-        Proof(0.05),
+        RestoredTrust(0.9),
+        RestoredTrust(0.4, probe_pending=True),
+        RestoredTrust(0.6, ObservedEvidence.PROBE, is_verified=True, has_location=True),
+        RestoredTrust(0.05),
+    ]
+    cached = [
+        ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, restored_trust=proofs[n % 5]) for n in range(12)
     ]
-    cached = [ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, proof=proofs[n % 5]) for n in range(12)]
     copy.feed(ListUpdate(ListKind.CACHED, 1, cached))
     shown = [
-        ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, proof=Proof(0.9, Seen.ANSWER, True, True))
+        ServerEntry(
+            n,
+            zone=n % 2,
+            cell=n // 4,
+            kind=n % 3,
+            restored_trust=RestoredTrust(0.9, ObservedEvidence.ANSWER, True, True),
+        )
         for n in (1, 2)
     ]
     copy.later(300.0, ListUpdate(ListKind.PROOF, 1, shown))
@@ -596,24 +604,27 @@
         expected_ms = rng.uniform(5.0, 80.0) if rng.random() < 0.4 else None
         left_ms = (400.0, 600.0, 600.0)[at] * (1.0 if rng.random() < 0.8 else rng.random())
         event = RequestArrived(
-            request, at, left_ms, rng.randrange(2), 0, expected_ms, rng.random() < 0.1, coming=coming
+            request, at, left_ms, rng.randrange(2), 0, expected_ms, rng.random() < 0.1, body_incomplete=coming
         )
         copy.later(at_ms, event)
         if coming:
-            copy.later(at_ms + rng.uniform(0.0, 80.0), BodyCame(request))
+            copy.later(at_ms + rng.uniform(0.0, 80.0), RequestBodyReceived(request))
         if rng.random() < 0.02:
             copy.later(at_ms + 10.0, ClientGone(request))
         if rng.random() < 0.4:
             server, good = rng.choice((3, 7, rng.randrange(12))), rng.choice((True, False, None))
             copy.later(
-                at_ms, Heard(server, good, rng.uniform(0.0, 9_000.0), rng.random() < 0.5, rng.random() < 0.4)
+                at_ms,
+                PeerHealthReport(
+                    server, good, rng.uniform(0.0, 9_000.0), rng.random() < 0.5, rng.random() < 0.4
+                ),
             )
     while copy._due:
         copy.run(copy.now_ms + 500.0 if copy._due[0][0] <= copy.now_ms + 500.0 else copy._due[0][0])
-        hearsay = copy.balancer.hearsay
-        copy.values.append([tuple(told) for told in hearsay.told(copy.now_ms)])
-        copy.balancer.elsewhere(rng.randrange(12), rng.randrange(3), copy.now_ms)
-        copy.balancer.unlink(rng.randrange(12))
+        hearsay = copy.balancer.shared_health
+        copy.values.append([tuple(told) for told in hearsay.local_health(copy.now_ms)])
+        copy.balancer.set_other_in_flight(rng.randrange(12), rng.randrange(3), copy.now_ms)
+        copy.balancer.on_connections_closed(rng.randrange(12))
         if rng.random() < 0.05:
             copy.sick = {3, 7} if rng.random() < 0.7 else {3, 4}
     learned = copy.balancer.learned()
--- a/tests/balancing/test_second_deployment.py
+++ b/tests/balancing/test_second_deployment.py
@@ -85,8 +85,8 @@
         while due and due[0][0] <= now:
             at, _, end = heappop(due)
             end.report = report(at, end.server)
-            hear(balancer.handle(max(at, balancer.now), end), at)
-        hear(balancer.handle(max(now, balancer.now), RequestArrived(number, number % 4 == 0, 4000.0)), now)
+            hear(balancer.handle(max(at, balancer.now_ms), end), at)
+        hear(balancer.handle(max(now, balancer.now_ms), RequestArrived(number, number % 4 == 0, 4000.0)), now)
     return said
 
 
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -53,11 +53,11 @@
         while due and due[0][0] <= now:
             at, balancer, request, attempt, server = due.pop(0)
             balancer.handle(
-                max(at, balancer.now), AttemptEnded(request, attempt, server, Outcome.OK, True, 60.0)
+                max(at, balancer.now_ms), AttemptEnded(request, attempt, server, Outcome.OK, True, 60.0)
             )
         number += 1
         balancer = balancers[number % copies]
-        for action in balancer.handle(max(now, balancer.now), RequestArrived(number, 0, 1000.0)):
+        for action in balancer.handle(max(now, balancer.now_ms), RequestArrived(number, 0, 1000.0)):
             if isinstance(action, Send):
                 due.append((now + 60.0, balancer, action.request, 0, action.server))
                 times[action.server].append(now)
@@ -171,7 +171,7 @@
     balancer = before_one_cold()
     sent, earned = [], 0.0
     for number in range(8):
-        earned += EARNED * (1.0 - 0.25 * balancer.judge.fail_share)  # as it is when the request comes
+        earned += EARNED * (1.0 - 0.25 * balancer.outliers.failure_rate)  # as it is when the request comes
         sent += asked(balancer, number)
     assert len(sent) > 8 and COLD not in sent
     assert balancer.slow_start.credit == pytest.approx(earned)
@@ -186,8 +186,8 @@
 ) -> None:
     """Unless it is known how much comes again, and that takes more away."""
     balancer = before_one_cold()
-    balancer.judge.fail_share = fail_share
-    balancer.slow_start.part = usual_part
+    balancer.outliers.failure_rate = fail_share
+    balancer.slow_start.earn_fraction = usual_part
     balancer.handle(5_000.0, RequestArrived(1, 0, 1000.0))
     assert balancer.slow_start.credit == pytest.approx(part * EARNED)
 
@@ -213,7 +213,7 @@
 def test_a_cold_server_that_fails_gets_no_more_than_the_ordinary_draw_gives_it() -> None:
     balancer = before_one_cold()
     balancer.slow_start.credit = 2.0
-    balancer.fleet.servers[COLD].strikes = 1  # and warm ones at home are idle
+    balancer.table.servers[COLD].consecutive_failures = 1  # and warm ones at home are idle
     actions = balancer.handle(5_000.0, RequestArrived(1, 0, 1000.0))
     assert [action.server == COLD for action in actions if isinstance(action, Send)] == [False]
 
--- a/tests/budget/test_tickets.py
+++ b/tests/budget/test_tickets.py
@@ -41,7 +41,7 @@
     for peer, attempts in (("10.1.2.3", 2), ("unix", 2), ("192.0.2.1", 4), ("", 4), ("nonsense", 4)):
         ticket, message, event = arrive(it, peer, X_Budget=b"2", x_budget_path=b"a", X_Other=b"kept")
         assert isinstance(ticket, Ticket)
-        assert message.headers == [(b"X-Other", b"kept")] and event.attempts == attempts
+        assert message.headers == [(b"X-Other", b"kept")] and event.attempts_left == attempts
         grant = ticket.grant(0, 4, 0.0)
         assert grant is not None
         assert dict(grant)[b"X-Budget-Path"] == (b"a, tier-0" if attempts == 2 else b"tier-0")
@@ -60,7 +60,7 @@
 def test_unreadable_values_are_counted_and_the_operator_s_count() -> None:
     it = chain()
     ticket, _, event = arrive(it, X_Budget=b"many", X_Budget_Worth=b"-", X_Budget_Path=b",,")
-    assert isinstance(ticket, Ticket) and (event.attempts, it.unreadable) == (4, 3)
+    assert isinstance(ticket, Ticket) and (event.attempts_left, it.unreadable) == (4, 3)
 
 
 def test_a_client_s_own_retry_shares_what_its_first_try_has_left() -> None:
@@ -69,7 +69,7 @@
     first, _, _ = arrive(it, cls=1, X_Budget=b"3", Idempotency_Key=b"k")
     assert isinstance(first, Ticket) and first.grant(0, 4, 0.0)
     second, _, event = arrive(it, cls=1, retry=True, X_Budget=b"3", Idempotency_Key=b"k")
-    assert isinstance(second, Ticket) and event.attempts == 2
+    assert isinstance(second, Ticket) and event.attempts_left == 2
     assert first.grant(1, 3, 0.0) is None
     assert [bool(second.grant(n, 4, 0.0)) for n in range(3)] == [True, True, False]
     first.settle(0, Outcome.OK, Message(), 5.0)
@@ -92,7 +92,7 @@
         event = RequestArrived(1, 1, 1000.0, client_retry=True, tenant=tenant)
         ticket = it.arrive("10.1.2.3", asked, event, 0.0)
         assert isinstance(ticket, Ticket)
-        return ticket, event.attempts
+        return ticket, event.attempts_left
 
     first, _ = ask(0)
     assert first.grant(0, 4, 0.0)
--- a/tests/door/test_guard.py
+++ b/tests/door/test_guard.py
@@ -32,9 +32,9 @@
 def shut(node: object) -> None:
     """As after a long overload: all of what may be shed is."""
     guard = node.dispatcher.clock.on_iteration.__self__  # type: ignore[attr-defined]
-    guard.door.shedding = True
-    guard.door.part = guard.door.MOST
-    guard.door.turn = lambda busy, whole: None
+    guard.door.is_shedding = True
+    guard.door.shed_fraction = guard.door.MAX_SHED_FRACTION
+    guard.door.on_iteration = lambda busy, whole: None
     guard.door.admits = lambda at, again: False
 
 
@@ -130,7 +130,7 @@
             async with Caller(node.port) as caller:
                 caller.ask()
                 assert (await caller.answer()).status == 200
-        assert door.turn_ms > 5.0
+        assert door.mean_busy_ms > 5.0
     upstream.close()
 
 
@@ -150,9 +150,9 @@
 
         reload(*(f"former{n}" for n in range(MOST_GONE + 1)))
         door = node.dispatcher.clock.on_iteration.__self__.door  # type: ignore[union-attr]
-        door.turn = lambda busy, whole: None
-        door.shedding = True
-        door._odds = [1.0] * len(door._odds)
+        door.on_iteration = lambda busy, whole: None
+        door.is_shedding = True
+        door._shed_odds = [1.0] * len(door._shed_odds)
         reload()
         reload("new")
         places = [cls.name for cls in node.node.settings.classes]
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -96,7 +96,7 @@
             return actions
         if isinstance(event, RequestArrived):
             return [Send(event.request, self.servers[0], self.timeout_ms)]
-        if isinstance(event, AttemptEnded) and not event.final:
+        if isinstance(event, AttemptEnded) and not event.is_final:
             if event.attempt + 1 < len(self.servers):
                 return [Send(event.request, self.servers[event.attempt + 1], self.timeout_ms)]
             return [Fail(event.request)]
--- a/tests/fleet/test_probers.py
+++ b/tests/fleet/test_probers.py
@@ -10,18 +10,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from larkweir_balancing import Balancer
-from larkweir_balancing.hearsay import HOLD_MS, LOOK_MS, SPREAD_MS, TRUST_MS
 from larkweir_balancing.interface import (
     Effect,
-    Heard,
     ListKind,
     ListUpdate,
     Outcome,
+    PeerHealthReport,
     RequestClass,
     ServerEntry,
     ServerState,
     Settings,
 )
+from larkweir_balancing.shared_health import (
+    MAX_HOLD_MS,
+    RECHECK_INTERVAL_MS,
+    REPORT_LIFETIME_MS,
+    RESTORE_SPREAD_MS,
+)
 
 from larkweir.config.options import Owners
 from larkweir.coordination.duties.messages import (
@@ -311,7 +316,9 @@
         count = 0
         for n in range(int(ms / 250.0)):
             now = begin + n * 250.0
-            field.sees[KEY_A] = LocalSighting(True, FAILING, now - now // LOOK_MS * LOOK_MS)
+            field.sees[KEY_A] = LocalSighting(
+                True, FAILING, now - now // RECHECK_INTERVAL_MS * RECHECK_INTERVAL_MS
+            )
             count += len(work.tick(now))
         return count
 
@@ -328,21 +335,21 @@
     """An upstream in two pools is told of once: left out where either has, and the newest finding counts."""
     of = Settings((RequestClass(1_000.0, 2_000.0, Effect.SAFE),), may_probe=False)
     pools = [Balancer(of, 1), Balancer(of, 2)]
-    heard: list[Heard] = []
+    heard: list[PeerHealthReport] = []
     targets = {n: Server(n, 1) for n in (1, 2)}
     scout = SharedHealthAdapter(lambda: pools, lambda: targets, heard.append)  # type: ignore[arg-type, return-value]
     for pool in pools:
         pool.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n, ServerState.READY) for n in (1, 2, 3)]))
     for pool, number, at in ((0, 1, 10.0), (1, 1, 20.0), (1, 2, 30.0), (1, 3, 30.0)):
-        server = pools[pool].fleet.servers[number]
+        server = pools[pool].table.servers[number]
         server.ejections = 1
-        pools[pool].hearsay.ended(server, Outcome.CONNECT_FAILED, at)
+        pools[pool].shared_health.on_attempt_end(server, Outcome.CONNECT_FAILED, at)
     known = scout.sightings(100.0)
     one, two = (key_of("{}:{}".format(*targets[n].address)) for n in (1, 2))
     assert known == {one: LocalSighting(True, FAILING, 80.0), two: LocalSighting(True, FAILING, 70.0)}
     scout.on_finding(one, PROBED, 5.0, False)
     scout.on_finding(key_of("10.0.0.1:1"), FAILING, 5.0, True)
-    assert heard == [Heard(1, True, 5.0, False, False)] and not scout.probes()
+    assert heard == [PeerHealthReport(1, True, 5.0, False, False)] and not scout.probes()
 
 
 # ------------------------------------------------ whole fleets
@@ -359,7 +366,7 @@
 
 def left_out(world: World, number: int) -> int:
     return sum(
-        copy.balancer.fleet.servers[number] in copy.balancer.fleet.ejected
+        copy.balancer.table.servers[number] in copy.balancer.table.ejected
         for copy in world.copies.values()
         if isinstance(copy, Copier)
     )
@@ -397,7 +404,7 @@
     world.servers[number].away = False
     world.watched = [number]
     begun = world.network.now_ms
-    world.run((MAX_BAD_FINDINGS + 1) * 3 * LOOK_MS + SPREAD_MS + 6_000.0)
+    world.run((MAX_BAD_FINDINGS + 1) * 3 * RECHECK_INTERVAL_MS + RESTORE_SPREAD_MS + 6_000.0)
     assert len(served(world, number, begun)) >= 9
     assert not served(world, number, begun) & set(first)
 
@@ -410,7 +417,7 @@
     keepers = [copy for copy in world.copies.values() if copy.name in world.keepers.names]
     for copy in keepers:
         world.kill(copy)
-    world.run(OWNER_TIMEOUT_MS + HOLD_MS)
+    world.run(OWNER_TIMEOUT_MS + MAX_HOLD_MS)
     for number in away:
         world.servers[number].away = False
     world.watched = away
@@ -505,7 +512,7 @@
     assert "probers" not in Owners().duties and not Owners(duties=("probers",)).faults().get("duties")
     code = (
         "import sys, larkweir.coordination.owners, larkweir.lifecycle.node\n"
-        "off = {'larkweir_balancing.hearsay', 'larkweir.coordination.duties.probers'}\n"
+        "off = {'larkweir_balancing.shared_health', 'larkweir.coordination.duties.probers'}\n"
         "off.add('larkweir.coordination.health_sharing')\n"
         "assert not off & set(sys.modules)"
     )
@@ -514,5 +521,5 @@
 
 def test_times_fit_together() -> None:
     """A finding of each look, as late as an effect may come, still keeps a server out until the next."""
-    late = LOOK_MS + HEARTBEAT_INTERVAL_MS + 500.0 + 500.0
-    assert HOLD_MS * (1.0 - late / TRUST_MS) > 1_500.0
+    late = RECHECK_INTERVAL_MS + HEARTBEAT_INTERVAL_MS + 500.0 + 500.0
+    assert MAX_HOLD_MS * (1.0 - late / REPORT_LIFETIME_MS) > 1_500.0
--- a/tests/fleet/test_probers_together.py
+++ b/tests/fleet/test_probers_together.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from larkweir_balancing.hearsay import LOOK_MS
+from larkweir_balancing.shared_health import RECHECK_INTERVAL_MS
 
 from larkweir.coordination.duties.timing import OWNER_TIMEOUT_MS
 from standins.checkers import Ran, Taken, broken
@@ -49,7 +49,7 @@
             await rig.until(all_told, "the word of it at all copies")
             await rig.until(lambda: len(probes) >= 3, "three probes")
             # One for all, and one more at each change of turn or of owner; alone each copy would have as many.
-            assert len(probes) <= 2 + 1.5 * (probes[-1] - begun) / LOOK_MS
+            assert len(probes) <= 2 + 1.5 * (probes[-1] - begun) / RECHECK_INTERVAL_MS
             well = True
             healed = len(rig.history)
 
@@ -62,6 +62,8 @@
             await rig.until(all_back, "calls of all copies there")
             await rig.quiet()
             assert broken(rig.history) == []
-            assert OWNER_TIMEOUT_MS > LOOK_MS  # an owner's silence is seen before a second look is missed
+            assert (
+                OWNER_TIMEOUT_MS > RECHECK_INTERVAL_MS
+            )  # an owner's silence is seen before a second look is missed
 
     run(play())
--- a/tests/lifecycle/test_reload_crossings.py
+++ b/tests/lifecycle/test_reload_crossings.py
@@ -180,7 +180,9 @@
         async with running(*rows, limits={"MayProbe": True}, stats=stats) as it, Caller(it.port) as caller:
             decisions = balancer_of(it)
             caller.ask("move", b"x")
-            await until(lambda: any(one.asked is not None for one in decisions.requests.values()), "a probe")
+            await until(
+                lambda: any(one.probed_server is not None for one in decisions.requests.values()), "a probe"
+            )
             retune(it, safe(config_of(it).settings.classes))
             go.set()
             assert (await caller.answer()).status == 502
@@ -257,19 +259,19 @@
 class Fixed(ConcurrencyLimiter):
     """A window that stays as it is."""
 
-    SMALL = 1.0
+    MIN_COUNTED_WINDOW = 1.0
 
     def __init__(self, settings: Settings, window: float) -> None:
         super().__init__(settings, Balancer(settings, 1).rng)
-        self.small, self.window, self.opened, self.doubling = 1.0, window, True, True
+        self.min_counted_window, self.window, self.opened, self.is_doubling = 1.0, window, True, True
 
-    def ended(self, *told: Any) -> None:
+    def record_end(self, *told: Any) -> None:
         pass
 
     def configure(self, settings: Settings) -> None:
         window = self.window
         super().configure(settings)
-        self.window, self.small = window, 1.0
+        self.window, self.min_counted_window = window, 1.0
 
 
 def fixed(classes: Classes, window: float = 1.0) -> Balancer:
@@ -296,7 +298,7 @@
             for count, (name, caller) in enumerate(callers.items(), start=1):
                 caller.ask("look" if name == "out" else name, b"x", X_Trace_Id=name)
                 await until(lambda: len(decisions.requests) == count, name)  # noqa: B023
-            assert len(decisions.waiting) == 3
+            assert len(decisions.queue) == 3
             fresh = replace(classes[0], name="fresh")
             retune(it, (fresh, *without(safe(classes), "post")))
             for name in ("out", "look", "post", "move"):
@@ -324,20 +326,20 @@
         upstream = await FakeUpstream(held).start()
         classes = _settings().classes
         decisions = fixed(classes)
-        decisions.callers.over_share = lambda event: event.client_retry  # type: ignore[method-assign]
+        decisions.caller_stats.is_over_share = lambda event: event.client_retry  # type: ignore[method-assign]
         async with running(upstream.entry("u0"), script=decisions) as it, Caller(it.port) as out:
             out.ask(X_Trace_Id="out")
             await upstream.arrived.get()
             async with Caller(it.port) as over, Caller(it.port) as within:
                 for count, (caller, again) in enumerate(((over, "1"), (within, "0")), start=1):
                     caller.ask(X_Second_Try=again)
-                    await until(lambda: len(decisions.waiting) == count, "one that waits")  # noqa: B023
+                    await until(lambda: len(decisions.queue) == count, "one that waits")  # noqa: B023
                 retune(it, (*classes, replace(classes[0], name="fresh")))
             await until(lambda: len(decisions.requests) == 1, "that both are gone")
-            assert not decisions.waiting
+            assert not decisions.queue
             async with Caller(it.port) as caller:
                 caller.ask("fresh", X_Second_Try="1", X_Trace_Id="next")
-                await until(lambda: decisions.waiting, "one that waits")
+                await until(lambda: decisions.queue, "one that waits")
                 held.go("out")
                 held.go("next")
                 assert (await out.answer()).status == 200
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -16,13 +16,13 @@
 from larkweir_balancing.interface import (
     AnswerStarted,
     AttemptEnded,
-    BodyCame,
     ClientGone,
     Effect,
     ListKind,
     ListUpdate,
     Outcome,
     RequestArrived,
+    RequestBodyReceived,
     RequestClass,
     Send,
     ServerEntry,
@@ -123,12 +123,12 @@
 def test_no_deadline_is_counted_while_a_body_or_an_answer_comes() -> None:
     heard = Heard()
     heard.tell(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(1)]))
-    heard.tell(1.0, RequestArrived(1, 0, 900.0, coming=True))
+    heard.tell(1.0, RequestArrived(1, 0, 900.0, body_incomplete=True))
     heard.tell(2.0, RequestArrived(2, 0, 900.0))
     heard.tell(9.0, AnswerStarted(2, 0, 1, 7.0))
     heard.tell(5_000.0, RequestArrived(3, 0, 900.0))
     assert heard.of("request") == []  # neither is overdue
-    heard.tell(5_000.0, BodyCame(1))
+    heard.tell(5_000.0, RequestBodyReceived(1))
     heard.tell(5_001.0, AttemptEnded(2, 0, 1, Outcome.RESET, True, 7.0))  # it broke off: it had its answer
     assert [(line["id"], line["status"]) for line in heard.of("request")] == [("id-2", 200)]
     heard.tell(7_000.0, RequestArrived(4, 0, 900.0))  # 900 ms from its last byte on
--- a/tests/membership/test_outage.py
+++ b/tests/membership/test_outage.py
@@ -334,9 +334,9 @@
     async def work() -> None:
         up = await upstreams(member("u0", "south"))
         async with node_with([up[0].entry("u0")]) as node, asyncio.timeout(PATIENCE_S):
-            fleet = node.decisions.fleet  # type: ignore[attr-defined]
+            fleet = node.decisions.table  # type: ignore[attr-defined]
             number = node.discovery.number("u0") or next(iter(fleet.servers))
-            await until(lambda: fleet.servers[number].proof.placed, "its place")
+            await until(lambda: fleet.servers[number].restored_trust.has_location, "its place")
             assert fleet.servers[number].zone == node.discovery.names.zone("south")
         up[0].close()
 
--- a/tests/membership/test_remembered_rules.py
+++ b/tests/membership/test_remembered_rules.py
@@ -10,7 +10,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from larkweir_balancing.interface import Outcome
-from larkweir_balancing.proof import FLOOR, SEND_FIRST, Proof, Seen
+from larkweir_balancing.restored_trust import (
+    DIRECT_SEND_CONFIDENCE,
+    MIN_CONFIDENCE,
+    ObservedEvidence,
+    RestoredTrust,
+)
 
 from larkweir.membership.remembered.entries import (
     MAX_ANONYMOUS_ANSWERS,
@@ -49,8 +54,15 @@
         (heard(1e3, 1e3), QUIET, Source.KEPT, False, 0.94, 0.96),
         (heard(1e3), QUIET, Source.KEPT, False, 0.69, 0.71),  # listed and never seen at work
         (heard(1e3, DAY_MS, EvidenceKind.SHOWN), QUIET, Source.KEPT, False, 0.9, 1.0),
-        (heard(HOUR_MS, HOUR_MS), BUSY, Source.KEPT, False, 0.3, SEND_FIRST),  # one in e is still there
-        (heard(DAY_MS, DAY_MS), BUSY, Source.KEPT, False, 0.0, FLOOR),
+        (
+            heard(HOUR_MS, HOUR_MS),
+            BUSY,
+            Source.KEPT,
+            False,
+            0.3,
+            DIRECT_SEND_CONFIDENCE,
+        ),  # one in e is still there
+        (heard(DAY_MS, DAY_MS), BUSY, Source.KEPT, False, 0.0, MIN_CONFIDENCE),
         (heard(DAY_MS, DAY_MS), NEVER_SEEN, Source.KEPT, False, 0.4, 0.5),
         (
             heard(31 * DAY_MS, 31 * DAY_MS, EvidenceKind.SHOWN),
@@ -67,9 +79,9 @@
             Source.KEPT,
             True,
             0.4,
-            SEND_FIRST,
+            DIRECT_SEND_CONFIDENCE,
         ),  # from the future: a probe first
-        (Evidence(), QUIET, Source.GIVEN, False, FLOOR, 0.7),
+        (Evidence(), QUIET, Source.GIVEN, False, MIN_CONFIDENCE, 0.7),
         (Evidence(), QUIET, Source.KEPT, False, 0.0, 0.0),  # nobody has ever vouched for it
     ],
 )
@@ -203,7 +215,7 @@
     it = entries_of()
     _, changes = it.on_ended("s1", True, Outcome.OK, UpstreamIdentity("s1", "b", 7), NOW + 1)
     change = next(change for change in changes if change.name == "s1")
-    assert change.place == Place("b", 7) and change.proof is not None and change.proof.placed
+    assert change.place == Place("b", 7) and change.proof is not None and change.proof.has_location
 
 
 def test_one_that_refuses_goes_and_comes_back_when_it_answers() -> None:
@@ -215,7 +227,7 @@
     assert "s1" in it.due_probes(NOW + 2 * PROBE_RETRY_MS, 100)
     _, changes = it.on_ended("s1", True, Outcome.OK, UpstreamIdentity("s1", "a", 1), NOW + 600.0)
     found = next(change.proof for change in changes if change.name == "s1")
-    assert found is not None and found.seen is Seen.PROBE and found.belongs
+    assert found is not None and found.evidence is ObservedEvidence.PROBE and found.is_verified
 
 
 def test_without_probes_what_was_refused_is_forgiven_slowly() -> None:
@@ -235,7 +247,7 @@
     it.on_ended("s1", True, Outcome.OK, UpstreamIdentity("s1", "a", 1), NOW)
     for _ in range(8):
         _, changes = it.on_ended("s1", False, Outcome.ERROR, None, NOW)
-    assert it.entries["s1"].seen is Seen.PROBE and it.entries["s1"].lost
+    assert it.entries["s1"].seen is ObservedEvidence.PROBE and it.entries["s1"].lost
 
 
 def test_one_that_shows_nothing_is_not_asked_for_ever() -> None:
@@ -248,7 +260,12 @@
         now += 1_000.0
     assert asked == MAX_ANONYMOUS_ANSWERS
     proof = it.entries["s0"].announced
-    assert proof is not None and proof.seen is Seen.PROBE and not proof.belongs and not proof.pending
+    assert (
+        proof is not None
+        and proof.evidence is ObservedEvidence.PROBE
+        and not proof.is_verified
+        and not proof.probe_pending
+    )
 
 
 def test_drains_that_an_older_list_would_undo() -> None:
@@ -287,7 +304,7 @@
             me=copies - 1, copies=copies, probes=probes, identifies=identifies, churn=QUIET
         )
         self.now = NOW
-        self.told: dict[str, Proof] = {}
+        self.told: dict[str, RestoredTrust] = {}
         self.strangers: set[str] = set()
         rows = {f"s{n}": (Place("a", 0), heard(n * 3e6, n * 3e6)) for n in range(count)}
         self.take(self.it.load(rows, self.now))
@@ -334,9 +351,9 @@
             assert (name in self.told) == (not entry.lost), name
             if name in self.told:
                 proof = self.told[name]
-                assert abs(proof.trust - entry.confidence) < 0.021
+                assert abs(proof.confidence - entry.confidence) < 0.021
                 assert proof[1:4] == (entry.seen, entry.identified, entry.place_shown)
-                assert not proof.belongs or self.it.identifies
+                assert not proof.is_verified or self.it.identifies
         counts = self.it.counts()
         assert counts.open <= counts.listed and counts.proved + counts.lost <= counts.open
 
@@ -364,7 +381,7 @@
             if not open_now:
                 break
             name = rng.choice(open_now)
-            if it.entries[name].seen is Seen.NOTHING:
+            if it.entries[name].seen is ObservedEvidence.NOTHING:
                 calls[name] += 1
             outcome = Outcome.OK if name in alive else Outcome.CONNECT_FAILED
             used |= {change.name: change.proof for change in it.on_ended(name, False, outcome, None, NOW)[1]}
--- a/tests/protocols/fastcgi/test_client_gone.py
+++ b/tests/protocols/fastcgi/test_client_gone.py
@@ -219,7 +219,7 @@
             script.leaver = leaver = Leaver(balancer)
             leaver.leave = lambda: abort_now(leaver)  # type: ignore[method-assign]
             leaver.ask()
-            while not ((end := await script.ended()).final):
+            while not ((end := await script.ended()).is_final):
                 assert end.outcome is Outcome.FULL
             gone_in_order(script)
             assert not other.seen and not balancer.dispatcher.has_requests
--- a/tests/protocols/http1/test_callers.py
+++ b/tests/protocols/http1/test_callers.py
@@ -301,7 +301,7 @@
             first = next(e for e in script.events if isinstance(e, RequestArrived))
             while (event := await script.ended()).request != first.request:
                 pass
-            assert event.final  # the end of the attempt is told all the same
+            assert event.is_final  # the end of the attempt is told all the same
         upstream.close()
         other.close()
 
--- a/tests/protocols/http1/test_client_gone.py
+++ b/tests/protocols/http1/test_client_gone.py
@@ -129,7 +129,10 @@
     """The decisions heard of the client's end before that of the attempt, which is final."""
     told = [event for event in script.events if isinstance(event, ClientGone | AttemptEnded)]
     assert isinstance(told[-2], ClientGone)
-    assert isinstance(told[-1], AttemptEnded) and (told[-1].outcome, told[-1].final) == (Outcome.MOOT, True)
+    assert isinstance(told[-1], AttemptEnded) and (told[-1].outcome, told[-1].is_final) == (
+        Outcome.MOOT,
+        True,
+    )
 
 
 ROWS: list[tuple[str, list[Action], Callable[[Event], bool]]] = [
@@ -157,7 +160,7 @@
         async with running(upstream.entry("a"), other.entry("b"), script=script) as balancer:
             script.leaver = leaver = Leaver(balancer, way)
             leaver.ask()
-            while not ((end := await script.ended()).final):
+            while not ((end := await script.ended()).is_final):
                 assert end.outcome is Outcome.FULL
             assert leaver.left
             gone_in_order(script)
--- a/tests/routes/test_loopback.py
+++ b/tests/routes/test_loopback.py
@@ -217,7 +217,7 @@
             assert not any(request.headers["x-qos"] == "post" for request in south.seen)
             reload(it, route, pools)
             assert it.node is not None and it.node.routes is not None
-            ready = it.node.routes.switch.pools["p"].decisions.fleet.ready_count
+            ready = it.node.routes.switch.pools["p"].decisions.table.ready_count
             assert ready == 2
         close(north, south)
 
@@ -238,24 +238,24 @@
             pool = routes.switch.pools["p"].decisions
             assert not routes.ramping()
             it.node.reconfigure(it.node.config, Operator(routes=route, pools=evacuated, owners=owners))
-            ready = [pool.fleet.ready_count]
+            ready = [pool.table.ready_count]
             ((key, (name, span, _)),) = routes.ramping().items()
             assert key == name and span == 60_000.0
             for step in range(1, 21):
                 routes.stand(name, step)
-                ready.append(pool.fleet.ready_count)
+                ready.append(pool.table.ready_count)
                 if step == 10:  # another reload changes nothing of it
                     it.node.reconfigure(
                         it.node.config, Operator(routes=route, pools=evacuated, owners=owners)
                     )
             routes.stand(name, 3)  # from rules that begin anew: nothing is taken back
             assert ready[0] == 7 and ready == sorted(ready, reverse=True) and ready[-1] == 1
-            assert len(set(ready)) >= 4 and pool.fleet.ready_count == 1
+            assert len(set(ready)) >= 4 and pool.table.ready_count == 1
             it.node.reconfigure(it.node.config, Operator(routes=route, pools={"p": Pool()}, owners=owners))
-            assert pool.fleet.ready_count == 7 and not routes.ramping()
+            assert pool.table.ready_count == 7 and not routes.ramping()
         async with running(*rows, routes=route, pools=evacuated) as it:
             assert it.node is not None and it.node.routes is not None
-            assert it.node.routes.switch.pools["p"].decisions.fleet.ready_count == 1
+            assert it.node.routes.switch.pools["p"].decisions.table.ready_count == 1
             it.node.reconfigure(it.node.config, Operator(routes=route, pools=evacuated, owners=owners))
             assert not it.node.routes.ramping()
         close(*ups, south)
--- a/tests/routes/test_reload_crossings.py
+++ b/tests/routes/test_reload_crossings.py
@@ -161,14 +161,14 @@
             settings = settings_of(it)
             tenants = (Tenant(100.0, name="beta"), Tenant(100.0, name="acme"))
             reconfigure(it, FALLS_BACK, pools, replace(settings, tenants=tenants))
-            callers = it.node.routes.switch.pools["spare"].decisions.callers
-            real = callers.over_share
+            callers = it.node.routes.switch.pools["spare"].decisions.caller_stats
+            real = callers.is_over_share
 
             def counting(event: Any) -> bool:
                 counted.append(tenants[event.tenant].name if event.tenant < len(tenants) else "")
                 return real(event)
 
-            callers.over_share = counting  # type: ignore[method-assign]
+            callers.is_over_share = counting  # type: ignore[method-assign]
             full.go.set()
             for caller in (beta, gone):
                 assert (await caller.answer()).status == 200
--- a/tests/routes/test_switch.py
+++ b/tests/routes/test_switch.py
@@ -102,12 +102,14 @@
         assert [action.server for action in out if isinstance(action, Send)] == [3]
     it.settle()
     for name in ("default", "blue"):
-        assert it.pools[name].decisions.fleet.servers[3].outstanding == 3
-        assert not it.pools[name].decisions.fleet.levels[0][0].items  # no token: it is not idle for either
+        assert it.pools[name].decisions.table.servers[3].in_flight == 3
+        assert (
+            not it.pools[name].decisions.table.by_in_flight[0][0].items
+        )  # no token: it is not idle for either
     for number in (1, 2, 3):
         it.handle(5.0, AttemptEnded(number, 0, 3, Outcome.OK, True, 4.0))
     it.settle()
-    assert all(it.pools[name].decisions.fleet.servers[3].outstanding == 0 for name in ("default", "blue"))
+    assert all(it.pools[name].decisions.table.servers[3].in_flight == 0 for name in ("default", "blue"))
 
 
 def test_two_pools_together_give_a_cold_upstream_no_more_than_one_would() -> None:
@@ -258,12 +260,19 @@
             return
         self.it.settle()
         for pool in (*self.it.pools.values(), *self.it.left):
-            servers = pool.decisions.fleet.servers
+            servers = pool.decisions.table.servers
             assert set(servers) <= MEMBERS[pool.name]
             for number, server in servers.items():
                 theirs = sum(row[2] == number and row[3] != pool.name for row in self.out)
-                assert 0 <= server.others <= server.outstanding <= sum(row[2] == number for row in self.out)
-                assert server.others >= theirs  # a predecessor of the same name counts among the others
+                assert (
+                    0
+                    <= server.other_in_flight
+                    <= server.in_flight
+                    <= sum(row[2] == number for row in self.out)
+                )
+                assert (
+                    server.other_in_flight >= theirs
+                )  # a predecessor of the same name counts among the others
         open_ = {row[0] for row in self.out} | {number for number in self.open if not self.answers[number]}
         assert set(self.it._requests) <= open_
         for pool in self.it.left:
--- a/tests/upstreams/test_attempts.py
+++ b/tests/upstreams/test_attempts.py
@@ -158,7 +158,7 @@
             event = await script.ended()
         upstream.close()
         assert event.outcome is outcome
-        assert event.final is (outcome is Outcome.OK)
+        assert event.is_final is (outcome is Outcome.OK)
         assert (answer.status, answer.body) == ((200, b"served") if outcome is Outcome.OK else (502, b""))
         assert len(upstream.seen) == 1 and len(script.ends()) == 1
 
@@ -514,7 +514,7 @@
             assert (await caller.answer()).body == b"copy 1"
             go[0].set()
             ends = [await script.ended(), await script.ended()]
-            assert [(e.attempt, e.outcome, e.final) for e in ends] == [
+            assert [(e.attempt, e.outcome, e.is_final) for e in ends] == [
                 (1, Outcome.OK, True),
                 (0, Outcome.OK, True),
             ]
@@ -574,7 +574,7 @@
                     pass
             go.set()
             event = await script.ended()
-            assert (event.outcome, event.final) == (Outcome.OK, True)
+            assert (event.outcome, event.is_final) == (Outcome.OK, True)
             assert not balancer.dispatcher.requests
         upstream.close()
 
@@ -598,7 +598,7 @@
             pass_time(balancer.dispatcher.clock, 8_000)
             assert (await caller.answer()).status == 504
             event = await script.ended()
-            assert (event.outcome, event.final) == (Outcome.TIMEOUT, False)
+            assert (event.outcome, event.is_final) == (Outcome.TIMEOUT, False)
             caller.ask(target="/ready")
             assert (await caller.answer()).status == 200
             assert not balancer.dispatcher.requests
@@ -637,7 +637,7 @@
         script = Script([1] * 6)
 
         def more(event: Event) -> list[Action] | None:
-            if isinstance(event, AttemptEnded) and event.outcome is Outcome.MOOT and not event.final:
+            if isinstance(event, AttemptEnded) and event.outcome is Outcome.MOOT and not event.is_final:
                 return [Fail(event.request), Send(event.request, 1, 0.0)]
             return None
 
