--- a/tests/system/test_silent_upstreams.py
+++ b/tests/router/test_attempt.py
@@ -10,7 +10,7 @@
 from larkweir_balancing.upstream_selection import UpstreamSelector
 from larkweir_registry.records import Upstream, UpstreamState
 
-from tests.system.router_model import KINDS, REPEATABLE, FakeUpstream, Play, answer_of
+from tests.router.router_model import KINDS, REPEATABLE, FakeUpstream, Play, answer_of
 
 NOT_IN_THIS_TEST_MS = 1_000_000.0
 
--- a/tests/system/test_rules.py
+++ b/tests/router/test_client_request.py
@@ -1,39 +1,13 @@
-"""Small parts of the fleet without I/O: events of streams, settings, requests' headers."""
+"""What is read from a client's headers, and what is forwarded to an upstream."""
 
 from __future__ import annotations
 
 from dataclasses import replace
-from itertools import pairwise
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 from larkweir_balancing.prompt import DEFAULT_LATENCY_TARGET_MS, Prompt
 
-from larkweir.router.answers import ERROR_RESPONSES, ErrorKind
 from larkweir.router.client_request import ClientRequest, RoutingHeaders
-from larkweir.router.event_stream import EventBuffer
-from larkweir.router.router_count import RETENTION_MS, RouterCount
-
-STREAM = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
-
-
-@given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_events_are_passed_on_whole_however_they_come(cuts: list[int]) -> None:
-    buffer = EventBuffer()
-    edges = [0, *sorted(cuts), len(STREAM)]
-    passed = [buffer.feed(STREAM[start:end]) for start, end in pairwise(edges)]
-    assert b"".join(passed) == STREAM
-    assert buffer.last_id == b"3"
-    assert buffer.flush() == b""
-
-
-def test_a_broken_event_is_dropped_before_a_stream_goes_on() -> None:
-    buffer = EventBuffer()
-    assert buffer.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
-    buffer.restart()
-    assert buffer.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
-    assert buffer.last_id == b"2"
 
 
 def request(**headers: str) -> ClientRequest:
@@ -86,22 +60,8 @@
     assert request(x_token_usage=usage, x_prompt_prefix=prefix).prompt(DEFAULT_LATENCY_TARGET_MS) == prompt
 
 
-def test_controllers_that_have_just_started_do_not_make_the_fleet_small() -> None:
-    size = RouterCount()
-    assert size.report(9, 0.0) == 9
-    assert [size.report(n, 5_000.0) for n in (1, 3, 8)] == [9, 9, 9]
-    assert size.report(10, 6_000.0) == 10
-    assert size.report(6, 6_000.0 + RETENTION_MS) == 6
-
-
 def test_nonsense_in_headers_counts_as_nothing_said() -> None:
     odd = request(x_deadline_ms="soon", x_token_usage="many")
     assert odd.deadline_ms is None
     assert odd.tokens is None
     assert request(x_token_usage="10,20").tokens == 30.0
-
-
-def test_every_kind_of_error_has_an_answer() -> None:
-    assert set(ERROR_RESPONSES) == set(ErrorKind)
-    for kind, answer in ERROR_RESPONSES.items():
-        assert (answer.retry_after_s is not None) == (answer.status in (429, 503)), kind
--- a/tests/system/test_right_caller.py
+++ b/tests/router/test_exchange.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tests.system.router_model import (
+from tests.router.router_model import (
     KINDS,
     REPEATABLE,
     FakeUpstream,
--- a/tests/system/test_right_caller_planted.py
+++ b/tests/router/test_exchange_planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in the request path: the tests of `test_right_caller` must find each."""
+"""Faults planted in the request path: the tests of `test_exchange` must find each."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from larkweir.router.client_connection import ClientConnection
 from larkweir.router.exchange import Exchange
 from larkweir.router.upstream_connection import UpstreamConnection
-from tests.system import test_right_caller as scenes
-from tests.system.test_right_caller import RightCaller
+from tests.router import test_exchange as scenes
+from tests.router.test_exchange import RightCaller
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 FIND = settings(
--- a/tests/router/test_exchange_state.py
+++ b/tests/router/test_exchange_state.py
@@ -8,8 +8,8 @@
 
 from larkweir.router.exchange import Exchange
 from larkweir.router.exchange_state import TRANSITIONS, ExchangeState
-from tests.system.test_right_caller import RightCaller
-from tests.system.test_router_wire import SCENES, Scene, head, played
+from tests.router.test_exchange import RightCaller
+from tests.router.test_wire_golden import SCENES, Scene, head, played
 
 SETTINGS = settings(
     max_examples=30, stateful_step_count=40, deadline=None, phases=[Phase.generate], derandomize=True
--- a/tests/system/test_router_wire.py
+++ b/tests/router/test_wire_golden.py
@@ -26,7 +26,7 @@
 from larkweir.router.data_plane import DataPlane
 from larkweir.router.upstream_connection import UpstreamConnection
 from larkweir.router.upstream_pool import UpstreamPool
-from tests.system.router_model import TURNS, FakeTransport
+from tests.router.router_model import TURNS, FakeTransport
 
 T = TypeVar("T")
 STORED = Path(__file__).parent / "data" / "router_wire.txt"
