--- /dev/null
+++ b/tests/router/test_prefix_affinity.py
@@ -0,0 +1,121 @@
+"""The owner of a prompt's prefix: looked up once for all requests that ask, cached, and not waited for too long."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterator
+
+import pytest
+from larkweir_balancing.prompt import Prompt
+
+from larkweir.cluster.messages import PlacementRequest, PlacementResponse
+from larkweir.router.prefix_affinity import CONTROLLER_TIMEOUT_S, OWNER_TTL_MS, PrefixAffinity, PrefixOwner
+
+PROMPT = Prompt("p", 6_000.0, 5_000.0)
+
+
+class Scene:
+    """A router's affinity in a loop whose time the test moves."""
+
+    def __init__(self) -> None:
+        self.now_s = 100.0
+        self.loop = asyncio.new_event_loop()
+        self.loop.time = lambda: self.now_s  # type: ignore[method-assign]
+        self.requests: list[PlacementRequest] = []
+        self.owners: list[PrefixOwner | None] = []
+        self.ready = {"e1", "e2"}
+        self.connected = True
+        self.affinity = self._run(PrefixAffinity, 1_000.0)
+        self.affinity.send_lookup = self._send
+
+    def _run(self, call, *args):  # type: ignore[no-untyped-def]
+        async def inside() -> object:
+            found = call(*args)
+            await asyncio.sleep(0)
+            await asyncio.sleep(0)
+            return found
+
+        return self.loop.run_until_complete(inside())
+
+    def _send(self, request: PlacementRequest) -> bool:
+        if self.connected:
+            self.requests.append(request)
+        return self.connected
+
+    def find(self) -> None:
+        self._run(
+            self.affinity.find_owner, "s", PROMPT, 0, lambda engine: engine in self.ready, self.owners.append
+        )
+
+    def respond(self, engine: str | None, is_cached: bool = False) -> None:
+        response = PlacementResponse(PROMPT.prefix, engine, is_cached)
+        self._run(self.affinity.on_placed, response, self.now_s * 1000.0)
+
+    def wait(self, seconds: float) -> None:
+        self.now_s += seconds
+        self._run(lambda: None)
+
+
+@pytest.fixture
+def scene() -> Iterator[Scene]:
+    made = Scene()
+    yield made
+    made.loop.close()
+
+
+def test_requests_that_ask_meanwhile_share_one_lookup(scene: Scene) -> None:
+    scene.find()
+    scene.find()
+    assert len(scene.requests) == 1
+    assert scene.owners == []
+    scene.respond("e1")
+    assert scene.owners == [PrefixOwner("e1", False)] * 2
+
+
+def test_an_owner_is_cached_and_has_the_prefix_from_then_on(scene: Scene) -> None:
+    scene.find()
+    scene.respond("e1")
+    scene.find()
+    assert len(scene.requests) == 1
+    assert scene.owners == [PrefixOwner("e1", False), PrefixOwner("e1", True)]
+
+
+def test_a_cached_owner_expires_and_is_named_in_the_next_lookup(scene: Scene) -> None:
+    scene.find()
+    scene.respond("e1")
+    scene.wait(OWNER_TTL_MS / 1000.0 + 0.001)
+    scene.find()
+    assert [request.known_engine for request in scene.requests] == [None, "e1"]
+
+
+def test_an_owner_that_is_not_ready_is_looked_up_anew(scene: Scene) -> None:
+    scene.find()
+    scene.respond("e1")
+    scene.ready.discard("e1")
+    scene.find()
+    assert [request.known_engine for request in scene.requests] == [None, None]
+
+
+def test_a_controller_that_does_not_respond_is_not_waited_for(scene: Scene) -> None:
+    scene.find()
+    scene.wait(CONTROLLER_TIMEOUT_S + 0.001)
+    assert scene.owners == [None]
+    scene.respond("e1")  # too late for that request, but not for the next
+    assert scene.owners == [None]
+    scene.find()
+    assert scene.owners == [None, PrefixOwner("e1", True)]
+
+
+def test_without_a_controller_the_last_owner_goes_on(scene: Scene) -> None:
+    scene.find()
+    scene.respond("e1")
+    scene.wait(OWNER_TTL_MS / 1000.0 + 0.001)
+    scene.connected = False
+    scene.find()
+    assert scene.owners[-1] == PrefixOwner("e1", True)
+
+
+def test_no_ready_engine_is_no_owner(scene: Scene) -> None:
+    scene.find()
+    scene.respond(None)
+    assert scene.owners == [None]
