--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -243,7 +243,7 @@
     def on_response_head(self, response: h11.Response) -> None:
         """The head of a response: relayed, unless the request goes elsewhere."""
         admission, _ = self._admitted()
-        head = ResponseHead.parse(response.status_code, response.headers)
+        head = ResponseHead(response.status_code, response.headers)
         if self._trace is not None:
             self._trace.on_head(head.status, head.load.decode("latin-1"), self._now_ms())
         started = self._relay.has_started
--- a/larkweir/router/response_classification.py
+++ b/larkweir/router/response_classification.py
@@ -18,17 +18,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """What the router reads from the head of an upstream's response."""
+    """The head of an upstream's response. Header names are in lower case."""
 
     status: int
-    load: bytes = b""  # the value of `X-Server-Load`: running, waiting, slots
-    is_marked_not_executed: bool = False
+    headers: Headers = ()
 
-    @classmethod
-    def parse(cls, status: int, headers: Headers) -> ResponseHead:
-        """Header names are in lower case."""
-        load = next((value for name, value in headers if name == LOAD_HEADER), b"")
-        return cls(status, load, any(name == NOT_EXECUTED_HEADER for name, _ in headers))
+    @property
+    def load(self) -> bytes:
+        """The value of `X-Server-Load` (running, waiting, slots); empty where there is none."""
+        return next((value for name, value in self.headers if name == LOAD_HEADER), b"")
 
     @property
     def is_misdirected(self) -> bool:
@@ -38,7 +36,9 @@
     @property
     def proves_not_executed(self) -> bool:
         """Whether the upstream guarantees that it has not run the request."""
-        return (self.is_misdirected or self.is_marked_not_executed) and self.status in NOT_EXECUTED_STATUSES
+        if self.status not in NOT_EXECUTED_STATUSES:
+            return False
+        return self.is_misdirected or any(name == NOT_EXECUTED_HEADER for name, _ in self.headers)
 
     @property
     def reports_capacity(self) -> bool:
--- a/tests/router/test_response_classification.py
+++ b/tests/router/test_response_classification.py
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize("route", [ONCE, IDEMPOTENT], ids=["once", "idempotent"])
 @pytest.mark.parametrize("status", sorted(NOT_EXECUTED_STATUSES))
 def test_a_marked_rejection_proves_that_the_request_has_not_run(status: int, route: Route) -> None:
-    head = ResponseHead(status, is_marked_not_executed=True)
+    head = ResponseHead(status, [(b"x-not-executed", b"1")])
     expected = ResponseClass.MISDIRECTED if status == 421 else ResponseClass.REJECTED
     assert classify_response(head, route, response_started=False) is expected
 
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("status", [200, 404, 500])
 def test_the_mark_on_another_status_proves_nothing(status: int) -> None:
-    head = ResponseHead(status, is_marked_not_executed=True)
+    head = ResponseHead(status, [(b"x-not-executed", b"1")])
     assert classify_response(head, ONCE, response_started=False) is ResponseClass.RELAYABLE
 
 
@@ -78,5 +78,5 @@
     ],
 )
 def test_capacity_is_what_the_upstream_reports(load: bytes, capacity: bool) -> None:
-    head = ResponseHead.parse(503, [(b"x-other", b"1"), (b"x-server-load", load)])
+    head = ResponseHead(503, [(b"x-other", b"1"), (b"x-server-load", load)])
     assert head.reports_capacity is capacity
