--- a/larkweir/cluster/links.py
+++ b/larkweir/cluster/links.py
@@ -102,11 +102,6 @@
         """Whether a message has arrived in part."""
         return self._buffered_bytes > 0
 
-    @property
-    def is_open(self) -> bool:
-        """Whether messages can be sent."""
-        return self._transport is not None and not self._transport.is_closing()
-
     def send(self, message: Message) -> None:
         """Queue one message; it is lost where the connection has ended, or ends before it is sent."""
         if self._transport is None or self._transport.is_closing():
