--- a/packages/peers/src/larkweir_peers/transport.py
+++ b/packages/peers/src/larkweir_peers/transport.py
@@ -75,9 +75,7 @@
         self._is_closed = False
         self._is_flushing = False
         self._logged_ms: dict[str, float] = {}
-        self._unlogged_event: MemberEvent | None = (
-            None  # the last change of membership that is not logged yet
-        )
+        self._unlogged_event: MemberEvent | None = None  # the last one that is not logged yet
         self._addresses = {name: _address(name) for name in protocol.membership.members}
         self._handlers: dict[int, ItemHandler] = {}
 
--- a/packages/peers/tests/fleet_peers.py
+++ b/packages/peers/tests/fleet_peers.py
@@ -15,28 +15,28 @@
 KEYS = (b"sixteen letters!",)
 
 
-BORN_MS = 1_000_000  # on the clock that lives are counted by
+BORN_MS = 1_000_000  # of the clock that process starts are taken from
 
 
 RTT = (1.0, 10.0)
 
 
 class Fleet:
-    """The rules of each process, its datagrams and its one timer on the network; what it believed, and when."""
+    """The protocol of each process, its datagrams and its timer on the network, and its events."""
 
     def __init__(self, seed: int, lost: float = 0.0, doubled: float = 0.0, names: list[str] = NAMES) -> None:
         self.net = Network(seed, delay_ms=RTT, lost=lost, doubled=doubled)
         self.names = names
         self.processes: dict[str, PeerProtocol] = {}
-        self.events: list[tuple[str, MemberEvent]] = []  # who believes, and what
+        self.events: list[tuple[str, MemberEvent]] = []  # observer, event
         self.items: list[tuple[str, Item]] = []
-        self.slow: dict[str, float] = {}  # a handler that takes its time before each datagram
+        self.slow: dict[str, float] = {}  # milliseconds that a slow process waits before each datagram
         self._timers: dict[str, object] = {}
         for name in names:
             self.start(name)
 
     def start(self, name: str, clock_ms: float = 0.0) -> PeerProtocol:
-        """A life of a process; `clock_ms` is what its clock is off by."""
+        """Start a process; `clock_ms`: the error of its clock."""
         net, now = self.net, self.net.now_ms
         process_start_ms = int(BORN_MS + now + clock_ms)
         peers = self.processes[name] = PeerProtocol(
@@ -91,7 +91,7 @@
         self.net.run(self.net.now_ms + ms)
 
     def reported(self, state: MemberState, of: str, since_ms: float = 0.0) -> dict[str, float]:
-        """Who came to believe that first, and when."""
+        """The observers of that state, and when each had it first."""
         found: dict[str, float] = {}
         for who, event in self.events:
             if event.state is state and event.name == of and event.at_ms >= since_ms:
@@ -106,7 +106,7 @@
         }
 
     def has_one_view(self, dead: set[str] = frozenset()) -> bool:  # type: ignore[assignment]
-        """Whether everyone that runs believes what is so."""
+        """Whether each running process has the true state of all."""
         return all(
             set(peers.alive()) == set(self.names) - {name} - dead for name, peers in self.processes.items()
         )
--- a/packages/peers/tests/rig_peers.py
+++ b/packages/peers/tests/rig_peers.py
@@ -26,14 +26,14 @@
 
 
 def take_sent(peers: PeerProtocol, to: str) -> list[bytes]:
-    """What has gone out to one since it was last asked."""
+    """Take the datagrams that wait for `to`; drop the others."""
     found = [item.data for item in peers.datagrams if item.to == to]
     peers.datagrams.clear()
     return found
 
 
 def introduce(*processes: PeerProtocol, now: float = 0.0) -> None:
-    """Each has heard of the others' lives."""
+    """Let each know the others' incarnations."""
     for sender_process in processes:
         for other in processes:
             if sender_process is not other:
--- a/packages/peers/tests/test_peers_failure_detector.py
+++ b/packages/peers/tests/test_peers_failure_detector.py
@@ -22,7 +22,7 @@
 
 
 def test_a_ping_request_for_an_unlisted_target_is_answered_with_a_nack() -> None:
-    """The asker's own health goes by such answers."""
+    """The requester's local health depends on such answers."""
     a, b = new_process(A), new_process(B)
     introduce(a, b)
     b.replace_peers((A, C), 1.0)
--- a/packages/peers/tests/test_peers_fleet.py
+++ b/packages/peers/tests/test_peers_fleet.py
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_paused_process_reports_nobody_and_is_alive_again(seed: int) -> None:
-    """SIGSTOP and SIGCONT: what it had under way had run out meanwhile."""
+    """SIGSTOP and SIGCONT: its time-outs have run out meanwhile."""
     fleet = Fleet(seed)
     stopped = set(NAMES[:3])
     for length in (700.0, 2_500.0, 30_000.0):
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_slow_processes_lower_their_local_health_before_they_suspect_others(seed: int) -> None:
-    """Lifeguard: each datagram waits at a slow one for longer than a probe lasts."""
+    """Lifeguard: each datagram waits at a slow process for longer than a probe lasts."""
     fleet = Fleet(seed)
     fleet.run(10_000.0)
     slow = set(NAMES[:3])
@@ -121,7 +121,7 @@
 
 
 def test_an_idle_process_sends_as_much_in_a_fleet_of_any_size() -> None:
-    """Counted where the start's rumours are over."""
+    """Counted after the updates of the start."""
     sends = {}
     for number in (10, 60):
         fleet = Fleet(8, names=[f"127.0.1.{n}:1" for n in range(1, number + 1)])
--- a/packages/peers/tests/test_peers_fragmentation.py
+++ b/packages/peers/tests/test_peers_fragmentation.py
@@ -56,7 +56,7 @@
         len(reassembler) == Reassembler.MAX_ITEMS
         and reassembler.dropped == 40 * (Reassembler.MAX_ITEMS_PER_PEER + 4) - Reassembler.MAX_ITEMS
     )
-    assert reassembler.add_fragment("p39", 1, 3, 1, 2, b"", 0.0) is None  # given up: it begins anew
+    assert reassembler.add_fragment("p39", 1, 3, 1, 2, b"", 0.0) is None  # it was evicted: a new one begins
     assert reassembler.add_fragment("p39", 1, 19, 1, 2, b"y", 0.0) == b"x" * MAX_FRAGMENT_BYTES + b"y"
     with pytest.raises(ValueError):
         reassembler.add_fragment("p39", 1, 18, 0, 3, b"x" * MAX_FRAGMENT_BYTES, 0.0)  # another count
--- a/packages/peers/tests/test_peers_golden.py
+++ b/packages/peers/tests/test_peers_golden.py
@@ -61,7 +61,7 @@
 
 
 def exchange() -> list[tuple[str, bytes]]:
-    """Every datagram of three processes that probe, hand over items, suspect one that is silent, and leave."""
+    """Every datagram of three processes that probe, send items, suspect one that does not answer, and leave."""
     peers = processes()
     found: list[tuple[str, bytes]] = []
     silent = {C}
--- a/packages/peers/tests/test_peers_membership.py
+++ b/packages/peers/tests/test_peers_membership.py
@@ -15,7 +15,7 @@
 from larkweir_peers.protocol import PeerProtocol
 from rig_peers import KEY, A, B, C, D, introduce, new_process, take_sent
 
-# What is believed: (belief before, rumour, belief after). Incarnations are small here.
+# State before, update, state after. Incarnations are small here.
 S, T = MemberState, 5
 
 
@@ -27,8 +27,8 @@
     ((S.ALIVE, T), (S.DEAD, T - 1), (S.ALIVE, T)),
     ((S.ALIVE, T), (S.DEAD, T), (S.DEAD, T)),
     ((S.ALIVE, T), (S.LEFT, T), (S.LEFT, T)),
-    ((S.ALIVE, T), (S.SUSPECT, 0), (S.SUSPECT, T)),  # by one who never heard it: of the life that is known
-    ((S.ALIVE, T), (S.DEAD, 0), (S.ALIVE, T)),  # it may have been before that life
+    ((S.ALIVE, T), (S.SUSPECT, 0), (S.SUSPECT, T)),  # without an incarnation: of the known one
+    ((S.ALIVE, T), (S.DEAD, 0), (S.ALIVE, T)),  # it may be older than the known incarnation
     ((S.SUSPECT, T), (S.DEAD, 0), (S.SUSPECT, T)),
     ((S.SUSPECT, T), (S.ALIVE, T), (S.SUSPECT, T)),
     ((S.SUSPECT, T), (S.ALIVE, T + 1), (S.ALIVE, T + 1)),
@@ -81,7 +81,7 @@
     """Lifeguard's buddy."""
     a, b = new_process(A), new_process(B)
     introduce(a, b)
-    for name in (B, C, D):  # the last is the newest rumour
+    for name in (B, C, D):  # the last is the newest update
         a.membership.on_probe_failed(name, 0.0)
     a.sender.ping(B, 1.0)
     (data,) = take_sent(a, B)
@@ -94,17 +94,17 @@
     assert a.membership.members[B].state is S.ALIVE
     a.membership.on_update(MemberUpdate(pack_address(B), S.DEAD, b.membership.incarnation), 4.0)
     b.sender.ack(A, 1, 5.0)
-    a.on_datagram(B, take_sent(b, A)[0], 5.0)  # it speaks, and does not know
+    a.on_datagram(B, take_sent(b, A)[0], 5.0)  # it sends a message, and does not know its state
     assert len(take_sent(a, B)) == 1
     assert a.membership.members[B].state is S.DEAD and a.post(
         B, 1, b"all the same", 6.0
-    )  # no more than a belief
+    )  # membership is a hint
     b.on_datagram(A, take_sent(a, B)[-1], 6.0)
     assert [item.data for item in b.items] == [b"all the same"]
 
 
 def test_the_first_reporter_is_passed_on_whatever_the_hashes() -> None:
-    """So that a run of a seed can be had again under any PYTHONHASHSEED."""
+    """A run of a seed can be repeated under any PYTHONHASHSEED."""
     names = [f"127.0.0.{n}:7946" for n in range(1, 16)]
     a = PeerProtocol(names[0], tuple(names[1:]), Random(1), 0.0, 1, (KEY,))
     for at, who in enumerate(names[1:5]):
@@ -126,12 +126,12 @@
     assert a.membership.members[B].state is S.SUSPECT and a.health.score >= 1 and a.pauses == 1
     assert a.membership.due_ms > due + 55_000.0
     a.membership.on_update(MemberUpdate(pack_address(B), S.ALIVE, 1), due + 60_000.0)
-    assert a.membership.due_ms == float("inf")  # a time that is past would look like a standstill later
+    assert a.membership.due_ms == float("inf")  # a time in the past would look like a pause later
     a.membership.on_message_from(a.membership.members[C], T, 0.0)
     a.membership.on_update(MemberUpdate(pack_address(C), S.DEAD, 0), 0.0)
     assert MemberUpdate(pack_address(C), S.ALIVE, T) in [
         update.update for update in a.membership._updates._latest.values()
-    ]  # it is corrected
+    ]  # the known incarnation is spread
 
 
 def test_a_leaving_process_announces_it_and_refutes_nothing() -> None:
--- a/packages/peers/tests/test_peers_protocol.py
+++ b/packages/peers/tests/test_peers_protocol.py
@@ -88,7 +88,7 @@
     b.on_datagram(source, change(_signed(PING)), 0.0)
     assert {name: n for name, n in b.dropped.items() if n} == {cause: 1}
     assert not b.datagrams and not b.items and b.membership.counts_by_state()[MemberState.UNHEARD] == 3
-    b.on_datagram(A, _signed(PING), 0.0)  # the true one
+    b.on_datagram(A, _signed(PING), 0.0)  # the unmodified one
     assert b.membership.members[A].state is MemberState.ALIVE and len(take_sent(b, A)) == 1
 
 
@@ -119,7 +119,7 @@
     assert b.membership.members[A].incarnation == 2_000 << REFUTATION_BITS
     c = new_process(C)
     c.membership.on_update(MemberUpdate(pack_address(A), MemberState.ALIVE, 2_000 << REFUTATION_BITS), 0.0)
-    c.on_datagram(A, _signed(PING, C), 1.0)  # of the former life, and only a rumour has told of the new one
+    c.on_datagram(A, _signed(PING, C), 1.0)  # of the former process; the new one is known by an update only
     assert c.dropped["former_life"] == 1
 
 
@@ -163,7 +163,7 @@
 
 
 def test_fragments_of_two_processes_make_no_item() -> None:
-    """Each life counts its items from 1; what is left of the former one's must not end the later one's."""
+    """Each process numbers its items from 1; old fragments must not complete an item of a later process."""
     b = new_process(B)
     for process_start_ms, text, indices in ((1_000, b"o", (0,)), (2_000, b"n", (1, 0))):
         a = new_process(A, process_start_ms=process_start_ms)
--- a/packages/peers/tests/test_peers_replace_peers.py
+++ b/packages/peers/tests/test_peers_replace_peers.py
@@ -22,7 +22,8 @@
 S = MemberState
 
 
-def test_of_a_removed_peer_nothing_remains_and_the_others_are_unchanged() -> None:
+def with_state_of_b() -> tuple[PeerProtocol, PeerProtocol]:
+    """A and B, where A has items, fragments, datagrams, suspicions and a probe that concern B."""
     a, b, c = new_process(A, config=ProtocolConfig(suspicion_confirmations=2)), new_process(B), new_process(C)
     introduce(a, b, c)
     b.post(A, 1, b"whole", 0.0)
@@ -42,6 +43,11 @@
     )
     a._failure_detector.tick(a._failure_detector._next_probe_ms)
     assert a.items and a.datagrams and len(a._reassembler) and a.membership.counts_by_state()[S.SUSPECT] == 3
+    return a, b
+
+
+def test_of_a_removed_peer_nothing_remains_and_the_others_are_unchanged() -> None:
+    a, b = with_state_of_b()
     assert a.replace_peers((A, C, D), 1.0) == ([], [B])
     assert not a.items and not len(a._reassembler) and not a._reassembler._keys_by_peer
     assert all(item.to != B for item in a.datagrams) and not a.post(B, 1, b"", 1.0)
@@ -55,7 +61,7 @@
         assert B not in table
     assert pack_address(B) not in a.membership._updates and pack_address(B) not in a.membership._by_address
     state = {name: member.state for name, member in a.membership.members.items()}
-    assert state == {C: S.SUSPECT, D: S.UNHEARD}  # D was suspected by none but B
+    assert state == {C: S.SUSPECT, D: S.UNHEARD}  # only B had reported D
     assert a.membership.members[C].incarnation == 1_000 << REFUTATION_BITS
     assert a.membership.members[C].suspicion.reporters.keys() == {pack_address(D)}  # type: ignore[union-attr]
     for data in take_sent(b, A):
@@ -63,7 +69,9 @@
     a.membership.on_update(MemberUpdate(pack_address(D), S.SUSPECT, 0, pack_address(B)), 1.0)
     assert not a.items and a.membership.members[D].state is S.UNHEARD
     a.replace_peers((C,), 2.0)
-    assert a.membership.live_count == 2 and a.membership.members[C].state is S.ALIVE  # nor C now
+    assert (
+        a.membership.live_count == 2 and a.membership.members[C].state is S.ALIVE
+    )  # its last reporter is removed
     a.membership.on_update(MemberUpdate(pack_address(C), S.DEAD, 1_000 << REFUTATION_BITS), 2.0)
     assert a.membership.live_count == 1
     assert a.replace_peers((B,), 3.0) == ([B], [C])
@@ -117,7 +125,7 @@
         and a.membership.gone_count == 0
     )
     a.sender.ping(C, 9_001.0)
-    assert not a.membership._updates._heap  # what was to be told of them is passed over, once
+    assert not a.membership._updates._heap  # their entries were skipped
 
 
 @pytest.mark.parametrize(
@@ -139,7 +147,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_fleet_whose_lists_change_process_by_process(seed: int) -> None:
-    """Four go, for good, and four others come; for seconds the lists differ, a twentieth is lost."""
+    """Four are removed and four others added; for seconds the lists differ, a twentieth of the datagrams is lost."""
     fleet = Fleet(seed, lost=0.05, names=list(FLEET[:24]))
     fleet.run(10_000.0)
     fleet.names = FLEET[4:28]
@@ -156,7 +164,7 @@
     crashed = FLEET[25]
     fleet.kill(crashed)
     fleet.run(12_000.0)
-    assert len(fleet.reported(S.DEAD, crashed, at)) == 23  # who came is watched as the others are
+    assert len(fleet.reported(S.DEAD, crashed, at)) == 23  # added peers are probed like the others
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -167,7 +175,7 @@
         peers = fleet.processes[name]
         listed = random.sample(FLEET[:14], random.randrange(1, 14))
         peers.replace_peers(listed, fleet.net.now_ms)
-        fleet._out(name)  # as the hands do after each call
+        fleet._out(name)  # as the transport does after each call
         to = random.choice(FLEET[:14])
         fleet.post(name, to, random.randbytes(random.choice((3, 700))))
         fleet.run(random.choice((0.0, 30.0, 300.0)))
--- a/packages/peers/tests/test_peers_transport.py
+++ b/packages/peers/tests/test_peers_transport.py
@@ -35,7 +35,7 @@
 
 
 def free_names(number: int) -> list[str]:
-    """Loopback addresses that the system has just given."""
+    """Loopback addresses that were just free."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(number)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -46,7 +46,7 @@
 
 
 class Process:
-    """A process's socket, and all that it told."""
+    """A process's transport, with its log, events and items."""
 
     def __init__(self, name: str, names: list[str], listen: str = "") -> None:
         self.log: list[str] = []
@@ -76,13 +76,13 @@
 
 
 async def until(condition: Callable[[], object], awaited: str) -> None:
-    """Wait for what must become true."""
+    """Wait for a condition, 20 s at the most."""
     try:
         async with asyncio.timeout(20.0):
             while not condition():
                 await asyncio.sleep(0.005)
     except TimeoutError:
-        raise AssertionError(f"never came: {awaited}") from None
+        raise AssertionError(f"timed out: {awaited}") from None
 
 
 def have_contact(processes: list[Process]) -> Callable[[], bool]:
@@ -125,11 +125,11 @@
             dropped = processes[0].peers.dropped
             await until(lambda: dropped["stranger"] + dropped["too_long"] == 4, "all four counted")
             assert "stranger:3" in str(processes[0].socket.status_fields()["peers_dropped"])
-            processes[0].socket._handlers[1] = lambda source, item, now_ms: 1 / 0  # a part that fails
+            processes[0].socket._handlers[1] = lambda source, item, now_ms: 1 / 0  # a handler that raises
             processes[1].channel.post(names[0], b"bad")
-            await until(lambda: processes[0].socket.handler_errors == 1, "the part has failed")
+            await until(lambda: processes[0].socket.handler_errors == 1, "the handler has raised")
             processes[0].channel.post(names[1], b"good")
-            await until(lambda: processes[1].received == [(names[0], b"good")], "and the socket goes on")
+            await until(lambda: processes[1].received == [(names[0], b"good")], "the transport continues")
             processes[0].socket.post(names[1], 9, b"for no part")
             await until(
                 lambda: processes[1].peers.dropped["no_part"] == 1, "an item on a channel without a part"
@@ -146,15 +146,15 @@
         async with running(names, 3) as processes:
             await until(have_contact(processes), "all three know each other")
             processes[0].socket.close()
-            await until(lambda: processes[2].state(names[0]) is MemberState.LEFT, "the word that it leaves")
-            processes[1].socket.set_suspended(True)  # its socket is gone, and it says nothing
-            await until(lambda: processes[2].state(names[1]) is MemberState.DEAD, "that it is lost")
+            await until(lambda: processes[2].state(names[0]) is MemberState.LEFT, "its announcement")
+            processes[1].socket.set_suspended(True)  # its socket is closed without an announcement
+            await until(lambda: processes[2].state(names[1]) is MemberState.DEAD, "its death")
             assert [event.state for event in processes[2].events if event.name == names[1]][-2:] == [
                 MemberState.SUSPECT,
                 MemberState.DEAD,
             ]
             processes[1].socket.set_suspended(False)
-            await until(lambda: processes[2].state(names[1]) is MemberState.ALIVE, "that it is back")
+            await until(lambda: processes[2].state(names[1]) is MemberState.ALIVE, "its return")
 
     asyncio.run(run())
 
@@ -179,7 +179,7 @@
             await until(lambda: processes[1].received, "its item")
             assert processes[1].received == [(names[0], b"of the new life")]
             assert processes[1].peers.membership.members[names[0]].incarnation > before
-            processes[0].socket.close()  # says nothing: the name is the successor's
+            processes[0].socket.close()  # without an announcement: the address is the successor's
             assert processes[1].state(names[0]) is MemberState.ALIVE
             after.socket.close()
 
