--- a/standins/world/planted.py
+++ b/standins/world/planted.py
@@ -207,7 +207,7 @@
     def write_by_ms(self: Any) -> float:
         from larkweir_balancing.interface import Effect
 
-        return float("inf") if self.cls.effect is Effect.KEYED else float(real(self))
+        return float("inf") if self.request_class.effect is Effect.KEYED else float(real(self))
 
     return write_by_ms
 
