--- a/packages/balancing/src/larkweir_balancing/__init__.py
+++ b/packages/balancing/src/larkweir_balancing/__init__.py
@@ -2,7 +2,8 @@
 own.
 """
 
-from larkweir_balancing.interface import ContractError, Settings, SettingsError
+from larkweir_balancing.errors import ContractError, SettingsError
 from larkweir_balancing.policy import Balancer
+from larkweir_balancing.settings import Settings
 
 __all__ = ["Balancer", "ContractError", "Settings", "SettingsError"]
--- a/packages/balancing/src/larkweir_balancing/admission_queue.py
+++ b/packages/balancing/src/larkweir_balancing/admission_queue.py
@@ -7,7 +7,7 @@
 
 from collections import OrderedDict
 
-from larkweir_balancing.interface import Settings
+from larkweir_balancing.settings import Settings
 
 
 class AdmissionQueue:
--- a/packages/balancing/src/larkweir_balancing/caller_stats.py
+++ b/packages/balancing/src/larkweir_balancing/caller_stats.py
@@ -5,7 +5,8 @@
 import math
 from dataclasses import dataclass
 
-from larkweir_balancing.interface import RequestArrived, RequestClass, Settings
+from larkweir_balancing.events import RequestArrived
+from larkweir_balancing.settings import RequestClass, Settings
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
+++ b/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
@@ -13,7 +13,8 @@
 from enum import Enum
 from random import Random
 
-from larkweir_balancing.interface import Outcome, RequestClass, Settings
+from larkweir_balancing.outcomes import Outcome
+from larkweir_balancing.settings import RequestClass, Settings
 
 INCONCLUSIVE = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # of the servers' state
 
--- a/packages/balancing/src/larkweir_balancing/connections.py
+++ b/packages/balancing/src/larkweir_balancing/connections.py
@@ -4,9 +4,10 @@
 
 import math
 
-from larkweir_balancing.interface import Outcome, Settings
+from larkweir_balancing.outcomes import Outcome
 from larkweir_balancing.retry_safety import Attempt
 from larkweir_balancing.servers import SampleList, Server
+from larkweir_balancing.settings import Settings
 
 
 class ConnectionTracker:
--- a/packages/balancing/src/larkweir_balancing/load_probing.py
+++ b/packages/balancing/src/larkweir_balancing/load_probing.py
@@ -5,8 +5,10 @@
 import math
 from random import Random
 
-from larkweir_balancing.interface import Outcome, ProbeEnded, ReportMode, Settings
+from larkweir_balancing.events import ProbeEnded
+from larkweir_balancing.outcomes import Outcome
 from larkweir_balancing.retry_safety import Request
+from larkweir_balancing.settings import ReportMode, Settings
 
 SAMPLE_WEIGHT = 1.0 / 16.0  # weight of a new sample in the running means
 MAX_SAMPLES = 8  # tries to draw a server that legality and slow start let through
--- a/packages/balancing/src/larkweir_balancing/load_shedding.py
+++ b/packages/balancing/src/larkweir_balancing/load_shedding.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from larkweir_balancing.interface import RequestClass
+from larkweir_balancing.settings import RequestClass
 
 
 class LoadShedder:
--- a/packages/balancing/src/larkweir_balancing/outlier_ejection.py
+++ b/packages/balancing/src/larkweir_balancing/outlier_ejection.py
@@ -7,10 +7,11 @@
 
 from larkweir_balancing.caller_stats import CallerStats
 from larkweir_balancing.concurrency_limiter import INCONCLUSIVE, ConcurrencyLimiter
-from larkweir_balancing.interface import NEVER_RAN, Outcome, Settings
 from larkweir_balancing.load_probing import LoadProbing
+from larkweir_balancing.outcomes import NEVER_RAN, Outcome
 from larkweir_balancing.retry_safety import Attempt, Request
 from larkweir_balancing.servers import Server, ServerTable
+from larkweir_balancing.settings import Settings
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -12,43 +12,33 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
+from larkweir_balancing.actions import Action, CloseIdle, Fail, Probe, Refuse, Send, SetTimer, WatchList
 from larkweir_balancing.admission_queue import AdmissionQueue
 from larkweir_balancing.caller_stats import CallerStats
 from larkweir_balancing.concurrency_limiter import ConcurrencyLimiter, Verdict
 from larkweir_balancing.connections import ConnectionTracker
-from larkweir_balancing.interface import (
-    NEVER_RAN,
-    Action,
+from larkweir_balancing.errors import ContractError
+from larkweir_balancing.events import (
     AnswerStarted,
     AttemptEnded,
     ClientGone,
-    CloseIdle,
-    ContractError,
     Event,
-    Fail,
-    ListKind,
     ListUpdate,
-    Outcome,
     PeerHealthReport,
     PeerMessage,
-    Probe,
     ProbeEnded,
     Reconfigured,
-    Refuse,
     RequestArrived,
     RequestBodyReceived,
-    Send,
-    SetTimer,
-    Settings,
     TimerFired,
-    WatchList,
-    fixed_difference,
 )
 from larkweir_balancing.load_probing import LoadProbing
+from larkweir_balancing.outcomes import NEVER_RAN, ListKind, Outcome
 from larkweir_balancing.outlier_ejection import OutlierDetector
 from larkweir_balancing.retry_safety import Attempt, Request
 from larkweir_balancing.selection import ServerSelector
 from larkweir_balancing.servers import Server, ServerTable
+from larkweir_balancing.settings import Settings, fixed_difference
 from larkweir_balancing.slow_start import SlowStart
 
 if TYPE_CHECKING:
--- a/packages/balancing/src/larkweir_balancing/restored_trust.py
+++ b/packages/balancing/src/larkweir_balancing/restored_trust.py
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from larkweir_balancing.interface import Effect, Group, RequestClass
+from larkweir_balancing.settings import Effect, Group, RequestClass
 
 
 class ObservedEvidence(IntEnum):
--- a/packages/balancing/src/larkweir_balancing/retry_safety.py
+++ b/packages/balancing/src/larkweir_balancing/retry_safety.py
@@ -5,9 +5,11 @@
 import math
 from dataclasses import dataclass
 
-from larkweir_balancing.interface import NEVER_RAN, Effect, Group, Outcome, RequestArrived, Settings
+from larkweir_balancing.events import RequestArrived
+from larkweir_balancing.outcomes import NEVER_RAN, Outcome
 from larkweir_balancing.restored_trust import is_admitted
 from larkweir_balancing.servers import Server
+from larkweir_balancing.settings import Effect, Group, Settings
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/packages/balancing/src/larkweir_balancing/selection.py
+++ b/packages/balancing/src/larkweir_balancing/selection.py
@@ -7,11 +7,12 @@
 
 from larkweir_balancing.concurrency_limiter import INCONCLUSIVE
 from larkweir_balancing.connections import ConnectionTracker
-from larkweir_balancing.interface import NEVER_RAN, Effect, Outcome, Settings
 from larkweir_balancing.load_probing import MAX_SAMPLES, SAMPLE_WEIGHT, late_probability
+from larkweir_balancing.outcomes import NEVER_RAN, Outcome
 from larkweir_balancing.outlier_ejection import OutlierDetector
 from larkweir_balancing.retry_safety import Attempt, Request
 from larkweir_balancing.servers import SampleList, Server, ServerTable, sample
+from larkweir_balancing.settings import Effect, Settings
 from larkweir_balancing.slow_start import SlowStart
 
 
--- a/packages/balancing/src/larkweir_balancing/servers.py
+++ b/packages/balancing/src/larkweir_balancing/servers.py
@@ -7,8 +7,10 @@
 from heapq import heappop, heappush
 from random import Random
 
-from larkweir_balancing.interface import ListKind, ListUpdate, RequestClass, ServerState
+from larkweir_balancing.events import ListUpdate
+from larkweir_balancing.outcomes import ListKind, ServerState
 from larkweir_balancing.restored_trust import RestoredTrust, may_become_trusted
+from larkweir_balancing.settings import RequestClass
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/packages/balancing/src/larkweir_balancing/shared_health.py
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -13,8 +13,10 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from larkweir_balancing.actions import Action, Probe
 from larkweir_balancing.concurrency_limiter import INCONCLUSIVE
-from larkweir_balancing.interface import Action, Outcome, PeerHealthReport, Probe, ProbeEnded
+from larkweir_balancing.events import PeerHealthReport, ProbeEnded
+from larkweir_balancing.outcomes import Outcome
 from larkweir_balancing.outlier_ejection import OutlierDetector
 from larkweir_balancing.servers import Server
 
--- a/packages/balancing/src/larkweir_balancing/slow_start.py
+++ b/packages/balancing/src/larkweir_balancing/slow_start.py
@@ -4,8 +4,8 @@
 
 from random import Random
 
-from larkweir_balancing.interface import Settings
 from larkweir_balancing.servers import SampleList, Server, ServerTable
+from larkweir_balancing.settings import Settings
 
 
 class SlowStart:
--- a/packages/balancing/src/larkweir_balancing/token_list.py
+++ b/packages/balancing/src/larkweir_balancing/token_list.py
@@ -15,7 +15,8 @@
 from random import Random
 
 from larkweir_balancing.decision_options import OPTIONS
-from larkweir_balancing.interface import ListKind, ListUpdate, ServerEntry, ServerState
+from larkweir_balancing.events import ListUpdate, ServerEntry
+from larkweir_balancing.outcomes import ListKind, ServerState
 from larkweir_balancing.servers import SampleList, Server, ServerTable, sample
 
 MAX_AWAITING_FIRST_EVENT = 4  # own requests that wait for one, from which an engine is not believed idle
--- a/packages/balancing/src/larkweir_balancing/upstream_backoff.py
+++ b/packages/balancing/src/larkweir_balancing/upstream_backoff.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from larkweir_balancing.decision_options import OPTIONS
-from larkweir_balancing.interface import Outcome
+from larkweir_balancing.outcomes import Outcome
 from larkweir_balancing.servers import Server
 
 INITIAL_BACKOFF_MS = 250.0  # after a failed connection or call; doubles with each in a row
--- a/packages/balancing/src/larkweir_balancing/upstream_selection.py
+++ b/packages/balancing/src/larkweir_balancing/upstream_selection.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from larkweir_balancing.decision_options import OPTIONS
-from larkweir_balancing.interface import Outcome
+from larkweir_balancing.outcomes import Outcome
 from larkweir_balancing.prefill_backlog import PrefillBacklog
 from larkweir_balancing.prefill_time import PrefillTime
 from larkweir_balancing.prefix_locations import PrefixLocations
--- a/packages/balancing/src/larkweir_balancing/wire.py
+++ b/packages/balancing/src/larkweir_balancing/wire.py
@@ -9,44 +9,35 @@
 from struct import Struct, error
 from typing import Any
 
-from larkweir_balancing.interface import (
+from larkweir_balancing.actions import (
     Action,
-    AnswerStarted,
-    AttemptEnded,
     Cancel,
-    ClientGone,
     CloseIdle,
-    Effect,
-    Event,
     Fail,
     FetchList,
-    Group,
-    ListKind,
-    ListUpdate,
     Log,
-    Outcome,
-    PeerMessage,
     Probe,
-    ProbeEnded,
     Refuse,
-    ReportMode,
-    RequestArrived,
-    RequestClass,
     Send,
     SendToPeer,
-    ServerEntry,
-    ServerState,
     SetTimer,
-    Settings,
-    SettingsError,
-    Tenant,
-    TimerFired,
     WatchList,
 )
-
-
-class WireError(ValueError):
-    """A frame that does not follow the wire page."""
+from larkweir_balancing.errors import SettingsError, WireError
+from larkweir_balancing.events import (
+    AnswerStarted,
+    AttemptEnded,
+    ClientGone,
+    Event,
+    ListUpdate,
+    PeerMessage,
+    ProbeEnded,
+    RequestArrived,
+    ServerEntry,
+    TimerFired,
+)
+from larkweir_balancing.outcomes import ListKind, Outcome, ServerState
+from larkweir_balancing.settings import Effect, Group, ReportMode, RequestClass, Settings, Tenant
 
 
 @dataclass(slots=True)
--- a/packages/balancing/src/larkweir_balancing/wirehost.py
+++ b/packages/balancing/src/larkweir_balancing/wirehost.py
@@ -7,14 +7,13 @@
 import traceback
 from typing import BinaryIO
 
-from larkweir_balancing.interface import SettingsError
+from larkweir_balancing.errors import SettingsError, WireError
 from larkweir_balancing.policy import Balancer
 from larkweir_balancing.wire import (
     HEADER,
     Decoder,
     Destroy,
     Hello,
-    WireError,
     decode_settings,
     encode_action,
     encode_crash,
--- a/packages/balancing/tests/test_balancing_wire.py
+++ b/packages/balancing/tests/test_balancing_wire.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 import pytest
+from larkweir_balancing.errors import WireError
 from larkweir_balancing.interface import (
     Action,
     AnswerStarted,
@@ -40,7 +41,6 @@
     Decoder,
     Destroy,
     Hello,
-    WireError,
     decode_settings,
     encode_action,
     encode_crash,
