--- a/larkweir/config/platform.py
+++ b/larkweir/config/platform.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from larkweir_balancing.interface import Settings, SettingsError
-from larkweir_balancing.wire import decode_settings
+from larkweir_balancing.wire_settings import decode_settings
 
 Address = tuple[str, int]
 
--- a/packages/balancing/src/larkweir_balancing/wire.py
+++ b/packages/balancing/src/larkweir_balancing/wire.py
@@ -1,13 +1,10 @@
-"""Codec of the bench's frames: bytes to events and actions to bytes. It decides nothing."""
+"""Codec of the simulator's frames: bytes to events and actions to bytes. Pure logic."""
 
 from __future__ import annotations
 
-import json
-import math
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from struct import Struct, error
-from typing import Any
 
 from larkweir_balancing.actions import (
     Action,
@@ -23,7 +20,7 @@
     SetTimer,
     WatchList,
 )
-from larkweir_balancing.errors import SettingsError, WireError
+from larkweir_balancing.errors import WireError
 from larkweir_balancing.events import (
     AnswerStarted,
     AttemptEnded,
@@ -37,7 +34,6 @@
     TimerFired,
 )
 from larkweir_balancing.outcomes import ListKind, Outcome, ServerState
-from larkweir_balancing.settings import Effect, Group, ReportMode, RequestClass, Settings, Tenant
 
 
 @dataclass(slots=True)
@@ -89,108 +85,130 @@
 
 
 class Decoder:
-    """Reads batches; keeps the numbered lists, which serve the whole process and are replaced in event
-    order.
+    """Reads batches. It keeps the numbered server lists, which serve the whole process and are replaced in the order of
+    events.
     """
 
     def __init__(self) -> None:
+        """No list is known yet."""
         self._lists: dict[int, tuple[ServerEntry, ...]] = {}
+        self._readers: dict[int, Callable[[bytes, int], tuple[Record | None, int]]] = {
+            1: _read_timer,
+            2: _read_client_gone,
+            3: _read_peer_message,
+            4: self._read_update,
+            5: self._read_catalog,
+            6: _read_answer_started,
+            7: _read_destroy,
+            8: _read_attempt_ended,
+            9: _read_request,
+            10: _read_hello,
+            11: _read_probe_ended,
+        }
 
     def batch(self, frame: bytes, count: int) -> list[Record]:
-        """Decode the records that follow a batch header."""
+        """Decode the `count` records that follow a batch header; raises `WireError`."""
         try:
             return self._records(frame, count)
         except (error, IndexError) as problem:
             raise WireError(f"frame ends inside a record: {problem}") from problem
 
     def _records(self, frame: bytes, count: int) -> list[Record]:
-        out: list[Record] = []
+        records: list[Record] = []
         at = 0
         for _ in range(count):
             code = frame[at]
-            at += 1
-            if code == 8:
-                inst, txn, ended, spent, addr, port, trial, how, n = _ENDED.unpack_from(frame, at)
-                at += _ENDED.size
-                report = _FLOATS[n].unpack_from(frame, at) if n else ()
-                at += 4 * n
-                out.append(
-                    (
-                        inst,
-                        AttemptEnded(
-                            txn, trial, addr << 16 | port, _outcome(how), bool(ended), spent, report
-                        ),
-                    )
-                )
-            elif code == 11:
-                inst, addr, port, how, spent, n = _ECHO.unpack_from(frame, at)
-                at += _ECHO.size
-                report = _FLOATS[n].unpack_from(frame, at) if n else ()
-                at += 4 * n
-                out.append((inst, ProbeEnded(addr << 16 | port, _outcome(how), spent, report)))
-            elif code == 9:
-                inst, txn, klass, tenant, key, left, hint, flags = _REQUEST.unpack_from(frame, at)
-                at += _REQUEST.size
-                expected = hint if flags & 1 else None
-                out.append(
-                    (
-                        inst,
-                        RequestArrived(
-                            txn, klass, left, tenant, key, expected, bool(flags & 2), bool(flags & 4)
-                        ),
-                    )
-                )
-            elif code == 1:
-                inst, cookie = _TIMER.unpack_from(frame, at)
-                at += _TIMER.size
-                out.append((inst, TimerFired(cookie)))
-            elif code == 2:
-                inst, txn = _GONE.unpack_from(frame, at)
-                at += _GONE.size
-                out.append((inst, ClientGone(txn)))
-            elif code == 4:
-                inst, how, version, sheet = _UPDATE.unpack_from(frame, at)
-                at += _UPDATE.size
-                kind = LIST_KINDS.get(how)
-                if kind is None:
-                    raise WireError(f"update of unknown kind {how}")
-                if kind is ListKind.FAILED:
-                    out.append((inst, ListUpdate(kind, version)))
-                elif sheet in self._lists:
-                    out.append((inst, ListUpdate(kind, version, self._lists[sheet])))
-                else:
-                    raise WireError(f"update names list {sheet}, which no catalog has set up")
-            elif code == 5:
-                sheet, n = _CATALOG.unpack_from(frame, at)
-                at += _CATALOG.size
-                end = at + n * _ENTRY.size
-                if end > len(frame):
-                    raise WireError(f"catalog of {n} entries runs past the frame's end")
-                self._lists[sheet] = tuple(map(_entry, _ENTRY.iter_unpack(frame[at:end])))
-                at = end
-            elif code == 10:
-                inst, seed, n = _HELLO.unpack_from(frame, at)
-                at += _HELLO.size
-                out.append((inst, Hello(seed, _blob(frame, at, n))))
-                at += n
-            elif code == 7:
-                (inst,) = _U32.unpack_from(frame, at)
-                at += 4
-                out.append((inst, Destroy()))
-            elif code == 6:
-                inst, txn, trial, addr, port, spent = _OPENED.unpack_from(frame, at)
-                at += _OPENED.size
-                out.append((inst, AnswerStarted(txn, trial, addr << 16 | port, spent)))
-            elif code == 3:
-                inst, author, n = _PEER.unpack_from(frame, at)
-                at += _PEER.size
-                out.append((inst, PeerMessage(author, _blob(frame, at, n))))
-                at += n
-            else:
+            reader = self._readers.get(code)
+            if reader is None:
                 raise WireError(f"unknown event code {code}")
+            record, at = reader(frame, at + 1)
+            if record is not None:
+                records.append(record)
         if at != len(frame):
             raise WireError(f"{len(frame) - at} bytes left over after the last record")
-        return out
+        return records
+
+    def _read_update(self, frame: bytes, at: int) -> tuple[Record, int]:
+        inst, how, version, sheet = _UPDATE.unpack_from(frame, at)
+        kind = LIST_KINDS.get(how)
+        if kind is None:
+            raise WireError(f"update of unknown kind {how}")
+        if kind is ListKind.FAILED:
+            update = ListUpdate(kind, version)
+        elif sheet in self._lists:
+            update = ListUpdate(kind, version, self._lists[sheet])
+        else:
+            raise WireError(f"update names list {sheet}, which no catalog has set up")
+        return (inst, update), at + _UPDATE.size
+
+    def _read_catalog(self, frame: bytes, at: int) -> tuple[None, int]:
+        sheet, n = _CATALOG.unpack_from(frame, at)
+        at += _CATALOG.size
+        end = at + n * _ENTRY.size
+        if end > len(frame):
+            raise WireError(f"catalog of {n} entries runs past the frame's end")
+        self._lists[sheet] = tuple(map(_entry, _ENTRY.iter_unpack(frame[at:end])))
+        return None, end
+
+
+# Each takes a frame and where the record begins behind its code; returns it, with where the next one begins.
+
+
+def _read_timer(frame: bytes, at: int) -> tuple[Record, int]:
+    inst, cookie = _TIMER.unpack_from(frame, at)
+    return (inst, TimerFired(cookie)), at + _TIMER.size
+
+
+def _read_client_gone(frame: bytes, at: int) -> tuple[Record, int]:
+    inst, request = _GONE.unpack_from(frame, at)
+    return (inst, ClientGone(request)), at + _GONE.size
+
+
+def _read_peer_message(frame: bytes, at: int) -> tuple[Record, int]:
+    inst, sender, n = _PEER.unpack_from(frame, at)
+    at += _PEER.size
+    return (inst, PeerMessage(sender, _blob(frame, at, n))), at + n
+
+
+def _read_answer_started(frame: bytes, at: int) -> tuple[Record, int]:
+    inst, request, attempt, addr, port, spent_ms = _OPENED.unpack_from(frame, at)
+    return (inst, AnswerStarted(request, attempt, addr << 16 | port, spent_ms)), at + _OPENED.size
+
+
+def _read_destroy(frame: bytes, at: int) -> tuple[Record, int]:
+    (inst,) = _U32.unpack_from(frame, at)
+    return (inst, Destroy()), at + 4
+
+
+def _read_attempt_ended(frame: bytes, at: int) -> tuple[Record, int]:
+    inst, request, final, spent_ms, addr, port, attempt, how, n = _ENDED.unpack_from(frame, at)
+    at += _ENDED.size
+    report = _FLOATS[n].unpack_from(frame, at) if n else ()
+    server, outcome = addr << 16 | port, _outcome(how)
+    event = AttemptEnded(request, attempt, server, outcome, bool(final), spent_ms, report)
+    return (inst, event), at + 4 * n
+
+
+def _read_request(frame: bytes, at: int) -> tuple[Record, int]:
+    inst, request, class_index, tenant, key, left_ms, hint_ms, flags = _REQUEST.unpack_from(frame, at)
+    expected_ms = hint_ms if flags & 1 else None
+    event = RequestArrived(
+        request, class_index, left_ms, tenant, key, expected_ms, bool(flags & 2), bool(flags & 4)
+    )
+    return (inst, event), at + _REQUEST.size
+
+
+def _read_hello(frame: bytes, at: int) -> tuple[Record, int]:
+    inst, seed, n = _HELLO.unpack_from(frame, at)
+    at += _HELLO.size
+    return (inst, Hello(seed, _blob(frame, at, n))), at + n
+
+
+def _read_probe_ended(frame: bytes, at: int) -> tuple[Record, int]:
+    inst, addr, port, how, spent_ms, n = _ECHO.unpack_from(frame, at)
+    at += _ECHO.size
+    report = _FLOATS[n].unpack_from(frame, at) if n else ()
+    return (inst, ProbeEnded(addr << 16 | port, _outcome(how), spent_ms, report)), at + 4 * n
 
 
 def _blob(frame: bytes, at: int, n: int) -> bytes:
@@ -269,133 +287,3 @@
     """Frame the records of one reply."""
     body = b"".join(records)
     return _REPLY.pack(len(records), len(body) + _REPLY.size) + body
-
-
-# Settings: the JSON object of `hello`, by the wire's key names. Unknown keys are skipped.
-
-_EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
-_GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-_MODES = {"inline": ReportMode.INLINE, "on_probe": ReportMode.ON_PROBE, "off": ReportMode.OFF}
-_REPORT_FIELDS = {"busy_reqs": "running_and_waiting", "pending": "waiting"}  # others are not used
-_MISSING = object()
-
-
-class _Reader:
-    """Takes typed values out of one JSON object and names key and value when it can't."""
-
-    def __init__(self, data: Any, path: str) -> None:
-        if not isinstance(data, dict):
-            raise SettingsError(f"{path or 'settings'}: {data!r} is not an object")
-        self.data, self.path = data, path
-
-    def _get(self, key: str, default: Any) -> Any:
-        value = self.data.get(key)
-        if value is None:
-            if default is _MISSING:
-                raise SettingsError(f"{self.path}{key}: missing")
-            return default
-        return value
-
-    def num(self, key: str, default: Any = _MISSING, low: float = 0.0) -> float:
-        value = self._get(key, default)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < math.inf:
-            raise SettingsError(f"{self.path}{key}: {value!r} is not a finite number of at least {low:g}")
-        return float(value)
-
-    def whole(self, key: str, default: Any = _MISSING, low: int = 0) -> int:
-        value = self.num(key, default, low)
-        if value != int(value):
-            raise SettingsError(f"{self.path}{key}: {value!r} is not a whole number")
-        return int(value)
-
-    def flag(self, key: str, default: bool) -> bool:
-        value = self._get(key, default)
-        if not isinstance(value, bool):
-            raise SettingsError(f"{self.path}{key}: {value!r} is neither true nor false")
-        return value
-
-    def word(self, key: str, default: Any, words: dict[str, Any]) -> Any:
-        value = self._get(key, default)
-        if not isinstance(value, str) or value not in words:
-            raise SettingsError(f"{self.path}{key}: {value!r} is not one of {', '.join(words)}")
-        return words[value]
-
-    def items(self, key: str, default: Any = _MISSING) -> list[Any]:
-        value = self._get(key, default)
-        if not isinstance(value, list):
-            raise SettingsError(f"{self.path}{key}: {value!r} is not a list")
-        return value
-
-    def sub(self, key: str) -> _Reader:
-        return _Reader(self._get(key, {}), f"{self.path}{key}.")
-
-
-def decode_settings(facts: bytes) -> Settings:
-    """Turn the settings text of `hello` into `Settings`; raises SettingsError naming key and value."""
-    try:
-        top = _Reader(json.loads(facts), "")
-    except (ValueError, RecursionError) as problem:
-        raise SettingsError(f"settings: not JSON: {problem}") from problem
-    limits, rules = top.sub("PolicyLimits"), top.sub("Guarantees")
-    prices, stats = top.sub("Deductions"), top.sub("Stats")
-    return Settings(
-        classes=tuple(
-            _request_class(_Reader(item, f"Categories[{n}]."))
-            for n, item in enumerate(top.items("Categories"))
-        ),
-        tenants=tuple(
-            _tenant(_Reader(item, f"Tenants[{n}].")) for n, item in enumerate(top.items("Tenants", []))
-        ),
-        zones=max(1, len(top.items("Zones", []))),
-        my_zone=top.whole("MyZone", 0),
-        me=top.whole("Me", 0),
-        copies=top.whole("PeersTotal", 1, low=1),
-        tier=top.whole("Tier", 0),
-        tiers=max(1, len(top.items("Tiers", []))),
-        tick_ms=top.num("TickMs", 1.0, low=0.001),
-        on_request_discovery=top.word("Discovery", "pushed", {"pushed": False, "on_request": True}),
-        ask_within_ms=rules.num("AskWithinMs", 10_000.0),
-        answer_slack_ms=rules.num("AnswerSlackMs", 0.0),
-        cold_share=rules.num("ColdShare", 0.1),
-        cold_ms=rules.num("ColdMs", 30_000.0),
-        fall_multiple=rules.num("FallMultiple", 2.0, low=0.001),
-        fall_ms=rules.num("FallMs", 2_000.0, low=0.001),
-        max_attempts=limits.whole("SendCap", 1, low=1),
-        may_cancel=limits.flag("MayCancel", False),
-        may_probe=limits.flag("MayProbe", False),
-        second_copies=limits.flag("SecondCopies", False),
-        conn_idle_ms=limits.num("ConnIdleMs", 60_000.0),
-        connect_timeout_ms=limits.num("ConnectTimeoutMs", 250.0),
-        retry_advice=limits.flag("RetryAfter", False),
-        max_retry_after_ms=limits.num("MaxRetryAfterMs", 0.0),
-        marks_retry=top.sub("Clients").flag("MarksRetry", False),
-        passes_deadline=top.sub("FamilyInfo").flag("PassesDeadline", False),
-        report_mode=stats.word("How", "off", _MODES),
-        report_fields=tuple(_REPORT_FIELDS.get(str(item), "") for item in stats.items("Fields", [])),
-        over_share_worth=top.num("OverShareWorth", 1.0),
-        price_cross_zone=prices.num("CrossZone", 0.0),
-        price_probe=prices.num("Probe", 0.0),
-        price_waste=prices.num("Waste", 0.0),
-        price_late_fail=prices.num("LateFail", 0.0),
-    )
-
-
-def _request_class(at: _Reader) -> RequestClass:
-    effect = at.word("Effect", _MISSING, _EFFECTS)
-    keyed = effect is Effect.KEYED
-    return RequestClass(
-        aim_ms=at.num("AimMs", low=0.001),
-        deadline_ms=at.num("HardLimitMs", low=0.001),
-        effect=effect,
-        worth=at.num("Worth", 1.0),
-        late_worth=at.num("LateWorth", 0.0),
-        group=at.word("Group", _MISSING, _GROUPS) if keyed else Group.ALL,
-        memory_ms=at.num("MemorySpanMs") if keyed else 0.0,
-        streaming=at.flag("Streaming", False),
-        aim_stretch=at.num("AimStretch", 0.0),
-        name=str(at.data.get("Name", "")),
-    )
-
-
-def _tenant(at: _Reader) -> Tenant:
-    return Tenant(at.num("QuotaPerS"), at.num("Fraction", 0.0), str(at.data.get("Name", "")))
--- a/packages/balancing/src/larkweir_balancing/wirehost.py
+++ b/packages/balancing/src/larkweir_balancing/wirehost.py
@@ -14,11 +14,11 @@
     Decoder,
     Destroy,
     Hello,
-    decode_settings,
     encode_action,
     encode_crash,
 )
 from larkweir_balancing.wire import encode_reply as frame_reply
+from larkweir_balancing.wire_settings import decode_settings
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/packages/balancing/tests/test_balancing_wire.py
+++ b/packages/balancing/tests/test_balancing_wire.py
@@ -41,11 +41,11 @@
     Decoder,
     Destroy,
     Hello,
-    decode_settings,
     encode_action,
     encode_crash,
     encode_reply,
 )
+from larkweir_balancing.wire_settings import decode_settings
 from larkweir_balancing.wirehost import serve
 
 A, B = 0x0A124A07_2BC3, 0x0A9011F2_2BEC
--- a/tests/balancing/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -59,7 +59,8 @@
 from larkweir_balancing.shared_health import SharedHealth
 from larkweir_balancing.token_list import UpstreamStatus
 from larkweir_balancing.upstream_selection import UpstreamSelector
-from larkweir_balancing.wire import decode_settings, encode_action
+from larkweir_balancing.wire import encode_action
+from larkweir_balancing.wire_settings import decode_settings
 from larkweir_balancing.wirehost import serve
 
 CLASSES = [
