--- a/packages/balancing/src/larkweir_balancing/__init__.py
+++ b/packages/balancing/src/larkweir_balancing/__init__.py
@@ -1,6 +1,4 @@
-"""larkweir_balancing: load-balancing decisions for services that call services, without any input or output of its
-own.
-"""
+"""Load-balancing decisions for services that call services, without any I/O of its own."""
 
 from larkweir_balancing.errors import ContractError, SettingsError
 from larkweir_balancing.policy import Balancer
--- a/packages/balancing/src/larkweir_balancing/caller_stats.py
+++ b/packages/balancing/src/larkweir_balancing/caller_stats.py
@@ -1,4 +1,4 @@
-"""Rules: what is known of those who ask: how often they come, how long they wait, and who asks for too much."""
+"""Statistics of the callers: how often they send, how long they wait, and who is over its share. Pure logic."""
 
 from __future__ import annotations
 
--- a/packages/balancing/src/larkweir_balancing/connections.py
+++ b/packages/balancing/src/larkweir_balancing/connections.py
@@ -1,4 +1,4 @@
-"""Rules: the connections to the servers, as far as they tell where to send."""
+"""The connections to the servers, as far as the selection of a server depends on them. Pure logic."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ConnectionTracker:
-    """How long an idle connection is trusted, and whether a new one is dear.
+    """How long an idle connection is trusted, and whether a new one is expensive.
 
     Guards against connections that are dropped unseen while they lie idle: what is sent on one is lost, and
     an unsafe call can't be repeated. A loss on an idle connection halves the trusted time; a call that goes
--- a/packages/balancing/src/larkweir_balancing/load_probing.py
+++ b/packages/balancing/src/larkweir_balancing/load_probing.py
@@ -1,4 +1,4 @@
-"""Rules: whether a server that was drawn is asked first how busy it is, and what the reports tell."""
+"""Whether a selected server is probed for its load first, and what the load reports say. Pure logic."""
 
 from __future__ import annotations
 
--- a/packages/balancing/src/larkweir_balancing/load_shedding.py
+++ b/packages/balancing/src/larkweir_balancing/load_shedding.py
@@ -1,12 +1,11 @@
-"""Rules: what is turned away at the door, when this process itself is what requests wait for.
-
-The window of `concurrency_limiter` limits what the upstreams are given. It can't help where the core that this
-process runs on is the limit: then every request waits here, whoever is asked, and one that is refused after it has
-been read, weighed and queued has cost nearly as much as one that is served. The sign is the length of a turn of the
-event loop, which handles all that has come since the last one: below the limit turns are as long as the work that is
-there, and above it each is longer than the one before, until requests are late before they are read.
-
-Nothing here does input or output or reads a clock. Times are milliseconds.
+"""Load shedding before a request is parsed, when this process itself is the bottleneck. Pure logic.
+
+The window of `concurrency_limiter` limits what the upstreams are given. It does not help where the core that this
+process runs on is the limit: then every request waits here, and one that is rejected after it has been parsed and
+queued has cost nearly as much as one that is served. The sign is the length of an iteration of the event loop,
+which handles all that was received since the last one: below the limit iterations are as long as the work at hand,
+and above it each is longer than the one before, until requests are late before they are read. Times are
+milliseconds.
 """
 
 from __future__ import annotations
--- a/packages/balancing/src/larkweir_balancing/outlier_ejection.py
+++ b/packages/balancing/src/larkweir_balancing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Rules: what the ends of calls tell of a server: whether it is left out for a while, and how often it is visited."""
+"""Outlier ejection by one balancer, from the outcomes of its own requests, and pacing of slow servers. Pure logic."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class OutlierDetector:
-    """Outlier ejection, and the pace of visits to slow servers: both keep tokens back."""
+    """Outlier ejection, and the pacing of requests to slow servers: both withhold tokens."""
 
     SAMPLE_WEIGHT = 1.0 / 32.0  # weight of a new sample in the running means
     SLOWNESS_SAMPLE_WEIGHT = 0.25
--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -1,4 +1,4 @@
-"""Rules: every decision of larkweir_balancing. The types it takes and gives are in `larkweir_balancing/interface.py`.
+"""The `Balancer`: takes events and returns actions (`interface`). Pure logic.
 
 The ordinary path is PULL (Stolyar), single-token form: a call goes to a server drawn uniformly from the token
 holders, that is, the ready servers with none of this copy's calls outstanding; if no server holds a token, to
--- a/packages/balancing/src/larkweir_balancing/restored_trust.py
+++ b/packages/balancing/src/larkweir_balancing/restored_trust.py
@@ -1,10 +1,9 @@
-"""What may go to a server that is only remembered: a list held over from before says it was there, and nobody has
-said so since.
+"""What may be sent to a server that is only restored from disk: discovery has not listed it since this process started.
 
-Three things are told apart. How likely it is that the server is still there (`trust`); what has been seen of it in this
-life (`seen`); and whether it has shown what it is (`belongs`, `placed`), since an address may by now be another's. A
-safe request to a stranger costs an attempt. One with an effect would do its work at the wrong place: it goes only to a
-server that has shown itself. Servers that discovery vouches for have no `Proof`.
+Three things are kept apart: how likely it is that the server is still there (`confidence`); what has been observed of it
+since the start (`evidence`); and whether it has shown what it is (`is_verified`, `has_location`), since an address may
+belong to another server by now. A safe request to an unverified server costs an attempt. One with an effect would do its
+work at the wrong place: it is sent only to a verified one. Servers that discovery lists have no `RestoredTrust`.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class ObservedEvidence(IntEnum):
-    """What has been seen of a remembered server in this life; a later one includes those before it."""
+    """What has been observed of a restored server by this process; a later member includes those before it."""
 
     NOTHING = 0
     PROBE = 1  # it has answered a probe
@@ -24,11 +23,13 @@
 
 
 class RestoredTrust(NamedTuple):
-    confidence: float  # 0 to 1: the odds that it is still there
+    """What is known of a restored server."""
+
+    confidence: float  # 0 to 1: the probability that it is still there
     evidence: ObservedEvidence = ObservedEvidence.NOTHING
-    is_verified: bool = False  # it has shown that it is the one that the list means
+    is_verified: bool = False  # it has shown that it is the listed one
     has_location: bool = False  # and in which zone and cell it is
-    probe_pending: bool = False  # a probe of it is out or due: more may be known in a moment
+    probe_pending: bool = False  # a probe of it is in flight or due
 
 
 MIN_CONFIDENCE = 0.1  # under which a server is not used at all
@@ -54,9 +55,7 @@
     if not trust.is_verified or trust.evidence is ObservedEvidence.NOTHING:
         return False
     if cls.effect is Effect.KEYED and cls.group is not Group.ALL:
-        return (
-            trust.has_location
-        )  # its repeats are dropped inside a zone or cell: which one must not be a guess
+        return trust.has_location  # its repeats are dropped inside a zone or cell, which must not be a guess
     return True
 
 
--- a/packages/balancing/src/larkweir_balancing/retry_safety.py
+++ b/packages/balancing/src/larkweir_balancing/retry_safety.py
@@ -1,4 +1,4 @@
-"""Rules: what may be sent where, and again; and what is known of a request and its attempts, by which that is told."""
+"""What may be sent where, and sent again, by what is known of a request and its attempts. Pure logic."""
 
 from __future__ import annotations
 
--- a/packages/balancing/src/larkweir_balancing/selection.py
+++ b/packages/balancing/src/larkweir_balancing/selection.py
@@ -1,4 +1,4 @@
-"""Rules: which server a request is drawn."""
+"""Which server a request is sent to. Pure logic."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ServerSelector:
-    """Draws from the token holders, at home first where crossing to another zone costs."""
+    """Samples the token holders, those of the own zone first where crossing to another one costs."""
 
     NEVER_RAN_COST = 0.5  # of the aim: what a call that never ran has cost
     HOME_WORSE_FACTOR = 1.5  # times the cost elsewhere, from which home does worse
--- a/packages/balancing/src/larkweir_balancing/servers.py
+++ b/packages/balancing/src/larkweir_balancing/servers.py
@@ -1,4 +1,4 @@
-"""Rules: the servers that this copy knows, and the lists that they are drawn from."""
+"""The servers that this balancer knows, and the lists that they are sampled from. Pure logic."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Server:
-    """What this copy knows of one server."""
+    """What this balancer knows of one server."""
 
     id: int
     zone: int
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class SampleList:
-    """Servers to draw from: an array and an index into it, so adding, removing and drawing are O(1)."""
+    """Servers to sample from: an array and an index into it, so adding, removing and sampling are O(1)."""
 
     items: list[Server] = field(default_factory=list)
     positions: dict[int, int] = field(default_factory=dict)
@@ -76,7 +76,7 @@
 
 
 class ServerTable:
-    """The list as discovery told it, with the ready servers and the token holders of each zone."""
+    """The servers as discovery lists them, with the ready ones and the token holders of each zone."""
 
     MAX_IN_FLIGHT_LEVEL = 64  # servers with more own calls than this are not told apart
 
--- a/packages/balancing/src/larkweir_balancing/shared_health.py
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -1,9 +1,9 @@
-"""Rules: what other copies have found of servers that are left out here, and what it is worth by its age.
+"""Health findings of other replicas about servers that this balancer has ejected, weighed by their age. Pure logic.
 
-Hearsay never puts a server out, and never sends: it moves the time at which a server that this copy itself has left out
-is tried again, later or sooner, within bounds that this copy's own knowledge sets. What it brings back is drawn under
-the same rules as ever: its own list must name it, slow start counts, a silent one gets what may be repeated first. A
-probe goes out only for a copy's turn, only where the settings allow probes, and only to a server that takes requests.
+A report never ejects a server and never sends a request: it moves the time at which a server that this balancer itself has
+ejected is tried again, later or sooner, within bounds that its own knowledge sets. A server that is restored is selected
+under the usual rules: discovery must list it, slow start counts, and an unresponsive one gets requests that may be repeated
+first. A probe is sent only on this replica's turn, only where the settings allow probes, and only to a ready server.
 """
 
 from __future__ import annotations
@@ -20,24 +20,25 @@
 from larkweir_balancing.outlier_ejection import OutlierDetector
 from larkweir_balancing.servers import Server
 
-MAX_SERVERS = 256  # servers; of further ones nothing is heard
-REPORT_LIFETIME_MS = 12_000.0  # from this age on hearsay counts for nothing
-MAX_HOLD_MS = 6_000.0  # that a new bad word keeps a server out; with the trust in it, it shrinks evenly
-# Over which copies bring back what was found well: a wrong word costs the first few, and one that has just started is
-# spared until the list tells of that.
+MAX_SERVERS = 256  # reports of further ones are ignored
+REPORT_LIFETIME_MS = 12_000.0  # from this age on a report is ignored
+MAX_HOLD_MS = 6_000.0  # for which a new report keeps an unhealthy server ejected; less with its age
+# Over which the replicas restore a server that was found healthy: a wrong report costs the first few only, and a server
+# that has just started is spared until discovery lists its start.
 RESTORE_SPREAD_MS = 3_000.0
-RECHECK_INTERVAL_MS = 2_000.0  # from look to look, by the copy whose turn it is
-PROBE_TIMEOUT_MS = 3_000.0  # a probe that has not ended by then is not waited for
+RECHECK_INTERVAL_MS = 2_000.0  # between two checks, by the replica whose turn it is
+PROBE_TIMEOUT_MS = 3_000.0  # after which a probe is no longer waited for
 
 
 def report_confidence(age_ms: float) -> float:
-    """Of a word of this age, from 1 down to 0; what comes from ahead of time is new."""
+    """Of a report of this age, from 1 down to 0; a negative age counts as new."""
     return max(0.0, 1.0 - max(0.0, age_ms) / REPORT_LIFETIME_MS)
 
 
 class LocalHealth(NamedTuple):
-    """What this copy knows of a server by itself. `out`: it has left it out because calls came to nothing there, and
-    has served nothing there since. One that is slow, and no more than that, is each copy's own matter.
+    """What this replica has found of a server by itself. `is_ejected`: requests failed there and none has succeeded since.
+
+    A server that is only slow is not reported.
     """
 
     server: int
@@ -62,7 +63,7 @@
 
 
 class SharedHealth:
-    """One copy's. It knows the servers that `judge` has left out, and says until when."""
+    """One replica's: it follows the servers that its detector has ejected, and says until when."""
 
     def __init__(self, judge: OutlierDetector) -> None:
         self._detector = judge
@@ -72,7 +73,7 @@
     # ------------------------------------------------ what this copy finds
 
     def on_attempt_end(self, server: Server, outcome: Outcome, now_ms: float) -> None:
-        """A call has ended, and the judge has looked at it."""
+        """A request has ended, and the detector has recorded it."""
         fails = bool(server.ejections) and outcome is not Outcome.OK
         known = self._track(server, now_ms) if fails else self._servers.get(server.id)
         if known is None or known.server is not server or outcome in INCONCLUSIVE:
@@ -87,7 +88,7 @@
         known.restored_on_report = False
 
     def on_probe_end(self, event: ProbeEnded, now_ms: float) -> bool:
-        """A probe has ended; whether it was asked for here."""
+        """A probe has ended; returns whether it was sent by this class."""
         known = self._servers.get(event.server)
         if known is None or not known.probe_in_flight:
             return False
@@ -98,7 +99,7 @@
         return True
 
     def local_health(self, now_ms: float) -> Iterator[LocalHealth]:
-        """Of each server that is left out, or was until a moment ago."""
+        """Of each server that is ejected, or was until recently."""
         for number, known in list(self._servers.items()):
             over = (
                 known.is_healthy is True
@@ -126,7 +127,7 @@
     # ------------------------------------------------ what others have found
 
     def on_peer_report(self, event: PeerHealthReport, now_ms: float, out: list[Action]) -> None:
-        """Nothing of a server that the list doesn't name, that drains, or that has not been left out here."""
+        """Another replica reports; ignored for a server that is not listed, that drains, or that is not ejected here."""
         server = self._detector.table.servers.get(event.server)
         if server is None or not server.ready or not server.ejections:
             return
@@ -162,7 +163,7 @@
             self._restore(server, now_ms + RESTORE_SPREAD_MS * self._detector.rng.random(), now_ms)
 
     def _extend_ejection(self, server: Server, until_ms: float, now_ms: float) -> None:
-        """Within the judge's own bound of how many are ejected at once."""
+        """Within the detector's own bound of how many are ejected at once."""
         fleet = self._detector.table
         if server not in fleet.ejected:
             if len(fleet.ejected) >= self._detector.settings.tuning.eject_most * fleet.ready_count:
@@ -178,7 +179,7 @@
             self._detector.table.withhold_token(server, at_ms)
 
     def _recheck(self, known: _ServerHealth, now_ms: float, out: list[Action]) -> None:
-        """This copy's turn: a probe; where none is allowed, or probes tell nothing, the next call drawn there."""
+        """This replica's turn: a probe; where none is allowed, or probes tell nothing, the next request selected there."""
         server = known.server
         if now_ms - max(known.probed_ms, known.found_ms) < RECHECK_INTERVAL_MS:
             return
--- a/packages/balancing/src/larkweir_balancing/slow_start.py
+++ b/packages/balancing/src/larkweir_balancing/slow_start.py
@@ -1,4 +1,4 @@
-"""Rules: what a server that has just started may be sent."""
+"""Slow start: how many requests a server that has just started may be sent. Pure logic."""
 
 from __future__ import annotations
 
