--- a/tests/router/router_model.py
+++ b/tests/router/router_model.py
@@ -29,7 +29,7 @@
 REPEATABLE = frozenset(("safe", "resumable"))
 STREAMS = frozenset(("stream", "resumable"))
 EVENTS = 3  # of a stream
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 SIGNATURE = "x-server-signature"
 
 
@@ -73,8 +73,8 @@
     def deliver_eof(self) -> None:
         """The other side has closed in order."""
         if not self._closing:
-            keep = self._protocol.eof_received()
-            if not keep:
+            stays_open = self._protocol.eof_received()
+            if not stays_open:
                 self.end(None)
 
     def pause_reading(self) -> None: ...
@@ -99,7 +99,7 @@
     number: int  # the how-manieth run of this id
     after: int  # the event behind which it goes on
     executed: bool = True
-    whole: bool = False  # the upstream has answered all of it
+    complete: bool = False  # the upstream has answered all of it
 
     def body(self) -> bytes:
         """Unlike that of any other run."""
@@ -114,7 +114,7 @@
 
     def __init__(self, model: RouterModel, connection: UpstreamConnection) -> None:
         self.model = model
-        self.transport = FakeTransport(self._came, connection)
+        self.transport = FakeTransport(self._on_data, connection)
         self._h11 = h11.Connection(h11.SERVER)
         self.run: Run | None = None  # that is to be answered
         self.last_answer = b""
@@ -128,11 +128,11 @@
         return not self.transport.is_closing() and not self.ended
 
     @property
-    def may_say_more(self) -> bool:
+    def may_send_more(self) -> bool:
         """Whether bytes that belong to no answer can be told from one."""
         return self.is_open and not self.unsent and not self.is_unframed
 
-    def _came(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         self._h11.receive_data(data)
         while True:
             event = self._h11.next_event()
@@ -147,19 +147,19 @@
             elif not isinstance(event, h11.Data):
                 return
 
-    def begin(self, answer: bytes, whole: bool = True, executed: bool = True) -> None:
+    def begin(self, answer: bytes, complete: bool = True, executed: bool = True) -> None:
         """Prepares an answer to the request that waits; `send` passes it on."""
         assert self.run is not None
         self.run.executed = executed
         self.unsent, self.last_answer = answer, answer
-        self.is_unframed = not whole
+        self.is_unframed = not complete
 
     def send(self, count: int) -> None:
         """So many bytes of the answer, all of them where there are no more."""
         data, self.unsent = self.unsent[:count], self.unsent[count:]
         run = self.run
         if not self.unsent and run is not None and not self.is_unframed:
-            run.whole = True
+            run.complete = True
             self.run = None
         self.transport.deliver(data)
 
@@ -185,7 +185,7 @@
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     ended: bool = False
 
 
@@ -194,7 +194,7 @@
 
     def __init__(self, model: RouterModel) -> None:
         connection = ClientConnection(model.plane)
-        self.transport = FakeTransport(self._came, connection)
+        self.transport = FakeTransport(self._on_data, connection)
         self._h11 = h11.Connection(h11.CLIENT)
         self._at: Sent | None = None
         self.waiting: list[Sent] = []
@@ -215,7 +215,7 @@
         data, self.unread = self.unread[:count], self.unread[count:]
         self.transport.deliver(data)
 
-    def _came(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         if self._at is None:
             self._next_answer()
         self._h11.receive_data(data)
@@ -230,7 +230,7 @@
                 self._at.body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 assert self._at is not None
-                self._at.whole = self._at.ended = True
+                self._at.complete = self._at.ended = True
                 self._at = None
                 if self._h11.their_state is not h11.DONE or self._h11.our_state is not h11.DONE:
                     return
@@ -311,13 +311,13 @@
         return run
 
     def check(self) -> None:
-        """Right caller, at most once, no false promise, nothing torn that seems whole."""
+        """Right caller, at most once, no false promise, nothing torn that seems complete."""
         for id_, sent in self.sent.items():
             runs = self.runs.get(id_, [])
             executed = [run for run in runs if run.executed]
             if sent.kind not in REPEATABLE:
                 assert len(executed) <= 1, f"{id_} ran {len(executed)} times"
-                if sent.ended and sent.status in PROMISES:
+                if sent.ended and sent.status in NOT_EXECUTED_STATUSES:
                     assert not executed, f"{id_} was answered {sent.status} and ran"
             if 200 <= sent.status < 300:
                 assert SIGNATURE in sent.headers, f"{id_}: a success of the router's own"
@@ -326,21 +326,23 @@
     def _check_success(self, sent: Sent, runs: list[Run]) -> None:
         if sent.kind in STREAMS:
             numbers = range(1, EVENTS + 1)
-            whole = b"".join(f"id: {n}\ndata: {sent.id} {n}\n\n".encode() for n in numbers)
-            assert whole.startswith(
+            complete = b"".join(f"id: {n}\ndata: {sent.id} {n}\n\n".encode() for n in numbers)
+            assert complete.startswith(
                 sent.body
             ), f"{sent.id}: events of another, twice, or left out: {sent.body!r}"
-            assert not sent.whole or sent.body == whole, f"{sent.id}: ends as whole before its last event"
+            assert (
+                not sent.complete or sent.body == complete
+            ), f"{sent.id}: ends as complete before its last event"
         else:
             bodies = [run.body() for run in runs]
             assert any(
                 body.startswith(sent.body) for body in bodies
             ), f"{sent.id}: {sent.body!r} is not its own"
-            assert not sent.whole or any(run.whole and run.body() == sent.body for run in runs)
+            assert not sent.complete or any(run.complete and run.body() == sent.body for run in runs)
 
 
 def answer_of(run: Run, *, framed: bool = True, echo: bool = True, status: int = 200, **more: str) -> bytes:
-    """A whole answer to that run."""
+    """A complete answer to that run."""
     headers = {"X-Server-Signature": run.body().decode(), **more}
     if echo:
         headers["X-Request-Id"] = run.id
@@ -395,7 +397,7 @@
         return client
 
     def request(self, client: FakeClient, kind: str, body: bytes = b"") -> Sent:
-        """One more request on that connection, whole."""
+        """One more request on that connection, complete."""
         sent = Sent(f"r{len(self.model.sent)}", kind)
         self.model.sent[sent.id] = sent
         client.queue(sent, body)
--- a/tests/router/test_attempt.py
+++ b/tests/router/test_attempt.py
@@ -38,7 +38,7 @@
     made.close()
 
 
-def told(play: Play) -> dict[str, OutcomeCounts]:
+def reported(play: Play) -> dict[str, OutcomeCounts]:
     return play.do(lambda: play.model.plane.outcomes.failing_upstreams(play.loop.time() * 1000.0))
 
 
@@ -57,29 +57,29 @@
     assert not silent.is_open
     (other,) = play.waiting()
     play.answer(other)
-    assert sent.whole
+    assert sent.complete
     assert sent.status == 200
     assert len(play.model.runs[sent.id]) == 2
-    assert told(play) == {instance: OutcomeCounts(succeeded=0, failed=1)}
+    assert reported(play) == {instance: OutcomeCounts(succeeded=0, failed=1)}
     play.model.check()
 
 
 @pytest.mark.parametrize("kind", sorted(set(KINDS) - REPEATABLE))
-def test_a_silent_call_that_may_have_run_is_waited_for_and_told(kind: str, play: Play) -> None:
+def test_a_silent_call_that_may_have_run_is_waited_for_and_reported(kind: str, play: Play) -> None:
     sent = play.request(play.client(), kind)
     (silent,) = play.waiting()
     instance = instance_of(play, silent)
     overdue(play)
     play.answer(silent)
-    assert sent.whole
+    assert sent.complete
     assert len(play.model.runs[sent.id]) == 1
-    assert told(play) == {
+    assert reported(play) == {
         instance: OutcomeCounts(succeeded=0, failed=1)
     }, "counted once, though it ended well later"
     play.model.check()
 
 
-def test_a_stream_whose_head_alone_has_come_goes_on_elsewhere(play: Play) -> None:
+def test_a_stream_of_which_only_the_head_arrived_is_resumed_elsewhere(play: Play) -> None:
     sent = play.request(play.client(), "resumable")
     (silent,) = play.waiting()
     assert silent.run is not None
@@ -89,7 +89,7 @@
     overdue(play)
     assert not silent.is_open
     play.answer(play.waiting()[0])
-    assert sent.whole
+    assert sent.complete
     play.model.check()
 
 
@@ -99,7 +99,7 @@
     sent = play.request(play.client(), "safe")
     overdue(play)
     play.answer(play.waiting()[0])
-    assert sent.whole
+    assert sent.complete
     assert len(play.model.runs[sent.id]) == 1
     play.model.check()
 
@@ -118,5 +118,5 @@
     upstream.begin(answer_of(upstream.run, status=503, **more), executed=False)
     play.do(lambda: upstream.send(len(upstream.unsent)))
     play.answer(play.waiting()[0])
-    assert told(play) == ({instance: OutcomeCounts(succeeded=0, failed=1)} if bad else {})
+    assert reported(play) == ({instance: OutcomeCounts(succeeded=0, failed=1)} if bad else {})
     play.model.check()
--- a/tests/router/test_client_request.py
+++ b/tests/router/test_client_request.py
@@ -18,8 +18,8 @@
 OWN = RoutingHeaders(1500, "i-1", "tenant", 3, None)
 
 
-def test_an_upstream_is_told_by_the_router_alone_who_the_tenant_is() -> None:
-    asked = request(
+def test_only_the_router_names_the_tenant_to_an_upstream() -> None:
+    received = request(
         host="a.example:80",
         x_api_key="secret",
         x_tenant="forged",
@@ -28,22 +28,22 @@
         connection="x-odd",
         x_odd="1",
     )
-    told = dict(asked.upstream_headers(OWN))
-    assert told[b"x-tenant"] == b"tenant"
-    assert told[b"x-deadline-ms"] == b"1500"
-    assert told[b"x-target-instance"] == b"i-1"
-    assert told[b"priority"] == b"3"
-    assert told[b"content-length"] == b"4"
-    assert told[b"x-request-id"] == b"r"
-    assert not {b"x-api-key", b"connection", b"x-odd"} & set(told)
-    assert asked.host == "a.example"
-    assert asked.path == "/a/b"
-
-
-def test_a_client_that_goes_on_with_a_stream_says_so_unless_the_router_does() -> None:
-    asked = request(last_event_id="4")
-    assert dict(asked.upstream_headers(OWN))[b"last-event-id"] == b"4"
-    resumed = asked.upstream_headers(replace(OWN, last_event_id=b"9"))
+    forwarded = dict(received.upstream_headers(OWN))
+    assert forwarded[b"x-tenant"] == b"tenant"
+    assert forwarded[b"x-deadline-ms"] == b"1500"
+    assert forwarded[b"x-target-instance"] == b"i-1"
+    assert forwarded[b"priority"] == b"3"
+    assert forwarded[b"content-length"] == b"4"
+    assert forwarded[b"x-request-id"] == b"r"
+    assert not {b"x-api-key", b"connection", b"x-odd"} & set(forwarded)
+    assert received.host == "a.example"
+    assert received.path == "/a/b"
+
+
+def test_the_last_event_id_is_the_clients_unless_the_router_resumes_the_stream() -> None:
+    received = request(last_event_id="4")
+    assert dict(received.upstream_headers(OWN))[b"last-event-id"] == b"4"
+    resumed = received.upstream_headers(replace(OWN, last_event_id=b"9"))
     assert [value for name, value in resumed if name == b"last-event-id"] == [b"9"]
 
 
@@ -56,11 +56,11 @@
         ("x", "a:b,c:d", Prompt("a", 0.0, 0.0)),
     ],
 )
-def test_the_head_of_a_prompt_is_its_deepest_shared_part(usage: str, prefix: str, prompt: Prompt) -> None:
+def test_the_prefix_of_a_prompt_is_its_deepest_shared_block(usage: str, prefix: str, prompt: Prompt) -> None:
     assert request(x_token_usage=usage, x_prompt_prefix=prefix).prompt(DEFAULT_LATENCY_TARGET_MS) == prompt
 
 
-def test_nonsense_in_headers_counts_as_nothing_said() -> None:
+def test_invalid_headers_count_as_missing() -> None:
     odd = request(x_deadline_ms="soon", x_token_usage="many")
     assert odd.deadline_ms is None
     assert odd.tokens is None
--- a/tests/router/test_configuration.py
+++ b/tests/router/test_configuration.py
@@ -34,7 +34,7 @@
     assert set(made.quotas) == {"x"}
 
 
-def test_weights_are_kept() -> None:
+def test_services_are_drawn_by_their_weights() -> None:
     split = [{"backend": "s", "weight": 9}, {"backend": "t", "weight": 1}]
     made = table(changed(routes=[route("r", "/", backend=None, traffic_split=split)]))
     found = made.find_route("a.example", "/x")
--- a/tests/router/test_controller_reports.py
+++ b/tests/router/test_controller_reports.py
@@ -16,7 +16,7 @@
     return made
 
 
-def test_the_highest_router_count_holds(reports: ControllerReports) -> None:
+def test_the_highest_router_count_is_used(reports: ControllerReports) -> None:
     assert reports.max_router_count() == 3
 
 
@@ -25,11 +25,11 @@
         ControllerReports().max_router_count()
 
 
-def test_the_highest_backlog_of_an_engine_holds(reports: ControllerReports) -> None:
+def test_the_highest_backlog_of_an_engine_is_used(reports: ControllerReports) -> None:
     assert reports.max_queued_tokens() == {"e": 40.0, "f": 5.0}
 
 
-def test_an_upstream_is_ejected_while_any_controller_says_so(reports: ControllerReports) -> None:
+def test_an_upstream_is_ejected_while_any_controller_ejects_it(reports: ControllerReports) -> None:
     assert reports.ejected() == {"u1", "u2"}
     reports.update("c1", Delta(ejected=[]))
     assert reports.ejected() == {"u2"}
--- a/tests/router/test_event_stream.py
+++ b/tests/router/test_event_stream.py
@@ -13,7 +13,7 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_events_are_passed_on_whole_however_they_come(cuts: list[int]) -> None:
+def test_events_are_relayed_complete_however_they_arrive(cuts: list[int]) -> None:
     buffer = EventBuffer()
     edges = [0, *sorted(cuts), len(STREAM)]
     passed = [buffer.feed(STREAM[start:end]) for start, end in pairwise(edges)]
--- a/tests/router/test_exchange.py
+++ b/tests/router/test_exchange.py
@@ -35,20 +35,20 @@
         sent = play.request(play.client(), kind)
         upstream = play.waiting()[0]
         assert upstream.run is not None
-        upstream.begin(answer_of(upstream.run, framed=framed), whole=framed)
+        upstream.begin(answer_of(upstream.run, framed=framed), complete=framed)
         length = len(upstream.unsent)
         play.do(lambda cut=at, one=upstream: one.send(cut))  # type: ignore[misc]
         play.do(lambda one=upstream: one.close(in_order))  # type: ignore[misc]
         play.model.check()
         if kind not in REPEATABLE:
             assert len(play.model.runs[sent.id]) == 1
-            whole = at == length and framed
-            assert (sent.whole and sent.status == 200) == whole, f"cut at {at} of {length}"
-        elif kind == "resumable" and not sent.whole:
+            complete = at == length and framed
+            assert (sent.complete and sent.status == 200) == complete, f"cut at {at} of {length}"
+        elif kind == "resumable" and not sent.complete:
             assert play.waiting(), f"it is not sent again when cut at {at} of {length}"
             play.answer(play.waiting()[0])
             play.model.check()
-            assert sent.whole, f"cut at {at} of {length}"
+            assert sent.complete, f"cut at {at} of {length}"
         play.close()
         if at == length:
             break
@@ -56,17 +56,17 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_an_answer_without_a_length_is_whole_once_it_is_closed_in_order(kind: str, play: Play) -> None:
+def test_a_response_without_a_length_is_complete_once_it_is_closed_in_order(kind: str, play: Play) -> None:
     sent = play.request(play.client(), kind)
     upstream = play.waiting()[0]
     run = upstream.run
     assert run is not None
-    upstream.begin(answer_of(run, framed=False), whole=False)
+    upstream.begin(answer_of(run, framed=False), complete=False)
     play.do(lambda: upstream.send(len(upstream.unsent)))
-    assert not sent.whole
-    run.whole = True
+    assert not sent.complete
+    run.complete = True
     play.do(lambda: upstream.close(in_order=True))
-    assert sent.whole
+    assert sent.complete
     play.model.check()
 
 
@@ -114,7 +114,7 @@
     assert sent.status == 502
 
 
-def test_a_refusal_that_names_no_request_is_a_promise(play: Play) -> None:
+def test_a_rejection_that_names_no_request_proves_that_it_has_not_run(play: Play) -> None:
     sent = play.request(play.client(), "plain")
     for _ in range(2):
         upstream = play.waiting()[0]
@@ -126,7 +126,7 @@
     play.model.check()
 
 
-def test_a_second_copy_of_a_refusal_without_an_id_meets_no_other_request(play: Play) -> None:
+def test_a_duplicate_of_a_rejection_without_an_id_answers_no_other_request(play: Play) -> None:
     play.request(play.client(), "plain")
     upstream = play.waiting()[0]
     assert upstream.run is not None
@@ -153,7 +153,7 @@
     play.model.check()
 
 
-class RightCaller(RuleBasedStateMachine):
+class ExchangeMachine(RuleBasedStateMachine):
     """Clients, requests and upstreams in any order of events."""
 
     def __init__(self) -> None:
@@ -165,10 +165,10 @@
         return self.play.model
 
     def _unanswered(self) -> list[FakeUpstream]:
-        return [one for one in self.play.waiting() if one.may_say_more]
+        return [one for one in self.play.waiting() if one.may_send_more]
 
     def _talkative(self) -> list[FakeUpstream]:
-        return [one for one in self.model.upstreams if one.may_say_more]
+        return [one for one in self.model.upstreams if one.may_send_more]
 
     def _one_of(self, some: list[FakeUpstream], pick: int) -> FakeUpstream:
         return some[pick % len(some)]
@@ -180,7 +180,7 @@
 
     @rule(pick=st.integers(0, 9), kind=st.sampled_from(sorted(KINDS)), body=st.binary(max_size=5))
     @precondition(lambda self: any(client.is_open for client in self.model.clients))
-    def client_asks(self, pick: int, kind: str, body: bytes) -> None:
+    def client_sends_a_request(self, pick: int, kind: str, body: bytes) -> None:
         clients = [client for client in self.model.clients if client.is_open]
         self.play.request(clients[pick % len(clients)], kind, body)
 
@@ -198,7 +198,7 @@
         if upstream.is_unframed and not upstream.unsent:
             return  # all of it is sent: its end is the close
         if not upstream.unsent:
-            upstream.begin(answer_of(upstream.run, framed=framed), whole=framed)
+            upstream.begin(answer_of(upstream.run, framed=framed), complete=framed)
         self.play.do(lambda: upstream.send(count))
 
     @rule(pick=st.integers(0, 9), status=st.sampled_from([421, 429, 503]), echo=st.booleans())
@@ -238,9 +238,9 @@
         upstream = self._one_of([one for one in self.model.upstreams if one.is_open], pick)
         if upstream.is_unframed and upstream.run is not None:
             if upstream.unsent:
-                in_order = False  # nobody could tell that it is not whole
+                in_order = False  # nobody could tell that it is not complete
             else:
-                upstream.run.whole = in_order
+                upstream.run.complete = in_order
         self.play.do(lambda: upstream.close(in_order))
 
     @rule(address=st.sampled_from(RouterModel.ADDRESSES))
@@ -259,7 +259,7 @@
         self.play.close()
 
 
-RightCaller.TestCase.settings = settings(
+ExchangeMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=40, deadline=None, report_multiple_bugs=False
 )
-TestRightCaller = RightCaller.TestCase
+TestExchangeMachine = ExchangeMachine.TestCase
--- a/tests/router/test_exchange_planted.py
+++ b/tests/router/test_exchange_planted.py
@@ -14,7 +14,7 @@
 from larkweir.router.exchange import Exchange
 from larkweir.router.upstream_connection import UpstreamConnection
 from tests.router import test_exchange as scenes
-from tests.router.test_exchange import RightCaller
+from tests.router.test_exchange import ExchangeMachine
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 FIND = settings(
@@ -35,7 +35,7 @@
     patch.setattr(UpstreamConnection, "_on_head", head)
 
 
-def bytes_on_an_idle_connection_are_kept(patch: pytest.MonkeyPatch) -> None:
+def bytes_on_an_idle_connection_are_parsed(patch: pytest.MonkeyPatch) -> None:
     def received(self: UpstreamConnection, data: bytes) -> None:
         self._h11.receive_data(data)
         self._advance()
@@ -59,11 +59,11 @@
     patch.setattr(Exchange, "on_call_failed", failed)
 
 
-def a_promise_is_passed_on_unseen(patch: pytest.MonkeyPatch) -> None:
+def every_response_is_relayed(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Exchange, "on_response_head", Exchange._relay_head)
 
 
-def a_broken_answer_ends_as_if_whole(patch: pytest.MonkeyPatch) -> None:
+def a_broken_response_ends_as_if_complete(patch: pytest.MonkeyPatch) -> None:
     def broken(self: ClientConnection) -> None:
         self.end_response()
 
@@ -92,7 +92,7 @@
 
 
 def the_state_machine() -> None:
-    run_state_machine_as_test(RightCaller, settings=FIND)
+    run_state_machine_as_test(ExchangeMachine, settings=FIND)
 
 
 def a_stream_that_is_cut() -> None:
@@ -101,10 +101,10 @@
 
 FAULTS: list[Patch] = [
     any_answer_is_taken_for_this_request,
-    bytes_on_an_idle_connection_are_kept,
+    bytes_on_an_idle_connection_are_parsed,
     what_may_have_run_is_sent_again,
-    a_promise_is_passed_on_unseen,
-    a_broken_answer_ends_as_if_whole,
+    every_response_is_relayed,
+    a_broken_response_ends_as_if_complete,
     what_was_refused_elsewhere_counts_as_not_run,
 ]
 
--- a/tests/router/test_exchange_state.py
+++ b/tests/router/test_exchange_state.py
@@ -8,7 +8,7 @@
 
 from larkweir.router.exchange import Exchange
 from larkweir.router.exchange_state import TRANSITIONS, ExchangeState
-from tests.router.test_exchange import RightCaller
+from tests.router.test_exchange import ExchangeMachine
 from tests.router.test_wire_golden import SCENES, Scene, head, played
 
 SETTINGS = settings(
@@ -20,7 +20,7 @@
     scene.configure()
     scene.plane.prefix_affinity.send_lookup = lambda message: True
     prompt = ("X-Token-Usage: 1460,80", "X-Prompt-Prefix: a:800,b:410,c:250")
-    client = scene.ask(head("POST", "/v1", *prompt, host="e.example"))
+    client = scene.request(head("POST", "/v1", *prompt, host="e.example"))
     scene.do(lambda: client.end(None))
 
 
@@ -39,5 +39,5 @@
     monkeypatch.setattr(Exchange, "_transition", recorded)
     for scene in (*SCENES, a_client_that_disconnects_while_the_prefix_is_placed):
         played(scene)
-    run_state_machine_as_test(RightCaller, settings=SETTINGS)
+    run_state_machine_as_test(ExchangeMachine, settings=SETTINGS)
     assert seen == {(before, after) for before, afters in TRANSITIONS.items() for after in afters}
--- a/tests/router/test_fleet_sync_golden.py
+++ b/tests/router/test_fleet_sync_golden.py
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self.lines: list[str] = []
-        self.came = asyncio.Event()
+        self.received = asyncio.Event()
         self.writer: asyncio.StreamWriter | None = None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -60,14 +60,14 @@
                 for varies, name in VARIES.items():
                     line = re.sub(varies, name, line)
                 self.lines.append(line[:-1])
-                self.came.set()
+                self.received.set()
 
     async def until(self, count: int) -> None:
         """So many lines have come."""
         async with asyncio.timeout(20.0):
             while len(self.lines) < count:
-                self.came.clear()
-                await self.came.wait()
+                self.received.clear()
+                await self.received.wait()
         assert self.lines == WRITTEN[:count]
 
     def send(self, line: dict[str, Any]) -> None:
@@ -90,11 +90,11 @@
     def resets(seen: Seen) -> tuple[bytes, bool]:
         return b"", True
 
-    def holds(seen: Seen) -> tuple[bytes, bool]:
+    def wait(seen: Seen) -> tuple[bytes, bool]:
         arrived.set()
         return b"", False
 
-    engine = Upstream("e0", f"{ip}.3:{port}", holds)
+    engine = Upstream("e0", f"{ip}.3:{port}", wait)
     failing = Upstream("s0", f"{ip}.4:{port}", resets)
     for upstream in (engine, failing):
         await upstream.start()
@@ -126,7 +126,7 @@
         await controller.until(3)
         client = Client(f"{ip}.2:{port}")
         prompt = {"X_Api_Key": "key", "X_Token_Usage": "6000,10", "X_Prompt_Prefix": "h:5000,own:1000"}
-        asked = asyncio.get_running_loop().create_task(
+        pending = asyncio.get_running_loop().create_task(
             client.request("POST", "/e/x", b"p", X_Request_Id="1", **prompt)
         )
         await controller.until(4)
@@ -136,7 +136,7 @@
         await controller.until(6)
         await arrived.wait()
         engine.writers[-1].write(answer(engine.seen[-1]))
-        assert (await asked).status == 200
+        assert (await pending).status == 200
         failed = await ask(f"{ip}.2:{port}", "POST", "/s/x", b"p", X_Request_Id="2", X_Api_Key="key")
         assert failed.status == 502
         controller.send({"type": "delta", "vector": {"c/1": 3}})
--- a/tests/router/test_prefix_affinity.py
+++ b/tests/router/test_prefix_affinity.py
@@ -63,7 +63,7 @@
     made.loop.close()
 
 
-def test_requests_that_ask_meanwhile_share_one_lookup(scene: Scene) -> None:
+def test_concurrent_requests_share_one_lookup(scene: Scene) -> None:
     scene.find()
     scene.find()
     assert len(scene.requests) == 1
--- a/tests/router/test_response_classification.py
+++ b/tests/router/test_response_classification.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_an_unmarked_rejection_is_not_relayed_as_a_promise(status: int) -> None:
+def test_an_unmarked_rejection_is_not_relayed_as_a_guarantee(status: int) -> None:
     head = ResponseHead(status)
     assert classify_response(head, ONCE, response_started=False) is ResponseClass.UNUSABLE
     assert classify_without_retry(head, IDEMPOTENT, response_started=False) is ResponseClass.RELAYABLE
--- a/tests/router/test_wire_golden.py
+++ b/tests/router/test_wire_golden.py
@@ -149,7 +149,7 @@
         self.clients.append(transport)
         return transport
 
-    def ask(self, data: bytes, client: FakeTransport | None = None) -> FakeTransport:
+    def request(self, data: bytes, client: FakeTransport | None = None) -> FakeTransport:
         """A client's bytes, on a connection of its own where none is given."""
         used = client if client is not None else self.client()
         self.do(lambda: used.deliver(data))
@@ -232,13 +232,13 @@
 
 def a_get_without_a_body(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/safe/a?b=c", "Accept: */*"))
+    scene.request(head("GET", "/safe/a?b=c", "Accept: */*"))
     scene.answer(0, reply(200, "Connection: keep-alive", "Keep-Alive: timeout=5", "X-Server-Load: 1,0,4"))
 
 
 def a_post_with_headers_of_its_connection_alone(scene: Scene) -> None:
     scene.configure()
-    scene.ask(
+    scene.request(
         head(
             "POST",
             "/plain/x",
@@ -264,16 +264,16 @@
 
 def a_put_without_a_body_and_a_second_request_on_both_connections(scene: Scene) -> None:
     scene.configure()
-    client = scene.ask(head("PUT", "/plain/x"))
+    client = scene.request(head("PUT", "/plain/x"))
     scene.answer(0, reply(204, body=b""))
     scene.wait(1.0)
-    scene.ask(head("GET", "/plain/y"), client)
+    scene.request(head("GET", "/plain/y"), client)
     scene.answer(0, reply(404, body=b"no such thing"))
 
 
 def a_tenants_request(scene: Scene) -> None:
     scene.configure(tenants=True)
-    scene.ask(
+    scene.request(
         head("POST", "/safe/x", "X-Api-Key: key-1", "X-Token-Usage: 20,30", "X-Tenant: forged", body=b"b")
     )
     scene.answer(0, reply())
@@ -281,7 +281,7 @@
 
 def a_deadline_that_has_partly_passed(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/safe/x", "X-Deadline-Ms: 4000"))
+    scene.request(head("GET", "/safe/x", "X-Deadline-Ms: 4000"))
     scene.wait(1.25)
     scene.reset(0)
     scene.answer(1, reply())
@@ -289,7 +289,7 @@
 
 def a_refusal_and_a_failure_before_the_answer(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("POST", "/safe/x", body=b"again"))
+    scene.request(head("POST", "/safe/x", body=b"again"))
     scene.answer(0, reply(503, "X-Not-Executed: 1", "X-Server-Load: 1,0,4"))
     scene.answer(1, reply(500))
     scene.answer(2, reply())
@@ -297,7 +297,7 @@
 
 def a_resumed_stream(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("POST", "/resumable/x", "Last-Event-ID: 0", body=b"s"))
+    scene.request(head("POST", "/resumable/x", "Last-Event-ID: 0", body=b"s"))
     scene.answer(0, STREAM_HEAD + b"\r\n\r\n" + chunk(b"id: 1\ndata: a\n\nid: 2\nda"))
     scene.wait(0.5)
     scene.reset(0)
@@ -306,7 +306,7 @@
 
 def a_stream_that_breaks_for_good(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/resumable/x"))
+    scene.request(head("GET", "/resumable/x"))
     for number in range(3):
         piece = f"id: {number}\ndata: x\n\n".encode()
         scene.answer(number, STREAM_HEAD + b"\r\n\r\n" + chunk(piece))
@@ -315,17 +315,17 @@
 
 def an_answer_that_breaks(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/plain/x"))
+    scene.request(head("GET", "/plain/x"))
     scene.answer(0, reply(body=b"whole")[:-2])
     scene.reset(0)
 
 
 def an_expected_continue(scene: Scene) -> None:
     scene.configure()
-    client = scene.ask(
+    client = scene.request(
         head("POST", "/plain/x", "Expect: 100-continue", "Content-Length: 2", "Content-Type: text/plain")
     )
-    scene.ask(b"ok", client)
+    scene.request(b"ok", client)
     scene.answer(0, reply())
 
 
@@ -333,26 +333,26 @@
     scene.configure()
     client = scene.client()
     scene.plane.stopping = True
-    scene.ask(head("GET", "/plain/x"), client)
+    scene.request(head("GET", "/plain/x"), client)
     scene.answer(0, reply())
 
 
 def a_client_that_goes(scene: Scene) -> None:
     scene.configure()
-    client = scene.ask(head("GET", "/plain/x"))
+    client = scene.request(head("GET", "/plain/x"))
     scene.do(lambda: client.end(None))
 
 
 def a_silent_call_that_goes_elsewhere(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/safe/x"))
+    scene.request(head("GET", "/safe/x"))
     scene.wait(6.0)
     scene.answer(1, reply())
 
 
 def a_prompt_for_an_engine(scene: Scene) -> None:
     scene.configure()
-    scene.ask(
+    scene.request(
         head(
             "POST",
             "/v1",
@@ -371,60 +371,60 @@
 
 def bad_request(scene: Scene) -> None:
     scene.configure()
-    scene.ask(b"\x00nonsense\r\n\r\n")
+    scene.request(b"\x00nonsense\r\n\r\n")
 
 
 def headers_too_large(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/plain/x", "X-Long: " + "x" * 3_000)[:2_500])
+    scene.request(head("GET", "/plain/x", "X-Long: " + "x" * 3_000)[:2_500])
 
 
 def body_too_large(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("POST", "/plain/x", body=b"x" * 101))
+    scene.request(head("POST", "/plain/x", body=b"x" * 101))
     chunked = b"POST /plain/x HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\n"
-    scene.ask(chunked + chunk(b"x" * 60) + chunk(b"x" * 60))
+    scene.request(chunked + chunk(b"x" * 60) + chunk(b"x" * 60))
 
 
 def client_too_slow(scene: Scene) -> None:
     scene.configure()
-    scene.ask(b"GET /plain/x HTTP/1.1\r\n")
+    scene.request(b"GET /plain/x HTTP/1.1\r\n")
     scene.wait(3.0)
 
 
 def no_configuration(scene: Scene) -> None:
-    scene.ask(head("GET", "/plain/x"))
+    scene.request(head("GET", "/plain/x"))
 
 
 def no_route(scene: Scene) -> None:
     scene.configure()
-    client = scene.ask(head("GET", "/other"))
-    scene.ask(head("GET", "/plain/x", host="b.example"), client)
+    client = scene.request(head("GET", "/other"))
+    scene.request(head("GET", "/plain/x", host="b.example"), client)
 
 
 def unknown_key(scene: Scene) -> None:
     scene.configure(tenants=True)
-    scene.ask(head("GET", "/plain/x", "X-Api-Key: forged"))
+    scene.request(head("GET", "/plain/x", "X-Api-Key: forged"))
 
 
 def over_quota(scene: Scene) -> None:
     scene.configure(tenants=True)
     for _ in range(2):
-        scene.ask(head("GET", "/plain/x", "X-Api-Key: key-1", "X-Token-Usage: 5000,0"))
-    scene.ask(head("GET", "/plain/x", "X-Api-Key: key-2"))
-    scene.ask(head("GET", "/plain/x", "X-Api-Key: key-2"))
+        scene.request(head("GET", "/plain/x", "X-Api-Key: key-1", "X-Token-Usage: 5000,0"))
+    scene.request(head("GET", "/plain/x", "X-Api-Key: key-2"))
+    scene.request(head("GET", "/plain/x", "X-Api-Key: key-2"))
 
 
 def no_upstream(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/empty/x"))
+    scene.request(head("GET", "/empty/x"))
     scene.refusing.update(ADDRESSES)
-    scene.ask(head("GET", "/plain/x"))
+    scene.request(head("GET", "/plain/x"))
 
 
 def turned_away(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("POST", "/plain/x", body=b"x"))
+    scene.request(head("POST", "/plain/x", body=b"x"))
     scene.answer(0, reply(503, "X-Not-Executed: 1"))
     scene.answer(1, reply(429, "X-Not-Executed: 1", "X-Server-Load: 4,2,4"))
     scene.answer(2, reply(421))
@@ -432,21 +432,21 @@
 
 def upstream_failed(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("POST", "/plain/x", body=b"x"))
+    scene.request(head("POST", "/plain/x", body=b"x"))
     scene.reset(0)
-    scene.ask(head("POST", "/plain/x", body=b"x"))
+    scene.request(head("POST", "/plain/x", body=b"x"))
     scene.answer(1, reply(503))
 
 
 def timed_out(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/plain/x"))
+    scene.request(head("GET", "/plain/x"))
     scene.wait(10.0)
 
 
 def timed_out_unsent(scene: Scene) -> None:
     scene.configure()
-    scene.ask(head("GET", "/plain/x", "X-Deadline-Ms: 4"))
+    scene.request(head("GET", "/plain/x", "X-Deadline-Ms: 4"))
 
 
 SCENES: list[Callable[[Scene], None]] = [
