--- a/larkweir/router/admission.py
+++ b/larkweir/router/admission.py
@@ -37,7 +37,7 @@
 
     Args:
         plane: the router's shared state.
-        request: the whole request.
+        request: the complete request.
         now_ms: the event loop's time.
     """
     table = plane.configuration.table
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -14,7 +14,7 @@
 from larkweir.router.upstream_connection import UpstreamConnection
 
 MIN_ANNOUNCED_TOKENS = 4_000.0  # of prefill, from which other routers are notified at once
-# Outcomes that count for and against an upstream in the fleet's outlier detection; the rest says nothing of it.
+# Outcomes that count for and against an upstream in the fleet's outlier detection; the others are no evidence.
 FAILURES = frozenset((Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR))
 SUCCESSES = frozenset((Outcome.OK, Outcome.REJECTED))
 
--- a/larkweir/router/configuration.py
+++ b/larkweir/router/configuration.py
@@ -80,7 +80,7 @@
     burst: float = 0.0
 
     def quota_units(self, tokens: float | None) -> float:
-        """What one request is charged. `tokens`: that it says it uses; None: it does not say."""
+        """What one request is charged. `tokens`: as it declares them; None: it declares none."""
         if self.unit != TOKEN_COUNT:
             return 1.0
         return self.plain_tokens if tokens is None else tokens
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -49,7 +49,7 @@
         Args:
             plane: the router's shared state.
             client: where the response goes.
-            request: the whole request.
+            request: the complete request.
             on_done: called once, after the last call of `client`.
         """
         self._plane = plane
--- a/larkweir/router/response_relay.py
+++ b/larkweir/router/response_relay.py
@@ -1,4 +1,4 @@
-"""The way of a response to the client: head, body by whole events where the stream can be resumed, end."""
+"""The way of a response to the client: head, body by complete events where the stream can be resumed, end."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
         self._writer.end_response()
 
     def restart(self) -> None:
-        """The upstream failed and another goes on behind the last whole event."""
+        """The upstream failed and another goes on behind the last complete event."""
         if self.events is not None:
             self.events.restart()
 
--- a/larkweir/router/upstream_connection.py
+++ b/larkweir/router/upstream_connection.py
@@ -104,7 +104,7 @@
         Args:
             request: the head, with a `Content-Length` where there is a body.
             request_id: the value of its `X-Request-Id`, which the response must repeat; empty: it has none.
-            body: the whole body.
+            body: the complete body.
             listener: reported to until the call is over.
         """
         assert self._transport is not None
@@ -171,7 +171,7 @@
         elif response.status_code < MIN_FAILURE_STATUS and not (echoed and signed):
             self._fail(CallFailure.GARBLED)  # errors may name no request, successes do
         else:
-            if not echoed:  # a copy of it could not be told from the response to the next request
+            if not echoed:  # a copy of it could not be distinguished from the response to the next request
                 self._is_reusable = False
             self._listener.on_response_head(response)
 
