--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -1,9 +1,9 @@
 """The `Balancer`: takes events and returns actions (`interface`). Pure logic.
 
-The ordinary path is PULL (Stolyar), single-token form: a call goes to a server drawn uniformly from the token
-holders, that is, the ready servers with none of this copy's calls outstanding; if no server holds a token, to
-a uniformly random ready server. The token list is in `servers`, the draw with its exceptions in `drawing`, what is
-legal in `legality`; here is the `Balancer`, whose ordinary path comes first. No state is kept outside its objects.
+The ordinary path is PULL (Stolyar), single-token form: a request goes to a server sampled uniformly from the token
+holders, that is, the ready servers where none of this balancer's requests is in flight; if no server holds a token, to
+a uniformly random ready server. The token list is in `servers`, the selection with its exceptions in `selection`, what
+may be sent and sent again in `retry_safety`. No state is kept outside of the `Balancer`'s objects.
 """
 
 from __future__ import annotations
--- a/packages/balancing/src/larkweir_balancing/restored_trust.py
+++ b/packages/balancing/src/larkweir_balancing/restored_trust.py
@@ -1,9 +1,10 @@
 """What may be sent to a server that is only restored from disk: discovery has not listed it since this process started.
 
-Three things are kept apart: how likely it is that the server is still there (`confidence`); what has been observed of it
-since the start (`evidence`); and whether it has shown what it is (`is_verified`, `has_location`), since an address may
-belong to another server by now. A safe request to an unverified server costs an attempt. One with an effect would do its
-work at the wrong place: it is sent only to a verified one. Servers that discovery lists have no `RestoredTrust`.
+Three things are kept apart: how likely it is that the server is still there (`confidence`); what has been observed
+of it since the start (`evidence`); and whether it has shown what it is (`is_verified`, `has_location`), since an
+address may belong to another server by now. A safe request to an unverified server costs an attempt. One with an
+effect would do its work at the wrong place: it is sent only to a verified one. Servers that discovery lists have no
+`RestoredTrust`.
 """
 
 from __future__ import annotations
--- a/packages/balancing/src/larkweir_balancing/shared_health.py
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -1,9 +1,10 @@
 """Health findings of other replicas about servers that this balancer has ejected, weighed by their age. Pure logic.
 
-A report never ejects a server and never sends a request: it moves the time at which a server that this balancer itself has
-ejected is tried again, later or sooner, within bounds that its own knowledge sets. A server that is restored is selected
-under the usual rules: discovery must list it, slow start counts, and an unresponsive one gets requests that may be repeated
-first. A probe is sent only on this replica's turn, only where the settings allow probes, and only to a ready server.
+A report never ejects a server and never sends a request: it moves the time at which a server that this balancer
+itself has ejected is tried again, later or sooner, within bounds that its own knowledge sets. A server that is
+restored is selected under the usual rules: discovery must list it, slow start counts, and an unresponsive one gets
+requests that may be repeated first. A probe is sent only on this replica's turn, only where the settings allow
+probes, and only to a ready server.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 class LocalHealth(NamedTuple):
-    """What this replica has found of a server by itself. `is_ejected`: requests failed there and none has succeeded since.
+    """What this replica has found of a server by itself. `is_ejected`: requests failed there, and none succeeded since.
 
     A server that is only slow is not reported.
     """
@@ -127,7 +128,7 @@
     # ------------------------------------------------ what others have found
 
     def on_peer_report(self, event: PeerHealthReport, now_ms: float, out: list[Action]) -> None:
-        """Another replica reports; ignored for a server that is not listed, that drains, or that is not ejected here."""
+        """Another replica reports; ignored for a server that is not listed, drains, or is not ejected here."""
         server = self._detector.table.servers.get(event.server)
         if server is None or not server.ready or not server.ejections:
             return
@@ -179,7 +180,7 @@
             self._detector.table.withhold_token(server, at_ms)
 
     def _recheck(self, known: _ServerHealth, now_ms: float, out: list[Action]) -> None:
-        """This replica's turn: a probe; where none is allowed, or probes tell nothing, the next request selected there."""
+        """This replica's turn: a probe; where none is allowed, or probes tell nothing, the next request there."""
         server = known.server
         if now_ms - max(known.probed_ms, known.found_ms) < RECHECK_INTERVAL_MS:
             return
