--- a/packages/balancing/src/larkweir_balancing/load_shedding.py
+++ b/packages/balancing/src/larkweir_balancing/load_shedding.py
@@ -74,27 +74,18 @@
         self._shed_order = sorted(range(2 * len(classes)), key=lambda at: (classes[at // 2].worth, at % 2))
 
     def on_iteration(self, busy_ms: float, elapsed_ms: float) -> None:
-        """A turn of the loop has ended, in which this process was busy for so long; `whole_ms` with the wait before."""
+        """An iteration of the event loop has ended: how long it was busy, and how long it took with the wait."""
         high, low = self._high * self._target_ms, self._low * self._target_ms
         busy_ms = min(busy_ms, self.MAX_ITERATION_FACTOR * high)
         elapsed_ms = max(busy_ms, min(elapsed_ms, self.MAX_ITERATION_FACTOR * high))
         self.mean_busy_ms += self.SAMPLE_WEIGHT * (busy_ms - self.mean_busy_ms)
         before, self._previous_busy_ms = self._previous_busy_ms, busy_ms
         if not self.is_shedding:
-            # Turns that grow from one to the next tell the load at once. One that is long after a short one does not:
-            # the process may have stood still.
+            # Iterations that grow from one to the next tell the load at once. One that is long after a short one does
+            # not: the process may have been paused.
             growing = busy_ms > high and before > 0.5 * low
-            if not growing and self.mean_busy_ms <= high:
-                return
-            self.is_shedding, self._quiet_ms = True, 0.0
-            self._arrived = self._admitted = 0
-            self._requests = self._units = self._busy_ms = self._elapsed_ms = 0.0
-            self._previous_elapsed_ms = elapsed_ms
-            if growing and busy_ms > before:
-                self.shed_fraction = self._excess_fraction(
-                    min(busy_ms / before, 1.0 / (1.0 - self.MAX_SHED_FRACTION))
-                )
-                self._distribute()
+            if growing or self.mean_busy_ms > high:
+                self._begin_shedding(busy_ms / before if growing and busy_ms > before else None, elapsed_ms)
             return
         self._count(busy_ms, elapsed_ms)
         # What has come, at what it costs, is so many times what this core can do; all that is beyond is shed. That
@@ -118,6 +109,16 @@
             self.is_shedding = False
         self._distribute()
 
+    def _begin_shedding(self, growth: float | None, elapsed_ms: float) -> None:
+        """`growth`: times the iteration before, where that tells the load."""
+        self.is_shedding, self._quiet_ms = True, 0.0
+        self._arrived = self._admitted = 0
+        self._requests = self._units = self._busy_ms = self._elapsed_ms = 0.0
+        self._previous_elapsed_ms = elapsed_ms
+        if growth is not None:
+            self.shed_fraction = self._excess_fraction(min(growth, 1.0 / (1.0 - self.MAX_SHED_FRACTION)))
+            self._distribute()
+
     def _excess_fraction(self, load: float) -> float:
         """The part that must be shed of so many times what this core can do; below 0 where it could do more."""
         return (load - 1.0) / (max(load, 0.1) * (1.0 - self.REFUSAL_COST))
--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -243,14 +243,7 @@
             self.limiter.record_end(at, outcome, spent, self.table.in_flight, mark, tries, request.size)
         self.selector.record_zone_cost(request, attempt, spent)
         self.connections.record_end(attempt, spent, usual, request.request_class.aim_ms)
-        if outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
-            server.unresponsive = True
-            if not server.in_flight and server.has_connection:
-                self.connections.remove(server)
-                if outcome is Outcome.TIMEOUT:  # the connection may be dead without a word
-                    self.actions.append(CloseIdle(server.id))
-        elif server.has_connection:
-            self.connections.record_use(server, self.now_ms)
+        self._update_connection(server, outcome)
         self.outliers.record_end(request, attempt, spent, usual, self.now_ms)
         if self.shared_health is not None:
             self.shared_health.on_attempt_end(server, outcome, self.now_ms)
@@ -265,6 +258,17 @@
         elif not request.in_flight:
             self._retry_or_answer(request, outcome)
 
+    def _update_connection(self, server: Server, outcome: Outcome) -> None:
+        """What an attempt's end says of the server's connection."""
+        if outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
+            server.unresponsive = True
+            if not server.in_flight and server.has_connection:
+                self.connections.remove(server)
+                if outcome is Outcome.TIMEOUT:  # the connection may be dead without a word
+                    self.actions.append(CloseIdle(server.id))
+        elif server.has_connection:
+            self.connections.record_use(server, self.now_ms)
+
     def _retry_or_answer(self, request: Request, outcome: Outcome) -> None:
         """Nothing is out any more and nothing was served: another attempt, or the final answer."""
         useful = request.useful_until_ms - self.now_ms > 0.75 * self._latency[request.class_index]
