--- a/benchmarks/captures.py
+++ b/benchmarks/captures.py
@@ -24,8 +24,8 @@
 
 from captures_rig import FRAGMENT, OPTIONS, Fleet  # noqa: E402
 from larkweir_captures.coordinator import Coordinator  # noqa: E402
+from larkweir_captures.messages import encode  # noqa: E402
 from larkweir_captures.node import Node, Options  # noqa: E402
-from larkweir_captures.wire import pack  # noqa: E402
 from larkweir_simulated import Network  # noqa: E402
 
 DAYS = ("burst", "death and cut", "no way back", "alone, same hash", "alone, own hash")
@@ -36,7 +36,7 @@
     fleet = Fleet(seed, OPTIONS, way_back=day != "no way back" and not alone, alone=alone)
     if alone:
         for node in fleet.nodes.values():  # no coordinator: each asks for all, and its own room decides
-            node.held = type(node.held)(1.0, OPTIONS.hold_ms, 1.0)
+            node.thresholds = type(node.thresholds)(1.0, OPTIONS.stale_after_ms, 1.0)
     else:
         fleet.lead(fleet.tiers[1][3], 1)
     fleet.load(0.0, 30_000.0, 300.0)
@@ -120,25 +120,25 @@
             begun = time.perf_counter()
             leader.tick(now)
             longest = max(longest, time.perf_counter() - begun)
-            nodes[name].came(name, pack(leader.table), now)
+            nodes[name].on_message(name, encode(leader.table), now)
         node = nodes[name]
         node.loads.tick = lambda *_: None  # type: ignore[method-assign]
         node.tick(now)
         net.after(200.0, lambda: tick(name), owner=name)
 
     def came(name: str, source: str, data: bytes) -> None:
-        report = nodes[name].came(source, data, net.now_ms)
+        report = nodes[name].on_message(source, data, net.now_ms)
         if report is not None and name == names[0]:
-            leader.came(source, report, net.now_ms)
+            leader.on_report(source, report, net.now_ms)
 
     def loads() -> None:
         for node in nodes.values():
-            for held in (node.loads.firsts, node.loads.came):
+            for held in (node.loads.first_hops_per_s, node.loads.forwarded_per_s):
                 held.update({key: net.rng.expovariate(1.0) * 400.0 / key for key in range(1, 21)})
         net.after(10_000.0, loads)
 
     def look() -> None:
-        held = sum(node.held.number >= (1, leader.table.number) for node in nodes.values())
+        held = sum(node.thresholds.version >= (1, leader.table.number) for node in nodes.values())
         reached.append(held / count)
         net.after(1_000.0, look)
 
@@ -171,14 +171,14 @@
             now = turn * 100_000.0 + n * 2.0
             begun = time.perf_counter()
             first = one.first_hop(b"%d-%d" % (turn, n), "buscar", "bulk", "any", now)
-            down = one.down(first)
+            down = one.request_field(first)
             middle = time.perf_counter()
-            later = two.next_hop(down, now, b"%d-%d" % (turn, n))
+            later = two.later_hop(down, now, b"%d-%d" % (turn, n))
             assert later is not None
-            up = two.up(later)
+            up = two.answer_field(later)
             two.record(later, body, now)
             end = time.perf_counter()
-            one.settle(first, up)
+            one.on_answer(first, up)
             one.record(first, body, now)
             if not n % 25:
                 one.tick(now)
--- a/larkweir/coordination/captures/part.py
+++ b/larkweir/coordination/captures/part.py
@@ -21,7 +21,7 @@
 from larkweir.config.options import Operator
 from larkweir.config.peering import capturing
 from larkweir.config.platform import Config, ConfigError
-from larkweir.coordination.captures.scribe import OWNER, Scribe
+from larkweir.coordination.captures.recorder import OWNER, CaptureRecorder
 from larkweir.core.clock import Clock, Timer
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.stderr_log import StderrLog
@@ -91,14 +91,14 @@
             Options(
                 records_per_s=options.records_per_s,
                 bytes_per_s=options.bytes_per_s,
-                after=options.after,
-                ring_ms=options.ring_ms,
-                ring_records=options.ring_records,
-                ring_bytes=options.ring_bytes,
-                rest=options.rest,
-                hold_ms=options.hold_ms,
-                safe=options.safe,
-                asks_per_s=options.asks_per_s,
+                triggered_fraction=options.after,
+                recent_ms=options.ring_ms,
+                recent_records=options.ring_records,
+                recent_bytes=options.ring_bytes,
+                default_rate=options.rest,
+                stale_after_ms=options.hold_ms,
+                stale_fraction=options.safe,
+                triggered_traces_per_s=options.asks_per_s,
             ),
             self._post,
             gossip=False,
@@ -115,7 +115,7 @@
             upstream = upstreams.table.get(number)
             return f"{upstream.address[0]}:{upstream.address[1]}" if upstream is not None else "gone"
 
-        self.scribe = Scribe(
+        self.scribe = CaptureRecorder(
             dispatcher.decisions,
             host.config.settings,
             self.node,
@@ -201,14 +201,14 @@
             self._written += writer.written
             self._dropped += writer.dropped
         self._unlock()
-        left = len(self.node.drawn) + len(self.node.after)
+        left = len(self.node.sampled) + len(self.node.triggered)
         if left:
             self._say("left", f"captures: {left} records were not written: their volume was not free in time")
 
     # ------------------------------------------------ turns
 
     def _came(self, source: str, item: bytes, now_ms: float) -> None:
-        self.node.came(source, item, now_ms)  # a report that came here is nobody's
+        self.node.on_message(source, item, now_ms)  # a report that came here is nobody's
 
     def _turn(self) -> None:
         self._timer = None
@@ -233,7 +233,7 @@
 
     @property
     def _under_way(self) -> bool:
-        return bool(len(self.scribe.follow) or len(self.node.drawn) or len(self.node.after))
+        return bool(len(self.scribe.follow) or len(self.node.sampled) or len(self.node.triggered))
 
     def hold(self, held: bool) -> None:
         """Held: a successor goes on; it gets the file when what is under way here is written."""
@@ -255,7 +255,7 @@
     # ------------------------------------------------ what is told
 
     def _tell(self, now_ms: float) -> None:
-        states = (self.node.short, self.node.held.alone(now_ms))
+        states = (self.node.is_overloaded, self.node.thresholds.is_stale(now_ms))
         if states != self._states:
             text = "short: less is captured than asked for" if states[0] else "within its volume"
             if states[1]:
@@ -284,19 +284,25 @@
     def facts(self) -> dict[str, object]:
         """For STATUS, one line's worth."""
         node, writer, now = self.node, self._writer, self._clock.now_ms()
-        alone, ring = node.held.alone(now), node.ring
-        state = (
-            "closed" if self._closed else "waiting" if writer is None else "short" if node.short else "whole"
-        )
-        let_go = (node.drawn.let_go, node.after.let_go, node.triggers.let_go)
-        wrong = {"too_long": node.cut, "unreadable": node.unreadable, "peers_lost": node.triggers.lost}
+        alone, ring = node.thresholds.is_stale(now), node.recent
+        state = "short" if node.is_overloaded else "whole"
+        if self._closed:
+            state = "closed"
+        elif writer is None:
+            state = "waiting"
+        shed_count = (node.sampled.shed_count, node.triggered.shed_count, node.triggers.shed_count)
+        wrong = {
+            "too_long": node.oversized_count,
+            "unreadable": node.unreadable,
+            "peers_lost": node.triggers.unanswered_count,
+        }
         found: dict[str, object] = {
             "captures": state + (",alone" if alone else ""),
-            "captures_table": "{}.{}".format(*node.held.number),
-            "captures_full": round(node.drawn.full(now), 3),
-            "captures_waiting": f"{len(node.drawn)},{len(node.after)}",
-            "captures_let_go": ",".join(map(str, let_go)),
-            "captures_ring": f"{len(ring)},{ring.bytes},{ring.overwritten}",
+            "captures_table": "{}.{}".format(*node.thresholds.version),
+            "captures_full": round(node.sampled.utilization(now), 3),
+            "captures_waiting": f"{len(node.sampled)},{len(node.triggered)}",
+            "captures_let_go": ",".join(map(str, shed_count)),
+            "captures_ring": f"{len(ring)},{ring.bytes},{ring.evicted_count}",
             "captures_written": self._written + (writer.written if writer is not None else 0),
             "captures_dropped": self._dropped + (writer.dropped if writer is not None else 0),
             "captures_wrong": ",".join(f"{name}:{n}" for name, n in wrong.items() if n) or "0",
--- a/larkweir/coordination/captures/scribe.py
+++ b/larkweir/coordination/captures/recorder.py
@@ -21,7 +21,7 @@
     TimerFired,
 )
 from larkweir_captures.node import Node
-from larkweir_captures.thresholds import Verdict
+from larkweir_captures.sampling import SamplingDecision
 
 from larkweir.core.ports import Decisions
 from larkweir.logs.follow import Follow, Told, tenths
@@ -31,12 +31,12 @@
 _encode = msgspec.json.Encoder().encode
 
 
-class Ride(msgspec.Struct, eq=False):
+class CaptureBaggage(msgspec.Struct, eq=False):
     """One request's verdict on its way (`larkweir.core.ports.Baggage`)."""
 
-    _scribe: Scribe
+    _scribe: CaptureRecorder
     number: int
-    verdict: Verdict
+    verdict: SamplingDecision
     route: str
     _text: bytes = b""  # what goes down,
     _threshold: int = -1  # and for which threshold
@@ -45,17 +45,17 @@
     def down(self) -> bytes:
         if self._threshold != self.verdict.threshold:
             self._threshold = self.verdict.threshold
-            self._text = self._scribe.node.down(self.verdict).encode()
+            self._text = self._scribe.node.request_field(self.verdict).encode()
         return self._text
 
     def told(self, text: bytes | None, ran: bool) -> None:
         if text is not None:
-            self._scribe.node.settle(self.verdict, text.decode("latin-1"))
+            self._scribe.node.on_answer(self.verdict, text.decode("latin-1"))
         elif ran:
             self.lost = True
 
     def up(self) -> bytes:
-        return self._scribe.node.up(self.verdict).encode()
+        return self._scribe.node.answer_field(self.verdict).encode()
 
     def closed(self, status: int) -> None:
         self._scribe.closed(self, status)
@@ -79,7 +79,7 @@
     below: tuple[str, ...] = ()
 
 
-class Scribe:
+class CaptureRecorder:
     """Decisions, and what they hear and say written down. A `BaggagePropagator` where budgets travel."""
 
     name = FIELD
@@ -102,7 +102,7 @@
         self.slow_ms = slow_ms
         self._now_ms = now_ms
         self._route_of = route_of
-        self._rides: dict[int, Ride] = {}  # of requests that the decisions have not heard of yet
+        self._rides: dict[int, CaptureBaggage] = {}  # of requests that the decisions have not heard of yet
         self.follow = Follow(settings, self._marks, trace_of, address_of, self._ended)
         self.follow.LATE_MS = self.LATE_MS
 
@@ -129,7 +129,7 @@
 
     # ------------------------------------------------ verdicts
 
-    def ride(self, came: bytes | None, trace: bytes, event: RequestArrived, now_ms: float) -> Ride:
+    def ride(self, came: bytes | None, trace: bytes, event: RequestArrived, now_ms: float) -> CaptureBaggage:
         """The verdict that came with a request, or that is made here, for all hops."""
         found = self._rides[event.request] = self._judged(
             came, trace, event, now_ms, self.follow.names(event)
@@ -143,27 +143,29 @@
         event: RequestArrived,
         now_ms: float,
         names: tuple[str, str],
-    ) -> Ride:
+    ) -> CaptureBaggage:
         route = self._route_of(event)
         verdict = None
         if came is not None:
-            verdict = self.node.next_hop(came.decode("latin-1"), now_ms, trace)
+            verdict = self.node.later_hop(came.decode("latin-1"), now_ms, trace)
         if verdict is None:
             verdict = self.node.first_hop(trace, route, names[0], names[1], now_ms)
-        return Ride(self, event.request, verdict, route)
+        return CaptureBaggage(self, event.request, verdict, route)
 
-    def _marks(self, trace: bytes, event: RequestArrived, now_ms: float, names: tuple[str, str]) -> Ride:
+    def _marks(
+        self, trace: bytes, event: RequestArrived, now_ms: float, names: tuple[str, str]
+    ) -> CaptureBaggage:
         found = self._rides.pop(event.request, None)
         return found if found is not None else self._judged(None, trace, event, now_ms, names)
 
-    def closed(self, ride: Ride, status: int) -> None:
+    def closed(self, ride: CaptureBaggage, status: int) -> None:
         """A request's answer. Of some ends decisions hear nothing: its budget refused it, it is overdue, a fault."""
         now = self._now_ms()
         if self._rides.pop(ride.number, None) is not None:
-            fields = {"id": ride.verdict.trace, "at_ms": tenths(now), "took_ms": 0.0, "status": status}
+            fields = {"id": ride.verdict.trace_id, "at_ms": tenths(now), "took_ms": 0.0, "status": status}
             fields |= {"attempts": [], "why": "budget"}
-            for name in ("route", "above", "below"):
-                value = ride.route if name == "route" else getattr(ride.verdict, name)
+            above, below = ride.verdict.previous_hops, ride.verdict.next_hops
+            for name, value in (("route", ride.route), ("above", above), ("below", below)):
                 if value:
                     fields[name] = value
             self.node.record(ride.verdict, _encode(fields), now, False, False, False, ride.lost)
@@ -173,7 +175,7 @@
     # ------------------------------------------------ records
 
     def _ended(self, told: Told, status: int, now_ms: float) -> None:
-        ride: Ride = told.mark
+        ride: CaptureBaggage = told.mark
         sent = 0
         for attempt in told.attempts:
             sent += attempt[3] != "moot"
@@ -191,7 +193,7 @@
             told.hint_ms,
             told.again,
             ride.route,
-            verdict.above,
-            verdict.below,
+            verdict.previous_hops,
+            verdict.next_hops,
         )
         self.node.record(verdict, _encode(record), now_ms, failed, slow, sent > 1, ride.lost)
--- a/larkweir/coordination/duties/messages.py
+++ b/larkweir/coordination/duties/messages.py
@@ -73,7 +73,7 @@
 
 
 class CaptureReport(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """What one balancer sees of each kind of request, as `larkweir_captures.wire` packs it."""
+    """What one balancer sees of each kind of request, as `larkweir_captures.messages` packs it."""
 
     incarnation: int
     item: bytes
--- a/larkweir/coordination/duties/thresholds.py
+++ b/larkweir/coordination/duties/thresholds.py
@@ -13,18 +13,18 @@
 
 import msgspec
 from larkweir_captures.coordinator import Coordinator
-from larkweir_captures.wire import Report as CaptureWireReport
-from larkweir_captures.wire import Table, pack, unpack
+from larkweir_captures.messages import Report as CaptureWireReport
+from larkweir_captures.messages import ThresholdTable, decode, encode
 from larkweir_owners.messages import Version
 
-from larkweir.coordination.captures.scribe import OWNER
+from larkweir.coordination.captures.recorder import OWNER
 from larkweir.coordination.duties.messages import CaptureReport, Report
 
 
 class ThresholdFollower(Protocol):
     """This balancer's captures."""
 
-    def follow(self, table: Table, now_ms: float) -> bool:
+    def follow(self, table: ThresholdTable, now_ms: float) -> bool:
         """Go by a table; returns whether it was newer than the last."""
 
 
@@ -61,7 +61,7 @@
         # While this balancer owns the duty, and until another does.
         self._coordinator: Coordinator | None = None
         self._term = 0
-        self._table: Table | None = None  # committed, and not followed yet
+        self._table: ThresholdTable | None = None  # committed, and not followed yet
         self._is_new_term = False
 
     # ------------------------------------------------ the owner
@@ -70,9 +70,9 @@
         """A balancer's report, for the coordinator; ignored where this process is not the owner."""
         if not isinstance(report, CaptureReport) or self._coordinator is None:
             return
-        seen = unpack(report.item)
+        seen = decode(report.item)
         if isinstance(seen, CaptureWireReport):
-            self._coordinator.came(source, seen, now_ms)
+            self._coordinator.on_report(source, seen, now_ms)
         else:
             self.rejected += 1
 
@@ -86,7 +86,7 @@
             )
         before = it.table.number
         it.tick(now_ms)
-        return pack(it.table) if it.table.number != before else None
+        return encode(it.table) if it.table.number != before else None
 
     # ------------------------------------------------ every balancer
 
@@ -98,7 +98,9 @@
             self._coordinator = None  # what was reported belongs to a former term
         table = read(state)
         if table is not None:
-            self._table = msgspec.structs.replace(table, term=version[0], number=version[1], by=OWNER)
+            self._table = msgspec.structs.replace(
+                table, term=version[0], number=version[1], coordinator=OWNER
+            )
             self.next_ms = 0.0
 
     def is_notable(self) -> bool:
@@ -118,7 +120,7 @@
         return [CaptureReport(self._incarnation, item)] if item else []
 
 
-def read(state: bytes) -> Table | None:
+def read(state: bytes) -> ThresholdTable | None:
     """The table in the register, or None where there is none or it can't be read: rates begin anew."""
-    found = unpack(state)
-    return found if isinstance(found, Table) else None
+    found = decode(state)
+    return found if isinstance(found, ThresholdTable) else None
--- a/packages/captures/src/larkweir_captures/coordinator.py
+++ b/packages/captures/src/larkweir_captures/coordinator.py
@@ -10,18 +10,20 @@
 from heapq import nsmallest
 from zlib import crc32
 
-from larkweir_captures.fill import fill
-from larkweir_captures.ports import Mail
-from larkweir_captures.thresholds import rate_of, threshold_of
-from larkweir_captures.wire import MOST_KEYS, REPORTED, Report, Table, pack
-
-FAN = 3  # nodes that are told a table; each passes it on to so many
-A_SECOND = 100  # reports that come in a second, at most: nodes report so much more rarely where they are many
-MOST_NODES = 4096
-UP = 2.0  # a rate at most doubles from one table to the next
-LEAST = 1e-4  # from which a rate grows
-CHANGED = 0.15  # of a rate, from which a new table is worth sending
-HEADROOM = 0.9  # of what a node can take, that is planned for
+from larkweir_captures.max_min_fairness import fill
+from larkweir_captures.messages import MAX_REPORTED_KINDS, MAX_TABLE_KEYS, Report, ThresholdTable, encode
+from larkweir_captures.ports import Transport
+from larkweir_captures.sampling import rate_of, threshold_of
+
+GOSSIP_FANOUT = 3  # nodes that are told a table; each passes it on to so many
+MAX_REPORTS_PER_S = (
+    100  # reports that come in a second, at most: nodes report so much more rarely where they are many
+)
+MAX_NODES = 4096
+MAX_RATE_GROWTH_FACTOR = 2.0  # a rate at most doubles from one table to the next
+MIN_RATE = 1e-4  # from which a rate grows
+SIGNIFICANT_CHANGE_FRACTION = 0.15  # of a rate, from which a new table is worth sending
+PLANNED_FRACTION = 0.9  # of what a node can take, that is planned for
 
 
 class Coordinator:
@@ -29,11 +31,11 @@
         self,
         me: str,
         term: int,
-        mail: Mail,
+        mail: Transport,
         now_ms: float,
-        hold_ms: float,
+        stale_after_ms: float,
         rest: float,
-        last: Table | None = None,
+        last: ThresholdTable | None = None,
     ) -> None:
         """`hold_ms`: after so long without a table nodes go on by a safe part, so one is sent three times as often.
         `rest`: the rate of kinds that nobody has reported yet. `last`: the newest table that is known here, which
@@ -41,14 +43,16 @@
         """
         self.me = me
         self.term = term
-        had = last or Table(0, 0, "", 1000, threshold_of(rest), {})
-        self.table = Table(term, 0, me, had.every_ms, had.rest, had.thresholds)
+        had = last or ThresholdTable(0, 0, "", 1000, threshold_of(rest), {})
+        self.table = ThresholdTable(
+            term, 0, me, had.report_interval_ms, had.default_threshold, had.thresholds
+        )
         self._mail = mail
-        self._hold_ms = hold_ms
-        self._rest = rest
+        self._stale_after_ms = stale_after_ms
+        self._default_rate = rest
         self._reports: dict[str, tuple[float, Report]] = {}
         self._next_ms = now_ms
-        self._sets_ms = now_ms + 2.5 * had.every_ms
+        self._sets_ms = now_ms + 2.5 * had.report_interval_ms
         self._sent_ms = float("-inf")
 
     @property
@@ -60,49 +64,51 @@
         """How many have reported of late."""
         return len(self._reports)
 
-    def came(self, source: str, report: Report, now_ms: float) -> None:
+    def on_report(self, source: str, report: Report, now_ms: float) -> None:
         """A report. Whoever goes by an old table is sent the one that holds."""
-        if source not in self._reports and len(self._reports) >= MOST_NODES:
+        if source not in self._reports and len(self._reports) >= MAX_NODES:
             return
-        if max(len(report.firsts), len(report.came)) > REPORTED + 1:
+        if max(len(report.first_hops), len(report.forwarded)) > MAX_REPORTED_KINDS + 1:
             return
         self._reports[source] = (now_ms, report)
         if (report.term, report.number) < (self.table.term, self.table.number):
-            self._mail.post(source, pack(self.table))
+            self._mail.post(source, encode(self.table))
 
     def tick(self, now_ms: float) -> None:
         if now_ms < self._next_ms:
             return
-        self._next_ms = now_ms + self.table.every_ms
+        self._next_ms = now_ms + self.table.report_interval_ms
         # A node that is not heard of may be cut off and still be passed: it counts until nobody goes by this table.
-        for name in [name for name, (came, _) in self._reports.items() if now_ms - came > self._hold_ms]:
+        for name in [
+            name for name, (came, _) in self._reports.items() if now_ms - came > self._stale_after_ms
+        ]:
             del self._reports[name]
-        thresholds, rest = self.table.thresholds, self.table.rest
+        thresholds, rest = self.table.thresholds, self.table.default_threshold
         if now_ms >= self._sets_ms and self._reports:
             thresholds, rest = self._set()
-        every = max(1000, len(self._reports) * 1000 // A_SECOND)
+        every = max(1000, len(self._reports) * 1000 // MAX_REPORTS_PER_S)
         changed = (
             abs(rate_of(thresholds.get(key, rest)) - rate_of(self._had(key)))
-            > CHANGED * rate_of(self._had(key))
+            > SIGNIFICANT_CHANGE_FRACTION * rate_of(self._had(key))
             for key in thresholds.keys() | self.table.thresholds.keys()
         )
         first = not self.table.number
-        if not first and now_ms - self._sent_ms < self._hold_ms / 3.0 and not any(changed):
+        if not first and now_ms - self._sent_ms < self._stale_after_ms / 3.0 and not any(changed):
             return
-        self.table = Table(self.term, self.table.number + 1, self.me, every, rest, thresholds)
+        self.table = ThresholdTable(self.term, self.table.number + 1, self.me, every, rest, thresholds)
         self._sent_ms = now_ms
-        for name in nearest(self._mail.alive(), self.table, self.me, 2 * FAN):
-            self._mail.post(name, pack(self.table))
+        for name in gossip_targets(self._mail.alive(), self.table, self.me, 2 * GOSSIP_FANOUT):
+            self._mail.post(name, encode(self.table))
 
     def _had(self, key: int) -> int:
-        return self.table.thresholds.get(key, self.table.rest)
+        return self.table.thresholds.get(key, self.table.default_threshold)
 
     def _set(self) -> tuple[dict[int, int], int]:
         begun: dict[int, float] = {}
         for _, report in self._reports.values():
-            for key, load in report.firsts.items():
+            for key, load in report.first_hops.items():
                 begun[key] = begun.get(key, 0.0) + load
-        told = set(sorted(begun, key=lambda key: begun[key], reverse=True)[:MOST_KEYS])
+        told = set(sorted(begun, key=lambda key: begun[key], reverse=True)[:MAX_TABLE_KEYS])
 
         def pooled(loads: dict[int, int]) -> dict[int, float]:
             found: dict[int, float] = {}
@@ -112,14 +118,18 @@
             return found
 
         every = pooled({key: int(load) for key, load in begun.items()})
-        rates = fill(every, [(r.room * HEADROOM, pooled(r.came)) for _, r in self._reports.values()])
+        rates = fill(
+            every, [(r.capacity * PLANNED_FRACTION, pooled(r.forwarded)) for _, r in self._reports.values()]
+        )
         for key in rates.keys() & self.table.thresholds.keys():
-            rates[key] = min(rates[key], max(LEAST, rate_of(self._had(key)) * UP))
-        rest = rates.pop(0, min(rates.values(), default=self._rest))
+            rates[key] = min(rates[key], max(MIN_RATE, rate_of(self._had(key)) * MAX_RATE_GROWTH_FACTOR))
+        rest = rates.pop(0, min(rates.values(), default=self._default_rate))
         return {key: threshold_of(rate) for key, rate in rates.items()}, threshold_of(rest)
 
 
-def nearest(names: Sequence[str], table: Table, me: str, most: int = FAN) -> list[str]:
+def gossip_targets(
+    names: Sequence[str], table: ThresholdTable, me: str, most: int = GOSSIP_FANOUT
+) -> list[str]:
     """Whom to tell of a table: for each table and node other names, by rendezvous, so that it reaches all in a few
     steps. Who is missed gets it for an answer to its next report.
     """
--- a/packages/captures/src/larkweir_captures/ports.py
+++ b/packages/captures/src/larkweir_captures/ports.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 
-class Mail(Protocol):
+class Transport(Protocol):
     """The way to other processes."""
 
     def post(self, to: str, item: bytes) -> bool:
--- a/packages/captures/src/larkweir_captures/thresholds.py
+++ b/packages/captures/src/larkweir_captures/sampling.py
@@ -17,12 +17,12 @@
 import msgspec
 
 BITS = 56
-ALL = 1 << BITS  # as a threshold: nothing is captured
-MOST_PATH = 8  # names of hops that travel
-MOST_TEXT = 500  # characters of what travels
-_KEPT_BITS = 12  # significant bits of a probability: thresholds stay short, and at most 1/2048 below what was asked for
+CAPTURE_NONE = 1 << BITS  # as a threshold: nothing is captured
+MAX_HOPS_SENT = 8  # names of hops that travel
+MAX_FIELD_CHARS = 500  # characters of what travels
+_SIGNIFICANT_BITS = 12  # of a probability: thresholds stay short, and at most 1/2048 below what was asked for
 
-Number = tuple[int, int]  # (term, number) of a table of thresholds
+TableVersion = tuple[int, int]  # (term, number) of a table of thresholds
 
 _FIELD = re.compile(
     r"th:([0-9a-f]{0,14}|none);rv:([0-9a-f]{14});k:([0-9a-f]{8});n:(\d{1,15})\.(\d{1,15});by:([\w.:\[\]%,-]{0,400})\Z",
@@ -46,64 +46,64 @@
 def threshold_of(rate: float) -> int:
     """The threshold that captures a part of all requests: `rate`, or a little less; never more."""
     if not rate > 0.0:  # a value that is not a number too
-        return ALL
-    kept = min(ALL, int(rate * ALL))
-    spare = kept.bit_length() - _KEPT_BITS
+        return CAPTURE_NONE
+    kept = min(CAPTURE_NONE, int(rate * CAPTURE_NONE))
+    spare = kept.bit_length() - _SIGNIFICANT_BITS
     if spare > 0:
         kept = kept >> spare << spare
-    return ALL - kept
+    return CAPTURE_NONE - kept
 
 
 def rate_of(threshold: int) -> float:
-    return (ALL - threshold) / ALL
+    return (CAPTURE_NONE - threshold) / CAPTURE_NONE
 
 
-def raised(threshold: int, part: float) -> int:
+def scaled_threshold(threshold: int, part: float) -> int:
     """The threshold that keeps a `part` (0 to 1) of what this one keeps. Never lower than it."""
     if part >= 1.0:
         return threshold
     return max(threshold, threshold_of(rate_of(threshold) * max(0.0, part)))
 
 
-def lift_of(threshold: int, rv: int) -> float:
+def margin_of(threshold: int, rv: int) -> float:
     """How far above its threshold a captured request lies, from 0 to 1, and evenly so: which of several are let go
     first, in the same order at every hop.
     """
-    return (rv - threshold) / (ALL - threshold)
+    return (rv - threshold) / (CAPTURE_NONE - threshold)
 
 
 @lru_cache(maxsize=4096)
 def to_hex(threshold: int) -> str:
     """As `th` is written: 14 digits without the zeros at the end, of which one is left; `none` captures nothing."""
-    return "none" if threshold >= ALL else f"{threshold:014x}".rstrip("0") or "0"
+    return "none" if threshold >= CAPTURE_NONE else f"{threshold:014x}".rstrip("0") or "0"
 
 
 @lru_cache(maxsize=4096)
 def from_hex(text: str) -> int:
-    return ALL if text == "none" else int(text.ljust(14, "0"), 16)
+    return CAPTURE_NONE if text == "none" else int(text.ljust(14, "0"), 16)
 
 
-def is_name(text: str) -> bool:
+def is_hop_name(text: str) -> bool:
     """Whether a hop's name can travel: an address, or letters, digits and `._-`."""
     return _NAME.match(text) is not None
 
 
 @lru_cache(maxsize=4096)
-def _down_end(key: int, number: Number, above: tuple[str, ...], me: str) -> str:
-    return f"k:{key:08x};n:{number[0]}.{number[1]};by:{','.join((*above, me)[-MOST_PATH:])}"
+def _down_end(key: int, number: TableVersion, above: tuple[str, ...], me: str) -> str:
+    return f"k:{key:08x};n:{number[0]}.{number[1]};by:{','.join((*above, me)[-MAX_HOPS_SENT:])}"
 
 
-class Verdict(msgspec.Struct, gc=False):
+class SamplingDecision(msgspec.Struct, gc=False):
     """What was decided of one request, once, at its first hop; a later hop can only raise the threshold."""
 
     rv: int
     threshold: int
     key: int = 0
-    number: Number = (0, 0)  # of the table that the first hop went by
-    above: tuple[str, ...] = ()  # hops that it has passed, first to last
-    below: tuple[str, ...] = ()  # hops that have answered for it
-    first: bool = True
-    trace: str = ""  # its id, where it is known here
+    table_version: TableVersion = (0, 0)  # of the table that the first hop went by
+    previous_hops: tuple[str, ...] = ()  # hops that it has passed, first to last
+    next_hops: tuple[str, ...] = ()  # hops that have answered for it
+    is_first_hop: bool = True
+    trace_id: str = ""  # its id, where it is known here
 
     @property
     def captured(self) -> bool:
@@ -116,45 +116,49 @@
     @property
     def weight(self) -> float:
         """How many requests its record stands for; 0 where it was not drawn."""
-        return ALL / (ALL - self.threshold) if self.captured else 0.0
+        return CAPTURE_NONE / (CAPTURE_NONE - self.threshold) if self.captured else 0.0
 
-    def down(self, me: str) -> str:
+    def request_field(self, me: str) -> str:
         """What goes on with the request from this hop."""
-        end = _down_end(self.key, self.number, self.above, me)
+        end = _down_end(self.key, self.table_version, self.previous_hops, me)
         return f"th:{to_hex(self.threshold)};rv:{self.rv:014x};{end}"
 
-    def up(self, me: str) -> str:
+    def answer_field(self, me: str) -> str:
         """What goes back with the answer from this hop: the threshold that held in the end, and who has it."""
-        return f"th:{to_hex(self.threshold)};by:{','.join((me, *self.below)[:MOST_PATH])}"
+        return f"th:{to_hex(self.threshold)};by:{','.join((me, *self.next_hops)[:MAX_HOPS_SENT])}"
 
-    def told(self, threshold: int, names: tuple[str, ...]) -> None:
+    def merge_answer(self, threshold: int, names: tuple[str, ...]) -> None:
         """An answer has come from below: what was not captured there need not be here."""
         self.threshold = max(self.threshold, threshold)
-        if names != self.below:
-            self.below = (*self.below, *(name for name in names if name not in self.below))[:MOST_PATH]
+        if names != self.next_hops:
+            self.next_hops = (*self.next_hops, *(name for name in names if name not in self.next_hops))[
+                :MAX_HOPS_SENT
+            ]
 
 
 @lru_cache(maxsize=4096)
 def _names(text: str) -> tuple[str, ...]:
-    return tuple(name for name in text.split(",") if is_name(name))[:MOST_PATH]
+    return tuple(name for name in text.split(",") if is_hop_name(name))[:MAX_HOPS_SENT]
 
 
-def read_down(text: str) -> Verdict | None:
+def parse_request_field(text: str) -> SamplingDecision | None:
     """What came with a request; none if it can't be read."""
-    found = _FIELD.match(text) if len(text) <= MOST_TEXT else None
+    found = _FIELD.match(text) if len(text) <= MAX_FIELD_CHARS else None
     if found is None:
         return None
     th, rv, key, term, number, by = found.groups()
-    return Verdict(int(rv, 16), from_hex(th), int(key, 16), (int(term), int(number)), _names(by), first=False)
+    return SamplingDecision(
+        int(rv, 16), from_hex(th), int(key, 16), (int(term), int(number)), _names(by), is_first_hop=False
+    )
 
 
-def read_up(text: str) -> tuple[int, tuple[str, ...]] | None:
+def parse_answer_field(text: str) -> tuple[int, tuple[str, ...]] | None:
     """What came with an answer: a threshold, and the hops that answered; none if it can't be read."""
-    found = _BACK.match(text) if len(text) <= MOST_TEXT else None
+    found = _BACK.match(text) if len(text) <= MAX_FIELD_CHARS else None
     return (from_hex(found[1]), _names(found[2])) if found else None
 
 
-def falloff(full: float) -> float:
+def overload_fraction(full: float) -> float:
     """The part that is still taken where a queue is so full (0 to 1): all up to a quarter, a 400th at the brim.
 
     Exponential, so that a burst of any size up to that settles at a level of its own: ten times too much at 0.54.
--- a/packages/captures/src/larkweir_captures/triggers.py
+++ b/packages/captures/src/larkweir_captures/trace_collection.py
@@ -13,24 +13,24 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-from larkweir_captures.bounds import Leak
-from larkweir_captures.thresholds import is_name
-from larkweir_captures.wire import MOST_ASKS, MOST_TRACE, Ask
+from larkweir_captures.messages import MAX_TRACE_ID_CHARS, MAX_TRACES_PER_REQUEST, TraceRequest
+from larkweir_captures.output_limits import LeakyBucket
+from larkweir_captures.sampling import is_hop_name
 
-FAILED, SLOW, AGAIN = 3, 2, 1  # how important
+FAILED, SLOW, RETRIED = 3, 2, 1  # how important
 
-TRIES = 3
-AGAIN_MS = 250.0
-MOST_HOPS = 16  # asked for one trace, by breadcrumbs
-AROUND = 16  # asked for one trace without any, where a hop was lost
-MOST_OPEN = 512  # traces that are asked for at once, and that wait to be
-MOST_WANTED = 4096  # traces that others have asked for
-MOST_SEEN = 1024  # hops of which it is known whom they send to
+MAX_ATTEMPTS = 3
+RETRY_MS = 250.0
+MAX_TRACE_HOPS = 16  # asked for one trace, by breadcrumbs
+MAX_FALLBACK_HOPS = 16  # asked for one trace without any, where a hop was lost
+MAX_OPEN_TRACES = 512  # traces that are asked for at once, and that wait to be
+MAX_REQUESTED_TRACES = 4096  # traces that others have asked for
+MAX_KNOWN_SENDERS = 1024  # hops of which it is known whom they send to
 
 
 @dataclass(slots=True)
 class _Open:
-    ask: Ask
+    ask: TraceRequest
     asked: dict[str, tuple[int, float]] = field(
         default_factory=dict
     )  # who has not answered: tries, the next when
@@ -39,68 +39,68 @@
     around: bool = False  # others have been asked
 
 
-class Triggers:
+class TraceCollection:
     def __init__(self, me: str, traces_per_s: float) -> None:
         self.me = me
-        self._leak = Leak(max(10.0, traces_per_s))
-        self._waiting: dict[int, tuple[Ask, tuple[str, ...], bool]] = {}
+        self._leak = LeakyBucket(max(10.0, traces_per_s))
+        self._waiting: dict[int, tuple[TraceRequest, tuple[str, ...], bool]] = {}
         self._open: dict[int, _Open] = {}
-        self.wants: OrderedDict[int, tuple[int, float, tuple[str, ...]]] = (
+        self.requested: OrderedDict[int, tuple[int, float, tuple[str, ...]]] = (
             OrderedDict()
         )  # how much, until, by whom
         self._sends: OrderedDict[str, deque[str]] = OrderedDict()  # whom a hop was seen to send to
         self._paths: set[tuple[str, ...]] = set()  # that have been seen, so that most need not be taken apart
-        self.let_go = 0  # triggers that there was no room for
-        self.lost = 0  # hops that never answered
+        self.shed_count = 0  # triggers that there was no room for
+        self.unanswered_count = 0  # hops that never answered
 
     def __len__(self) -> int:
         return len(self._open) + len(self._waiting)
 
     # What is known of others
 
-    def crumbs(self, path: tuple[str, ...]) -> None:
+    def add_breadcrumbs(self, path: tuple[str, ...]) -> None:
         """A request has passed these hops in this order."""
         if path in self._paths:
             return
-        if len(self._paths) >= MOST_SEEN:
+        if len(self._paths) >= MAX_KNOWN_SENDERS:
             self._paths.clear()
         self._paths.add(path)
         for here, there in pairwise(path):
-            seen = self._sends.setdefault(here, deque(maxlen=AROUND))
+            seen = self._sends.setdefault(here, deque(maxlen=MAX_FALLBACK_HOPS))
             self._sends.move_to_end(here)
             if there not in seen:
                 seen.append(there)
-            if len(self._sends) > MOST_SEEN:
+            if len(self._sends) > MAX_KNOWN_SENDERS:
                 self._sends.popitem(last=False)
 
-    def want(self, rv: int, importance: int, until_ms: float, source: str) -> None:
+    def add_requested(self, rv: int, importance: int, until_ms: float, source: str) -> None:
         """A hop asks for a trace, which may still be under way here."""
-        known = self.wants.pop(rv, (0, 0.0, ()))
+        known = self.requested.pop(rv, (0, 0.0, ()))
         sources = known[2] if source in known[2] else (*known[2], source)[-4:]
-        self.wants[rv] = (max(importance, known[0]), max(until_ms, known[1]), sources)
-        if len(self.wants) > MOST_WANTED:
-            self.wants.popitem(last=False)
+        self.requested[rv] = (max(importance, known[0]), max(until_ms, known[1]), sources)
+        if len(self.requested) > MAX_REQUESTED_TRACES:
+            self.requested.popitem(last=False)
 
-    def wanted(self, rv: int, now_ms: float) -> tuple[int, tuple[str, ...]]:
+    def requested_by(self, rv: int, now_ms: float) -> tuple[int, tuple[str, ...]]:
         """How important a trace is to those who have asked for it, and who they are; 0 if nobody has."""
-        if rv not in self.wants:
+        if rv not in self.requested:
             return 0, ()
-        importance, until, sources = self.wants[rv]
+        importance, until, sources = self.requested[rv]
         return (importance, sources) if until >= now_ms else (0, ())
 
     # What is asked here
 
-    def begin(self, ask: Ask, hops: Sequence[str], lost: bool) -> None:
+    def trigger(self, ask: TraceRequest, hops: Sequence[str], lost: bool) -> None:
         """A request here is worth keeping. `lost`: an attempt's answer is missing."""
-        if ask.rv in self._open or len(ask.trace) > MOST_TRACE:
+        if ask.rv in self._open or len(ask.trace_id) > MAX_TRACE_ID_CHARS:
             return
         self._waiting[ask.rv] = (ask, tuple(hops), lost)
-        if len(self._waiting) > MOST_OPEN:
+        if len(self._waiting) > MAX_OPEN_TRACES:
             least = min(self._waiting, key=lambda rv: (self._waiting[rv][0].importance, rv))
             del self._waiting[least]
-            self.let_go += 1
+            self.shed_count += 1
 
-    def answered(self, source: str, rv: int, hops: Sequence[str]) -> None:
+    def on_retained(self, source: str, rv: int, hops: Sequence[str]) -> None:
         """A hop has kept what it had, and names others."""
         found = self._open.get(rv)
         if found is None or source not in found.known:
@@ -113,49 +113,55 @@
             if (
                 name != self.me
                 and name not in found.known
-                and len(found.known) < MOST_HOPS + AROUND
-                and is_name(name)
+                and len(found.known) < MAX_TRACE_HOPS + MAX_FALLBACK_HOPS
+                and is_hop_name(name)
             ):
                 found.known.add(name)
                 found.asked[name] = (0, float("-inf"))
 
-    def due(self, now_ms: float, alive: Sequence[str]) -> tuple[list[Ask], dict[str, list[Ask]]]:
+    def take_due(
+        self, now_ms: float, alive: Sequence[str]
+    ) -> tuple[list[TraceRequest], dict[str, list[TraceRequest]]]:
         """The traces that are asked for from now on, whose records here are kept too; and whom to ask what."""
-        begun: list[Ask] = []
+        begun: list[TraceRequest] = []
         if self._waiting:
             for rv in sorted(
                 self._waiting, key=lambda rv: (self._waiting[rv][0].importance, rv), reverse=True
             ):
-                if len(self._open) >= MOST_OPEN or self._leak.wait_ms(1.0, now_ms) > 0.0:
+                if len(self._open) >= MAX_OPEN_TRACES or self._leak.wait_ms(1.0, now_ms) > 0.0:
                     break
-                self._leak.take(1.0, now_ms)
+                self._leak.spend(1.0, now_ms)
                 ask, hops, lost = self._waiting.pop(rv)
                 begun.append(ask)
                 self._open[rv] = opened = _Open(ask, lost=lost)
                 self._add(opened, hops)
-        posts: dict[str, list[Ask]] = {}
+        posts: dict[str, list[TraceRequest]] = {}
         for rv, found in list(self._open.items()):
             self._ask(found, posts, alive, now_ms)
             if not found.asked:
                 del self._open[rv]
-        while self.wants and next(iter(self.wants.values()))[1] < now_ms:
-            self.wants.popitem(last=False)
+        while self.requested and next(iter(self.requested.values()))[1] < now_ms:
+            self.requested.popitem(last=False)
         return begun, posts
 
-    def _ask(self, found: _Open, posts: dict[str, list[Ask]], alive: Sequence[str], now_ms: float) -> None:
-        given_up = [name for name, (tries, due) in found.asked.items() if tries >= TRIES and due <= now_ms]
+    def _ask(
+        self, found: _Open, posts: dict[str, list[TraceRequest]], alive: Sequence[str], now_ms: float
+    ) -> None:
+        given_up = [
+            name for name, (tries, due) in found.asked.items() if tries >= MAX_ATTEMPTS and due <= now_ms
+        ]
         for name in given_up:
             del found.asked[name]
         if given_up and not found.around:
-            self.lost += len(given_up)
+            self.unanswered_count += len(given_up)
             found.lost = True
         if found.lost and not found.around:
             self._around(found, given_up or (self.me,), alive)
         for name, (tries, due) in found.asked.items():
             batch = posts.setdefault(name, []) if due <= now_ms else None
-            if batch is not None and len(batch) < MOST_ASKS:  # else at the next time
+            if batch is not None and len(batch) < MAX_TRACES_PER_REQUEST:  # else at the next time
                 batch.append(found.ask)
-                found.asked[name] = (tries + 1, now_ms + AGAIN_MS)
+                found.asked[name] = (tries + 1, now_ms + RETRY_MS)
 
     def _around(self, found: _Open, lost: Sequence[str], alive: Sequence[str]) -> None:
         """Ask those that a lost hop was seen to send to, then others, each once."""
@@ -163,9 +169,9 @@
         likely = [name for hop in lost for name in self._sends.get(hop, ())]
         asked = 0
         for name in (*likely, *alive):
-            if asked >= AROUND:
+            if asked >= MAX_FALLBACK_HOPS:
                 return
             if name != self.me and name not in found.known:
                 found.known.add(name)
-                found.asked[name] = (TRIES - 1, float("-inf"))
+                found.asked[name] = (MAX_ATTEMPTS - 1, float("-inf"))
                 asked += 1
--- a/packages/captures/src/larkweir_captures/writer.py
+++ b/packages/captures/src/larkweir_captures/writer.py
@@ -19,7 +19,7 @@
         descriptor: int = -1,
         file_bytes: int = 64 * 1024 * 1024,
         files: int = 4,
-        most_waiting: int = 8 * 1024 * 1024,
+        max_waiting_bytes: int = 8 * 1024 * 1024,
     ) -> None:
         """To `path`, whose full files become `path.1`, `path.2`, ..., so many `files` in all; or to an open
         `descriptor`, which stays its owner's. `most_waiting`: bytes. OSError where the path can't be opened.
@@ -30,7 +30,7 @@
         self._descriptor = descriptor
         self._file_bytes = file_bytes
         self._files = files
-        self._most = most_waiting
+        self._most = max_waiting_bytes
         self._size = 0
         self._waiting: deque[bytes] = deque()
         self._bytes = 0
--- a/packages/captures/tests/captures_rig.py
+++ b/packages/captures/tests/captures_rig.py
@@ -14,9 +14,9 @@
 
 from hypothesis import settings
 from larkweir_captures.coordinator import Coordinator
+from larkweir_captures.messages import encode
 from larkweir_captures.node import Node, Options
-from larkweir_captures.thresholds import Verdict
-from larkweir_captures.wire import pack
+from larkweir_captures.sampling import SamplingDecision
 from larkweir_simulated import Network
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
@@ -25,7 +25,9 @@
 TIERS, EACH = 3, 10
 FRAGMENT = 200  # bytes of an item in one datagram
 KINDS = (("buscar", "bulk", 600), ("cobrar", "card", 300), ("mudar", "move", 89), ("auditar", "rare", 1))
-OPTIONS = Options(records_per_s=40.0, bytes_per_s=40_000.0, hold_ms=6_000.0, rest=0.05, ring_ms=4_000.0)
+OPTIONS = Options(
+    records_per_s=40.0, bytes_per_s=40_000.0, stale_after_ms=6_000.0, default_rate=0.05, recent_ms=4_000.0
+)
 
 
 @dataclass
@@ -95,10 +97,10 @@
             self.net.after(self.rng.uniform(0.0, 50.0), lambda name=name: self._tick(name), owner=name)
 
     def lead(self, name: str, term: int) -> None:
-        last = self.nodes[name].held.table if term > 1 else None
+        last = self.nodes[name].thresholds.table if term > 1 else None
         mail = _Mail(self, name)
         self.leaders[name] = Coordinator(
-            name, term, mail, self.net.now_ms, self.options.hold_ms, self.options.rest, last
+            name, term, mail, self.net.now_ms, self.options.stale_after_ms, self.options.default_rate, last
         )
 
     def kill(self, name: str) -> None:
@@ -107,16 +109,16 @@
         self.net.kill(name)
 
     def _came(self, name: str, source: str, data: bytes) -> None:
-        report = self.nodes[name].came(source, data, self.net.now_ms)
+        report = self.nodes[name].on_message(source, data, self.net.now_ms)
         if report is not None and name in self.leaders:
-            self.leaders[name].came(source, report, self.net.now_ms)
+            self.leaders[name].on_report(source, report, self.net.now_ms)
 
     def _tick(self, name: str) -> None:
         now, node = self.net.now_ms, self.nodes[name]
         leader = self.leaders.get(name)
         if leader is not None:
             leader.tick(now)
-            node.came(name, _table(leader), now)
+            node.on_message(name, _table(leader), now)
         for line in node.tick(now):
             read = json.loads(line)
             trace = int(read["trace"].partition("t")[2])
@@ -153,7 +155,7 @@
         verdict = self.nodes[name].first_hop(self._id(number), route, cls, "any", self.net.now_ms)
         self._at(number, 0, name, verdict, lambda *_: None)
 
-    def _at(self, number: int, tier: int, name: str, verdict: Verdict, answer: object) -> None:
+    def _at(self, number: int, tier: int, name: str, verdict: SamplingDecision, answer: object) -> None:
         """A request is at a hop: it goes on to the next tier, or is served here."""
         truth, node, net = self.truth[number], self.nodes[name], self.net
         truth.hops.add(name)
@@ -166,12 +168,12 @@
             body = b'{"tier":%d,"pad":"%s"}' % (tier, b"x" * self.rng.randrange(50, 400))
             truth.rate = verdict.rate
             node.record(verdict, body, net.now_ms, failed, slow, state["again"], state["lost"])
-            answer(failed, node.up(verdict))  # type: ignore[operator]
+            answer(failed, node.answer_field(verdict))  # type: ignore[operator]
 
         def ask(but: str = "") -> None:
             there = self._pick(tier + 1, but)
             lost = self.rng.random() < self.trouble / 2.0
-            text = node.down(verdict)
+            text = node.request_field(verdict)
 
             def arrive() -> None:
                 came = self._came_to(there, text, number)
@@ -185,7 +187,7 @@
 
             def came_back(failed: bool, told: str) -> None:
                 if self.way_back:
-                    node.settle(verdict, told)
+                    node.on_answer(verdict, told)
                 end(failed)
 
             def give_up() -> None:
@@ -202,10 +204,10 @@
             served = lambda: end(self.rng.random() < self.trouble / 2.0)  # noqa: E731
             net.after(self.rng.expovariate(1 / 20.0), served, owner=name)
 
-    def _came_to(self, name: str, text: str, number: int) -> Verdict | None:
+    def _came_to(self, name: str, text: str, number: int) -> SamplingDecision | None:
         node, now, trace = self.nodes[name], self.net.now_ms, self._id(number)
         if not self.alone:
-            return node.next_hop(text, now, trace)
+            return node.later_hop(text, now, trace)
         route, cls, _ = KINDS[self.truth[number].kind]
         salt = name.encode() + b"|" if self.alone == "dice" else b""
         return node.first_hop(salt + trace, route, cls, "any", now)
@@ -280,4 +282,4 @@
 
 
 def _table(leader: Coordinator) -> bytes:
-    return pack(leader.table)
+    return encode(leader.table)
--- a/packages/captures/tests/test_captures_after.py
+++ b/packages/captures/tests/test_captures_after.py
@@ -10,10 +10,10 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from larkweir_captures import triggers
+from larkweir_captures import trace_collection
 from larkweir_captures.node import Node, Options
-from larkweir_captures.queues import Waiting
-from larkweir_captures.ring import Ring
+from larkweir_captures.output_queues import PendingRecord
+from larkweir_captures.recent_records import RecentRecords
 
 HOPS = [f"10.3.{tier}.{n}:7946" for tier in range(TIERS) for n in range(2)]
 SOON = settings(max_examples=40, stateful_step_count=30)
@@ -24,8 +24,8 @@
 
     @initialize(records=st.integers(1, 6), size=st.integers(60, 200))
     def begin(self, records: int, size: int) -> None:
-        self.ring = Ring(100.0, records, size)
-        self.model: deque[tuple[float, Waiting]] = deque()
+        self.ring = RecentRecords(100.0, records, size)
+        self.model: deque[tuple[float, PendingRecord]] = deque()
         self.taken: set[str] = set()
         self.count = 0
         self.now = 0.0
@@ -34,29 +34,29 @@
     def put(self, rv: int, cost: int, gap: float) -> None:
         self.now += gap
         self.count += 1
-        item = Waiting(str(self.count), rv, 0, b"", cost)
+        item = PendingRecord(str(self.count), rv, 0, b"", cost)
         self.ring.put(item, self.now)
         self.ring.expire(self.now)
         self.model.append((self.now, item))
         while (
-            len(self.model) > self.ring.most_records
-            or sum(item.cost for _, item in self.model) > self.ring.most_bytes
+            len(self.model) > self.ring.max_records
+            or sum(item.line_bytes for _, item in self.model) > self.ring.max_bytes
             or self.now - self.model[0][0] > 100.0
         ):
             self.model.popleft()
 
     @rule(rv=st.integers(0, 4))
     def take(self, rv: int) -> None:
-        there = [item for _, item in self.model if item.rv == rv and item.trace not in self.taken]
-        assert [item.trace for item in self.ring.take(rv)] == [item.trace for item in there]
-        self.taken |= {item.trace for item in there}
+        there = [item for _, item in self.model if item.rv == rv and item.trace_id not in self.taken]
+        assert [item.trace_id for item in self.ring.take(rv)] == [item.trace_id for item in there]
+        self.taken |= {item.trace_id for item in there}
 
     @invariant()
     def is_bounded(self) -> None:
         if hasattr(self, "ring"):
-            assert len(self.ring) <= self.ring.most_records and self.ring.bytes <= self.ring.most_bytes
+            assert len(self.ring) <= self.ring.max_records and self.ring.bytes <= self.ring.max_bytes
             for rv in range(5):
-                there = any(item.rv == rv and item.trace not in self.taken for _, item in self.model)
+                there = any(item.rv == rv and item.trace_id not in self.taken for _, item in self.model)
                 assert self.ring.has(rv) == there
 
 
@@ -71,7 +71,8 @@
         self.now = 0.0
         self.mail: list[tuple[str, str, bytes]] = []
         self.nodes = {
-            name: Node(name, Options(rest=1e-15, ring_ms=60_000.0), self.post(name)) for name in HOPS
+            name: Node(name, Options(default_rate=1e-15, recent_ms=60_000.0), self.post(name))
+            for name in HOPS
         }
         self.records: Counter[tuple[str, str]] = Counter()
         self.lines: Counter[tuple[str, str]] = Counter()
@@ -120,12 +121,12 @@
         nodes = [self.nodes[name] for name in path]
         verdicts = [nodes[0].first_hop(trace.encode(), "r", "c", "t", self.now)]
         for upper, lower in pairwise(nodes):
-            came = lower.next_hop(upper.down(verdicts[-1]), self.now, trace.encode())
+            came = lower.later_hop(upper.request_field(verdicts[-1]), self.now, trace.encode())
             assert came is not None
             verdicts.append(came)
         for tier in (1, 0):
             if tier != lost:
-                nodes[tier].settle(verdicts[tier], nodes[tier + 1].up(verdicts[tier + 1]))
+                nodes[tier].on_answer(verdicts[tier], nodes[tier + 1].answer_field(verdicts[tier + 1]))
         marks = {mark: True for mark in trouble}
         for tier in order:  # records come in any order: who sent may be done before who was asked
             mine = marks if tier == at else {}
@@ -154,14 +155,14 @@
                 del self.mail[at % len(self.mail)]
             self.sound = self.sound and how != "drop"
             if how != "drop" and to in self.nodes:
-                self.nodes[to].came(source, item, self.now)
+                self.nodes[to].on_message(source, item, self.now)
 
     @rule()
     def deliver_all(self) -> None:
         waiting, self.mail[:] = list(self.mail), []
         for source, to, item in waiting:
             if to in self.nodes:
-                self.nodes[to].came(source, item, self.now)
+                self.nodes[to].on_message(source, item, self.now)
 
     @rule(name=st.sampled_from(HOPS))
     def kill(self, name: str) -> None:
@@ -178,11 +179,16 @@
             self.tick(100.0)
             self.deliver_all()
         for node in self.nodes.values():
-            assert not len(node.triggers) and not len(node.after)
+            assert not len(node.triggers) and not len(node.triggered)
         if self.sound:
             for trace, path in self.wanted:
                 assert all(self.lines[name, trace] for name in path), (trace, path)
-        most = triggers.TRIES * (triggers.MOST_HOPS + 2 * triggers.AROUND) * max(1, self.count) * 3
+        most = (
+            trace_collection.MAX_ATTEMPTS
+            * (trace_collection.MAX_TRACE_HOPS + 2 * trace_collection.MAX_FALLBACK_HOPS)
+            * max(1, self.count)
+            * 3
+        )
         assert all(count <= most for count in self.asked.values())
 
 
--- a/packages/captures/tests/test_captures_fleet.py
+++ b/packages/captures/tests/test_captures_fleet.py
@@ -5,9 +5,11 @@
 import pytest
 from captures_rig import Fleet
 from larkweir_captures.node import Options
-from larkweir_captures.thresholds import rate_of
+from larkweir_captures.sampling import rate_of
 
-SMALL = Options(records_per_s=20.0, bytes_per_s=24_000.0, hold_ms=3_000.0, rest=0.05, ring_ms=3_000.0)
+SMALL = Options(
+    records_per_s=20.0, bytes_per_s=24_000.0, stale_after_ms=3_000.0, default_rate=0.05, recent_ms=3_000.0
+)
 SEEDS = (1, 2)
 
 
@@ -50,5 +52,5 @@
     kept, some, trouble = fleet.kept(2_000.0)
     assert some >= 0.98 * trouble
     assert kept >= trouble * (0.8 if fault else 0.95)
-    numbers = {fleet.nodes[name].held.number[0] for name in fleet.names if name not in fleet.gone}
+    numbers = {fleet.nodes[name].thresholds.version[0] for name in fleet.names if name not in fleet.gone}
     assert numbers == ({2} if fault else {1})
--- a/packages/captures/tests/test_captures_golden.py
+++ b/packages/captures/tests/test_captures_golden.py
@@ -6,17 +6,36 @@
 from typing import get_args
 
 import pytest
+from larkweir_captures.messages import (
+    Item,
+    Report,
+    RetainRequest,
+    RetainResponse,
+    ThresholdTable,
+    TraceRequest,
+    decode,
+    encode,
+)
 from larkweir_captures.node import Node, Options
-from larkweir_captures.thresholds import ALL, key_of, randomness, read_down, read_up, threshold_of, to_hex
-from larkweir_captures.wire import Ask, Item, Keep, Kept, Report, Table, pack, unpack
+from larkweir_captures.sampling import (
+    CAPTURE_NONE,
+    key_of,
+    parse_answer_field,
+    parse_request_field,
+    randomness,
+    threshold_of,
+    to_hex,
+)
 from larkweir_captures.writer import Writer
 
 GOLDEN = Path(__file__).parent / "golden"
 ITEMS: dict[str, Item] = {
     "report": Report(7, 21, 40_000, True, {0: 12, 2**32 - 1: 3_000}, {17: 999}),
-    "table": Table(7, 21, "10.0.0.1:7946", 1000, threshold_of(0.05), {17: 0, 2**32 - 1: ALL}),
-    "keep": Keep([Ask(2**56 - 1, "trace-1", 3), Ask(0, "a\u00e9", 1)]),
-    "kept": Kept({2**56 - 1: ["10.0.0.1:7946", "edge-2"], 0: []}),
+    "table": ThresholdTable(
+        7, 21, "10.0.0.1:7946", 1000, threshold_of(0.05), {17: 0, 2**32 - 1: CAPTURE_NONE}
+    ),
+    "keep": RetainRequest([TraceRequest(2**56 - 1, "trace-1", 3), TraceRequest(0, "a\u00e9", 1)]),
+    "kept": RetainResponse({2**56 - 1: ["10.0.0.1:7946", "edge-2"], 0: []}),
 }
 DOWN = "th:8;rv:00000000000000;k:00000001;n:7.21;by:10.0.0.9:1"
 
@@ -30,7 +49,7 @@
 FOUND = {name: rows(f"{name}.hex") for name in ("items", "sent")}
 
 
-class Mail:
+class Transport:
     """What is sent, kept."""
 
     def __init__(self) -> None:
@@ -46,35 +65,37 @@
 
 def texts() -> list[str]:
     """What goes on with requests and back with answers, from a table with thresholds."""
-    node = Node("10.0.0.1:7946", Options(rest=0.5), Mail())
+    node = Node("10.0.0.1:7946", Options(default_rate=0.5), Transport())
     found = []
     node.follow(ITEMS["table"], 0.0)  # type: ignore[arg-type]
     for number in range(4):
         verdict = node.first_hop(b"id-%d" % number, "r", "bulk", f"t{number}", 1.0)
-        found += [node.down(verdict), node.up(verdict)]
-        node.settle(verdict, "th:c;by:10.0.0.7:1,10.0.0.8:1")
-        found += [node.down(verdict), node.up(verdict)]
-    later = node.next_hop(DOWN, 2.0, b"id-9")
+        found += [node.request_field(verdict), node.answer_field(verdict)]
+        node.on_answer(verdict, "th:c;by:10.0.0.7:1,10.0.0.8:1")
+        found += [node.request_field(verdict), node.answer_field(verdict)]
+    later = node.later_hop(DOWN, 2.0, b"id-9")
     assert later is not None
-    return [*found, node.down(later), node.up(later)]
+    return [*found, node.request_field(later), node.answer_field(later)]
 
 
 def lines() -> tuple[list[bytes], list[tuple[str, bytes]]]:
     """Lines of drawn, failed, slow and repeated requests, and the items that a node sends of them."""
-    mail = Mail()
-    node = Node("10.0.0.1:7946", Options(rest=1.0), mail)
+    mail = Transport()
+    node = Node("10.0.0.1:7946", Options(default_rate=1.0), mail)
     found = []
     for number, how in enumerate(({}, {"failed": True}, {"slow": True}, {"again": True}, {"lost": True})):
         verdict = node.first_hop(b"id-%d" % number, "r", "bulk", "t", 10.0 * number)
         node.record(verdict, b'{"status":%d}' % (200 + number), 10.0 * number + 1.25, **how)
         found += node.tick(10.0 * number + 2.0)
-    rare = Table(7, 22, "10.0.0.2:7946", 1000, ALL, {})
+    rare = ThresholdTable(7, 22, "10.0.0.2:7946", 1000, CAPTURE_NONE, {})
     node.follow(rare, 1_000.0)
     for number, how in enumerate(({}, {"failed": True}, {"slow": True}, {"again": True})):
         verdict = node.first_hop(b"id-%d" % (10 + number), "r", "bulk", "t", 1_000.0)
-        node.settle(verdict, "th:0;by:10.0.0.3:7946")
+        node.on_answer(verdict, "th:0;by:10.0.0.3:7946")
         node.record(verdict, b'{"status":%d}' % (300 + number), 1_001.25, **how)
-    node.came("10.0.0.2:7946", pack(Keep([Ask(randomness(b"id-10"), "id-10", 2)])), 1_002.0)
+    node.on_message(
+        "10.0.0.2:7946", encode(RetainRequest([TraceRequest(randomness(b"id-10"), "id-10", 2)])), 1_002.0
+    )
     for now in (1_100.0, 1_400.0, 2_500.0, 4_000.0):
         found += node.tick(now)
     return found, mail.sent
@@ -82,8 +103,8 @@
 
 @pytest.mark.parametrize("name", ITEMS)
 def test_an_item_is_read_and_written_as_before(name: str) -> None:
-    assert pack(ITEMS[name]) == FOUND["items"][name]
-    assert unpack(FOUND["items"][name]) == ITEMS[name]
+    assert encode(ITEMS[name]) == FOUND["items"][name]
+    assert decode(FOUND["items"][name]) == ITEMS[name]
 
 
 def test_every_kind_of_item_is_here() -> None:
@@ -94,7 +115,7 @@
     golden = (GOLDEN / "texts.txt").read_text(encoding="ascii").splitlines()
     assert texts() == golden
     for text in golden:
-        assert (read_down(text) if "rv:" in text else read_up(text)) is not None
+        assert (parse_request_field(text) if "rv:" in text else parse_answer_field(text)) is not None
 
 
 def test_hashes_and_thresholds_are_as_before() -> None:
--- a/packages/captures/tests/test_captures_rules.py
+++ b/packages/captures/tests/test_captures_rules.py
@@ -9,27 +9,27 @@
 from captures_rig import windows_passed
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from larkweir_captures.bounds import Bound
 from larkweir_captures.coordinator import Coordinator
-from larkweir_captures.fill import fill
+from larkweir_captures.current_thresholds import CurrentThresholds
+from larkweir_captures.max_min_fairness import fill
+from larkweir_captures.messages import Report, ThresholdTable, decode, encode
 from larkweir_captures.node import Node, Options
-from larkweir_captures.queues import After, Drawn, Waiting
-from larkweir_captures.tables import Held
-from larkweir_captures.thresholds import (
-    ALL,
-    Verdict,
-    raised,
+from larkweir_captures.output_limits import OutputLimit
+from larkweir_captures.output_queues import PendingRecord, SampledQueue, TriggeredQueue
+from larkweir_captures.sampling import (
+    CAPTURE_NONE,
+    SamplingDecision,
+    parse_answer_field,
+    parse_request_field,
     randomness,
     rate_of,
-    read_down,
-    read_up,
+    scaled_threshold,
     threshold_of,
 )
-from larkweir_captures.wire import Report, Table, pack, unpack
 
 RATES = st.floats(1e-9, 1.0)
-RVS = st.integers(0, ALL - 1)
-THRESHOLDS = st.one_of(st.integers(0, ALL), RATES.map(threshold_of))
+RVS = st.integers(0, CAPTURE_NONE - 1)
+THRESHOLDS = st.one_of(st.integers(0, CAPTURE_NONE), RATES.map(threshold_of))
 
 
 class Post:
@@ -51,14 +51,17 @@
 def test_a_lower_rate_captures_a_subset(one: float, other: float, seed: int) -> None:
     low, high = sorted((one, other))
     for rv in [randomness(b"%d.%d" % (seed, n)) for n in range(100)]:
-        assert Verdict(rv, threshold_of(high)).captured or not Verdict(rv, threshold_of(low)).captured
+        assert (
+            SamplingDecision(rv, threshold_of(high)).captured
+            or not SamplingDecision(rv, threshold_of(low)).captured
+        )
     assert low * (1 - 1 / 2048) - 2.0**-55 <= rate_of(threshold_of(low)) <= low
 
 
 @given(THRESHOLDS, st.floats(0.0, 1.5), RVS)
 def test_a_hop_past_its_bound_captures_a_subset(threshold: int, part: float, rv: int) -> None:
-    assert raised(threshold, part) >= threshold
-    assert rate_of(raised(threshold, part)) <= rate_of(threshold) * max(part, 1e-300) or part > 1.0
+    assert scaled_threshold(threshold, part) >= threshold
+    assert rate_of(scaled_threshold(threshold, part)) <= rate_of(threshold) * max(part, 1e-300) or part > 1.0
 
 
 def test_randomness_is_even() -> None:
@@ -77,34 +80,42 @@
 def test_what_travels_says_what_was_decided(
     rv: int, threshold: int, key: int, number: tuple[int, int], above: tuple[str, ...]
 ) -> None:
-    read = read_down(Verdict(rv, threshold, key, number, above).down("10.0.0.1:1"))
-    assert read is not None and not read.first
-    assert (read.rv, read.threshold, read.key, read.number) == (rv, threshold, key, number)
-    assert read.above == (*above, "10.0.0.1:1")[-8:]
-    told = read_up(Verdict(rv, threshold, below=list(above)).up("10.0.0.1:1"))
+    read = parse_request_field(
+        SamplingDecision(rv, threshold, key, number, above).request_field("10.0.0.1:1")
+    )
+    assert read is not None and not read.is_first_hop
+    assert (read.rv, read.threshold, read.key, read.table_version) == (rv, threshold, key, number)
+    assert read.previous_hops == (*above, "10.0.0.1:1")[-8:]
+    told = parse_answer_field(
+        SamplingDecision(rv, threshold, next_hops=list(above)).answer_field("10.0.0.1:1")
+    )
     assert told == (threshold, ("10.0.0.1:1", *above)[:8])
 
 
 @given(st.text(max_size=600), st.binary(max_size=9000))
 def test_what_makes_no_sense_is_counted(text: str, item: bytes) -> None:
     node = Node("a:1", Options(), Post("b:1"))
-    assert node.next_hop(text, 0.0) is None and node.unreadable == 1
-    assert unpack(item) is None or item[0] == 1
-    node.came("b:1", item, 0.0)
-    node.came("b:1", b"\x01" + item, 0.0)
+    assert node.later_hop(text, 0.0) is None and node.unreadable == 1
+    assert decode(item) is None or item[0] == 1
+    node.on_message("b:1", item, 0.0)
+    node.on_message("b:1", b"\x01" + item, 0.0)
 
 
 def test_a_table_s_thresholds_and_number_hold_together_and_at_once() -> None:
-    node, rng, seen = Node("a:1", Options(rest=0.5, records_per_s=1e5, bytes_per_s=1e8), Post()), Random(3), 0
+    node, rng, seen = (
+        Node("a:1", Options(default_rate=0.5, records_per_s=1e5, bytes_per_s=1e8), Post()),
+        Random(3),
+        0,
+    )
     for number in range(1, 200):
         rate = rng.random()
-        node.follow(Table(1, number, "c", 1000, threshold_of(rate), {}), float(number))
+        node.follow(ThresholdTable(1, number, "c", 1000, threshold_of(rate), {}), float(number))
         for _ in range(rng.randrange(3)):  # as most requests, not drawn: nothing is promised in between
             verdict = node.first_hop(b"%d" % rng.getrandbits(64), "r", "look", "acme", float(number))
-            assert (verdict.number, verdict.threshold) == ((1, number), threshold_of(rate))
+            assert (verdict.table_version, verdict.threshold) == ((1, number), threshold_of(rate))
             seen += 1
     node.tick(1000.0)
-    assert seen > 100 and sum(node.loads.firsts.values()) == seen
+    assert seen > 100 and sum(node.loads.first_hops_per_s.values()) == seen
 
 
 STEPS = st.lists(st.tuples(st.sampled_from((0.0, 1.0, 50.0, 333.3, 990.0)), st.integers(0, 40)), max_size=40)
@@ -116,7 +127,9 @@
 ) -> None:
     rng = Random(seed)
     node = Node(
-        "a:1", Options(records_per_s=per_s, bytes_per_s=bytes_per_s, rest=1.0, asks_per_s=1e6), Post()
+        "a:1",
+        Options(records_per_s=per_s, bytes_per_s=bytes_per_s, default_rate=1.0, triggered_traces_per_s=1e6),
+        Post(),
     )
     now, lines = 0.0, list[tuple[float, int]]()
     for gap, count in (*steps, *[(50.0, 0)] * 40):
@@ -133,7 +146,7 @@
 
 def test_weights_tell_of_a_node_that_lowered_its_own() -> None:
     """Ten times what it may write, for 20 s: the lines still stand for all requests."""
-    node, found, variance = Node("a:1", Options(records_per_s=40.0, rest=1.0), Post()), 0.0, 0.0
+    node, found, variance = Node("a:1", Options(records_per_s=40.0, default_rate=1.0), Post()), 0.0, 0.0
     lines: list[bytes] = []
     for n in range(6000):
         now = n * 20_000.0 / 6000
@@ -149,7 +162,7 @@
     assert variance**0.5 < 600.0
 
 
-def _drain(drawn: Drawn, arrivals: list[tuple[float, int, int, int]]) -> dict[int, float]:
+def _drain(drawn: SampledQueue, arrivals: list[tuple[float, int, int, int]]) -> dict[int, float]:
     """Weights by arrival, each (when, randomness, threshold, bytes), when all has gone out."""
     weights: dict[int, float] = {}
     now = 0.0
@@ -157,14 +170,14 @@
         while drawn.wait_ms(now) <= when - now:
             now += drawn.wait_ms(now)
             if (found := drawn.take(now)) is not None:
-                weights[int(found[0].trace)] = found[1]
+                weights[int(found[0].trace_id)] = found[1]
         now = when
         if rv >= threshold:
-            drawn.put(Waiting(str(number), rv, threshold, b"", cost))
+            drawn.put(PendingRecord(str(number), rv, threshold, b"", cost))
     while len(drawn):
         now += max(drawn.wait_ms(now), 1e-3)
         if (found := drawn.take(now)) is not None:
-            weights[int(found[0].trace)] = found[1]
+            weights[int(found[0].trace_id)] = found[1]
             assert (
                 found[0].rv >= found[0].threshold - 2**8
             )  # it lies above what its line says, but for rounding
@@ -179,7 +192,7 @@
     arrivals = [
         (
             n * 30.0 * rng.random(),
-            rng.randrange(ALL),
+            rng.randrange(CAPTURE_NONE),
             threshold_of(rng.choice((1.0, 0.4))),
             rng.randrange(300, 1500),
         )
@@ -189,8 +202,8 @@
     when, _, _, cost = arrivals[at]
     threshold, grid, found = threshold_of(1.0 - skip), 200, 0.0
     for step in range(grid):
-        arrivals[at] = (when, ALL * (2 * step + 1) // (2 * grid), threshold, cost)
-        found += _drain(Drawn(Bound(10.0, 6000.0), 1.0), arrivals).get(at, 0.0)
+        arrivals[at] = (when, CAPTURE_NONE * (2 * step + 1) // (2 * grid), threshold, cost)
+        found += _drain(SampledQueue(OutputLimit(10.0, 6000.0), 1.0), arrivals).get(at, 0.0)
     assert found / grid == pytest.approx(1.0, abs=0.03 / (1.0 - skip))
 
 
@@ -199,12 +212,12 @@
     found = []
     for seed in (1, 2):
         Random(seed).shuffle(items)
-        after = After(Bound(1000.0, 1e6), most=10)
+        after = TriggeredQueue(OutputLimit(1000.0, 1e6), most=10)
         for importance, rv in items:
-            after.put(Waiting("", rv, 0, b"", 10, importance=importance))
+            after.put(PendingRecord("", rv, 0, b"", 10, importance=importance))
         taken = [after.take(0.0) for _ in range(len(after))]
         found.append([(item.importance, item.rv) for item in taken if item])
-        assert after.let_go == 40
+        assert after.shed_count == 40
     assert found[0] == found[1] == sorted(items, reverse=True)[:10]
 
 
@@ -230,24 +243,24 @@
             )
 
 
-@given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 5), st.integers(0, ALL)), max_size=20))
+@given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 5), st.integers(0, CAPTURE_NONE)), max_size=20))
 def test_tables_never_go_back(tables: list[tuple[int, int, int]]) -> None:
-    held, highest = Held(0.1, 1000.0, 0.25), (0, 0)
+    held, highest = CurrentThresholds(0.1, 1000.0, 0.25), (0, 0)
     for now, (term, number, threshold) in enumerate(tables):
-        came = held.came(Table(term, number, "a:1", 1000, threshold, {}), float(now))
+        came = held.offer(ThresholdTable(term, number, "a:1", 1000, threshold, {}), float(now))
         assert came == ((term, number) > highest)
         highest = max(highest, (term, number))
-        assert held.number == highest
+        assert held.version == highest
 
 
 def test_without_word_the_last_thresholds_hold_then_a_safe_part() -> None:
-    held = Held(0.1, 1000.0, 0.25)
+    held = CurrentThresholds(0.1, 1000.0, 0.25)
     assert held.threshold(5, 10_000.0) == threshold_of(0.1)  # nobody has ever set any
-    held.came(Table(1, 1, "a:1", 1000, threshold_of(0.5), {5: threshold_of(0.8)}), 10_000.0)
+    held.offer(ThresholdTable(1, 1, "a:1", 1000, threshold_of(0.5), {5: threshold_of(0.8)}), 10_000.0)
     assert held.threshold(5, 11_000.0) == threshold_of(0.8)
     assert rate_of(held.threshold(5, 11_001.0)) == pytest.approx(0.2, rel=1e-3)
     assert rate_of(held.threshold(6, 11_001.0)) == pytest.approx(0.125, rel=1e-3)
-    held.came(Table(1, 2, "a:1", 1000, threshold_of(0.5), {}), 12_000.0)
+    held.offer(ThresholdTable(1, 2, "a:1", 1000, threshold_of(0.5), {}), 12_000.0)
     assert held.threshold(5, 12_000.0) == threshold_of(0.5)
 
 
@@ -258,7 +271,7 @@
         for name, room in (("a:1", 100_000), ("b:1", 10_000)):
             load = {7: 200_000, 8: 1_000} if name == "b:1" else {7: 100_000}
             report = Report(1, leader.table.number, room, False, {7: 100_000, 8: 500}, load)
-            leader.came(name, report, second * 1000.0)
+            leader.on_report(name, report, second * 1000.0)
         leader.tick(second * 1000.0)
     rates = {key: rate_of(value) for key, value in leader.table.thresholds.items()}
     assert rates[8] == 1.0  # rare, and captured whole
@@ -268,5 +281,5 @@
     assert (later.table.term, later.table.number) == (2, 1)
     assert later.table.thresholds == leader.table.thresholds
     post.sent.clear()
-    later.came("c:1", Report(1, 9, 1000, False, {}, {}), 20_001.0)  # goes by the old term's
-    assert post.sent == [("c:1", pack(later.table))]
+    later.on_report("c:1", Report(1, 9, 1000, False, {}, {}), 20_001.0)  # goes by the old term's
+    assert post.sent == [("c:1", encode(later.table))]
--- a/packages/captures/tests/test_captures_writer.py
+++ b/packages/captures/tests/test_captures_writer.py
@@ -36,7 +36,7 @@
 
 def test_a_reader_that_is_away_fills_a_bounded_room() -> None:
     reading, writing = os.pipe()
-    writer = Writer(descriptor=writing, most_waiting=1000)
+    writer = Writer(descriptor=writing, max_waiting_bytes=1000)
     writer.put([b"x" * 99 + b"\n"] * 2000)  # more than the pipe and the room hold
     assert writer.dropped >= 1000
     os.close(reading)  # what waits meets a broken pipe
--- a/tests/fleet/test_captures_rules.py
+++ b/tests/fleet/test_captures_rules.py
@@ -21,12 +21,12 @@
     Settings,
     Tenant,
 )
+from larkweir_captures.messages import Report as Seen
+from larkweir_captures.messages import ThresholdTable, decode, encode
 from larkweir_captures.node import Node, Options
-from larkweir_captures.wire import Report as Seen
-from larkweir_captures.wire import Table, pack, unpack
 
 from larkweir.coordination.captures.part import _Post
-from larkweir.coordination.captures.scribe import OWNER, Ride, Scribe
+from larkweir.coordination.captures.recorder import OWNER, CaptureBaggage, CaptureRecorder
 from larkweir.coordination.duties.messages import CaptureReport
 from larkweir.coordination.duties.messages import decode_report as unpack_report
 from larkweir.coordination.duties.messages import encode_report as pack_report
@@ -51,10 +51,10 @@
     def __init__(self, rest: float = 1.0, slow_ms: float = 0.0) -> None:
         self.now = 0.0
         self.mail = Nowhere()
-        self.node = Node("10.0.0.1:1", Options(rest=rest), self.mail, gossip=False)
+        self.node = Node("10.0.0.1:1", Options(default_rate=rest), self.mail, gossip=False)
         cls = RequestClass(400.0, 1000.0, Effect.SAFE, name="look")
         self.settings = Settings((cls,), tenants=(Tenant(1.0, name="acme"),), max_attempts=3)
-        self.scribe = Scribe(
+        self.scribe = CaptureRecorder(
             Balancer(self.settings, 1),
             self.settings,
             self.node,
@@ -71,7 +71,7 @@
         self.now = now
         self.sent += [item for item in self.scribe.handle(now, event) if isinstance(item, Send)]
 
-    def arrive(self, now: float, number: int, came: bytes | None = None) -> Ride:
+    def arrive(self, now: float, number: int, came: bytes | None = None) -> CaptureBaggage:
         """With budgets on: the chain asks for the ride first."""
         self.now = now
         event = RequestArrived(number, 0, 900.0)
@@ -112,7 +112,7 @@
 def test_what_can_t_be_read_is_counted_and_the_verdict_is_made_here() -> None:
     one = One()
     ride = one.arrive(10.0, 1, b"th:\xff")
-    assert ride.verdict.first and one.node.unreadable == 1
+    assert ride.verdict.is_first_hop and one.node.unreadable == 1
     ride.told(b"nonsense", True)
     assert one.node.unreadable == 2 and not ride.lost
 
@@ -168,7 +168,7 @@
     one.arrive(10.0, 1, b"th:none;rv:80000000000000;k:00000001;n:0.0;by:10.0.0.9:1")
     one.now = 900.0
     one.scribe.follow.over(900.0, 1, 503)
-    assert one.lines(1000.0) == [] and one.mail.posted == [] and len(one.node.ring) == 1
+    assert one.lines(1000.0) == [] and one.mail.posted == [] and len(one.node.recent) == 1
 
 
 def test_an_answer_is_lost_where_the_attempt_may_have_reached_a_balancer() -> None:
@@ -190,14 +190,14 @@
 
 def test_a_peer_s_table_is_not_read_and_a_new_life_has_no_volume_to_spare() -> None:
     node = One().node
-    assert node.came("10.0.0.2:1", pack(Table(9, 9, "x", 1000, 0, {})), 0.0) is None
-    assert node.held.number == (0, 0) and node.unreadable == 1
-    assert node.follow(Table(1, 1, OWNER, 1000, 0, {}), 0.0) and not node.follow(
-        Table(1, 0, "", 1000, 0, {}), 0.0
+    assert node.on_message("10.0.0.2:1", encode(ThresholdTable(9, 9, "x", 1000, 0, {})), 0.0) is None
+    assert node.thresholds.version == (0, 0) and node.unreadable == 1
+    assert node.follow(ThresholdTable(1, 1, OWNER, 1000, 0, {}), 0.0) and not node.follow(
+        ThresholdTable(1, 0, "", 1000, 0, {}), 0.0
     )
-    assert node.drawn.bound.wait_ms(1, 0.0) == 0.0
+    assert node.sampled.limit.wait_ms(1, 0.0) == 0.0
     node.begin_writing(0.0)
-    assert node.drawn.bound.wait_ms(1, 0.0) > 0.0 and node.after.bound.wait_ms(1, 0.0) > 0.0
+    assert node.sampled.limit.wait_ms(1, 0.0) > 0.0 and node.triggered.limit.wait_ms(1, 0.0) > 0.0
 
 
 # ------------------------------------------------ the duty
@@ -215,7 +215,7 @@
 
 
 def seen(firsts: dict[int, int], room: int) -> CaptureReport:
-    item = pack(Seen(1, 1, room, False, firsts, firsts))
+    item = encode(Seen(1, 1, room, False, firsts, firsts))
     found = unpack_report(pack_report(CaptureReport(7, item)))
     assert isinstance(found, CaptureReport)
     return found
@@ -227,11 +227,11 @@
     assert state is not None and copy.duty.step(state, 10.0) is None  # no sooner than a second later
     copy.duty.on_committed(state, (3, 4))
     assert copy.duty.is_notable()
-    assert copy.duty.tick(50.0) == [] and copy.node.held.number == (3, 4)
+    assert copy.duty.tick(50.0) == [] and copy.node.thresholds.version == (3, 4)
     copy.duty.on_committed(state, (3, 3))
     assert not copy.duty.is_notable()
     copy.duty.tick(60.0)
-    assert copy.node.held.number == (3, 4) and copy.node._leader == OWNER
+    assert copy.node.thresholds.version == (3, 4) and copy.node._coordinator == OWNER
 
 
 def test_rates_come_from_reports_and_the_next_owner_begins_with_them() -> None:
@@ -245,15 +245,15 @@
             state = found
             copy.duty.on_committed(state, (1, second + 1))
             copy.duty.tick(now)
-    rates = {key: (2**56 - th) / 2**56 for key, th in copy.node.held.table.thresholds.items()}
+    rates = {key: (2**56 - th) / 2**56 for key, th in copy.node.thresholds.table.thresholds.items()}
     assert (
         rates[6] > 0.99 and 0.03 < rates[5] < 0.1
     )  # the rare one whole; ten records a second and a node of the other
     other = Copy(rest=1.0)
     began = other.duty.step(state, 9000.0)
     assert began is not None
-    table = unpack(began)
-    assert isinstance(table, Table) and table.thresholds == copy.node.held.table.thresholds
+    table = decode(began)
+    assert isinstance(table, ThresholdTable) and table.thresholds == copy.node.thresholds.table.thresholds
 
 
 def test_an_owner_of_a_new_term_forgets_what_was_reported_under_the_old_one() -> None:
@@ -287,4 +287,4 @@
     assert copy.duty.rejected == 1
     copy.duty.on_committed(b"no table", (1, 1))
     copy.duty.tick(200.0)
-    assert copy.node.held.number == (0, 0)
+    assert copy.node.thresholds.version == (0, 0)
--- a/tests/fleet/test_golden_duties.py
+++ b/tests/fleet/test_golden_duties.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from larkweir_captures import wire
+from larkweir_captures import messages as wire
 
 from larkweir.coordination.duties import probers, ramps, thresholds, verdicts
 from larkweir.coordination.duties.drill import Drill
@@ -38,7 +38,7 @@
     "sightings": SightingReport(
         LIFE, 3, (Sighting(b"\x00" * 8, True, 1, 250), Sighting(b"\xff" * 8, False, 3, 0))
     ),
-    "captures": CaptureReport(LIFE, wire.pack(wire.Report(7, 21, 40_000, False, {0: 1}, {}))),
+    "captures": CaptureReport(LIFE, wire.encode(wire.Report(7, 21, 40_000, False, {0: 1}, {}))),
 }
 STATES: dict[str, tuple[object, msgspec.Struct]] = {
     "verdicts": (
@@ -64,7 +64,7 @@
     "ramps": (ramps.decode_state, ramps.State(2, (ramps.RampStep("r:ramp", 60_000.0, 4),))),
     "ramps_empty": (ramps.decode_state, ramps.State()),
 }
-TABLE = wire.Table(7, 21, "owner", 1000, 2**55, {17: 0})
+TABLE = wire.ThresholdTable(7, 21, "owner", 1000, 2**55, {17: 0})
 
 
 def rows(name: str) -> dict[str, bytes]:
@@ -94,7 +94,7 @@
 
 
 def test_the_table_of_thresholds_and_the_drills_count_are_as_before() -> None:
-    assert wire.pack(TABLE) == FOUND["state_captures"]
+    assert wire.encode(TABLE) == FOUND["state_captures"]
     assert thresholds.read(FOUND["state_captures"]) == TABLE
     assert Drill().step(FOUND["state_drill"], 1e9) == FOUND["state_drill_next"]
 
