--- a/benchmarks/captures.py
+++ b/benchmarks/captures.py
@@ -16,6 +16,7 @@
 import sys
 import time
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import replace
 from pathlib import Path
 from timeit import repeat
 
@@ -33,11 +34,10 @@
 
 def play(seed: int, day: str) -> Fleet:
     alone = {"alone, same hash": "hash", "alone, own hash": "dice"}.get(day, "")
-    fleet = Fleet(seed, OPTIONS, way_back=day != "no way back" and not alone, alone=alone)
-    if alone:
-        for node in fleet.nodes.values():  # no coordinator: each asks for all, and its own room decides
-            node.thresholds = type(node.thresholds)(1.0, OPTIONS.stale_after_ms, 1.0)
-    else:
+    # Alone there is no coordinator: each node asks for all, and its own capacity decides.
+    options = replace(OPTIONS, default_rate=1.0, stale_fraction=1.0) if alone else OPTIONS
+    fleet = Fleet(seed, options, way_back=day != "no way back" and not alone, alone=alone)
+    if not alone:
         fleet.lead(fleet.tiers[1][3], 1)
     fleet.load(0.0, 30_000.0, 300.0)
     fleet.load(12_000.0, 17_000.0, 2_700.0)
--- a/larkweir/coordination/captures/part.py
+++ b/larkweir/coordination/captures/part.py
@@ -14,7 +14,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from larkweir_balancing.interface import RequestArrived
-from larkweir_captures.node import Node, Options
+from larkweir_captures.node import Node
+from larkweir_captures.options import Options
 from larkweir_captures.writer import Writer
 
 from larkweir.config.fleet_tables import Captures
@@ -249,7 +250,7 @@
         if self._timer is not None:
             self._timer.cancel()
         if self._writer is not None:
-            self._writer.put(self.node.lines(self._clock.now_ms()))
+            self._writer.put(self.node.take_lines(self._clock.now_ms()))
         self._shut()
 
     # ------------------------------------------------ what is told
@@ -290,11 +291,11 @@
             state = "closed"
         elif writer is None:
             state = "waiting"
-        shed_count = (node.sampled.shed_count, node.triggered.shed_count, node.triggers.shed_count)
+        shed_count = (node.sampled.shed_count, node.triggered.shed_count, node.trace_collection.shed_count)
         wrong = {
             "too_long": node.oversized_count,
             "unreadable": node.unreadable,
-            "peers_lost": node.triggers.unanswered_count,
+            "peers_lost": node.trace_collection.unanswered_count,
         }
         found: dict[str, object] = {
             "captures": state + (",alone" if alone else ""),
--- a/larkweir/coordination/captures/recorder.py
+++ b/larkweir/coordination/captures/recorder.py
@@ -21,7 +21,7 @@
     TimerFired,
 )
 from larkweir_captures.node import Node
-from larkweir_captures.sampling import SamplingDecision
+from larkweir_captures.propagation import SamplingDecision
 
 from larkweir.core.ports import Decisions
 from larkweir.logs.follow import Follow, Told, tenths
--- a/packages/captures/src/larkweir_captures/ports.py
+++ b/packages/captures/src/larkweir_captures/ports.py
@@ -1,4 +1,4 @@
-"""What captures need of others."""
+"""What captures need from the process that runs them."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class Transport(Protocol):
-    """The way to other processes."""
+    """Datagrams to other processes. None of them is guaranteed to arrive."""
 
     def post(self, to: str, item: bytes) -> bool:
-        """Send an item of up to 8 KiB, which may be lost, doubled or late; whether it was sent at all."""
+        """Send a message of up to 8 KiB, which may be lost, duplicated or delayed. Returns whether it was sent."""
 
     def alive(self) -> Sequence[str]:
-        """Who is there, as far as is known: a hint whom to ask, never the truth."""
+        """The peers believed to be alive: a hint as to whom to ask, which may be wrong."""
--- a/packages/captures/src/larkweir_captures/trace_collection.py
+++ b/packages/captures/src/larkweir_captures/trace_collection.py
@@ -1,177 +1,152 @@
-"""Asking the other hops of a request to keep what they have of it, after the fact, by breadcrumbs.
+"""Asks the other hops of a trace to retain their records, after the fact. Pure logic.
 
-Hindsight (NSDI 2023, section 4): a hop that finds a request worth keeping follows who sent to whom. Who asks drives it:
-each hop that answers names the hops that it knows of, and those are asked too. The most important go first, and of
-those the highest hash, so that hops that can't keep all keep the same ones. A hop that does not answer is asked again,
-then given up; then those that it is known to send to are asked, and others that are left, so many and no more.
+As in Hindsight (NSDI 2023, section 4), a hop that finds a request worth retaining follows its breadcrumbs. The asking
+hop drives the collection: each hop that responds names the hops that it knows of, which are asked too. The most
+important traces go first, and among equals the highest hash, so that hops that can't retain all of them retain the same
+ones. A hop that does not respond is asked again, then given up; then its known next hops are asked, and other peers, up
+to a limit.
 """
 
 from __future__ import annotations
 
-from collections import OrderedDict, deque
 from collections.abc import Sequence
 from dataclasses import dataclass, field
-from itertools import pairwise
 
+from larkweir_captures.breadcrumbs import Breadcrumbs
 from larkweir_captures.messages import MAX_TRACE_ID_CHARS, MAX_TRACES_PER_REQUEST, TraceRequest
 from larkweir_captures.output_limits import LeakyBucket
-from larkweir_captures.sampling import is_hop_name
+from larkweir_captures.propagation import is_hop_name
 
-FAILED, SLOW, RETRIED = 3, 2, 1  # how important
+FAILED, SLOW, RETRIED = 3, 2, 1  # importance
 
 MAX_ATTEMPTS = 3
 RETRY_MS = 250.0
-MAX_TRACE_HOPS = 16  # asked for one trace, by breadcrumbs
-MAX_FALLBACK_HOPS = 16  # asked for one trace without any, where a hop was lost
-MAX_OPEN_TRACES = 512  # traces that are asked for at once, and that wait to be
-MAX_REQUESTED_TRACES = 4096  # traces that others have asked for
-MAX_KNOWN_SENDERS = 1024  # hops of which it is known whom they send to
+MAX_TRACE_HOPS = 16  # asked for one trace by its breadcrumbs
+MAX_FALLBACK_HOPS = 16  # asked for one trace, once each, after a hop was given up
+MAX_OPEN_TRACES = 512  # being collected, and as many waiting
+_MIN_TRACES_PER_S = 10.0
 
 
 @dataclass(slots=True)
-class _Open:
-    ask: TraceRequest
-    asked: dict[str, tuple[int, float]] = field(
+class _Collection:
+    """One trace that is being collected."""
+
+    request: TraceRequest
+    pending: dict[str, tuple[int, float]] = field(
         default_factory=dict
-    )  # who has not answered: tries, the next when
-    known: set[str] = field(default_factory=set)  # all that were asked
-    lost: bool = False  # a hop's answer is missing: what went on from there is not known
-    around: bool = False  # others have been asked
+    )  # by hop: attempts, due time of the next
+    asked: set[str] = field(default_factory=set)  # all hops, whether they responded or not
+    is_lost: bool = False  # an answer is missing, so the hops behind it are not known
+    has_fallen_back: bool = False  # to other peers
 
 
 class TraceCollection:
-    def __init__(self, me: str, traces_per_s: float) -> None:
+    """The traces that this node collects from other hops."""
+
+    def __init__(self, me: str, traces_per_s: float, breadcrumbs: Breadcrumbs) -> None:
+        """`traces_per_s`: the most that are begun in any second, at least 10."""
         self.me = me
-        self._leak = LeakyBucket(max(10.0, traces_per_s))
+        self._breadcrumbs = breadcrumbs
+        self._limit = LeakyBucket(max(_MIN_TRACES_PER_S, traces_per_s))
         self._waiting: dict[int, tuple[TraceRequest, tuple[str, ...], bool]] = {}
-        self._open: dict[int, _Open] = {}
-        self.requested: OrderedDict[int, tuple[int, float, tuple[str, ...]]] = (
-            OrderedDict()
-        )  # how much, until, by whom
-        self._sends: OrderedDict[str, deque[str]] = OrderedDict()  # whom a hop was seen to send to
-        self._paths: set[tuple[str, ...]] = set()  # that have been seen, so that most need not be taken apart
+        self._open: dict[int, _Collection] = {}
         self.shed_count = 0  # triggers that there was no room for
-        self.unanswered_count = 0  # hops that never answered
+        self.unanswered_count = 0  # hops that were given up
 
     def __len__(self) -> int:
         return len(self._open) + len(self._waiting)
 
-    # What is known of others
-
-    def add_breadcrumbs(self, path: tuple[str, ...]) -> None:
-        """A request has passed these hops in this order."""
-        if path in self._paths:
+    def trigger(self, request: TraceRequest, hops: Sequence[str], is_lost: bool) -> None:
+        """A trace is worth retaining. `hops`: those to ask; `is_lost`: an attempt's answer is missing."""
+        if request.rv in self._open or len(request.trace_id) > MAX_TRACE_ID_CHARS:
             return
-        if len(self._paths) >= MAX_KNOWN_SENDERS:
-            self._paths.clear()
-        self._paths.add(path)
-        for here, there in pairwise(path):
-            seen = self._sends.setdefault(here, deque(maxlen=MAX_FALLBACK_HOPS))
-            self._sends.move_to_end(here)
-            if there not in seen:
-                seen.append(there)
-            if len(self._sends) > MAX_KNOWN_SENDERS:
-                self._sends.popitem(last=False)
-
-    def add_requested(self, rv: int, importance: int, until_ms: float, source: str) -> None:
-        """A hop asks for a trace, which may still be under way here."""
-        known = self.requested.pop(rv, (0, 0.0, ()))
-        sources = known[2] if source in known[2] else (*known[2], source)[-4:]
-        self.requested[rv] = (max(importance, known[0]), max(until_ms, known[1]), sources)
-        if len(self.requested) > MAX_REQUESTED_TRACES:
-            self.requested.popitem(last=False)
-
-    def requested_by(self, rv: int, now_ms: float) -> tuple[int, tuple[str, ...]]:
-        """How important a trace is to those who have asked for it, and who they are; 0 if nobody has."""
-        if rv not in self.requested:
-            return 0, ()
-        importance, until, sources = self.requested[rv]
-        return (importance, sources) if until >= now_ms else (0, ())
-
-    # What is asked here
-
-    def trigger(self, ask: TraceRequest, hops: Sequence[str], lost: bool) -> None:
-        """A request here is worth keeping. `lost`: an attempt's answer is missing."""
-        if ask.rv in self._open or len(ask.trace_id) > MAX_TRACE_ID_CHARS:
-            return
-        self._waiting[ask.rv] = (ask, tuple(hops), lost)
+        self._waiting[request.rv] = (request, tuple(hops), is_lost)
         if len(self._waiting) > MAX_OPEN_TRACES:
             least = min(self._waiting, key=lambda rv: (self._waiting[rv][0].importance, rv))
             del self._waiting[least]
             self.shed_count += 1
 
     def on_retained(self, source: str, rv: int, hops: Sequence[str]) -> None:
-        """A hop has kept what it had, and names others."""
+        """Hop `source` has retained its records of a trace, and names other hops."""
         found = self._open.get(rv)
-        if found is None or source not in found.known:
+        if found is None or source not in found.asked:
             return
-        found.asked.pop(source, None)
-        self._add(found, hops)
-
-    def _add(self, found: _Open, hops: Sequence[str]) -> None:
-        for name in hops:
-            if (
-                name != self.me
-                and name not in found.known
-                and len(found.known) < MAX_TRACE_HOPS + MAX_FALLBACK_HOPS
-                and is_hop_name(name)
-            ):
-                found.known.add(name)
-                found.asked[name] = (0, float("-inf"))
+        found.pending.pop(source, None)
+        self._add_hops(found, hops)
 
     def take_due(
         self, now_ms: float, alive: Sequence[str]
     ) -> tuple[list[TraceRequest], dict[str, list[TraceRequest]]]:
-        """The traces that are asked for from now on, whose records here are kept too; and whom to ask what."""
-        begun: list[TraceRequest] = []
-        if self._waiting:
-            for rv in sorted(
-                self._waiting, key=lambda rv: (self._waiting[rv][0].importance, rv), reverse=True
-            ):
-                if len(self._open) >= MAX_OPEN_TRACES or self._leak.wait_ms(1.0, now_ms) > 0.0:
-                    break
-                self._leak.spend(1.0, now_ms)
-                ask, hops, lost = self._waiting.pop(rv)
-                begun.append(ask)
-                self._open[rv] = opened = _Open(ask, lost=lost)
-                self._add(opened, hops)
-        posts: dict[str, list[TraceRequest]] = {}
+        """The traces whose collection begins now, whose records are to be retained here too; and the requests that are
+        due, by hop. `alive`: the peers to fall back to.
+        """
+        begun = self._begin(now_ms)
+        requests: dict[str, list[TraceRequest]] = {}
         for rv, found in list(self._open.items()):
-            self._ask(found, posts, alive, now_ms)
-            if not found.asked:
+            self._give_up(found, alive, now_ms)
+            self._collect_due(found, requests, now_ms)
+            if not found.pending:
                 del self._open[rv]
-        while self.requested and next(iter(self.requested.values()))[1] < now_ms:
-            self.requested.popitem(last=False)
-        return begun, posts
+        return begun, requests
 
-    def _ask(
-        self, found: _Open, posts: dict[str, list[TraceRequest]], alive: Sequence[str], now_ms: float
-    ) -> None:
+    def _begin(self, now_ms: float) -> list[TraceRequest]:
+        """Open the most important waiting traces, as many as the limits allow."""
+        begun: list[TraceRequest] = []
+        for rv in sorted(self._waiting, key=lambda rv: (self._waiting[rv][0].importance, rv), reverse=True):
+            if len(self._open) >= MAX_OPEN_TRACES or self._limit.wait_ms(1.0, now_ms) > 0.0:
+                break
+            self._limit.spend(1.0, now_ms)
+            request, hops, is_lost = self._waiting.pop(rv)
+            begun.append(request)
+            self._open[rv] = opened = _Collection(request, is_lost=is_lost)
+            self._add_hops(opened, hops)
+        return begun
+
+    def _add_hops(self, found: _Collection, hops: Sequence[str]) -> None:
+        for name in hops:
+            if (
+                name != self.me
+                and name not in found.asked
+                and len(found.asked) < MAX_TRACE_HOPS + MAX_FALLBACK_HOPS
+                and is_hop_name(name)
+            ):
+                found.asked.add(name)
+                found.pending[name] = (0, float("-inf"))
+
+    def _give_up(self, found: _Collection, alive: Sequence[str], now_ms: float) -> None:
+        """Give up hops that did not respond, and fall back to others where an answer is missing."""
         given_up = [
-            name for name, (tries, due) in found.asked.items() if tries >= MAX_ATTEMPTS and due <= now_ms
+            name
+            for name, (attempts, due_ms) in found.pending.items()
+            if attempts >= MAX_ATTEMPTS and due_ms <= now_ms
         ]
         for name in given_up:
-            del found.asked[name]
-        if given_up and not found.around:
+            del found.pending[name]
+        if given_up and not found.has_fallen_back:
             self.unanswered_count += len(given_up)
-            found.lost = True
-        if found.lost and not found.around:
-            self._around(found, given_up or (self.me,), alive)
-        for name, (tries, due) in found.asked.items():
-            batch = posts.setdefault(name, []) if due <= now_ms else None
-            if batch is not None and len(batch) < MAX_TRACES_PER_REQUEST:  # else at the next time
-                batch.append(found.ask)
-                found.asked[name] = (tries + 1, now_ms + RETRY_MS)
-
-    def _around(self, found: _Open, lost: Sequence[str], alive: Sequence[str]) -> None:
-        """Ask those that a lost hop was seen to send to, then others, each once."""
-        found.around = True
-        likely = [name for hop in lost for name in self._sends.get(hop, ())]
-        asked = 0
+            found.is_lost = True
+        if found.is_lost and not found.has_fallen_back:
+            self._fall_back(found, given_up or (self.me,), alive)
+
+    def _collect_due(
+        self, found: _Collection, requests: dict[str, list[TraceRequest]], now_ms: float
+    ) -> None:
+        """Add the trace to the requests of each hop that is due; what exceeds a message waits for the next tick."""
+        for name, (attempts, due_ms) in found.pending.items():
+            batch = requests.setdefault(name, []) if due_ms <= now_ms else None
+            if batch is not None and len(batch) < MAX_TRACES_PER_REQUEST:
+                batch.append(found.request)
+                found.pending[name] = (attempts + 1, now_ms + RETRY_MS)
+
+    def _fall_back(self, found: _Collection, lost: Sequence[str], alive: Sequence[str]) -> None:
+        """Ask the known next hops of the lost hops, then other peers, each once."""
+        found.has_fallen_back = True
+        likely = [name for hop in lost for name in self._breadcrumbs.next_hops(hop)]
+        added = 0
         for name in (*likely, *alive):
-            if asked >= MAX_FALLBACK_HOPS:
+            if added >= MAX_FALLBACK_HOPS:
                 return
-            if name != self.me and name not in found.known:
-                found.known.add(name)
-                found.asked[name] = (MAX_ATTEMPTS - 1, float("-inf"))
-                asked += 1
+            if name != self.me and name not in found.asked:
+                found.asked.add(name)
+                found.pending[name] = (MAX_ATTEMPTS - 1, float("-inf"))
+                added += 1
--- a/packages/captures/tests/captures_rig.py
+++ b/packages/captures/tests/captures_rig.py
@@ -15,8 +15,9 @@
 from hypothesis import settings
 from larkweir_captures.coordinator import Coordinator
 from larkweir_captures.messages import encode
-from larkweir_captures.node import Node, Options
-from larkweir_captures.sampling import SamplingDecision
+from larkweir_captures.node import Node
+from larkweir_captures.options import Options
+from larkweir_captures.propagation import SamplingDecision
 from larkweir_simulated import Network
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
--- a/packages/captures/tests/test_captures_after.py
+++ b/packages/captures/tests/test_captures_after.py
@@ -11,9 +11,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from larkweir_captures import trace_collection
-from larkweir_captures.node import Node, Options
-from larkweir_captures.output_queues import PendingRecord
+from larkweir_captures.node import Node
+from larkweir_captures.options import Options
 from larkweir_captures.recent_records import RecentRecords
+from larkweir_captures.records import PendingRecord
 
 HOPS = [f"10.3.{tier}.{n}:7946" for tier in range(TIERS) for n in range(2)]
 SOON = settings(max_examples=40, stateful_step_count=30)
@@ -179,7 +180,7 @@
             self.tick(100.0)
             self.deliver_all()
         for node in self.nodes.values():
-            assert not len(node.triggers) and not len(node.triggered)
+            assert not len(node.trace_collection) and not len(node.triggered)
         if self.sound:
             for trace, path in self.wanted:
                 assert all(self.lines[name, trace] for name in path), (trace, path)
--- a/packages/captures/tests/test_captures_fleet.py
+++ b/packages/captures/tests/test_captures_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 from captures_rig import Fleet
-from larkweir_captures.node import Options
+from larkweir_captures.options import Options
 from larkweir_captures.sampling import rate_of
 
 SMALL = Options(
--- a/packages/captures/tests/test_captures_golden.py
+++ b/packages/captures/tests/test_captures_golden.py
@@ -7,7 +7,7 @@
 
 import pytest
 from larkweir_captures.messages import (
-    Item,
+    Message,
     Report,
     RetainRequest,
     RetainResponse,
@@ -16,20 +16,14 @@
     decode,
     encode,
 )
-from larkweir_captures.node import Node, Options
-from larkweir_captures.sampling import (
-    CAPTURE_NONE,
-    key_of,
-    parse_answer_field,
-    parse_request_field,
-    randomness,
-    threshold_of,
-    to_hex,
-)
+from larkweir_captures.node import Node
+from larkweir_captures.options import Options
+from larkweir_captures.propagation import parse_answer_field, parse_request_field, to_hex
+from larkweir_captures.sampling import CAPTURE_NONE, key_of, randomness, threshold_of
 from larkweir_captures.writer import Writer
 
 GOLDEN = Path(__file__).parent / "golden"
-ITEMS: dict[str, Item] = {
+ITEMS: dict[str, Message] = {
     "report": Report(7, 21, 40_000, True, {0: 12, 2**32 - 1: 3_000}, {17: 999}),
     "table": ThresholdTable(
         7, 21, "10.0.0.1:7946", 1000, threshold_of(0.05), {17: 0, 2**32 - 1: CAPTURE_NONE}
@@ -108,7 +102,7 @@
 
 
 def test_every_kind_of_item_is_here() -> None:
-    assert {type(item) for item in ITEMS.values()} == set(get_args(Item))
+    assert {type(item) for item in ITEMS.values()} == set(get_args(Message))
 
 
 def test_texts_that_travel_with_requests_are_as_before() -> None:
--- a/packages/captures/tests/test_captures_rules.py
+++ b/packages/captures/tests/test_captures_rules.py
@@ -11,21 +11,22 @@
 from hypothesis import strategies as st
 from larkweir_captures.coordinator import Coordinator
 from larkweir_captures.current_thresholds import CurrentThresholds
-from larkweir_captures.max_min_fairness import fill
+from larkweir_captures.max_min_fairness import max_min_rates
 from larkweir_captures.messages import Report, ThresholdTable, decode, encode
-from larkweir_captures.node import Node, Options
+from larkweir_captures.node import Node
+from larkweir_captures.options import Options
 from larkweir_captures.output_limits import OutputLimit
-from larkweir_captures.output_queues import PendingRecord, SampledQueue, TriggeredQueue
+from larkweir_captures.propagation import SamplingDecision, parse_answer_field, parse_request_field
+from larkweir_captures.records import PendingRecord
+from larkweir_captures.sampled_queue import SampledQueue
 from larkweir_captures.sampling import (
     CAPTURE_NONE,
-    SamplingDecision,
-    parse_answer_field,
-    parse_request_field,
     randomness,
     rate_of,
     scaled_threshold,
     threshold_of,
 )
+from larkweir_captures.triggered_queue import TriggeredQueue
 
 RATES = st.floats(1e-9, 1.0)
 RVS = st.integers(0, CAPTURE_NONE - 1)
@@ -212,7 +213,7 @@
     found = []
     for seed in (1, 2):
         Random(seed).shuffle(items)
-        after = TriggeredQueue(OutputLimit(1000.0, 1e6), most=10)
+        after = TriggeredQueue(OutputLimit(1000.0, 1e6), max_records=10)
         for importance, rv in items:
             after.put(PendingRecord("", rv, 0, b"", 10, importance=importance))
         taken = [after.take(0.0) for _ in range(len(after))]
@@ -227,7 +228,7 @@
 @given(LOADS, st.lists(st.tuples(st.one_of(st.just(0.0), st.floats(0.1, 500.0)), LOADS), max_size=6))
 def test_rates_are_max_min_fair(begun: dict[int, float], nodes: list[tuple[float, dict[int, float]]]) -> None:
     """No node takes more than it can, and who is not captured whole passes a full node where nobody has more."""
-    rates = fill(begun, nodes)
+    rates = max_min_rates(begun, nodes)
     sizes = {key: begun.get(key) or max(loads.get(key, 0.0) for _, loads in nodes) for key in rates}
     full = []
     for room, loads in nodes:
--- a/tests/fleet/test_captures_rules.py
+++ b/tests/fleet/test_captures_rules.py
@@ -23,7 +23,8 @@
 )
 from larkweir_captures.messages import Report as Seen
 from larkweir_captures.messages import ThresholdTable, decode, encode
-from larkweir_captures.node import Node, Options
+from larkweir_captures.node import Node
+from larkweir_captures.options import Options
 
 from larkweir.coordination.captures.part import _Post
 from larkweir.coordination.captures.recorder import OWNER, CaptureBaggage, CaptureRecorder
