--- a/larkweir/core/request_handler.py
+++ b/larkweir/core/request_handler.py
@@ -34,14 +34,14 @@
         """Store the selected pool in `event`; False where no pool is suitable."""
 
 
-class Lives(Protocol):
+class PeerIds(Protocol):
     """Other processes of this balancer that serve beside this one, by the ids of the requests that each takes."""
 
     def __contains__(self, trace: bytes) -> bool:
         """Whether another has taken a request with this id."""
 
-    def took(self, trace: bytes) -> None:
-        """One is about to be taken here."""
+    def announce(self, trace: bytes) -> None:
+        """This process is about to accept one. To be called before any of it is sent."""
 
 
 class RequestHandler:
@@ -54,12 +54,13 @@
         self.load_shedder: LoadShedder | None = None  # load shedding, where it is on
         self.streams = True  # whether long bodies are forwarded while they arrive
         self.router: Router | None = None  # None: `/api` is the only path
-        self.lives: Lives | None = None  # None: no other process serves beside this one
+        self.peer_ids: PeerIds | None = None  # None: no other process serves beside this one
         self.checks: list[Check] = []  # raise FramingError for what the tier's protocol could not carry
 
     def is_known(self, trace: bytes) -> bool:
         """Whether a request with this id is open, or was until lately, here or at another process of this balancer."""
-        return self.dispatcher.requests.is_known(trace) or (self.lives is not None and trace in self.lives)
+        known = self.dispatcher.requests.is_known(trace)
+        return known or (self.peer_ids is not None and trace in self.peer_ids)
 
     def handle(self, caller: Caller, message: Message) -> int | None:
         """Answer the message through `caller` and return None, or pass it to the dispatcher and return the dispatcher's
@@ -99,7 +100,7 @@
             if message.queued_since_ms:  # it was queued since then
                 left = max(0.0, left - (self.dispatcher.clock.now_ms() - message.queued_since_ms))
                 event.time_left_ms = left
-            if self.lives is not None:
-                self.lives.took(trace)
+            if self.peer_ids is not None:
+                self.peer_ids.announce(trace)
             return self.dispatcher.arrive(caller, message, left, trace, event)
         return None
--- a/larkweir/lifecycle/incoming_handover.py
+++ b/larkweir/lifecycle/incoming_handover.py
@@ -163,8 +163,9 @@
         match message:
             case Message(kind=MessageKind.RELOAD):
                 self._host.post(ReloadRequested())
-            case Message(kind=MessageKind.SEEN, payload=TakenIds() as seen) if node.seen is not None:
-                node.seen.heard(self.PREDECESSOR, seen)
+            case Message(kind=MessageKind.SEEN, payload=TakenIds() as taken):
+                if node.peer_request_ids is not None:
+                    node.peer_request_ids.receive(self.PREDECESSOR, taken)
             case Message(kind=MessageKind.GO, payload=HandoverState() as state):
                 self._on_late_go(state)
             case Message(kind=MessageKind.KEPT, payload=ReplicaMark() as kept) if node.owners is not None:
@@ -181,12 +182,12 @@
         """The predecessor serves on beside this process, on the connections that it has."""
         if not state.hears:
             return
-        seen = self._host.node.exchange_ids(self.PREDECESSOR, self._channel.send_ids)
+        peer_ids = self._host.node.exchange_ids(self.PREDECESSOR, self._channel.send_ids)
         # Some are open there still: guards against forgetting them for what comes here meanwhile.
-        seen.heard(self.PREDECESSOR, TakenIds(tuple(trace for trace, _ in state.ids)))
+        peer_ids.receive(self.PREDECESSOR, TakenIds(tuple(trace for trace, _ in state.ids)))
 
     def _on_predecessor_lost(self) -> None:
         node = self._host.node
-        if node.seen is not None:
-            node.seen.leave(self.PREDECESSOR)
+        if node.peer_request_ids is not None:
+            node.peer_request_ids.leave(self.PREDECESSOR)
         self._host.reclaim_limits()
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -37,7 +37,7 @@
     from larkweir.coordination.edits.part import Part as Edits
     from larkweir.coordination.owners import OwnersPlugin
     from larkweir.lifecycle.channel import HandoverState
-    from larkweir.lifecycle.seen import SeenElsewhere, Tell
+    from larkweir.lifecycle.peer_request_ids import NotifyTaken, PeerRequestIds
     from larkweir.membership.remembered.evidence import Evidence
     from larkweir.membership.remembered.restore import RestoredMembers
     from larkweir.routes.hands import Routes
@@ -124,7 +124,7 @@
         self.owners: OwnersPlugin | None = None
         self.edits: Edits | None = None
         self.captures: Captures | None = None
-        self.seen: SeenElsewhere | None = None  # where another process serves beside this one
+        self.peer_request_ids: PeerRequestIds | None = None  # where another process serves beside this one
 
     def _build_core(self, config: Config) -> None:
         callers, upstreams = self._budgets(config)
@@ -222,12 +222,13 @@
 
         held = dict(self.discovery.held.snapshot())
         learned = self.learner.learned() if share and self.learner is not None else {}
+        peer_ids = self.peer_request_ids.ids() if self.peer_request_ids is not None else []
         return HandoverState(
             offset_ms=self.clock.offset_ms,
             discovery=self.discovery.address,
             held=held,
             drains=self.drains(),
-            ids=[*(self.seen.ids() if self.seen is not None else ()), *self.dispatcher.requests.ids()],
+            ids=[*peer_ids, *self.dispatcher.requests.ids()],
             learned=learned,
         )
 
@@ -338,16 +339,17 @@
             told["credit"] = 0.0
         return found
 
-    def exchange_ids(self, process: int, tell: Tell) -> SeenElsewhere:
-        """Another process serves beside this one: each is told of the ids that the other takes."""
-        if self.seen is None:
-            from larkweir.lifecycle.seen import SeenElsewhere  # not imported before the first handover
+    def exchange_ids(self, process: int, notify: NotifyTaken) -> PeerRequestIds:
+        """Another process serves beside this one: each sends the other the ids that it accepts."""
+        if self.peer_request_ids is None:
+            # Not imported before the first handover.
+            from larkweir.lifecycle.peer_request_ids import PeerRequestIds
 
-            self.seen = self.request_handler.lives = SeenElsewhere(
+            self.peer_request_ids = self.request_handler.peer_ids = PeerRequestIds(
                 self.clock.now_ms, self.dispatcher.requests.merge_ids
             )
-        self.seen.join(process, tell)
-        return self.seen
+        self.peer_request_ids.join(process, notify)
+        return self.peer_request_ids
 
     def adopt(self, known: HandoverState) -> None:
         """Go on from another process's state, as far as it is newer than this one's."""
--- a/larkweir/lifecycle/outgoing_handover.py
+++ b/larkweir/lifecycle/outgoing_handover.py
@@ -144,8 +144,8 @@
         if isinstance(message.payload, TakenIds):
             if message.kind is MessageKind.READY:
                 self._ids_wanted_by = serial
-            elif self._host.node.seen is not None:
-                self._host.node.seen.heard(serial, message.payload)
+            elif self._host.node.peer_request_ids is not None:
+                self._host.node.peer_request_ids.receive(serial, message.payload)
         if message.kind in REPORTS:
             self._host.post(REPORTS[message.kind](serial))
         is_waited_for = self._host.is_waiting_for(serial)
@@ -161,16 +161,16 @@
         node = self._host.node
         node.share_limits(1)  # its end changes nothing here any more
         # One that may have accepted is told of ids, and tells of its own, until it has ended.
-        if node.seen is not None and not gracefully:
-            node.seen.leave(serial)
+        if node.peer_request_ids is not None and not gracefully:
+            node.peer_request_ids.leave(serial)
 
     def _on_end(self, serial: int, reason: str) -> None:
         node = self._host.node
         if self._active is not None and self._active.serial == serial:
             self._active = None
             node.share_limits(1)
-        if node.seen is not None:
-            node.seen.leave(serial)
+        if node.peer_request_ids is not None:
+            node.peer_request_ids.leave(serial)
         self._host.post(SuccessorLost(serial, reason))
 
     # ------------------------------------------------ a keeper's file
