--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -30,8 +30,8 @@
 from larkweir.membership.listing import InstanceRow
 from larkweir.membership.remembered.evidence import EvidenceKind
 from larkweir.store.disk import Disk, Files
-from larkweir.store.keeper import Keeper, site_of
-from larkweir.store.state import State
+from larkweir.store.state import StoredState
+from larkweir.store.state_store import StateStore, site_id
 from standins.peers import FakeUpstream, entry
 from standins.ports import free_port
 
@@ -54,13 +54,13 @@
 
 
 def keep(folder: Path, data: dict[str, Any], rows: dict[str, dict[str, Any]]) -> None:
-    disk = Disk(Files(str(folder)), site_of(decode(json.dumps(data), {})))
+    disk = Disk(Files(str(folder)), site_id(decode(json.dumps(data), {})))
     disk.open()
-    state, now = State(), time.time() * 1000.0
-    state.clock_ms = state.heard_ms = now
+    state, now = StoredState(), time.time() * 1000.0
+    state.clock_ms = state.answered_ms = now
     state.source, state.generation, state.listed = data["discovery"], 9, rows
     state.proved = {name: (now, EvidenceKind.ANSWERED) for name in rows}
-    disk.begin(None, state)
+    disk.begin_generation(None, state)
     disk.close()
 
 
@@ -128,10 +128,10 @@
     def __init__(self, discovery: Discovery, clock: Clock) -> None:
         self.discovery, self.clock = discovery, clock
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         return True
 
-    def touched(self) -> set[str]:
+    def changed_ids(self) -> set[str]:
         return self.discovery.held.changed_ids or set()
 
     def row(self, name: str) -> InstanceRow | None:
@@ -140,10 +140,10 @@
     def generation(self) -> int:
         return self.discovery.generation
 
-    def heard_ms(self) -> float:
+    def answered_ms(self) -> float:
         return self.clock.now_ms()
 
-    def evidence(self, most: int) -> dict[str, Any]:
+    def evidence(self, max_count: int) -> dict[str, Any]:
         return {}
 
     def drains(self) -> dict[str, float]:
@@ -166,12 +166,12 @@
         discovery.held.changed_ids = set()
         rows = rows_of(count, [9])
         discovery.held.replace(list(rows.values()))
-        keeper = None
+        state_store = None
         if keeps:
-            keeper = Keeper(Store(on=True, path=f"{name}/store"), config, clock, print)
-            keeper.open()
+            state_store = StateStore(Store(on=True, path=f"{name}/store"), config, clock, print)
+            state_store.open()
             runner = Runner(clock, lambda: False, print, Random(1))
-            keeper.attach(Stands(discovery, clock), runner)
+            state_store.attach(Stands(discovery, clock), runner)
             while discovery.held.changed_ids:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.5)
@@ -188,8 +188,8 @@
             await asyncio.sleep(0.001)
             late.append((time.perf_counter() - now) * 1000.0 - 1.0)
         written = sum(path.stat().st_size for path in folder.iterdir()) - before if keeps else 0
-        if keeper is not None:
-            keeper.close()
+        if state_store is not None:
+            state_store.close()
         return sorted(late)[int(len(late) * 0.999)], written / seconds * 60.0
 
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -23,9 +23,9 @@
 
 from benchmarks.hot_path import ROOT, SETTINGS
 from larkweir.store.disk import Disk, Files
-from larkweir.store.records import Kind, Record
+from larkweir.store.records import Record, RecordKind
 from larkweir.store.recovery import recover
-from larkweir.store.state import State
+from larkweir.store.state import StoredState
 from standins.peers import FakeUpstream
 from standins.ports import free_port
 
@@ -33,7 +33,7 @@
 
 
 def began(number: int) -> Record:
-    return Record(Kind.BEGAN, [f"{number:032x}", 1e12 + number, 2000.0])
+    return Record(RecordKind.BEGAN, [f"{number:032x}", 1e12 + number, 2000.0])
 
 
 async def ask(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, trace: str) -> float:
@@ -106,7 +106,7 @@
     with tempfile.TemporaryDirectory(dir=folder) as name:
         disk = Disk(Files(f"{name}/s"), SITE)
         disk.open()
-        disk.begin(None, State())
+        disk.begin_generation(None, StoredState())
         begun = time.perf_counter()
         for at in range(0, count, group):
             disk.append([began(at + n) for n in range(group)], True)
@@ -136,7 +136,7 @@
     with tempfile.TemporaryDirectory(dir=folder) as name:
         disk = Disk(Files(f"{name}/s"), SITE)
         disk.open()
-        disk.begin(None, State())
+        disk.begin_generation(None, StoredState())
         disk.append([began(n) for n in range(count)], True)
         disk.close()
         begun = time.perf_counter()
--- a/larkweir/cli/members.py
+++ b/larkweir/cli/members.py
@@ -11,9 +11,9 @@
 
 from larkweir.cli.state import BAD, WELL, read_store
 from larkweir.membership.remembered.evidence import DAY_MS, HOUR_MS, Source, confidence
-from larkweir.store.keeper import boot
+from larkweir.store.recoverable_state import recoverable_state
 from larkweir.store.recovery import recover
-from larkweir.store.state import beliefs
+from larkweir.store.state_store import read_boot
 
 
 def _ago(at_ms: float, now_ms: float) -> str:
@@ -42,20 +42,20 @@
     if verify:
         return BAD if recovered.faults else WELL
     now = time.time() * 1000.0
-    told = beliefs(recovered.state, now, 0.0, boot(now))
-    held = told.held or {"generation": 0, "instances": []}
+    told = recoverable_state(recovered.state, now, 0.0, read_boot(now))
+    held = told.listing or {"generation": 0, "instances": []}
     print(f"generation {held['generation']} of {told.source or 'nobody'}: {len(held['instances'])} upstreams")
     stays, gone = told.churn.survival_odds(HOUR_MS), told.churn.gone
     print(f"one that is seen is there an hour later with odds of {stays:.2f} ({gone:.0f} went lately)")
-    for doubt in told.doubts:
-        print(f"doubt: {doubt}")
+    for warning in told.warnings:
+        print(f"doubt: {warning}")
     if held["instances"]:
         print(
             f"{'id':<24} {'address':<22} {'zone':<10} {'word':<8} {'heard':>8} {'proved':>8} {'how':<9} trust"
         )
     for row in held["instances"]:
-        known = told.rows[row["instanceId"]]
-        value = confidence(known, told.churn, Source.KEPT, told.clock_doubt, now)
+        known = told.evidence[row["instanceId"]]
+        value = confidence(known, told.churn, Source.KEPT, told.is_clock_uncertain, now)
         use = (
             "not used"
             if value < MIN_CONFIDENCE
--- a/larkweir/cli/state.py
+++ b/larkweir/cli/state.py
@@ -8,17 +8,17 @@
 import time
 from typing import Any
 
-from larkweir.store.disk import Disk, Files, look
+from larkweir.store.disk import Disk, Files, read_files
 from larkweir.store.records import StoreError, read_header
+from larkweir.store.recoverable_state import RecoverableState, recoverable_state
 from larkweir.store.recovery import Recovered, recover
-from larkweir.store.state import beliefs
 
 WELL, DAMAGED, BAD = 0, 1, 2
 
 
 def read_store(folder: str) -> tuple[dict[str, bytes], bytes]:
     """The store's files, without its lock: reading changes nothing. And the site of the newest that tells one."""
-    found = look(Files(folder))
+    found = read_files(Files(folder))
     site = b""
     for name in sorted(
         found, key=lambda item: int(item.split(".")[0]) if item.split(".")[0].isdigit() else -1
@@ -47,6 +47,21 @@
     }
 
 
+def _exported(found: RecoverableState) -> dict[str, Any]:
+    """The fields by the names that `state export` prints."""
+    return {
+        "held": found.listing,
+        "source": found.source,
+        "drains": found.drains,
+        "ids": found.request_ids,
+        "learned": found.learned,
+        "doubts": found.warnings,
+        "rows": found.evidence,
+        "churn": found.churn,
+        "clock_doubt": found.is_clock_uncertain,
+    }
+
+
 def state(action: str, folder: str) -> int:
     """Carry out one of show, verify, export, compact; 0 is well, 1 damaged, 2 where it can't be done."""
     try:
@@ -61,8 +76,8 @@
         return BAD
     recovered = recover(found, site)
     if action == "export":
-        told = beliefs(recovered.state, time.time() * 1000.0, 0.0)
-        print(json.dumps(told._asdict(), indent=2))
+        told = recoverable_state(recovered.state, time.time() * 1000.0, 0.0)
+        print(json.dumps(_exported(told), indent=2))
     elif action == "show":
         for key, value in _facts(found, recovered).items():
             print(f"{key}: {json.dumps(value)}")
@@ -82,7 +97,7 @@
     recovered = disk.open()
     try:
         recovered.state.prune(time.time() * 1000.0)
-        disk.begin(None, recovered.state)
+        disk.begin_generation(None, recovered.state)
     finally:
         disk.close()
     return WELL
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -42,7 +42,7 @@
     from larkweir.membership.remembered.restore import RestoredMembers
     from larkweir.routes.hands import Routes
     from larkweir.routes.switch import Switch
-    from larkweir.store.keeper import Keeper
+    from larkweir.store.state_store import StateStore
     from larkweir.storms.gate import Gate
 
 
@@ -119,7 +119,7 @@
         self.storms: Gate | None = None
         self.runner: Runner | None = None  # of work beside requests, where any part has some
         self.remembered: RestoredMembers | None = None
-        self.keeper: Keeper | None = None
+        self.state_store: StateStore | None = None
         self.peers: PeerTransport | None = None
         self.owners: OwnersPlugin | None = None
         self.edits: Edits | None = None
@@ -245,14 +245,16 @@
         from larkweir.membership.remembered.evidence import Churn, Source
         from larkweir.membership.remembered.restore import RestoredState
 
-        told = self.keeper.open() if self.keeper is not None else None
+        told = self.state_store.open() if self.state_store is not None else None
         restored: RestoredState | None = None
         given = self.config.known
         if known is None or not known.held:  # a list that was handed over is newer than either
-            if told is not None and told.held and told.source == self.discovery.address:
+            if told is not None and told.listing and told.source == self.discovery.address:
                 version = given.get("generation")
-                if not isinstance(version, int) or version < told.held["generation"]:
-                    restored = RestoredState(told.held, told.rows, told.churn, told.clock_doubt, told.drains)
+                if not isinstance(version, int) or version < told.listing["generation"]:
+                    restored = RestoredState(
+                        told.listing, told.evidence, told.churn, told.is_clock_uncertain, told.drains
+                    )
             if restored is None and given and not self.discovery.trust_known:
                 restored = RestoredState(given, {}, Churn(), False, {}, Source.GIVEN)
             self.discovery.trust_known = restored is None
@@ -265,18 +267,20 @@
             self.remembered.restore(restored, self.runner)
         if told is not None:
             self.adopt(
-                HandoverState(self.clock.offset_ms, told.source, {}, told.drains, told.ids, told.learned)
+                HandoverState(
+                    self.clock.offset_ms, told.source, {}, told.drains, told.request_ids, told.learned
+                )
             )
-        if self.keeper is not None:
-            self.keeper.attach(self, self.runner)
+        if self.state_store is not None:
+            self.state_store.attach(self, self.runner)
 
-    # ------------------------------------------------ what is persisted (`larkweir.store.keeper.Sources`)
+    # ------------------------------------------------ what is persisted (`larkweir.store.changes.StateSources`)
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether discovery has answered, so that its list is the one to persist."""
-        return self.remembered is not None and self.remembered.settled
+        return self.remembered is not None and self.remembered.is_settled
 
-    def touched(self) -> set[str]:
+    def changed_ids(self) -> set[str]:
         """Instance ids whose rows may have changed; the caller takes out those that it has looked at."""
         changed = self.discovery.held.changed_ids
         return changed if changed is not None else set()
@@ -289,13 +293,13 @@
         """The version of the list."""
         return self.discovery.generation
 
-    def heard_ms(self) -> float:
+    def answered_ms(self) -> float:
         """When discovery last answered, in milliseconds of this process's clock."""
-        return self.remembered.heard_ms if self.remembered is not None else 0.0
+        return self.remembered.answered_ms if self.remembered is not None else 0.0
 
-    def evidence(self, most: int) -> dict[str, Evidence]:
-        """At most `most` upstreams that have served since the last call."""
-        return self.remembered.evidence(most) if self.remembered is not None else {}
+    def evidence(self, max_count: int) -> dict[str, Evidence]:
+        """At most `max_count` upstreams that have served since the last call."""
+        return self.remembered.evidence(max_count) if self.remembered is not None else {}
 
     def source(self) -> str:
         """Discovery's address."""
--- a/larkweir/membership/remembered/restore.py
+++ b/larkweir/membership/remembered/restore.py
@@ -108,25 +108,25 @@
         self._unlisted: dict[str, Change] = {}  # missing from discovery's first list, although they answer
         self._drained_until = 0.0
         self.entries: RestoredEntries | None = None
-        self.heard_ms = 0.0  # when discovery last answered; 0: it has not
+        self.answered_ms = 0.0  # when discovery last answered; 0: it has not
         self.proved: dict[int, tuple[float, EvidenceKind]] = {}  # by number, since `evidence` was called
         discovery.names.reverse = {}
         discovery.on_answer = self._on_answer
         discovery.reroute(self._on_listing)
 
     def _on_answer(self) -> None:
-        self.heard_ms = self._clock.now_ms()
+        self.answered_ms = self._clock.now_ms()
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether discovery's list alone counts."""
-        return self.heard_ms > 0.0 and not self._unlisted
+        return self.answered_ms > 0.0 and not self._unlisted
 
     # ------------------------------------------------ the start
 
     def restore(self, restored: RestoredState, runner: Runner | None) -> None:
         """Serve from a restored list, as far as there is confidence in it; nothing where discovery has been faster."""
-        if self.heard_ms or not restored.held.get("instances"):
+        if self.answered_ms or not restored.held.get("instances"):
             return
         settings = self._config.settings
         entries = RestoredEntries(settings.me, settings.copies, settings.may_probe, bool(self._header))
--- a/larkweir/store/part.py
+++ b/larkweir/store/part.py
@@ -1,4 +1,4 @@
-"""Hands: the store's place in a balancer."""
+"""Plugs the store into a balancer."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.stderr_log import StderrLog
 from larkweir.membership.discovery import Discovery
-from larkweir.store.keeper import Keeper
+from larkweir.store.state_store import StateStore
 
 
 class Host(Protocol):
-    """What it needs of the balancer."""
+    """What the store needs of the balancer."""
 
     config: Config
     clock: Clock
     log: StderrLog
     dispatcher: Dispatcher
     discovery: Discovery
-    keeper: Keeper | None
+    state_store: StateStore | None
     closers: list[Callable[[], None]]
     facts: list[Callable[[], dict[str, object]]]
 
 
 def attach(host: Host, options: Operator) -> None:
+    """Create the store; the balancer opens it as it begins."""
     host.discovery.held.changed_ids = set()
-    keeper = Keeper(options.store, host.config, host.clock, host.log.write)
-    host.keeper = host.dispatcher.extensions.durable_state = keeper
-    host.closers.append(keeper.close)
-    host.facts.append(keeper.facts)
+    state_store = StateStore(options.store, host.config, host.clock, host.log.write)
+    host.state_store = host.dispatcher.extensions.durable_state = state_store
+    host.closers.append(state_store.close)
+    host.facts.append(state_store.facts)
--- a/larkweir/store/records.py
+++ b/larkweir/store/records.py
@@ -1,9 +1,9 @@
-"""Rules: records as bytes: framed, checked, versioned. Bytes in, records out; nothing is read or written here.
+"""The encoding of records: framed, with checksums, versioned. Pure logic: bytes in, records out.
 
-A file is a header and frames. The header names the format's version, the site (a checksum of what makes a balancer that
-one) and the generation. A frame is its length, a checksum (CRC-32) over all behind it, its serial, its kind and its
-body (MessagePack). Serials count up by one through a generation, so that a frame that was lost in the middle, or one
-left over from an older file in the same place, can't be taken for the next.
+A file is a header and frames. The header has the format's version, the site (a hash of what identifies a balancer) and
+the generation. A frame is its length, a checksum (CRC-32) of all that follows, its serial number, its kind and its body
+(MessagePack). Serial numbers increase by one through a generation, so that neither a frame after a lost one, nor one
+left over from an older file in the same position, is accepted as the next.
 """
 
 from __future__ import annotations
@@ -17,54 +17,54 @@
 import msgspec
 
 MAGIC = b"LWST"
-VERSION = 2  # written; read are this one and the one before it
-READ = (1, 2)
+VERSION = 2  # of the files that are written
+READABLE_VERSIONS = (1, 2)
 HEADER = struct.Struct(">4sHH8sQ")
 CHECKED = struct.Struct(">I")
 FRAME = struct.Struct(">II")
 INNER = struct.Struct(">QB")
 HEADER_BYTES = HEADER.size + CHECKED.size
-MOST_BODY = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 
 
-class Kind(IntEnum):
-    """What a record says. Numbers are never given again."""
+class RecordKind(IntEnum):
+    """What a record states. Numbers are never reused."""
 
-    LISTED = 1  # an upstream as discovery has it
-    GONE = 2  # an upstream that discovery has no more
-    DRAIN = 3  # when an upstream was told to drain
-    BEGAN = 4  # a request that may not run twice is about to be sent for the first time
+    LISTED = 1  # an upstream in discovery's form
+    DELISTED = 2  # an upstream that discovery no longer lists
+    DRAIN = 3  # since when an upstream drains
+    BEGAN = 4  # a request that must not run twice is about to be sent for the first time
     ENDED = 5  # its answer is known
-    LEARNED = 6  # means and credit of the decisions
-    CLOCK = 7  # the time, and the same by a clock that nobody sets, so that one that jumps shows
-    SOURCE = (
-        8  # the address of discovery, the generation of its list, when it last spoke, and what came and went
-    )
-    PROVED = 9  # when an upstream last served, and how that is known
+    LEARNED = 6  # latency means and credit of the decisions
+    CLOCK = 7  # the time, and the time since boot, which shows whether the clock was set
+    SOURCE = 8  # discovery's address, the version of its list, when it last answered, and the list's churn
+    SERVED = 9  # when an upstream last served, and how that is known
 
 
 class Record(NamedTuple):
-    kind: Kind
+    """One record; `body` has the form that `larkweir.store.state` reads for its kind."""
+
+    kind: RecordKind
     body: Any
 
 
 class StoreError(ValueError):
-    """A file that can't be used, and why."""
+    """A file or a record that can't be used, and why."""
 
 
-_KINDS = {int(kind): kind for kind in Kind}
+_KINDS = {int(kind): kind for kind in RecordKind}
 _encode = msgspec.msgpack.encode
 _decode = msgspec.msgpack.decode
 
 
 def header(site: bytes, generation: int, version: int = VERSION) -> bytes:
-    """`site`: eight bytes."""
+    """A file's header. `site`: eight bytes."""
     text = HEADER.pack(MAGIC, version, 0, site, generation)
     return text + CHECKED.pack(zlib.crc32(text))
 
 
 def read_header(data: bytes) -> tuple[int, bytes, int]:
-    """Version, site and generation; StoreError where it is none that can be read."""
+    """Version, site and generation of a file. Raises StoreError where its header is damaged or of another version."""
     if len(data) < HEADER_BYTES:
         raise StoreError("the file is shorter than its header")
     magic, version, _, site, generation = HEADER.unpack_from(data)
@@ -73,42 +73,45 @@
         raise StoreError("this is no file of a store")
     if zlib.crc32(data[: HEADER.size]) != checksum:
         raise StoreError("the header is damaged")
-    if version not in READ:
-        raise StoreError(f"version {version} is not read here; versions {READ[0]} and {READ[-1]} are")
+    if version not in READABLE_VERSIONS:
+        raise StoreError(
+            f"version {version} is not read here; versions {READABLE_VERSIONS[0]} and {READABLE_VERSIONS[-1]} are"
+        )
     return version, site, generation
 
 
 def frame(serial: int, record: Record) -> bytes:
+    """One record's bytes. Raises StoreError where they are more than `MAX_BODY_BYTES`."""
     body = INNER.pack(serial, record.kind) + _encode(record.body)
-    if len(body) > MOST_BODY:
+    if len(body) > MAX_BODY_BYTES:
         raise StoreError(f"a record of {len(body)} bytes")
     return FRAME.pack(len(body), zlib.crc32(body)) + body
 
 
 def frames(data: bytes, serial: int) -> Iterator[tuple[int, Record]]:
-    """The records from the header on, each with the place behind it, as long as they are whole and follow each other.
+    """The records after the header, each with the offset of its end, for as long as they are complete and in sequence.
 
-    What comes behind the first that does not fit is not read: it may be of another life of the file. A kind that is not
-    known here is of a later version that said it can be read without: it is passed over.
+    Nothing is read after the first that is not: it may be left over from an earlier use of the file. A kind that is
+    not known is skipped: it is of a later version whose files can be read without it.
     """
-    at = HEADER_BYTES
-    while at + FRAME.size <= len(data):
-        length, checksum = FRAME.unpack_from(data, at)
-        end = at + FRAME.size + length
-        if length < INNER.size or length > MOST_BODY or end > len(data):
+    offset = HEADER_BYTES
+    while offset + FRAME.size <= len(data):
+        length, checksum = FRAME.unpack_from(data, offset)
+        end = offset + FRAME.size + length
+        if length < INNER.size or length > MAX_BODY_BYTES or end > len(data):
             return
-        body = data[at + FRAME.size : end]
+        body = data[offset + FRAME.size : end]
         if zlib.crc32(body) != checksum:
             return
-        number, kind = INNER.unpack_from(body)
-        if number != serial:
+        found_serial, kind = INNER.unpack_from(body)
+        if found_serial != serial:
             return
         try:
-            said = _decode(body[INNER.size :])
+            content = _decode(body[INNER.size :])
         except (msgspec.DecodeError, RecursionError):
             return
         serial += 1
-        at = end
+        offset = end
         known = _KINDS.get(kind)
         if known is not None:
-            yield at, Record(known, said)
+            yield offset, Record(known, content)
--- a/standins/crashes.py
+++ b/standins/crashes.py
@@ -79,7 +79,7 @@
         inode.kept += inode.loose
         inode.loose = b""
 
-    def shut(self, number: int) -> None:
+    def close_file(self, number: int) -> None:
         pass
 
     def rename(self, old: str, new: str) -> None:
--- a/tests/membership/test_outage.py
+++ b/tests/membership/test_outage.py
@@ -25,8 +25,8 @@
 from larkweir.membership.remembered.plan import FIRST
 from larkweir.membership.remembered.restore import RestoredState
 from larkweir.store.disk import Disk, Files
-from larkweir.store.keeper import site_of
-from larkweir.store.state import State
+from larkweir.store.state import StoredState
+from larkweir.store.state_store import site_id
 from standins.peers import PATIENCE_S, FakeUpstream, Incoming, Talk, entry, ok, status
 from tests.fakes import SETTINGS, config_data
 from tests.lifecycle.service import Service, service, until
@@ -425,16 +425,16 @@
 
 def keep(folder: Path, rows: list[dict[str, Any]]) -> None:
     config = decode(json.dumps(config_data([], 1)), {})
-    disk = Disk(Files(str(folder)), site_of(config))
+    disk = Disk(Files(str(folder)), site_id(config))
     disk.open()
-    state = State()
+    state = StoredState()
     now = time.time() * 1000.0
-    state.clock_ms = state.heard_ms = now - 60_000.0
+    state.clock_ms = state.answered_ms = now - 60_000.0
     state.source, state.generation = "127.0.0.1:1", 7
     for row in rows:
         state.listed[row["instanceId"]] = row
     state.proved[rows[0]["instanceId"]] = (now - 30_000.0, EvidenceKind.SHOWN)
-    disk.begin(None, state)
+    disk.begin_generation(None, state)
     disk.close()
 
 
--- a/tests/store/test_crashes.py
+++ b/tests/store/test_crashes.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from larkweir.store.disk import Disk
-from larkweir.store.records import Kind, Record, StoreError, frame, header
+from larkweir.store.records import Record, RecordKind, StoreError, frame, header
 from larkweir.store.recovery import read_snapshot, recover, snapshot
-from larkweir.store.state import State
+from larkweir.store.state import StoredState
 from standins.crashes import ModelFiles
 
 SITE = b"sitesite"
@@ -38,7 +38,7 @@
 
 
 def began(trace: str, now: float = 1000.0) -> Record:
-    return Record(Kind.BEGAN, [trace, now, 5000.0])
+    return Record(RecordKind.BEGAN, [trace, now, 5000.0])
 
 
 def test_no_crash_breaks_a_promise() -> None:
@@ -57,16 +57,16 @@
 
     files.told = check
     assert disk.open().generation == 0
-    state = State()
-    disk.begin(None, state)
+    state = StoredState()
+    disk.begin_generation(None, state)
     number = 0
     for generation in range(2):
         for step in range(5):
             number += 1
             batch = [began(f"t{number}a"), began(f"t{number}b")]
             if step == 2:
-                batch.append(Record(Kind.DRAIN, [f"u{number}", 1000.0]))
-            written |= {record.body[0] for record in batch if record.kind is Kind.BEGAN}
+                batch.append(Record(RecordKind.DRAIN, [f"u{number}", 1000.0]))
+            written |= {record.body[0] for record in batch if record.kind is RecordKind.BEGAN}
             durable = step != 3
             disk.append(batch, durable)
             for record in batch:
@@ -79,7 +79,7 @@
         files.every_byte = (
             generation != 1
         )  # a few cuts only, in one of them: the snapshot is in one piece there
-        disk.begin(None, state)
+        disk.begin_generation(None, state)
         promised |= set(state.open)
         files._look()
     assert files.seen > 2_000
@@ -95,15 +95,15 @@
         failed = False
         try:
             disk.open()
-            disk.begin(None, State())
-            state = State()
+            disk.begin_generation(None, StoredState())
+            state = StoredState()
             for n in range(8):
                 record = began(f"t{n}")
                 disk.append([record], True)
                 state.apply(record)
                 promised.add(f"t{n}")
                 if n in (2, 5):
-                    disk.begin(None, state)  # also while compacting
+                    disk.begin_generation(None, state)  # also while compacting
         except OSError:
             failed = True
         for found in files.states(every_byte=False):
@@ -114,11 +114,13 @@
 
 
 def test_a_bit_flipped_anywhere_never_makes_a_record_that_was_not_written() -> None:
-    state = State()
-    state.apply(Record(Kind.LISTED, {"instanceId": "u1", "hostPort": "10.0.0.1:80", "lifecycle": "active"}))
+    state = StoredState()
+    state.apply(
+        Record(RecordKind.LISTED, {"instanceId": "u1", "hostPort": "10.0.0.1:80", "lifecycle": "active"})
+    )
     state.apply(began("one"))
     snap = b"".join(snapshot(state, SITE, 3))
-    log = header(SITE, 3) + frame(0, began("two")) + frame(1, Record(Kind.DRAIN, ["u1", 900.0]))
+    log = header(SITE, 3) + frame(0, began("two")) + frame(1, Record(RecordKind.DRAIN, ["u1", 900.0]))
     for name, data in (("3.snap", snap), ("3.log", log)):
         for at in range(len(data) * 8):
             bad = bytearray(data)
@@ -135,12 +137,12 @@
     files = ModelFiles()
     disk = Disk(files, SITE)
     disk.open()
-    disk.begin(None, State())
-    state = State()
+    disk.begin_generation(None, StoredState())
+    state = StoredState()
     for n in range(3):
         disk.append([began(f"t{n}")], True)
         state.apply(began(f"t{n}"))
-    disk.begin(None, state)
+    disk.begin_generation(None, state)
     disk.append([began("t3")], True)
     found = {name: files.read(name) for name in files.names()}
     found["2.snap"] = found["2.snap"][:-5]
@@ -149,7 +151,7 @@
 
 
 def test_a_store_of_another_site_is_not_believed() -> None:
-    snap = b"".join(snapshot(State(), b"othersit", 1))
+    snap = b"".join(snapshot(StoredState(), b"othersit", 1))
     got = recover({"1.snap": snap}, SITE)
     assert not got.state.listed and "another site" in got.faults[0] and got.generation == 1
 
@@ -157,7 +159,7 @@
 @pytest.mark.parametrize(("version", "reads"), [(1, True), (2, True), (3, False), (0, False)])
 def test_versions_before_and_after(version: int, reads: bool) -> None:
     """This version and the one before are read; a later one is said to be one, and left alone."""
-    data = header(SITE, 1, version) + frame(0, Record(Kind.SOURCE, ["end of the snapshot", 0]))
+    data = header(SITE, 1, version) + frame(0, Record(RecordKind.SOURCE, ["end of the snapshot", 0]))
     got = recover({"1.snap": data}, SITE)
     assert bool(got.faults) is not reads
     assert reads or f"version {version}" in got.faults[0]
@@ -170,7 +172,7 @@
     body = struct.pack(">QB", 1, 200) + b"\xa1x"
     odd = struct.pack(">II", len(body), zlib.crc32(body)) + body
     log = header(SITE, 1) + frame(0, began("a")) + odd + frame(2, began("b"))
-    got = recover({"1.snap": b"".join(snapshot(State(), SITE, 1)), "1.log": log}, SITE)
+    got = recover({"1.snap": b"".join(snapshot(StoredState(), SITE, 1)), "1.log": log}, SITE)
     assert set(got.state.open) == {"a", "b"} and not got.faults
 
 
@@ -178,7 +180,7 @@
 @settings(max_examples=120, deadline=None)
 def test_no_bytes_crash_the_recovery(snap: bytes, log: bytes) -> None:
     recover({"1.snap": snap, "1.log": log}, SITE)
-    whole = b"".join(snapshot(State(), SITE, 1))
+    whole = b"".join(snapshot(StoredState(), SITE, 1))
     recover({"1.snap": whole, "1.log": header(SITE, 1) + log}, SITE)
 
 
@@ -189,26 +191,26 @@
 )
 
 
-@given(st.lists(st.tuples(st.sampled_from(list(Kind)), VALUES), max_size=20))
+@given(st.lists(st.tuples(st.sampled_from(list(RecordKind)), VALUES), max_size=20))
 @settings(max_examples=120, deadline=None)
-def test_bodies_that_fit_no_kind_change_nothing_and_never_raise(rows: list[tuple[Kind, Any]]) -> None:
-    state = State()
+def test_bodies_that_fit_no_kind_change_nothing_and_never_raise(rows: list[tuple[RecordKind, Any]]) -> None:
+    state = StoredState()
     for kind, body in rows:
         state.apply(Record(kind, body))
-    again = State()
+    again = StoredState()
     for record in state.records():
         again.apply(record)
     assert (again.open, again.drains, again.listed) == (state.open, state.drains, state.listed)
 
 
-def listing() -> State:
-    state = State()
+def listing() -> StoredState:
+    state = StoredState()
     for record in (
-        Record(Kind.CLOCK, [5e12, "a-machine", 1e9]),
-        *(Record(Kind.LISTED, {"instanceId": f"u{n}", "hostPort": f"10.0.0.{n}:80"}) for n in range(3)),
-        Record(Kind.SOURCE, ["10.0.0.9:1", 7, 5e12, 1.0, 9e9]),
-        Record(Kind.PROVED, ["u1", 5e12, 3]),
-        Record(Kind.DRAIN, ["u2", 5e12]),
+        Record(RecordKind.CLOCK, [5e12, "a-machine", 1e9]),
+        *(Record(RecordKind.LISTED, {"instanceId": f"u{n}", "hostPort": f"10.0.0.{n}:80"}) for n in range(3)),
+        Record(RecordKind.SOURCE, ["10.0.0.9:1", 7, 5e12, 1.0, 9e9]),
+        Record(RecordKind.SERVED, ["u1", 5e12, 3]),
+        Record(RecordKind.DRAIN, ["u2", 5e12]),
     ):
         state.apply(record)
     return state
@@ -218,9 +220,9 @@
     whole = listing()
     snap = b"".join(snapshot(whole, SITE, 1))
     later = [
-        Record(Kind.GONE, "u0"),
-        Record(Kind.PROVED, ["u2", 6e12, 2]),
-        Record(Kind.SOURCE, ["10.0.0.9:1", 8]),
+        Record(RecordKind.DELISTED, "u0"),
+        Record(RecordKind.SERVED, ["u2", 6e12, 2]),
+        Record(RecordKind.SOURCE, ["10.0.0.9:1", 8]),
     ]
     log = header(SITE, 1) + b"".join(frame(n, record) for n, record in enumerate(later))
     harmed = [(snap[:at], log) for at in range(len(snap))] + [(snap, log[:at]) for at in range(len(log))]
--- a/tests/store/test_golden.py
+++ b/tests/store/test_golden.py
@@ -8,9 +8,10 @@
 
 from larkweir.membership.remembered.evidence import Churn, Evidence, EvidenceKind
 from larkweir.store.disk import Disk, Files
-from larkweir.store.records import Kind, Record, frame, frames, header, read_header
+from larkweir.store.records import Record, RecordKind, frame, frames, header, read_header
+from larkweir.store.recoverable_state import recoverable_state
 from larkweir.store.recovery import read_snapshot, recover, snapshot
-from larkweir.store.state import State, beliefs
+from larkweir.store.state import StoredState
 
 GOLDEN = Path(__file__).parent / "golden"
 SITE = b"\x01site\xff\x00\x02"
@@ -24,20 +25,20 @@
     "since": None,
 }
 RECORDS: dict[str, Record] = {
-    "listed": Record(Kind.LISTED, ROW),
-    "listed_leaving": Record(Kind.LISTED, {"instanceId": "s-2\u00e9", "lifecycle": "leaving"}),
-    "listed_third": Record(Kind.LISTED, {"instanceId": "s-3"}),
-    "gone": Record(Kind.GONE, "s-3"),
-    "drain": Record(Kind.DRAIN, ["s-2\u00e9", 1_000.5]),
-    "began": Record(Kind.BEGAN, ["trace-1", 2_000.0, 60_000.0]),
-    "began_other": Record(Kind.BEGAN, ["trace-2", 2_001.0, 60_000.0]),
-    "ended": Record(Kind.ENDED, ["trace-1", 2_500.25]),
-    "learned": Record(Kind.LEARNED, [3_000.0, {"credit": 1.5, "means": {"0": [1.0, 2]}}]),
-    "clock": Record(Kind.CLOCK, 3_100.0),
-    "clock_boot": Record(Kind.CLOCK, [3_200.0, "boot-id", 200.0]),
-    "source": Record(Kind.SOURCE, ["127.0.0.1:1", 42]),
-    "source_heard": Record(Kind.SOURCE, ["127.0.0.1:1", 43, 3_000.0, 1.25, 86_400_000.0]),
-    "proved": Record(Kind.PROVED, ["s-1", 3_050.0, 2]),
+    "listed": Record(RecordKind.LISTED, ROW),
+    "listed_leaving": Record(RecordKind.LISTED, {"instanceId": "s-2\u00e9", "lifecycle": "leaving"}),
+    "listed_third": Record(RecordKind.LISTED, {"instanceId": "s-3"}),
+    "gone": Record(RecordKind.DELISTED, "s-3"),
+    "drain": Record(RecordKind.DRAIN, ["s-2\u00e9", 1_000.5]),
+    "began": Record(RecordKind.BEGAN, ["trace-1", 2_000.0, 60_000.0]),
+    "began_other": Record(RecordKind.BEGAN, ["trace-2", 2_001.0, 60_000.0]),
+    "ended": Record(RecordKind.ENDED, ["trace-1", 2_500.25]),
+    "learned": Record(RecordKind.LEARNED, [3_000.0, {"credit": 1.5, "means": {"0": [1.0, 2]}}]),
+    "clock": Record(RecordKind.CLOCK, 3_100.0),
+    "clock_boot": Record(RecordKind.CLOCK, [3_200.0, "boot-id", 200.0]),
+    "source": Record(RecordKind.SOURCE, ["127.0.0.1:1", 42]),
+    "source_heard": Record(RecordKind.SOURCE, ["127.0.0.1:1", 43, 3_000.0, 1.25, 86_400_000.0]),
+    "proved": Record(RecordKind.SERVED, ["s-1", 3_050.0, 2]),
 }
 
 
@@ -51,8 +52,8 @@
 FILES = rows("files.hex")
 
 
-def expected() -> State:
-    state = State()
+def expected() -> StoredState:
+    state = StoredState()
     for record in RECORDS.values():
         state.apply(record)
     return state
@@ -66,7 +67,7 @@
 
 
 def test_every_kind_of_record_is_here() -> None:
-    assert {record.kind for record in RECORDS.values()} == set(Kind)
+    assert {record.kind for record in RECORDS.values()} == set(RecordKind)
 
 
 def test_a_header_is_read_and_written_as_before() -> None:
@@ -83,12 +84,12 @@
 def test_a_folder_is_written_as_before(tmp_path: Path) -> None:
     disk = Disk(Files(str(tmp_path)), SITE)
     disk.open()
-    disk.begin(None, State())
+    disk.begin_generation(None, StoredState())
     for record in RECORDS.values():
         disk.append([record], durable=True)
     assert (tmp_path / "1.snap").read_bytes() == FILES["snapshot_empty"]
     assert (tmp_path / "1.log").read_bytes() == FILES["log"]
-    disk.begin(None, expected())
+    disk.begin_generation(None, expected())
     disk.close()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["1.log", "1.snap", "2.log", "2.snap", "lock"]
     assert (tmp_path / "2.log").read_bytes() == FILES["log_new"]
@@ -101,27 +102,27 @@
     found = disk.open()
     disk.close()
     assert (found.state, found.generation, found.records) == (expected(), 1, len(RECORDS))
-    assert (found.cut, found.faults) == (0, ())
+    assert (found.unread_bytes, found.faults) == (0, ())
 
 
 def test_a_torn_log_of_before_counts_up_to_its_last_whole_record() -> None:
     found = recover({"1.snap": FILES["snapshot_empty"], "1.log": FILES["log"][:-3]}, SITE)
-    short = State()
+    short = StoredState()
     for record in list(RECORDS.values())[:-1]:
         short.apply(record)
     assert found.state == short and found.records == len(RECORDS) - 1
-    assert found.cut == len(frame(0, RECORDS["proved"])) - 3
+    assert found.unread_bytes == len(frame(0, RECORDS["proved"])) - 3
 
 
 def test_what_a_new_life_believes_of_it_is_as_before() -> None:
     state, _ = read_snapshot(FILES["snapshot"], SITE)
-    told = beliefs(state, 4_000.0, 30_000.0, ("boot-id", 3_000.0))
-    assert told.ids == [("trace-1", 2_500.25), ("trace-2", 4_000.0)]
+    told = recoverable_state(state, 4_000.0, 30_000.0, ("boot-id", 3_000.0))
+    assert told.request_ids == [("trace-1", 2_500.25), ("trace-2", 4_000.0)]
     assert told.drains == {"s-2\u00e9": 1_000.5}
-    assert told.held == {
+    assert told.listing == {
         "generation": 43,
         "reset": True,
         "instances": [ROW, {"instanceId": "s-2\u00e9", "lifecycle": "leaving"}],
     }
-    assert told.rows["s-1"] == Evidence(3_000.0, 3_050.0, EvidenceKind.ANSWERED)
+    assert told.evidence["s-1"] == Evidence(3_000.0, 3_050.0, EvidenceKind.ANSWERED)
     assert (told.source, told.churn) == ("127.0.0.1:1", Churn(1.25, 86_400_000.0))
--- a/tests/store/test_service.py
+++ b/tests/store/test_service.py
@@ -21,11 +21,11 @@
 
 from larkweir.config.options import Operator, Store
 from larkweir.config.platform import decode
-from larkweir.store.disk import Disk, Files, look
-from larkweir.store.keeper import site_of
-from larkweir.store.records import Kind, Record
+from larkweir.store.disk import Disk, Files, read_files
+from larkweir.store.records import Record, RecordKind
 from larkweir.store.recovery import recover
-from larkweir.store.state import State
+from larkweir.store.state import StoredState
+from larkweir.store.state_store import site_id
 from standins.peers import PATIENCE_S, Caller, FakeUpstream, Incoming, Talk, ok
 from tests.lifecycle.service import Service, service, until
 from tests.upstreams.test_attempts import run
@@ -59,11 +59,11 @@
     whole = it.discovery.whole()
     listed = {row["instanceId"]: row["lifecycle"] for row in whole["instances"]}
     leaving = {name for name, lifecycle in listed.items() if lifecycle == "leaving"}
-    site = site_of(decode(json.dumps(it.data), {}))
+    site = site_id(decode(json.dumps(it.data), {}))
 
     def there() -> bool:
         try:
-            state = recover(look(Files(str(it.folder / "store"))), site).state
+            state = recover(read_files(Files(str(it.folder / "store"))), site).state
         except OSError:
             return False
         rows = {name: row["lifecycle"] for name, row in state.listed.items()}
@@ -251,13 +251,13 @@
     folder = str(tmp_path / "store")
     disk = Disk(Files(folder), b"sitesite")
     disk.open()
-    disk.begin(None, State())
+    disk.begin_generation(None, StoredState())
     now = time.time() * 1000.0
     row = {"instanceId": "u1", "hostPort": "10.0.0.1:80", "lifecycle": "leaving"}
     records = [
-        Record(Kind.LISTED, row),
-        Record(Kind.DRAIN, ["u1", now]),
-        Record(Kind.BEGAN, ["t1", now, 60_000.0]),
+        Record(RecordKind.LISTED, row),
+        Record(RecordKind.DRAIN, ["u1", now]),
+        Record(RecordKind.BEGAN, ["t1", now, 60_000.0]),
     ]
     disk.append(records, True)
     done = larkweir("state", "compact", folder)
--- a/tests/store/test_keeper.py
+++ b/tests/store/test_state_store.py
@@ -19,10 +19,10 @@
 from larkweir.config.platform import decode
 from larkweir.core.clock import Clock
 from larkweir.membership.remembered.evidence import Evidence, EvidenceKind
-from larkweir.store.disk import Files, look
-from larkweir.store.keeper import Keeper, site_of
+from larkweir.store.disk import Files, read_files
 from larkweir.store.recovery import recover
-from larkweir.store.state import State
+from larkweir.store.state import StoredState
+from larkweir.store.state_store import StateStore, site_id
 from standins.peers import PATIENCE_S, entry
 from tests.fakes import config_data
 from tests.lifecycle.service import until
@@ -53,10 +53,10 @@
         self.spoke = False
         self.proofs: dict[str, Evidence] = {}
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         return self.spoke
 
-    def touched(self) -> set[str]:
+    def changed_ids(self) -> set[str]:
         return self.names
 
     def row(self, name: str) -> dict[str, Any] | None:
@@ -65,11 +65,11 @@
     def generation(self) -> int:
         return 3
 
-    def heard_ms(self) -> float:
+    def answered_ms(self) -> float:
         return 5.0 if self.spoke else 0.0
 
-    def evidence(self, most: int) -> dict[str, Evidence]:
-        taken = dict(list(self.proofs.items())[:most])
+    def evidence(self, max_count: int) -> dict[str, Evidence]:
+        taken = dict(list(self.proofs.items())[:max_count])
         for name in taken:
             del self.proofs[name]
         return taken
@@ -88,8 +88,8 @@
         self.rows, self.spoke = rows, True
 
 
-def kept(folder: Path) -> State:
-    return recover(look(Files(str(folder))), site_of(CONFIG)).state
+def kept(folder: Path) -> StoredState:
+    return recover(read_files(Files(str(folder))), site_id(CONFIG)).state
 
 
 class Kept:
@@ -98,21 +98,21 @@
         clock = Clock(loop)
         self.said: list[str] = []
         self.files = Gated(str(folder))
-        self.keeper = Keeper(
+        self.state_store = StateStore(
             Store(on=True, path=str(folder), every_ms=10.0, **options),
             CONFIG,
             clock,
             self.said.append,
             self.files,
         )
-        self.keeper.EVIDENCE_MS = 20.0
-        self.keeper.COMPACT_MS = 20.0
+        self.state_store.EVIDENCE_INTERVAL_MS = 20.0
+        self.state_store.COMPACT_INTERVAL_MS = 20.0
         self.told = Told()
         self.runner = Runner(clock, lambda: False, self.said.append, Random(1))
-        self.beliefs = self.keeper.open()
+        self.recovered = self.state_store.open()
 
     def attach(self) -> None:
-        self.keeper.attach(self.told, self.runner)
+        self.state_store.attach(self.told, self.runner)
 
 
 def many(count: int) -> dict[str, dict[str, Any]]:
@@ -137,7 +137,7 @@
         it.told.tell({name: row for name, row in it.told.rows.items() if name != "s7"})
         await until(lambda: len(kept(tmp_path).listed) == 4_999, "one that went")
         await until(lambda: kept(tmp_path).churn.gone > 0.9, "that it went")
-        it.keeper.close()
+        it.state_store.close()
 
     run(work())
 
@@ -148,13 +148,13 @@
         it.told.tell(many(3))
         it.attach()
         await until(lambda: kept(tmp_path).generation == 3, "the list")
-        it.keeper.close()
+        it.state_store.close()
         it = Kept(tmp_path)
-        assert it.beliefs is not None and len(it.beliefs.held["instances"]) == 3
+        assert it.recovered is not None and len(it.recovered.listing["instances"]) == 3
         it.told.names = {"s0", "s1", "s2"}  # nothing is held yet
         it.attach()
         await asyncio.sleep(0.1)
-        it.keeper.close()
+        it.state_store.close()
         assert len(kept(tmp_path).listed) == 3
 
     run(work())
@@ -169,7 +169,7 @@
         it.files.gate.clear()
         it.told.tell(many(500))
         order: list[str] = []
-        it.keeper.began(b"held", lambda: order.append("sent"))
+        it.state_store.began(b"held", lambda: order.append("sent"))
         for _ in range(20):  # the loop goes round meanwhile
             await asyncio.sleep(0.01)
             order.append("turn")
@@ -178,7 +178,7 @@
         await until(lambda: order[-1] == "sent" or "sent" in order, "the send")
         await until(lambda: len(kept(tmp_path).listed) == 500, "the list")
         assert "held" in kept(tmp_path).open
-        it.keeper.close()
+        it.state_store.close()
 
     run(work())
 
@@ -192,8 +192,8 @@
         it.told.proofs = {f"s{n}": Evidence(0.0, 9.0 + n, EvidenceKind.ANSWERED) for n in range(900)}
         await until(lambda: len(kept(tmp_path).proved) == 700, "what was proved")
         assert kept(tmp_path).proved["s3"] == (12.0, EvidenceKind.ANSWERED)
-        assert kept(tmp_path).heard_ms == 5.0
-        it.keeper.close()
+        assert kept(tmp_path).answered_ms == 5.0
+        it.state_store.close()
 
     run(work())
 
@@ -207,16 +207,16 @@
         it.attach()
         if not asked:
             it.runner.cancel("store.compact")
-        writer = it.keeper._writer
+        writer = it.state_store._writer
         assert writer is not None
         async with asyncio.timeout(PATIENCE_S):
             count = 0
             while not writer.compactions:
                 count += 1
-                it.keeper.began(f"t{count}".encode(), lambda: None)
+                it.state_store.began(f"t{count}".encode(), lambda: None)
                 await asyncio.sleep(0.002)
         await until(lambda: len(kept(tmp_path).open) == count, "all that was begun")
-        it.keeper.close()
+        it.state_store.close()
 
     run(work())
 
@@ -226,12 +226,12 @@
         it = Kept(tmp_path)
         it.attach()
         done: list[int] = []
-        it.keeper.began(b"keyed", lambda: done.append(1), memory_ms=90_000.0)
-        it.keeper.began(b"unsafe", lambda: done.append(2))
+        it.state_store.began(b"keyed", lambda: done.append(1), memory_ms=90_000.0)
+        it.state_store.began(b"unsafe", lambda: done.append(2))
         await until(lambda: len(done) == 2, "both kept")
         found = kept(tmp_path).open
         assert found["keyed"].span_ms == 90_000.0 and found["unsafe"].span_ms == 16_000.0
-        it.keeper.close()
+        it.state_store.close()
 
     run(work())
 
@@ -245,13 +245,13 @@
         done: list[int] = []
         async with asyncio.timeout(PATIENCE_S):
             while not any("nothing is kept" in line for line in it.said):
-                it.keeper.began(f"t{len(done)}".encode(), lambda: done.append(1))
+                it.state_store.began(f"t{len(done)}".encode(), lambda: done.append(1))
                 await asyncio.sleep(0.002)
         count = len(done)
-        it.keeper.began(b"after", lambda: done.append(1))
+        it.state_store.began(b"after", lambda: done.append(1))
         assert len(done) == count + 1  # sent at once: nothing is promised any more
         assert sum("nothing is kept" in line for line in it.said) == 1
-        it.keeper.close()
+        it.state_store.close()
 
     run(work())
 
@@ -276,6 +276,6 @@
 def test_a_store_that_is_written_meanwhile_is_read_as_it_stood_at_one_time(tmp_path: Path) -> None:
     for end in ("snap", "log"):
         (tmp_path / f"7.{end}").write_bytes(end.encode())
-    assert look(Moving(str(tmp_path), 3)) == {"10.log": b"log", "10.snap": b"snap"}
+    assert read_files(Moving(str(tmp_path), 3)) == {"10.log": b"log", "10.snap": b"snap"}
     with pytest.raises(OSError):
-        look(Moving(str(tmp_path), 100))
+        read_files(Moving(str(tmp_path), 100))
