--- a/tests/door/test_guard.py
+++ b/tests/door/test_guard.py
@@ -86,7 +86,7 @@
     async with running(script=Script([1]), door=ON) as node:
         assert node.node is not None
         other = 7
-        node.node.exchange_ids(other, lambda seen: None).heard(other, TakenIds(("there",)))
+        node.node.exchange_ids(other, lambda seen: None).receive(other, TakenIds(("there",)))
         shut(node)
         for trace, expected in (("there", 409), ("nowhere", 503)):
             async with Caller(node.port) as caller:
