--- a/larkweir/budget/part.py
+++ b/larkweir/budget/part.py
@@ -18,9 +18,9 @@
     config: Config
     log: StderrLog
     dispatcher: Dispatcher
-    generations: list[Callable[[Config, Operator | None], None]]
+    configure_callbacks: list[Callable[[Config, Operator | None], None]]
 
 
 def attach(host: Host, options: Operator) -> None:
     host.dispatcher.extensions.budgets = chain = Chain(options.budget, host.config.settings, host.log.write)
-    host.generations.append(lambda config, options: chain.configure(config.settings))
+    host.configure_callbacks.append(lambda config, options: chain.configure(config.settings))
--- a/larkweir/coordination/captures/part.py
+++ b/larkweir/coordination/captures/part.py
@@ -52,9 +52,9 @@
     routes: Routes | None
     peers: PeerTransport | None
     captures: Part | None
-    closers: list[Callable[[], None]]
-    facts: list[Callable[[], dict[str, object]]]
-    generations: list[Callable[[Config, Operator | None], None]]
+    close_callbacks: list[Callable[[], None]]
+    status_callbacks: list[Callable[[], dict[str, object]]]
+    configure_callbacks: list[Callable[[Config, Operator | None], None]]
 
 
 class _Post:
@@ -330,6 +330,6 @@
         raise ConfigError(f"captures.path: there is no folder {folder!r:.100}")
     part = Part(host, own, capturing(options, host.config))
     host.captures = part
-    host.closers.append(part.close)
-    host.facts.append(part.facts)
-    host.generations.append(part.configure)
+    host.close_callbacks.append(part.close)
+    host.status_callbacks.append(part.facts)
+    host.configure_callbacks.append(part.configure)
--- a/larkweir/coordination/edits/part.py
+++ b/larkweir/coordination/edits/part.py
@@ -54,8 +54,8 @@
     routes: Routes | None
     peers: PeerTransport | None
     edits: Part | None
-    closers: list[Callable[[], None]]
-    facts: list[Callable[[], dict[str, object]]]
+    close_callbacks: list[Callable[[], None]]
+    status_callbacks: list[Callable[[], dict[str, object]]]
 
     @property
     def owners(self) -> Fleet | None: ...
@@ -484,6 +484,6 @@
     part = host.edits
     if part is None or host.routes is None:
         raise ConfigError("edits.on: this process has no routes to merge")
-    host.closers.insert(0, part.close)
-    host.facts.append(part.facts)
+    host.close_callbacks.insert(0, part.close)
+    host.status_callbacks.append(part.facts)
     host.clock.after(0.0, part.start)
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -56,8 +56,8 @@
     peers: PeerTransport | None
     owners: OwnersPlugin | None
     captures: CaptureTasks | None
-    closers: list[Callable[[], None]]
-    facts: list[Callable[[], dict[str, object]]]
+    close_callbacks: list[Callable[[], None]]
+    status_callbacks: list[Callable[[], dict[str, object]]]
 
 
 class OwnersPlugin:
@@ -382,5 +382,5 @@
         raise ConfigError("owners.on: it needs peers: write on = true in [peers], or false here")
     plugin = OwnersPlugin(host, host.peers, options, keeping(options, host.config).name)
     host.owners = plugin
-    host.closers.insert(0, plugin.close)  # it hands over by the peers' socket
-    host.facts.append(plugin.facts)
+    host.close_callbacks.insert(0, plugin.close)  # it hands over by the peers' socket
+    host.status_callbacks.append(plugin.facts)
--- a/larkweir/coordination/part.py
+++ b/larkweir/coordination/part.py
@@ -31,9 +31,9 @@
     clock: Clock
     log: StderrLog
     peers: PeerTransport | None
-    closers: list[Callable[[], None]]
-    facts: list[Callable[[], dict[str, object]]]
-    generations: list[Callable[[Config, Operator | None], None]]
+    close_callbacks: list[Callable[[], None]]
+    status_callbacks: list[Callable[[], dict[str, object]]]
+    configure_callbacks: list[Callable[[Config, Operator | None], None]]
 
 
 def attach(host: Host, options: Operator) -> None:
@@ -59,8 +59,8 @@
     transport = PeerTransport(protocol, named.listen, clock, host.log.write)
     clock.after(0.0, transport.start)
     host.peers = transport
-    host.closers.append(transport.close)
-    host.facts.append(transport.status_fields)
+    host.close_callbacks.append(transport.close)
+    host.status_callbacks.append(transport.status_fields)
 
     def relist(config: Config, options: Operator | None) -> None:
         """A reload: the list alone counts now; the reading has checked it (`peering`)."""
@@ -70,7 +70,7 @@
         if line:
             host.log.write(line)
 
-    host.generations.append(relist)
+    host.configure_callbacks.append(relist)
 
 
 def read_keys(path: str) -> tuple[bytes, ...]:
--- a/larkweir/door/part.py
+++ b/larkweir/door/part.py
@@ -20,7 +20,7 @@
     clock: Clock
     log: StderrLog
     request_handler: RequestHandler
-    generations: list[Callable[[Config, Operator | None], None]]
+    configure_callbacks: list[Callable[[Config, Operator | None], None]]
 
 
 def attach(host: Host, options: Operator) -> None:
@@ -29,4 +29,4 @@
     host.request_handler.load_shedder = guard = Guard(
         options.door, config.settings, host.clock, config.seed, known, say
     )
-    host.generations.append(lambda config, options: guard.configure(config.settings))
+    host.configure_callbacks.append(lambda config, options: guard.configure(config.settings))
--- a/larkweir/lifecycle/daemon.py
+++ b/larkweir/lifecycle/daemon.py
@@ -141,7 +141,7 @@
         """Accept connections on the listening sockets."""
         for protocol, sock in self.sockets:
             self.node.listener.adopt_unix_file(sock)
-            self.node.listener.start(sock, make=self.node.makes[protocol])
+            self.node.listener.start(sock, make=self.node.connection_types[protocol])
 
     def discard(self) -> None:
         """Close what was opened for a start that does not take place."""
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -1,4 +1,4 @@
-"""One balancer: its parts, put together and connected, what a reload changes in place, and what a successor gets."""
+"""One balancer: its components, how they are connected, what a reload changes in place, and what a successor gets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 import traceback
 from collections.abc import Callable
 from dataclasses import replace
-from importlib import import_module
 from typing import TYPE_CHECKING, Any
 
 from larkweir_balancing import Balancer
@@ -21,8 +20,10 @@
 from larkweir.core.request_handler import RequestHandler
 from larkweir.core.request_parser import RequestParser
 from larkweir.core.stderr_log import StderrLog
+from larkweir.lifecycle.extensions import load_extensions
+from larkweir.lifecycle.node_state import NodeState
 from larkweir.membership.discovery import Discovery
-from larkweir.membership.listing import DiscoveryError, InstanceRow
+from larkweir.membership.listing import DiscoveryError
 from larkweir.protocols.connection import Connection
 from larkweir.protocols.http1.callers import CallerConnection
 from larkweir.protocols.http1.upstreams import UpstreamConnection
@@ -38,45 +39,18 @@
     from larkweir.coordination.owners import OwnersPlugin
     from larkweir.lifecycle.channel import HandoverState
     from larkweir.lifecycle.peer_request_ids import NotifyTaken, PeerRequestIds
-    from larkweir.membership.remembered.evidence import Evidence
-    from larkweir.membership.remembered.restore import RestoredMembers
+    from larkweir.membership.remembered.restore import RestoredMembers, RestoredState
     from larkweir.routes.hands import Routes
     from larkweir.routes.switch import Switch
+    from larkweir.store.recoverable_state import RecoverableState
     from larkweir.store.state_store import StateStore
     from larkweir.storms.gate import Gate
 
 
-def speaks_fastcgi(options: Operator) -> bool:
-    """Whether callers or upstreams may speak FastCGI."""
-    by_default = bool(options.fastcgi.listen) or options.fastcgi.upstreams != "off"
-    by_default = by_default or options.edits.on  # another balancer's edit may say so of a pool
-    return by_default or any(pool.protocol == "fastcgi" for pool in options.pools.values())
-
-
-# The parts beside the core, in the order in which they are plugged in, and whether each is on; one that is off is not
-# imported. A part is a module with `attach(node, options)`, and says by a protocol what it needs of the node. One that
-# makes the log or the decisions has `begin(node, options)` as well, which comes before the core stands, and may
-# return options that count for all behind it.
-PARTS: tuple[tuple[str, Callable[[Operator], bool]], ...] = (
-    ("larkweir.coordination.edits.part", lambda options: options.edits.on),
-    ("larkweir.routes.part", lambda options: bool(options.routes or options.pools or options.edits.on)),
-    ("larkweir.storms.part", lambda options: options.storms.on),
-    ("larkweir.logs.part", lambda options: options.log.format == "json"),
-    ("larkweir.protocols.fastcgi.part", speaks_fastcgi),
-    ("larkweir.membership.remembered.part", lambda options: options.store.on or options.remembered.known),
-    ("larkweir.store.part", lambda options: options.store.on),
-    ("larkweir.door.part", lambda options: options.door.on),
-    ("larkweir.coordination.part", lambda options: options.peers.on),
-    ("larkweir.coordination.owners", lambda options: options.owners.on),
-    ("larkweir.budget.part", lambda options: options.budget.on),
-    ("larkweir.coordination.captures.part", lambda options: options.captures.on),
-)
-
-
 class Node:
-    """The parts of one balancer. Nothing runs until the listener and discovery are started."""
+    """The components of one balancer. Nothing runs until the listener and discovery are started."""
 
-    SPARE = 24  # descriptors for the process itself
+    RESERVED_DESCRIPTORS = 24  # for the process itself
 
     def __init__(
         self,
@@ -87,37 +61,40 @@
         options: Operator | None = None,
     ) -> None:
         self.config = config
-        self.settings = config.settings  # as the parts hold them: classes that are gone keep their places
+        self.settings = (
+            config.settings
+        )  # as the components have them: classes that were removed keep their index
         self.clock = Clock(loop, offset_ms)
         self.log = StderrLog(config.name)
         loop.set_exception_handler(self._on_loop_error)
         self.memory = MemoryBudget(config.memory_mb)
         self._processes = 1  # of this balancer, that share the limits
-        self.options = options or Operator()  # as the operator file says them, whatever has been merged
+        self.state = NodeState(self)
+        self.options = options or Operator()  # of the operator file, without edits of other balancers
         self._declare_extensions()
         self.decisions: Decisions = decisions or Balancer(config.settings, config.seed)
-        parts = [import_module(name) for name, on in PARTS if options is not None and on(options)]
-        for part in parts:
-            if hasattr(part, "begin"):
-                options = part.begin(self, options) or options
+        extensions = load_extensions(options) if options is not None else []
+        for extension in extensions:
+            if hasattr(extension, "begin"):
+                options = extension.begin(self, options) or options
         self._build_core(config)
-        for part in parts:
-            part.attach(self, options)
+        for extension in extensions:
+            extension.attach(self, options)
 
     def _declare_extensions(self) -> None:
-        """What optional parts set or add to."""
-        # What parts add: what ends with the process, what takes a new generation (before the dispatcher does; the
-        # options are those that go with it), and what they tell of themselves.
-        self.closers: list[Callable[[], None]] = []
-        self.generations: list[Callable[[Config, Operator | None], None]] = []
-        self.facts: list[Callable[[], dict[str, object]]] = []
-        # How a caller's connection is made, by the protocol that its socket speaks.
-        self.makes: dict[str, Callable[[Listener], Connection]] = {"http1": CallerConnection}
-        # What a route says that an upstream speaks; "": nothing.
-        self.speaks: Callable[[int], str] | None = None
+        """What extensions set or add to."""
+        # Called as the node closes; with a new configuration and its options, before the dispatcher gets them; and for
+        # fields of STATUS.
+        self.close_callbacks: list[Callable[[], None]] = []
+        self.configure_callbacks: list[Callable[[Config, Operator | None], None]] = []
+        self.status_callbacks: list[Callable[[], dict[str, object]]] = []
+        # The class of a caller's connection, by the protocol of its listening socket.
+        self.connection_types: dict[str, Callable[[Listener], Connection]] = {"http1": CallerConnection}
+        # The protocol that a route sets for an upstream, by its number; "": none.
+        self.upstream_protocol: Callable[[int], str] | None = None
         self.routes: Routes | None = None
         self.storms: Gate | None = None
-        self.runner: Runner | None = None  # of work beside requests, where any part has some
+        self.runner: Runner | None = None  # of background tasks, where an extension has some
         self.remembered: RestoredMembers | None = None
         self.state_store: StateStore | None = None
         self.peers: PeerTransport | None = None
@@ -143,13 +120,13 @@
 
     @property
     def learner(self) -> Balancer | Switch | None:
-        """The decisions, where they can tell and be told what was learned."""
+        """The decisions, where they can export and import what was learned."""
         if self.routes is not None:
             return self.routes.switch
         return self.decisions if isinstance(self.decisions, Balancer) else None
 
     def hold_peers(self, held: bool) -> None:
-        """Held: a successor goes on under this one's name among the peers, as soon as its duties are handed over."""
+        """Held: a successor uses this one's name among the peers, as soon as its duties are handed over."""
         if self.edits is not None:
             self.edits.hold(held)
         if self.captures is not None:
@@ -160,19 +137,19 @@
             self.peers.set_suspended(held)
 
     def close(self) -> None:
-        """Nothing runs any more, but the listener."""
+        """Stop everything but the listener."""
         self.discovery.stop()
         self.upstreams.close()
-        for close in self.closers:
+        for close in self.close_callbacks:
             close()
 
     def _budgets(self, config: Config) -> tuple[int, int]:
-        """Callers' and upstreams' sockets: of the descriptors, what the process itself needs goes first."""
-        spare = max(8, config.sockets // self._processes - self.SPARE)
+        """How many sockets callers and upstreams may have, of the descriptors that the process does not need itself."""
+        spare = max(8, config.sockets // self._processes - self.RESERVED_DESCRIPTORS)
         return spare * 9 // 20, spare // 2
 
     def share_limits(self, processes: int) -> None:
-        """So many processes of this balancer share the limits from now on. What is open or buffered stays."""
+        """`processes` of this balancer share the limits from now on. What is open or buffered stays."""
         self._processes = processes
         self.memory.resize(self.config.memory_mb / processes)
         callers, upstreams = self._budgets(self.config)
@@ -180,11 +157,11 @@
         self.upstreams.configure(self.settings, upstreams, self.config.drain_grace_ms)
 
     def reconfigure(self, config: Config, options: Operator | None = None) -> None:
-        """A new generation takes over, whole, between two events. `config` has been checked and differs from
+        """Apply a new configuration, between two events. `config` has been checked and differs from
         the present one only in what may change live. `options`: the operator file that goes with it.
         """
         self.config = config
-        # Requests are held by their class's place: it stays.
+        # Open requests refer to their class by its index: it stays.
         self.settings = settings = in_place(self.settings.classes, config.settings, self._class_places())
         self.memory.resize(config.memory_mb / self._processes)
         callers, upstreams = self._budgets(config)
@@ -199,13 +176,13 @@
             self.options = options
             if self.edits is not None:
                 options = self.edits.merged(options)
-        for configure in self.generations:
+        for configure in self.configure_callbacks:
             configure(whole, options)
         self.dispatcher.reconfigure(whole)
         self.discovery.move(config.discovery)
 
     def _class_places(self) -> set[int]:
-        """The places of the classes of open requests."""
+        """The indices of the classes of open requests."""
         if self.routes is not None:
             return self.routes.switch.class_places()
         if isinstance(self.decisions, Balancer):
@@ -227,7 +204,7 @@
             offset_ms=self.clock.offset_ms,
             discovery=self.discovery.address,
             held=held,
-            drains=self.drains(),
+            drains=self.state.drains(),
             ids=[*peer_ids, *self.dispatcher.requests.ids()],
             learned=learned,
         )
@@ -241,107 +218,47 @@
             if known is not None:
                 self.adopt(known)
             return
-        from larkweir.lifecycle.channel import HandoverState
-        from larkweir.membership.remembered.evidence import Churn, Source
-        from larkweir.membership.remembered.restore import RestoredState
-
-        told = self.state_store.open() if self.state_store is not None else None
+        stored = self.state_store.open() if self.state_store is not None else None
         restored: RestoredState | None = None
-        given = self.config.known
         if known is None or not known.held:  # a list that was handed over is newer than either
-            if told is not None and told.listing and told.source == self.discovery.address:
-                version = given.get("generation")
-                if not isinstance(version, int) or version < told.listing["generation"]:
-                    restored = RestoredState(
-                        told.listing, told.evidence, told.churn, told.is_clock_uncertain, told.drains
-                    )
-            if restored is None and given and not self.discovery.trust_known:
-                restored = RestoredState(given, {}, Churn(), False, {}, Source.GIVEN)
-            self.discovery.trust_known = restored is None
-        else:
-            self.discovery.trust_known = True
+            restored = self._restored_state(stored)
+        self.discovery.trust_known = restored is None
         self.discovery.start()
         if known is not None:
             self.adopt(known)
         if restored is not None:
             self.remembered.restore(restored, self.runner)
-        if told is not None:
-            self.adopt(
-                HandoverState(
-                    self.clock.offset_ms, told.source, {}, told.drains, told.request_ids, told.learned
-                )
-            )
+        if stored is not None:
+            self._adopt_stored(stored)
         if self.state_store is not None:
-            self.state_store.attach(self, self.runner)
-
-    # ------------------------------------------------ what is persisted (`larkweir.store.changes.StateSources`)
-
-    def is_settled(self) -> bool:
-        """Whether discovery has answered, so that its list is the one to persist."""
-        return self.remembered is not None and self.remembered.is_settled
+            self.state_store.attach(self.state, self.runner)
 
-    def changed_ids(self) -> set[str]:
-        """Instance ids whose rows may have changed; the caller takes out those that it has looked at."""
-        changed = self.discovery.held.changed_ids
-        return changed if changed is not None else set()
-
-    def row(self, name: str) -> InstanceRow | None:
-        """An upstream's row in discovery's form; None if it is not listed."""
-        return self.discovery.row(name)
-
-    def generation(self) -> int:
-        """The version of the list."""
-        return self.discovery.generation
-
-    def answered_ms(self) -> float:
-        """When discovery last answered, in milliseconds of this process's clock."""
-        return self.remembered.answered_ms if self.remembered is not None else 0.0
-
-    def evidence(self, max_count: int) -> dict[str, Evidence]:
-        """At most `max_count` upstreams that have served since the last call."""
-        return self.remembered.evidence(max_count) if self.remembered is not None else {}
+    def _restored_state(self, stored: RecoverableState | None) -> RestoredState | None:
+        """The list to start from: the newer of the stored one, if it is from this discovery, and the one that the
+        configuration gives; None if there is neither, or discovery itself trusts the given one.
+        """
+        from larkweir.membership.remembered.evidence import Churn, Source
+        from larkweir.membership.remembered.restore import RestoredState
 
-    def source(self) -> str:
-        """Discovery's address."""
-        return self.discovery.address
+        given = self.config.known
+        if stored is not None and stored.listing and stored.source == self.discovery.address:
+            version = given.get("generation")
+            if not isinstance(version, int) or version < stored.listing["generation"]:
+                return RestoredState(
+                    stored.listing, stored.evidence, stored.churn, stored.is_clock_uncertain, stored.drains
+                )
+        if given and not self.discovery.trust_known:
+            return RestoredState(given, {}, Churn(), False, {}, Source.GIVEN)
+        return None
 
-    def drains(self) -> dict[str, float]:
-        """When each upstream that drains was told to, by instance id, in milliseconds of this process's clock."""
-        found: dict[str, float] = {}
-        if not self.upstreams.draining:
-            return found
-        reverse = self.discovery.names.reverse
-        if reverse is not None:
-            return {
-                reverse[number]: self.upstreams.table[number].draining_since_ms
-                for number in self.upstreams.draining
-                if number in reverse
-            }
-        numbers = {
-            number: self.upstreams.table[number].draining_since_ms for number in self.upstreams.draining
-        }
-        for row in self.discovery.held.snapshot()["instances"]:
-            told = numbers.get(self.discovery.number(row["instanceId"]) or 0, 0.0)
-            if told:
-                found[row["instanceId"]] = told
-        return found
+    def _adopt_stored(self, stored: RecoverableState) -> None:
+        from larkweir.lifecycle.channel import HandoverState
 
-    def learned(self) -> dict[str, Any]:
-        """What the decisions have learned, without giving the credit away: this process goes on with it."""
-        if self.learner is None:
-            return {}
-        if self.routes is not None:
-            held = [pool.decisions.slow_start for pool in self.routes.switch.pools.values()]
-        else:
-            assert isinstance(self.decisions, Balancer)
-            held = [self.decisions.slow_start]
-        credits = [item.credit for item in held]
-        found = self.learner.learned()
-        for item, credit in zip(held, credits, strict=True):
-            item.credit = credit
-        for told in (found, *found.get("pools", {}).values()):
-            told["credit"] = 0.0
-        return found
+        self.adopt(
+            HandoverState(
+                self.clock.offset_ms, stored.source, {}, stored.drains, stored.request_ids, stored.learned
+            )
+        )
 
     def exchange_ids(self, process: int, notify: NotifyTaken) -> PeerRequestIds:
         """Another process serves beside this one: each sends the other the ids that it accepts."""
@@ -365,8 +282,8 @@
         # This process may have started with a clock of its own.
         shift = self.clock.offset_ms - known.offset_ms
         if known.discovery == self.discovery.address:
-            for name, told in known.drains.items():
-                self.upstreams.set_draining_since(self.discovery.number(name) or 0, told + shift)
+            for name, since_ms in known.drains.items():
+                self.upstreams.set_draining_since(self.discovery.number(name) or 0, since_ms + shift)
         self.dispatcher.requests.merge_ids([(trace, ended + shift) for trace, ended in known.ids])
         if known.learned and self.learner is not None:
             self.learner.adopt(known.learned)
--- a/larkweir/lifecycle/operator_control.py
+++ b/larkweir/lifecycle/operator_control.py
@@ -113,6 +113,6 @@
         }
         if self._host.config_fingerprint:
             fields["config"] = self._host.config_fingerprint
-        for more in reversed(node.facts):
+        for more in reversed(node.status_callbacks):
             fields |= more()
         return serves, " ".join(f"{key}={value}" for key, value in fields.items())
--- a/larkweir/membership/remembered/part.py
+++ b/larkweir/membership/remembered/part.py
@@ -28,8 +28,8 @@
     discovery: Discovery
     runner: Runner | None
     remembered: RestoredMembers | None
-    closers: list[Callable[[], None]]
-    facts: list[Callable[[], dict[str, object]]]
+    close_callbacks: list[Callable[[], None]]
+    status_callbacks: list[Callable[[], dict[str, object]]]
 
 
 def attach(host: Host, options: Operator) -> None:
@@ -47,6 +47,6 @@
         dispatcher.probes.target,
     )
     remembered.on_drain_restored = host.upstreams.set_draining_since
-    host.closers.append(remembered.close)
+    host.close_callbacks.append(remembered.close)
     host.discovery.trust_known = not options.remembered.known
-    host.facts.append(lambda: {**remembered.facts(), **runner.facts()})
+    host.status_callbacks.append(lambda: {**remembered.facts(), **runner.facts()})
--- a/larkweir/protocols/fastcgi/part.py
+++ b/larkweir/protocols/fastcgi/part.py
@@ -26,15 +26,15 @@
     log: StderrLog
     request_handler: RequestHandler
     upstreams: UpstreamPool
-    makes: dict[str, Callable[[Listener], Connection]]
-    speaks: Callable[[int], str] | None
-    closers: list[Callable[[], None]]
+    connection_types: dict[str, Callable[[Listener], Connection]]
+    upstream_protocol: Callable[[int], str] | None
+    close_callbacks: list[Callable[[], None]]
 
 
 def attach(host: Host, options: Operator) -> None:
     """Speak FastCGI in this balancer, as the operator file says."""
-    host.makes["fastcgi"] = FastcgiCaller
-    said, figures, plain = host.speaks, options.fastcgi, host.upstreams.make
+    host.connection_types["fastcgi"] = FastcgiCaller
+    said, figures, plain = host.upstream_protocol, options.fastcgi, host.upstreams.make
     if figures.upstreams == "off" and said is None:
         return
     capabilities = UpstreamCapabilities(figures.multiplex, figures.requests, figures.keep, host.log.write)
@@ -52,4 +52,4 @@
     host.upstreams.full = lambda upstream, waiting: speaks(upstream) and capabilities.full(upstream, waiting)
     host.request_handler.checks.append(refuse_collapsing)
     host.request_handler.streams = False  # the records of a request are made of its whole body
-    host.closers.append(capabilities.close)
+    host.close_callbacks.append(capabilities.close)
--- a/larkweir/routes/part.py
+++ b/larkweir/routes/part.py
@@ -29,9 +29,9 @@
     decisions: Decisions
     routes: Routes | None
     discovery: Discovery
-    speaks: Callable[[int], str] | None
-    generations: list[Callable[[Config, Operator | None], None]]
-    facts: list[Callable[[], dict[str, object]]]
+    upstream_protocol: Callable[[int], str] | None
+    configure_callbacks: list[Callable[[Config, Operator | None], None]]
+    status_callbacks: list[Callable[[], dict[str, object]]]
 
 
 def begin(host: Host, options: Operator) -> None:
@@ -53,12 +53,12 @@
         names = host.discovery.names
         names.reverse = {} if names.reverse is None else names.reverse
         routes.name_of = lambda number: (names.reverse or {}).get(number, "")
-    host.speaks = routes.speaks
+    host.upstream_protocol = routes.speaks
     host.request_handler.router = routes
 
     def configure(config: Config, options: Operator | None) -> None:
         if options is not None:
             routes.reconfigure(options, config)
 
-    host.generations.append(configure)
-    host.facts.append(routes.facts)
+    host.configure_callbacks.append(configure)
+    host.status_callbacks.append(routes.facts)
--- a/larkweir/store/part.py
+++ b/larkweir/store/part.py
@@ -23,8 +23,8 @@
     dispatcher: Dispatcher
     discovery: Discovery
     state_store: StateStore | None
-    closers: list[Callable[[], None]]
-    facts: list[Callable[[], dict[str, object]]]
+    close_callbacks: list[Callable[[], None]]
+    status_callbacks: list[Callable[[], dict[str, object]]]
 
 
 def attach(host: Host, options: Operator) -> None:
@@ -32,5 +32,5 @@
     host.discovery.held.changed_ids = set()
     state_store = StateStore(options.store, host.config, host.clock, host.log.write)
     host.state_store = host.dispatcher.extensions.durable_state = state_store
-    host.closers.append(state_store.close)
-    host.facts.append(state_store.facts)
+    host.close_callbacks.append(state_store.close)
+    host.status_callbacks.append(state_store.facts)
--- a/larkweir/storms/part.py
+++ b/larkweir/storms/part.py
@@ -27,7 +27,7 @@
     listener: Listener
     decisions: Decisions
     storms: Gate | None
-    facts: list[Callable[[], dict[str, object]]]
+    status_callbacks: list[Callable[[], dict[str, object]]]
 
 
 def attach(host: Host, options: Operator) -> None:
@@ -36,4 +36,4 @@
         host.storms = gate = Gate(options.storms, host.config, host.decisions, host.log.write)
         host.dispatcher.decisions = gate.watch
         gate.attach(host.dispatcher, host.upstreams, host.listener)
-        host.facts.append(gate.facts)
+        host.status_callbacks.append(gate.facts)
--- a/tests/fleet/test_edits_part.py
+++ b/tests/fleet/test_edits_part.py
@@ -53,8 +53,8 @@
         self.receiver: Callable[[str, bytes, float], None] | None = None
         self.edits: Part | None = None
         self.owners: Any = None
-        self.closers: list[Callable[[], None]] = []
-        self.facts: list[Callable[[], dict[str, object]]] = []
+        self.close_callbacks: list[Callable[[], None]] = []
+        self.status_callbacks: list[Callable[[], dict[str, object]]] = []
         self.clock = Clock(asyncio.get_running_loop())
         self.config = decode_platform(platform(), {})
         self.options = self.read(text, **edits)
--- a/tests/lifecycle/test_extensions.py
+++ b/tests/lifecycle/test_extensions.py
@@ -10,7 +10,7 @@
 
 from larkweir.config.fleet_tables import Captures
 from larkweir.config.options import Budget, Door, Fastcgi, Log, Operator, Remembered, Store, Storms
-from larkweir.lifecycle.node import PARTS
+from larkweir.lifecycle.extensions import EXTENSIONS
 
 ON = {
     "larkweir.storms.part": replace(Operator(), storms=Storms(on=True)),
@@ -24,16 +24,16 @@
 
 
 def test_nothing_is_on_by_default() -> None:
-    assert [name for name, on in PARTS if on(Operator())] == []
+    assert [name for name, on in EXTENSIONS if on(Operator())] == []
 
 
 @pytest.mark.parametrize("name", ON)
 def test_a_part_is_on_by_its_own_option_alone(name: str) -> None:
-    assert [part for part, on in PARTS if on(ON[name])] == [name]
+    assert [part for part, on in EXTENSIONS if on(ON[name])] == [name]
 
 
 def test_the_store_comes_after_the_remembered_list_that_it_writes() -> None:
-    on = [part for part, on in PARTS if on(replace(Operator(), store=Store(on=True)))]
+    on = [part for part, on in EXTENSIONS if on(replace(Operator(), store=Store(on=True)))]
     assert on == ["larkweir.membership.remembered.part", "larkweir.store.part"]
 
 
