--- a/larkweir/coordination/captures/__init__.py
+++ b/larkweir/coordination/captures/__init__.py
@@ -1,1 +1,4 @@
-"""Captures that agree, as a part of a balancer. Imported where they are on."""
+"""Captures in a balancer: its requests' records, the file that they are written to, and messages to peers.
+
+Imported only where `[captures]` is on.
+"""
--- a/larkweir/coordination/captures/recorder.py
+++ b/larkweir/coordination/captures/recorder.py
@@ -1,8 +1,8 @@
-"""Rules: each request's record, made of what the decisions hear and say, and the verdict that travels with it.
+"""Makes each request's record from the events and actions of the decisions, and its sampling decision. Pure logic.
 
-Every event goes through here to the decisions and every action comes back, unchanged. The verdict is made before the
-decisions hear of the request; its record is handed on when it has ended, by the verdict as it is then. Nothing here
-does input or output; the one clock is handed in. Times are milliseconds.
+Every event passes through here to the decisions, and every action comes back, unchanged. The sampling decision is made
+before the decisions see the request; its record is handed on when the request has ended, under the sampling decision as
+it is then. The clock is handed in; times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -26,43 +26,48 @@
 from larkweir.core.ports import Decisions
 from larkweir.logs.follow import Follow, Told, tenths
 
-FIELD = b"X-Capture"
-OWNER = "owner"  # to whom reports go: whoever owns the duty
+HEADER = b"X-Capture"
+OWNER = "owner"  # the destination of reports: whichever process owns the duty
+UNSENT_OUTCOME = "moot"  # in a record, of an attempt that was never sent
 _encode = msgspec.json.Encoder().encode
 
 
 class CaptureBaggage(msgspec.Struct, eq=False):
-    """One request's verdict on its way (`larkweir.core.ports.Baggage`)."""
+    """One request's sampling decision on its way through the tiers: a `larkweir.core.ports.Baggage`."""
 
-    _scribe: CaptureRecorder
-    number: int
-    verdict: SamplingDecision
+    _recorder: CaptureRecorder
+    number: int  # of the request
+    decision: SamplingDecision
     route: str
-    _text: bytes = b""  # what goes down,
-    _threshold: int = -1  # and for which threshold
-    lost: bool = False  # an attempt's answer never came, or came without what it should have brought
+    _text: bytes = b""  # the field of forwarded requests,
+    _threshold: int = -1  # and the threshold that it states
+    is_answer_lost: bool = False  # an attempt's answer is missing, or came without the field
 
     def down(self) -> bytes:
-        if self._threshold != self.verdict.threshold:
-            self._threshold = self.verdict.threshold
-            self._text = self._scribe.node.request_field(self.verdict).encode()
+        """The field's value for an attempt."""
+        if self._threshold != self.decision.threshold:
+            self._threshold = self.decision.threshold
+            self._text = self._recorder.node.request_field(self.decision).encode()
         return self._text
 
     def told(self, text: bytes | None, ran: bool) -> None:
+        """An attempt has ended, with this value in its answer. `ran`: it may have reached the next hop."""
         if text is not None:
-            self._scribe.node.on_answer(self.verdict, text.decode("latin-1"))
+            self._recorder.node.on_answer(self.decision, text.decode("latin-1"))
         elif ran:
-            self.lost = True
+            self.is_answer_lost = True
 
     def up(self) -> bytes:
-        return self._scribe.node.answer_field(self.verdict).encode()
+        """The field's value in the final answer."""
+        return self._recorder.node.answer_field(self.decision).encode()
 
     def closed(self, status: int) -> None:
-        self._scribe.closed(self, status)
+        """The request has its final answer, or its client is gone."""
+        self._recorder.on_closed(self, status)
 
 
 class Record(msgspec.Struct, omit_defaults=True, gc=False):
-    """A request's record, as it is written. Made for each request: a struct costs a third of a dict."""
+    """A request's record, as it is written. One is made for each request: a struct costs a third of a dict."""
 
     id: str
     cls: str = msgspec.field(name="class")
@@ -73,17 +78,17 @@
     status: int
     attempts: list[list[Any]]
     hint_ms: float | None = None
-    again: bool = False
+    is_retry: bool = msgspec.field(name="again", default=False)
     route: str = ""
-    above: tuple[str, ...] = ()
-    below: tuple[str, ...] = ()
+    previous_hops: tuple[str, ...] = msgspec.field(name="above", default=())
+    next_hops: tuple[str, ...] = msgspec.field(name="below", default=())
 
 
 class CaptureRecorder:
-    """Decisions, and what they hear and say written down. A `BaggagePropagator` where budgets travel."""
+    """The decisions, with each request recorded. A `BaggagePropagator` where budgets travel."""
 
-    name = FIELD
-    LATE_MS = 50.0  # past its deadline, by which a request has ended
+    name = HEADER
+    LATE_MS = 50.0  # after its deadline, by which a request has ended
 
     def __init__(
         self,
@@ -96,25 +101,27 @@
         address_of: Callable[[int], str],
         route_of: Callable[[RequestArrived], str],
     ) -> None:
-        """`slow_ms`: a request that took as long is worth keeping; 0: none is for its time."""
+        """`slow_ms`: the duration from which a request's trace is worth retaining; 0: none is for its duration.
+        `trace_of`, `address_of`: a request's trace id and an upstream's address, by number.
+        """
         self.decisions = decisions
         self.node = node
         self.slow_ms = slow_ms
         self._now_ms = now_ms
         self._route_of = route_of
-        self._rides: dict[int, CaptureBaggage] = {}  # of requests that the decisions have not heard of yet
-        self.follow = Follow(settings, self._marks, trace_of, address_of, self._ended)
+        self._baggage: dict[int, CaptureBaggage] = {}  # of requests that the decisions have not seen yet
+        self.follow = Follow(settings, self._on_followed, trace_of, address_of, self._on_ended)
         self.follow.LATE_MS = self.LATE_MS
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; returns the actions to carry out, in order, at the same time."""
+        """Handle one event. Returns the actions to carry out, in order, at the same time."""
         if isinstance(event, AttemptEnded):
             self.follow.attempt(now_ms, event)
         elif isinstance(event, RequestArrived):
             self.follow.arrived(now_ms, event)
-            if self._rides:
-                self._rides.pop(event.request, None)  # where too many are open to follow one more
-        elif isinstance(event, TimerFired):  # of which there are the most, and most come to nothing
+            if self._baggage:
+                self._baggage.pop(event.request, None)  # where too many are open to follow one more
+        elif isinstance(event, TimerFired):  # the most frequent event, and most have no effect
             actions = self.decisions.handle(now_ms, event)
             if actions:
                 self.follow.after(now_ms, event, actions)
@@ -127,61 +134,66 @@
             self.follow.take_names(event.settings)
         return actions
 
-    # ------------------------------------------------ verdicts
+    # ------------------------------------------------ sampling decisions
 
     def ride(self, came: bytes | None, trace: bytes, event: RequestArrived, now_ms: float) -> CaptureBaggage:
-        """The verdict that came with a request, or that is made here, for all hops."""
-        found = self._rides[event.request] = self._judged(
-            came, trace, event, now_ms, self.follow.names(event)
-        )
+        """The sampling decision that arrived with a request, or one made here, for all hops."""
+        names = self.follow.names(event)
+        found = self._baggage[event.request] = self._decide(came, trace, event, now_ms, names)
         return found
 
-    def _judged(
+    def _decide(
         self,
-        came: bytes | None,
+        field: bytes | None,
         trace: bytes,
         event: RequestArrived,
         now_ms: float,
         names: tuple[str, str],
     ) -> CaptureBaggage:
         route = self._route_of(event)
-        verdict = None
-        if came is not None:
-            verdict = self.node.later_hop(came.decode("latin-1"), now_ms, trace)
-        if verdict is None:
-            verdict = self.node.first_hop(trace, route, names[0], names[1], now_ms)
-        return CaptureBaggage(self, event.request, verdict, route)
-
-    def _marks(
+        decision = None
+        if field is not None:
+            decision = self.node.later_hop(field.decode("latin-1"), now_ms, trace)
+        if decision is None:
+            decision = self.node.first_hop(trace, route, names[0], names[1], now_ms)
+        return CaptureBaggage(self, event.request, decision, route)
+
+    def _on_followed(
         self, trace: bytes, event: RequestArrived, now_ms: float, names: tuple[str, str]
     ) -> CaptureBaggage:
-        found = self._rides.pop(event.request, None)
-        return found if found is not None else self._judged(None, trace, event, now_ms, names)
-
-    def closed(self, ride: CaptureBaggage, status: int) -> None:
-        """A request's answer. Of some ends decisions hear nothing: its budget refused it, it is overdue, a fault."""
-        now = self._now_ms()
-        if self._rides.pop(ride.number, None) is not None:
-            fields = {"id": ride.verdict.trace_id, "at_ms": tenths(now), "took_ms": 0.0, "status": status}
-            fields |= {"attempts": [], "why": "budget"}
-            above, below = ride.verdict.previous_hops, ride.verdict.next_hops
-            for name, value in (("route", ride.route), ("above", above), ("below", below)):
-                if value:
-                    fields[name] = value
-            self.node.record(ride.verdict, _encode(fields), now, False, False, False, ride.lost)
-        elif status >= 500:
-            self.follow.over(now, ride.number, status)
+        found = self._baggage.pop(event.request, None)
+        return found if found is not None else self._decide(None, trace, event, now_ms, names)
 
     # ------------------------------------------------ records
 
-    def _ended(self, told: Told, status: int, now_ms: float) -> None:
-        ride: CaptureBaggage = told.mark
+    def on_closed(self, baggage: CaptureBaggage, status: int) -> None:
+        """A request has its answer. Rejections by its budget, deadlines and faults are not seen by the decisions."""
+        now = self._now_ms()
+        if self._baggage.pop(baggage.number, None) is not None:
+            self._record_rejected(baggage, status, now)
+        elif status >= 500:
+            self.follow.over(now, baggage.number, status)
+
+    def _record_rejected(self, baggage: CaptureBaggage, status: int, now_ms: float) -> None:
+        """Record a request that its budget rejected, before the decisions saw it."""
+        decision = baggage.decision
+        fields = {"id": decision.trace_id, "at_ms": tenths(now_ms), "took_ms": 0.0, "status": status}
+        fields |= {"attempts": [], "why": "budget"}
+        hops = ("above", decision.previous_hops), ("below", decision.next_hops)
+        for name, value in (("route", baggage.route), *hops):
+            if value:
+                fields[name] = value
+        self.node.record(decision, _encode(fields), now_ms, lost=baggage.is_answer_lost)
+
+    def _on_ended(self, told: Told, status: int, now_ms: float) -> None:
+        baggage: CaptureBaggage = told.mark
         sent = 0
         for attempt in told.attempts:
-            sent += attempt[3] != "moot"
-        failed = status >= 500 and (sent > 0 or status != 503)  # a refusal that nobody saw is no trouble
+            sent += attempt[3] != UNSENT_OUTCOME
+        # A rejection that no upstream saw is no failure.
+        failed = status >= 500 and (sent > 0 or status != 503)
         slow = 0.0 < self.slow_ms <= now_ms - told.at_ms
-        verdict = ride.verdict
+        decision = baggage.decision
         record = Record(
             told.trace.decode("latin-1"),
             *told.names,
@@ -192,8 +204,9 @@
             told.attempts,
             told.hint_ms,
             told.again,
-            ride.route,
-            verdict.previous_hops,
-            verdict.next_hops,
+            baggage.route,
+            decision.previous_hops,
+            decision.next_hops,
         )
-        self.node.record(verdict, _encode(record), now_ms, failed, slow, sent > 1, ride.lost)
+        lost = baggage.is_answer_lost
+        self.node.record(decision, _encode(record), now_ms, failed, slow, again=sent > 1, lost=lost)
--- a/tests/fleet/test_captures_rules.py
+++ b/tests/fleet/test_captures_rules.py
@@ -26,8 +26,8 @@
 from larkweir_captures.node import Node
 from larkweir_captures.options import Options
 
-from larkweir.coordination.captures.part import _Post
 from larkweir.coordination.captures.recorder import OWNER, CaptureBaggage, CaptureRecorder
+from larkweir.coordination.captures.transport import CaptureTransport
 from larkweir.coordination.duties.messages import CaptureReport
 from larkweir.coordination.duties.messages import decode_report as unpack_report
 from larkweir.coordination.duties.messages import encode_report as pack_report
@@ -55,7 +55,7 @@
         self.node = Node("10.0.0.1:1", Options(default_rate=rest), self.mail, gossip=False)
         cls = RequestClass(400.0, 1000.0, Effect.SAFE, name="look")
         self.settings = Settings((cls,), tenants=(Tenant(1.0, name="acme"),), max_attempts=3)
-        self.scribe = CaptureRecorder(
+        self.recorder = CaptureRecorder(
             Balancer(self.settings, 1),
             self.settings,
             self.node,
@@ -70,13 +70,13 @@
 
     def tell(self, now: float, event: Any) -> None:
         self.now = now
-        self.sent += [item for item in self.scribe.handle(now, event) if isinstance(item, Send)]
+        self.sent += [item for item in self.recorder.handle(now, event) if isinstance(item, Send)]
 
     def arrive(self, now: float, number: int, came: bytes | None = None) -> CaptureBaggage:
         """With budgets on: the chain asks for the ride first."""
         self.now = now
         event = RequestArrived(number, 0, 900.0)
-        ride = self.scribe.ride(came, b"id-%d" % number, event, now)
+        ride = self.recorder.ride(came, b"id-%d" % number, event, now)
         self.tell(now, event)
         return ride
 
@@ -113,9 +113,9 @@
 def test_what_can_t_be_read_is_counted_and_the_verdict_is_made_here() -> None:
     one = One()
     ride = one.arrive(10.0, 1, b"th:\xff")
-    assert ride.verdict.is_first_hop and one.node.unreadable == 1
+    assert ride.decision.is_first_hop and one.node.unreadable == 1
     ride.told(b"nonsense", True)
-    assert one.node.unreadable == 2 and not ride.lost
+    assert one.node.unreadable == 2 and not ride.is_answer_lost
 
 
 def test_every_end_has_one_record_also_those_of_which_decisions_hear_nothing() -> None:
@@ -130,17 +130,17 @@
     rides[5].closed(500)  # a fault in this process
     rides[6].closed(200)  # whose attempt's end comes just behind
     one.tell(500.0, AttemptEnded(6, 0, one.sent[5].server, Outcome.OK, True, 499.0))
-    refused = one.scribe.ride(None, b"id-7", RequestArrived(7, 0, 1.0), 500.0)
+    refused = one.recorder.ride(None, b"id-7", RequestArrived(7, 0, 1.0), 500.0)
     refused.closed(503)  # by its budget, before the decisions heard of it
     refused.closed(503)
-    one.scribe.follow.overdue(940.0)
-    assert not one.scribe.follow._open[4].due_ms > 940.0
-    one.scribe.follow.overdue(1000.0)  # 4: whom the deadline has ended, without budgets
+    one.recorder.follow.overdue(940.0)
+    assert not one.recorder.follow._open[4].due_ms > 940.0
+    one.recorder.follow.overdue(1000.0)  # 4: whom the deadline has ended, without budgets
     found = {line["trace"]: line["record"]["status"] for line in one.lines(1000.0)}
     assert found == dict(
         zip([f"id-{n}" for n in range(1, 8)], (499, 502, 200, 504, 500, 200, 503), strict=True)
     )
-    assert not one.scribe._rides and not len(one.scribe.follow)
+    assert not one.recorder._baggage and not len(one.recorder.follow)
 
 
 @pytest.mark.parametrize(
@@ -168,7 +168,7 @@
     one.tell(1.0, ListUpdate(ListKind.FULL, 2, []))
     one.arrive(10.0, 1, b"th:none;rv:80000000000000;k:00000001;n:0.0;by:10.0.0.9:1")
     one.now = 900.0
-    one.scribe.follow.over(900.0, 1, 503)
+    one.recorder.follow.over(900.0, 1, 503)
     assert one.lines(1000.0) == [] and one.mail.posted == [] and len(one.node.recent) == 1
 
 
@@ -176,17 +176,17 @@
     one = One()
     ride = one.arrive(10.0, 1)
     ride.told(None, False)
-    assert not ride.lost
+    assert not ride.is_answer_lost
     ride.told(None, True)
-    assert ride.lost
+    assert ride.is_answer_lost
 
 
 def test_one_more_than_can_be_followed_leaves_nothing_behind() -> None:
     one = One()
-    one.scribe.follow.MOST = 3
+    one.recorder.follow.MOST = 3
     for number in range(1, 9):
         one.arrive(1.0, number)
-    assert len(one.scribe.follow) == 3 and not one.scribe._rides
+    assert len(one.recorder.follow) == 3 and not one.recorder._baggage
 
 
 def test_a_peer_s_table_is_not_read_and_a_new_life_has_no_volume_to_spare() -> None:
@@ -270,10 +270,10 @@
 
 
 def test_a_node_s_report_goes_to_whoever_owns_the_duty_and_wakes_it() -> None:
-    post, woken = _Post(), list[str]()
-    post.told = lambda: woken.append("told")
+    post, woken = CaptureTransport(), list[str]()
+    post.on_report = lambda: woken.append("told")
     assert post.post(OWNER, b"report") and woken == ["told"]
-    assert (post.take(), post.take()) == (b"report", b"")
+    assert (post.take_report(), post.take_report()) == (b"report", b"")
     assert not post.post("10.0.0.2:1", b"ask") and post.alive() == ()  # where peers are off
 
 
--- a/tests/fleet/test_golden_captures.py
+++ b/tests/fleet/test_golden_captures.py
@@ -26,7 +26,7 @@
     one.tell(400.25, AttemptEnded(4, 0, one.sent[-1].server, Outcome.OK, True, 355.25))
     fifth = one.arrive(401.0, 5)
     fifth.closed(500)
-    refused = one.scribe.ride(None, b"id-7", RequestArrived(7, 0, 1.0), 500.0)
+    refused = one.recorder.ride(None, b"id-7", RequestArrived(7, 0, 1.0), 500.0)
     refused.closed(503)
     return [line for now in (500.0, 600.0, 1_500.0, 4_000.0) for line in one.node.tick(now)]
 
