--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -39,7 +39,8 @@
     from larkweir.coordination.owners import OwnersPlugin
     from larkweir.lifecycle.channel import HandoverState
     from larkweir.lifecycle.peer_request_ids import NotifyTaken, PeerRequestIds
-    from larkweir.membership.remembered.restore import RestoredMembers, RestoredState
+    from larkweir.membership.remembered.restore import RestoredMembers
+    from larkweir.membership.remembered.rows import RestoredState
     from larkweir.routes.hands import Routes
     from larkweir.routes.switch import Switch
     from larkweir.store.recoverable_state import RecoverableState
@@ -238,7 +239,7 @@
         configuration gives; None if there is neither, or discovery itself trusts the given one.
         """
         from larkweir.membership.remembered.evidence import Churn, Source
-        from larkweir.membership.remembered.restore import RestoredState
+        from larkweir.membership.remembered.rows import RestoredState
 
         given = self.config.known
         if stored is not None and stored.listing and stored.source == self.discovery.address:
--- a/larkweir/membership/remembered/restore.py
+++ b/larkweir/membership/remembered/restore.py
@@ -1,81 +1,33 @@
-"""Serves from a list that was restored from disk, or that the configuration gives, until discovery answers. Probes its
-upstreams through the pool, and tells the decisions what probes and requests' own answers show, in the order in which
-they do. `entries.py` decides.
+"""Serves from a list that was restored from disk, or that the configuration gives, until discovery answers. Reports to
+the decisions what probes and requests' own answers show, in the order in which they do. `entries.py` decides.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
-from math import inf
-from typing import Any, NamedTuple
 
-from larkweir_balancing.interface import ListKind, Outcome, ServerEntry, ServerState
+from larkweir_balancing.interface import ListKind, Outcome
 
 from larkweir.background.rules import Outcome as Step
 from larkweir.background.rules import Task
 from larkweir.background.runner import Runner
 from larkweir.config.options import Remembered as Options
 from larkweir.config.platform import Config
-from larkweir.core.clock import Clock, Timer
+from larkweir.core.clock import Clock
 from larkweir.core.message import Message
 from larkweir.core.ports import Listing, Pool
 from larkweir.membership.discovery import Discovery
-from larkweir.membership.listing import DiscoveryError, parse_listing
-from larkweir.membership.remembered.entries import (
-    REVIEW_INTERVAL_MS,
-    Change,
-    Place,
-    RestoredEntries,
-    still_drained,
-)
-from larkweir.membership.remembered.evidence import Churn, Evidence, EvidenceKind, Source
+from larkweir.membership.remembered.entries import REVIEW_INTERVAL_MS, Change, RestoredEntries
+from larkweir.membership.remembered.evidence import Evidence, EvidenceKind
 from larkweir.membership.remembered.identity import UpstreamIdentity, parse_identity
-
-
-class RestoredState(NamedTuple):
-    """What an earlier process of this balancer has left of its list. Times are the clock's milliseconds."""
-
-    held: dict[str, Any]  # a whole list in discovery's form, not checked yet
-    rows: dict[str, Evidence]
-    churn: Churn
-    is_uncertain: bool  # how the clocks of the two processes relate
-    drains: dict[str, float]  # since when each that drains has drained
-    source: Source = Source.KEPT
-
-
-class RestoredProbe:
-    """Observes the end of one probe."""
-
-    __slots__ = ("_server", "_witness")
-    streams = False
-
-    def __init__(self, witness: RestoredMembers, server: int) -> None:
-        self._witness = witness
-        self._server = server
-
-    def started(self, answer: Message) -> bool:
-        """A probe's answer is not forwarded."""
-        return False
-
-    def no_longer_needed(self) -> bool:
-        """Whether discovery has answered meanwhile."""
-        return self._witness.entries is None
-
-    def ended(self, outcome: Outcome, answer: Message | None) -> None:
-        """The probe has ended."""
-        self._witness.ended(self._server, outcome, answer, probe=True)
+from larkweir.membership.remembered.prober import RestoredProber
+from larkweir.membership.remembered.reconciliation import ListReconciler
+from larkweir.membership.remembered.rows import RestoredRows, RestoredState
 
 
 class RestoredMembers:
     """The restored list, from the start until discovery has answered; and after that, the evidence worth persisting."""
 
-    STEP_MS = 5.0  # from step to step of probing
-    MAX_PROBES_PER_STEP = 4  # 800 a second at the most
-    PROBE_MS = 50.0  # for an answer
-    # For so long a discovery whose list is older than the restored one can't end a drain.
-    DRAIN_MEMORY_MS = 3_600_000.0
-
     def __init__(
         self,
         options: Options,
@@ -93,23 +45,17 @@
         self._log = log
         self._discovery = discovery
         self._tell = tell
-        self._pool = pool
-        self._target = target
         self._header = options.identity.lower().encode()
-        self._timer: Timer | None = None
-        self._ended = False
-        self._rows: dict[str, dict[str, Any]] = {}  # of the restored list, by name, in discovery's form
-        self._parsed: dict[str, tuple[ServerEntry, tuple[str, int]]] = {}  # of those in use
-        self._draining: dict[str, str] = {}  # lifecycles of those that drain
-        self._generation = 0  # of the restored list
-        self._drains: dict[str, float] = {}  # as restored
+        self._is_closed = False
+        self._rows = RestoredRows(discovery.names, log)
+        self._reconciler = ListReconciler(self._rows, self._name)
+        self._drains: dict[str, float] = {}  # as restored, until discovery has answered
         # Called with an upstream's number and since when it has drained, for each restored drain.
         self.on_drain_restored: Callable[[int, float], None] = lambda number, since_ms: None
-        self._unlisted: dict[str, Change] = {}  # missing from discovery's first list, although they answer
-        self._drained_until = 0.0
         self.entries: RestoredEntries | None = None
         self.answered_ms = 0.0  # when discovery last answered; 0: it has not
         self.proved: dict[int, tuple[float, EvidenceKind]] = {}  # by number, since `evidence` was called
+        self.prober = RestoredProber(self, self._rows, clock, pool, target, self._on_unusable)
         discovery.names.reverse = {}
         discovery.on_answer = self._on_answer
         discovery.reroute(self._on_listing)
@@ -120,7 +66,7 @@
     @property
     def is_settled(self) -> bool:
         """Whether discovery's list alone counts."""
-        return self.answered_ms > 0.0 and not self._unlisted
+        return self.answered_ms > 0.0 and not self._reconciler.unlisted
 
     # ------------------------------------------------ the start
 
@@ -133,9 +79,8 @@
         entries.churn = restored.churn
         entries.source = restored.source
         entries.is_uncertain = restored.is_uncertain
-        evidence, own_address = self._load_rows(restored)
-        generation = restored.held.get("generation")
-        self._generation = generation if isinstance(generation, int) else 0
+        listen = f"{self._config.listen[0]}:{self._config.listen[1]}"
+        evidence, own_address = self._rows.load(restored, listen)
         self._drains = restored.drains
         self.entries = entries
         changes = entries.load(evidence, self._clock.now_ms())
@@ -151,104 +96,19 @@
                 Task("remembered.age", priority=3, period_ms=REVIEW_INTERVAL_MS, first_ms=REVIEW_INTERVAL_MS),
                 self._review,
             )
-        self._arm()
-
-    def _load_rows(self, restored: RestoredState) -> tuple[dict[str, tuple[Place, Evidence]], int]:
-        """Keep the rows that can be used; returns place and evidence of each by name, and how many rows have this
-        balancer's own address.
-        """
-        evidence: dict[str, tuple[Place, Evidence]] = {}
-        own_address = 0
-        listen = f"{self._config.listen[0]}:{self._config.listen[1]}"
-        for row in restored.held["instances"]:
-            name = row.get("instanceId") if isinstance(row, dict) else None
-            if not isinstance(name, str):
-                continue
-            lifecycle = str(row.get("lifecycle"))
-            if lifecycle == "leaving":
-                self._draining[name] = lifecycle
-            elif row.get("hostPort") == listen:
-                own_address += 1  # what is sent there would come back
-            elif lifecycle == "active":
-                self._rows[name] = row
-                place = Place(row.get("zone", ""), row.get("cell", 0))
-                evidence[name] = (place, restored.rows.get(name, Evidence()))
-        return evidence, own_address
+        self.prober.arm()
 
     def _announce(self, changes: list[Change], kind: ListKind = ListKind.PROOF) -> None:
-        """Tell the decisions of changes."""
-        entries, addresses = [], []
-        for change in changes:
-            known = self._parse(change.name)
-            if known is None:
-                continue
-            entry, address = known
-            entries.append(self._entry(entry, change))
-            addresses.append(address)
-        if entries:
-            self._tell(Listing(kind, self._generation, tuple(entries), tuple(addresses)))
-
-    def _parse(self, name: str) -> tuple[ServerEntry, tuple[str, int]] | None:
-        """A row of the list, parsed when it is first needed: nothing is parsed that is never used."""
-        found = self._parsed.get(name)
-        if found is None and name in self._rows:
-            try:
-                listing, _ = parse_listing(
-                    {"generation": 0, "reset": True, "instances": [self._rows[name]]}, self._discovery.names
-                )
-            except DiscoveryError as problem:
-                self._log(f"remembered: {name:.100}: {problem}")
-                del self._rows[name]
-                return None
-            found = self._parsed[name] = (listing.entries[0], listing.addresses[0])
-        return found
-
-    def _entry(self, entry: ServerEntry, change: Change) -> ServerEntry:
-        return ServerEntry(
-            entry.server,
-            ServerState.GONE if change.proof is None else ServerState.READY,
-            entry.started_ms,
-            entry.weight,
-            self._discovery.names.zone(change.place.zone),
-            change.place.cell,
-            entry.kind,
-            change.proof,
-        )
+        """Report changes to the decisions."""
+        listing = self._rows.listing(changes, kind)
+        if listing is not None:
+            self._tell(listing)
 
     # ------------------------------------------------ probes and answers
 
-    def _arm(self) -> None:
-        """Set the timer for the next probe, unless it is set."""
-        if self.entries is None or self._ended or self._timer is not None:
-            return
-        due = self.entries.next_probe_ms()
-        if due < inf:
-            now = self._clock.now_ms()
-            self._timer = self._clock.at(max(due, now + (0.0 if due <= now else 1.0)), self._probe)
-
-    def _probe(self) -> None:
-        """Send the probes that are due, a few at a time."""
-        self._timer = None
-        if self.entries is None or self._ended:
-            return
-        now = self._clock.now_ms()
-        for name in self.entries.due_probes(now, self.MAX_PROBES_PER_STEP):
-            known = self._parse(name)
-            if known is None:
-                self._announce(self.entries.on_ended(name, True, Outcome.CONNECT_FAILED, None, now)[1])
-                continue
-            (entry, host), number = known, known[0].server
-            message = Message()
-            message.method, message.target = b"GET", self._target
-            message.headers = [(b"Host", b"%s:%d" % (host[0].encode(), host[1]))]
-            owner = RestoredProbe(self, number)
-            if number not in self._pool.targets:  # dropped meanwhile: it is added again before it is probed
-                self._pool.update(number, host, ServerState.READY, entry.started_ms, entry.kind)
-            if self._pool.call(number, message, now + self.PROBE_MS, owner, probe=True) is None:
-                owner.ended(Outcome.CONNECT_FAILED, None)
-        if self.entries is not None and self.entries.next_probe_ms() < inf:
-            at = max(self.entries.next_probe_ms(), now + self.STEP_MS)
-            self._timer = self._clock.at(at, self._probe)
+    def _on_unusable(self, name: str, now_ms: float) -> None:
+        if self.entries is not None:
+            self._announce(self.entries.on_ended(name, True, Outcome.CONNECT_FAILED, None, now_ms)[1])
 
     def _identity_of(self, answer: Message | None) -> UpstreamIdentity | None:
         if answer is None or not self._header:
@@ -271,7 +131,7 @@
             self.proved.pop(server, None)
             self._log(f"remembered: at the address of {name:.100} is {identity.instance:.100}")
         self._announce(changes)
-        self._arm()
+        self.prober.arm()
         return counts
 
     def begun(self, server: int, answer: Message) -> bool:
@@ -290,7 +150,7 @@
             return Step.DONE
         last, changes = self.entries.review(self._clock.now_ms())
         self._announce(changes)
-        self._arm()
+        self.prober.arm()
         return Step.DONE if last else Step.MORE
 
     # ------------------------------------------------ discovery answers
@@ -301,7 +161,7 @@
                 if listing.kind is ListKind.DELTA:
                     return  # changes to a list that is not the restored one: the whole one is asked for
                 self._on_first_list(listing, self.entries)
-            listing = self._corrected(listing)
+            listing = self._reconciler.corrected(listing, self._clock.now_ms())
         self._tell(listing)
         if self._drains and listing.kind is ListKind.FULL and self.entries is None:
             # A drain's grace runs from when it was first reported, to whichever process.
@@ -310,85 +170,39 @@
             self._drains = {}
 
     def _on_first_list(self, listing: Listing, entries: RestoredEntries) -> None:
-        """Discovery's first list: the restored one ends here, but for upstreams that discovery may not know of yet."""
+        """Discovery's first list ends the restored one, but for upstreams that discovery may not know of yet."""
         now = self._clock.now_ms()
-        lifecycles = self._lifecycles_of(listing)
-        missed = entries.missing_from(
-            lifecycles, {name for name, lifecycle in lifecycles.items() if lifecycle == "left"}
-        )
-        self._unlisted = {
-            name: Change(name, entry.announced, entry.place)
-            for name in missed
-            if (entry := entries.entries[name]).announced is not None
-        }
+        active = self._reconciler.begin(listing, entries, now)
         counts = entries.counts()
         self.entries = None
-        active = sum(lifecycle == "active" for lifecycle in lifecycles.values())
         self._log(
             f"remembered: discovery lists {active}; of the remembered "
             f"{counts.proved} had answered, {counts.lost} had not"
         )
-        if self._unlisted:
+        unlisted = self._reconciler.unlisted
+        if unlisted:
             self._log(
-                f"remembered: {len(self._unlisted)} upstreams that answer are not in its list, more than half "
+                f"remembered: {len(unlisted)} upstreams that answer are not in its list, more than half "
                 f"of those: used on for {self._options.panic_ms / 1000.0:.0f} s"
             )
             self._clock.at(now + self._options.panic_ms, self._drop_unlisted)
         else:
-            self._parsed = {}
-        self._rows = {}
-        if self._draining:
-            self._drained_until = now + self.DRAIN_MEMORY_MS
-
-    def _lifecycles_of(self, listing: Listing) -> dict[str, str]:
-        lifecycles = {ServerState.READY: "active", ServerState.DRAINING: "leaving", ServerState.GONE: "left"}
-        found = {}
-        for entry in listing.entries:
-            name = self._name(entry.server)
-            if name is not None:
-                found[name] = lifecycles[entry.state]
-        return found
-
-    def _corrected(self, listing: Listing) -> Listing:
-        """The list, with upstreams that are still used although it lacks them, and with drains that only an older list
-        would undo.
-        """
-        if not self._unlisted and not self._draining:
-            return listing
-        lifecycles = self._lifecycles_of(listing)
-        drained: set[str] = set()
-        if self._draining:
-            if listing.version >= self._generation or self._clock.now_ms() >= self._drained_until:
-                self._draining = {}
-            else:
-                drained = still_drained(self._draining, lifecycles, listing.version, self._generation)
-        entries = [
-            replace(entry, state=ServerState.DRAINING) if self._name(entry.server) in drained else entry
-            for entry in listing.entries
-        ]
-        addresses = list(listing.addresses)
-        for name in list(self._unlisted):
-            if name in lifecycles:  # discovery knows of it: what it says counts
-                del self._unlisted[name]
-        if listing.kind is ListKind.FULL:
-            for name, change in self._unlisted.items():
-                entry, address = self._parsed[name]
-                entries.append(self._entry(entry, change))
-                addresses.append(address)
-        return Listing(listing.kind, listing.version, tuple(entries), tuple(addresses))
+            self._rows.forget_parsed()
+        self._rows.forget_unparsed()
 
     def _drop_unlisted(self) -> None:
         """The time is over for which upstreams were used that discovery does not list."""
-        kept, self._unlisted = self._unlisted, {}
-        if self._ended:
+        changes = self._reconciler.drop_unlisted()
+        if self._is_closed:
             return
-        gone = [Change(name, None, change.place) for name, change in kept.items()]
-        if gone:
-            self._log(f"remembered: {len(gone)} upstreams that discovery does not list are not used any more")
+        if changes:
+            self._log(
+                f"remembered: {len(changes)} upstreams that discovery does not list are not used any more"
+            )
         self._announce(
-            gone, ListKind.DELTA if not self._config.settings.on_request_discovery else ListKind.PROOF
+            changes, ListKind.DELTA if not self._config.settings.on_request_discovery else ListKind.PROOF
         )
-        self._parsed = {}
+        self._rows.forget_parsed()
 
     # ------------------------------------------------ for the store and operators
 
@@ -404,12 +218,14 @@
 
     def close(self) -> None:
         """Probe and log nothing any more."""
-        self._ended = True
+        self._is_closed = True
+        self.prober.close()
 
     def facts(self) -> dict[str, object]:
         """Fields of STATUS."""
         if self.entries is None:
-            return {"remembered": "kept" if self._unlisted else "off", "remembered_kept": len(self._unlisted)}
+            unlisted = self._reconciler.unlisted
+            return {"remembered": "kept" if unlisted else "off", "remembered_kept": len(unlisted)}
         counts = self.entries.counts()
         return {
             "remembered": "used",
--- a/tests/membership/test_outage.py
+++ b/tests/membership/test_outage.py
@@ -23,7 +23,7 @@
 from larkweir.lifecycle.node import Node
 from larkweir.membership.remembered.evidence import Churn, Evidence, EvidenceKind
 from larkweir.membership.remembered.plan import FIRST
-from larkweir.membership.remembered.restore import RestoredState
+from larkweir.membership.remembered.rows import RestoredState
 from larkweir.store.disk import Disk, Files
 from larkweir.store.state import StoredState
 from larkweir.store.state_store import site_id
@@ -372,7 +372,7 @@
             started = [await node.__aenter__() for node in nodes]
             # One loop answers the probes of all: how soon it does is not what is looked at.
             for it in started:
-                it.remembered.PROBE_MS = 3_000.0 * PATIENCE_S  # type: ignore[union-attr]
+                it.remembered.prober.PROBE_TIMEOUT_MS = 3_000.0 * PATIENCE_S  # type: ignore[union-attr]
             # The first ones of all are out, and nobody has an answer yet.
             await until(lambda: sum(len(upstream.seen) for upstream in up) >= 30 * FIRST, "the first probes")
             first = [len(upstream.seen) for upstream in up]
