--- a/packages/owners/src/larkweir_owners/duty_manager.py
+++ b/packages/owners/src/larkweir_owners/duty_manager.py
@@ -159,7 +159,7 @@
         """The event loop came late by `lag_ms`: above `LeaseTiming.max_lag_ms` this process releases its duties."""
         if lag_ms > self.timing.max_lag_ms:
             for leadership in self.leaderships.values():
-                leadership.release(now_ms, self.timing.settle_ms)
+                leadership.release(now_ms, self.timing.min_tenure_ms)
 
     def drain(self, now_ms: float) -> None:
         """Hand over all duties, and acquire none from now on. Done when `owned_duties` is empty."""
@@ -219,14 +219,14 @@
 
     def status(self) -> ManagerStatus:
         """The state of each duty and of the acceptor, for STATUS."""
-        asked = [
+        queried = [
             leadership
             for leadership in self.leaderships.values()
             if leadership.phase is not Phase.WATCHING or leadership.record
         ]
         return ManagerStatus(
             {name: self._status_of(name, leadership) for name, leadership in self.leaderships.items()},
-            any(leadership.has_majority for leadership in asked),
+            any(leadership.has_majority for leadership in queried),
             self.proposer.replica_set.epoch,
             self.acceptor.mode if self.acceptor is not None else "",
             self.replicator.stale,
--- a/packages/owners/src/larkweir_owners/leadership.py
+++ b/packages/owners/src/larkweir_owners/leadership.py
@@ -140,8 +140,8 @@
             if late_ms > self.timing.max_lag_ms:
                 self.late_turns += 1
                 self._is_releasing = True
-                self._yield(now_ms + self.timing.settle_ms)
-            self._hold(now_ms)
+                self._yield(now_ms + self.timing.min_tenure_ms)
+            self._maintain(now_ms)
         elif self._can_acquire(now_ms):
             self._acquire()
         elif self._reminders_left:
@@ -177,7 +177,7 @@
         watch = self._watch
         if watch.rank is None:
             self.next_ms = inf
-        elif watch.hears_owner(now_ms):
+        elif watch.is_owner_live(now_ms):
             self.next_ms = watch.owner_seen_ms + self.timing.quiet_ms
         else:
             self.next_ms = now_ms + self.timing.check_ms
@@ -241,7 +241,7 @@
         assert self.record is not None
         return self.record
 
-    def _hold(self, now_ms: float) -> None:
+    def _maintain(self, now_ms: float) -> None:
         """As the owner: release the duty, step it, or renew its lease, whichever is due."""
         if self.phase is Phase.UNSURE:
             self.next_ms = now_ms + self.timing.check_ms
@@ -271,7 +271,7 @@
         """Whether another process has been preferred, and the duty held here, for long enough."""
         if not self._successor_preferred_ms:
             return False
-        return now_ms - max(self._successor_preferred_ms, self._acquired_ms) >= self.timing.settle_ms
+        return now_ms - max(self._successor_preferred_ms, self._acquired_ms) >= self.timing.min_tenure_ms
 
     @property
     def _renew_ms(self) -> float:
--- a/packages/owners/src/larkweir_owners/lease_timing.py
+++ b/packages/owners/src/larkweir_owners/lease_timing.py
@@ -15,7 +15,9 @@
     lease_ms: float = 3000.0
     step_ms: float = 100.0  # between two steps of a duty that nobody wakes
     wake_ms: float = 50.0  # between two steps at the least, however often the duty is woken
-    settle_leases: float = 10.0  # leases for which a duty is held before it may move to its preferred owner
+    min_tenure_leases: float = (
+        10.0  # leases for which a duty is held before it may move to its preferred owner
+    )
 
     @property
     def renew_ms(self) -> float:
@@ -38,9 +40,9 @@
         return self.lease_ms / 4
 
     @property
-    def settle_ms(self) -> float:
+    def min_tenure_ms(self) -> float:
         """For so long a duty is held before it may move, and an owner that lagged lets others go first."""
-        return self.lease_ms * self.settle_leases
+        return self.lease_ms * self.min_tenure_leases
 
 
 class Phase(Enum):
--- a/packages/owners/src/larkweir_owners/messages.py
+++ b/packages/owners/src/larkweir_owners/messages.py
@@ -159,11 +159,11 @@
 
 
 class RecoveryReply(Message, frozen=True, tag=9):
-    """`asker_progress`: the highest progress known of the asker; `mode` and `progress` are those of the one that
+    """`requester_progress`: the highest progress known of the asker; `mode` and `progress` are those of the one that
     answers.
     """
 
-    asker_progress: Progress
+    requester_progress: Progress
     mode: str
     progress: Progress
     replica_set: ReplicaSet
--- a/packages/owners/src/larkweir_owners/owner_watch.py
+++ b/packages/owners/src/larkweir_owners/owner_watch.py
@@ -55,7 +55,7 @@
         elif self.record is None and self.owner_seen_ms == 0.0:
             self.owner_seen_ms = self.now_ms
 
-    def hears_owner(self, now_ms: float) -> bool:
+    def is_owner_live(self, now_ms: float) -> bool:
         """Whether the owner's updates arrive, which are as good as reads."""
         return (
             self.has_majority
--- a/packages/owners/src/larkweir_owners/recovery.py
+++ b/packages/owners/src/larkweir_owners/recovery.py
@@ -104,7 +104,7 @@
 
     def _check_disk(self) -> None:
         """Whether the disk is the latest, by what the others know of this replica."""
-        if max(reply.asker_progress for reply in self._replies.values()) > self._progress():
+        if max(reply.requester_progress for reply in self._replies.values()) > self._progress():
             self._start_catch_up(ReplicaMode.LOST)
         elif self._are_enough(
             self._replies
@@ -124,8 +124,8 @@
             progress = tuple((name, (1, reply.progress[1], 0)) for name, reply in replies.items())
             output.persist(self._state, PeerProgressEntry(progress))
             self.start_voting((1, disk_id), output)
-        elif any(reply.asker_progress == me for reply in replies.values()) and self._are_enough(
-            name for name, reply in replies.items() if reply.asker_progress in (me, NO_PROGRESS)
+        elif any(reply.requester_progress == me for reply in replies.values()) and self._are_enough(
+            name for name, reply in replies.items() if reply.requester_progress in (me, NO_PROGRESS)
         ):
             # It was counted as new when the others began, and has answered nothing yet
             self.start_voting((1, disk_id), output)
@@ -136,7 +136,7 @@
 
     def _start_catch_up(self, mode: ReplicaMode) -> None:
         self.mode = mode
-        most = max((reply.asker_progress for reply in self._replies.values()), default=NO_PROGRESS)
+        most = max((reply.requester_progress for reply in self._replies.values()), default=NO_PROGRESS)
         self._catch_up_incarnation = (max(most[0], self._state.incarnation[0], 1) + 1, self._state.disk_id)
         self._caught_up_to.clear()
         self._learned_slots.clear()
--- a/packages/owners/src/larkweir_owners/replica_set_change.py
+++ b/packages/owners/src/larkweir_owners/replica_set_change.py
@@ -35,7 +35,7 @@
 SETS_KEY = "\0keepers"  # of the register that holds the replica set
 RESEND_MS = 300.0
 CHANGE_TIMEOUT_MS = 20_000.0  # a change without progress for longer is abandoned, and can be resumed
-SETTLED_SENDS = 4  # of a settled set; a replica that misses all goes on as if it were not settled
+COMMITTED_SET_SENDS = 4  # of a settled set; a replica that misses all goes on as if it were not settled
 INCARNATIONS_PER_EPOCH = (
     1 << 20
 )  # the incarnations of an added replica are numbered from its epoch times this
@@ -47,12 +47,12 @@
     """What a change waits for. The values are in the fault of one that is abandoned."""
 
     IDLE = ""
-    ASKING = "asking the new one"
+    QUERYING = "asking the new one"
     READING = "reading"
     WRITING = "writing"
     ADOPTING = "adopting"
     REWRITING = "rewriting"
-    SETTLING = "settling"
+    COMMITTING = "settling"
 
 
 class ReplicaSetChange:
@@ -71,7 +71,7 @@
         self._next_set: ReplicaSet | None = None
         self._adopted_up_to: dict[str, str | None] = {}  # by replica, the last key; None when it has sent all
         self._keys: set[str] = set()
-        self._settled_names: set[str] = set()
+        self._committed_names: set[str] = set()
         self._sends_left = 0
         self._on_end: Callable[[str], None] = lambda fault: None
 
@@ -87,7 +87,7 @@
         if not is_by_one or not 1 <= len(names) <= MAX_REPLICAS:
             return "a change is one keeper more or one less, of 1 to 7"
         self._names, self._added_name = tuple(sorted(names)), next(iter(added), "")
-        self._start(ChangeState.ASKING if self._added_name else ChangeState.READING, on_end, now_ms)
+        self._start(ChangeState.QUERYING if self._added_name else ChangeState.READING, on_end, now_ms)
         return ""
 
     def resume(self, on_end: Callable[[str], None], now_ms: float) -> str:
@@ -122,12 +122,12 @@
         """Send again what is unanswered; abandon a change that makes no progress."""
         self._now_ms = now_ms
         if not self.state:
-            self._send_settled()
+            self._send_committed_set()
             return
         self.next_ms = now_ms + RESEND_MS
         if now_ms >= self._deadline_ms:
             self._finish(f"gave up while {self.state}")
-        elif self.state is ChangeState.ASKING:
+        elif self.state is ChangeState.QUERYING:
             self._send(self._added_name, RecoveryQuery(0))
         elif self.state is ChangeState.ADOPTING:
             self._send_next_set()
@@ -136,7 +136,7 @@
         """Handle the answer of a replica; any other message is ignored."""
         self._now_ms = now_ms
         match message:
-            case RecoveryReply() if self.state is ChangeState.ASKING and source == self._added_name:
+            case RecoveryReply() if self.state is ChangeState.QUERYING and source == self._added_name:
                 self._on_added_replied(source, message)
             case SetAdopted() if self.state is ChangeState.ADOPTING and self._next_set is not None:
                 if message.epoch == self._next_set.epoch:
@@ -238,7 +238,7 @@
             self._keys.remove(key)
             self._proposer.rewrite(key, self._rewrite_next)
         else:
-            self.state = ChangeState.SETTLING
+            self.state = ChangeState.COMMITTING
             self._proposer.read(SETS_KEY, self._on_rewritten)
 
     # ------------------------------------------------ 4. the set is settled
@@ -247,25 +247,25 @@
         if result.outcome is not Outcome.DONE or result.record is None or self._next_set is None:
             self._finish(NO_MAJORITY)
             return
-        self._settled_names = {*self._next_set.names, *self._next_set.previous}
+        self._committed_names = {*self._next_set.names, *self._next_set.previous}
         self._next_set = ReplicaSet(self._next_set.epoch, self._next_set.names)
         version = result.record.version
-        self._proposer.write(SETS_KEY, version, self._record(self._next_set, version), self._on_settled)
+        self._proposer.write(SETS_KEY, version, self._record(self._next_set, version), self._on_set_committed)
 
-    def _on_settled(self, result: Result) -> None:
+    def _on_set_committed(self, result: Result) -> None:
         if result.outcome is Outcome.DONE and self._next_set is not None:
             self._proposer.adopt(self._next_set)
             self._finish("")
-            self._sends_left = SETTLED_SENDS
+            self._sends_left = COMMITTED_SET_SENDS
             self.tick(self._now_ms)
         else:
             self._finish("not settled; resume")
 
-    def _send_settled(self) -> None:
+    def _send_committed_set(self) -> None:
         """Send the settled set to all that may still go by the one before."""
         self.next_ms = float("inf")
         if self._sends_left and self._next_set is not None:
             self._sends_left -= 1
             self.next_ms = self._now_ms + RESEND_MS
-            for name in sorted(self._settled_names):
+            for name in sorted(self._committed_names):
                 self._send(name, AdoptSet(self._next_set))
