--- a/packages/captures/tests/captures_rig.py
+++ b/packages/captures/tests/captures_rig.py
@@ -13,11 +13,13 @@
 from dataclasses import dataclass, field
 
 from hypothesis import settings
+from hypothesis import strategies as st
 from larkweir_captures.coordinator import Coordinator
 from larkweir_captures.messages import encode
 from larkweir_captures.node import Node
 from larkweir_captures.options import Options
 from larkweir_captures.propagation import SamplingDecision
+from larkweir_captures.sampling import CAPTURE_NONE, threshold_of
 from larkweir_simulated import Network
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
@@ -30,6 +32,29 @@
     records_per_s=40.0, bytes_per_s=40_000.0, stale_after_ms=6_000.0, default_rate=0.05, recent_ms=4_000.0
 )
 
+RATES = st.floats(1e-9, 1.0)
+
+
+RVS = st.integers(0, CAPTURE_NONE - 1)
+
+
+THRESHOLDS = st.one_of(st.integers(0, CAPTURE_NONE), RATES.map(threshold_of))
+
+
+class Post:
+    """A Mail that keeps what is posted."""
+
+    def __init__(self, *names: str) -> None:
+        self.names = names
+        self.sent: list[tuple[str, bytes]] = []
+
+    def post(self, to: str, item: bytes) -> bool:
+        self.sent.append((to, item))
+        return True
+
+    def alive(self) -> tuple[str, ...]:
+        return self.names
+
 
 @dataclass
 class Line:
