--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -59,7 +59,7 @@
     state, now = StoredState(), time.time() * 1000.0
     state.clock_ms = state.answered_ms = now
     state.source, state.generation, state.listed = data["discovery"], 9, rows
-    state.proved = {name: (now, EvidenceKind.ANSWERED) for name in rows}
+    state.served = {name: (now, EvidenceKind.ANSWERED) for name in rows}
     disk.begin_generation(None, state)
     disk.close()
 
--- a/larkweir/cli/members.py
+++ b/larkweir/cli/members.py
@@ -55,7 +55,7 @@
         )
     for row in held["instances"]:
         known = told.evidence[row["instanceId"]]
-        value = confidence(known, told.churn, Source.KEPT, told.is_clock_uncertain, now)
+        value = confidence(known, told.churn, Source.STORED, told.is_clock_uncertain, now)
         use = (
             "not used"
             if value < MIN_CONFIDENCE
@@ -65,7 +65,7 @@
         )
         print(
             f"{row['instanceId']:<24.60} {row['hostPort']:<22} {row.get('zone', ''):<10.40} {row['lifecycle']:<8} "
-            f"{_ago(known.heard_ms, now):>8} {_ago(known.proved_ms, now):>8} {known.how.name.lower():<9} "
+            f"{_ago(known.listed_ms, now):>8} {_ago(known.served_ms, now):>8} {known.kind.name.lower():<9} "
             f"{value:.2f} {use if row['lifecycle'] == 'active' else 'drains'}"
         )
     return BAD if recovered.faults and not held["instances"] else WELL
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -249,7 +249,7 @@
                     stored.listing, stored.evidence, stored.churn, stored.is_clock_uncertain, stored.drains
                 )
         if given and not self.discovery.trust_known:
-            return RestoredState(given, {}, Churn(), False, {}, Source.GIVEN)
+            return RestoredState(given, {}, Churn(), False, {}, Source.CONFIGURED)
         return None
 
     def _adopt_stored(self, stored: RecoverableState) -> None:
--- a/larkweir/membership/remembered/entries.py
+++ b/larkweir/membership/remembered/entries.py
@@ -1,5 +1,6 @@
 """The upstreams of a restored list: which are in use, the confidence in each, which is to be probed, and what becomes
-of them when discovery answers. Pure logic: it reads no clock and sends nothing. Upstreams are named as discovery does.
+of them when discovery answers. Pure logic: it reads no clock and sends nothing. Upstreams are named by their
+instance ids.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 REVIEW_INTERVAL_MS = 10_000.0  # from review to review of all confidence
 RECOVERY_FACTOR = 2.0  # of what refusals have left, from review to review
 MIN_LISTED_SHARE = 0.5  # of what answers here: a first list that names less is not believed at once
-MIN_CONFIDENCE_CHANGE = 0.02  # that the decisions are told of
+MIN_CONFIDENCE_CHANGE = 0.02  # that is reported to the decisions
 
 
 class Place(NamedTuple):
@@ -47,18 +48,18 @@
 
     name: str
     place: Place
-    row: Evidence
+    evidence: Evidence
     confidence_by_age: float = 0.0  # as of the last review
     failure_factor: float = 1.0  # what refusals and failures have left of it
     seen: ObservedEvidence = ObservedEvidence.NOTHING
-    identified: bool = False  # an answer has said that it is this one
-    place_shown: bool = False  # an answer has said where it is
-    is_other_instance: bool = False  # an answer has said that another is at its address
-    probing: bool = False  # a probe is in flight
+    is_identified: bool = False  # an answer has confirmed its instance id
+    is_place_reported: bool = False  # an answer has reported its place
+    is_other_instance: bool = False  # an answer has shown that another instance is at its address
+    is_probing: bool = False  # a probe is in flight
     failed: int = 0  # probes in a row
-    anonymous_answers: int = 0  # answers that did not say which one it is
+    anonymous_answers: int = 0  # answers without an instance id
     due_ms: float = 0.0  # when its next probe is due; 0: none is
-    announced: RestoredTrust | None = None  # what the decisions were told last
+    announced: RestoredTrust | None = None  # what was last reported to the decisions
 
     @property
     def confidence(self) -> float:
@@ -66,16 +67,16 @@
         return 1.0 if self.seen is ObservedEvidence.ANSWER else self.confidence_by_age * self.failure_factor
 
     @property
-    def lost(self) -> bool:
+    def is_lost(self) -> bool:
         """Whether it is not used, for now."""
         return self.is_other_instance or self.confidence < MIN_CONFIDENCE
 
 
 class Change(NamedTuple):
-    """What the decisions are to be told of one upstream."""
+    """What is to be reported to the decisions of one upstream."""
 
     name: str
-    proof: RestoredTrust | None  # None: it is not used any more
+    trust: RestoredTrust | None  # None: it is not used any more
     place: Place
 
 
@@ -83,22 +84,24 @@
     """How many upstreams are in which state."""
 
     listed: int
-    open: int
-    proved: int
+    in_use: int
+    answered: int
     lost: int
     distrusted: int  # not used for want of confidence
 
 
 @dataclass(slots=True)
 class RestoredEntries:
-    """`me` of `copies` balancers. `probes`: the settings allow them. `identifies`: upstreams say which one they are."""
+    """The upstreams of one restored list, at balancer `me` of `copies`. `can_probe`: the settings allow probes.
+    `identifies`: upstreams report their instance ids in answers.
+    """
 
     me: int
     copies: int
-    probes: bool
+    can_probe: bool
     identifies: bool
     churn: Churn = NEVER_SEEN
-    source: Source = Source.KEPT
+    source: Source = Source.STORED
     is_uncertain: bool = False  # how the clocks of the two processes relate
     entries: dict[str, Entry] = field(default_factory=dict)  # those in use, or that were
     _rows: Mapping[str, tuple[Place, Evidence]] = field(default_factory=dict)  # of the whole list
@@ -106,7 +109,7 @@
     _distrusted: int = 0
     _next: int = 0  # in the order
     _due: list[tuple[float, str]] = field(default_factory=list)  # probes, a heap
-    _proved: set[str] = field(default_factory=set)  # of those in use
+    _answered: set[str] = field(default_factory=set)  # of those in use
     _lost: set[str] = field(default_factory=set)  # of those that were brought into use
     _open: int = 0
     _reviewed: int = 0  # of those in use, in this review
@@ -123,12 +126,12 @@
         """Bring the next ones into use, as far as those before them were answered for or lost."""
         found = []
         while self._next < len(self._order) and self._open < opened(
-            len(self._order), len(self._proved), len(self._lost)
+            len(self._order), len(self._answered), len(self._lost)
         ):
             name = self._order[self._next]
             self._next += 1
-            place, row = self._rows[name]
-            entry = Entry(name, place, row)
+            place, evidence = self._rows[name]
+            entry = Entry(name, place, evidence)
             entry.confidence_by_age = self._confidence_by_age(entry, now_ms)
             if entry.confidence_by_age < MIN_CONFIDENCE:
                 self._distrusted += 1
@@ -143,41 +146,45 @@
 
     def _wants_probe(self, entry: Entry) -> bool:
         """Whether a probe could show something that is not known yet."""
-        if not self.probes or entry.is_other_instance:
+        if not self.can_probe or entry.is_other_instance:
             return False
         return (
-            entry.lost
+            entry.is_lost
             or entry.seen is ObservedEvidence.NOTHING
-            or (self.identifies and not entry.identified and entry.anonymous_answers < MAX_ANONYMOUS_ANSWERS)
+            or (
+                self.identifies
+                and not entry.is_identified
+                and entry.anonymous_answers < MAX_ANONYMOUS_ANSWERS
+            )
         )
 
     def _announce(self, entry: Entry) -> Change:
         entry.announced = None
-        if not entry.lost:
+        if not entry.is_lost:
             entry.announced = RestoredTrust(
                 entry.confidence,
                 entry.seen,
-                entry.identified,
-                entry.place_shown,
+                entry.is_identified,
+                entry.is_place_reported,
                 self._wants_probe(entry),
             )
         return Change(entry.name, entry.announced, entry.place)
 
     def _classify(self, entry: Entry) -> None:
-        lost = entry.lost
+        lost = entry.is_lost
         (self._lost.add if lost else self._lost.discard)(entry.name)
         (
-            self._proved.add
+            self._answered.add
             if not lost and entry.seen is not ObservedEvidence.NOTHING
-            else self._proved.discard
+            else self._answered.discard
         )(entry.name)
 
     def _changes_of(self, entry: Entry) -> list[Change]:
-        """What the decisions are to be told of it; nothing where its confidence has changed a little."""
+        """What is to be reported of it; nothing where its confidence has changed by little."""
         self._classify(entry)
         before = entry.announced
         change = self._announce(entry)
-        after = change.proof
+        after = change.trust
         if before is None or after is None:
             return [] if before is after else [change]
         if (
@@ -199,8 +206,8 @@
             if entry.due_ms != at:
                 continue
             entry.due_ms = 0.0
-            if not entry.probing and self._wants_probe(entry):
-                entry.probing = True
+            if not entry.is_probing and self._wants_probe(entry):
+                entry.is_probing = True
                 found.append(name)
         return found
 
@@ -212,13 +219,13 @@
         self, name: str, probe: bool, outcome: Outcome, identity: UpstreamIdentity | None, now_ms: float
     ) -> tuple[bool, list[Change]]:
         """A request or a probe has ended. Returns whether its answer may count, which another instance's does not, and
-        what the decisions are to be told.
+        what is to be reported to the decisions.
         """
         entry = self.entries.get(name)
         if entry is None:
             return True, []
         if probe:
-            entry.probing = False
+            entry.is_probing = False
         if outcome is Outcome.OK:
             if identity is not None and identity.instance != name:
                 entry.is_other_instance = True
@@ -230,7 +237,7 @@
             if entry.seen is not ObservedEvidence.ANSWER:  # of one that has served, ejection is the judge
                 entry.failure_factor = after_failure(entry.failure_factor, outcome is Outcome.CONNECT_FAILED)
             entry.failed += probe
-        if self._wants_probe(entry) and (probe or not entry.probing):
+        if self._wants_probe(entry) and (probe or not entry.is_probing):
             if outcome is Outcome.OK:
                 pause = MIN_PROBE_PAUSE_MS
             else:
@@ -250,29 +257,29 @@
         entry.seen = max(entry.seen, seen)
         entry.failed = 0
         if identity is not None and self.identifies:
-            entry.identified = True
-            if identity.zone is not None:  # what it says itself goes before the list
-                entry.place_shown = True
+            entry.is_identified = True
+            if identity.zone is not None:  # its own report has precedence over the list
+                entry.is_place_reported = True
                 entry.place = Place(
                     identity.zone, entry.place.cell if identity.cell is None else identity.cell
                 )
         else:
             entry.anonymous_answers += self.identifies
-        entry.row = entry.row._replace(proved_ms=now_ms, how=self._kind_of(entry, seen))
+        entry.evidence = entry.evidence._replace(served_ms=now_ms, kind=self._kind_of(entry, seen))
         entry.confidence_by_age = self._confidence_by_age(entry, now_ms)
         # It is there; what it failed is not forgotten.
         entry.failure_factor = max(entry.failure_factor, 2.0 * MIN_CONFIDENCE)
 
     @staticmethod
     def _kind_of(entry: Entry, seen: ObservedEvidence) -> EvidenceKind:
-        if entry.identified:
+        if entry.is_identified:
             return EvidenceKind.SHOWN
         return EvidenceKind.ANSWERED if seen is ObservedEvidence.ANSWER else EvidenceKind.PROBED
 
     def review(self, now_ms: float, max_count: int = 500) -> tuple[bool, list[Change]]:
-        """Review the confidence in all, `max_count` a call. Returns whether that was the last of them, and what the
-        decisions are to be told. Confidence falls with time where nothing is seen, and refusals are forgiven slowly, so
-        that an outage of the upstreams themselves does not drop them for good.
+        """Review the confidence in all, `max_count` a call. Returns whether that was the last of them, and what is
+        to be reported to the decisions. Confidence decreases with time where nothing is observed, and recovers slowly
+        from refused connections, so that an outage of the upstreams themselves does not drop them for good.
         """
         found = []
         names = self._order[self._reviewed : min(self._next, self._reviewed + max_count)]
@@ -285,7 +292,7 @@
             ):
                 entry.failure_factor = min(1.0, RECOVERY_FACTOR * entry.failure_factor)
                 entry.confidence_by_age = self._confidence_by_age(entry, now_ms)
-                if self._wants_probe(entry) and not entry.probing:
+                if self._wants_probe(entry) and not entry.is_probing:
                     self._schedule_probe(entry, now_ms + PROBE_RETRY_MS)
                 found += self._changes_of(entry)
         self._reviewed += len(names)
@@ -298,28 +305,28 @@
     def _confidence_by_age(self, entry: Entry, now_ms: float) -> float:
         seen = entry.seen is not ObservedEvidence.NOTHING  # by this process, and its clock
         return confidence(
-            entry.row,
+            entry.evidence,
             self.churn,
-            Source.KEPT if seen else self.source,
+            Source.STORED if seen else self.source,
             self.is_uncertain and not seen,
             now_ms,
         )
 
     def counts(self) -> Counts:
         """How many upstreams are in which state."""
-        return Counts(len(self._order), self._open, len(self._proved), len(self._lost), self._distrusted)
+        return Counts(len(self._order), self._open, len(self._answered), len(self._lost), self._distrusted)
 
     # ------------------------------------------------ discovery answers
 
     def missing_from(self, listed: Collection[str], left: Collection[str]) -> list[str]:
         """Upstreams that discovery's first list after the outage lacks, although they answer here: empty where the
         list is believed. A list that names fewer than half of those that answer is from a discovery that has itself
-        just restarted; what it says has left has left.
+        just restarted; what it reports to have left has left.
         """
         answer = [
             name
             for name, entry in self.entries.items()
-            if entry.seen is not ObservedEvidence.NOTHING and not entry.lost
+            if entry.seen is not ObservedEvidence.NOTHING and not entry.is_lost
         ]
         missing = [name for name in answer if name not in listed and name not in left]
         if not answer or len(answer) - len(missing) >= MIN_LISTED_SHARE * len(answer):
--- a/larkweir/membership/remembered/evidence.py
+++ b/larkweir/membership/remembered/evidence.py
@@ -15,11 +15,11 @@
 DAY_MS = 24.0 * HOUR_MS
 MAX_AGE_MS = 30.0 * DAY_MS  # past which an address says nothing, however quiet the fleet was: leases run out
 MEMORY_MS = 7.0 * DAY_MS  # of upstream-time, in which what was seen of coming and going counts
-UNKNOWN_AGE_MS = HOUR_MS  # the least age of a list whose age nobody tells
+UNKNOWN_AGE_MS = HOUR_MS  # assumed at the least where the age of a list is not known
 
 
 class EvidenceKind(IntEnum):
-    """How an upstream was last proved. Numbers are kept on disk, and never given again."""
+    """What shows that an upstream was there. The numbers are stored on disk, and never reused."""
 
     LISTED = 0  # discovery named it
     PROBED = 1  # it answered a probe
@@ -40,8 +40,8 @@
 class Source(IntEnum):
     """Where a list comes from."""
 
-    KEPT = 0  # persisted by an earlier process of this balancer
-    GIVEN = 1  # with the configuration: of an unknown age
+    STORED = 0  # persisted by an earlier process of this balancer
+    CONFIGURED = 1  # given by the configuration: of an unknown age
 
 
 class Churn(NamedTuple):
@@ -70,23 +70,25 @@
 class Evidence(NamedTuple):
     """What is known of one upstream, beside its row in the list. Times are the clock's milliseconds; 0: never."""
 
-    heard_ms: float = 0.0  # when discovery last listed it
-    proved_ms: float = 0.0
-    how: EvidenceKind = EvidenceKind.LISTED
+    listed_ms: float = 0.0  # when discovery last listed it
+    served_ms: float = 0.0  # when it last served, answered a probe, or identified itself
+    kind: EvidenceKind = EvidenceKind.LISTED  # of the last time that it served
 
 
-def confidence(row: Evidence, churn: Churn, source: Source, is_uncertain: bool, now_ms: float) -> float:
-    """0 to 1. `is_uncertain`: nobody knows how the clocks of the two processes relate."""
+def confidence(evidence: Evidence, churn: Churn, source: Source, is_uncertain: bool, now_ms: float) -> float:
+    """How likely the upstream is still there, from 0 to 1. `is_uncertain`: how the clocks of the two processes relate
+    is not known.
+    """
     best = 0.0
-    for at, how in ((row.heard_ms, EvidenceKind.LISTED), (row.proved_ms, row.how)):
-        if at <= 0.0 and source is Source.KEPT:
+    for at, kind in ((evidence.listed_ms, EvidenceKind.LISTED), (evidence.served_ms, evidence.kind)):
+        if at <= 0.0 and source is Source.STORED:
             continue
         age = now_ms - at
-        if is_uncertain or source is Source.GIVEN or age < 0.0:
+        if is_uncertain or source is Source.CONFIGURED or age < 0.0:
             age = max(age if at > 0.0 else 0.0, UNKNOWN_AGE_MS)
         if age >= MAX_AGE_MS:
             continue
-        best = max(best, INITIAL_CONFIDENCE[how] * churn.survival_odds(age) * (1.0 - age / MAX_AGE_MS))
+        best = max(best, INITIAL_CONFIDENCE[kind] * churn.survival_odds(age) * (1.0 - age / MAX_AGE_MS))
     # With an uncertain clock an age is a guess, so that a probe comes before anything is sent.
     return best * (0.5 if is_uncertain else 1.0)
 
--- a/larkweir/membership/remembered/restore.py
+++ b/larkweir/membership/remembered/restore.py
@@ -54,7 +54,7 @@
         self.on_drain_restored: Callable[[int, float], None] = lambda number, since_ms: None
         self.entries: RestoredEntries | None = None
         self.answered_ms = 0.0  # when discovery last answered; 0: it has not
-        self.proved: dict[int, tuple[float, EvidenceKind]] = {}  # by number, since `evidence` was called
+        self.served: dict[int, tuple[float, EvidenceKind]] = {}  # by number, since `evidence` was called
         self.prober = RestoredProber(self, self._rows, clock, pool, target, self._on_unusable)
         discovery.names.reverse = {}
         discovery.on_answer = self._on_answer
@@ -72,7 +72,7 @@
 
     def restore(self, restored: RestoredState, runner: Runner | None) -> None:
         """Serve from a restored list, as far as there is confidence in it; nothing where discovery has been faster."""
-        if self.answered_ms or not restored.held.get("instances"):
+        if self.answered_ms or not restored.listing.get("instances"):
             return
         settings = self._config.settings
         entries = RestoredEntries(settings.me, settings.copies, settings.may_probe, bool(self._header))
@@ -86,7 +86,7 @@
         changes = entries.load(evidence, self._clock.now_ms())
         counts = entries.counts()
         self._log(
-            f"remembered: {len(evidence)} upstreams, {counts.open} in use at first"
+            f"remembered: {len(evidence)} upstreams, {counts.in_use} in use at first"
             + (f", {counts.distrusted} not trusted" if counts.distrusted else "")
             + (f"; {own_address} at this balancer's own address" if own_address else "")
         )
@@ -119,7 +119,7 @@
     def ended(self, server: int, outcome: Outcome, answer: Message | None, probe: bool = False) -> bool:
         """An attempt or a probe has ended; whether its answer may count (`larkweir.core.ports.AnswerVerifier`)."""
         if outcome is Outcome.OK and not probe:
-            self.proved[server] = (self._clock.now_ms(), EvidenceKind.ANSWERED)
+            self.served[server] = (self._clock.now_ms(), EvidenceKind.ANSWERED)
         if self.entries is None:
             return True
         name = self._name(server)
@@ -128,7 +128,7 @@
         identity = self._identity_of(answer)
         counts, changes = self.entries.on_ended(name, probe, outcome, identity, self._clock.now_ms())
         if not counts and identity is not None:
-            self.proved.pop(server, None)
+            self.served.pop(server, None)
             self._log(f"remembered: at the address of {name:.100} is {identity.instance:.100}")
         self._announce(changes)
         self.prober.arm()
@@ -177,7 +177,7 @@
         self.entries = None
         self._log(
             f"remembered: discovery lists {active}; of the remembered "
-            f"{counts.proved} had answered, {counts.lost} had not"
+            f"{counts.answered} had answered, {counts.lost} had not"
         )
         unlisted = self._reconciler.unlisted
         if unlisted:
@@ -209,8 +209,8 @@
     def evidence(self, max_count: int) -> dict[str, Evidence]:
         """Upstreams that have served since the last call, `max_count` at the most."""
         found: dict[str, Evidence] = {}
-        while self.proved and len(found) < max_count:
-            server, (at, how) = self.proved.popitem()
+        while self.served and len(found) < max_count:
+            server, (at, how) = self.served.popitem()
             name = self._name(server)
             if name is not None:
                 found[name] = Evidence(0.0, at, how)
@@ -230,7 +230,7 @@
         return {
             "remembered": "used",
             "remembered_listed": counts.listed,
-            "remembered_open": counts.open,
-            "remembered_proved": counts.proved,
+            "remembered_open": counts.in_use,
+            "remembered_proved": counts.answered,
             "remembered_lost": counts.lost,
         }
--- a/larkweir/membership/remembered/rows.py
+++ b/larkweir/membership/remembered/rows.py
@@ -17,12 +17,12 @@
 class RestoredState(NamedTuple):
     """What an earlier process of this balancer has left of its list. Times are the clock's milliseconds."""
 
-    held: dict[str, Any]  # a whole list in discovery's form, not checked yet
-    rows: dict[str, Evidence]
+    listing: dict[str, Any]  # a complete list in discovery's form, not checked yet
+    evidence: dict[str, Evidence]  # by instance id
     churn: Churn
     is_uncertain: bool  # how the clocks of the two processes relate
     drains: dict[str, float]  # since when each that drains has drained
-    source: Source = Source.KEPT
+    source: Source = Source.STORED
 
 
 class RestoredRows:
@@ -45,7 +45,7 @@
         """
         evidence: dict[str, tuple[Place, Evidence]] = {}
         own_rows = 0
-        for row in restored.held["instances"]:
+        for row in restored.listing["instances"]:
             name = row.get("instanceId") if isinstance(row, dict) else None
             if not isinstance(name, str):
                 continue
@@ -57,8 +57,8 @@
             elif lifecycle == "active":
                 self._rows[name] = row
                 place = Place(row.get("zone", ""), row.get("cell", 0))
-                evidence[name] = (place, restored.rows.get(name, Evidence()))
-        generation = restored.held.get("generation")
+                evidence[name] = (place, restored.evidence.get(name, Evidence()))
+        generation = restored.listing.get("generation")
         self.generation = generation if isinstance(generation, int) else 0
         return evidence, own_rows
 
@@ -85,13 +85,13 @@
         entry, address = found
         changed = ServerEntry(
             entry.server,
-            ServerState.GONE if change.proof is None else ServerState.READY,
+            ServerState.GONE if change.trust is None else ServerState.READY,
             entry.started_ms,
             entry.weight,
             self._names.zone(change.place.zone),
             change.place.cell,
             entry.kind,
-            change.proof,
+            change.trust,
         )
         return changed, address
 
--- a/larkweir/store/changes.py
+++ b/larkweir/store/changes.py
@@ -92,7 +92,7 @@
         """Records of upstreams that have served, and of when discovery last answered; and whether there are more."""
         found = sources.evidence(self.MAX_ROWS_PER_CHECK)
         records = [
-            Record(RecordKind.SERVED, [name, evidence.proved_ms, int(evidence.how)])
+            Record(RecordKind.SERVED, [name, evidence.served_ms, int(evidence.kind)])
             for name, evidence in found.items()
             if name in self._listed
         ]
--- a/larkweir/store/recoverable_state.py
+++ b/larkweir/store/recoverable_state.py
@@ -92,6 +92,6 @@
     found = {}
     answered_ms = state.answered_ms + shift if state.answered_ms else 0.0
     for name in state.listed:
-        at, kind = state.proved.get(name, (0.0, EvidenceKind.LISTED))
+        at, kind = state.served.get(name, (0.0, EvidenceKind.LISTED))
         found[name] = Evidence(answered_ms, at + shift if at else 0.0, kind)
     return found
--- a/larkweir/store/state.py
+++ b/larkweir/store/state.py
@@ -62,7 +62,7 @@
     generation: int = 0  # version of the list
     answered_ms: float = 0.0  # when discovery last confirmed the list
     churn: Churn = NEVER_SEEN
-    proved: dict[str, tuple[float, EvidenceKind]] = field(default_factory=dict)  # when each last served
+    served: dict[str, tuple[float, EvidenceKind]] = field(default_factory=dict)  # when each last served
     passed_over: int = 0  # records that did not fit their kind
 
     def apply(self, record: Record) -> None:
@@ -84,7 +84,7 @@
         if not _is_text(body):
             return False
         self.listed.pop(body, None)
-        self.proved.pop(body, None)
+        self.served.pop(body, None)
         return True
 
     def _apply_served(self, body: Any) -> bool:
@@ -94,7 +94,7 @@
         if kind is None:
             return False
         if body[0] in self.listed:  # only of listed upstreams: the table is bounded as the list is
-            self.proved[body[0]] = (float(body[1]), kind)
+            self.served[body[0]] = (float(body[1]), kind)
         return self._advance_clock(body[1])
 
     def _apply_learned(self, body: Any) -> bool:
@@ -179,7 +179,7 @@
         yield Record(RecordKind.SOURCE, [self.source, self.generation, self.answered_ms, *self.churn])
         for row in self.listed.values():
             yield Record(RecordKind.LISTED, row)
-        for name, (at, kind) in self.proved.items():
+        for name, (at, kind) in self.served.items():
             yield Record(RecordKind.SERVED, [name, at, int(kind)])
         for name, since_ms in self.drains.items():
             yield Record(RecordKind.DRAIN, [name, since_ms])
--- a/tests/membership/test_golden_remembered.py
+++ b/tests/membership/test_golden_remembered.py
@@ -46,7 +46,7 @@
         "ANSWERED": 2,
         "SHOWN": 3,
     }
-    assert [int(Source.KEPT), int(Source.GIVEN)] == [0, 1]
+    assert [int(Source.STORED), int(Source.CONFIGURED)] == [0, 1]
 
 
 def test_what_is_used_of_a_restored_list_and_how_far_it_is_trusted_is_as_before() -> None:
@@ -59,11 +59,11 @@
     }
     entries = RestoredEntries(1, 3, True, True, Churn(2.5, DAY_MS))
     found = [
-        [change.name, *change.place, None if change.proof is None else list(change.proof)]
+        [change.name, *change.place, None if change.trust is None else list(change.trust)]
         for change in entries.load(rows, DAY_MS)
     ]
     assert json.loads(json.dumps(found)) == json.loads((GOLDEN / "restored.json").read_text(encoding="utf-8"))
-    assert confidence(rows["s-7"][1], Churn(), Source.KEPT, False, DAY_MS) == pytest.approx(
+    assert confidence(rows["s-7"][1], Churn(), Source.STORED, False, DAY_MS) == pytest.approx(
         float((GOLDEN / "confidence.txt").read_text(encoding="ascii")), rel=1e-12
     )
 
--- a/tests/membership/test_outage.py
+++ b/tests/membership/test_outage.py
@@ -378,7 +378,7 @@
             first = [len(upstream.seen) for upstream in up]
             told.set()
             await until(
-                lambda: all(it.remembered.entries.counts().proved == 30 for it in started),  # type: ignore[union-attr]
+                lambda: all(it.remembered.entries.counts().answered == 30 for it in started),  # type: ignore[union-attr]
                 "all proved",
             )
             assert max(first) <= 2.0 * sum(first) / len(first)
@@ -433,7 +433,7 @@
     state.source, state.generation = "127.0.0.1:1", 7
     for row in rows:
         state.listed[row["instanceId"]] = row
-    state.proved[rows[0]["instanceId"]] = (now - 30_000.0, EvidenceKind.SHOWN)
+    state.served[rows[0]["instanceId"]] = (now - 30_000.0, EvidenceKind.SHOWN)
     disk.begin_generation(None, state)
     disk.close()
 
--- a/tests/membership/test_remembered_rules.py
+++ b/tests/membership/test_remembered_rules.py
@@ -51,38 +51,38 @@
 @pytest.mark.parametrize(
     ("row", "churn", "source", "is_uncertain", "least", "most"),
     [
-        (heard(1e3, 1e3), QUIET, Source.KEPT, False, 0.94, 0.96),
-        (heard(1e3), QUIET, Source.KEPT, False, 0.69, 0.71),  # listed and never seen at work
-        (heard(1e3, DAY_MS, EvidenceKind.SHOWN), QUIET, Source.KEPT, False, 0.9, 1.0),
+        (heard(1e3, 1e3), QUIET, Source.STORED, False, 0.94, 0.96),
+        (heard(1e3), QUIET, Source.STORED, False, 0.69, 0.71),  # listed and never seen at work
+        (heard(1e3, DAY_MS, EvidenceKind.SHOWN), QUIET, Source.STORED, False, 0.9, 1.0),
         (
             heard(HOUR_MS, HOUR_MS),
             BUSY,
-            Source.KEPT,
+            Source.STORED,
             False,
             0.3,
             DIRECT_SEND_CONFIDENCE,
         ),  # one in e is still there
-        (heard(DAY_MS, DAY_MS), BUSY, Source.KEPT, False, 0.0, MIN_CONFIDENCE),
-        (heard(DAY_MS, DAY_MS), NEVER_SEEN, Source.KEPT, False, 0.4, 0.5),
+        (heard(DAY_MS, DAY_MS), BUSY, Source.STORED, False, 0.0, MIN_CONFIDENCE),
+        (heard(DAY_MS, DAY_MS), NEVER_SEEN, Source.STORED, False, 0.4, 0.5),
         (
             heard(31 * DAY_MS, 31 * DAY_MS, EvidenceKind.SHOWN),
             QUIET,
-            Source.KEPT,
+            Source.STORED,
             False,
             0.0,
             0.0,
         ),  # a month old
-        (heard(365 * DAY_MS, 365 * DAY_MS), QUIET, Source.KEPT, False, 0.0, 0.0),
+        (heard(365 * DAY_MS, 365 * DAY_MS), QUIET, Source.STORED, False, 0.0, 0.0),
         (
             heard(-DAY_MS, -DAY_MS),
             QUIET,
-            Source.KEPT,
+            Source.STORED,
             True,
             0.4,
             DIRECT_SEND_CONFIDENCE,
         ),  # from the future: a probe first
-        (Evidence(), QUIET, Source.GIVEN, False, MIN_CONFIDENCE, 0.7),
-        (Evidence(), QUIET, Source.KEPT, False, 0.0, 0.0),  # nobody has ever vouched for it
+        (Evidence(), QUIET, Source.CONFIGURED, False, MIN_CONFIDENCE, 0.7),
+        (Evidence(), QUIET, Source.STORED, False, 0.0, 0.0),  # nobody has ever vouched for it
     ],
 )
 def test_confidence(
@@ -99,13 +99,13 @@
     churn = Churn(gone, exposure)
 
     def of(age: float, churn: Churn) -> float:
-        return confidence(heard(age, age), churn, Source.KEPT, False, NOW)
+        return confidence(heard(age, age), churn, Source.STORED, False, NOW)
 
     assert of(older, churn) <= of(younger, churn) + 1e-9
     assert of(older, Churn(gone + 1.0, exposure)) <= of(older, churn) + 1e-9
     assert (
         of(older, churn)
-        <= confidence(heard(older, older, EvidenceKind.SHOWN), churn, Source.KEPT, False, NOW)
+        <= confidence(heard(older, older, EvidenceKind.SHOWN), churn, Source.STORED, False, NOW)
         <= 1.0
     )
 
@@ -182,7 +182,7 @@
 def entries_of(
     count: int = 10, *, probes: bool = True, identifies: bool = True, ago: float = 1e3, **more: object
 ) -> RestoredEntries:
-    it = RestoredEntries(me=0, copies=1, probes=probes, identifies=identifies, churn=QUIET)
+    it = RestoredEntries(me=0, copies=1, can_probe=probes, identifies=identifies, churn=QUIET)
     for key, value in more.items():
         setattr(it, key, value)
     it.load({f"s{n}": (Place("a", n % 3), heard(ago, ago)) for n in range(count)}, NOW)
@@ -192,19 +192,19 @@
 def test_an_empty_list_and_one_that_is_too_old_leave_nothing() -> None:
     assert entries_of(0).counts().listed == 0 and entries_of(0).review(NOW) == (True, [])
     counts = entries_of(10, ago=31 * DAY_MS).counts()
-    assert counts.open == 0 and counts.distrusted == 10
+    assert counts.in_use == 0 and counts.distrusted == 10
 
 
 def test_fifty_thousand_are_held_and_a_few_are_tried() -> None:
     it = entries_of(50_000)
-    assert it.counts().listed == 50_000 and len(it.entries) == FIRST == it.counts().open
+    assert it.counts().listed == 50_000 and len(it.entries) == FIRST == it.counts().in_use
     assert len(it.due_probes(NOW, 100)) == FIRST
 
 
 def test_a_stranger_at_the_address_is_not_used_and_its_answer_does_not_count() -> None:
     it = entries_of()
     counts, changes = it.on_ended("s1", True, Outcome.OK, UpstreamIdentity("other", "a", 0), NOW + 1)
-    assert not counts and next((change.name, change.proof) for change in changes) == ("s1", None)
+    assert not counts and next((change.name, change.trust) for change in changes) == ("s1", None)
     it.on_ended("s1", True, Outcome.OK, UpstreamIdentity("other"), NOW + 2)
     for step in range(20):
         it.review(NOW + step * 10_000.0)
@@ -215,7 +215,7 @@
     it = entries_of()
     _, changes = it.on_ended("s1", True, Outcome.OK, UpstreamIdentity("s1", "b", 7), NOW + 1)
     change = next(change for change in changes if change.name == "s1")
-    assert change.place == Place("b", 7) and change.proof is not None and change.proof.has_location
+    assert change.place == Place("b", 7) and change.trust is not None and change.trust.has_location
 
 
 def test_one_that_refuses_goes_and_comes_back_when_it_answers() -> None:
@@ -223,10 +223,10 @@
     assert "s1" in it.due_probes(NOW, 100)
     it.on_ended("s1", True, Outcome.CONNECT_FAILED, None, NOW)
     _, changes = it.on_ended("s1", False, Outcome.CONNECT_FAILED, None, NOW)
-    assert any(change.name == "s1" and change.proof is None for change in changes)
+    assert any(change.name == "s1" and change.trust is None for change in changes)
     assert "s1" in it.due_probes(NOW + 2 * PROBE_RETRY_MS, 100)
     _, changes = it.on_ended("s1", True, Outcome.OK, UpstreamIdentity("s1", "a", 1), NOW + 600.0)
-    found = next(change.proof for change in changes if change.name == "s1")
+    found = next(change.trust for change in changes if change.name == "s1")
     assert found is not None and found.evidence is ObservedEvidence.PROBE and found.is_verified
 
 
@@ -234,9 +234,9 @@
     it = entries_of(probes=False)
     for _ in range(6):
         it.on_ended("s1", False, Outcome.CONNECT_FAILED, None, NOW)
-    assert it.entries["s1"].lost
+    assert it.entries["s1"].is_lost
     looks = 0
-    while it.entries["s1"].lost:
+    while it.entries["s1"].is_lost:
         looks += 1
         it.review(NOW + looks * 10_000.0)
     assert 3 <= looks <= 20
@@ -247,7 +247,7 @@
     it.on_ended("s1", True, Outcome.OK, UpstreamIdentity("s1", "a", 1), NOW)
     for _ in range(8):
         _, changes = it.on_ended("s1", False, Outcome.ERROR, None, NOW)
-    assert it.entries["s1"].seen is ObservedEvidence.PROBE and it.entries["s1"].lost
+    assert it.entries["s1"].seen is ObservedEvidence.PROBE and it.entries["s1"].is_lost
 
 
 def test_one_that_shows_nothing_is_not_asked_for_ever() -> None:
@@ -301,7 +301,7 @@
     )
     def begin(self, count: int, probes: bool, identifies: bool, copies: int) -> None:
         self.it = RestoredEntries(
-            me=copies - 1, copies=copies, probes=probes, identifies=identifies, churn=QUIET
+            me=copies - 1, copies=copies, can_probe=probes, identifies=identifies, churn=QUIET
         )
         self.now = NOW
         self.told: dict[str, RestoredTrust] = {}
@@ -311,10 +311,10 @@
 
     def take(self, changes: list[object]) -> None:
         for change in changes:
-            if change.proof is None:  # type: ignore[attr-defined]
+            if change.trust is None:  # type: ignore[attr-defined]
                 self.told.pop(change.name, None)  # type: ignore[attr-defined]
             else:
-                self.told[change.name] = change.proof  # type: ignore[attr-defined]
+                self.told[change.name] = change.trust  # type: ignore[attr-defined]
 
     @rule(
         at=st.integers(0, 39),
@@ -340,7 +340,7 @@
     @rule(most=st.integers(1, 5))
     def probe(self, most: int) -> None:
         for name in self.it.due_probes(self.now, most):
-            assert self.it.probes and name not in self.strangers
+            assert self.it.can_probe and name not in self.strangers
 
     @invariant()
     def what_is_told_is_what_is_so(self) -> None:
@@ -348,14 +348,14 @@
             return
         assert not self.strangers & set(self.told)
         for name, entry in self.it.entries.items():
-            assert (name in self.told) == (not entry.lost), name
+            assert (name in self.told) == (not entry.is_lost), name
             if name in self.told:
                 proof = self.told[name]
                 assert abs(proof.confidence - entry.confidence) < 0.021
-                assert proof[1:4] == (entry.seen, entry.identified, entry.place_shown)
+                assert proof[1:4] == (entry.seen, entry.is_identified, entry.is_place_reported)
                 assert not proof.is_verified or self.it.identifies
         counts = self.it.counts()
-        assert counts.open <= counts.listed and counts.proved + counts.lost <= counts.open
+        assert counts.in_use <= counts.listed and counts.answered + counts.lost <= counts.in_use
 
 
 RestoredEntriesMachine.TestCase.settings = settings(
@@ -371,9 +371,9 @@
     alive = set(rng.sample(names, 36))
     calls: Counter[str] = Counter()
     for me in range(30):
-        it = RestoredEntries(me=me, copies=30, probes=False, identifies=False, churn=QUIET)
+        it = RestoredEntries(me=me, copies=30, can_probe=False, identifies=False, churn=QUIET)
         used = {
-            change.name: change.proof
+            change.name: change.trust
             for change in it.load({name: (Place("a", 0), heard(1e3, 1e3)) for name in names}, NOW)
         }
         for _ in range(400):
@@ -384,6 +384,6 @@
             if it.entries[name].seen is ObservedEvidence.NOTHING:
                 calls[name] += 1
             outcome = Outcome.OK if name in alive else Outcome.CONNECT_FAILED
-            used |= {change.name: change.proof for change in it.on_ended(name, False, outcome, None, NOW)[1]}
+            used |= {change.name: change.trust for change in it.on_ended(name, False, outcome, None, NOW)[1]}
         assert alive <= {name for name, proof in used.items() if proof is not None}
     assert max(calls[name] for name in alive) <= 2.0 * sum(calls[name] for name in alive) / len(alive)
--- a/tests/store/test_crashes.py
+++ b/tests/store/test_crashes.py
@@ -238,7 +238,7 @@
     for one, other in harmed:
         found = recover({"1.snap": one, "1.log": other}, SITE)
         assert all(whole.listed.get(name) == row for name, row in found.state.listed.items())
-        assert found.state.proved.items() <= {"u1": (5e12, 3), "u2": (6e12, 2)}.items()
+        assert found.state.served.items() <= {"u1": (5e12, 3), "u2": (6e12, 2)}.items()
         assert found.state.generation in (0, 7, 8)
         full += bool(found.state.listed)
     assert full > len(other) * 8  # what harms the log leaves the snapshot
--- a/tests/store/test_recoverable_state.py
+++ b/tests/store/test_recoverable_state.py
@@ -155,18 +155,18 @@
 )
 def test_what_does_not_fit_changes_nothing(record: Record) -> None:
     it = state(Record(RecordKind.LISTED, {"instanceId": "u0"}), record)
-    assert it.passed_over == 1 and not it.proved and not it.source and not it.boot[0] and not it.answered_ms
+    assert it.passed_over == 1 and not it.served and not it.source and not it.boot[0] and not it.answered_ms
 
 
 def test_what_is_proved_is_of_the_list_alone_and_goes_with_it() -> None:
     proved = Record(RecordKind.SERVED, ["u0", 5.0, int(EvidenceKind.PROBED)])
     it = state(proved)
-    assert not it.proved and not it.passed_over
+    assert not it.served and not it.passed_over
     it = state(Record(RecordKind.LISTED, {"instanceId": "u0"}), proved)
-    assert it.proved == {"u0": (5.0, EvidenceKind.PROBED)}
+    assert it.served == {"u0": (5.0, EvidenceKind.PROBED)}
     again = StoredState()
     for record in it.records():
         again.apply(record)
     assert again == it
     it.apply(Record(RecordKind.DELISTED, "u0"))
-    assert not it.proved
+    assert not it.served
--- a/tests/store/test_state_store.py
+++ b/tests/store/test_state_store.py
@@ -190,8 +190,8 @@
         it.attach()
         await until(lambda: kept(tmp_path).generation == 3, "the list")
         it.told.proofs = {f"s{n}": Evidence(0.0, 9.0 + n, EvidenceKind.ANSWERED) for n in range(900)}
-        await until(lambda: len(kept(tmp_path).proved) == 700, "what was proved")
-        assert kept(tmp_path).proved["s3"] == (12.0, EvidenceKind.ANSWERED)
+        await until(lambda: len(kept(tmp_path).served) == 700, "what was proved")
+        assert kept(tmp_path).served["s3"] == (12.0, EvidenceKind.ANSWERED)
         assert kept(tmp_path).answered_ms == 5.0
         it.state_store.close()
 
