--- a/larkweir/router/configuration.py
+++ b/larkweir/router/configuration.py
@@ -60,7 +60,7 @@
         if not self.traffic_split:
             return self.backend or ""
         backends = self.traffic_split
-        return rng.choices(backends, [one.weight for one in backends])[0].backend
+        return rng.choices(backends, [backend.weight for backend in backends])[0].backend
 
 
 class Service(msgspec.Struct, frozen=True):
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -78,7 +78,7 @@
         before = self.upstreams.rollouts
         if rollouts == before:
             return []
-        self.upstreams.set_rollouts(rollouts, now_ms, has_served=has_served)
+        self.upstreams.set_rollouts(rollouts, now_ms, had_configuration=has_served)
         self.rollout_samples.set_rollouts(rollouts)
         return [rollout for rollout in rollouts.values() if _has_new_state(rollout, before)]
 
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -132,7 +132,7 @@
         budget = self._plane.retry_budgets.budget(admitted.service)
         self._retries = RetryAllowance(admitted.route.max_attempts, budget)
         self._choice = UpstreamChoice(self._plane, admitted, self._prompt, self._request.received_ms)
-        if self._choice.has_placed_prefix:
+        if self._choice.needs_prefix_owner:
             self._transition(ExchangeState.PLACING)
             self._choice.find_prefix_owner(len(self._request.body), self._on_prefix_owner)
         else:
@@ -225,7 +225,7 @@
             return
         assert self._choice is not None
         can_restart = not self._relay.has_started or self._relay.can_resume
-        if self._choice.has_untried and can_restart and self._take_retry():
+        if self._choice.has_untried_upstream and can_restart and self._take_retry():
             self._abort_attempt(Outcome.TIMEOUT)
             self._relay.restart()
             self._start_attempt()
--- a/larkweir/router/fleet_sync.py
+++ b/larkweir/router/fleet_sync.py
@@ -61,7 +61,7 @@
         self._registry = Registry("")
         self._links = ControllerLinks(settings, self._on_message, self._on_connected, self._on_disconnected)
         self._sent_vectors: dict[str, VersionVector] = {}  # by controller: of the last pull
-        self._reported_samples: dict[str, int] = {}  # by controller: the revision of the last pull
+        self._reported_revisions: dict[str, int] = {}  # by controller: the revision of the last pull
         self._reports = ControllerReports()
         self._router_count = RouterCount()
         # Controllers that have sent what they knew, since this process started.
@@ -109,7 +109,7 @@
     def _on_connected(self, connection: Connection) -> None:
         connection.send(Hello(self._ip, NodeRole.ROUTER, self._incarnation))
         self._sent_vectors.pop(connection.node, None)
-        self._reported_samples.pop(connection.node, None)
+        self._reported_revisions.pop(connection.node, None)
         self._pull(connection, PullExtras.QUOTA_SNAPSHOT)
 
     def _on_disconnected(self, node: str) -> None:
@@ -124,8 +124,8 @@
         vector = dict(self._registry.vector)
         is_unchanged = self._sent_vectors.get(connection.node) == vector
         self._sent_vectors[connection.node] = vector
-        rollouts = plane.rollout_samples.changed_since(self._reported_samples.get(connection.node, 0))
-        self._reported_samples[connection.node] = plane.rollout_samples.revision
+        rollouts = plane.rollout_samples.changed_since(self._reported_revisions.get(connection.node, 0))
+        self._reported_revisions[connection.node] = plane.rollout_samples.revision
         pull = Pull(
             config_sequence=plane.configuration.sequence,
             vector=None if is_unchanged else vector,
--- a/larkweir/router/quota_admission.py
+++ b/larkweir/router/quota_admission.py
@@ -29,13 +29,13 @@
 
 # A controller answers in a few milliseconds; a busy one, or one whose share of a core is spent, within this.
 CONTROLLER_TIMEOUT_S = 0.12
-CONNECTION_MARK = "#"  # between a node and the number of its connection
+CONNECTION_SEPARATOR = "#"  # between a node and the number of its connection
 
 Verdict = QuotaCharge | QuotaRejection
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
+class _PendingRequest:
     """A request that waits for a controller's answer."""
 
     on_verdict: Callable[[Verdict], None]
@@ -60,26 +60,26 @@
         self._requester = QuotaRequester(tolerance, rng)
         self._statuses = UsageStatuses()
         self._timeout = ResponseTimeout(CONTROLLER_TIMEOUT_S, link_mbps)
-        self._waiting: dict[int, _Waiting] = {}
-        self._unanswered: dict[
+        self._pending_requests: dict[int, _PendingRequest] = {}
+        self._timed_out: dict[
             tuple[int, str], Query
         ] = {}  # by request and controller: not waited for any more
         self._connection_numbers: dict[str, int] = defaultdict(int)  # by node: how many were lost
         self._share_wait = ShareWait()
-        self._without_share: set[str] = set()  # controllers in reach that may hold a share soon
+        self._controllers_without_share: set[str] = set()  # controllers in reach that may hold a share soon
         self._config_sequence = -1
         self._process_count = 1
         # Sends a message to a controller; whether there is a connection to it.
         self.send: Callable[[str, QuotaRequest | QuotaRefund], bool] = lambda node, message: False
 
-    def _controller(self, node: str) -> str:
+    def _controller_id(self, node: str) -> str:
         """The controller's name for the requester: another one for each connection, as its process may be another."""
-        return f"{node}{CONNECTION_MARK}{self._connection_numbers[node]}"
+        return f"{node}{CONNECTION_SEPARATOR}{self._connection_numbers[node]}"
 
     def _send_to(self, controller: str, message: QuotaRequest | QuotaRefund) -> bool:
         """Send a message on the connection that this name stands for; whether it is still there."""
-        node = controller.partition(CONNECTION_MARK)[0]
-        return controller == self._controller(node) and self.send(node, message)
+        node = controller.partition(CONNECTION_SEPARATOR)[0]
+        return controller == self._controller_id(node) and self.send(node, message)
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
@@ -119,7 +119,7 @@
             begin()
         elif (verdict := self._verdict_by_statuses(tenant, units, limit)) is not None:
             on_verdict(verdict)
-        elif self._without_share:
+        elif self._controllers_without_share:
             self._share_wait.add(begin)
         else:
             begin()
@@ -127,7 +127,7 @@
     def _begin(
         self, tenant: str, units: float, timeout_s: float, on_verdict: Callable[[Verdict], None]
     ) -> None:
-        self._carry_out(self._requester.begin(tenant, units, self._now_ms()), on_verdict, timeout_s)
+        self._execute_step(self._requester.begin(tenant, units, self._now_ms()), on_verdict, timeout_s)
 
     def log_admitted(self) -> None:
         """While debugging: units admitted since the start, by tenant and rule."""
@@ -147,8 +147,8 @@
         """An admitted request is executed once more."""
         controller = self._requester.charge_again(charge, self._now_ms())
         if controller is not None:
-            again = QuotaRequest(0, charge.tenant, charge.units, is_executed_again=True)
-            self._send_to(controller, again)
+            request = QuotaRequest(0, charge.tenant, charge.units, is_executed_again=True)
+            self._send_to(controller, request)
 
     # Controllers
 
@@ -166,17 +166,17 @@
             self._statuses.receive(node, statuses, self._now_ms())
         else:
             self._statuses.remove(node)
-            controller = self._controller(node)
+            controller = self._controller_id(node)
             self._requester.set_granting(controller, self._now_ms(), is_granting=grants_quotas)
             self._set_without_share(node, is_without=not grants_quotas)
 
     def _set_without_share(self, node: str, *, is_without: bool) -> None:
         if is_without:
-            self._without_share.add(node)
+            self._controllers_without_share.add(node)
         else:
-            self._without_share.discard(node)
-        if self._requester.has_granting or not self._without_share:
-            self._share_wait.resume()
+            self._controllers_without_share.discard(node)
+        if self._requester.has_granting or not self._controllers_without_share:
+            self._share_wait.resume_all()
 
     def usage(self, controller: str) -> dict[str, float]:
         """What to report to that controller of the units admitted here; nothing to those that are asked for units."""
@@ -184,11 +184,11 @@
 
     def on_response(self, connection: Connection, response: QuotaResponse) -> None:
         """A controller answered a request for units."""
-        request_id, controller = response.request_id, self._controller(connection.node)
-        late = self._unanswered.pop((request_id, controller), None)
-        if late is not None:
+        request_id, controller = response.request_id, self._controller_id(connection.node)
+        timed_out = self._timed_out.pop((request_id, controller), None)
+        if timed_out is not None:
             if response.outcome is QuotaOutcome.GRANTED:
-                self._send_to(controller, QuotaRefund(late.tenant, late.units))
+                self._send_to(controller, QuotaRefund(timed_out.tenant, timed_out.units))
             return
         decision = QuotaDecision(response.outcome, response.retry_after_s)
         step = self._requester.on_decision(request_id, controller, decision, self._now_ms())
@@ -199,10 +199,10 @@
         """The connection to a controller has ended."""
         self._statuses.remove(node)
         self._set_without_share(node, is_without=False)
-        controller = self._controller(node)
+        controller = self._controller_id(node)
         self._connection_numbers[node] += 1
-        for late in [one for one in self._unanswered if one[1] == controller]:
-            del self._unanswered[late]
+        for key in [key for key in self._timed_out if key[1] == controller]:
+            del self._timed_out[key]
         for request_id, step in self._requester.on_controller_lost(controller, self._now_ms()):
             self._continue(request_id, step)
 
@@ -210,27 +210,27 @@
         step = self._requester.on_timeout(query.request_id, query.controller, self._now_ms())
         if step is not None:
             log.debug("quota_timeout", controller=query.controller)
-            self._unanswered[query.request_id, query.controller] = query
+            self._timed_out[query.request_id, query.controller] = query
             self._continue(query.request_id, step)
 
     def _continue(self, request_id: int, step: Step) -> None:
-        waiting = self._waiting.pop(request_id, None)
-        if waiting is None:  # decided meanwhile, as a second controller was lost within the same step
+        pending = self._pending_requests.pop(request_id, None)
+        if pending is None:  # decided meanwhile, as a second controller was lost within the same step
             return
-        waiting.timer.cancel()
-        self._carry_out(step, waiting.on_verdict, waiting.timeout_s)
+        pending.timer.cancel()
+        self._execute_step(step, pending.on_verdict, pending.timeout_s)
 
-    def _carry_out(self, step: Step, on_verdict: Callable[[Verdict], None], timeout_s: float) -> None:
+    def _execute_step(self, step: Step, on_verdict: Callable[[Verdict], None], timeout_s: float) -> None:
         if not isinstance(step, Query):
             if isinstance(step, QuotaCharge) and step.units:
                 self._statuses.record_admitted(step.tenant, step.units, self._now_ms())
             on_verdict(step)
             return
         timer = self._loop.call_later(timeout_s, self._on_timeout, step)
-        self._waiting[step.request_id] = _Waiting(on_verdict, timeout_s, timer)
+        self._pending_requests[step.request_id] = _PendingRequest(on_verdict, timeout_s, timer)
         request = QuotaRequest(step.request_id, step.tenant, step.units, self._config_sequence)
         if not self._send_to(step.controller, request):
-            self.on_disconnected(step.controller.partition(CONNECTION_MARK)[0])
+            self.on_disconnected(step.controller.partition(CONNECTION_SEPARATOR)[0])
 
     def _verdict_by_statuses(self, tenant: str, units: float, limit: RateLimit) -> Verdict | None:
         """What controllers without share leases allow; None where there are none of them."""
--- a/larkweir/router/rollout_samples.py
+++ b/larkweir/router/rollout_samples.py
@@ -49,7 +49,7 @@
     revision: int
 
 
-class _Counted(NamedTuple):
+class _Counters(NamedTuple):
     track: TrackSamples
     route: RouteSamples
 
@@ -85,12 +85,12 @@
         self._add_in_flight(key, -1)
 
     def _add_in_flight(self, key: SampleKey, count: int) -> None:
-        counted = (key.service, key.version)
-        in_flight = self._in_flight.get(counted, 0) + count
+        service_version = (key.service, key.version)
+        in_flight = self._in_flight.get(service_version, 0) + count
         if in_flight:
-            self._in_flight[counted] = in_flight
+            self._in_flight[service_version] = in_flight
         else:
-            del self._in_flight[counted]
+            del self._in_flight[service_version]
         observed = self._observed.get(key.service)
         if observed is not None:
             observed.revision = self._next_revision()
@@ -101,31 +101,31 @@
 
     def record_first_byte(self, key: SampleKey, duration_ms: float) -> None:
         """The body of an answer began, so long after the request was sent."""
-        counted = self._counted(key)
-        if counted is not None:
-            _count(counted.route.first_byte, duration_ms)
+        counters = self._counters_to_change(key)
+        if counters is not None:
+            _add_duration(counters.route.first_byte, duration_ms)
 
     def record_pace(self, key: SampleKey, duration_ms: float) -> None:
         """The events of a stream come so far apart; or another answer was complete, so long after it was sent."""
-        counted = self._counted(key)
-        if counted is not None:
-            _count(counted.route.pace, duration_ms)
+        counters = self._counters_to_change(key)
+        if counters is not None:
+            _add_duration(counters.route.pace, duration_ms)
 
     def record_verdict(self, key: SampleKey, verdict: AnswerVerdict) -> None:
         """An attempt that was sent is over."""
         if verdict is AnswerVerdict.NO_EVIDENCE:
             return
-        counted = self._counted(key)
-        if counted is None:
+        counters = self._counters_to_change(key)
+        if counters is None:
             return
         if verdict is AnswerVerdict.ANSWERED:
-            counted.route.answered += 1
+            counters.route.answered += 1
         else:
-            counted.route.failed += 1
-            failures = counted.track.failures_by_upstream
+            counters.route.failed += 1
+            failures = counters.track.failures_by_upstream
             failures[key.upstream] = failures.get(key.upstream, 0) + 1
 
-    def _counted(self, key: SampleKey) -> _Counted | None:
+    def _counters_to_change(self, key: SampleKey) -> _Counters | None:
         """Where a sample is to be counted, which is then a change; None where its service has no running roll-out."""
         observed = self._observed.get(key.service)
         if observed is None:
@@ -133,7 +133,7 @@
         observed.revision = self._next_revision()
         report = observed.report
         track = report.target if key.version == observed.target_version else report.others
-        return _Counted(track, _route_samples(report, track, key.route))
+        return _Counters(track, _route_samples(report, track, key.route))
 
     def _next_revision(self) -> int:
         self._revision += 1
@@ -150,7 +150,9 @@
 
     def _fill_in_flight(self, service: str, observed: _Observed) -> None:
         at_target = self._in_flight.get((service, observed.target_version), 0)
-        in_all = sum(count for (counted, _), count in self._in_flight.items() if counted == service)
+        in_all = sum(
+            count for (counted_service, _), count in self._in_flight.items() if counted_service == service
+        )
         observed.report.target.in_flight = at_target
         observed.report.others.in_flight = in_all - at_target
 
@@ -171,6 +173,6 @@
     return track.routes.setdefault(route, RouteSamples())
 
 
-def _count(histogram: Histogram, duration_ms: float) -> None:
+def _add_duration(histogram: Histogram, duration_ms: float) -> None:
     bucket = bucket_of(duration_ms)
     histogram[bucket] = histogram.get(bucket, 0) + 1
--- a/larkweir/router/rollout_tracks.py
+++ b/larkweir/router/rollout_tracks.py
@@ -71,8 +71,10 @@
         self._others = make_selector()
         self._target: UpstreamSelector | None = None
         self._listed_since_ms: dict[str, float] | None = None  # by version; None before the first list
-        self._waiting: frozenset[str] = frozenset()  # versions for which an order may still come
-        self._is_only_version = False  # the target had all upstreams at the order, and has had them since
+        self._awaiting_order: frozenset[str] = frozenset()  # versions for which an order may still come
+        self._is_target_only_version = (
+            False  # the target had all upstreams at the order, and has had them since
+        )
         self.rollout: Rollout | None = None
 
     def selector(self, track: Track) -> UpstreamSelector:
@@ -95,7 +97,7 @@
         """
         before, self.rollout = self.rollout, rollout
         if rollout is not None and (before is None or rollout.order_id != before.order_id):
-            self._is_only_version = self._has_target_alone(rollout)
+            self._is_target_only_version = self._has_only_target_version(rollout)
         if before is not None and (rollout is None or rollout.order_id != before.order_id):
             if self._target is not None and before.state is RolloutState.COMPLETED:
                 self._others = self._target
@@ -111,7 +113,7 @@
         All go to the target where all upstreams were of its version already when the order came. That no other version
         is known is not enough: a process that has just started may know a few upstreams only.
         """
-        if self.rollout is None or not self.rollout.is_running or not self._is_only_version:
+        if self.rollout is None or not self.rollout.is_running or not self._is_target_only_version:
             return self.rollout
         return msgspec.structs.replace(self.rollout, target_weight=1.0)
 
@@ -125,8 +127,8 @@
         versions = {upstream.version for upstream in upstreams}
         known = dict.fromkeys(versions, -math.inf) if self._listed_since_ms is None else self._listed_since_ms
         self._listed_since_ms = {version: known.get(version, now_ms) for version in sorted(versions)}
-        self._waiting = self._waiting_versions(now_ms)
-        self._is_only_version &= not any(self._is_other(upstream) for upstream in upstreams)
+        self._awaiting_order = self._versions_awaiting_order(now_ms)
+        self._is_target_only_version &= not any(self._is_other(upstream) for upstream in upstreams)
         target_ids = self._target_ids(upstreams)
         others = {
             upstream.id: _status(upstream, takes_requests=self._is_other(upstream)) for upstream in upstreams
@@ -139,11 +141,11 @@
             }
             self._target.update(target, now_ms, has_tracks=True)
 
-    def is_due(self, now_ms: float) -> bool:
+    def needs_update(self, now_ms: float) -> bool:
         """Whether `update` is to be called again, as an order was waited for in vain."""
-        return bool(self._waiting) and self._waiting_versions(now_ms) != self._waiting
+        return bool(self._awaiting_order) and self._versions_awaiting_order(now_ms) != self._awaiting_order
 
-    def _waiting_versions(self, now_ms: float) -> frozenset[str]:
+    def _versions_awaiting_order(self, now_ms: float) -> frozenset[str]:
         """Those that have come since a completion, and that an order may still put on trial."""
         if self.rollout is None or self.rollout.state is not RolloutState.COMPLETED:
             return frozenset()
@@ -153,19 +155,19 @@
             if self.rollout.is_unnamed(version) and now_ms < since_ms + ORDER_WAIT_MS
         )
 
-    def _has_target_alone(self, rollout: Rollout) -> bool:
+    def _has_only_target_version(self, rollout: Rollout) -> bool:
         """Whether upstreams are known, all of the target version but for withdrawn ones."""
         versions = self._listed_since_ms or {}
         is_known = any(rollout.is_target(version) for version in versions)
         return is_known and not any(rollout.is_other(version) for version in versions)
 
     def _is_target(self, upstream: Upstream) -> bool:
-        if self.rollout is None or upstream.version in self._waiting:
+        if self.rollout is None or upstream.version in self._awaiting_order:
             return False
         return self.rollout.is_target(upstream.version)
 
     def _is_other(self, upstream: Upstream) -> bool:
-        if self.rollout is None or upstream.version in self._waiting:
+        if self.rollout is None or upstream.version in self._awaiting_order:
             return True
         return self.rollout.is_other(upstream.version)
 
--- a/larkweir/router/share_wait.py
+++ b/larkweir/router/share_wait.py
@@ -15,22 +15,22 @@
         """Nothing waits yet."""
         self._loop = asyncio.get_running_loop()
         self._waiting: dict[int, tuple[Callable[[], None], asyncio.TimerHandle]] = {}
-        self._count = 0
+        self._last_number = 0
 
-    def add(self, go_on: Callable[[], None]) -> None:
-        """Call `go_on` later."""
-        self._count += 1
-        timer = self._loop.call_later(SHARE_TIMEOUT_S, self._go_on, self._count)
-        self._waiting[self._count] = (go_on, timer)
+    def add(self, on_resume: Callable[[], None]) -> None:
+        """Call `on_resume` later."""
+        self._last_number += 1
+        timer = self._loop.call_later(SHARE_TIMEOUT_S, self._resume_request, self._last_number)
+        self._waiting[self._last_number] = (on_resume, timer)
 
-    def resume(self) -> None:
+    def resume_all(self) -> None:
         """A controller holds a share, or there is none left that could: all that wait go on."""
         for number in list(self._waiting):
-            self._go_on(number)
+            self._resume_request(number)
 
-    def _go_on(self, number: int) -> None:
+    def _resume_request(self, number: int) -> None:
         waiting = self._waiting.pop(number, None)
         if waiting is not None:
-            go_on, timer = waiting
+            on_resume, timer = waiting
             timer.cancel()
-            go_on()
+            on_resume()
--- a/larkweir/router/upstream_choice.py
+++ b/larkweir/router/upstream_choice.py
@@ -48,24 +48,24 @@
         self._plane = plane
         self._service = admission.service
         self._prompt = prompt
-        self._target_ms = received_ms + admission.route.target_latency_ms
+        self._latency_deadline_ms = received_ms + admission.route.target_latency_ms
         self._prefix_owner: PrefixOwner | None = None
         self._tried: dict[str, Track] = {}  # by id
-        self._drawn = self._draw()
+        self._drawn_track = self._draw_track()
 
-    def _draw(self) -> Track:
+    def _draw_track(self) -> Track:
         upstreams = self._plane.upstreams
         drawn = draw_track(upstreams.routed_rollout(self._service), self._plane.rng)
         if drawn is Track.TARGET and not upstreams.selector(self._service, drawn).ready_count:
             return Track.OTHERS
         return drawn
 
-    def _tracks(self) -> tuple[Track, ...]:
+    def _allowed_tracks(self) -> tuple[Track, ...]:
         rollout = self._plane.upstreams.routed_rollout(self._service)
-        return allowed_tracks(rollout, self._drawn, is_first=not self._tried)
+        return allowed_tracks(rollout, self._drawn_track, is_first=not self._tried)
 
     @property
-    def has_placed_prefix(self) -> bool:
+    def needs_prefix_owner(self) -> bool:
         """Whether the controllers place the prefix of the prompt.
 
         They do on the track that has the service's traffic, not on that of a version on trial.
@@ -73,7 +73,9 @@
         if not (OPTIONS.controller_prefix_owners and self._prompt.is_shared):
             return False
         rollout = self._plane.upstreams.routed_rollout(self._service)
-        is_on_trial = self._drawn is Track.TARGET and rollout is not None and rollout.effective_weight < 1.0
+        is_on_trial = (
+            self._drawn_track is Track.TARGET and rollout is not None and rollout.effective_weight < 1.0
+        )
         return not is_on_trial and self._plane.is_engine(self._service)
 
     def find_prefix_owner(self, body_bytes: int, on_found: Callable[[], None]) -> None:
@@ -83,13 +85,13 @@
             self._prefix_owner = owner
             on_found()
 
-        is_ready = self._plane.upstreams.selector(self._service, self._tracks()[0]).is_ready
+        is_ready = self._plane.upstreams.selector(self._service, self._allowed_tracks()[0]).is_ready
         self._plane.prefix_affinity.find_owner(self._service, self._prompt, body_bytes, is_ready, on_owner)
 
     def select(self, now_ms: float) -> SelectedUpstream | None:
         """The upstream of the next attempt; None where none is left."""
         owner = self._prefix_owner
-        for track in self._tracks():
+        for track in self._allowed_tracks():
             selector = self._plane.upstreams.selector(self._service, track)
             id_ = selector.select(
                 self._prompt,
@@ -97,20 +99,20 @@
                 now_ms,
                 owner.engine if owner is not None else None,
                 is_cached=owner is not None and owner.is_cached,
-                remaining_ms=self._target_ms - now_ms,
+                remaining_ms=self._latency_deadline_ms - now_ms,
             )
             if id_ is not None:
                 self._tried[id_] = track
                 is_cached = owner is not None and owner.is_cached and owner.engine == id_
                 has_rollout = self._plane.upstreams.routed_rollout(self._service) is not None
-                shown = track if has_rollout else None
-                return SelectedUpstream(id_, selector, shown, selector.last_reason, is_cached)
+                reported_track = track if has_rollout else None
+                return SelectedUpstream(id_, selector, reported_track, selector.last_reason, is_cached)
         return None
 
     @property
-    def has_untried(self) -> bool:
+    def has_untried_upstream(self) -> bool:
         """Whether an upstream is ready that a further attempt may go to, as far as counts tell."""
-        tracks = self._tracks()
+        tracks = self._allowed_tracks()
         selectors = [self._plane.upstreams.selector(self._service, track) for track in tracks]
         tried = sum(track in tracks for track in self._tried.values())
         return sum(selector.ready_count for selector in selectors) > tried
--- a/larkweir/router/upstream_directory.py
+++ b/larkweir/router/upstream_directory.py
@@ -32,7 +32,7 @@
         """
         self._rng = rng
         self._is_engine = is_engine
-        self._address_has_idle = has_idle_connection
+        self._address_has_idle_connection = has_idle_connection
         self._on_gone = on_gone
         self._upstreams: dict[str, Upstream] = {}
         self._services: dict[str, ServiceTracks] = {}
@@ -77,7 +77,7 @@
         if tracks is None:
             tracks = self._services[service] = ServiceTracks(lambda: self._new_selector(service))
             tracks.set_rollout(self.rollouts.get(service))
-            self._list(service, 0.0)
+            self._update_selectors(service, 0.0)
         return tracks
 
     def _new_selector(self, service: str) -> UpstreamSelector:
@@ -93,15 +93,15 @@
 
     def _has_idle_connection(self, id_: str) -> bool:
         upstream = self._upstreams.get(id_)
-        return upstream is not None and self._address_has_idle(upstream.address)
+        return upstream is not None and self._address_has_idle_connection(upstream.address)
 
     def own_prefill_backlog(self) -> dict[str, int]:
         """By engine, the prompt tokens of this router's calls that wait for their first event."""
-        found: dict[str, int] = {}
+        backlog: dict[str, int] = {}
         for selector in self._selectors():
             for engine, tokens in selector.own_prefill_backlog().items():
-                found[engine] = found.get(engine, 0) + tokens
-        return found
+                backlog[engine] = backlog.get(engine, 0) + tokens
+        return backlog
 
     def set_peer_prefill_backlog(self, tokens: dict[str, float]) -> None:
         """The same of all other routers together, by engine, as last reported."""
@@ -133,33 +133,33 @@
                 self._upstreams[upstream.id] = upstream
         for service in services:
             if service in self._services:
-                self._list(service, now_ms)
+                self._update_selectors(service, now_ms)
 
     def set_rollouts(
-        self, rollouts: Mapping[str, Rollout], now_ms: float, *, has_served: bool = False
+        self, rollouts: Mapping[str, Rollout], now_ms: float, *, had_configuration: bool = False
     ) -> None:
         """Put the roll-outs of another configuration in force; services whose own is another are listed anew.
 
         Args:
             rollouts: by service.
             now_ms: the event loop's time.
-            has_served: another configuration was in force before, so that the upstreams of that time are known.
+            had_configuration: another configuration was in force before, so that the upstreams of that time are known.
         """
-        if has_served:
+        if had_configuration:
             for service in rollouts:
                 self._tracks(service)  # lists what is known before the order is in force
         before, self.rollouts = self.rollouts, rollouts
         for service, tracks in self._services.items():
             if before.get(service) != rollouts.get(service):
                 tracks.set_rollout(rollouts.get(service))
-                self._list(service, now_ms)
+                self._update_selectors(service, now_ms)
 
     def tick(self, now_ms: float) -> None:
         """List services anew whose upstreams have waited for an order; to be called several times a second."""
         for service, tracks in self._services.items():
-            if tracks.is_due(now_ms):
-                self._list(service, now_ms)
+            if tracks.needs_update(now_ms):
+                self._update_selectors(service, now_ms)
 
-    def _list(self, service: str, now_ms: float) -> None:
+    def _update_selectors(self, service: str, now_ms: float) -> None:
         listed = [upstream for upstream in self._upstreams.values() if upstream.service == service]
         self._services[service].update(listed, now_ms)
--- a/larkweir/router/usage_statuses.py
+++ b/larkweir/router/usage_statuses.py
@@ -12,7 +12,7 @@
 
 STATUS_VALID_MS = 900.0  # a status is not extrapolated for longer
 ACTIVE_TENANT_MS = 10_000.0  # a tenant's usage is reported for so long after its last request here
-ASSUMED_FRACTION = 1.0 / 3.0  # of a burst: a table tells unasked of tenants of which less is left
+ASSUMED_BURST_FRACTION = 1.0 / 3.0  # of a burst: a table tells unasked of tenants of which less is left
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class _Table:
+class _UsageTable:
     """What one controller was told, and what it answered last."""
 
     answered_ms: float = float("-inf")
@@ -38,7 +38,7 @@
         """Nothing was admitted yet."""
         self._admitted: dict[str, float] = defaultdict(float)  # units since the start, by tenant
         self._admitted_ms: dict[str, float] = {}
-        self._tables: dict[str, _Table] = {}
+        self._tables: dict[str, _UsageTable] = {}
 
     def record_admitted(self, tenant: str, units: float, now_ms: float) -> None:
         """Count an admitted request."""
@@ -54,14 +54,16 @@
         table = self._tables.get(controller)
         if table is None:
             return {}
-        active = (one for one, last_ms in self._admitted_ms.items() if now_ms < last_ms + ACTIVE_TENANT_MS)
+        active = (
+            tenant for tenant, last_ms in self._admitted_ms.items() if now_ms < last_ms + ACTIVE_TENANT_MS
+        )
         report = {tenant: self._admitted[tenant] for tenant in active}
         table.reported_units.update(report)
         return report
 
     def receive(self, controller: str, statuses: dict[str, QuotaStatus] | None, now_ms: float) -> None:
         """A controller without share leases answered. `statuses`: None where it has no limits yet."""
-        table = self._tables.setdefault(controller, _Table())
+        table = self._tables.setdefault(controller, _UsageTable())
         if statuses is None:
             return
         table.answered_ms = now_ms
@@ -76,18 +78,20 @@
     def level(self, tenant: str, limit: RateLimit, processes: int, now_ms: float) -> float | None:
         """Units that this router's part leaves, times `processes`; None where no usage table is in reach."""
         levels = [
-            self._level_by(table, tenant, limit, processes, now_ms)
+            self._level_from(table, tenant, limit, processes, now_ms)
             for table in self._tables.values()
             if now_ms < table.answered_ms + STATUS_VALID_MS
         ]
         return min(levels, default=None)
 
-    def _level_by(self, table: _Table, tenant: str, limit: RateLimit, processes: int, now_ms: float) -> float:
+    def _level_from(
+        self, table: _UsageTable, tenant: str, limit: RateLimit, processes: int, now_ms: float
+    ) -> float:
         status = table.statuses.get(tenant)
         if status is None:
             reported = table.reported_units.setdefault(tenant, self._admitted[tenant])
-            status = _ReceivedStatus(limit.burst * ASSUMED_FRACTION, table.answered_ms, reported)
+            status = _ReceivedStatus(limit.burst * ASSUMED_BURST_FRACTION, table.answered_ms, reported)
             table.statuses[tenant] = status
         refilled = status.level + limit.rate_per_s * (now_ms - status.received_ms) / 1000.0
-        here = self._admitted[tenant] - status.admitted_units
-        return min(limit.burst, refilled) - here * processes
+        admitted_since = self._admitted[tenant] - status.admitted_units
+        return min(limit.burst, refilled) - admitted_since * processes
--- a/tests/router/granting_controller.py
+++ b/tests/router/granting_controller.py
@@ -12,7 +12,7 @@
 from larkweir.cluster.messages import QuotaRefund, QuotaRequest, QuotaResponse
 from larkweir.router.quota_admission import QuotaAdmission
 
-NEVER_MS = 1e12
+NO_EXPIRY_MS = 1e12
 
 
 class GrantingController:
@@ -28,7 +28,7 @@
         self._connection = Connection(lambda connection, message: None, lambda connection: None)
         self._connection.node = node
         self.allocator = QuotaAllocator()
-        self.allocator.set_share(TOTAL_SHARE, NEVER_MS, self._now_ms())
+        self.allocator.set_share(TOTAL_SHARE, NO_EXPIRY_MS, self._now_ms())
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
--- a/tests/router/scripted_controller.py
+++ b/tests/router/scripted_controller.py
@@ -14,14 +14,14 @@
 from larkweir.router.node import Router
 
 PING = '{"type":"ping"}'
-LINES_S = 20.0
+LINES_TIMEOUT_S = 20.0
 
 
 class ScriptedController:
-    """`written`: the lines expected of the router, without pings. `varies`: patterns in them, by what stands there."""
+    """`expected`: the lines expected of the router, without pings. `placeholders`: patterns in them, by what stands there."""
 
-    def __init__(self, written: Sequence[str], varies: Mapping[str, str]) -> None:
-        self._written, self._varies = written, varies
+    def __init__(self, expected: Sequence[str], placeholders: Mapping[str, str]) -> None:
+        self._expected, self._placeholders = expected, placeholders
         self._lines: list[str] = []
         self._received = asyncio.Event()
         self._writer: asyncio.StreamWriter | None = None
@@ -32,18 +32,18 @@
         while line := (await reader.readline()).decode():
             assert line.endswith("\n")
             if line[:-1] != PING:
-                for varies, name in self._varies.items():
-                    line = re.sub(varies, name, line)
+                for pattern, placeholder in self._placeholders.items():
+                    line = re.sub(pattern, placeholder, line)
                 self._lines.append(line[:-1])
                 self._received.set()
 
-    async def until(self, count: int) -> None:
+    async def wait_for_lines(self, count: int) -> None:
         """So many lines have come, each as expected."""
-        async with asyncio.timeout(LINES_S):
+        async with asyncio.timeout(LINES_TIMEOUT_S):
             while len(self._lines) < count:
                 self._received.clear()
                 await self._received.wait()
-        assert self._lines == self._written[:count]
+        assert self._lines == self._expected[:count]
 
     def send(self, line: dict[str, Any]) -> None:
         """Write a line on the newest connection."""
--- a/tests/router/test_configuration.py
+++ b/tests/router/test_configuration.py
@@ -18,27 +18,27 @@
 
 
 def test_the_longest_prefix_of_the_host_wins() -> None:
-    made = table()
-    assert made.find_route("a.example", "/one/x").name == "r1"  # type: ignore[union-attr]
-    assert made.find_route("a.example", "/one/two/x").name == "r2"  # type: ignore[union-attr]
-    assert made.find_route("a.example", "/two/") is None
-    assert made.find_route("b.example", "/one/") is None
+    routing_table = table()
+    assert routing_table.find_route("a.example", "/one/x").name == "r1"  # type: ignore[union-attr]
+    assert routing_table.find_route("a.example", "/one/two/x").name == "r2"  # type: ignore[union-attr]
+    assert routing_table.find_route("a.example", "/two/") is None
+    assert routing_table.find_route("b.example", "/one/") is None
 
 
-def test_tenants_are_found_by_key_and_count_in_their_unit() -> None:
-    made = table()
-    tenant = made.find_tenant("k2")
+def test_tenants_are_found_by_key_and_charged_in_their_unit() -> None:
+    routing_table = table()
+    tenant = routing_table.find_tenant("k2")
     assert tenant is not None
     assert tenant.name == "x"
     assert tenant.quota_units(120.0) == 120.0
-    assert made.find_tenant("nobody's") is None
-    assert set(made.quotas) == {"x"}
+    assert routing_table.find_tenant("nobody's") is None
+    assert set(routing_table.quotas) == {"x"}
 
 
 def test_services_are_drawn_by_their_weights() -> None:
     split = [{"backend": "s", "weight": 9}, {"backend": "t", "weight": 1}]
-    made = table(changed(routes=[route("r", "/", backend=None, traffic_split=split)]))
-    found = made.find_route("a.example", "/x")
+    routing_table = table(changed(routes=[route("r", "/", backend=None, traffic_split=split)]))
+    found = routing_table.find_route("a.example", "/x")
     assert found is not None
     rng = Random(1)
     to_s = sum(found.service(rng) == "s" for _ in range(2_000))
@@ -49,7 +49,7 @@
     return ConfigUpdate(sequence, base, msgspec.Raw(msgspec.json.encode(document)))
 
 
-def test_a_store_never_goes_back_and_passes_over_what_it_cannot_build_on() -> None:
+def test_a_store_ignores_old_versions_and_patches_with_another_base() -> None:
     store = ConfigurationStore()
     assert store.apply(update(5, VALID))
     assert not store.apply(update(4, changed(generation=2)))
@@ -71,7 +71,7 @@
     assert store.table.rollouts == {}
 
 
-def test_a_patch_that_removes_the_limits_leaves_the_usual_ones() -> None:
+def test_a_patch_that_removes_the_limits_restores_the_defaults() -> None:
     store = ConfigurationStore()
     assert store.apply(update(5, {**VALID, "limits": {"max_body_bytes": 7}}))
     assert store.apply(update(6, {"limits": None}, base=5))
--- a/tests/router/test_controller_reports.py
+++ b/tests/router/test_controller_reports.py
@@ -20,7 +20,7 @@
     assert reports.max_router_count() == 3
 
 
-def test_no_report_is_no_count() -> None:
+def test_without_a_report_there_is_no_router_count() -> None:
     with pytest.raises(ValueError, match="empty"):
         ControllerReports().max_router_count()
 
@@ -40,14 +40,14 @@
     assert reports.ejected() == {"u1", "u2"}
 
 
-def test_a_lost_controller_counts_no_longer(reports: ControllerReports) -> None:
+def test_a_lost_controller_is_no_longer_counted(reports: ControllerReports) -> None:
     assert reports.remove("c1")
     assert reports.max_router_count() == 2
     assert reports.max_queued_tokens() == {"e": 40.0}
     assert reports.ejected() == {"u2"}
 
 
-def test_only_a_lost_controller_with_ejections_changes_them(reports: ControllerReports) -> None:
+def test_removal_reports_whether_ejections_may_change(reports: ControllerReports) -> None:
     reports.update("c1", Delta(ejected=[]))
     assert not reports.remove("c1")
     assert not reports.remove("unknown")
--- a/tests/router/test_fleet_sync_encodings.py
+++ b/tests/router/test_fleet_sync_encodings.py
@@ -19,7 +19,7 @@
 from tests.cluster.configurations import VALID
 from tests.router.scripted_controller import running_router
 
-SCENE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 class Controller:
@@ -45,22 +45,22 @@
     writer.write(msgspec.json.encode(delta) + b"\n")
 
 
-async def scene() -> None:
+async def run_compressed_updates() -> None:
     subnet = f"127.79.{os.getpid() % 199 + 1}"
     controller = Controller()
     server = await asyncio.start_server(controller.serve, f"{subnet}.1", 0)
     port = server.sockets[0].getsockname()[1]
     update = compress(ConfigUpdate(4, -1, msgspec.Raw(msgspec.json.encode(VALID))))
     try:
-        async with running_router(subnet, port), asyncio.timeout(SCENE_S):
+        async with running_router(subnet, port), asyncio.timeout(TEST_TIMEOUT_S):
             reader, writer = await controller.connections.get()
             first = await next_pull(reader)
             assert first is not None
             assert first.encodings == []
             send(writer, Delta(wants_encodings=True))
-            named = await next_pull(reader)
-            assert named is not None
-            assert (named.config_sequence, named.encodings) == (-1, [DEFLATE])
+            with_encodings = await next_pull(reader)
+            assert with_encodings is not None
+            assert (with_encodings.config_sequence, with_encodings.encodings) == (-1, [DEFLATE])
             send(writer, Delta(compressed_config=update))
             configured = await next_pull(reader)
             assert configured is not None
@@ -68,9 +68,9 @@
             send(writer, Delta(compressed_config=CompressedConfigUpdate(5, -1, update.body[:-1])))
             assert await next_pull(reader) is None
             reader, writer = await controller.connections.get()
-            again = await next_pull(reader)
-            assert again is not None
-            assert again.config_sequence == 4
+            after_reconnect = await next_pull(reader)
+            assert after_reconnect is not None
+            assert after_reconnect.config_sequence == 4
     finally:
         server.close()
 
@@ -79,7 +79,7 @@
     return (await router._answer_ready(Request("GET", "/ready", {}, b""))).status
 
 
-async def stale_scene() -> None:
+async def run_stale_controller() -> None:
     """One of three controllers is cut off from the others, and has an older configuration than they have."""
     subnet = f"127.79.{os.getpid() % 199 + 1}"
     controllers = [Controller() for _ in range(3)]
@@ -90,15 +90,15 @@
         servers.append(await asyncio.start_server(controller.serve, f"{subnet}.{number}", port))
     upstream = Upstream("u", "chat", f"{subnet}.9:80", "z")
     listed = [f"{subnet}.{number}" for number in (1, 3, 4)]
-    seen = Delta(records=[Record(upstream, "c/1", 1)], vector={"c/1": 1}, controllers=listed)
+    upstreams_delta = Delta(records=[Record(upstream, "c/1", 1)], vector={"c/1": 1}, controllers=listed)
     older = Delta(config=ConfigUpdate(3, -1, msgspec.Raw(msgspec.json.encode(VALID))))
     newer = compress(ConfigUpdate(4, -1, msgspec.Raw(msgspec.json.encode(VALID))))
     try:
-        async with running_router(subnet, port) as router, asyncio.timeout(SCENE_S):
+        async with running_router(subnet, port) as router, asyncio.timeout(TEST_TIMEOUT_S):
             links = []
             stale = await controllers[0].connections.get()
             assert await next_pull(stale[0]) is not None
-            send(stale[1], seen)
+            send(stale[1], upstreams_delta)
             assert await next_pull(stale[0]) is not None
             for controller in controllers[1:]:
                 reader, writer = await controller.connections.get()
@@ -119,17 +119,17 @@
             server.close()
 
 
-def test_a_controller_that_only_asks_for_encodings_has_not_told_what_it_knows(
+def test_a_controller_that_only_asked_for_encodings_does_not_count_as_responded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(fleet_sync, "INITIAL_SYNC_TIMEOUT_MS", 1_000.0 * SCENE_S)
+    monkeypatch.setattr(fleet_sync, "INITIAL_SYNC_TIMEOUT_MS", 1_000.0 * TEST_TIMEOUT_S)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(stale_scene())
+        runner.run(run_stale_controller())
 
 
 def test_a_router_reads_compressed_configurations() -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(scene())
+        runner.run(run_compressed_updates())
 
 
 def test_a_pull_has_what_the_last_delta_wants() -> None:
--- a/tests/router/test_fleet_sync_golden.py
+++ b/tests/router/test_fleet_sync_golden.py
@@ -11,7 +11,7 @@
 from tests.router.scripted_controller import ScriptedController, running_router
 from tests.system.loopback import Client, Seen, Upstream, answer, ask
 
-WRITTEN = [
+EXPECTED_LINES = [
     '{"type":"hello","node":"NODE","kind":"router","life":"LIFE"}',
     '{"type":"pull","vector":{},"sent_ms":SENT}',
     # With a configuration and three upstreams.
@@ -26,7 +26,7 @@
     # Behind SIGTERM.
     '{"type":"pull","config":3,"usage":{"acme":2.0},"sent_ms":SENT,"endings":{"s0":[0,1]},"is_leaving":true}',
 ]
-VARIES = {
+PLACEHOLDERS = {
     r'"node":"127\.78\.[0-9]+\.2"': '"node":"NODE"',
     r'"life":"[0-9a-f]{12}"': '"life":"LIFE"',
     r'"sent_ms":[0-9]+': '"sent_ms":SENT',
@@ -46,10 +46,10 @@
     return [{"id": id_, "service": service, "address": address, "zone": "z"}, "c/1", counter]
 
 
-async def scene() -> None:
+async def run_session() -> None:
     subnet = os.getpid() % 199 + 1
     ip = f"127.78.{subnet}"
-    controller = ScriptedController(WRITTEN, VARIES)
+    controller = ScriptedController(EXPECTED_LINES, PLACEHOLDERS)
     server = await asyncio.start_server(controller.serve, f"{ip}.1", 0)
     port = server.sockets[0].getsockname()[1]
     arrived = asyncio.Event()
@@ -57,17 +57,17 @@
     def resets(seen: Seen) -> tuple[bytes, bool]:
         return b"", True
 
-    def wait(seen: Seen) -> tuple[bytes, bool]:
+    def hold(seen: Seen) -> tuple[bytes, bool]:
         arrived.set()
         return b"", False
 
-    engine = Upstream("e0", f"{ip}.3:{port}", wait)
+    engine = Upstream("e0", f"{ip}.3:{port}", hold)
     failing = Upstream("s0", f"{ip}.4:{port}", resets)
     for upstream in (engine, failing):
         await upstream.start()
     try:
         async with running_router(ip, port) as router:
-            await controller.until(2)
+            await controller.wait_for_lines(2)
             controller.send(
                 {
                     "type": "delta",
@@ -77,36 +77,36 @@
                     "controllers": [f"{ip}.1"],
                 }
             )
-            await controller.until(3)
+            await controller.wait_for_lines(3)
             client = Client(f"{ip}.2:{port}")
             prompt = {"X_Api_Key": "key", "X_Token_Usage": "6000,10", "X_Prompt_Prefix": "h:5000,own:1000"}
             pending = asyncio.get_running_loop().create_task(
                 client.request("POST", "/e/x", b"p", X_Request_Id="1", **prompt)
             )
-            await controller.until(4)
+            await controller.wait_for_lines(4)
             controller.send({"type": "placed", "head": "h", "engine": "e0", "kept": False})
-            await controller.until(5)
+            await controller.wait_for_lines(5)
             controller.send({"type": "delta", "vector": {"c/1": 3}})
-            await controller.until(6)
+            await controller.wait_for_lines(6)
             await arrived.wait()
             engine.writers[-1].write(answer(engine.seen[-1]))
             assert (await pending).status == 200
             failed = await ask(f"{ip}.2:{port}", "POST", "/s/x", b"p", X_Request_Id="2", X_Api_Key="key")
             assert failed.status == 502
             controller.send({"type": "delta", "vector": {"c/1": 3}})
-            await controller.until(7)
+            await controller.wait_for_lines(7)
             client.close()
             router._terminated.set()
             while not router._sync.is_leaving:
                 await asyncio.sleep(0)
             controller.send({"type": "delta", "vector": {"c/1": 3}})
-            await controller.until(8)
+            await controller.wait_for_lines(8)
     finally:
         for upstream in (engine, failing):
             upstream.close()
         server.close()
 
 
-def test_what_a_router_writes_to_a_controller() -> None:
+def test_lines_that_a_router_writes_to_a_controller() -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
-        runner.run(scene())
+        runner.run(run_session())
--- a/tests/router/test_prefix_affinity.py
+++ b/tests/router/test_prefix_affinity.py
@@ -14,7 +14,7 @@
 PROMPT = Prompt("p", 6_000.0, 5_000.0)
 
 
-class Scene:
+class Harness:
     """A router's affinity in a loop whose time the test moves."""
 
     def __init__(self) -> None:
@@ -28,9 +28,9 @@
         self.affinity = self._run(PrefixAffinity, 1_000.0)
         self.affinity.send_lookup = self._send
 
-    def _run(self, call, *args):  # type: ignore[no-untyped-def]
+    def _run(self, function, *args):  # type: ignore[no-untyped-def]
         async def inside() -> object:
-            found = call(*args)
+            found = function(*args)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             return found
@@ -57,65 +57,65 @@
 
 
 @pytest.fixture
-def scene() -> Iterator[Scene]:
-    made = Scene()
+def harness() -> Iterator[Harness]:
+    made = Harness()
     yield made
     made.loop.close()
 
 
-def test_concurrent_requests_share_one_lookup(scene: Scene) -> None:
-    scene.find()
-    scene.find()
-    assert len(scene.requests) == 1
-    assert scene.owners == []
-    scene.respond("e1")
-    assert scene.owners == [PrefixOwner("e1", False)] * 2
+def test_concurrent_requests_share_one_lookup(harness: Harness) -> None:
+    harness.find()
+    harness.find()
+    assert len(harness.requests) == 1
+    assert harness.owners == []
+    harness.respond("e1")
+    assert harness.owners == [PrefixOwner("e1", False)] * 2
 
 
-def test_an_owner_is_cached_and_has_the_prefix_from_then_on(scene: Scene) -> None:
-    scene.find()
-    scene.respond("e1")
-    scene.find()
-    assert len(scene.requests) == 1
-    assert scene.owners == [PrefixOwner("e1", False), PrefixOwner("e1", True)]
+def test_an_owner_is_cached_and_counts_as_having_the_prefix(harness: Harness) -> None:
+    harness.find()
+    harness.respond("e1")
+    harness.find()
+    assert len(harness.requests) == 1
+    assert harness.owners == [PrefixOwner("e1", False), PrefixOwner("e1", True)]
 
 
-def test_a_cached_owner_expires_and_is_named_in_the_next_lookup(scene: Scene) -> None:
-    scene.find()
-    scene.respond("e1")
-    scene.wait(OWNER_TTL_MS / 1000.0 + 0.001)
-    scene.find()
-    assert [request.known_engine for request in scene.requests] == [None, "e1"]
+def test_an_expired_owner_is_sent_as_known_engine_in_the_next_lookup(harness: Harness) -> None:
+    harness.find()
+    harness.respond("e1")
+    harness.wait(OWNER_TTL_MS / 1000.0 + 0.001)
+    harness.find()
+    assert [request.known_engine for request in harness.requests] == [None, "e1"]
 
 
-def test_an_owner_that_is_not_ready_is_looked_up_anew(scene: Scene) -> None:
-    scene.find()
-    scene.respond("e1")
-    scene.ready.discard("e1")
-    scene.find()
-    assert [request.known_engine for request in scene.requests] == [None, None]
+def test_an_owner_that_is_not_ready_is_looked_up_again(harness: Harness) -> None:
+    harness.find()
+    harness.respond("e1")
+    harness.ready.discard("e1")
+    harness.find()
+    assert [request.known_engine for request in harness.requests] == [None, None]
 
 
-def test_a_controller_that_does_not_respond_is_not_waited_for(scene: Scene) -> None:
-    scene.find()
-    scene.wait(CONTROLLER_TIMEOUT_S + 0.001)
-    assert scene.owners == [None]
-    scene.respond("e1")  # too late for that request, but not for the next
-    assert scene.owners == [None]
-    scene.find()
-    assert scene.owners == [None, PrefixOwner("e1", True)]
+def test_a_lookup_without_a_response_times_out(harness: Harness) -> None:
+    harness.find()
+    harness.wait(CONTROLLER_TIMEOUT_S + 0.001)
+    assert harness.owners == [None]
+    harness.respond("e1")  # too late for that request, but not for the next
+    assert harness.owners == [None]
+    harness.find()
+    assert harness.owners == [None, PrefixOwner("e1", True)]
 
 
-def test_without_a_controller_the_last_owner_goes_on(scene: Scene) -> None:
-    scene.find()
-    scene.respond("e1")
-    scene.wait(OWNER_TTL_MS / 1000.0 + 0.001)
-    scene.connected = False
-    scene.find()
-    assert scene.owners[-1] == PrefixOwner("e1", True)
+def test_without_a_controller_the_expired_owner_is_used(harness: Harness) -> None:
+    harness.find()
+    harness.respond("e1")
+    harness.wait(OWNER_TTL_MS / 1000.0 + 0.001)
+    harness.connected = False
+    harness.find()
+    assert harness.owners[-1] == PrefixOwner("e1", True)
 
 
-def test_no_ready_engine_is_no_owner(scene: Scene) -> None:
-    scene.find()
-    scene.respond(None)
-    assert scene.owners == [None]
+def test_without_a_ready_engine_there_is_no_owner(harness: Harness) -> None:
+    harness.find()
+    harness.respond(None)
+    assert harness.owners == [None]
--- a/tests/router/test_rollout_reports_golden.py
+++ b/tests/router/test_rollout_reports_golden.py
@@ -16,7 +16,7 @@
 from tests.system.loopback import Seen, Upstream, answer, ask
 
 ORDER = '"s":{"order":"v2/1000"'
-WRITTEN = [
+EXPECTED_LINES = [
     '{"type":"hello","node":"NODE","kind":"router","life":"LIFE"}',
     '{"type":"pull","vector":{},"sent_ms":SENT}',
     # With a roll-out that has all requests.
@@ -49,7 +49,7 @@
     # It is completed.
     '{"type":"pull","config":4,"sent_ms":SENT,"endings":{"s2":[1,1]}}',
 ]
-VARIES = {
+PLACEHOLDERS = {
     r'"node":"127\.79\.[0-9]+\.2"': '"node":"NODE"',
     r'"life":"[0-9a-f]{12}"': '"life":"LIFE"',
     r'"sent_ms":[0-9]+': '"sent_ms":SENT',
@@ -75,36 +75,36 @@
     return [upstream, "c/1", counter]
 
 
-async def pulled(controller: ScriptedController, count: int, **delta: Any) -> None:
+async def answer_pull(controller: ScriptedController, count: int, **delta: Any) -> None:
     """A pull is answered, and so many lines have come by then."""
     controller.send({"type": "delta", "vector": {"c/1": 2}, **delta})
-    await controller.until(count)
+    await controller.wait_for_lines(count)
 
 
-async def reports(controller: ScriptedController, front: str, old: Upstream, new: Upstream) -> None:
-    """The lines of `WRITTEN` in turn."""
-    await controller.until(2)
+async def run_reports(controller: ScriptedController, front: str, old: Upstream, new: Upstream) -> None:
+    """The lines of `EXPECTED_LINES` in turn."""
+    await controller.wait_for_lines(2)
     records = [record("s1", "v1", old.address, 1), record("s2", "v2", new.address, 2)]
-    await pulled(controller, 3, config={"sequence": 3, "base": -1, "body": DOCUMENT}, records=records)
-    await pulled(controller, 4)
-    arrived = new.behave = Held()
+    await answer_pull(controller, 3, config={"sequence": 3, "base": -1, "body": DOCUMENT}, records=records)
+    await answer_pull(controller, 4)
+    arrived = new.behave = HeldRequest()
     pending = asyncio.get_running_loop().create_task(ask(front, "POST", "/x", b"p", X_Request_Id="1"))
     await arrived.event.wait()
-    await pulled(controller, 5)
+    await answer_pull(controller, 5)
     new.writers[-1].write(answer(new.seen[-1]))
     assert (await pending).status == 200
-    await pulled(controller, 6)
+    await answer_pull(controller, 6)
     new.behave = resets
     assert (await ask(front, "POST", "/x", b"p", X_Request_Id="2")).status == 502
-    await pulled(controller, 7)
-    await pulled(controller, 8)
+    await answer_pull(controller, 7)
+    await answer_pull(controller, 8)
     controller.disconnect()
-    await controller.until(10)
+    await controller.wait_for_lines(10)
     completed = {**DOCUMENT, "larkweir_rollouts": [{**ROLLOUT, "state": "completed"}]}
-    await pulled(controller, 11, config={"sequence": 4, "base": -1, "body": completed})
+    await answer_pull(controller, 11, config={"sequence": 4, "base": -1, "body": completed})
 
 
-class Held:
+class HeldRequest:
     """Does not answer by itself, and says that a request has arrived."""
 
     def __init__(self) -> None:
@@ -119,9 +119,9 @@
     return b"", True
 
 
-async def scene() -> None:
+async def run_session() -> None:
     ip = f"127.79.{os.getpid() % 199 + 1}"
-    controller = ScriptedController(WRITTEN, VARIES)
+    controller = ScriptedController(EXPECTED_LINES, PLACEHOLDERS)
     server = await asyncio.start_server(controller.serve, f"{ip}.1", 0)
     port = server.sockets[0].getsockname()[1]
     old, new = Upstream("s1", f"{ip}.3:{port}", resets), Upstream("s2", f"{ip}.4:{port}", resets)
@@ -129,18 +129,18 @@
         await upstream.start()
     try:
         async with running_router(ip, port):
-            await reports(controller, f"{ip}.2:{port}", old, new)
+            await run_reports(controller, f"{ip}.2:{port}", old, new)
     finally:
         for upstream in (old, new):
             upstream.close()
         server.close()
 
 
-def test_what_a_router_writes_of_a_roll_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lines_that_a_router_writes_about_a_roll_out(monkeypatch: pytest.MonkeyPatch) -> None:
     logged: list[tuple[str, dict[str, Any]]] = []
     monkeypatch.setattr(log, "event", lambda name, **fields: logged.append((name, fields)))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
-        runner.run(scene())
+        runner.run(run_session())
     assert [fields for name, fields in logged if name == "rollout"] == [
         {"service": "s", "target_version": "v2", "state": state, "target_weight": 1.0}
         for state in ("running", "completed")
@@ -148,6 +148,6 @@
 
 
 def test_the_lines_are_messages() -> None:
-    for line in WRITTEN:
+    for line in EXPECTED_LINES:
         message = line.replace("BUCKET", '"1"').replace("SENT", "1")
         msgspec.json.decode(message, type=Message)
--- a/tests/router/test_usage_statuses.py
+++ b/tests/router/test_usage_statuses.py
@@ -10,7 +10,7 @@
 LIMIT = RateLimit(100.0, 300.0)
 
 
-def test_each_of_many_routers_takes_an_equal_part_of_the_least_level() -> None:
+def test_routers_share_the_lowest_level_equally() -> None:
     statuses = UsageStatuses()
     statuses.receive("a", {"t": QuotaStatus(200.0, 0.0)}, 0.0)
     statuses.receive("b", {"t": QuotaStatus(90.0, 0.0)}, 0.0)
@@ -20,7 +20,7 @@
     assert statuses.level("t", LIMIT, 3, 500.0) == 50.0
 
 
-def test_what_was_reported_is_in_the_status_that_answers_the_report() -> None:
+def test_a_status_includes_the_usage_that_was_reported_before_it() -> None:
     statuses = UsageStatuses()
     statuses.receive("a", {}, 0.0)
     statuses.record_admitted("t", 30.0, 0.0)
@@ -49,7 +49,7 @@
     assert statuses.level("t", LIMIT, 1, 0.0) is None
 
 
-def test_only_tenants_that_were_active_of_late_are_reported() -> None:
+def test_only_recently_active_tenants_are_reported() -> None:
     statuses = UsageStatuses()
     statuses.receive("a", {}, 0.0)
     statuses.record_admitted("t", 30.0, 0.0)
