--- a/larkweir/router/configuration.py
+++ b/larkweir/router/configuration.py
@@ -1,6 +1,6 @@
 """The configuration as a router uses it: routes by host and path, tenants by key, services, limits.
 
-The fields of the structs are named as in the operators' document; fields that a router does not use are ignored.
+The structs' fields have the names of the operators' document. Fields that a router does not use are ignored.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 STREAMING = "streaming"
 TOKEN_COUNT = "token_count"
 
-MANY_ROUTES = 16  # in a configuration with more, a single one has too few answers to judge a version by
+MANY_ROUTES = 16  # with more, a single route has too few answers to judge a version by
 
 
 class WeightedBackend(msgspec.Struct, frozen=True):
-    """A service's weight in a route's traffic split."""
+    """A service and its weight in a route's traffic split."""
 
     backend: str
     weight: float
@@ -42,8 +42,8 @@
     backend: str | None = None
     traffic_split: tuple[WeightedBackend, ...] | None = None
     max_attempts: int = 1
-    public: bool = False  # no API key is asked for
-    resumable: bool = False  # a broken stream can go on behind an event's id
+    public: bool = False  # no API key is required
+    resumable: bool = False  # a broken stream can be resumed after the id of its last event
 
     @property
     def is_streaming(self) -> bool:
@@ -56,7 +56,7 @@
         return self.kind == IDEMPOTENT or (self.is_streaming and self.resumable)
 
     def service(self, rng: Random) -> str:
-        """Draw the service for one request, by the weights of the traffic split."""
+        """Draw the service for one request, by the weights of the traffic split if there is one."""
         if not self.traffic_split:
             return self.backend or ""
         backends = self.traffic_split
@@ -64,7 +64,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A group of interchangeable upstreams. `engine`: present where they are model engines."""
+    """A group of interchangeable upstreams. `engine` is present if they are model engines."""
 
     name: str
     max_conns: int = 100
@@ -78,19 +78,19 @@
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
     unit: str = "requests"
-    plain_tokens: float = 0.0  # charged for a request that does not say how many tokens it uses
+    plain_tokens: float = 0.0  # charged for a request that does not declare its tokens
     rate_per_s: float = 0.0  # in `unit`; 0: no limit
     burst: float = 0.0
 
     def quota_units(self, tokens: float | None) -> float:
-        """What one request is charged. `tokens`: as it declares them; None: it declares none."""
+        """Return the units charged for one request. `tokens` is the number that it declares, if any."""
         if self.unit != TOKEN_COUNT:
             return 1.0
         return self.plain_tokens if tokens is None else tokens
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """How much a client may send, and how long it may take."""
+    """Limits on the size of clients' requests, and on the time that clients take to send them."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -99,7 +99,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """One version of the document."""
+    """One version of the configuration document."""
 
     generation: int
     routes: tuple[Route, ...]
@@ -110,10 +110,10 @@
 
 
 class RoutingTable:
-    """One version, indexed. It never changes: the next version is another object."""
+    """One configuration version, indexed for lookups. Immutable: each version gets a new table."""
 
     def __init__(self, configuration: Configuration) -> None:
-        """`configuration` has been validated by a controller."""
+        """Index a configuration that a controller has validated."""
         self.version = configuration.generation
         self.limits = configuration.limits
         self.services = {service.name: service for service in configuration.services}
@@ -133,37 +133,42 @@
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def sample_name(self, route: Route) -> str:
-        """The name under which answers are counted for roll-outs: the route's, or one for all routes that are alike."""
+        """Return the name under which a route's answers are counted for roll-outs.
+
+        If there are many routes, those with the same kind and latency target share a name.
+        """
         if not self.has_many_routes:
             return route.name
         return f"{route.kind} within {route.target_latency_ms:g} ms"
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Of the host's routes, the one with the longest prefix of the path; None where there is none."""
+        """Return the host's route with the longest matching path prefix; None if no route matches."""
         for route in self._routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def find_tenant(self, key: str) -> Tenant | None:
-        """The tenant with that API key; None where there is none."""
+        """Return the tenant with that API key; None if there is none."""
         return self._tenants.get(key)
 
 
 class ConfigurationStore:
-    """Owns the version in force in this process, which only rises."""
+    """Owns the configuration in force in this process. Its sequence only increases."""
 
     def __init__(self) -> None:
-        """No version is in force yet."""
+        """Start without a configuration."""
         self.sequence = -1
         self.table: RoutingTable | None = None
         self._document: Document = {}
 
     def apply(self, update: ConfigUpdate) -> bool:
-        """Put a newer version in force; whether it was. A patch of another version than this one is ignored.
+        """Apply an update and return whether it was applied.
+
+        An update that is not newer, or that is a patch to another version than the one in force, is ignored.
 
         Raises:
-            msgspec.ValidationError: the document is not one that a controller accepts.
+            msgspec.ValidationError: the document is invalid; a controller would not have accepted it.
         """
         if update.sequence <= self.sequence:
             return False
@@ -172,7 +177,7 @@
             if update.base_sequence != self.sequence:
                 return False
             body = apply_patch(self._document, body)
-            body = {key: value for key, value in body.items() if value is not None}  # null: removed
+            body = {key: value for key, value in body.items() if value is not None}  # null removes the key
         self.table = RoutingTable(msgspec.convert(body, Configuration))
         self._document = body
         self.sequence = update.sequence
--- a/larkweir/router/controller_links.py
+++ b/larkweir/router/controller_links.py
@@ -1,4 +1,4 @@
-"""Connections that a router dials to controllers."""
+"""The connections that a router opens to controllers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from larkweir.cluster.messages import Message, PlacementRequest
 from larkweir.cluster.settings import Settings
 
-MAX_FAILED_DIALS = 60  # in a row, about a minute; then a node that no controller lists is dropped
+# In a row, about a minute. Then a node is dropped unless it is a seed or some controller lists it.
+MAX_FAILED_DIALS = 60
 
 
 class ControllerLinks:
-    """A link to each node that may be a controller: the seeds of the settings, and those that controllers list."""
+    """Owns a link to each node that may be a controller: the seeds, and the nodes that controllers list."""
 
     def __init__(
         self,
@@ -23,12 +24,12 @@
         on_connected: Callable[[Connection], None],
         on_disconnected: Callable[[str], None],
     ) -> None:
-        """Dial nothing before `keep_alive`.
+        """Create the object without dialing. `keep_alive` dials.
 
         Args:
-            settings: with the seeds and the controllers' port.
-            on_message: called with each message.
-            on_connected: called with a new connection; it sends the first messages.
+            settings: contain the seeds and the controllers' port.
+            on_message: called with each message received.
+            on_connected: called with each new connection, to send the first messages on it.
             on_disconnected: called with the node whose connection has ended.
         """
         self._settings = settings
@@ -36,23 +37,23 @@
         self._on_connected = on_connected
         self._on_disconnected = on_disconnected
         self._links: dict[str, Link] = {}
-        self._listed: set[str] = set()  # by the last response that lists controllers
+        self._listed: set[str] = set()  # from the last response that listed controllers
         self.nodes: set[str] = set(settings.seed_nodes)
 
     def update_settings(self, settings: Settings) -> None:
-        """Dial new seeds too."""
+        """Apply new settings: new seeds are dialed too."""
         self._settings = settings
         self.nodes.update(settings.seed_nodes)
 
     def update_listed(self, nodes: Iterable[str]) -> None:
-        """A controller lists these as all controllers; none: nothing new."""
+        """Handle a controller's list of all controllers. An empty list means that it has not changed."""
         listed = set(nodes)
         self.nodes.update(listed)
         if listed:
             self._listed = listed
 
     def keep_alive(self) -> None:
-        """Dial new and lost nodes, ping the others, drop unreachable ones; to be called several times a second."""
+        """Dial disconnected nodes, ping connected ones and drop unreachable ones. Call this several times a second."""
         for node in self.nodes:
             if node not in self._links:
                 self._links[node] = self._new_link(node)
@@ -74,15 +75,19 @@
                 self.nodes.discard(node)
 
     def reset_idle_timeouts(self) -> None:
-        """This process was paused: what it did not read meanwhile does not count as the controllers' time-out."""
+        """Restart the idle time-outs of all connections.
+
+        Call this after the process was paused: it could not read what the controllers sent meanwhile.
+        """
         for link in self._links.values():
             if link.connection is not None:
                 link.connection.reset_idle_timeout()
 
     def send_lookup(self, request: PlacementRequest) -> bool:
-        """Send a request to the controller that places that prefix; whether any is connected.
+        """Send a request to the controller that is responsible for its prefix. Returns False if none is connected.
 
-        Routers that reach the same controllers agree on it (rendezvous hashing).
+        The controller is selected by rendezvous hashing, so routers that are connected to the same controllers agree on
+        it.
         """
         connected = [node for node, link in self._links.items() if link.connection is not None]
         if not connected:
@@ -91,16 +96,16 @@
         return self._links[node].send(request)
 
     def send(self, node: str, message: Message) -> bool:
-        """Send a message to one controller; whether there is a connection to it."""
+        """Send a message to one controller. Returns whether there is a connection to it."""
         link = self._links.get(node)
         return link is not None and link.send(message)
 
     def broadcast(self, message: Message) -> None:
-        """Send a message to every controller that is connected."""
+        """Send a message to every connected controller."""
         for link in self._links.values():
             link.send(message)
 
     def close(self) -> None:
-        """End all connections at once."""
+        """Close all connections immediately."""
         for link in self._links.values():
             link.close()
--- a/larkweir/router/fleet_sync.py
+++ b/larkweir/router/fleet_sync.py
@@ -31,43 +31,50 @@
 from larkweir.router.data_plane import DataPlane
 from larkweir.router.router_count import RouterCount
 
-INITIAL_SYNC_TIMEOUT_MS = 400.0  # after the first configuration, for another controller to have a newer one
+INITIAL_SYNC_TIMEOUT_MS = 400.0  # after the first configuration, in case another controller has a newer one
 
 
 class PullExtras(Flag):
-    """What a pull says beside this router's usage, backlog, outcomes and samples: each only where it is needed."""
+    """The parts of a pull that are sent only on request, or only in the first pull on a connection."""
 
     NONE = 0
     QUOTA_SNAPSHOT = auto()  # in the first pull on a connection
-    RECORDS = auto()  # for a controller that has lost its own
+    RECORDS = auto()  # for a controller that has lost its own records
     ENCODINGS = auto()  # for a controller that has a large configuration to send
 
     @classmethod
     def wanted_by(cls, delta: Delta) -> PullExtras:
-        """Return what the next pull on a connection is to say, by the last delta there."""
+        """Return the extras that the last delta on a connection requests for the next pull."""
         records = cls.RECORDS if delta.wants_records else cls.NONE
         return records | cls.ENCODINGS if delta.wants_encodings else records
 
 
 class FleetSync:
-    """One pull is always outstanding at each connected controller; its response begins the next one."""
+    """Pulls updates from all controllers.
+
+    Each connected controller always has one outstanding pull of this router. Its response triggers the next pull.
+    """
 
     def __init__(self, settings: Settings, plane: DataPlane) -> None:
-        """Dial nothing yet. `plane` is updated from now on, and sends its prefix lookups through this."""
+        """Create the object without dialing.
+
+        The data plane is updated from the responses. It sends prefix lookups, backlog announcements and quota messages
+        through this object.
+        """
         self._ip = settings.ip
         self._plane = plane
         self._loop = asyncio.get_running_loop()
         self._incarnation = secrets.token_hex(6)
         self._registry = Registry("")
         self._links = ControllerLinks(settings, self._on_message, self._on_connected, self._on_disconnected)
-        self._sent_vectors: dict[str, VersionVector] = {}  # by controller: of the last pull
-        self._reported_revisions: dict[str, int] = {}  # by controller: the revision of the last pull
+        self._sent_vectors: dict[str, VersionVector] = {}  # by controller node: the vector of the last pull
+        self._reported_revisions: dict[str, int] = {}  # by controller node: the revision of the last pull
         self._reports = ControllerReports()
         self._router_count = RouterCount()
-        # Controllers that have sent what they knew, since this process started.
+        # Controllers that have sent everything they know since this process started.
         self._responded: set[str] = set()
         self._configured_ms: float | None = None
-        self.is_leaving = False  # this router has been told to stop
+        self.is_leaving = False  # this router is shutting down
         plane.prefix_affinity.send_lookup = self._links.send_lookup
         plane.announce_backlog = self._announce_backlog
         plane.quotas.send = self._links.send
@@ -76,26 +83,26 @@
         return self._loop.time() * 1000.0
 
     def tick(self) -> None:
-        """Keep the connections alive, and the list of upstreams; to be called several times a second."""
+        """Maintain the connections and the upstream directory. Call this several times a second."""
         self._links.keep_alive()
         self._plane.upstreams.tick(self._now_ms())
 
     def close(self) -> None:
-        """End all connections at once."""
+        """Close all connections immediately."""
         self._links.close()
 
     def update_settings(self, settings: Settings) -> None:
-        """The settings file has changed: pull from new seeds too."""
+        """Apply a changed settings file: pull from new seeds too."""
         self._ip = settings.ip
         self._links.update_settings(settings)
 
     def on_process_paused(self) -> None:
-        """This process did not run for a while: no controller has timed out by that."""
+        """Handle a pause of this process: the time paused does not count towards the controllers' time-outs."""
         self._links.reset_idle_timeouts()
 
     @property
     def is_synced(self) -> bool:
-        """Whether a configuration is in force, and a majority of controllers has responded or had the time to."""
+        """Whether a configuration is in force, and a majority of controllers has responded or had time to respond."""
         if self._configured_ms is None:
             return False
         controllers = self._links.nodes
@@ -103,7 +110,7 @@
         return has_majority or self._now_ms() >= self._configured_ms + INITIAL_SYNC_TIMEOUT_MS
 
     def _announce_backlog(self) -> None:
-        """Report this router's prefill backlog to every controller, ahead of the next pull."""
+        """Report this router's prefill backlog to every controller without waiting for the next pull."""
         self._links.broadcast(PrefillQueueUpdate(self._plane.upstreams.own_prefill_backlog()))
 
     def _on_connected(self, connection: Connection) -> None:
@@ -142,7 +149,7 @@
         connection.send(pull)
 
     def _quota_snapshot(self) -> QuotaSnapshot | None:
-        """How many routers a controller that has just started should expect; None where this one does not know."""
+        """Return the router count for a controller that has just started; None if the count is not reliable yet."""
         if not self._router_count.is_reliable(self._now_ms()):
             return None
         return QuotaSnapshot(process_count=self._router_count.routers)
@@ -156,7 +163,7 @@
             self._on_delta(connection, message)
 
     def _on_delta(self, connection: Connection, delta: Delta) -> None:
-        """Take over what this router lacked, and pull again."""
+        """Apply the updates in a controller's response, and pull again."""
         plane, node, now_ms = self._plane, connection.node, self._now_ms()
         if delta.config is not None:
             self._receive_configuration(node, delta.config, len(bytes(delta.config.body)))
@@ -180,12 +187,12 @@
         plane.upstreams.set_peer_prefill_backlog(self._reports.max_queued_tokens())
         if delta.ejected is not None:
             plane.upstreams.set_ejected(self._reports.ejected())
-        if not delta.wants_encodings:  # else its configuration, which may be the newest, is still to come
+        if not delta.wants_encodings:  # otherwise its configuration, maybe the newest, is still to come
             self._responded.add(node)
         self._pull(connection, PullExtras.wanted_by(delta))
 
     def _receive_configuration(self, node: str, update: ConfigUpdate, received_bytes: int) -> None:
-        """`received_bytes`: of its body, as it was sent."""
+        """Apply and log an update. `received_bytes` is the size of its body as sent, compressed or not."""
         store, started_s = self._plane.configuration, perf_counter()
         if not store.apply(update):
             log.debug("configuration_ignored", sequence=update.sequence, bytes=received_bytes, sender=node)
--- a/larkweir/router/prefix_affinity.py
+++ b/larkweir/router/prefix_affinity.py
@@ -1,4 +1,4 @@
-"""Which engine owns a prompt's prefix, as the controllers place it: looked up once, cached for a while."""
+"""Finds the engine that owns a prompt's prefix. Controllers assign the owners; lookups are shared and cached."""
 
 from __future__ import annotations
 
@@ -12,15 +12,20 @@
 from larkweir.cluster.messages import PlacementRequest, PlacementResponse
 from larkweir.router.response_timeout import ResponseTimeout
 
-# A controller responds in a few milliseconds; without its response the prefix's rendezvous order decides.
+# A controller responds in a few milliseconds. Without a response, rendezvous hashing of the prefix selects the engine.
 CONTROLLER_TIMEOUT_S = 0.04
-OWNER_TTL_MS = 30_000.0  # then the controller is asked again, which keeps its own entry alive
-MAX_PREFIXES = 16_384  # the one that was looked up longest ago is evicted first
+OWNER_TTL_MS = 30_000.0  # then the controller is asked again, which also renews its own entry
+MAX_PREFIXES = 16_384  # the prefix with the oldest response is evicted first
 
 
 @dataclass(frozen=True, slots=True)
 class PrefixOwner:
-    """An engine, and whether the prefix has been sent there before (so that its KV cache may hold it)."""
+    """The engine that owns a prefix.
+
+    Attributes:
+        engine: the id of the engine.
+        is_cached: whether the prefix has been sent there before, so that its KV cache may hold the prefix.
+    """
 
     engine: str
     is_cached: bool
@@ -39,10 +44,10 @@
 
 
 class PrefixAffinity:
-    """Owns the cached owners, by prefix, and the lookups that wait for a controller."""
+    """Caches the owners of prefixes, and tracks the lookups that wait for a controller."""
 
     def __init__(self, link_mbps: float = 1_000.0) -> None:
-        """Know no owner yet. `send_lookup` is set by the owner of the links to controllers.
+        """Create an empty cache. `FleetSync` sets `send_lookup`.
 
         Args:
             link_mbps: the bandwidth of this router's network link, in megabits per second.
@@ -51,7 +56,7 @@
         self._loop = asyncio.get_running_loop()
         self._owners: OrderedDict[str, _CachedOwner] = OrderedDict()
         self._lookups: dict[str, _PendingLookup] = {}
-        # Whether there is a controller to send it to.
+        # Sends a lookup to a controller; returns whether any controller is connected.
         self.send_lookup: Callable[[PlacementRequest], bool] = lambda message: False
 
     def find_owner(
@@ -62,14 +67,15 @@
         is_ready: Callable[[str], bool],
         on_owner: Callable[[PrefixOwner | None], None],
     ) -> None:
-        """Call `on_owner` with the owner of the prompt's prefix: at once where it is cached, else later.
+        """Call `on_owner` with the owner of the prompt's prefix, before returning if the owner is cached.
 
         Args:
-            service: of the request.
-            prompt: whose prefix is looked up.
-            body_bytes: of the request, which may delay the controller's response on this router's link.
-            is_ready: whether an engine can take requests.
-            on_owner: called exactly once; with None where no controller responds in time or no engine is ready.
+            service: the service of the request.
+            prompt: the prompt whose prefix is looked up.
+            body_bytes: the size of the request's body, whose transfer may delay the controller's response.
+            is_ready: tells whether an engine can take requests.
+            on_owner: called exactly once. None means that no engine is ready, or that no controller responded in
+                time and no earlier owner is ready.
         """
         cached = self._owners.get(prompt.prefix)
         now_ms = self._loop.time() * 1000.0
@@ -93,11 +99,11 @@
         self._lookups[prompt.prefix] = _PendingLookup(timer, [on_owner])
 
     def on_placed(self, response: PlacementResponse, now_ms: float) -> None:
-        """A controller responded: cache the owner, and resolve the lookup if it has not timed out."""
+        """Handle a controller's response: cache the owner, and resolve the lookup unless it has timed out."""
         if response.engine is None:
             self._resolve(response.prefix, None)
             return
-        owner = PrefixOwner(response.engine, is_cached=True)  # from the next request on
+        owner = PrefixOwner(response.engine, is_cached=True)  # later requests find the prefix cached
         self._owners[response.prefix] = _CachedOwner(owner, now_ms + OWNER_TTL_MS)
         self._owners.move_to_end(response.prefix)
         if len(self._owners) > MAX_PREFIXES:
--- a/larkweir/router/quota_admission.py
+++ b/larkweir/router/quota_admission.py
@@ -1,4 +1,4 @@
-"""Admission by tenants' quotas: asks controllers for units, and waits a short while for their answers."""
+"""Admission of requests by tenant quotas: requests units from controllers, with a short timeout."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 from larkweir.router.share_wait import ShareWait
 from larkweir.router.usage_statuses import UsageStatuses
 
-# A controller answers in a few milliseconds; a busy one, or one whose share of a core is spent, within this.
+# A controller usually answers in a few milliseconds. One that is busy or has used up its CPU quota needs up to this.
 CONTROLLER_TIMEOUT_S = 0.12
-CONNECTION_SEPARATOR = "#"  # between a node and the number of its connection
+CONNECTION_SEPARATOR = "#"  # in controller ids, between the node and its connection number
 
 Verdict = QuotaCharge | QuotaRejection
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingRequest:
-    """A request that waits for a controller's answer."""
+    """A request that is waiting for a controller's answer."""
 
     on_verdict: Callable[[Verdict], None]
     timeout_s: float
@@ -44,16 +44,16 @@
 
 
 class QuotaAdmission:
-    """Owns the requests that wait for units. `send` is set by the owner of the links to controllers."""
+    """Owns the requests that wait for units. `FleetSync` sets `send`."""
 
     def __init__(
         self, tolerance: Tolerance | None = None, rng: Random | None = None, link_mbps: float = 1_000.0
     ) -> None:
-        """Know no limits, and reach no controller.
+        """Start without limits and without connected controllers.
 
         Args:
             tolerance: by how much limits may be exceeded.
-            rng: for the order in which controllers are asked, and the reserves.
+            rng: the random generator for the order in which controllers are asked, and for the local reserves.
             link_mbps: the bandwidth of this router's network link, in megabits per second.
         """
         self._loop = asyncio.get_running_loop()
@@ -61,23 +61,25 @@
         self._statuses = UsageStatuses()
         self._timeout = ResponseTimeout(CONTROLLER_TIMEOUT_S, link_mbps)
         self._pending_requests: dict[int, _PendingRequest] = {}
-        self._timed_out: dict[
-            tuple[int, str], Query
-        ] = {}  # by request and controller: not waited for any more
-        self._connection_numbers: dict[str, int] = defaultdict(int)  # by node: how many were lost
+        # Queries that timed out, by request id and controller id. A late grant is refunded.
+        self._timed_out: dict[tuple[int, str], Query] = {}
+        self._connection_numbers: dict[str, int] = defaultdict(int)  # connections lost so far, by node
         self._share_wait = ShareWait()
-        self._controllers_without_share: set[str] = set()  # controllers in reach that may hold a share soon
+        self._controllers_without_share: set[str] = set()  # connected controllers that may get a share soon
         self._config_sequence = -1
         self._process_count = 1
-        # Sends a message to a controller; whether there is a connection to it.
+        # Sends a message to a controller; returns whether there is a connection to it.
         self.send: Callable[[str, QuotaRequest | QuotaRefund], bool] = lambda node, message: False
 
     def _controller_id(self, node: str) -> str:
-        """The controller's name for the requester: another one for each connection, as its process may be another."""
+        """Return the id of a controller for the requester.
+
+        Each connection to the node gets another id, since the process at its other end may have been replaced.
+        """
         return f"{node}{CONNECTION_SEPARATOR}{self._connection_numbers[node]}"
 
     def _send_to(self, controller: str, message: QuotaRequest | QuotaRefund) -> bool:
-        """Send a message on the connection that this name stands for; whether it is still there."""
+        """Send a message on the connection with this controller id. Returns False if that connection has ended."""
         node = controller.partition(CONNECTION_SEPARATOR)[0]
         return controller == self._controller_id(node) and self.send(node, message)
 
@@ -85,12 +87,17 @@
         return self._loop.time() * 1000.0
 
     def set_limits(self, limits: dict[str, RateLimit], config_sequence: int) -> None:
-        """A configuration is in force. `config_sequence`: a controller with an older one decides nothing."""
+        """Set the limits of a new configuration.
+
+        Args:
+            limits: the rate limits, by tenant.
+            config_sequence: sent with each request for units; a controller with an older configuration does not decide.
+        """
         self._config_sequence = config_sequence
         self._requester.set_limits(limits, self._now_ms())
 
     def set_process_count(self, routers: int, *, is_reliable: bool) -> None:
-        """How many routers share the limits; unless that is settled, this one's reserves stay as they are."""
+        """Set how many routers share the limits. While the count is not reliable, local reserves are not refilled."""
         self._process_count = max(1, routers)
         self._requester.process_count = self._process_count if is_reliable else 0
 
@@ -100,14 +107,14 @@
         """Admit a request or reject it.
 
         Args:
-            tenant: whose request it is.
-            units: that it uses; finite and not negative.
-            body_bytes: of the request, which may delay a controller's answer on this router's link.
-            on_verdict: called exactly once, at once where no controller has to be asked. Its caller refunds a charge
-                that it can't use any more.
+            tenant: the tenant that sent the request.
+            units: the units that the request uses; finite and not negative.
+            body_bytes: the size of the request's body, whose transfer may delay a controller's answer.
+            on_verdict: called exactly once; before returning if no controller has to be asked. The receiver must
+                refund a charge that it can no longer use.
 
         Raises:
-            ValueError: `units` is no such number.
+            ValueError: `units` is negative, infinite or not a number.
         """
         check_units(units)
         limit = self._requester.limits.get(tenant)
@@ -130,12 +137,12 @@
         self._execute_step(self._requester.begin(tenant, units, self._now_ms()), on_verdict, timeout_s)
 
     def log_admitted(self) -> None:
-        """While debugging: units admitted since the start, by tenant and rule."""
+        """Log the units admitted since the start, by tenant and rule, if debug logging is enabled."""
         if log.is_debug_enabled():
             log.debug("quota_admitted", units=self._requester.admitted_units())
 
     def refund(self, charge: QuotaCharge) -> None:
-        """Return the units of an admitted request that was never executed; once for each charge."""
+        """Return the units of an admitted request that was never executed. Call it at most once per charge."""
         if charge.units == 0.0:
             return
         self._statuses.record_refund(charge.tenant, charge.units)
@@ -144,7 +151,7 @@
             self._send_to(charge.controller, QuotaRefund(charge.tenant, charge.units))
 
     def charge_again(self, charge: QuotaCharge) -> None:
-        """An admitted request is executed once more."""
+        """Charge the units of an admitted request again, because it is executed once more."""
         controller = self._requester.charge_again(charge, self._now_ms())
         if controller is not None:
             request = QuotaRequest(0, charge.tenant, charge.units, is_executed_again=True)
@@ -155,12 +162,12 @@
     def on_delta(
         self, node: str, *, grants_quotas: bool | None, statuses: dict[str, QuotaStatus] | None
     ) -> None:
-        """A controller answered a pull.
+        """Handle the quota fields of a controller's answer to a pull.
 
         Args:
-            node: the controller.
-            grants_quotas: whether it may be asked for units; None: its version has no share leases.
-            statuses: of tenants, by a version without share leases; None where it has no limits yet.
+            node: the controller's node.
+            grants_quotas: whether it may be asked for units; None if its version has no share leases.
+            statuses: the statuses of tenants, from a version without share leases; None if it has no limits yet.
         """
         if grants_quotas is None:
             self._statuses.receive(node, statuses, self._now_ms())
@@ -179,11 +186,14 @@
             self._share_wait.resume_all()
 
     def usage(self, controller: str) -> dict[str, float]:
-        """What to report to that controller of the units admitted here; nothing to those that are asked for units."""
+        """Return the units admitted here, by tenant, to report to a controller.
+
+        Empty for controllers with share leases, which are asked for the units of each request instead.
+        """
         return self._statuses.report(controller, self._now_ms())
 
     def on_response(self, connection: Connection, response: QuotaResponse) -> None:
-        """A controller answered a request for units."""
+        """Handle a controller's answer to a request for units."""
         request_id, controller = response.request_id, self._controller_id(connection.node)
         timed_out = self._timed_out.pop((request_id, controller), None)
         if timed_out is not None:
@@ -196,7 +206,7 @@
             self._continue(request_id, step)
 
     def on_disconnected(self, node: str) -> None:
-        """The connection to a controller has ended."""
+        """Handle the end of the connection to a controller."""
         self._statuses.remove(node)
         self._set_without_share(node, is_without=False)
         controller = self._controller_id(node)
@@ -215,7 +225,7 @@
 
     def _continue(self, request_id: int, step: Step) -> None:
         pending = self._pending_requests.pop(request_id, None)
-        if pending is None:  # decided meanwhile, as a second controller was lost within the same step
+        if pending is None:  # already decided: a second controller was lost within the same step
             return
         pending.timer.cancel()
         self._execute_step(step, pending.on_verdict, pending.timeout_s)
@@ -233,7 +243,7 @@
             self.on_disconnected(step.controller.partition(CONNECTION_SEPARATOR)[0])
 
     def _verdict_by_statuses(self, tenant: str, units: float, limit: RateLimit) -> Verdict | None:
-        """What controllers without share leases allow; None where there are none of them."""
+        """Decide by the statuses of controllers without share leases. Returns None if no status is available."""
         now_ms = self._now_ms()
         level = self._statuses.level(tenant, limit, self._process_count, now_ms)
         if level is None:
--- a/larkweir/router/rollout_samples.py
+++ b/larkweir/router/rollout_samples.py
@@ -1,7 +1,8 @@
-"""What this router sees of the two tracks of each running roll-out, for the controllers. Pure logic.
+"""Collects samples of the two tracks of each running roll-out, to report to the controllers. Pure logic.
 
-Attempts in flight are counted for every version at all times, since a roll-out is not completed before the last one at
-the old upstreams has ended, whenever that began. Everything else is counted from a roll-out's order on.
+Attempts in flight are counted at all times and for every version: a roll-out is not completed before the last attempt
+at the old upstreams has ended, even if that attempt began before the order. Everything else is counted from the order
+on.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 
 
 class SampleKey(NamedTuple):
-    """What an attempt is counted under.
+    """The key under which an attempt is counted.
 
     Attributes:
-        service: of the upstream.
-        version: of the upstream; empty where it is not known.
-        route: the name of the request's route, or of routes like it (`RoutingTable.sample_name`).
+        service: the service of the upstream.
+        version: the version of the upstream; empty if unknown.
+        route: the name of the request's route, or of a group of similar routes (`RoutingTable.sample_name`).
         upstream: the upstream's id.
     """
 
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class _Observed:
-    """A running roll-out, and its report. `revision`: of the last change."""
+    """A running roll-out and its report. `revision` is the number of the report's last change."""
 
     target_version: str
     report: RolloutReport
@@ -55,16 +56,16 @@
 
 
 class RolloutSamples:
-    """Owns the reports of the running roll-outs, by service, and the count of attempts in flight."""
+    """Owns the reports of the running roll-outs, by service, and the counts of attempts in flight."""
 
     def __init__(self) -> None:
-        """Know no roll-out, and nothing is in flight."""
-        self._in_flight: dict[tuple[str, str], int] = {}  # by service and version; none is 0
+        """Start without roll-outs and without attempts in flight."""
+        self._in_flight: dict[tuple[str, str], int] = {}  # by service and version; zero counts are removed
         self._observed: dict[str, _Observed] = {}
-        self._revision = 0  # rises with every change of any report
+        self._revision = 0  # increases with every change of any report
 
     def set_rollouts(self, rollouts: Mapping[str, Rollout]) -> None:
-        """Put the roll-outs of another configuration in force: only those that are running are reported."""
+        """Apply the roll-outs of a new configuration. Only running roll-outs are reported."""
         observed = {}
         for service, rollout in rollouts.items():
             if not rollout.is_running:
@@ -77,11 +78,11 @@
         self._observed = observed
 
     def on_attempt_started(self, key: SampleKey) -> None:
-        """An upstream was selected; `on_attempt_ended` follows."""
+        """Count an attempt as in flight: an upstream was selected. `on_attempt_ended` must follow."""
         self._add_in_flight(key, 1)
 
     def on_attempt_ended(self, key: SampleKey) -> None:
-        """The attempt is over, in whatever way."""
+        """Count an attempt as ended, whatever its outcome."""
         self._add_in_flight(key, -1)
 
     def _add_in_flight(self, key: SampleKey, count: int) -> None:
@@ -96,23 +97,23 @@
             observed.revision = self._next_revision()
 
     def is_observed(self, service: str) -> bool:
-        """Whether that service has a running roll-out, so that its answers count."""
+        """Whether the service has a running roll-out, so that its answers are counted."""
         return service in self._observed
 
     def record_first_byte(self, key: SampleKey, duration_ms: float) -> None:
-        """The body of an answer began, so long after the request was sent."""
+        """Record the time from sending the request to the first byte of the answer's body."""
         counters = self._counters_to_change(key)
         if counters is not None:
             _add_duration(counters.route.first_byte, duration_ms)
 
     def record_pace(self, key: SampleKey, duration_ms: float) -> None:
-        """The events of a stream come so far apart; or another answer was complete, so long after it was sent."""
+        """Record the mean time between a stream's events; for other answers, the time from the request to their end."""
         counters = self._counters_to_change(key)
         if counters is not None:
             _add_duration(counters.route.pace, duration_ms)
 
     def record_verdict(self, key: SampleKey, verdict: AnswerVerdict) -> None:
-        """An attempt that was sent is over."""
+        """Record the verdict on an attempt that was sent and has ended."""
         if verdict is AnswerVerdict.NO_EVIDENCE:
             return
         counters = self._counters_to_change(key)
@@ -126,7 +127,7 @@
             failures[key.upstream] = failures.get(key.upstream, 0) + 1
 
     def _counters_to_change(self, key: SampleKey) -> _Counters | None:
-        """Where a sample is to be counted, which is then a change; None where its service has no running roll-out."""
+        """Return the counters for a sample and mark the report as changed; None without a running roll-out."""
         observed = self._observed.get(key.service)
         if observed is None:
             return None
@@ -140,7 +141,7 @@
         return self._revision
 
     def changed_since(self, revision: int) -> dict[str, RolloutReport]:
-        """The reports that have changed since `revision` was current; 0 for all of them."""
+        """Return the reports that have changed after `revision`, by service; all reports if `revision` is 0."""
         changed = {}
         for service, observed in self._observed.items():
             if observed.revision > revision:
@@ -158,12 +159,12 @@
 
     @property
     def revision(self) -> int:
-        """The number of the last change."""
+        """The number of the last change of any report."""
         return self._revision
 
 
 def _route_samples(report: RolloutReport, track: TrackSamples, route: str) -> RouteSamples:
-    """The samples of a route on a track; those of further routes than `MAX_ROUTES` are counted together."""
+    """Return the samples of a route on a track. Routes in excess of `MAX_ROUTES` are counted together."""
     samples = track.routes.get(route)
     if samples is not None:
         return samples
--- a/larkweir/router/rollout_tracks.py
+++ b/larkweir/router/rollout_tracks.py
@@ -1,8 +1,8 @@
-"""The two tracks of a service with a roll-out: which one a request goes to, and which upstreams each consists of.
+"""The two tracks of a service with a roll-out: the upstreams of each track, and the track of each request.
 
-Each track has its own selector, so that a request of one track never sees an upstream of the other. Both selectors list
-all upstreams of the service, those of the other track as not ready: what is in flight at an upstream that changes its
-track stays counted. Pure logic.
+Each track has its own selector, so that a request on one track is never sent to an upstream of the other. Both
+selectors list all upstreams of the service, and those of the other track as not ready: the requests in flight at an
+upstream stay counted when it changes its track. Pure logic.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from larkweir_rollouts.canary import canary_upstreams
 from larkweir_rollouts.state import Rollout, RolloutState
 
-ORDER_WAIT_MS = 10_000.0  # in which an order for a version whose upstreams have just come may still arrive
+ORDER_WAIT_MS = 10_000.0  # how long the upstreams of a new version wait for an order that names it
 
 
 class Track(StrEnum):
-    """A part of a service's upstreams. The values are published in the router's debug log."""
+    """A part of a service's upstreams. The values appear in the router's debug log."""
 
     TARGET = "target"  # the upstreams of the target version
-    OTHERS = "others"  # all others; without a roll-out all
+    OTHERS = "others"  # all other upstreams; without a roll-out, all upstreams
 
 
 def draw_track(rollout: Rollout | None, rng: Random) -> Track:
-    """Draw the track of a new request by the target's weight. Draws nothing where only one track is possible.
+    """Draw the track of a new request by the target's weight. Uses no random number if only one track is possible.
 
     Args:
-        rollout: of the request's service; None: there is none.
-        rng: that is drawn from.
+        rollout: the roll-out of the request's service, if any.
+        rng: the random generator.
     """
     weight = rollout.effective_weight if rollout is not None else 0.0
     if weight <= 0.0:
@@ -46,15 +46,15 @@
 
 
 def allowed_tracks(rollout: Rollout | None, drawn: Track, *, is_first: bool) -> tuple[Track, ...]:
-    """The tracks that an attempt may go to, in order of preference.
+    """Return the tracks that an attempt may go to, in order of preference.
 
-    While the target version is on trial only a request that was drawn for it goes there, and with its first attempt
-    alone; whatever else goes wrong, no other one does.
+    While the target version is on trial, only the first attempt of a request that was drawn for the target may go
+    there. All other attempts must go to the other upstreams, even if none of those is available.
 
     Args:
-        rollout: as it is in force now, which may be another than when the track was drawn.
+        rollout: the roll-out in force now, which may have changed since the track was drawn.
         drawn: the track that was drawn for the request.
-        is_first: the request has not been sent to any upstream.
+        is_first: whether no upstream has been selected for the request yet.
     """
     weight = rollout.effective_weight if rollout is not None else 0.0
     if weight >= 1.0 or (weight > 0.0 and is_first and drawn is Track.TARGET):
@@ -63,37 +63,37 @@
 
 
 class ServiceTracks:
-    """The selectors of one service. Without a roll-out there is one, which has all upstreams."""
+    """The selectors of one service. Without a roll-out there is only one, which lists all upstreams."""
 
     def __init__(self, make_selector: Callable[[], UpstreamSelector]) -> None:
-        """`make_selector`: makes one that lists nothing yet."""
+        """Create the tracks. `make_selector` returns a selector without upstreams."""
         self._make_selector = make_selector
         self._others = make_selector()
         self._target: UpstreamSelector | None = None
-        self._listed_since_ms: dict[str, float] | None = None  # by version; None before the first list
-        self._awaiting_order: frozenset[str] = frozenset()  # versions for which an order may still come
+        self._listed_since_ms: dict[str, float] | None = None  # by version; None before the first `update`
+        self._awaiting_order: frozenset[str] = frozenset()  # versions for which an order may still arrive
         self._is_target_only_version = (
             False  # the target had all upstreams at the order, and has had them since
         )
         self.rollout: Rollout | None = None
 
     def selector(self, track: Track) -> UpstreamSelector:
-        """The selector of that track; that of the others where there is no roll-out."""
+        """Return the selector of a track. Without a roll-out, this is always the selector of `OTHERS`."""
         if track is Track.TARGET and self._target is not None:
             return self._target
         return self._others
 
     def selectors(self) -> Iterator[UpstreamSelector]:
-        """All of them."""
+        """Iterate over all selectors."""
         yield self._others
         if self._target is not None:
             yield self._target
 
     def set_rollout(self, rollout: Rollout | None) -> None:
-        """Another state of the roll-out is in force, or another roll-out, or none; `update` is to follow.
+        """Apply a new roll-out, a new state of the current one, or its removal. Call `update` afterwards.
 
-        The upstreams to which the traffic has moved are the others of the next roll-out. A new track begins with the
-        prefill times that were learned at the others.
+        After a completed roll-out, the upstreams of its target are the `OTHERS` track of the next one. A new target
+        track starts with the prefill times learned on the `OTHERS` track.
         """
         before, self.rollout = self.rollout, rollout
         if rollout is not None and (before is None or rollout.order_id != before.order_id):
@@ -108,20 +108,20 @@
 
     @property
     def routed_rollout(self) -> Rollout | None:
-        """The roll-out as requests follow it.
+        """The roll-out as it applies to requests.
 
-        All go to the target where all upstreams were of its version already when the order came. That no other version
-        is known is not enough: a process that has just started may know a few upstreams only.
+        If all upstreams already had the target version when the order arrived, all requests go to the target. It is not
+        enough that no other version is known now: a process that has just started may know only a few upstreams.
         """
         if self.rollout is None or not self.rollout.is_running or not self._is_target_only_version:
             return self.rollout
         return msgspec.structs.replace(self.rollout, target_weight=1.0)
 
     def update(self, upstreams: Sequence[Upstream], now_ms: float) -> None:
-        """List the service's upstreams, each as ready on its own track alone.
+        """Update the upstreams of both selectors. Each upstream is ready only on its own track.
 
         Args:
-            upstreams: all of the service that are not gone.
+            upstreams: all upstreams of the service that are not gone.
             now_ms: the event loop's time.
         """
         versions = {upstream.version for upstream in upstreams}
@@ -142,11 +142,11 @@
             self._target.update(target, now_ms, has_tracks=True)
 
     def needs_update(self, now_ms: float) -> bool:
-        """Whether `update` is to be called again, as an order was waited for in vain."""
+        """Whether to call `update` again because some version's wait for an order has expired."""
         return bool(self._awaiting_order) and self._versions_awaiting_order(now_ms) != self._awaiting_order
 
     def _versions_awaiting_order(self, now_ms: float) -> frozenset[str]:
-        """Those that have come since a completion, and that an order may still put on trial."""
+        """Return the versions that appeared after a completion, and that an order may still put on trial."""
         if self.rollout is None or self.rollout.state is not RolloutState.COMPLETED:
             return frozenset()
         return frozenset(
@@ -156,7 +156,7 @@
         )
 
     def _has_only_target_version(self, rollout: Rollout) -> bool:
-        """Whether upstreams are known, all of the target version but for withdrawn ones."""
+        """Whether there are upstreams of the target version, and none of any other version except withdrawn ones."""
         versions = self._listed_since_ms or {}
         is_known = any(rollout.is_target(version) for version in versions)
         return is_known and not any(rollout.is_other(version) for version in versions)
@@ -172,7 +172,10 @@
         return self.rollout.is_other(upstream.version)
 
     def _target_ids(self, upstreams: Sequence[Upstream]) -> frozenset[str]:
-        """The upstreams of the target version that take requests: at small weights a few, so that these get load."""
+        """Return the upstreams of the target version that take requests.
+
+        At small weights these are only a few, so that each of them gets enough load.
+        """
         rollout = self.routed_rollout
         if rollout is None:
             return frozenset()
--- a/larkweir/router/router_count.py
+++ b/larkweir/router/router_count.py
@@ -1,36 +1,40 @@
-"""How many routers share quotas and retry budgets, as controllers report it."""
+"""The number of routers that share quotas and retry budgets, as reported by controllers."""
 
 from __future__ import annotations
 
-RETENTION_MS = 10_000.0  # a controller that has just started knows few routers for a while
-MIN_REPORTING_MS = 2_000.0  # after the first report, by when a fleet that started together is connected
+RETENTION_MS = 10_000.0  # a controller that has just started knows only a few routers at first
+MIN_REPORTING_MS = 2_000.0  # after the first report; a fleet that started together is connected by then
 
 
 class RouterCount:
-    """The highest count reported of late: a router that believes in a smaller fleet uses too much of a limit."""
+    """Keeps the highest count reported recently: a count that is too low makes a router use too much of a limit."""
 
     def __init__(self) -> None:
-        """Assume that this router is alone."""
+        """Assume a fleet of this router alone."""
         self._max_routers = 1
         self._reported_ms = float("-inf")
         self._first_reported_ms = float("inf")
 
     @property
     def routers(self) -> int:
-        """The count to reckon with."""
+        """The number of routers to divide limits by."""
         return self._max_routers
 
     def is_reliable(self, now_ms: float) -> bool:
-        """Whether the count may be relied on: one that is too small makes this router's parts of limits too large."""
+        """Whether enough time has passed since the first report for the count to include all routers.
+
+        A count that is too low would make this router's part of each limit too large.
+        """
         return now_ms >= self._first_reported_ms + MIN_REPORTING_MS
 
     def report(self, routers: int, now_ms: float, *, may_lower: bool = True) -> int:
-        """Take in a report, and return the count to reckon with.
+        """Process a report. Returns the number of routers to divide limits by.
 
         Args:
-            routers: that a controller counts at present.
+            routers: the number of routers connected to a controller at present.
             now_ms: the event loop's time.
-            may_lower: whether that controller belongs to a majority; others may not see a part of the fleet.
+            may_lower: whether the report may lower the count: a controller without a majority may see only part of
+                the fleet.
         """
         self._first_reported_ms = min(self._first_reported_ms, now_ms)
         is_outdated = may_lower and now_ms >= self._reported_ms + RETENTION_MS
--- a/larkweir/router/share_wait.py
+++ b/larkweir/router/share_wait.py
@@ -1,4 +1,4 @@
-"""Requests that wait for any controller to hold a share of the quotas, as after an election."""
+"""Delays requests while no connected controller holds a share of the quotas, for example after an election."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class ShareWait:
-    """Owns the requests that wait. Each goes on once: when a share is there, or after `SHARE_TIMEOUT_S`."""
+    """Owns the delayed requests. Each is resumed once: when `resume_all` is called, or after `SHARE_TIMEOUT_S`."""
 
     def __init__(self) -> None:
-        """Nothing waits yet."""
+        """Start without delayed requests."""
         self._loop = asyncio.get_running_loop()
         self._waiting: dict[int, tuple[Callable[[], None], asyncio.TimerHandle]] = {}
         self._last_number = 0
 
     def add(self, on_resume: Callable[[], None]) -> None:
-        """Call `on_resume` later."""
+        """Delay a request. `on_resume` is called once, when it is resumed."""
         self._last_number += 1
         timer = self._loop.call_later(SHARE_TIMEOUT_S, self._resume_request, self._last_number)
         self._waiting[self._last_number] = (on_resume, timer)
 
     def resume_all(self) -> None:
-        """A controller holds a share, or there is none left that could: all that wait go on."""
+        """Resume all delayed requests: a controller holds a share now, or none that could get one is connected."""
         for number in list(self._waiting):
             self._resume_request(number)
 
--- a/larkweir/router/upstream_choice.py
+++ b/larkweir/router/upstream_choice.py
@@ -1,4 +1,4 @@
-"""Which upstream each attempt of a request goes to: its track, the owner of its prefix, and those already tried."""
+"""Selects the upstream of each attempt of a request, by its track, its prefix owner and the upstreams already tried."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class SelectedUpstream(NamedTuple):
-    """An upstream that an attempt goes to.
+    """The upstream that was selected for an attempt.
 
     Attributes:
-        id: the registry's.
-        selector: of its track, which the attempt reports to.
-        track: the part of the service's upstreams that it was selected from; None where the service has no roll-out.
+        id: its id in the registry.
+        selector: the selector of its track; the attempt reports its start and end there.
+        track: the track that it was selected from; None if the service has no roll-out.
         reason: why it was selected.
-        is_cached: the fleet has sent the prefix of the prompt there before.
+        is_cached: whether the fleet has sent the prompt's prefix to it before.
     """
 
     id: str
@@ -34,23 +34,26 @@
 
 
 class UpstreamChoice:
-    """The choices of one request. Draws its track once, and holds it to what its service's roll-out allows by then."""
+    """Selects upstreams for the attempts of one request.
+
+    The track is drawn once per request. Each attempt checks it against the roll-out that is in force by then.
+    """
 
     def __init__(self, plane: DataPlane, admission: Admission, prompt: Prompt, received_ms: float) -> None:
-        """Draw the track.
+        """Draw the track of the request.
 
         Args:
             plane: the router's shared state.
-            admission: of the request.
-            prompt: of the request.
-            received_ms: when it was received, on the event loop's clock.
+            admission: the route and service of the request.
+            prompt: the prompt of the request.
+            received_ms: when the request was received, on the event loop's clock.
         """
         self._plane = plane
         self._service = admission.service
         self._prompt = prompt
         self._latency_deadline_ms = received_ms + admission.route.target_latency_ms
         self._prefix_owner: PrefixOwner | None = None
-        self._tried: dict[str, Track] = {}  # by id
+        self._tried: dict[str, Track] = {}  # by upstream id
         self._drawn_track = self._draw_track()
 
     def _draw_track(self) -> Track:
@@ -66,9 +69,9 @@
 
     @property
     def needs_prefix_owner(self) -> bool:
-        """Whether the controllers place the prefix of the prompt.
+        """Whether to ask the controllers which engine owns the prompt's prefix.
 
-        They do on the track that has the service's traffic, not on that of a version on trial.
+        Controllers assign prefixes only for the version that has the service's traffic, not for a version on trial.
         """
         if not (OPTIONS.controller_prefix_owners and self._prompt.is_shared):
             return False
@@ -79,7 +82,7 @@
         return not is_on_trial and self._plane.is_engine(self._service)
 
     def find_prefix_owner(self, body_bytes: int, on_found: Callable[[], None]) -> None:
-        """Ask for the owner of the prefix; `on_found` is called once, at once where the owner is known."""
+        """Look up the owner of the prefix, then call `on_found` once (before returning if the owner is known)."""
 
         def on_owner(owner: PrefixOwner | None) -> None:
             self._prefix_owner = owner
@@ -89,7 +92,7 @@
         self._plane.prefix_affinity.find_owner(self._service, self._prompt, body_bytes, is_ready, on_owner)
 
     def select(self, now_ms: float) -> SelectedUpstream | None:
-        """The upstream of the next attempt; None where none is left."""
+        """Select the upstream of the next attempt. Returns None if no upstream is left."""
         owner = self._prefix_owner
         for track in self._allowed_tracks():
             selector = self._plane.upstreams.selector(self._service, track)
@@ -111,7 +114,10 @@
 
     @property
     def has_untried_upstream(self) -> bool:
-        """Whether an upstream is ready that a further attempt may go to, as far as counts tell."""
+        """Whether another attempt may find an untried upstream.
+
+        This is an estimate: it only compares the number of ready upstreams with the number already tried.
+        """
         tracks = self._allowed_tracks()
         selectors = [self._plane.upstreams.selector(self._service, track) for track in tracks]
         tried = sum(track in tracks for track in self._tried.values())
--- a/larkweir/router/upstream_directory.py
+++ b/larkweir/router/upstream_directory.py
@@ -13,7 +13,10 @@
 
 
 class UpstreamDirectory:
-    """Owns the list of upstreams, their selectors and the set of ejected ones. Ids are the registry's."""
+    """Owns the known upstreams, the selectors of their services and the set of ejected upstreams.
+
+    Upstreams are identified by their ids in the registry.
+    """
 
     def __init__(
         self,
@@ -22,13 +25,13 @@
         has_idle_connection: Callable[[str], bool],
         on_gone: Callable[[str], None],
     ) -> None:
-        """Know no upstream yet.
+        """Create a directory without upstreams.
 
         Args:
-            rng: that all selectors draw from.
-            is_engine: whether the upstreams of a service are model engines.
-            has_idle_connection: whether a connection to an address (`IP:PORT`) is idle.
-            on_gone: called with the address of an upstream that is gone.
+            rng: the random generator of all selectors.
+            is_engine: tells whether the upstreams of a service are model engines.
+            has_idle_connection: tells whether the router has an idle connection to an address (`IP:PORT`).
+            on_gone: called with the address of each upstream that has gone.
         """
         self._rng = rng
         self._is_engine = is_engine
@@ -36,15 +39,15 @@
         self._on_gone = on_gone
         self._upstreams: dict[str, Upstream] = {}
         self._services: dict[str, ServiceTracks] = {}
-        self.rollouts: Mapping[str, Rollout] = {}  # by service; changed by `set_rollouts`
+        self.rollouts: Mapping[str, Rollout] = {}  # by service; changed only by `set_rollouts`
         self._ejected: set[str] = set()
 
     def __contains__(self, id_: str) -> bool:
-        """Whether that upstream is known and not gone."""
+        """Whether the upstream is known and not gone."""
         return id_ in self._upstreams
 
     def address(self, id_: str) -> str:
-        """Where that upstream listens (`IP:PORT`). KeyError where it is not known."""
+        """Return the address that the upstream listens on (`IP:PORT`). Raises KeyError if it is unknown."""
         return self._upstreams[id_].address
 
     @property
@@ -53,21 +56,21 @@
         return any(upstream.state is UpstreamState.READY for upstream in self._upstreams.values())
 
     def version(self, id_: str) -> str:
-        """The version of that upstream's software; empty where it is not known."""
+        """Return the software version of the upstream; empty if unknown."""
         upstream = self._upstreams.get(id_)
         return upstream.version if upstream is not None else ""
 
     def is_leaving(self, id_: str) -> bool:
-        """Whether that upstream has announced that it stops, or is gone."""
+        """Whether the upstream is draining, gone or unknown."""
         upstream = self._upstreams.get(id_)
         return upstream is None or upstream.state is not UpstreamState.READY
 
     def selector(self, service: str, track: Track = Track.OTHERS) -> UpstreamSelector:
-        """The selector of a service's track; made at its first use."""
+        """Return the selector of a track of a service. It is created at the first use."""
         return self._tracks(service).selector(track)
 
     def routed_rollout(self, service: str) -> Rollout | None:
-        """The roll-out of a service as requests follow it; None where there is none."""
+        """Return the roll-out of a service as it applies to requests; None if there is none."""
         if service not in self.rollouts:
             return None
         return self._tracks(service).routed_rollout
@@ -96,7 +99,7 @@
         return upstream is not None and self._address_has_idle_connection(upstream.address)
 
     def own_prefill_backlog(self) -> dict[str, int]:
-        """By engine, the prompt tokens of this router's calls that wait for their first event."""
+        """Return, by engine, the prompt tokens of this router's calls that wait for their first event."""
         backlog: dict[str, int] = {}
         for selector in self._selectors():
             for engine, tokens in selector.own_prefill_backlog().items():
@@ -104,21 +107,21 @@
         return backlog
 
     def set_peer_prefill_backlog(self, tokens: dict[str, float]) -> None:
-        """The same of all other routers together, by engine, as last reported."""
+        """Set the prefill backlog (prompt tokens, by engine) that was last reported for all other routers together."""
         for selector in self._selectors():
             selector.set_peer_prefill_backlog(tokens)
 
     def set_ejected(self, ids: set[str]) -> None:
-        """These are not selected from now on, as long as others are left."""
+        """Set the ejected upstreams. They are not selected as long as other upstreams are left."""
         self._ejected = ids
         for selector in self._selectors():
             selector.set_ejected(ids)
 
     def update(self, changed: Iterable[Upstream], now_ms: float) -> None:
-        """Take over changes of the registry.
+        """Apply changes of the registry.
 
         Args:
-            changed: the upstreams that are new or differ.
+            changed: the upstreams that are new or have changed.
             now_ms: the event loop's time.
         """
         services = set()
@@ -138,16 +141,17 @@
     def set_rollouts(
         self, rollouts: Mapping[str, Rollout], now_ms: float, *, had_configuration: bool = False
     ) -> None:
-        """Put the roll-outs of another configuration in force; services whose own is another are listed anew.
+        """Apply the roll-outs of a new configuration, and update the selectors of services whose roll-out has changed.
 
         Args:
-            rollouts: by service.
+            rollouts: the roll-outs, by service.
             now_ms: the event loop's time.
-            had_configuration: another configuration was in force before, so that the upstreams of that time are known.
+            had_configuration: whether a configuration was in force before this one. If so, the tracks of each service
+                record its upstreams before the roll-out takes effect.
         """
         if had_configuration:
             for service in rollouts:
-                self._tracks(service)  # lists what is known before the order is in force
+                self._tracks(service)  # records the upstreams that are known before the order takes effect
         before, self.rollouts = self.rollouts, rollouts
         for service, tracks in self._services.items():
             if before.get(service) != rollouts.get(service):
@@ -155,7 +159,7 @@
                 self._update_selectors(service, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """List services anew whose upstreams have waited for an order; to be called several times a second."""
+        """Update services whose upstreams have waited too long for an order. Call this several times a second."""
         for service, tracks in self._services.items():
             if tracks.needs_update(now_ms):
                 self._update_selectors(service, now_ms)
--- a/larkweir/router/usage_statuses.py
+++ b/larkweir/router/usage_statuses.py
@@ -1,6 +1,7 @@
-"""Quotas by statuses of usage tables: what controllers of versions without share leases tell this router.
+"""Quota admission by the statuses of usage tables, for controllers whose version has no share leases.
 
-Each of them sums what all routers report and tells the level of each tenant; this router takes an equal part of it.
+Such a controller sums the usage that all routers report, and answers with the level of each tenant's token bucket. Each
+router may use an equal part of that level.
 """
 
 from __future__ import annotations
@@ -10,21 +11,21 @@
 
 from larkweir_quotas.limits import QuotaStatus, RateLimit
 
-STATUS_VALID_MS = 900.0  # a status is not extrapolated for longer
-ACTIVE_TENANT_MS = 10_000.0  # a tenant's usage is reported for so long after its last request here
-ASSUMED_BURST_FRACTION = 1.0 / 3.0  # of a burst: a table tells unasked of tenants of which less is left
+STATUS_VALID_MS = 900.0  # after this, a status is no longer extrapolated
+ACTIVE_TENANT_MS = 10_000.0  # how long a tenant's usage is reported after its last request at this router
+ASSUMED_BURST_FRACTION = 1.0 / 3.0  # of the burst; controllers report tenants below this level unasked
 
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedStatus:
     level: float
     received_ms: float
-    admitted_units: float  # here, when the report was sent that it answers
+    admitted_units: float  # units admitted by this router when it sent the report that this status answers
 
 
 @dataclass(slots=True)
 class _UsageTable:
-    """What one controller was told, and what it answered last."""
+    """The usage reported to one controller, and its last answers."""
 
     answered_ms: float = float("-inf")
     reported_units: dict[str, float] = field(default_factory=dict)  # by tenant
@@ -32,10 +33,10 @@
 
 
 class UsageStatuses:
-    """Owns the counts of admitted units, and the statuses by controller. Times are of the event loop's clock."""
+    """Owns the counts of admitted units, and the last statuses by controller. Times are on the event loop's clock."""
 
     def __init__(self) -> None:
-        """Nothing was admitted yet."""
+        """Start with no admitted units and no statuses."""
         self._admitted: dict[str, float] = defaultdict(float)  # units since the start, by tenant
         self._admitted_ms: dict[str, float] = {}
         self._tables: dict[str, _UsageTable] = {}
@@ -46,11 +47,14 @@
         self._admitted_ms[tenant] = now_ms
 
     def record_refund(self, tenant: str, units: float) -> None:
-        """A request that was counted was never executed."""
+        """Subtract the units of a counted request that was never executed."""
         self._admitted[tenant] -= units
 
     def report(self, controller: str, now_ms: float) -> dict[str, float]:
-        """Units admitted since the start, by recently active tenant, for a controller that keeps a usage table."""
+        """Return the units admitted since the start, by recently active tenant, to report to a controller.
+
+        Empty unless the controller keeps a usage table.
+        """
         table = self._tables.get(controller)
         if table is None:
             return {}
@@ -62,7 +66,7 @@
         return report
 
     def receive(self, controller: str, statuses: dict[str, QuotaStatus] | None, now_ms: float) -> None:
-        """A controller without share leases answered. `statuses`: None where it has no limits yet."""
+        """Store the answer of a controller without share leases. `statuses` is None if it has no limits yet."""
         table = self._tables.setdefault(controller, _UsageTable())
         if statuses is None:
             return
@@ -72,11 +76,14 @@
             table.statuses[tenant] = _ReceivedStatus(status.level, now_ms, reported)
 
     def remove(self, controller: str) -> None:
-        """A controller was lost, or its version has share leases now."""
+        """Forget a controller that has disconnected, or whose version has share leases now."""
         self._tables.pop(controller, None)
 
     def level(self, tenant: str, limit: RateLimit, processes: int, now_ms: float) -> float | None:
-        """Units that this router's part leaves, times `processes`; None where no usage table is in reach."""
+        """Return the level left for this router, multiplied by `processes`, by the strictest usage table.
+
+        Returns None if no usage table has answered within `STATUS_VALID_MS`.
+        """
         levels = [
             self._level_from(table, tenant, limit, processes, now_ms)
             for table in self._tables.values()
--- a/tests/router/scripted_controller.py
+++ b/tests/router/scripted_controller.py
@@ -18,7 +18,7 @@
 
 
 class ScriptedController:
-    """`expected`: the lines expected of the router, without pings. `placeholders`: patterns in them, by what stands there."""
+    """Reads the lines of a router, and sends the lines that a test passes to it."""
 
     def __init__(self, expected: Sequence[str], placeholders: Mapping[str, str]) -> None:
         self._expected, self._placeholders = expected, placeholders
