--- a/tests/router/test_rollout_machine.py
+++ b/tests/router/test_rollout_machine.py
@@ -34,7 +34,7 @@
         self.play = self.rollouts
         self.weight = 0.0  # of the target; no roll-out is in force before the first
         self.has_rollout = False
-        self.judged: Counter[str] = Counter()  # runs, by id
+        self.checked_runs: Counter[str] = Counter()  # runs, by id
 
     @rule(state=st.sampled_from(STATES), order=st.integers(1, 2))
     def a_roll_out_changes(self, state: tuple[object, float], order: int) -> None:
@@ -42,12 +42,12 @@
         self.rollouts.order(rollout(state[1], state[0], ordered_unix_ms=1_000.0 * order))  # type: ignore[arg-type]
 
     @rule()
-    def the_roll_out_is_gone(self) -> None:
+    def the_roll_out_is_removed(self) -> None:
         self.has_rollout = False
         self.rollouts.order()
 
     @rule(milliseconds=st.sampled_from([10, 300, 5_000]))
-    def time_goes_by(self, milliseconds: int) -> None:
+    def time_passes(self, milliseconds: int) -> None:
         self.rollouts.wait(milliseconds / 1000.0)
 
     @rule(number=st.integers(1, len(OLD_IDS) + len(NEW_IDS)))
@@ -55,16 +55,16 @@
         self.model.refusing ^= {f"127.0.0.1:{number}"}
 
     @invariant()
-    def only_what_may_goes_to_the_target(self) -> None:
+    def only_permitted_attempts_go_to_the_target(self) -> None:
         for id_, runs in self.model.runs.items():
-            for number in range(self.judged[id_], len(runs)):
+            for number in range(self.checked_runs[id_], len(runs)):
                 if runs[number].headers["x-target-instance"] in NEW_IDS and self.has_rollout:
                     assert self.weight > 0.0, f"{id_} went to a version without a share"
                     assert self.weight >= 1.0 or number == 0, f"{id_} went to a version on trial again"
-            self.judged[id_] = len(runs)
+            self.checked_runs[id_] = len(runs)
 
     @invariant()
-    def what_is_in_flight_is_counted(self) -> None:
+    def attempts_in_flight_are_counted(self) -> None:
         plane = self.model.plane
         exchanges = [one._exchange for one in plane.connections if one._exchange is not None]  # type: ignore[attr-defined]
         attempts = [one._attempt for one in exchanges if one._attempt is not None]
@@ -72,7 +72,7 @@
         assert plane.rollout_samples._in_flight == found
 
     @invariant()
-    def a_report_counts_as_the_states_have_it(self) -> None:
+    def reports_match_the_roll_out_state(self) -> None:
         report = self.rollouts.report()
         assert (report is not None) == any(
             one.is_running for one in self.model.plane.upstreams.rollouts.values()
--- a/tests/router/test_rollout_samples.py
+++ b/tests/router/test_rollout_samples.py
@@ -53,7 +53,7 @@
     return report.target
 
 
-def begin(play: RolloutPlay, kind: str = "plain") -> tuple[Sent, FakeUpstream]:
+def begin_at_target(play: RolloutPlay, kind: str = "plain") -> tuple[Sent, FakeUpstream]:
     """A request that is under way at the one upstream of the target."""
     sent, at = play.request_at(kind)
     assert at == "t0"
@@ -67,9 +67,9 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_an_answer_counts_on_its_route(kind: str, play: RolloutPlay) -> None:
+def test_an_answer_is_counted_on_its_route(kind: str, play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play, kind)
+    _, upstream = begin_at_target(play, kind)
     assert target(play) == TrackSamples(in_flight=1)
     play.wait(0.03)
     play.answer(upstream)
@@ -83,13 +83,13 @@
     assert report.others == TrackSamples()
 
 
-def test_routes_that_are_alike_count_together_where_there_are_many(
+def test_similar_routes_are_counted_together_when_there_are_many_routes(
     play: RolloutPlay, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(configuration, "MANY_ROUTES", 0)
     play.order(rollout(1.0))
     for kind in KINDS:
-        _, upstream = begin(play, kind)
+        _, upstream = begin_at_target(play, kind)
         play.answer(upstream)
     counted = {name: route.answered for name, route in target(play).routes.items()}
     alike = [f"{fields.get('kind', NON_IDEMPOTENT)} within {TARGET_MS:g} ms" for fields in KINDS.values()]
@@ -98,7 +98,7 @@
 
 def test_the_pace_of_a_stream_is_the_mean_time_between_its_events(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play, "stream")
+    _, upstream = begin_at_target(play, "stream")
     run = upstream.run
     assert run is not None
     answer = answer_of(run)
@@ -116,9 +116,9 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_the_first_byte_counts_before_the_answer_ends(kind: str, play: RolloutPlay) -> None:
+def test_the_first_byte_is_counted_before_the_answer_ends(kind: str, play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play, kind)
+    _, upstream = begin_at_target(play, kind)
     assert upstream.run is not None
     play.wait(0.03)
     answer = answer_of(upstream.run)
@@ -134,7 +134,7 @@
 def test_a_stream_of_two_events_has_no_pace() -> None:
     play = RolloutPlay(new_ids=("t0",))  # whose stream, shorter than all others, the model does not know
     play.order(rollout(1.0))
-    _, upstream = begin(play, "stream")
+    _, upstream = begin_at_target(play, "stream")
     assert upstream.run is not None
     upstream.run.after = EVENTS - 2
     play.wait(0.03)
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("milliseconds", [0.5, 40.0, 4_000.0])
 def test_slow_answers_are_in_the_right_bucket(milliseconds: float, play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play)
+    _, upstream = begin_at_target(play)
     play.wait(milliseconds / 1000.0)
     play.answer(upstream)
     samples = target(play).routes["plain"]
@@ -156,7 +156,7 @@
     assert samples.pace == samples.first_byte
 
 
-def test_an_answer_at_the_others_counts_there(play: RolloutPlay) -> None:
+def test_an_answer_of_another_upstream_is_counted_for_the_others(play: RolloutPlay) -> None:
     play.order(rollout(0.0))
     play.request_at("plain")
     play.answer(play.waiting()[0])
@@ -169,7 +169,7 @@
 # Failures
 
 
-def failed(play: RolloutPlay, kind: str = "plain") -> bool:
+def is_counted_as_failed(play: RolloutPlay, kind: str = "plain") -> bool:
     """Whether the one call at the target counts as failed; else it counts for nothing."""
     track = target(play)
     if not track.routes:
@@ -182,29 +182,31 @@
     return samples.failed == 1
 
 
-def finish_elsewhere(play: RolloutPlay) -> None:
+def answer_all_waiting(play: RolloutPlay) -> None:
     for upstream in play.waiting():
         play.answer(upstream)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("status", [500, 502])
-def test_a_server_error_is_a_failure_relayed_or_not(kind: str, status: int, play: RolloutPlay) -> None:
+def test_a_server_error_is_a_failure_whether_relayed_or_retried(
+    kind: str, status: int, play: RolloutPlay
+) -> None:
     play.order(rollout(1.0))
-    sent, upstream = begin(play, kind)
+    sent, upstream = begin_at_target(play, kind)
     play.answer(upstream, status=status)
-    finish_elsewhere(play)
+    answer_all_waiting(play)
     assert sent.status == (200 if kind in REPEATABLE else status)
-    assert failed(play, kind)
+    assert is_counted_as_failed(play, kind)
     assert not target(play).routes[kind].first_byte, "errors are fast"
 
 
-def test_an_error_without_the_guarantee_that_it_has_not_run_is_a_failure(play: RolloutPlay) -> None:
+def test_a_503_without_the_guarantee_of_no_execution_is_a_failure(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    sent, upstream = begin(play)
+    sent, upstream = begin_at_target(play)
     play.answer(upstream, status=503)
     assert sent.status == 502
-    assert failed(play)
+    assert is_counted_as_failed(play)
 
 
 @pytest.mark.parametrize(
@@ -217,18 +219,20 @@
     ],
 )
 @pytest.mark.parametrize("kind", KINDS)
-def test_refusals_are_no_failures(kind: str, status: int, more: dict[str, str], play: RolloutPlay) -> None:
+def test_rejections_without_execution_are_no_failures(
+    kind: str, status: int, more: dict[str, str], play: RolloutPlay
+) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play, kind)
+    _, upstream = begin_at_target(play, kind)
     assert upstream.run is not None
     send_all(play, upstream, answer_of(upstream.run, status=status, **more), executed=False)
-    finish_elsewhere(play)
-    assert not failed(play, kind)
+    answer_all_waiting(play)
+    assert not is_counted_as_failed(play, kind)
 
 
 def test_a_client_error_is_an_answer(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play)
+    _, upstream = begin_at_target(play)
     play.answer(upstream, status=404)
     assert target(play).routes["plain"].answered == 1
 
@@ -237,23 +241,23 @@
 @pytest.mark.parametrize("bytes_sent", [0, 20, -3])
 def test_an_answer_that_breaks_off_is_a_failure(kind: str, bytes_sent: int, play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play, kind)
+    _, upstream = begin_at_target(play, kind)
     assert upstream.run is not None
     answer = answer_of(upstream.run)
     upstream.begin(answer)
     play.do(lambda: upstream.send(bytes_sent % len(answer)))
     play.do(lambda: upstream.close(in_order=False))
-    finish_elsewhere(play)
-    assert failed(play, kind)
+    answer_all_waiting(play)
+    assert is_counted_as_failed(play, kind)
 
 
-@pytest.mark.parametrize("spoil", [b"X-Server-Signature", b"X-Request-Id", b"HTTP/1.1 200"])
-def test_a_spoilt_answer_is_a_failure(spoil: bytes, play: RolloutPlay) -> None:
+@pytest.mark.parametrize("corrupted_part", [b"X-Server-Signature", b"X-Request-Id", b"HTTP/1.1 200"])
+def test_a_corrupted_answer_is_a_failure(corrupted_part: bytes, play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play)
+    _, upstream = begin_at_target(play)
     assert upstream.run is not None
-    send_all(play, upstream, answer_of(upstream.run).replace(spoil, b"X-Other"))
-    assert failed(play)
+    send_all(play, upstream, answer_of(upstream.run).replace(corrupted_part, b"X-Other"))
+    assert is_counted_as_failed(play)
 
 
 @pytest.mark.parametrize("state", [UpstreamState.DRAINING, UpstreamState.GONE])
@@ -261,11 +265,11 @@
     state: UpstreamState, play: RolloutPlay
 ) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play)
+    _, upstream = begin_at_target(play)
     play.list_upstreams(NEW, ("t0",), state)
     assert target(play).in_flight == 1
     play.do(lambda: upstream.close(in_order=False))
-    assert not failed(play)
+    assert not is_counted_as_failed(play)
     assert target(play).in_flight == 0
 
 
@@ -274,29 +278,29 @@
     play.model.refusing.add("127.0.0.1:3")
     _, at = play.request_at("plain")
     assert at in OLD_IDS
-    finish_elsewhere(play)
-    assert not failed(play)
+    answer_all_waiting(play)
+    assert not is_counted_as_failed(play)
 
 
-def test_a_silence_that_ends_an_attempt_is_a_failure(play: RolloutPlay) -> None:
+def test_an_attempt_that_is_given_up_without_an_answer_is_a_failure(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play, "safe")
+    _, upstream = begin_at_target(play, "safe")
     play.wait(2.0 * TARGET_MS / 1000.0)
     assert not upstream.is_open
-    assert failed(play, "safe")
-    finish_elsewhere(play)
+    assert is_counted_as_failed(play, "safe")
+    answer_all_waiting(play)
 
 
 def test_a_client_that_disconnects_is_no_failure(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    _, upstream = begin(play)
+    _, upstream = begin_at_target(play)
     play.wait(0.02)
     play.do(play.model.clients[-1].close)
     assert not upstream.is_open
-    assert not failed(play)
+    assert not is_counted_as_failed(play)
 
 
-def test_what_was_never_sent_is_no_failure(play: RolloutPlay) -> None:
+def test_a_request_that_was_never_sent_is_no_failure(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
     accepted = asyncio.Event()
 
@@ -309,7 +313,7 @@
     assert target(play).in_flight == 1
     play.wait(0.499)
     play.do(play.model.clients[-1].close)
-    assert not failed(play)
+    assert not is_counted_as_failed(play)
 
 
 def send_with_deadline(play: RolloutPlay, milliseconds: int) -> None:
@@ -322,7 +326,7 @@
 
 @pytest.mark.parametrize(("deadline_ms", "counts"), [(60, False), (500, True)])
 @pytest.mark.parametrize("client_ends_it", [False, True])
-def test_a_deadline_is_a_failure_after_a_fair_time(
+def test_a_missed_deadline_is_a_failure_if_it_left_enough_time(
     deadline_ms: int, counts: bool, client_ends_it: bool, play: RolloutPlay
 ) -> None:
     play.order(rollout(1.0))
@@ -334,15 +338,15 @@
     else:
         play.wait((deadline_ms + 1) / 1000.0)
     assert not upstream.is_open
-    assert failed(play) is counts
+    assert is_counted_as_failed(play) is counts
 
 
-def test_a_client_that_leaves_long_before_its_deadline_is_no_failure_however_slow(play: RolloutPlay) -> None:
+def test_a_client_that_disconnects_long_before_its_deadline_is_no_failure(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
-    begin(play)
+    begin_at_target(play)
     play.wait((TIMEOUT_MS - 2.0 * DEADLINE_MARGIN_MS) / 1000.0)
     play.do(play.model.clients[-1].close)
-    assert not failed(play)
+    assert not is_counted_as_failed(play)
 
 
 # In flight
@@ -372,7 +376,7 @@
         play.request_at("plain")
     assert others_in_flight(play) == 5
     play.order(rollout(1.0))
-    drained, broken, failing, refusing, answered = play.waiting()
+    cancelled, broken, failing, departed, answered = play.waiting()
     play.do(play.model.clients[0].close)  # its client disconnects
     assert others_in_flight(play) == 4
     play.do(lambda: broken.close(in_order=False))
@@ -383,11 +387,11 @@
     assert others_in_flight(play) == 2
     play.list_upstreams(OLD, OLD_IDS, UpstreamState.GONE)
     assert others_in_flight(play) == 2
-    play.do(lambda: refusing.close(in_order=False))
+    play.do(lambda: departed.close(in_order=False))
     assert others_in_flight(play) == 1
     play.answer(answered)
     assert others_in_flight(play) == 0
-    assert not drained.is_open
+    assert not cancelled.is_open
 
 
 def test_an_attempt_that_still_connects_is_in_flight(play: RolloutPlay) -> None:
@@ -401,7 +405,7 @@
 
     play.model.plane.pool.connect = connect  # type: ignore[method-assign,assignment]
     play.request_at("plain")
-    finish_elsewhere(play)
+    answer_all_waiting(play)
     assert counted == [1]
 
 
@@ -413,16 +417,16 @@
     report = play.report()
     assert report is not None
     assert (report.target.in_flight, report.others.in_flight) == (1, 2)
-    finish_elsewhere(play)
+    answer_all_waiting(play)
 
 
 # Reports
 
 
-def test_only_running_roll_outs_are_reported_and_each_order_begins_anew(play: RolloutPlay) -> None:
+def test_only_running_roll_outs_are_reported_and_each_order_starts_an_empty_report(play: RolloutPlay) -> None:
     assert play.report() is None
     play.order(rollout(1.0))
-    play.answer(begin(play)[1])
+    play.answer(begin_at_target(play)[1])
     report = play.report()
     assert report is not None
     assert report.order_id == rollout().order_id
@@ -435,7 +439,7 @@
     assert play.report() is None
 
 
-def test_what_has_not_changed_is_left_out() -> None:
+def test_unchanged_reports_are_left_out() -> None:
     samples = RolloutSamples()
     orders: dict[str, Rollout] = {"s": rollout(0.5), "other": rollout(0.5, service="other")}
     samples.set_rollouts(orders)
@@ -466,7 +470,7 @@
     assert set(samples.changed_since(0)) == {"s", "other"}, "whole on a new connection"
 
 
-def test_routes_beyond_the_bound_are_counted_together() -> None:
+def test_routes_in_excess_of_the_maximum_are_counted_together() -> None:
     samples = RolloutSamples()
     samples.set_rollouts({"s": rollout(0.5)})
     for number in range(3 * MAX_ROUTES):
@@ -480,7 +484,7 @@
     assert sum(answered) == 3 * MAX_ROUTES
 
 
-def test_the_states_that_are_worth_a_line(play: RolloutPlay) -> None:
+def test_apply_rollouts_returns_new_roll_outs_and_new_states(play: RolloutPlay) -> None:
     assert play.order(rollout(0.1)) == [rollout(0.1)]
     assert play.order(rollout(0.1)) == []
     assert play.order(rollout(0.4)) == []
--- a/tests/router/test_rollout_tracks.py
+++ b/tests/router/test_rollout_tracks.py
@@ -54,7 +54,7 @@
     return found
 
 
-def at_version(play: RolloutPlay, version: str) -> FakeUpstream:
+def hold_request_at_version(play: RolloutPlay, version: str) -> FakeUpstream:
     """Requests are sent until one is at that version; the others are answered."""
     ids = NEW_IDS if version == NEW else OLD_IDS
     for _ in range(DRAWS):
@@ -73,15 +73,15 @@
     assert abs(drawn[Track.TARGET] / DRAWS - weight) <= 3.5 * deviation
 
 
-@pytest.mark.parametrize("one", [None, rollout(0.0), rollout(1.0), rollout(0.3, ROLLED_BACK)])
-def test_nothing_is_drawn_where_one_track_is_possible(one: object) -> None:
+@pytest.mark.parametrize("ordered", [None, rollout(0.0), rollout(1.0), rollout(0.3, ROLLED_BACK)])
+def test_nothing_is_drawn_where_one_track_is_possible(ordered: object) -> None:
     rng = Random(1)
     before = rng.getstate()
-    draw_track(one, rng)  # type: ignore[arg-type]
+    draw_track(ordered, rng)  # type: ignore[arg-type]
     assert rng.getstate() == before
 
 
-def test_the_share_through_exchanges(play: RolloutPlay) -> None:
+def test_the_share_of_requests_through_exchanges_is_the_weight(play: RolloutPlay) -> None:
     play.order(rollout(0.3))
     count = 400
     at = Counter[str]()
@@ -99,12 +99,12 @@
     assert served_by(play, 200) == {*OLD_IDS, *NEW_IDS}
 
 
-def test_a_version_that_has_no_share_yet_gets_nothing(play: RolloutPlay) -> None:
+def test_a_version_without_a_share_gets_no_requests(play: RolloutPlay) -> None:
     play.order(rollout(0.0))
     assert served_by(play, 200) == set(OLD_IDS)
 
 
-def test_few_upstreams_are_the_canary_and_more_of_them_at_a_larger_weight(play: RolloutPlay) -> None:
+def test_the_canary_has_few_upstreams_and_grows_with_the_weight(play: RolloutPlay) -> None:
     play.order(rollout(0.4))
     few = served_by(play, 200) - set(OLD_IDS)
     assert len(few) == 2
@@ -114,7 +114,7 @@
     assert served_by(play, 200) - set(OLD_IDS) == few
 
 
-def test_at_the_whole_weight_everything_goes_to_the_target(play: RolloutPlay) -> None:
+def test_at_full_weight_everything_goes_to_the_target(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
     assert served_by(play, 200) == set(NEW_IDS)
 
@@ -124,9 +124,11 @@
     assert served_by(play, 200) == set(NEW_IDS)
 
 
-@pytest.mark.parametrize("one", [rollout(0.0), rollout(0.3), rollout(0.9), rollout(0.3, ROLLED_BACK)])
-def test_nothing_else_goes_to_the_target_even_as_a_last_resort(one: object, play: RolloutPlay) -> None:
-    play.order(one)  # type: ignore[arg-type]
+@pytest.mark.parametrize("ordered", [rollout(0.0), rollout(0.3), rollout(0.9), rollout(0.3, ROLLED_BACK)])
+def test_only_drawn_requests_go_to_the_target_even_as_a_last_resort(
+    ordered: object, play: RolloutPlay
+) -> None:
+    play.order(ordered)  # type: ignore[arg-type]
     play.list_upstreams(OLD, OLD_IDS, DRAINING)
     outcomes = Counter[tuple[int, bool]]()
     for _ in range(200):
@@ -136,8 +138,8 @@
             play.answer(play.waiting()[0])
         outcomes[sent.status, bool(at)] += 1
     assert set(outcomes) <= {(503, False), (200, True)}
-    assert outcomes[200, True] <= 200 * (one.effective_weight + 0.15)  # type: ignore[attr-defined]
-    if not one.effective_weight:  # type: ignore[attr-defined]
+    assert outcomes[200, True] <= 200 * (ordered.effective_weight + 0.15)  # type: ignore[attr-defined]
+    if not ordered.effective_weight:  # type: ignore[attr-defined]
         assert outcomes == {(503, False): 200}
 
 
@@ -148,7 +150,7 @@
     assert served_by(play, 200) == set(OLD_IDS)
 
 
-def test_the_state_in_force_counts_and_not_that_of_the_draw(play: RolloutPlay) -> None:
+def test_allowed_tracks_follow_the_current_state_of_the_roll_out(play: RolloutPlay) -> None:
     """Drawn for the target, rolled back while a controller places the prefix."""
     for first, second, is_first, expected in (
         (Track.TARGET, rollout(0.0, ROLLED_BACK), True, (Track.OTHERS,)),
@@ -163,17 +165,19 @@
 
 
 @pytest.mark.parametrize(
-    "one", [rollout(0.3), rollout(1.0), rollout(1.0, COMPLETED)], ids=["trial", "whole", "completed"]
+    "ordered", [rollout(0.3), rollout(1.0), rollout(1.0, COMPLETED)], ids=["trial", "whole", "completed"]
 )
-def test_the_others_take_what_no_upstream_of_the_target_can(one: object, play: RolloutPlay) -> None:
-    play.order(one)  # type: ignore[arg-type]
+def test_the_others_take_requests_when_no_upstream_of_the_target_is_ready(
+    ordered: object, play: RolloutPlay
+) -> None:
+    play.order(ordered)  # type: ignore[arg-type]
     play.list_upstreams(NEW, NEW_IDS, DRAINING)
     assert served_by(play, 100) == set(OLD_IDS)
     play.list_upstreams(NEW, NEW_IDS, GONE)
     assert served_by(play, 100) == set(OLD_IDS)
 
 
-def test_upstreams_that_come_after_the_order_are_of_their_track() -> None:
+def test_upstreams_that_appear_after_the_order_join_their_track() -> None:
     play = RolloutPlay(new_ids=())
     play.order(rollout(1.0))
     assert served_by(play, 50) == set(OLD_IDS)
@@ -193,7 +197,7 @@
     assert held.complete
 
 
-def end_badly(play: RolloutPlay, upstream: FakeUpstream, how: str) -> None:
+def fail_attempt(play: RolloutPlay, upstream: FakeUpstream, how: str) -> None:
     run = upstream.run
     assert run is not None
     match how:
@@ -208,15 +212,15 @@
 
 @pytest.mark.parametrize("how", ["reset", "error", "refusal"])
 @pytest.mark.parametrize("weight", [0.3, 0.95])
-def test_a_further_attempt_goes_to_the_others_while_the_target_is_on_trial(
+def test_a_retry_goes_to_the_others_while_the_target_is_on_trial(
     how: str, weight: float, play: RolloutPlay
 ) -> None:
     play.order(rollout(weight))
     for _ in range(20):
-        end_badly(play, at_version(play, NEW), how)
+        fail_attempt(play, hold_request_at_version(play, NEW), how)
         (second,) = play.waiting()
         assert instance(second) in OLD_IDS
-        end_badly(play, second, how)
+        fail_attempt(play, second, how)
         (third,) = play.waiting()
         assert instance(third) in OLD_IDS
         play.answer(third)
@@ -225,29 +229,29 @@
 def test_a_failure_at_the_others_is_not_retried_at_the_target(play: RolloutPlay) -> None:
     play.order(rollout(0.4))
     for _ in range(20):
-        end_badly(play, at_version(play, OLD), "reset")
+        fail_attempt(play, hold_request_at_version(play, OLD), "reset")
         assert instance(play.waiting()[0]) in OLD_IDS
         play.answer(play.waiting()[0])
 
 
-def test_a_failed_connection_to_the_target_goes_to_the_others(play: RolloutPlay) -> None:
+def test_after_a_failed_connection_to_the_target_a_request_goes_to_the_others(play: RolloutPlay) -> None:
     play.order(rollout(0.4))
     play.model.refusing.update(f"127.0.0.1:{number}" for number in (3, 4, 5))
     assert served_by(play, 100) == set(OLD_IDS)
 
 
-@pytest.mark.parametrize("one", [rollout(1.0), rollout(1.0, COMPLETED)], ids=["whole", "completed"])
-def test_a_further_attempt_goes_to_the_target_at_the_whole_weight(one: object, play: RolloutPlay) -> None:
-    play.order(one)  # type: ignore[arg-type]
+@pytest.mark.parametrize("ordered", [rollout(1.0), rollout(1.0, COMPLETED)], ids=["whole", "completed"])
+def test_a_retry_goes_to_the_target_at_full_weight(ordered: object, play: RolloutPlay) -> None:
+    play.order(ordered)  # type: ignore[arg-type]
     sent, first = play.request_at("safe")
-    end_badly(play, play.waiting()[0], "reset")
+    fail_attempt(play, play.waiting()[0], "reset")
     second = instance(play.waiting()[0])
     assert {first, second} < set(NEW_IDS)
     play.answer(play.waiting()[0])
     assert sent.complete
 
 
-def test_a_broken_stream_of_the_target_goes_on_at_the_others(play: RolloutPlay) -> None:
+def test_a_broken_stream_of_the_target_is_resumed_at_the_others(play: RolloutPlay) -> None:
     play.order(rollout(0.999))
     sent, at = play.request_at("resumable")
     assert at in NEW_IDS
@@ -257,7 +261,7 @@
     answer = answer_of(run)
     upstream.begin(answer)
     play.do(lambda: upstream.send(answer.index(run.event(2)) + len(run.event(2))))
-    end_badly(play, upstream, "reset")
+    fail_attempt(play, upstream, "reset")
     (second,) = play.waiting()
     assert instance(second) in OLD_IDS
     assert second.run is not None
@@ -297,7 +301,7 @@
     assert sent.complete
 
 
-def test_readiness_and_ejection_are_of_all_tracks(play: RolloutPlay) -> None:
+def test_readiness_and_ejection_cover_all_tracks(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
     upstreams = play.model.plane.upstreams
     upstreams.set_ejected({"t0", "i0"})
@@ -360,51 +364,51 @@
     assert upstreams.own_prefill_backlog() == {"t0": 5_300, "i0": 20}
 
 
-def test_a_version_on_trial_asks_for_no_placement(play: RolloutPlay) -> None:
+def test_requests_for_a_version_on_trial_look_up_no_prefix_owner(play: RolloutPlay) -> None:
     assert OPTIONS.controller_prefix_owners
-    asked: list[str] = []
+    lookups: list[str] = []
 
-    def placed(weight: float) -> int:
+    def lookups_at_weight(weight: float) -> int:
         play.order(rollout(weight))
-        asked.clear()
+        lookups.clear()
         for _ in range(20):
             client = play.client()
             sent = Sent(f"r{len(play.model.sent)}", "plain")
             play.model.sent[sent.id] = sent
             client.queue(sent, b"x", "X-Token-Usage: 6000,10\r\nX-Prompt-Prefix: h:5000,own:1000\r\n")
-            play.do(lambda one=client: one.send(len(one.unread)))  # type: ignore[misc]
+            play.do(lambda client=client: client.send(len(client.unread)))  # type: ignore[misc]
             play.answer(play.waiting()[0])
-        return len(asked)
+        return len(lookups)
 
     plane = play.model.plane
     plane.is_engine = lambda service: True  # type: ignore[method-assign]
 
-    def note(lookup: object) -> bool:
-        asked.append("one")
+    def record_lookup(lookup: object) -> bool:
+        lookups.append("lookup")
         return False
 
-    plane.prefix_affinity.send_lookup = note
-    assert placed(0.9999) == 0
-    assert placed(0.0) == 20
-    assert placed(1.0) == 20
+    plane.prefix_affinity.send_lookup = record_lookup
+    assert lookups_at_weight(0.9999) == 0
+    assert lookups_at_weight(0.0) == 20
+    assert lookups_at_weight(1.0) == 20
     play.list_upstreams(NEW, NEW_IDS, DRAINING)
-    assert placed(0.9999) == 20, "it goes to the others"
+    assert lookups_at_weight(0.9999) == 20, "it goes to the others"
 
 
-def test_the_tracks_of_each_request_kind_end_as_the_model_wants(play: RolloutPlay) -> None:
+def test_each_request_kind_passes_the_checks_of_the_model_with_two_tracks(play: RolloutPlay) -> None:
     play.order(rollout(0.5))
     for kind in KINDS:
         served_by(play, 10, kind)
 
 
-def test_the_debug_line_of_a_request_tells_the_track(
+def test_the_debug_line_of_a_request_names_the_track(
     play: RolloutPlay, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[dict[str, Any]] = []
     monkeypatch.setattr(log, "is_debug_enabled", lambda: True)
     monkeypatch.setattr(log, "debug", lambda name, **fields: lines.append({"event": name, **fields}))
-    for one in (None, rollout(0.0), rollout(1.0)):
-        play.order(*(() if one is None else (one,)))
+    for ordered in (None, rollout(0.0), rollout(1.0)):
+        play.order(*(() if ordered is None else (ordered,)))
         served_by(play, AT_ONCE)
     tracks = [
         [msgspec.to_builtins(attempt).get("track") for attempt in line["attempts"]]
@@ -414,7 +418,7 @@
     assert tracks == [[None]] * AT_ONCE + [["others"]] * AT_ONCE + [["target"]] * AT_ONCE
 
 
-def test_a_withdrawn_version_gets_nothing_while_the_next_one_is_on_trial(play: RolloutPlay) -> None:
+def test_a_withdrawn_version_gets_no_requests_while_the_next_one_is_on_trial(play: RolloutPlay) -> None:
     ordered = rollout(0.0, target_version="v3", withdrawn_versions=(NEW,))
     play.order(ordered)
     assert not set(served_by(play, 50)) & set(NEW_IDS)
@@ -428,7 +432,7 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.08, 1.0])
-def test_an_order_for_the_only_version_refuses_nothing(weight: float) -> None:
+def test_an_order_for_the_only_version_rejects_no_request(weight: float) -> None:
     play = play_of_one_version()
     play.order(rollout(weight, withdrawn_versions=("v0",)))
     assert served_by(play, 100) == set(NEW_IDS), "all of them, no canary's share"
@@ -439,11 +443,11 @@
     play.close()
 
 
-def test_a_further_attempt_stays_at_the_only_version() -> None:
+def test_a_retry_stays_at_the_only_version() -> None:
     play = play_of_one_version()
     play.order(rollout(0.08))
     sent, first = play.request_at("safe")
-    end_badly(play, play.waiting()[0], "reset")
+    fail_attempt(play, play.waiting()[0], "reset")
     second = instance(play.waiting()[0])
     assert {first, second} < set(NEW_IDS)
     play.answer(play.waiting()[0])
@@ -451,7 +455,7 @@
     play.close()
 
 
-def test_a_router_that_has_just_started_takes_no_version_for_the_only_one() -> None:
+def test_a_router_that_has_just_started_does_not_assume_a_single_version() -> None:
     play = RolloutPlay(has_old=False)
     play.order(rollout(0.0))  # its first configuration
     assert served_by(play, 50) == {
@@ -460,7 +464,7 @@
     play.close()
 
 
-def test_a_target_that_was_the_only_one_is_on_trial_once_another_version_is_there() -> None:
+def test_a_target_that_was_the_only_version_is_on_trial_once_another_appears() -> None:
     play = play_of_one_version()
     play.order(rollout(0.0))
     assert served_by(play, 50) == set(NEW_IDS)
@@ -481,7 +485,7 @@
     ],
     ids=["completed", "withdrawn", "replaced", "rolled back"],
 )
-def test_a_version_that_no_order_named_is_used_after_the_end(
+def test_a_version_without_an_order_is_used_after_the_roll_out_has_ended(
     ended: Rollout, used: set[str], play: RolloutPlay
 ) -> None:
     play.order(ended)
@@ -493,7 +497,7 @@
     assert "t2" in served_by(play, 200), "one of the others of the next roll-out"
 
 
-def test_a_version_that_comes_after_a_completion_waits_for_its_order(play: RolloutPlay) -> None:
+def test_a_version_that_appears_after_a_completion_waits_for_its_order(play: RolloutPlay) -> None:
     play.order(rollout(1.0, COMPLETED, other_versions=("v1",)))
     assert served_by(play, 50) == set(NEW_IDS)
     play.list_upstreams("v3", ("t2",))
@@ -506,7 +510,7 @@
     assert served_by(play, 100) == {"t0", "t1"}, "it is on trial"
 
 
-def test_a_version_that_waits_for_an_order_takes_what_no_other_can(play: RolloutPlay) -> None:
+def test_a_version_that_waits_for_an_order_takes_requests_when_no_other_is_ready(play: RolloutPlay) -> None:
     play.order(rollout(1.0, COMPLETED, other_versions=("v1",)))
     assert served_by(play, 50) == set(NEW_IDS)
     play.list_upstreams("v3", ("t2",))
@@ -515,7 +519,7 @@
     assert served_by(play, 50) == {"t2"}
 
 
-def test_the_wait_for_an_order_ends_by_itself() -> None:
+def test_a_tick_of_the_sync_ticks_the_upstream_directory() -> None:
     sync = Mock()
     FleetSync.tick(sync)
     sync._plane.upstreams.tick.assert_called_once_with(sync._now_ms.return_value)
