--- a/tests/router/granting_controller.py
+++ b/tests/router/granting_controller.py
@@ -1,4 +1,4 @@
-"""A controller that hands out all of every quota, for tests of a router's data plane without sockets."""
+"""A fake controller that holds the whole share of all quotas, for data plane tests without sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class GrantingController:
-    """Answers in the next turn of the loop. `is_silent`: it does not answer at all. To be made inside a loop."""
+    """Answers requests for units in the next iteration of the event loop, or not at all while `is_silent` is set.
+
+    Create it inside a running loop.
+    """
 
     def __init__(self, quotas: QuotaAdmission, node: str = "c") -> None:
         self.node = node
@@ -34,12 +37,12 @@
         return self._loop.time() * 1000.0
 
     def set_limits(self, limits: dict[str, RateLimit]) -> None:
-        """A configuration is in force here, and the router has heard that units can be had."""
+        """Set the limits, and tell the router that this controller grants units."""
         self.allocator.set_limits(limits, self._now_ms(), controllers=1, is_restart=False)
         self._quotas.on_delta(self.node, grants_quotas=True, statuses=None)
 
     def receive(self, message: QuotaRequest | QuotaRefund) -> None:
-        """A message of the router."""
+        """Process a message of the router."""
         if isinstance(message, QuotaRefund):
             self.refunded.append(message)
             self.allocator.refund(message.tenant, message.units, self._now_ms())
@@ -51,14 +54,14 @@
             self._loop.call_soon(self.answer, message)
 
     def answer(self, request: QuotaRequest) -> None:
-        """Answer a request now."""
+        """Answer a request immediately."""
         decision = self.allocator.request(request.tenant, request.units, self._now_ms())
         response = QuotaResponse(request.request_id, decision.outcome, decision.retry_after_s)
         self._quotas.on_response(self._connection, response)
 
 
 def connect(quotas: QuotaAdmission, *controllers: GrantingController) -> None:
-    """Let the router's messages reach these controllers."""
+    """Deliver the router's messages to these controllers."""
     by_node = {controller.node: controller for controller in controllers}
 
     def send(node: str, message: QuotaRequest | QuotaRefund) -> bool:
--- a/tests/router/rollout_model.py
+++ b/tests/router/rollout_model.py
@@ -1,4 +1,4 @@
-"""The model of `router_model`, with upstreams of two versions and roll-outs between them, under a time of its own."""
+"""The model of `router_model`, extended by two versions of upstreams, roll-outs between them and a simulated clock."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def rollout(weight: float = 0.0, state: RolloutState = RUNNING, **other: object) -> Rollout:
-    """A roll-out of the one service to the new version."""
+    """Return a roll-out of the model's only service to the new version."""
     fields = {
         "service": "s",
         "target_version": NEW,
@@ -32,7 +32,7 @@
 
 
 class RolloutPlay(Play):
-    """Two upstreams of the old version and three of the new one."""
+    """The model with two upstreams of the old version and, by default, three of the new one."""
 
     def __init__(self, new_ids: tuple[str, ...] = NEW_IDS, *, has_old: bool = True) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
     def list_upstreams(
         self, version: str, ids: tuple[str, ...], state: UpstreamState = UpstreamState.READY
     ) -> None:
-        """The registry has these, in that state."""
+        """Report these upstreams to the router, in the given state."""
         listed = [self._upstream(id_, version, state) for id_ in ids]
         self.model.instances.update(ids)
         self.do(lambda: self.model.plane.upstreams.update(listed, self.now_s * 1000.0))
@@ -63,7 +63,7 @@
         )
 
     def order(self, *rollouts: Rollout) -> list[Rollout]:
-        """A configuration with these roll-outs is in force; returns what `apply_rollouts` does."""
+        """Apply a configuration with these roll-outs. Returns the result of `apply_rollouts`."""
         self._sequence += 1
         routes = [
             {
@@ -84,24 +84,24 @@
         return self.do(lambda: plane.apply_rollouts(self.now_s * 1000.0))
 
     def wait(self, seconds: float) -> None:
-        """Time goes by, and the timers that are due go off."""
+        """Advance the clock and run the timers that are due."""
         self.now_s += seconds
         self.do(lambda: None)
 
     def request_at(self, kind: str) -> tuple[Sent, str]:
-        """One more request on a connection of its own, and the upstream that it is at; empty: none."""
+        """Send a request on a new connection. Returns it and the id of its upstream; empty if it has none."""
         before = set(self.waiting())
         sent = self.request(self.client(), kind)
         at = [one for one in self.waiting() if one not in before]
         return sent, instance(at[0]) if at else ""
 
     def report(self) -> RolloutReport | None:
-        """As a new connection to a controller gets it."""
+        """Return the report that would be sent on a new connection to a controller."""
         found = self.model.plane.rollout_samples.changed_since(0)
         return msgspec.json.decode(msgspec.json.encode(found["s"]), type=RolloutReport) if found else None
 
 
 def instance(upstream: FakeUpstream) -> str:
-    """The id of the upstream that a request is at."""
+    """Return the id of the upstream whose request this connection carries."""
     assert upstream.run is not None
     return upstream.run.headers["x-target-instance"]
--- a/tests/router/scripted_controller.py
+++ b/tests/router/scripted_controller.py
@@ -1,4 +1,4 @@
-"""A router beside a controller whose lines a test writes, and which holds the router's lines against stored ones."""
+"""A router connected to a scripted controller, which compares the lines that the router writes with expected lines."""
 
 from __future__ import annotations
 
@@ -18,16 +18,22 @@
 
 
 class ScriptedController:
-    """Reads the lines of a router, and sends the lines that a test passes to it."""
+    """Compares the lines of a router with expected ones, and sends the lines that a test passes to it."""
 
     def __init__(self, expected: Sequence[str], placeholders: Mapping[str, str]) -> None:
+        """Create a controller.
+
+        Args:
+            expected: the lines that the router should write, except pings.
+            placeholders: by pattern of a varying part of a line, the text that replaces it before the comparison.
+        """
         self._expected, self._placeholders = expected, placeholders
         self._lines: list[str] = []
         self._received = asyncio.Event()
         self._writer: asyncio.StreamWriter | None = None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read a connection to its end."""
+        """Read the lines of a connection until it ends."""
         self._writer = writer
         while line := (await reader.readline()).decode():
             assert line.endswith("\n")
@@ -38,7 +44,7 @@
                 self._received.set()
 
     async def wait_for_lines(self, count: int) -> None:
-        """So many lines have come, each as expected."""
+        """Wait until this many lines have arrived, and check that they are as expected."""
         async with asyncio.timeout(LINES_TIMEOUT_S):
             while len(self._lines) < count:
                 self._received.clear()
@@ -46,7 +52,7 @@
         assert self._lines == self._expected[:count]
 
     def send(self, line: dict[str, Any]) -> None:
-        """Write a line on the newest connection."""
+        """Send a line on the newest connection."""
         assert self._writer is not None
         self._writer.write(msgspec.json.encode(line) + b"\n")
 
@@ -58,7 +64,7 @@
 
 @asynccontextmanager
 async def running_router(subnet: str, port: int) -> AsyncIterator[Router]:
-    """A router at `subnet`.2 that pulls from the controller at `subnet`.1; ended at once after the block."""
+    """Run a router at `subnet`.2 that pulls from the controller at `subnet`.1. It is stopped when the block ends."""
     settings = {
         "node": "r",
         "ip": f"{subnet}.2",
--- a/tests/router/test_configuration.py
+++ b/tests/router/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration as routers use it."""
+"""Tests of the configuration as routers use it: lookups of routes and tenants, and updates."""
 
 from __future__ import annotations
 
--- a/tests/router/test_controller_reports.py
+++ b/tests/router/test_controller_reports.py
@@ -1,4 +1,4 @@
-"""How reports of several controllers are joined."""
+"""Tests of how the reports of several controllers are combined."""
 
 from __future__ import annotations
 
--- a/tests/router/test_fleet_sync_encodings.py
+++ b/tests/router/test_fleet_sync_encodings.py
@@ -1,4 +1,4 @@
-"""A router names its encodings when it is asked, puts a compressed configuration in force, and leaves a damaged one."""
+"""Tests that a router names its encodings on request, applies compressed configurations and rejects damaged ones."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Controller:
-    """A controller whose messages the test writes."""
+    """A controller whose messages are written by the test."""
 
     def __init__(self) -> None:
         self.connections: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
@@ -33,7 +33,7 @@
 
 
 async def next_pull(reader: asyncio.StreamReader) -> Pull | None:
-    """The next pull on a connection; None where it ends first."""
+    """Return the next pull on a connection; None if the connection ends first."""
     while line := await reader.readline():
         message: Message = msgspec.json.decode(line, type=Message)
         if isinstance(message, Pull):
@@ -80,7 +80,7 @@
 
 
 async def run_stale_controller() -> None:
-    """One of three controllers is cut off from the others, and has an older configuration than they have."""
+    """One of three controllers is partitioned from the others and has an older configuration than theirs."""
     subnet = f"127.79.{os.getpid() % 199 + 1}"
     controllers = [Controller() for _ in range(3)]
     first_server = await asyncio.start_server(controllers[0].serve, f"{subnet}.1", 0)
@@ -110,7 +110,7 @@
             configured = await next_pull(stale[0])
             assert configured is not None
             assert configured.config_sequence == 3
-            assert await readiness(router) == 503, "the majority has not sent what it has"
+            assert await readiness(router) == 503, "the majority has not sent its configuration"
             send(links[0][1], Delta(compressed_config=newer))
             assert await next_pull(links[0][0]) is not None
             assert await readiness(router) == 200
--- a/tests/router/test_fleet_sync_golden.py
+++ b/tests/router/test_fleet_sync_golden.py
@@ -1,4 +1,4 @@
-"""The lines that a router writes to a controller, over a socket, against stored ones."""
+"""Compares the lines that a router writes to a controller, over a socket, with stored ones."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 EXPECTED_LINES = [
     '{"type":"hello","node":"NODE","kind":"router","life":"LIFE"}',
     '{"type":"pull","vector":{},"sent_ms":SENT}',
-    # With a configuration and three upstreams.
+    # After a configuration and the records of two upstreams have been received.
     '{"type":"pull","config":3,"vector":{"c/1":3},"sent_ms":SENT}',
-    # A long prompt; `known` as the controller answered.
+    # The prefix lookup and the backlog update of a long prompt.
     '{"type":"place","service":"e","head":"h","tokens":6000.0,"known":null}',
     '{"type":"waiting","tokens":{"e0":6000}}',
-    # While it waits for its first event.
+    # While the request waits for its first event.
     '{"type":"pull","config":3,"usage":{"acme":1.0},"sent_ms":SENT,"waiting":{"e0":6000}}',
-    # Behind its answer, and a call that failed.
+    # After its answer, and after another call has failed.
     '{"type":"pull","config":3,"usage":{"acme":2.0},"sent_ms":SENT,"endings":{"s0":[0,1]}}',
-    # Behind SIGTERM.
+    # After SIGTERM.
     '{"type":"pull","config":3,"usage":{"acme":2.0},"sent_ms":SENT,"endings":{"s0":[0,1]},"is_leaving":true}',
 ]
 PLACEHOLDERS = {
@@ -108,5 +108,7 @@
 
 
 def test_lines_that_a_router_writes_to_a_controller() -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
+    with asyncio.Runner(
+        loop_factory=uvloop.new_event_loop
+    ) as runner:  # the loop that the program itself uses
         runner.run(run_session())
--- a/tests/router/test_prefix_affinity.py
+++ b/tests/router/test_prefix_affinity.py
@@ -1,4 +1,4 @@
-"""The owner of a prompt's prefix: looked up once for all requests that ask, cached, and not waited for too long."""
+"""Tests of prefix owner lookups: shared by concurrent requests, cached, and ended by a time-out."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Harness:
-    """A router's affinity in a loop whose time the test moves."""
+    """A `PrefixAffinity` in an event loop whose clock is advanced by the test."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -100,7 +100,7 @@
     harness.find()
     harness.wait(CONTROLLER_TIMEOUT_S + 0.001)
     assert harness.owners == [None]
-    harness.respond("e1")  # too late for that request, but not for the next
+    harness.respond("e1")  # too late for that request, but the owner is cached for the next
     assert harness.owners == [None]
     harness.find()
     assert harness.owners == [None, PrefixOwner("e1", True)]
--- a/tests/router/test_quota_admission.py
+++ b/tests/router/test_quota_admission.py
@@ -1,4 +1,4 @@
-"""Whom a router asks for units, how long it waits, and what it gives back."""
+"""Tests of which controllers a router asks for units, how long it waits for them, and which units it refunds."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Harness:
-    """A router's quotas and two controllers, in a loop whose time the test moves."""
+    """A `QuotaAdmission` and two controllers, in an event loop whose clock is advanced by the test."""
 
     def __init__(self, link_mbps: float = 1_000.0) -> None:
         self.link_mbps = link_mbps
@@ -82,7 +82,9 @@
     harness.do(lambda: harness.quotas.on_disconnected("c1"))
     harness.grant(harness.controller_1)
     harness.do(lambda: harness.quotas.refund(charge))
-    assert harness.controller_1.refunded == [], "its process may be another one, which granted nothing"
+    assert (
+        harness.controller_1.refunded == []
+    ), "the controller may be a new process, which has not granted these units"
 
 
 def test_after_a_timeout_another_controller_is_asked_and_a_late_grant_is_refunded(harness: Harness) -> None:
@@ -106,7 +108,7 @@
     harness = Harness(link_mbps=1.0)
     harness.grant(harness.controller_1, harness.controller_2)
     harness.controller_1.is_silent = harness.controller_2.is_silent = True
-    body_bytes = 125_000  # a second on that link
+    body_bytes = 125_000  # takes one second on that link
     harness.do(lambda: harness.quotas.acquire("t", 10.0, body_bytes, harness.verdicts.append))
     harness.wait(CONTROLLER_TIMEOUT_S + 1.9)
     assert len(harness.controller_1.requests) + len(harness.controller_2.requests) == 1
@@ -133,7 +135,7 @@
     harness.do(lambda: harness.quotas.on_disconnected("c1"))
     assert [type(verdict) for verdict in harness.verdicts] == [
         QuotaRejection
-    ], "a fresh process has no reserve"
+    ], "the reserve of a new process is empty"
 
 
 def test_a_request_waits_until_a_controller_holds_a_share(harness: Harness) -> None:
--- a/tests/router/test_rollout_machine.py
+++ b/tests/router/test_rollout_machine.py
@@ -1,4 +1,7 @@
-"""Requests, failures and states of a roll-out in any order: what a version on trial is sent, what is in flight."""
+"""Property test of roll-outs: requests, failures and roll-out states in any order.
+
+Checks which requests a version on trial is sent, and which attempts and answers are counted.
+"""
 
 from __future__ import annotations
 
@@ -25,16 +28,16 @@
 
 
 class RolloutMachine(ExchangeMachine):
-    """The events of `ExchangeMachine`, and roll-outs between two versions."""
+    """Adds roll-outs between two versions to the events of `ExchangeMachine`."""
 
     def __init__(self) -> None:
         super().__init__()
         self.play.close()
         self.rollouts = RolloutPlay()
         self.play = self.rollouts
-        self.weight = 0.0  # of the target; no roll-out is in force before the first
+        self.weight = 0.0  # of the target version, by the latest roll-out
         self.has_rollout = False
-        self.checked_runs: Counter[str] = Counter()  # runs, by id
+        self.checked_runs: Counter[str] = Counter()  # number of runs already checked, by request id
 
     @rule(state=st.sampled_from(STATES), order=st.integers(1, 2))
     def a_roll_out_changes(self, state: tuple[object, float], order: int) -> None:
@@ -59,8 +62,10 @@
         for id_, runs in self.model.runs.items():
             for number in range(self.checked_runs[id_], len(runs)):
                 if runs[number].headers["x-target-instance"] in NEW_IDS and self.has_rollout:
-                    assert self.weight > 0.0, f"{id_} went to a version without a share"
-                    assert self.weight >= 1.0 or number == 0, f"{id_} went to a version on trial again"
+                    assert self.weight > 0.0, f"{id_} was sent to a version whose weight is 0"
+                    assert (
+                        self.weight >= 1.0 or number == 0
+                    ), f"{id_} was sent to a version on trial by a retry"
             self.checked_runs[id_] = len(runs)
 
     @invariant()
--- a/tests/router/test_rollout_reports_golden.py
+++ b/tests/router/test_rollout_reports_golden.py
@@ -1,4 +1,4 @@
-"""What a router writes to a controller of a running roll-out, over a socket, against stored lines."""
+"""Compares the lines that a router writes to a controller about a running roll-out, over a socket, with stored ones."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 EXPECTED_LINES = [
     '{"type":"hello","node":"NODE","kind":"router","life":"LIFE"}',
     '{"type":"pull","vector":{},"sent_ms":SENT}',
-    # With a roll-out that has all requests.
+    # A roll-out that gets all requests has started.
     '{"type":"pull","config":3,"vector":{"c/1":2},"sent_ms":SENT,"rollouts":{'
     + ORDER
     + ',"target":{"open":0,"routes":{},"failures":{}},"others":{"open":0,"routes":{},"failures":{}}}}}',
     # Nothing has changed.
     '{"type":"pull","config":3,"sent_ms":SENT}',
-    # A request is under way at the target.
+    # A request is in flight at the target.
     '{"type":"pull","config":3,"sent_ms":SENT,"rollouts":{'
     + ORDER
     + ',"target":{"open":1,"routes":{},"failures":{}},"others":{"open":0,"routes":{},"failures":{}}}}}',
-    # It was answered.
+    # The request has been answered.
     '{"type":"pull","config":3,"sent_ms":SENT,"rollouts":{'
     + ORDER
     + ',"target":{"open":0,"routes":{"plain":[1,0,{BUCKET:1},{BUCKET:1}]},"failures":{}},'
     '"others":{"open":0,"routes":{},"failures":{}}}}}',
-    # The next one failed.
+    # The next request has failed.
     '{"type":"pull","config":3,"sent_ms":SENT,"endings":{"s2":[1,1]},"rollouts":{'
     + ORDER
     + ',"target":{"open":0,"routes":{"plain":[1,1,{BUCKET:1},{BUCKET:1}]},"failures":{"s2":1}},'
@@ -46,14 +46,14 @@
     + ORDER
     + ',"target":{"open":0,"routes":{"plain":[1,1,{BUCKET:1},{BUCKET:1}]},"failures":{"s2":1}},'
     '"others":{"open":0,"routes":{},"failures":{}}}}}',
-    # It is completed.
+    # The roll-out is completed.
     '{"type":"pull","config":4,"sent_ms":SENT,"endings":{"s2":[1,1]}}',
 ]
 PLACEHOLDERS = {
     r'"node":"127\.79\.[0-9]+\.2"': '"node":"NODE"',
     r'"life":"[0-9a-f]{12}"': '"life":"LIFE"',
     r'"sent_ms":[0-9]+': '"sent_ms":SENT',
-    r'\{"[0-9]+":1\}': "{BUCKET:1}",  # of a duration
+    r'\{"[0-9]+":1\}': "{BUCKET:1}",  # the histogram bucket of a measured duration
 }
 ROLLOUT = {
     "service": "s",
@@ -76,13 +76,13 @@
 
 
 async def answer_pull(controller: ScriptedController, count: int, **delta: Any) -> None:
-    """A pull is answered, and so many lines have come by then."""
+    """Answer the router's pull, and wait until `count` lines have arrived in total."""
     controller.send({"type": "delta", "vector": {"c/1": 2}, **delta})
     await controller.wait_for_lines(count)
 
 
 async def run_reports(controller: ScriptedController, front: str, old: Upstream, new: Upstream) -> None:
-    """The lines of `EXPECTED_LINES` in turn."""
+    """Cause the lines of `EXPECTED_LINES` one after another."""
     await controller.wait_for_lines(2)
     records = [record("s1", "v1", old.address, 1), record("s2", "v2", new.address, 2)]
     await answer_pull(controller, 3, config={"sequence": 3, "base": -1, "body": DOCUMENT}, records=records)
@@ -105,7 +105,7 @@
 
 
 class HeldRequest:
-    """Does not answer by itself, and says that a request has arrived."""
+    """Leaves a request unanswered, and sets `event` when it has arrived."""
 
     def __init__(self) -> None:
         self.event = asyncio.Event()
@@ -139,7 +139,9 @@
 def test_lines_that_a_router_writes_about_a_roll_out(monkeypatch: pytest.MonkeyPatch) -> None:
     logged: list[tuple[str, dict[str, Any]]] = []
     monkeypatch.setattr(log, "event", lambda name, **fields: logged.append((name, fields)))
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
+    with asyncio.Runner(
+        loop_factory=uvloop.new_event_loop
+    ) as runner:  # the loop that the program itself uses
         runner.run(run_session())
     assert [fields for name, fields in logged if name == "rollout"] == [
         {"service": "s", "target_version": "v2", "state": state, "target_weight": 1.0}
--- a/tests/router/test_rollout_samples.py
+++ b/tests/router/test_rollout_samples.py
@@ -1,4 +1,4 @@
-"""What a router reports of the tracks of a roll-out: through whole exchanges, and the reports by themselves."""
+"""Tests of what a router reports about the tracks of a roll-out: through whole exchanges, and the reports alone."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     made = RolloutPlay(new_ids=("t0",))
     yield made
     made.model.check()
-    assert not made.model.plane.rollout_samples._in_flight, "all have ended"
+    assert not made.model.plane.rollout_samples._in_flight, "every attempt has ended"
     made.close()
 
 
@@ -54,7 +54,7 @@
 
 
 def begin_at_target(play: RolloutPlay, kind: str = "plain") -> tuple[Sent, FakeUpstream]:
-    """A request that is under way at the one upstream of the target."""
+    """Send a request that goes to the only upstream of the target. Returns it and the upstream's connection."""
     sent, at = play.request_at(kind)
     assert at == "t0"
     (upstream,) = play.waiting()
@@ -132,7 +132,9 @@
 
 
 def test_a_stream_of_two_events_has_no_pace() -> None:
-    play = RolloutPlay(new_ids=("t0",))  # whose stream, shorter than all others, the model does not know
+    play = RolloutPlay(
+        new_ids=("t0",)
+    )  # without the model's check, which does not know streams as short as this one
     play.order(rollout(1.0))
     _, upstream = begin_at_target(play, "stream")
     assert upstream.run is not None
@@ -152,7 +154,11 @@
     play.answer(upstream)
     samples = target(play).routes["plain"]
     bucket = bucket_of(milliseconds)
-    assert samples.first_byte in ({bucket: 1}, {bucket - 1: 1}, {bucket + 1: 1}), "by the clock's rounding"
+    assert samples.first_byte in (
+        {bucket: 1},
+        {bucket - 1: 1},
+        {bucket + 1: 1},
+    ), "up to the rounding of the clock"
     assert samples.pace == samples.first_byte
 
 
@@ -170,7 +176,7 @@
 
 
 def is_counted_as_failed(play: RolloutPlay, kind: str = "plain") -> bool:
-    """Whether the one call at the target counts as failed; else it counts for nothing."""
+    """Return whether the only call at the target was counted as failed. Otherwise it must not be counted at all."""
     track = target(play)
     if not track.routes:
         assert not track.failures_by_upstream
@@ -198,7 +204,9 @@
     answer_all_waiting(play)
     assert sent.status == (200 if kind in REPEATABLE else status)
     assert is_counted_as_failed(play, kind)
-    assert not target(play).routes[kind].first_byte, "errors are fast"
+    assert (
+        not target(play).routes[kind].first_byte
+    ), "an error's time to first byte is not counted, since errors are fast"
 
 
 def test_a_503_without_the_guarantee_of_no_execution_is_a_failure(play: RolloutPlay) -> None:
@@ -377,7 +385,7 @@
     assert others_in_flight(play) == 5
     play.order(rollout(1.0))
     cancelled, broken, failing, departed, answered = play.waiting()
-    play.do(play.model.clients[0].close)  # its client disconnects
+    play.do(play.model.clients[0].close)  # by disconnecting its client
     assert others_in_flight(play) == 4
     play.do(lambda: broken.close(in_order=False))
     assert others_in_flight(play) == 3
@@ -431,7 +439,7 @@
     assert report is not None
     assert report.order_id == rollout().order_id
     play.order(rollout(0.9))
-    assert target(play).routes["plain"].answered == 1, "the same order at another weight"
+    assert target(play).routes["plain"].answered == 1, "the order is the same; only its weight has changed"
     again = rollout(1.0, ordered_unix_ms=2_000.0)
     play.order(again)
     assert play.report() == RolloutReport(again.order_id)
@@ -467,7 +475,7 @@
     assert samples.changed_since(known) == {}
     samples.on_attempt_ended(KEY)
     assert samples.changed_since(known)["s"].others.in_flight == 0
-    assert set(samples.changed_since(0)) == {"s", "other"}, "whole on a new connection"
+    assert set(samples.changed_since(0)) == {"s", "other"}, "a new connection gets all reports"
 
 
 def test_routes_in_excess_of_the_maximum_are_counted_together() -> None:
--- a/tests/router/test_rollout_tracks.py
+++ b/tests/router/test_rollout_tracks.py
@@ -1,4 +1,4 @@
-"""Which upstreams requests of a service with a roll-out go to, through whole exchanges."""
+"""Tests of which upstreams serve the requests of a service with a roll-out, through whole exchanges."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from tests.router.router_model import KINDS, REPEATABLE, FakeUpstream, Sent, answer_of
 
 DRAWS = 10_000
-AT_ONCE = 10  # more than there are upstreams: idle ones come first
+AT_ONCE = 10  # more than there are upstreams, so that all get requests: idle upstreams are selected first
 READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
 
 
@@ -45,7 +45,7 @@
 
 
 def served_by(play: RolloutPlay, count: int, kind: str = "plain") -> set[str]:
-    """The upstreams that so many requests went to, ten at a time; "" where there was none."""
+    """Send `count` requests, ten at a time. Returns the upstreams that served them; "" for requests without one."""
     found = set()
     for _ in range(count // AT_ONCE):
         found |= {play.request_at(kind)[1] for _ in range(AT_ONCE)}
@@ -55,7 +55,7 @@
 
 
 def hold_request_at_version(play: RolloutPlay, version: str) -> FakeUpstream:
-    """Requests are sent until one is at that version; the others are answered."""
+    """Send requests until one goes to that version, and leave it unanswered. The requests before it are answered."""
     ids = NEW_IDS if version == NEW else OLD_IDS
     for _ in range(DRAWS):
         play.request_at("safe")
@@ -151,7 +151,7 @@
 
 
 def test_allowed_tracks_follow_the_current_state_of_the_roll_out(play: RolloutPlay) -> None:
-    """Drawn for the target, rolled back while a controller places the prefix."""
+    """The state may change after the draw, for example while the router waits for a prefix lookup."""
     for first, second, is_first, expected in (
         (Track.TARGET, rollout(0.0, ROLLED_BACK), True, (Track.OTHERS,)),
         (Track.TARGET, rollout(0.1), True, (Track.TARGET, Track.OTHERS)),
@@ -315,7 +315,7 @@
 def test_an_upstream_that_changes_its_track_keeps_its_requests_in_flight(play: RolloutPlay) -> None:
     play.order(rollout(1.0))
     held = {play.request_at("plain")[1] for _ in range(3)}
-    assert held == set(NEW_IDS), "each holds a token until it has a request"
+    assert held == set(NEW_IDS), "each upstream holds an idle token until it has a request"
     play.order(rollout(0.0))
     play.order(rollout(1.0))
     selector = play.model.plane.upstreams.selector("s", Track.TARGET)
@@ -325,7 +325,7 @@
         assert server.other_in_flight == 1
     for upstream in play.waiting():
         play.answer(upstream)
-    assert {play.request_at("plain")[1] for _ in range(3)} == set(NEW_IDS), "all are believed idle again"
+    assert {play.request_at("plain")[1] for _ in range(3)} == set(NEW_IDS), "all count as idle again"
     for upstream in play.waiting():
         play.answer(upstream)
 
@@ -392,7 +392,7 @@
     assert lookups_at_weight(0.0) == 20
     assert lookups_at_weight(1.0) == 20
     play.list_upstreams(NEW, NEW_IDS, DRAINING)
-    assert lookups_at_weight(0.9999) == 20, "it goes to the others"
+    assert lookups_at_weight(0.9999) == 20, "no upstream of the target is ready, so requests go to the others"
 
 
 def test_each_request_kind_passes_the_checks_of_the_model_with_two_tracks(play: RolloutPlay) -> None:
@@ -425,7 +425,7 @@
 
 
 def play_of_one_version() -> RolloutPlay:
-    """All upstreams have the new version already, and the router has served with a configuration without roll-outs."""
+    """Return a model whose upstreams all have the new version, after a configuration without roll-outs."""
     play = RolloutPlay(has_old=False)
     play.order()
     return play
@@ -435,7 +435,7 @@
 def test_an_order_for_the_only_version_rejects_no_request(weight: float) -> None:
     play = play_of_one_version()
     play.order(rollout(weight, withdrawn_versions=("v0",)))
-    assert served_by(play, 100) == set(NEW_IDS), "all of them, no canary's share"
+    assert served_by(play, 100) == set(NEW_IDS), "all upstreams, not only a canary's share"
     play.list_upstreams(NEW, NEW_IDS[:1], DRAINING)
     assert served_by(play, 50) == set(NEW_IDS[1:])
     play.order(rollout(1.0, COMPLETED))
@@ -457,10 +457,10 @@
 
 def test_a_router_that_has_just_started_does_not_assume_a_single_version() -> None:
     play = RolloutPlay(has_old=False)
-    play.order(rollout(0.0))  # its first configuration
+    play.order(rollout(0.0))  # the first configuration of the router
     assert served_by(play, 50) == {
         ""
-    }, "the first controller that it reaches may know the target's upstreams alone"
+    }, "the first controller that it reaches may know only the upstreams of the target"
     play.close()
 
 
@@ -471,7 +471,7 @@
     play.list_upstreams(OLD, OLD_IDS)
     assert served_by(play, 50) == set(OLD_IDS)
     play.list_upstreams(OLD, OLD_IDS, GONE)
-    assert served_by(play, 50) == {""}, "the target has not been judged"
+    assert served_by(play, 50) == {""}, "the target is still on trial"
     play.close()
 
 
@@ -494,7 +494,7 @@
     play.model.plane.upstreams.tick(play.now_s * 1000.0)
     assert served_by(play, 200) == used
     play.order(rollout(0.0, target_version="v4", ordered_unix_ms=9_000.0))
-    assert "t2" in served_by(play, 200), "one of the others of the next roll-out"
+    assert "t2" in served_by(play, 200), "it belongs to the others of the next roll-out"
 
 
 def test_a_version_that_appears_after_a_completion_waits_for_its_order(play: RolloutPlay) -> None:
@@ -507,7 +507,7 @@
     play.order(rollout(0.0, target_version="v3", withdrawn_versions=("v1",), ordered_unix_ms=9_000.0))
     play.wait(2.0)
     play.model.plane.upstreams.tick(play.now_s * 1000.0)
-    assert served_by(play, 100) == {"t0", "t1"}, "it is on trial"
+    assert served_by(play, 100) == {"t0", "t1"}, "the version is on trial"
 
 
 def test_a_version_that_waits_for_an_order_takes_requests_when_no_other_is_ready(play: RolloutPlay) -> None:
--- a/tests/router/test_router_count.py
+++ b/tests/router/test_router_count.py
@@ -1,4 +1,4 @@
-"""How many routers a router reckons with."""
+"""Tests of the number of routers by which a router divides limits."""
 
 from __future__ import annotations
 
--- a/tests/router/test_upstream_directory.py
+++ b/tests/router/test_upstream_directory.py
@@ -1,4 +1,4 @@
-"""The list of upstreams of a router, and the selectors that follow it."""
+"""Tests of a router's upstream directory and of the selectors that it updates."""
 
 from __future__ import annotations
 
--- a/tests/router/test_usage_statuses.py
+++ b/tests/router/test_usage_statuses.py
@@ -1,4 +1,4 @@
-"""A router's part of what controllers without share leases tell of tenants."""
+"""Tests of the part of a tenant's quota that a router may use by the statuses of usage tables."""
 
 from __future__ import annotations
 
