--- a/tests/router/test_fleet_sync_golden.py
+++ b/tests/router/test_fleet_sync_golden.py
@@ -108,7 +108,5 @@
 
 
 def test_lines_that_a_router_writes_to_a_controller() -> None:
-    with asyncio.Runner(
-        loop_factory=uvloop.new_event_loop
-    ) as runner:  # the loop that the program itself uses
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # the program's own loop
         runner.run(run_session())
--- a/tests/router/test_rollout_machine.py
+++ b/tests/router/test_rollout_machine.py
@@ -35,7 +35,7 @@
         self.play.close()
         self.rollouts = RolloutPlay()
         self.play = self.rollouts
-        self.weight = 0.0  # of the target version, by the latest roll-out
+        self.weight = 0.0  # of the target version; no roll-out is in force at first
         self.has_rollout = False
         self.checked_runs: Counter[str] = Counter()  # number of runs already checked, by request id
 
--- a/tests/router/test_rollout_reports_golden.py
+++ b/tests/router/test_rollout_reports_golden.py
@@ -139,9 +139,7 @@
 def test_lines_that_a_router_writes_about_a_roll_out(monkeypatch: pytest.MonkeyPatch) -> None:
     logged: list[tuple[str, dict[str, Any]]] = []
     monkeypatch.setattr(log, "event", lambda name, **fields: logged.append((name, fields)))
-    with asyncio.Runner(
-        loop_factory=uvloop.new_event_loop
-    ) as runner:  # the loop that the program itself uses
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # the program's own loop
         runner.run(run_session())
     assert [fields for name, fields in logged if name == "rollout"] == [
         {"service": "s", "target_version": "v2", "state": state, "target_weight": 1.0}
--- a/tests/router/test_rollout_samples.py
+++ b/tests/router/test_rollout_samples.py
@@ -132,9 +132,8 @@
 
 
 def test_a_stream_of_two_events_has_no_pace() -> None:
-    play = RolloutPlay(
-        new_ids=("t0",)
-    )  # without the model's check, which does not know streams as short as this one
+    # Not the fixture: the model's check does not know streams as short as this one.
+    play = RolloutPlay(new_ids=("t0",))
     play.order(rollout(1.0))
     _, upstream = begin_at_target(play, "stream")
     assert upstream.run is not None
