--- a/tests/router/rollout_model.py
+++ b/tests/router/rollout_model.py
@@ -31,7 +31,7 @@
     return msgspec.convert({**fields, **other}, Rollout)
 
 
-class RolloutPlay(Play):
+class RolloutScenario(Play):
     """The model with two upstreams of the old version and, by default, three of the new one."""
 
     def __init__(self, new_ids: tuple[str, ...] = NEW_IDS, *, has_old: bool = True) -> None:
--- a/tests/router/test_rollout_machine.py
+++ b/tests/router/test_rollout_machine.py
@@ -19,7 +19,7 @@
     OLD_IDS,
     ROLLED_BACK,
     RUNNING,
-    RolloutPlay,
+    RolloutScenario,
     rollout,
 )
 from tests.router.test_exchange import ExchangeMachine
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.play.close()
-        self.rollouts = RolloutPlay()
+        self.rollouts = RolloutScenario()
         self.play = self.rollouts
         self.weight = 0.0  # of the target version; no roll-out is in force at first
         self.has_rollout = False
--- a/tests/router/test_rollout_samples.py
+++ b/tests/router/test_rollout_samples.py
@@ -29,7 +29,7 @@
     ROLLED_BACK,
     TARGET_MS,
     TIMEOUT_MS,
-    RolloutPlay,
+    RolloutScenario,
     rollout,
 )
 from tests.router.router_model import EVENTS, KINDS, REPEATABLE, STREAMS, FakeUpstream, Sent, answer_of
@@ -39,66 +39,68 @@
 
 
 @pytest.fixture
-def play() -> Iterator[RolloutPlay]:
-    made = RolloutPlay(new_ids=("t0",))
+def scenario() -> Iterator[RolloutScenario]:
+    made = RolloutScenario(new_ids=("t0",))
     yield made
     made.model.check()
     assert not made.model.plane.rollout_samples._in_flight, "every attempt has ended"
     made.close()
 
 
-def target(play: RolloutPlay) -> TrackSamples:
-    report = play.report()
+def target(scenario: RolloutScenario) -> TrackSamples:
+    report = scenario.report()
     assert report is not None
     return report.target
 
 
-def begin_at_target(play: RolloutPlay, kind: str = "plain") -> tuple[Sent, FakeUpstream]:
+def begin_at_target(scenario: RolloutScenario, kind: str = "plain") -> tuple[Sent, FakeUpstream]:
     """Send a request that goes to the only upstream of the target. Returns it and the upstream's connection."""
-    sent, at = play.request_at(kind)
+    sent, at = scenario.request_at(kind)
     assert at == "t0"
-    (upstream,) = play.waiting()
+    (upstream,) = scenario.waiting()
     return sent, upstream
 
 
-def send_all(play: RolloutPlay, upstream: FakeUpstream, answer: bytes, *, executed: bool = True) -> None:
+def send_all(
+    scenario: RolloutScenario, upstream: FakeUpstream, answer: bytes, *, executed: bool = True
+) -> None:
     upstream.begin(answer, executed=executed)
-    play.do(lambda: upstream.send(len(answer)))
+    scenario.do(lambda: upstream.send(len(answer)))
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_an_answer_is_counted_on_its_route(kind: str, play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play, kind)
-    assert target(play) == TrackSamples(in_flight=1)
-    play.wait(0.03)
-    play.answer(upstream)
-    samples = target(play).routes[kind]
+def test_an_answer_is_counted_on_its_route(kind: str, scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario, kind)
+    assert target(scenario) == TrackSamples(in_flight=1)
+    scenario.wait(0.03)
+    scenario.answer(upstream)
+    samples = target(scenario).routes[kind]
     assert (samples.answered, samples.failed) == (1, 0)
     assert samples.first_byte == {bucket_of(30.0): 1}
     assert samples.pace == {0 if kind in STREAMS else bucket_of(30.0): 1}
-    assert target(play).in_flight == 0
-    report = play.report()
+    assert target(scenario).in_flight == 0
+    report = scenario.report()
     assert report is not None
     assert report.others == TrackSamples()
 
 
 def test_similar_routes_are_counted_together_when_there_are_many_routes(
-    play: RolloutPlay, monkeypatch: pytest.MonkeyPatch
+    scenario: RolloutScenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(configuration, "MANY_ROUTES", 0)
-    play.order(rollout(1.0))
+    scenario.order(rollout(1.0))
     for kind in KINDS:
-        _, upstream = begin_at_target(play, kind)
-        play.answer(upstream)
-    counted = {name: route.answered for name, route in target(play).routes.items()}
+        _, upstream = begin_at_target(scenario, kind)
+        scenario.answer(upstream)
+    counted = {name: route.answered for name, route in target(scenario).routes.items()}
     alike = [f"{fields.get('kind', NON_IDEMPOTENT)} within {TARGET_MS:g} ms" for fields in KINDS.values()]
     assert counted == {name: alike.count(name) for name in alike}
 
 
-def test_the_pace_of_a_stream_is_the_mean_time_between_its_events(play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play, "stream")
+def test_the_pace_of_a_stream_is_the_mean_time_between_its_events(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario, "stream")
     run = upstream.run
     assert run is not None
     answer = answer_of(run)
@@ -106,52 +108,52 @@
     ends = [answer.index(run.event(number)) + len(run.event(number)) + 2 for number in (1, 2, 3)]
     done = 0
     for pause_s, end in zip((0.2, 0.3, 0.5), ends, strict=True):
-        play.wait(pause_s)
-        play.do(lambda count=end - done: upstream.send(count))  # type: ignore[misc]
+        scenario.wait(pause_s)
+        scenario.do(lambda count=end - done: upstream.send(count))  # type: ignore[misc]
         done = end
-    play.do(lambda: upstream.send(len(upstream.unsent)))
-    samples = target(play).routes["stream"]
+    scenario.do(lambda: upstream.send(len(upstream.unsent)))
+    samples = target(scenario).routes["stream"]
     assert samples.first_byte == {bucket_of(200.0): 1}
     assert samples.pace == {bucket_of(400.0): 1}
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_the_first_byte_is_counted_before_the_answer_ends(kind: str, play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play, kind)
+def test_the_first_byte_is_counted_before_the_answer_ends(kind: str, scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario, kind)
     assert upstream.run is not None
-    play.wait(0.03)
+    scenario.wait(0.03)
     answer = answer_of(upstream.run)
     upstream.begin(answer)
-    play.do(lambda: upstream.send(len(answer) - 1))
-    assert target(play).routes[kind] == RouteSamples(first_byte={bucket_of(30.0): 1})
-    play.wait(0.5)
-    play.do(lambda: upstream.send(1))
-    assert target(play).routes[kind].first_byte == {bucket_of(30.0): 1}
-    assert target(play).routes[kind].answered == 1
+    scenario.do(lambda: upstream.send(len(answer) - 1))
+    assert target(scenario).routes[kind] == RouteSamples(first_byte={bucket_of(30.0): 1})
+    scenario.wait(0.5)
+    scenario.do(lambda: upstream.send(1))
+    assert target(scenario).routes[kind].first_byte == {bucket_of(30.0): 1}
+    assert target(scenario).routes[kind].answered == 1
 
 
 def test_a_stream_of_two_events_has_no_pace() -> None:
     # Not the fixture: the model's check does not know streams as short as this one.
-    play = RolloutPlay(new_ids=("t0",))
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play, "stream")
+    scenario = RolloutScenario(new_ids=("t0",))
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario, "stream")
     assert upstream.run is not None
     upstream.run.after = EVENTS - 2
-    play.wait(0.03)
-    play.answer(upstream)
-    samples = target(play).routes["stream"]
+    scenario.wait(0.03)
+    scenario.answer(upstream)
+    samples = target(scenario).routes["stream"]
     assert samples == RouteSamples(answered=1, first_byte={bucket_of(30.0): 1})
-    play.close()
+    scenario.close()
 
 
 @pytest.mark.parametrize("milliseconds", [0.5, 40.0, 4_000.0])
-def test_slow_answers_are_in_the_right_bucket(milliseconds: float, play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play)
-    play.wait(milliseconds / 1000.0)
-    play.answer(upstream)
-    samples = target(play).routes["plain"]
+def test_slow_answers_are_in_the_right_bucket(milliseconds: float, scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario)
+    scenario.wait(milliseconds / 1000.0)
+    scenario.answer(upstream)
+    samples = target(scenario).routes["plain"]
     bucket = bucket_of(milliseconds)
     assert samples.first_byte in (
         {bucket: 1},
@@ -161,11 +163,11 @@
     assert samples.pace == samples.first_byte
 
 
-def test_an_answer_of_another_upstream_is_counted_for_the_others(play: RolloutPlay) -> None:
-    play.order(rollout(0.0))
-    play.request_at("plain")
-    play.answer(play.waiting()[0])
-    report = play.report()
+def test_an_answer_of_another_upstream_is_counted_for_the_others(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(0.0))
+    scenario.request_at("plain")
+    scenario.answer(scenario.waiting()[0])
+    report = scenario.report()
     assert report is not None
     assert report.target == TrackSamples()
     assert report.others.routes["plain"].answered == 1
@@ -174,9 +176,9 @@
 # Failures
 
 
-def is_counted_as_failed(play: RolloutPlay, kind: str = "plain") -> bool:
+def is_counted_as_failed(scenario: RolloutScenario, kind: str = "plain") -> bool:
     """Return whether the only call at the target was counted as failed. Otherwise it must not be counted at all."""
-    track = target(play)
+    track = target(scenario)
     if not track.routes:
         assert not track.failures_by_upstream
         return False
@@ -187,33 +189,33 @@
     return samples.failed == 1
 
 
-def answer_all_waiting(play: RolloutPlay) -> None:
-    for upstream in play.waiting():
-        play.answer(upstream)
+def answer_all_waiting(scenario: RolloutScenario) -> None:
+    for upstream in scenario.waiting():
+        scenario.answer(upstream)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("status", [500, 502])
 def test_a_server_error_is_a_failure_whether_relayed_or_retried(
-    kind: str, status: int, play: RolloutPlay
+    kind: str, status: int, scenario: RolloutScenario
 ) -> None:
-    play.order(rollout(1.0))
-    sent, upstream = begin_at_target(play, kind)
-    play.answer(upstream, status=status)
-    answer_all_waiting(play)
+    scenario.order(rollout(1.0))
+    sent, upstream = begin_at_target(scenario, kind)
+    scenario.answer(upstream, status=status)
+    answer_all_waiting(scenario)
     assert sent.status == (200 if kind in REPEATABLE else status)
-    assert is_counted_as_failed(play, kind)
+    assert is_counted_as_failed(scenario, kind)
     assert (
-        not target(play).routes[kind].first_byte
+        not target(scenario).routes[kind].first_byte
     ), "an error's time to first byte is not counted, since errors are fast"
 
 
-def test_a_503_without_the_guarantee_of_no_execution_is_a_failure(play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    sent, upstream = begin_at_target(play)
-    play.answer(upstream, status=503)
+def test_a_503_without_the_guarantee_of_no_execution_is_a_failure(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    sent, upstream = begin_at_target(scenario)
+    scenario.answer(upstream, status=503)
     assert sent.status == 502
-    assert is_counted_as_failed(play)
+    assert is_counted_as_failed(scenario)
 
 
 @pytest.mark.parametrize(
@@ -227,223 +229,231 @@
 )
 @pytest.mark.parametrize("kind", KINDS)
 def test_rejections_without_execution_are_no_failures(
-    kind: str, status: int, more: dict[str, str], play: RolloutPlay
+    kind: str, status: int, more: dict[str, str], scenario: RolloutScenario
 ) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play, kind)
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario, kind)
     assert upstream.run is not None
-    send_all(play, upstream, answer_of(upstream.run, status=status, **more), executed=False)
-    answer_all_waiting(play)
-    assert not is_counted_as_failed(play, kind)
+    send_all(scenario, upstream, answer_of(upstream.run, status=status, **more), executed=False)
+    answer_all_waiting(scenario)
+    assert not is_counted_as_failed(scenario, kind)
 
 
-def test_a_client_error_is_an_answer(play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play)
-    play.answer(upstream, status=404)
-    assert target(play).routes["plain"].answered == 1
+def test_a_client_error_is_an_answer(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario)
+    scenario.answer(upstream, status=404)
+    assert target(scenario).routes["plain"].answered == 1
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("bytes_sent", [0, 20, -3])
-def test_an_answer_that_breaks_off_is_a_failure(kind: str, bytes_sent: int, play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play, kind)
+def test_an_answer_that_breaks_off_is_a_failure(
+    kind: str, bytes_sent: int, scenario: RolloutScenario
+) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario, kind)
     assert upstream.run is not None
     answer = answer_of(upstream.run)
     upstream.begin(answer)
-    play.do(lambda: upstream.send(bytes_sent % len(answer)))
-    play.do(lambda: upstream.close(in_order=False))
-    answer_all_waiting(play)
-    assert is_counted_as_failed(play, kind)
+    scenario.do(lambda: upstream.send(bytes_sent % len(answer)))
+    scenario.do(lambda: upstream.close(in_order=False))
+    answer_all_waiting(scenario)
+    assert is_counted_as_failed(scenario, kind)
 
 
 @pytest.mark.parametrize("corrupted_part", [b"X-Server-Signature", b"X-Request-Id", b"HTTP/1.1 200"])
-def test_a_corrupted_answer_is_a_failure(corrupted_part: bytes, play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play)
+def test_a_corrupted_answer_is_a_failure(corrupted_part: bytes, scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario)
     assert upstream.run is not None
-    send_all(play, upstream, answer_of(upstream.run).replace(corrupted_part, b"X-Other"))
-    assert is_counted_as_failed(play)
+    send_all(scenario, upstream, answer_of(upstream.run).replace(corrupted_part, b"X-Other"))
+    assert is_counted_as_failed(scenario)
 
 
 @pytest.mark.parametrize("state", [UpstreamState.DRAINING, UpstreamState.GONE])
 def test_a_connection_that_ends_with_a_planned_departure_is_no_failure(
-    state: UpstreamState, play: RolloutPlay
+    state: UpstreamState, scenario: RolloutScenario
 ) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play)
-    play.list_upstreams(NEW, ("t0",), state)
-    assert target(play).in_flight == 1
-    play.do(lambda: upstream.close(in_order=False))
-    assert not is_counted_as_failed(play)
-    assert target(play).in_flight == 0
-
-
-def test_a_refused_connection_is_no_failure(play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    play.model.refusing.add("127.0.0.1:3")
-    _, at = play.request_at("plain")
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario)
+    scenario.list_upstreams(NEW, ("t0",), state)
+    assert target(scenario).in_flight == 1
+    scenario.do(lambda: upstream.close(in_order=False))
+    assert not is_counted_as_failed(scenario)
+    assert target(scenario).in_flight == 0
+
+
+def test_a_refused_connection_is_no_failure(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    scenario.model.refusing.add("127.0.0.1:3")
+    _, at = scenario.request_at("plain")
     assert at in OLD_IDS
-    answer_all_waiting(play)
-    assert not is_counted_as_failed(play)
+    answer_all_waiting(scenario)
+    assert not is_counted_as_failed(scenario)
 
 
-def test_an_attempt_that_is_given_up_without_an_answer_is_a_failure(play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play, "safe")
-    play.wait(2.0 * TARGET_MS / 1000.0)
+def test_an_attempt_that_is_given_up_without_an_answer_is_a_failure(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario, "safe")
+    scenario.wait(2.0 * TARGET_MS / 1000.0)
     assert not upstream.is_open
-    assert is_counted_as_failed(play, "safe")
-    answer_all_waiting(play)
+    assert is_counted_as_failed(scenario, "safe")
+    answer_all_waiting(scenario)
 
 
-def test_a_client_that_disconnects_is_no_failure(play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    _, upstream = begin_at_target(play)
-    play.wait(0.02)
-    play.do(play.model.clients[-1].close)
+def test_a_client_that_disconnects_is_no_failure(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    _, upstream = begin_at_target(scenario)
+    scenario.wait(0.02)
+    scenario.do(scenario.model.clients[-1].close)
     assert not upstream.is_open
-    assert not is_counted_as_failed(play)
+    assert not is_counted_as_failed(scenario)
 
 
-def test_a_request_that_was_never_sent_is_no_failure(play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
+def test_a_request_that_was_never_sent_is_no_failure(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
     accepted = asyncio.Event()
 
     async def connect(address: str) -> object:
         await accepted.wait()
         raise AssertionError(address)
 
-    play.model.plane.pool.connect = connect  # type: ignore[method-assign,assignment]
-    send_with_deadline(play, 500)
-    assert target(play).in_flight == 1
-    play.wait(0.499)
-    play.do(play.model.clients[-1].close)
-    assert not is_counted_as_failed(play)
+    scenario.model.plane.pool.connect = connect  # type: ignore[method-assign,assignment]
+    send_with_deadline(scenario, 500)
+    assert target(scenario).in_flight == 1
+    scenario.wait(0.499)
+    scenario.do(scenario.model.clients[-1].close)
+    assert not is_counted_as_failed(scenario)
 
 
-def send_with_deadline(play: RolloutPlay, milliseconds: int) -> None:
-    client = play.client()
-    sent = Sent(f"r{len(play.model.sent)}", "plain")
-    play.model.sent[sent.id] = sent
+def send_with_deadline(scenario: RolloutScenario, milliseconds: int) -> None:
+    client = scenario.client()
+    sent = Sent(f"r{len(scenario.model.sent)}", "plain")
+    scenario.model.sent[sent.id] = sent
     client.queue(sent, b"", f"X-Deadline-Ms: {milliseconds}\r\n")
-    play.do(lambda: client.send(len(client.unread)))
+    scenario.do(lambda: client.send(len(client.unread)))
 
 
 @pytest.mark.parametrize(("deadline_ms", "counts"), [(60, False), (500, True)])
 @pytest.mark.parametrize("client_ends_it", [False, True])
 def test_a_missed_deadline_is_a_failure_if_it_left_enough_time(
-    deadline_ms: int, counts: bool, client_ends_it: bool, play: RolloutPlay
+    deadline_ms: int, counts: bool, client_ends_it: bool, scenario: RolloutScenario
 ) -> None:
-    play.order(rollout(1.0))
-    send_with_deadline(play, deadline_ms)
-    (upstream,) = play.waiting()
+    scenario.order(rollout(1.0))
+    send_with_deadline(scenario, deadline_ms)
+    (upstream,) = scenario.waiting()
     if client_ends_it:
-        play.wait((deadline_ms - 1) / 1000.0)
-        play.do(play.model.clients[-1].close)
+        scenario.wait((deadline_ms - 1) / 1000.0)
+        scenario.do(scenario.model.clients[-1].close)
     else:
-        play.wait((deadline_ms + 1) / 1000.0)
+        scenario.wait((deadline_ms + 1) / 1000.0)
     assert not upstream.is_open
-    assert is_counted_as_failed(play) is counts
+    assert is_counted_as_failed(scenario) is counts
 
 
-def test_a_client_that_disconnects_long_before_its_deadline_is_no_failure(play: RolloutPlay) -> None:
-    play.order(rollout(1.0))
-    begin_at_target(play)
-    play.wait((TIMEOUT_MS - 2.0 * DEADLINE_MARGIN_MS) / 1000.0)
-    play.do(play.model.clients[-1].close)
-    assert not is_counted_as_failed(play)
+def test_a_client_that_disconnects_long_before_its_deadline_is_no_failure(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(1.0))
+    begin_at_target(scenario)
+    scenario.wait((TIMEOUT_MS - 2.0 * DEADLINE_MARGIN_MS) / 1000.0)
+    scenario.do(scenario.model.clients[-1].close)
+    assert not is_counted_as_failed(scenario)
 
 
 # In flight
 
 
-def others_in_flight(play: RolloutPlay) -> int:
-    report = play.report()
+def others_in_flight(scenario: RolloutScenario) -> int:
+    report = scenario.report()
     assert report is not None
     return report.others.in_flight
 
 
-def test_attempts_that_began_before_the_order_are_in_flight(play: RolloutPlay) -> None:
-    play.order(rollout(0.0, ROLLED_BACK))
-    sent = [play.request_at("plain")[0] for _ in range(3)]
-    play.order(rollout(1.0, ordered_unix_ms=2_000.0))
-    assert others_in_flight(play) == 3
-    assert target(play).in_flight == 0
+def test_attempts_that_began_before_the_order_are_in_flight(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(0.0, ROLLED_BACK))
+    sent = [scenario.request_at("plain")[0] for _ in range(3)]
+    scenario.order(rollout(1.0, ordered_unix_ms=2_000.0))
+    assert others_in_flight(scenario) == 3
+    assert target(scenario).in_flight == 0
     for left in (2, 1, 0):
-        play.answer(play.waiting()[0])
-        assert others_in_flight(play) == left
+        scenario.answer(scenario.waiting()[0])
+        assert others_in_flight(scenario) == left
     assert all(one.complete for one in sent)
 
 
-def test_every_end_of_an_attempt_at_the_others_is_counted(play: RolloutPlay) -> None:
-    play.order(rollout(0.0))
+def test_every_end_of_an_attempt_at_the_others_is_counted(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(0.0))
     for _ in range(5):
-        play.request_at("plain")
-    assert others_in_flight(play) == 5
-    play.order(rollout(1.0))
-    cancelled, broken, failing, departed, answered = play.waiting()
-    play.do(play.model.clients[0].close)  # by disconnecting its client
-    assert others_in_flight(play) == 4
-    play.do(lambda: broken.close(in_order=False))
-    assert others_in_flight(play) == 3
-    play.answer(failing, status=500)
-    assert others_in_flight(play) == 2
-    play.list_upstreams(OLD, OLD_IDS, UpstreamState.DRAINING)
-    assert others_in_flight(play) == 2
-    play.list_upstreams(OLD, OLD_IDS, UpstreamState.GONE)
-    assert others_in_flight(play) == 2
-    play.do(lambda: departed.close(in_order=False))
-    assert others_in_flight(play) == 1
-    play.answer(answered)
-    assert others_in_flight(play) == 0
+        scenario.request_at("plain")
+    assert others_in_flight(scenario) == 5
+    scenario.order(rollout(1.0))
+    cancelled, broken, failing, departed, answered = scenario.waiting()
+    scenario.do(scenario.model.clients[0].close)  # by disconnecting its client
+    assert others_in_flight(scenario) == 4
+    scenario.do(lambda: broken.close(in_order=False))
+    assert others_in_flight(scenario) == 3
+    scenario.answer(failing, status=500)
+    assert others_in_flight(scenario) == 2
+    scenario.list_upstreams(OLD, OLD_IDS, UpstreamState.DRAINING)
+    assert others_in_flight(scenario) == 2
+    scenario.list_upstreams(OLD, OLD_IDS, UpstreamState.GONE)
+    assert others_in_flight(scenario) == 2
+    scenario.do(lambda: departed.close(in_order=False))
+    assert others_in_flight(scenario) == 1
+    scenario.answer(answered)
+    assert others_in_flight(scenario) == 0
     assert not cancelled.is_open
 
 
-def test_an_attempt_that_still_connects_is_in_flight(play: RolloutPlay) -> None:
-    play.order(rollout(0.0))
+def test_an_attempt_that_still_connects_is_in_flight(scenario: RolloutScenario) -> None:
+    scenario.order(rollout(0.0))
     counted: list[int] = []
-    original = play.model.plane.pool.connect
+    original = scenario.model.plane.pool.connect
 
     async def connect(address: str) -> object:
-        counted.append(others_in_flight(play))
+        counted.append(others_in_flight(scenario))
         return await original(address)
 
-    play.model.plane.pool.connect = connect  # type: ignore[method-assign,assignment]
-    play.request_at("plain")
-    answer_all_waiting(play)
+    scenario.model.plane.pool.connect = connect  # type: ignore[method-assign,assignment]
+    scenario.request_at("plain")
+    answer_all_waiting(scenario)
     assert counted == [1]
 
 
-def test_an_upstream_of_the_target_from_before_the_order_is_in_flight_there(play: RolloutPlay) -> None:
-    play.order()
-    at = [play.request_at("plain")[1] for _ in range(3)]
+def test_an_upstream_of_the_target_from_before_the_order_is_in_flight_there(
+    scenario: RolloutScenario,
+) -> None:
+    scenario.order()
+    at = [scenario.request_at("plain")[1] for _ in range(3)]
     assert sorted(at) == ["i0", "i1", "t0"]
-    play.order(rollout(0.5))
-    report = play.report()
+    scenario.order(rollout(0.5))
+    report = scenario.report()
     assert report is not None
     assert (report.target.in_flight, report.others.in_flight) == (1, 2)
-    answer_all_waiting(play)
+    answer_all_waiting(scenario)
 
 
 # Reports
 
 
-def test_only_running_roll_outs_are_reported_and_each_order_starts_an_empty_report(play: RolloutPlay) -> None:
-    assert play.report() is None
-    play.order(rollout(1.0))
-    play.answer(begin_at_target(play)[1])
-    report = play.report()
+def test_only_running_roll_outs_are_reported_and_each_order_starts_an_empty_report(
+    scenario: RolloutScenario,
+) -> None:
+    assert scenario.report() is None
+    scenario.order(rollout(1.0))
+    scenario.answer(begin_at_target(scenario)[1])
+    report = scenario.report()
     assert report is not None
     assert report.order_id == rollout().order_id
-    play.order(rollout(0.9))
-    assert target(play).routes["plain"].answered == 1, "the order is the same; only its weight has changed"
+    scenario.order(rollout(0.9))
+    assert (
+        target(scenario).routes["plain"].answered == 1
+    ), "the order is the same; only its weight has changed"
     again = rollout(1.0, ordered_unix_ms=2_000.0)
-    play.order(again)
-    assert play.report() == RolloutReport(again.order_id)
-    play.order(rollout(1.0, COMPLETED, ordered_unix_ms=2_000.0))
-    assert play.report() is None
+    scenario.order(again)
+    assert scenario.report() == RolloutReport(again.order_id)
+    scenario.order(rollout(1.0, COMPLETED, ordered_unix_ms=2_000.0))
+    assert scenario.report() is None
 
 
 def test_unchanged_reports_are_left_out() -> None:
@@ -491,9 +501,9 @@
     assert sum(answered) == 3 * MAX_ROUTES
 
 
-def test_apply_rollouts_returns_new_roll_outs_and_new_states(play: RolloutPlay) -> None:
-    assert play.order(rollout(0.1)) == [rollout(0.1)]
-    assert play.order(rollout(0.1)) == []
-    assert play.order(rollout(0.4)) == []
-    assert play.order(rollout(0.4, ROLLED_BACK)) == [rollout(0.4, ROLLED_BACK)]
-    assert play.order() == []
+def test_apply_rollouts_returns_new_roll_outs_and_new_states(scenario: RolloutScenario) -> None:
+    assert scenario.order(rollout(0.1)) == [rollout(0.1)]
+    assert scenario.order(rollout(0.1)) == []
+    assert scenario.order(rollout(0.4)) == []
+    assert scenario.order(rollout(0.4, ROLLED_BACK)) == [rollout(0.4, ROLLED_BACK)]
+    assert scenario.order() == []
