--- a/larkweir/router/rollout_tracks.py
+++ b/larkweir/router/rollout_tracks.py
@@ -72,9 +72,8 @@
         self._target: UpstreamSelector | None = None
         self._listed_since_ms: dict[str, float] | None = None  # by version; None before the first `update`
         self._awaiting_order: frozenset[str] = frozenset()  # versions for which an order may still arrive
-        self._is_target_only_version = (
-            False  # the target had all upstreams at the order, and has had them since
-        )
+        # Whether all upstreams had the target version when the order arrived, and none had another one since.
+        self._is_target_only_version = False
         self.rollout: Rollout | None = None
 
     def selector(self, track: Track) -> UpstreamSelector:
--- a/larkweir/router/router_count.py
+++ b/larkweir/router/router_count.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-RETENTION_MS = 10_000.0  # a controller that has just started knows only a few routers at first
+RETENTION_MS = 10_000.0  # of the highest count; a controller that has just started knows only a few routers
 MIN_REPORTING_MS = 2_000.0  # after the first report; a fleet that started together is connected by then
 
 
