--- a/tests/router/rollout_model.py
+++ b/tests/router/rollout_model.py
@@ -92,7 +92,7 @@
         """Send a request on a new connection. Returns it and the id of its upstream; empty if it has none."""
         before = set(self.waiting())
         sent = self.request(self.client(), kind)
-        at = [one for one in self.waiting() if one not in before]
+        at = [upstream for upstream in self.waiting() if upstream not in before]
         return sent, instance(at[0]) if at else ""
 
     def report(self) -> RolloutReport | None:
--- a/tests/router/test_rollout_machine.py
+++ b/tests/router/test_rollout_machine.py
@@ -71,8 +71,8 @@
     @invariant()
     def attempts_in_flight_are_counted(self) -> None:
         plane = self.model.plane
-        exchanges = [one._exchange for one in plane.connections if one._exchange is not None]  # type: ignore[attr-defined]
-        attempts = [one._attempt for one in exchanges if one._attempt is not None]
+        exchanges = [client._exchange for client in plane.connections if client._exchange is not None]  # type: ignore[attr-defined]
+        attempts = [exchange._attempt for exchange in exchanges if exchange._attempt is not None]
         found = Counter(("s", NEW if attempt.instance in NEW_IDS else OLD) for attempt in attempts)
         assert plane.rollout_samples._in_flight == found
 
@@ -80,7 +80,7 @@
     def reports_match_the_roll_out_state(self) -> None:
         report = self.rollouts.report()
         assert (report is not None) == any(
-            one.is_running for one in self.model.plane.upstreams.rollouts.values()
+            rollout.is_running for rollout in self.model.plane.upstreams.rollouts.values()
         )
         if report is not None:
             for track in (report.target, report.others):
--- a/tests/router/test_rollout_samples.py
+++ b/tests/router/test_rollout_samples.py
@@ -378,7 +378,7 @@
     for left in (2, 1, 0):
         scenario.answer(scenario.waiting()[0])
         assert others_in_flight(scenario) == left
-    assert all(one.complete for one in sent)
+    assert all(request.complete for request in sent)
 
 
 def test_every_end_of_an_attempt_at_the_others_is_counted(scenario: RolloutScenario) -> None:
--- a/tests/router/test_rollout_tracks.py
+++ b/tests/router/test_rollout_tracks.py
@@ -526,6 +526,7 @@
 
 
 def test_a_tick_of_the_sync_ticks_the_upstream_directory() -> None:
+    """Without this tick, the upstreams of a new version would wait for an order forever."""
     sync = Mock()
     FleetSync.tick(sync)
     sync._plane.upstreams.tick.assert_called_once_with(sync._now_ms.return_value)
