--- a/larkweir/router/answer_verdict.py
+++ b/larkweir/router/answer_verdict.py
@@ -7,7 +7,7 @@
 
 from larkweir_balancing.interface import Outcome
 
-FAIR_TIME_FACTOR = 4.0  # times the latency target, after which a deadline is no excuse for an upstream
+SLOW_RESPONSE_FACTOR = 4.0  # times the latency target, after which a deadline is no excuse for an upstream
 DEADLINE_MARGIN_MS = (
     100.0  # before the deadline, from which a client that disconnects has waited for its whole time
 )
@@ -22,7 +22,7 @@
 
 
 def judge_answer(
-    outcome: Outcome, status: int, *, is_leaving: bool, is_deadline_over: bool, has_had_fair_time: bool
+    outcome: Outcome, status: int, *, is_leaving: bool, is_deadline_over: bool, is_upstream_slow: bool
 ) -> AnswerVerdict:
     """The verdict on an attempt whose request was sent.
 
@@ -31,7 +31,7 @@
         status: of the response; 0 where no head arrived.
         is_leaving: the upstream had announced that it stops: a connection that ends there is no fault of its version.
         is_deadline_over: that of the request, but for `DEADLINE_MARGIN_MS`: clients disconnect then.
-        has_had_fair_time: it was silent for much longer than others are, or had `FAIR_TIME_FACTOR` times the target.
+        is_upstream_slow: it was silent for much longer than others are, or had `SLOW_RESPONSE_FACTOR` times the target.
     """
     failed = False
     match outcome:
@@ -42,7 +42,7 @@
         case Outcome.RESET:
             failed = not is_leaving
         case Outcome.TIMEOUT:
-            failed = has_had_fair_time
+            failed = is_upstream_slow
         case Outcome.CANCELLED:
-            failed = is_deadline_over and has_had_fair_time
+            failed = is_deadline_over and is_upstream_slow
     return AnswerVerdict.FAILED if failed else AnswerVerdict.NO_EVIDENCE
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -44,7 +44,7 @@
         self._prompt = prompt
         self._loop = asyncio.get_running_loop()
         self._sent_ms = 0.0
-        self._has_token = True
+        self._has_upstream_token = True
         self._has_first_event = False
         self._is_overdue = False
         self._is_reported = False  # the fleet's outlier detection has its outcome
@@ -143,7 +143,7 @@
         tokens = self.prefill_tokens + self.queued_tokens
         self._selector.prefill_time.observe(tokens, now_ms - self._sent_ms)
         if self._plane.is_engine(self._service):
-            self._has_token = False
+            self._has_upstream_token = False
             self._selector.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
 
     def record_shedding(self) -> None:
@@ -156,7 +156,7 @@
             trace.on_ended(outcome.name)
         self._cancel_timer()
         now_ms = self._now_ms()
-        if self._has_token:
+        if self._has_upstream_token:
             self._selector.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
         self._selector.on_outcome(self.instance, outcome, now_ms)
         is_leaving = self._plane.upstreams.is_leaving(self.instance)
--- a/larkweir/router/attempt_samples.py
+++ b/larkweir/router/attempt_samples.py
@@ -9,14 +9,14 @@
 from larkweir.router.admission import Admission
 from larkweir.router.answer_verdict import (
     DEADLINE_MARGIN_MS,
-    FAIR_TIME_FACTOR,
+    SLOW_RESPONSE_FACTOR,
     AnswerVerdict,
     judge_answer,
 )
 from larkweir.router.rollout_samples import RolloutSamples, SampleKey
 
-PACED_EVENTS = 5  # of a stream, at which its pace is counted
-MIN_PACED_EVENTS = 3  # of a stream that ends before that
+PACE_SAMPLE_EVENTS = 5  # of a stream, at which its pace is counted
+MIN_PACE_SAMPLE_EVENTS = 3  # of a stream that ends before that
 
 
 class AttemptSamples:
@@ -63,7 +63,7 @@
             self._first_event_ms = now_ms
             if self._sent_ms is not None and not self._is_server_error:
                 self._samples.record_first_byte(self._key, now_ms - self._sent_ms)
-        elif self._event_count == PACED_EVENTS:
+        elif self._event_count == PACE_SAMPLE_EVENTS:
             self._record_pace(now_ms)
 
     def _record_pace(self, now_ms: float) -> None:
@@ -91,12 +91,12 @@
             self._status,
             is_leaving=is_leaving,
             is_deadline_over=now_ms >= self._deadline_ms - DEADLINE_MARGIN_MS,
-            has_had_fair_time=is_overdue or elapsed_ms > FAIR_TIME_FACTOR * self._route.target_latency_ms,
+            is_upstream_slow=is_overdue or elapsed_ms > SLOW_RESPONSE_FACTOR * self._route.target_latency_ms,
         )
         self._samples.record_verdict(self._key, verdict)
         if verdict is not AnswerVerdict.ANSWERED:
             return
         if not self._route.is_streaming:
             self._samples.record_pace(self._key, elapsed_ms)
-        elif self._event_count >= MIN_PACED_EVENTS:
+        elif self._event_count >= MIN_PACE_SAMPLE_EVENTS:
             self._record_pace(now_ms)
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -57,7 +57,7 @@
         self.prefix_affinity = PrefixAffinity(link_mbps)
         self.outcomes = OutcomeWindow()
         self.rollout_samples = RolloutSamples()
-        self._has_served = False  # with a configuration in force
+        self._had_configuration = False  # with a configuration in force
         self.connections: set[OpenConnection] = set()
         self.stopping = False
         self.error_counts: dict[ErrorKind, int] = dict.fromkeys(ErrorKind, 0)
@@ -74,11 +74,11 @@
         """Follow the roll-outs of the configuration in force; returns those that are new or in another state."""
         table = self.configuration.table
         rollouts = table.rollouts if table is not None else {}
-        has_served, self._has_served = self._has_served, table is not None
+        had_configuration, self._had_configuration = self._had_configuration, table is not None
         before = self.upstreams.rollouts
         if rollouts == before:
             return []
-        self.upstreams.set_rollouts(rollouts, now_ms, had_configuration=has_served)
+        self.upstreams.set_rollouts(rollouts, now_ms, had_configuration=had_configuration)
         self.rollout_samples.set_rollouts(rollouts)
         return [rollout for rollout in rollouts.values() if _has_new_state(rollout, before)]
 
--- a/larkweir/router/graceful_shutdown.py
+++ b/larkweir/router/graceful_shutdown.py
@@ -10,7 +10,7 @@
 # The platform checks readiness every second, and sends connections until the second check has failed.
 ACCEPT_GRACE_S = 2.6
 LAST_REQUEST_TIMEOUT_S = 0.2  # that a connection accepted at the last moment has for its request to arrive
-FINAL_ACCEPT_TURNS = (
+FINAL_ACCEPT_ITERATIONS = (
     3  # turns of the event loop in which connections that wait in the kernel are still accepted
 )
 SHUTDOWN_MARGIN_S = 0.4  # of the grace period, kept for the process to end in
@@ -53,6 +53,6 @@
 
     async def _stop_accepting(self) -> None:
         """A later request could not be finished: its client gets a refused connection and tries another router."""
-        for _ in range(FINAL_ACCEPT_TURNS):
+        for _ in range(FINAL_ACCEPT_ITERATIONS):
             await asyncio.sleep(0)
         self._front.close()
--- a/larkweir/router/node.py
+++ b/larkweir/router/node.py
@@ -35,7 +35,7 @@
         self._sync = FleetSync(settings, self._plane)
         self._terminated = asyncio.Event()
         self._servers: list[asyncio.Server] = []
-        self._ticking: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
         """Serve until SIGTERM, and until the requests accepted by then are finished.
@@ -62,14 +62,14 @@
             self._servers.append(ready)
         log.event("router_started", front=listen.front)
         ticks = TickLoop(self._periodic_tasks(watcher), self._sync.on_process_paused, TICK_S, self._now_ms)
-        ticking = self._ticking = start_task("ticks", ticks.run())
+        tick_task = self._tick_task = start_task("ticks", ticks.run())
         try:
-            await wait_unless_failed(self._terminated, ticking)
+            await wait_unless_failed(self._terminated, tick_task)
             self._sync.is_leaving = True
             await GracefulShutdown(self._plane, front, self._settings.bounds.grace_s).drain()
         finally:
             self.close()
-        await asyncio.wait((ticking,))
+        await asyncio.wait((tick_task,))
 
     def _periodic_tasks(self, watcher: SettingsWatcher) -> list[PeriodicTask]:
         return [
@@ -86,8 +86,8 @@
         """End everything at once, as a kill would."""
         for server in self._servers:
             server.close()
-        if self._ticking is not None:
-            self._ticking.cancel()
+        if self._tick_task is not None:
+            self._tick_task.cancel()
         self._sync.close()
         for connection in list(self._plane.connections):
             connection.abort()
--- a/larkweir/router/request_metadata.py
+++ b/larkweir/router/request_metadata.py
@@ -105,11 +105,11 @@
 
 
 def _parse_block(block: bytes) -> PromptBlock:
-    identity, separator, tokens = block.partition(b":")
-    identity = identity.strip()
-    if not identity or not separator or len(identity) > MAX_BLOCK_ID_BYTES:
+    block_id, separator, tokens = block.partition(b":")
+    block_id = block_id.strip()
+    if not block_id or not separator or len(block_id) > MAX_BLOCK_ID_BYTES:
         raise InvalidHeaderError("X-Prompt-Prefix", "a block is no ID:TOKENS")
-    return PromptBlock(identity.decode("latin-1"), _parse_number("X-Prompt-Prefix", tokens, MAX_TOKENS))
+    return PromptBlock(block_id.decode("latin-1"), _parse_number("X-Prompt-Prefix", tokens, MAX_TOKENS))
 
 
 def _parse_number(header: str, text: bytes, maximum: int) -> int:
--- a/larkweir/router/upstream_connection.py
+++ b/larkweir/router/upstream_connection.py
@@ -156,22 +156,22 @@
 
     def _on_head(self, response: h11.Response) -> None:
         assert self._listener is not None
-        echoed, signed = b"", False
+        echoed_id, is_signed = b"", False
         for name, value in response.headers:
             if name == b"x-request-id":
-                echoed = value
+                echoed_id = value
             elif name == SIGNATURE_HEADER:
-                signed = True
+                is_signed = True
             elif name == b"keep-alive":
                 self.keep_alive_s = _parse_idle_timeout(value)
             elif name == b"connection" and b"close" in value.lower():
                 self._is_reusable = False
-        if echoed and echoed != self._request_id:
+        if echoed_id and echoed_id != self._request_id:
             self._is_stale_response = True
-        elif response.status_code < MIN_FAILURE_STATUS and not (echoed and signed):
+        elif response.status_code < MIN_FAILURE_STATUS and not (echoed_id and is_signed):
             self._fail(CallFailure.GARBLED)  # errors may name no request, successes do
         else:
-            if not echoed:  # a copy of it could not be distinguished from the response to the next request
+            if not echoed_id:  # a copy of it could not be distinguished from the response to the next request
                 self._is_reusable = False
             self._listener.on_response_head(response)
 
@@ -182,11 +182,13 @@
             return
         listener, self._listener = self._listener, None
         self.has_served = True
-        extra = bool(self._h11.trailing_data[0])
-        reusable = (
-            self._is_reusable and not extra and self._h11.our_state is h11.DONE is self._h11.their_state
+        has_trailing_bytes = bool(self._h11.trailing_data[0])
+        is_reusable = (
+            self._is_reusable
+            and not has_trailing_bytes
+            and self._h11.our_state is h11.DONE is self._h11.their_state
         )
-        if reusable and self._transport is not None:
+        if is_reusable and self._transport is not None:
             self._h11.start_next_cycle()
             self._on_idle(self)
         else:
--- a/larkweir/router/upstream_pool.py
+++ b/larkweir/router/upstream_pool.py
@@ -14,9 +14,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Idle:
+class _IdleConnection:
     connection: UpstreamConnection
-    until_s: float
+    reusable_until_s: float
 
 
 class UpstreamPool:
@@ -26,7 +26,7 @@
         """Open nothing yet."""
         self._loop = asyncio.get_running_loop()
         self._connect_timeout = ConnectTimeout()
-        self._idle: dict[str, list[_Idle]] = {}
+        self._idle: dict[str, list[_IdleConnection]] = {}
         self._addresses: dict[UpstreamConnection, str] = {}
 
     def take(self, address: str) -> UpstreamConnection | None:
@@ -34,7 +34,7 @@
         idle = self._idle.get(address)
         while idle:
             found = idle.pop()
-            if found.connection.is_open and self._loop.time() < found.until_s:
+            if found.connection.is_open and self._loop.time() < found.reusable_until_s:
                 return found.connection
             found.connection.close()
         return None
@@ -67,13 +67,15 @@
         if address is None or idle_timeout_s <= 0.0:
             connection.close()
             return
-        self._idle.setdefault(address, []).append(_Idle(connection, self._loop.time() + idle_timeout_s))
+        self._idle.setdefault(address, []).append(
+            _IdleConnection(connection, self._loop.time() + idle_timeout_s)
+        )
 
     def _on_closed(self, connection: UpstreamConnection) -> None:
         address = self._addresses.pop(connection, None)
         if address is None:
             return
-        remaining = [one for one in self._idle.get(address, ()) if one.connection is not connection]
+        remaining = [entry for entry in self._idle.get(address, ()) if entry.connection is not connection]
         if remaining:
             self._idle[address] = remaining
         else:
@@ -83,9 +85,9 @@
         """Close idle connections that the upstream would close soon; to be called about once a second."""
         now_s = self._loop.time()
         for idle in list(self._idle.values()):
-            for one in [one for one in idle if now_s >= one.until_s]:
-                one.connection.close()
-                idle.remove(one)
+            for entry in [entry for entry in idle if now_s >= entry.reusable_until_s]:
+                entry.connection.close()
+                idle.remove(entry)
 
     def close(self) -> None:
         """End all connections, idle or not."""
@@ -94,5 +96,5 @@
 
     def drop(self, address: str) -> None:
         """Close the idle connections to an upstream that is gone."""
-        for one in self._idle.pop(address, ()):
-            one.connection.close()
+        for entry in self._idle.pop(address, ()):
+            entry.connection.close()
--- a/tests/router/rollout_model.py
+++ b/tests/router/rollout_model.py
@@ -9,7 +9,7 @@
 
 from larkweir.cluster.configuration.documents import ROLLOUTS_KEY
 from larkweir.cluster.messages import ConfigUpdate
-from tests.router.router_model import KINDS, FakeUpstream, Play, Sent
+from tests.router.router_model import KINDS, FakeUpstream, RouterHarness, SentRequest
 
 OLD, NEW = "v1", "v2"
 OLD_IDS, NEW_IDS = ("i0", "i1"), ("t0", "t1", "t2")
@@ -31,7 +31,7 @@
     return msgspec.convert({**fields, **other}, Rollout)
 
 
-class RolloutScenario(Play):
+class RolloutScenario(RouterHarness):
     """The model with two upstreams of the old version and, by default, three of the new one."""
 
     def __init__(self, new_ids: tuple[str, ...] = NEW_IDS, *, has_old: bool = True) -> None:
@@ -88,7 +88,7 @@
         self.now_s += seconds
         self.do(lambda: None)
 
-    def request_at(self, kind: str) -> tuple[Sent, str]:
+    def request_at(self, kind: str) -> tuple[SentRequest, str]:
         """Send a request on a new connection. Returns it and the id of its upstream; empty if it has none."""
         before = set(self.waiting())
         sent = self.request(self.client(), kind)
--- a/tests/router/router_model.py
+++ b/tests/router/router_model.py
@@ -140,7 +140,7 @@
             event = self._h11.next_event()
             if isinstance(event, h11.Request):
                 assert self.run is None, "two requests at once on a connection"
-                self.run = self.model.runs_of(event)
+                self.run = self.model.record_run(event)
             elif isinstance(event, h11.EndOfMessage):
                 left = self._h11.trailing_data[0]
                 self._h11 = h11.Connection(h11.SERVER)
@@ -165,7 +165,7 @@
             self.run = None
         self.transport.deliver(data)
 
-    def extra(self, data: bytes) -> None:
+    def send_unrequested(self, data: bytes) -> None:
         """Bytes that nobody asked for."""
         self.transport.deliver(data)
 
@@ -179,7 +179,7 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """A client's request, and the answer that it got."""
 
     id: str
@@ -198,8 +198,8 @@
         connection = ClientConnection(model.plane)
         self.transport = FakeTransport(self._on_data, connection)
         self._h11 = h11.Connection(h11.CLIENT)
-        self._at: Sent | None = None
-        self.waiting: list[Sent] = []
+        self._current: SentRequest | None = None
+        self.waiting: list[SentRequest] = []
         self.unread = b""  # of requests that the router has not got yet
         connection.connection_made(self.transport)
 
@@ -207,7 +207,7 @@
     def is_open(self) -> bool:
         return not self.transport.is_closing()
 
-    def queue(self, sent: Sent, body: bytes, headers: str = "") -> None:
+    def queue(self, sent: SentRequest, body: bytes, headers: str = "") -> None:
         """One more request, with further header lines; `send` passes it on."""
         self.waiting.append(sent)
         head = f"POST /{sent.kind}/x HTTP/1.1\r\nHost: a\r\nX-Request-Id: {sent.id}\r\n{headers}"
@@ -218,22 +218,22 @@
         self.transport.deliver(data)
 
     def _on_data(self, data: bytes) -> None:
-        if self._at is None:
+        if self._current is None:
             self._next_answer()
         self._h11.receive_data(data)
         while True:
             event = self._h11.next_event()
             if isinstance(event, h11.Response):
-                assert self._at is not None, "an answer that nobody waits for"
-                self._at.status = event.status_code
-                self._at.headers = {name.decode(): value.decode() for name, value in event.headers}
+                assert self._current is not None, "an answer that nobody waits for"
+                self._current.status = event.status_code
+                self._current.headers = {name.decode(): value.decode() for name, value in event.headers}
             elif isinstance(event, h11.Data):
-                assert self._at is not None
-                self._at.body += bytes(event.data)
+                assert self._current is not None
+                self._current.body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                assert self._at is not None
-                self._at.complete = self._at.ended = True
-                self._at = None
+                assert self._current is not None
+                self._current.complete = self._current.ended = True
+                self._current = None
                 if self._h11.their_state is not h11.DONE or self._h11.our_state is not h11.DONE:
                     return
                 self._h11.start_next_cycle()
@@ -245,7 +245,7 @@
 
     def _next_answer(self) -> None:
         assert self.waiting, "bytes on a connection where nobody waits"
-        self._at = self.waiting.pop(0)
+        self._current = self.waiting.pop(0)
         self._h11.send(h11.Request(method="POST", target="/", headers=[("Host", "a")]))
         self._h11.send(h11.EndOfMessage())
 
@@ -282,7 +282,7 @@
         self.upstreams: list[FakeUpstream] = []
         self.clients: list[FakeClient] = []
         self.refusing: set[str] = set()
-        self.sent: dict[str, Sent] = {}
+        self.sent: dict[str, SentRequest] = {}
         self.runs: dict[str, list[Run]] = {}
         routes = [
             {
@@ -301,7 +301,7 @@
         self.instances = {one.id for one in listed}
         self.plane.upstreams.update(listed, 0.0)
 
-    def runs_of(self, head: h11.Request) -> Run:
+    def record_run(self, head: h11.Request) -> Run:
         """Notes that an upstream has got a request."""
         headers = {name.decode(): value.decode() for name, value in head.headers}
         id_ = headers["x-request-id"]
@@ -327,7 +327,7 @@
                 assert SIGNATURE in sent.headers, f"{id_}: a success of the router's own"
                 self._check_success(sent, runs)
 
-    def _check_success(self, sent: Sent, runs: list[Run]) -> None:
+    def _check_success(self, sent: SentRequest, runs: list[Run]) -> None:
         if sent.kind in STREAMS:
             numbers = range(1, EVENTS + 1)
             complete = b"".join(f"id: {n}\ndata: {sent.id} {n}\n\n".encode() for n in numbers)
@@ -367,18 +367,18 @@
 TURNS = 12  # of the event loop, until nothing more happens by itself
 
 
-class StillLoop(asyncio.SelectorEventLoop):
+class FrozenClockLoop(asyncio.SelectorEventLoop):
     """A loop whose time stands still, so that no timer of the router fires, however long a play takes."""
 
     def time(self) -> float:
         return 0.0
 
 
-class Play:
+class RouterHarness:
     """The model in a loop of its own, in which time stands still."""
 
     def __init__(self) -> None:
-        self.loop = StillLoop()
+        self.loop = FrozenClockLoop()
         self.model = self.do(RouterModel)
 
     def do(self, call: Callable[[], T]) -> T:
@@ -407,9 +407,9 @@
         self.model.clients.append(client)
         return client
 
-    def request(self, client: FakeClient, kind: str, body: bytes = b"") -> Sent:
+    def request(self, client: FakeClient, kind: str, body: bytes = b"") -> SentRequest:
         """One more request on that connection, complete."""
-        sent = Sent(f"r{len(self.model.sent)}", kind)
+        sent = SentRequest(f"r{len(self.model.sent)}", kind)
         self.model.sent[sent.id] = sent
         client.queue(sent, body)
         self.do(lambda: client.send(len(client.unread)))
--- a/tests/router/test_answer_verdict.py
+++ b/tests/router/test_answer_verdict.py
@@ -46,5 +46,5 @@
 def test_each_end(
     outcome: Outcome, status: int, leaving: bool, late: bool, fair: bool, verdict: AnswerVerdict
 ) -> None:
-    found = judge_answer(outcome, status, is_leaving=leaving, is_deadline_over=late, has_had_fair_time=fair)
+    found = judge_answer(outcome, status, is_leaving=leaving, is_deadline_over=late, is_upstream_slow=fair)
     assert found is verdict
--- a/tests/router/test_attempt_samples.py
+++ b/tests/router/test_attempt_samples.py
@@ -7,7 +7,7 @@
 from larkweir_rollouts.samples import RouteSamples, bucket_of
 
 from larkweir.router.admission import Admission
-from larkweir.router.attempt_samples import MIN_PACED_EVENTS, PACED_EVENTS, AttemptSamples
+from larkweir.router.attempt_samples import MIN_PACE_SAMPLE_EVENTS, PACE_SAMPLE_EVENTS, AttemptSamples
 from larkweir.router.configuration import Route
 from larkweir.router.rollout_samples import RolloutSamples, SampleKey
 from tests.router.rollout_model import NEW, rollout
@@ -16,7 +16,7 @@
 PAUSE_MS = 40.0
 
 
-class Scene:
+class AttemptHarness:
     """One attempt at the target version."""
 
     def __init__(self, kind: str = "streaming") -> None:
@@ -44,59 +44,59 @@
 
 
 def test_the_pace_of_a_stream_counts_once_its_first_events_have_come() -> None:
-    scene = Scene()
-    scene.send()
-    scene.events(1, PACED_EVENTS - 1)
-    assert scene.route == RouteSamples(first_byte={bucket_of(PAUSE_MS): 1})
-    scene.events(PACED_EVENTS, PACED_EVENTS)
-    assert scene.route.pace == {bucket_of(PAUSE_MS): 1}
-    scene.events(PACED_EVENTS + 1, 4 * PACED_EVENTS)
-    scene.end(Outcome.OK, 90_000.0)
-    assert scene.route == RouteSamples(1, 0, {bucket_of(PAUSE_MS): 1}, {bucket_of(PAUSE_MS): 1})
-
-
-@pytest.mark.parametrize("events", range(1, PACED_EVENTS))
+    harness = AttemptHarness()
+    harness.send()
+    harness.events(1, PACE_SAMPLE_EVENTS - 1)
+    assert harness.route == RouteSamples(first_byte={bucket_of(PAUSE_MS): 1})
+    harness.events(PACE_SAMPLE_EVENTS, PACE_SAMPLE_EVENTS)
+    assert harness.route.pace == {bucket_of(PAUSE_MS): 1}
+    harness.events(PACE_SAMPLE_EVENTS + 1, 4 * PACE_SAMPLE_EVENTS)
+    harness.end(Outcome.OK, 90_000.0)
+    assert harness.route == RouteSamples(1, 0, {bucket_of(PAUSE_MS): 1}, {bucket_of(PAUSE_MS): 1})
+
+
+@pytest.mark.parametrize("events", range(1, PACE_SAMPLE_EVENTS))
 def test_the_pace_of_a_short_stream_counts_at_its_end(events: int) -> None:
-    scene = Scene()
-    scene.send()
-    scene.events(1, events)
-    assert not scene.route.pace
-    scene.end(Outcome.OK, events * PAUSE_MS)
-    assert scene.route.pace == ({bucket_of(PAUSE_MS): 1} if events >= MIN_PACED_EVENTS else {})
+    harness = AttemptHarness()
+    harness.send()
+    harness.events(1, events)
+    assert not harness.route.pace
+    harness.end(Outcome.OK, events * PAUSE_MS)
+    assert harness.route.pace == ({bucket_of(PAUSE_MS): 1} if events >= MIN_PACE_SAMPLE_EVENTS else {})
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CANCELLED])
 def test_what_is_known_of_an_answer_counts_though_it_is_not_complete(outcome: Outcome) -> None:
-    scene = Scene()
-    scene.send()
-    scene.events(1, PACED_EVENTS)
-    scene.end(outcome, 1_000.0)
-    assert scene.route == RouteSamples(
+    harness = AttemptHarness()
+    harness.send()
+    harness.events(1, PACE_SAMPLE_EVENTS)
+    harness.end(outcome, 1_000.0)
+    assert harness.route == RouteSamples(
         0, int(outcome is Outcome.RESET), {bucket_of(PAUSE_MS): 1}, {bucket_of(PAUSE_MS): 1}
     )
 
 
 def test_an_answer_that_is_no_stream_counts_its_whole_time_at_its_end() -> None:
-    scene = Scene("idempotent")
-    scene.send()
-    scene.events(1, 2 * PACED_EVENTS)
-    assert scene.route == RouteSamples(first_byte={bucket_of(PAUSE_MS): 1})
-    scene.end(Outcome.OK, 900.0)
-    assert scene.route == RouteSamples(1, 0, {bucket_of(PAUSE_MS): 1}, {bucket_of(900.0): 1})
+    harness = AttemptHarness("idempotent")
+    harness.send()
+    harness.events(1, 2 * PACE_SAMPLE_EVENTS)
+    assert harness.route == RouteSamples(first_byte={bucket_of(PAUSE_MS): 1})
+    harness.end(Outcome.OK, 900.0)
+    assert harness.route == RouteSamples(1, 0, {bucket_of(PAUSE_MS): 1}, {bucket_of(900.0): 1})
 
 
 def test_errors_tell_no_durations() -> None:
-    scene = Scene()
-    scene.attempt.on_sent(SENT_MS)
-    scene.attempt.on_head(500)
-    scene.events(1, 2 * PACED_EVENTS)
-    scene.end(Outcome.OK, 900.0)
-    assert scene.route == RouteSamples(failed=1)
+    harness = AttemptHarness()
+    harness.attempt.on_sent(SENT_MS)
+    harness.attempt.on_head(500)
+    harness.events(1, 2 * PACE_SAMPLE_EVENTS)
+    harness.end(Outcome.OK, 900.0)
+    assert harness.route == RouteSamples(failed=1)
 
 
 def test_what_was_not_sent_counts_as_in_flight_alone() -> None:
-    scene = Scene()
-    assert scene.samples.changed_since(0)["s"].target.in_flight == 1
-    scene.end(Outcome.CONNECT_FAILED, 0.0)
-    assert scene.samples.changed_since(0)["s"].target.in_flight == 0
-    assert scene.route == RouteSamples()
+    harness = AttemptHarness()
+    assert harness.samples.changed_since(0)["s"].target.in_flight == 1
+    harness.end(Outcome.CONNECT_FAILED, 0.0)
+    assert harness.samples.changed_since(0)["s"].target.in_flight == 0
+    assert harness.route == RouteSamples()
--- a/tests/router/test_connect_timeout.py
+++ b/tests/router/test_connect_timeout.py
@@ -11,23 +11,23 @@
     assert ConnectTimeout().seconds == MAX_CONNECT_TIMEOUT_S
 
 
-@pytest.mark.parametrize("taken_s", [0.001, 0.01])
-def test_quick_connections_make_it_short(taken_s: float) -> None:
-    patience = ConnectTimeout()
+@pytest.mark.parametrize("connect_s", [0.001, 0.01])
+def test_quick_connections_make_it_short(connect_s: float) -> None:
+    timeout = ConnectTimeout()
     for _ in range(20):
-        patience.observe(taken_s)
-    assert patience.seconds == MIN_CONNECT_TIMEOUT_S
+        timeout.observe(connect_s)
+    assert timeout.seconds == MIN_CONNECT_TIMEOUT_S
 
 
 def test_far_upstreams_are_given_their_time() -> None:
-    patience = ConnectTimeout()
+    timeout = ConnectTimeout()
     for _ in range(50):
-        patience.observe(0.150)
-        patience.observe(0.170)
-    assert 0.170 < patience.seconds <= MAX_CONNECT_TIMEOUT_S
+        timeout.observe(0.150)
+        timeout.observe(0.170)
+    assert 0.170 < timeout.seconds <= MAX_CONNECT_TIMEOUT_S
 
 
 def test_it_never_grows_beyond_the_most() -> None:
-    patience = ConnectTimeout()
-    patience.observe(10.0)
-    assert patience.seconds == MAX_CONNECT_TIMEOUT_S
+    timeout = ConnectTimeout()
+    timeout.observe(10.0)
+    assert timeout.seconds == MAX_CONNECT_TIMEOUT_S
--- a/tests/router/test_exchange_guard.py
+++ b/tests/router/test_exchange_guard.py
@@ -15,7 +15,7 @@
 from larkweir.router.prefix_affinity import PrefixAffinity
 from larkweir.router.response_relay import ResponseRelay
 from larkweir.router.upstream_connection import UpstreamConnection
-from tests.router.router_model import FakeUpstream, Play, Sent, answer_of
+from tests.router.router_model import FakeUpstream, RouterHarness, SentRequest, answer_of
 
 
 class PlantedError(Exception):
@@ -23,8 +23,8 @@
 
 
 @pytest.fixture
-def play() -> Iterator[Play]:
-    made = Play()
+def harness() -> Iterator[RouterHarness]:
+    made = RouterHarness()
     yield made
     made.close()
 
@@ -40,73 +40,73 @@
     raise PlantedError
 
 
-def answered(play: Play) -> None:
-    (upstream,) = play.waiting()
-    play.answer(upstream)
+def answer_request(harness: RouterHarness) -> None:
+    (upstream,) = harness.waiting()
+    harness.answer(upstream)
 
 
-def half_answered(play: Play) -> None:
-    (upstream,) = play.waiting()
+def answer_all_but_last_byte(harness: RouterHarness) -> None:
+    (upstream,) = harness.waiting()
     assert upstream.run is not None
     upstream.begin(answer_of(upstream.run))
-    play.do(lambda: upstream.send(len(upstream.unsent) - 1))
+    harness.do(lambda: upstream.send(len(upstream.unsent) - 1))
 
 
-def reset(play: Play) -> None:
-    (upstream,) = play.waiting()
-    play.do(lambda: upstream.close(in_order=False))
+def reset_connection(harness: RouterHarness) -> None:
+    (upstream,) = harness.waiting()
+    harness.do(lambda: upstream.close(in_order=False))
 
 
-def left_waiting(play: Play) -> None:
+def do_nothing(harness: RouterHarness) -> None:
     pass
 
 
-ENTRY_POINTS: list[tuple[str, type | object, str, Callable[[Play], None]]] = [
-    ("start", exchange_module, "admit", left_waiting),
-    ("no prefix", PrefixAffinity, "find_owner", left_waiting),
-    ("request is sent", UpstreamConnection, "call", left_waiting),
-    ("head of the response", exchange_module, "classify_response", answered),
-    ("head is relayed", ResponseRelay, "start", answered),
-    ("data of the response", Attempt, "on_first_event", answered),
-    ("data is relayed", ResponseRelay, "send", half_answered),
-    ("end of the response", ResponseRelay, "flush", answered),
-    ("call failed", exchange_module.Exchange, "_respond_unavailable", reset),
+ENTRY_POINTS: list[tuple[str, type | object, str, Callable[[RouterHarness], None]]] = [
+    ("start", exchange_module, "admit", do_nothing),
+    ("no prefix", PrefixAffinity, "find_owner", do_nothing),
+    ("request is sent", UpstreamConnection, "call", do_nothing),
+    ("head of the response", exchange_module, "classify_response", answer_request),
+    ("head is relayed", ResponseRelay, "start", answer_request),
+    ("data of the response", Attempt, "on_first_event", answer_request),
+    ("data is relayed", ResponseRelay, "send", answer_all_but_last_byte),
+    ("end of the response", ResponseRelay, "flush", answer_request),
+    ("call failed", exchange_module.Exchange, "_respond_unavailable", reset_connection),
 ]
 
 
-def holds_nothing(play: Play) -> None:
+def assert_nothing_is_in_use(harness: RouterHarness) -> None:
     """All upstreams are believed idle again, no connection is half used, and nothing waits."""
-    plane = play.model.plane
+    plane = harness.model.plane
     selector = plane.upstreams.selector("s")
     for name in ("i0", "i1"):
         assert selector.prefill_backlog_tokens(name) == 0.0
         server = selector._upstreams.server(name)
         assert server is not None
         assert server.other_in_flight == 0
-    assert not play.waiting()
+    assert not harness.waiting()
     assert all(one._exchange is None for one in plane.connections)
 
 
 @pytest.mark.parametrize(
-    ("where", "owner", "name", "then"), ENTRY_POINTS, ids=[one[0] for one in ENTRY_POINTS]
+    ("where", "owner", "name", "action"), ENTRY_POINTS, ids=[one[0] for one in ENTRY_POINTS]
 )
 def test_one_exchange_ends_and_the_next_is_served(
     where: str,
     owner: type,
     name: str,
-    then: Callable[[Play], None],
-    play: Play,
+    action: Callable[[RouterHarness], None],
+    harness: RouterHarness,
     logged: list[tuple[str, dict[str, object]]],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    client = play.client()
+    client = harness.client()
     with monkeypatch.context() as patch:
         patch.setattr(owner, name, fail)
         if where == "no prefix":
-            patch.setattr(play.model.plane, "is_engine", lambda service: True)
+            patch.setattr(harness.model.plane, "is_engine", lambda service: True)
             patch.setattr("larkweir_balancing.prompt.Prompt.is_shared", True)
-        sent = play.request(client, "plain")
-        then(play)
+        sent = harness.request(client, "plain")
+        action(harness)
     assert (sent.status, sent.ended) in [(500, True), (200, False), (200, True)]
     # All bytes of a body with a length may have been relayed before its end.
     assert sent.status == 500 or not sent.complete or where == "end of the response"
@@ -115,16 +115,16 @@
     assert [one["id"] for one in failures] == [sent.id]
     assert "PlantedError" in str(failures[0]["error"])
     assert not [event for event, _ in logged if event in ("task_failed", "exchange_cleanup_failed")]
-    holds_nothing(play)
-    following = play.request(play.client(), "plain")
-    answered(play)
+    assert_nothing_is_in_use(harness)
+    following = harness.request(harness.client(), "plain")
+    answer_request(harness)
     assert (following.status, following.complete) == (200, True)
 
 
 def test_the_quota_of_a_request_that_has_not_run_is_given_back(
-    play: Play, logged: list[tuple[str, dict[str, object]]], monkeypatch: pytest.MonkeyPatch
+    harness: RouterHarness, logged: list[tuple[str, dict[str, object]]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    plane = play.model.plane
+    plane = harness.model.plane
     charge = QuotaCharge("t", 10.0, AdmissionRule.RESERVE)
     refunded: list[object] = []
     monkeypatch.setattr(plane.quotas, "refund", refunded.append)
@@ -136,17 +136,17 @@
 
     monkeypatch.setattr(exchange_module, "admit", admit)
     monkeypatch.setattr(Attempt, "connect", fail)
-    assert play.request(play.client(), "plain").status == 500
+    assert harness.request(harness.client(), "plain").status == 500
     assert refunded == [charge]
 
 
 def test_a_response_that_can_not_be_sent_closes_the_connection(
-    play: Play, logged: list[tuple[str, dict[str, object]]], monkeypatch: pytest.MonkeyPatch
+    harness: RouterHarness, logged: list[tuple[str, dict[str, object]]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    client = play.client()
+    client = harness.client()
     monkeypatch.setattr(exchange_module, "admit", fail)
     monkeypatch.setattr(ResponseRelay, "send_error", fail)
-    sent = play.request(client, "plain")
+    sent = harness.request(client, "plain")
     assert not sent.ended
     assert not client.is_open
     assert [event for event, _ in logged] == ["exchange_failed", "exchange_cleanup_failed"]
@@ -159,63 +159,67 @@
     assert [event for event, _ in logged] == ["exchange_cleanup_failed"]
 
 
-def oversized(play: Play, kind: str) -> Sent:
+def send_oversized_request(harness: RouterHarness, kind: str) -> SentRequest:
     """A request with a header that upstreams may refuse."""
-    client = play.client()
-    (connection,) = play.model.plane.connections
+    client = harness.client()
+    (connection,) = harness.model.plane.connections
     connection._h11._max_incomplete_event_size = 100_000  # type: ignore[attr-defined]
-    sent = Sent(f"r{len(play.model.sent)}", kind)
-    play.model.sent[sent.id] = sent
+    sent = SentRequest(f"r{len(harness.model.sent)}", kind)
+    harness.model.sent[sent.id] = sent
     client.queue(sent, b"", headers=f"X-Long: {'x' * 70_000}\r\n")
-    play.do(lambda: client.send(len(client.unread)))
+    harness.do(lambda: client.send(len(client.unread)))
     return sent
 
 
-def test_a_head_that_an_upstream_refuses_by_closing_is_sent_once_and_not_held_against_it(play: Play) -> None:
-    sent = oversized(play, "safe")
-    reset(play)
+def test_a_head_that_an_upstream_refuses_by_closing_is_sent_once_and_not_held_against_it(
+    harness: RouterHarness,
+) -> None:
+    sent = send_oversized_request(harness, "safe")
+    reset_connection(harness)
     assert sent.status == 502
-    assert len(play.model.runs[sent.id]) == 1
-    assert play.do(lambda: play.model.plane.outcomes.failing_upstreams(play.loop.time() * 1000.0)) == {}
+    assert len(harness.model.runs[sent.id]) == 1
+    assert (
+        harness.do(lambda: harness.model.plane.outcomes.failing_upstreams(harness.loop.time() * 1000.0)) == {}
+    )
 
 
-def test_a_large_head_that_is_answered_with_garbage_is_retried(play: Play) -> None:
-    sent = oversized(play, "safe")
-    (upstream,) = play.waiting()
-    play.do(lambda: upstream.extra(b"no HTTP\r\n\r\n"))
-    answered(play)
+def test_a_large_head_that_is_answered_with_garbage_is_retried(harness: RouterHarness) -> None:
+    sent = send_oversized_request(harness, "safe")
+    (upstream,) = harness.waiting()
+    harness.do(lambda: upstream.send_unrequested(b"no HTTP\r\n\r\n"))
+    answer_request(harness)
     assert sent.status == 200
-    assert len(play.model.runs[sent.id]) == 2
+    assert len(harness.model.runs[sent.id]) == 2
 
 
-def test_the_upstreams_own_answer_to_a_large_head_is_passed_on(play: Play) -> None:
-    sent = oversized(play, "safe")
-    (upstream,) = play.waiting()
-    play.answer(upstream, status=431)
+def test_the_upstreams_own_answer_to_a_large_head_is_passed_on(harness: RouterHarness) -> None:
+    sent = send_oversized_request(harness, "safe")
+    (upstream,) = harness.waiting()
+    harness.answer(upstream, status=431)
     assert sent.status == 431
-    assert len(play.model.runs[sent.id]) == 1
+    assert len(harness.model.runs[sent.id]) == 1
 
 
-def test_a_reset_of_a_small_request_is_retried_and_counts(play: Play) -> None:
-    sent = play.request(play.client(), "safe")
-    reset(play)
-    answered(play)
+def test_a_reset_of_a_small_request_is_retried_and_counts(harness: RouterHarness) -> None:
+    sent = harness.request(harness.client(), "safe")
+    reset_connection(harness)
+    answer_request(harness)
     assert sent.status == 200
-    assert play.do(lambda: play.model.plane.outcomes.failing_upstreams(play.loop.time() * 1000.0))
+    assert harness.do(lambda: harness.model.plane.outcomes.failing_upstreams(harness.loop.time() * 1000.0))
 
 
 def test_only_the_first_piece_of_a_plain_answer_is_a_first_event(
-    play: Play, monkeypatch: pytest.MonkeyPatch
+    harness: RouterHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     observed: list[float] = []
     monkeypatch.setattr(PrefillTime, "observe", lambda self, tokens, ms: observed.append(ms))
-    play.request(play.client(), "plain")
-    (upstream,) = play.waiting()
+    harness.request(harness.client(), "plain")
+    (upstream,) = harness.waiting()
     assert isinstance(upstream, FakeUpstream)
     assert upstream.run is not None
     upstream.begin(answer_of(upstream.run))
     head_bytes = upstream.unsent.index(b"\r\n\r\n") + 4
-    play.do(lambda: upstream.send(head_bytes))
+    harness.do(lambda: upstream.send(head_bytes))
     for _ in range(3):
-        play.do(lambda: upstream.send(1))
+        harness.do(lambda: upstream.send(1))
     assert len(observed) == 1
--- a/tests/router/test_exchange_planted.py
+++ b/tests/router/test_exchange_planted.py
@@ -16,7 +16,7 @@
 from larkweir.router.response_classification import ResponseClass
 from larkweir.router.response_relay import ResponseRelay
 from larkweir.router.upstream_connection import UpstreamConnection
-from tests.router import test_exchange as scenes
+from tests.router import test_exchange as exchange_tests
 from tests.router.test_exchange import ExchangeMachine
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -30,7 +30,7 @@
 )
 
 
-def any_answer_is_taken_for_this_request(patch: pytest.MonkeyPatch) -> None:
+def any_response_is_accepted_for_this_request(patch: pytest.MonkeyPatch) -> None:
     def head(self: UpstreamConnection, response: h11.Response) -> None:
         assert self._listener is not None
         self._listener.on_response_head(response)
@@ -44,10 +44,10 @@
         self._advance()
 
     patch.setattr(UpstreamConnection, "data_received", received)
-    any_answer_is_taken_for_this_request(patch)
+    any_response_is_accepted_for_this_request(patch)
 
 
-def what_may_have_run_is_sent_again(patch: pytest.MonkeyPatch) -> None:
+def a_request_that_may_have_run_is_retried(patch: pytest.MonkeyPatch) -> None:
     def failed(self: Exchange, ending: Any) -> None:
         from larkweir_balancing.interface import Outcome
 
@@ -73,7 +73,7 @@
     patch.setattr(ClientConnection, "abort_response", broken)
 
 
-def a_stream_begins_anew_elsewhere(patch: pytest.MonkeyPatch) -> None:
+def a_resumed_stream_starts_over(patch: pytest.MonkeyPatch) -> None:
     original = ResponseRelay.restart
 
     def restart(self: ResponseRelay) -> None:
@@ -84,7 +84,7 @@
     patch.setattr(ResponseRelay, "restart", restart)
 
 
-def what_was_refused_elsewhere_counts_as_not_run(patch: pytest.MonkeyPatch) -> None:
+def a_final_rejection_counts_as_never_executed(patch: pytest.MonkeyPatch) -> None:
     original = Exchange._respond_unavailable
 
     def give_up(self: Exchange) -> None:
@@ -95,33 +95,35 @@
     patch.setattr(Exchange, "_respond_unavailable", give_up)
 
 
-def the_state_machine() -> None:
+def run_state_machine() -> None:
     run_state_machine_as_test(ExchangeMachine, settings=FIND)
 
 
-def a_stream_that_is_cut() -> None:
-    scenes.test_a_connection_that_ends_at_each_byte_of_an_answer("resumable", in_order=False, framed=True)
+def run_cut_stream_test() -> None:
+    exchange_tests.test_a_connection_that_ends_at_each_byte_of_an_answer(
+        "resumable", in_order=False, framed=True
+    )
 
 
 FAULTS: list[Patch] = [
-    any_answer_is_taken_for_this_request,
+    any_response_is_accepted_for_this_request,
     bytes_on_an_idle_connection_are_parsed,
-    what_may_have_run_is_sent_again,
+    a_request_that_may_have_run_is_retried,
     every_response_is_relayed,
     a_broken_response_ends_as_if_complete,
-    what_was_refused_elsewhere_counts_as_not_run,
+    a_final_rejection_counts_as_never_executed,
 ]
 
 
-def test_a_stream_that_begins_anew_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    a_stream_that_is_cut()
-    a_stream_begins_anew_elsewhere(monkeypatch)
+def test_a_resumed_stream_that_starts_over_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    run_cut_stream_test()
+    a_resumed_stream_starts_over(monkeypatch)
     with pytest.raises(AssertionError):
-        a_stream_that_is_cut()
+        run_cut_stream_test()
 
 
 @pytest.mark.parametrize("plant", FAULTS, ids=lambda plant: plant.__name__)
 def test_the_state_machine_finds_it(plant: Patch, monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
     with pytest.raises(Exception):  # noqa: B017 — whatever breaks first, the model's check or the parser
-        the_state_machine()
+        run_state_machine()
--- a/tests/router/test_lying_upstreams.py
+++ b/tests/router/test_lying_upstreams.py
@@ -14,55 +14,55 @@
 from larkweir_registry.records import Upstream, UpstreamState
 
 from larkweir.cluster.messages import ConfigUpdate
-from tests.router.router_model import FakeClient, FakeUpstream, Play, Sent
+from tests.router.router_model import FakeClient, FakeUpstream, RouterHarness, SentRequest
 
 UPSTREAMS = [f"u{number}" for number in range(10)]
 REQUESTS = 60
 
 
-class Scene:
+class FleetHarness:
     """Upstreams that are listed as ready; those in `failing` answer every request with 500."""
 
-    def __init__(self, play: Play) -> None:
-        self.play = play
+    def __init__(self, harness: RouterHarness) -> None:
+        self.harness = harness
         self.failing: set[str] = set()
         self.runs: list[dict[str, str]] = []  # the headers of each request that reached an upstream
-        self.plane = play.model.plane
-        gone = [Upstream(name, "s", "", "z", state=UpstreamState.GONE) for name in play.model.instances]
-        self.play.do(lambda: self.plane.upstreams.update(gone, 0.0))
+        self.plane = harness.model.plane
+        gone = [Upstream(name, "s", "", "z", state=UpstreamState.GONE) for name in harness.model.instances]
+        self.harness.do(lambda: self.plane.upstreams.update(gone, 0.0))
         self.list_upstreams("s", UPSTREAMS)
 
     def list_upstreams(self, service: str, names: list[str]) -> None:
         """All report that they are ready."""
         listed = [Upstream(name, service, f"{name}:1", "z") for name in names]
-        self.play.model.instances.update(names)
-        self.play.do(lambda: self.plane.upstreams.update(listed, 0.0))
+        self.harness.model.instances.update(names)
+        self.harness.do(lambda: self.plane.upstreams.update(listed, 0.0))
 
     def configure(self, route: dict[str, Any], **fields: Any) -> None:
         """Puts one route in force in place of the model's, at the path of its `safe` requests."""
         common = {"name": "r", "host": "a", "path_prefix": "/safe/", "kind": "idempotent", "max_attempts": 3}
         document = {"generation": 2, "routes": [{**common, **route}], "services": [], **fields}
         update = ConfigUpdate(2, -1, msgspec.Raw(msgspec.json.encode(document)))
-        self.play.do(lambda: self.plane.configuration.apply(update))
+        self.harness.do(lambda: self.plane.configuration.apply(update))
 
-    def request(self, headers: str = "") -> Sent:
+    def request(self, headers: str = "") -> SentRequest:
         """One request, and the answers of all upstreams that get it."""
         return self.requests(1, headers)[0]
 
-    def requests(self, count: int, headers: str = "") -> list[Sent]:
+    def requests(self, count: int, headers: str = "") -> list[SentRequest]:
         """So many at once: routers rather use an upstream to which they have an idle connection."""
         batch = [self._send(headers) for _ in range(count)]
         while not all(sent.ended for sent in batch):
-            for upstream in self.play.waiting():
+            for upstream in self.harness.waiting():
                 self._answer(upstream)
         return batch
 
-    def _send(self, headers: str) -> Sent:
-        client = self.play.do(lambda: FakeClient(self.play.model))
-        sent = Sent(f"r{len(self.play.model.sent)}", "safe")
-        self.play.model.sent[sent.id] = sent
+    def _send(self, headers: str) -> SentRequest:
+        client = self.harness.do(lambda: FakeClient(self.harness.model))
+        sent = SentRequest(f"r{len(self.harness.model.sent)}", "safe")
+        self.harness.model.sent[sent.id] = sent
         client.queue(sent, b"", headers)
-        self.play.do(lambda: client.send(len(client.unread)))
+        self.harness.do(lambda: client.send(len(client.unread)))
         return sent
 
     def _answer(self, upstream: FakeUpstream) -> None:
@@ -70,7 +70,7 @@
         headers = upstream.run.headers
         self.runs.append(headers)
         is_failing = headers["x-target-instance"] in self.failing
-        self.play.answer(upstream, status=500 if is_failing else 200)
+        self.harness.answer(upstream, status=500 if is_failing else 200)
 
     def take_counts(self) -> Counter[str]:
         """How often each upstream ran a request since the last call."""
@@ -80,40 +80,40 @@
 
 
 @pytest.fixture
-def scene() -> Iterator[Scene]:
-    play = Play()
-    yield Scene(play)
-    play.close()
+def fleet() -> Iterator[FleetHarness]:
+    harness = RouterHarness()
+    yield FleetHarness(harness)
+    harness.close()
 
 
-def test_an_upstream_that_reports_ready_and_fails_is_left_out_by_what_it_does(scene: Scene) -> None:
-    scene.failing = {"u3"}
+def test_an_upstream_that_reports_ready_and_fails_is_left_out_by_what_it_does(fleet: FleetHarness) -> None:
+    fleet.failing = {"u3"}
     detector = FleetOutlierDetector()
-    assert all(sent.status == 200 for sent in scene.requests(REQUESTS)), "its failures are retried elsewhere"
-    counts = scene.take_counts()
+    assert all(sent.status == 200 for sent in fleet.requests(REQUESTS)), "its failures are retried elsewhere"
+    counts = fleet.take_counts()
     assert counts["u3"] >= 3
-    now_ms = scene.play.loop.time() * 1000.0
-    report = scene.play.do(lambda: scene.plane.outcomes.failing_upstreams(now_ms))
+    now_ms = fleet.harness.loop.time() * 1000.0
+    report = fleet.harness.do(lambda: fleet.plane.outcomes.failing_upstreams(now_ms))
     assert detector.evaluate([UPSTREAMS], sum_outcomes([report]), now_ms)
     assert detector.ejected == {"u3"}
-    scene.play.do(lambda: scene.plane.upstreams.set_ejected(detector.ejected))
+    fleet.harness.do(lambda: fleet.plane.upstreams.set_ejected(detector.ejected))
     # It goes on to report that it is ready.
-    scene.play.do(
-        lambda: scene.plane.upstreams.update([Upstream("u3", "s", "u3:1", "z", sequence=9)], now_ms)
+    fleet.harness.do(
+        lambda: fleet.plane.upstreams.update([Upstream("u3", "s", "u3:1", "z", sequence=9)], now_ms)
     )
-    assert all(sent.status == 200 for sent in scene.requests(REQUESTS))
-    assert scene.take_counts()["u3"] == 0
+    assert all(sent.status == 200 for sent in fleet.requests(REQUESTS))
+    assert fleet.take_counts()["u3"] == 0
     assert detector.evaluate([UPSTREAMS], {}, now_ms + FIRST_EJECTION_MS)
-    scene.failing = set()
-    scene.play.do(lambda: scene.plane.upstreams.set_ejected(detector.ejected))
-    scene.requests(4 * REQUESTS)
-    assert scene.take_counts()["u3"] > 0, "once it is well it is used again"
+    fleet.failing = set()
+    fleet.harness.do(lambda: fleet.plane.upstreams.set_ejected(detector.ejected))
+    fleet.requests(4 * REQUESTS)
+    assert fleet.take_counts()["u3"] > 0, "once it is well it is used again"
 
 
-def test_an_upstream_that_is_well_is_used_whatever_its_health_address_would_say(scene: Scene) -> None:
+def test_an_upstream_that_is_well_is_used_whatever_its_health_address_would_say(fleet: FleetHarness) -> None:
     """No router asks a health address: the model fails on any request that no client has sent."""
-    assert all(sent.status == 200 for sent in scene.requests(4 * REQUESTS))
-    counts = scene.take_counts()
+    assert all(sent.status == 200 for sent in fleet.requests(4 * REQUESTS))
+    counts = fleet.take_counts()
     assert sum(counts.values()) == 4 * REQUESTS
     assert set(counts) == set(UPSTREAMS)
     assert min(counts.values()) >= 0.3 * 4 * REQUESTS / len(UPSTREAMS)
@@ -123,13 +123,13 @@
     """However slow the machine is: no timer of the router sends a request again or gives it up."""
     clock = count(step=30)  # seconds at each look; a request may take 60
     monkeypatch.setattr(asyncio.BaseEventLoop, "time", lambda loop: float(next(clock)))
-    play = Play()
-    sent = play.request(play.client(), "safe")
-    (upstream,) = play.waiting()
+    harness = RouterHarness()
+    sent = harness.request(harness.client(), "safe")
+    (upstream,) = harness.waiting()
     assert not sent.ended
-    play.answer(upstream)
+    harness.answer(upstream)
     assert sent.status == 200
-    play.close()
+    harness.close()
 
 
 @pytest.mark.parametrize(
@@ -137,33 +137,33 @@
     [(0, None, "0"), (9, None, "9"), (12, None, "9"), (-3, None, "0"), (7, 2, "2"), (2, 7, "7"), (5, 0, "0")],
 )
 def test_the_urgency_that_upstreams_are_told(
-    scene: Scene, route: int, tenant: int | None, forwarded: str
+    fleet: FleetHarness, route: int, tenant: int | None, forwarded: str
 ) -> None:
     """0 is the most urgent: a tenant's goes before the route's, whatever the client states."""
     tenants = [{"name": "t", "api_keys": ["k"], "priority": tenant}]
-    scene.configure({"priority": route, "backend": "s"}, tenants=tenants)
-    assert scene.request("X-Api-Key: k\r\nPriority: 1\r\n").status == 200
-    assert [headers["priority"] for headers in scene.runs] == [forwarded]
+    fleet.configure({"priority": route, "backend": "s"}, tenants=tenants)
+    assert fleet.request("X-Api-Key: k\r\nPriority: 1\r\n").status == 200
+    assert [headers["priority"] for headers in fleet.runs] == [forwarded]
 
 
-def test_a_retry_keeps_its_urgency(scene: Scene) -> None:
-    scene.failing = set(UPSTREAMS)
-    scene.configure({"priority": 3, "backend": "s"})
-    scene.request()
-    assert [headers["priority"] for headers in scene.runs] == ["3"] * 3
+def test_a_retry_keeps_its_urgency(fleet: FleetHarness) -> None:
+    fleet.failing = set(UPSTREAMS)
+    fleet.configure({"priority": 3, "backend": "s"})
+    fleet.request()
+    assert [headers["priority"] for headers in fleet.runs] == ["3"] * 3
 
 
-def test_a_split_gives_each_service_its_share_and_a_retry_stays_there(scene: Scene) -> None:
+def test_a_split_gives_each_service_its_share_and_a_retry_stays_there(fleet: FleetHarness) -> None:
     few = [f"few{number}" for number in range(10)]
-    scene.list_upstreams("t", few)
-    scene.failing = {"u1", "few1"}
+    fleet.list_upstreams("t", few)
+    fleet.failing = {"u1", "few1"}
     split = [{"backend": "s", "weight": 80}, {"backend": "t", "weight": 20}]
-    scene.configure({"traffic_split": split})
+    fleet.configure({"traffic_split": split})
     services: Counter[bool] = Counter()
     for _ in range(1_000):
-        scene.runs.clear()
-        assert scene.request().status == 200
-        drawn = {headers["x-target-instance"] in few for headers in scene.runs}
+        fleet.runs.clear()
+        assert fleet.request().status == 200
+        drawn = {headers["x-target-instance"] in few for headers in fleet.runs}
         assert len(drawn) == 1, "a retry went to the other service"
         services[drawn.pop()] += 1
     assert 160 <= services[True] <= 240  # three standard deviations of 1,000 draws
--- a/tests/router/test_retry_allowance.py
+++ b/tests/router/test_retry_allowance.py
@@ -22,10 +22,10 @@
 
 def test_the_budget_limits_the_attempts_of_all_requests() -> None:
     shared = budget(1)
-    one, other = RetryAllowance(3, shared), RetryAllowance(3, shared)
-    one.record_sent()
-    other.record_sent()
-    taken = [allowance.take_retry(0.0) for allowance in (one, other)]
+    first, second = RetryAllowance(3, shared), RetryAllowance(3, shared)
+    first.record_sent()
+    second.record_sent()
+    taken = [allowance.take_retry(0.0) for allowance in (first, second)]
     assert taken == [True, False]
 
 
--- a/tests/router/test_rollout_machine.py
+++ b/tests/router/test_rollout_machine.py
@@ -32,9 +32,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.play.close()
+        self.harness.close()
         self.rollouts = RolloutScenario()
-        self.play = self.rollouts
+        self.harness = self.rollouts
         self.weight = 0.0  # of the target version; no roll-out is in force at first
         self.has_rollout = False
         self.checked_runs: Counter[str] = Counter()  # number of runs already checked, by request id
--- a/tests/router/test_rollout_samples.py
+++ b/tests/router/test_rollout_samples.py
@@ -32,7 +32,7 @@
     RolloutScenario,
     rollout,
 )
-from tests.router.router_model import EVENTS, KINDS, REPEATABLE, STREAMS, FakeUpstream, Sent, answer_of
+from tests.router.router_model import EVENTS, KINDS, REPEATABLE, STREAMS, FakeUpstream, SentRequest, answer_of
 
 KEY, UNKNOWN = SampleKey("s", OLD, "r", "i0"), SampleKey("unknown", OLD, "r", "i0")
 ANSWERED, FAILED = AnswerVerdict.ANSWERED, AnswerVerdict.FAILED
@@ -53,7 +53,7 @@
     return report.target
 
 
-def begin_at_target(scenario: RolloutScenario, kind: str = "plain") -> tuple[Sent, FakeUpstream]:
+def begin_at_target(scenario: RolloutScenario, kind: str = "plain") -> tuple[SentRequest, FakeUpstream]:
     """Send a request that goes to the only upstream of the target. Returns it and the upstream's connection."""
     sent, at = scenario.request_at(kind)
     assert at == "t0"
@@ -329,7 +329,7 @@
 
 def send_with_deadline(scenario: RolloutScenario, milliseconds: int) -> None:
     client = scenario.client()
-    sent = Sent(f"r{len(scenario.model.sent)}", "plain")
+    sent = SentRequest(f"r{len(scenario.model.sent)}", "plain")
     scenario.model.sent[sent.id] = sent
     client.queue(sent, b"", f"X-Deadline-Ms: {milliseconds}\r\n")
     scenario.do(lambda: client.send(len(client.unread)))
--- a/tests/router/test_rollout_tracks.py
+++ b/tests/router/test_rollout_tracks.py
@@ -29,7 +29,7 @@
     instance,
     rollout,
 )
-from tests.router.router_model import KINDS, REPEATABLE, FakeUpstream, Sent, answer_of
+from tests.router.router_model import KINDS, REPEATABLE, FakeUpstream, SentRequest, answer_of
 
 DRAWS = 10_000
 AT_ONCE = 10  # more than there are upstreams, so that all get requests: idle upstreams are selected first
@@ -375,7 +375,7 @@
         lookups.clear()
         for _ in range(20):
             client = scenario.client()
-            sent = Sent(f"r{len(scenario.model.sent)}", "plain")
+            sent = SentRequest(f"r{len(scenario.model.sent)}", "plain")
             scenario.model.sent[sent.id] = sent
             client.queue(sent, b"x", "X-Token-Usage: 6000,10\r\nX-Prompt-Prefix: h:5000,own:1000\r\n")
             scenario.do(lambda client=client: client.send(len(client.unread)))  # type: ignore[misc]
--- a/tests/router/test_wire_golden.py
+++ b/tests/router/test_wire_golden.py
@@ -1,6 +1,6 @@
 """The bytes that a router writes to upstreams and clients, and its debug lines, against a stored transcript.
 
-Each scene below has one. `data/router_wire.txt` was written by the router of 2 December 2026,
+Each harness below has one. `data/router_wire.txt` was written by the router of 2 December 2026,
 before its modules were renamed.
 """
 
@@ -31,7 +31,7 @@
 from tests.router.router_model import TURNS, FakeTransport
 
 T = TypeVar("T")
-STORED = Path(__file__).parent / "data" / "router_wire.txt"
+TRANSCRIPT_FILE = Path(__file__).parent / "data" / "router_wire.txt"
 ADDRESSES = ("10.0.0.1:1", "10.0.0.2:2", "10.0.0.3:3", "10.0.0.4:4")
 CONFIGURATION = {
     "generation": 7,
@@ -81,7 +81,7 @@
 ]
 
 
-class Scene:
+class WireHarness:
     """A router's data plane in a loop whose time the test moves, and all that it writes."""
 
     def __init__(self) -> None:
@@ -96,7 +96,7 @@
 
     def _make(self) -> DataPlane:
         plane = DataPlane(Bounds(retry_budget_ratio=10.0, retry_budget_slack=1_000.0), Random(1))
-        plane.pool = Pool(self)
+        plane.pool = RecordingPool(self)
         plane.quotas = QuotaAdmission(rng=Random(2))
         self.controller = GrantingController(plane.quotas)
         connect(plane.quotas, self.controller)
@@ -190,25 +190,25 @@
         self.loop.close()
 
 
-class Pool(UpstreamPool):
+class RecordingPool(UpstreamPool):
     """Opens connections to the test."""
 
-    def __init__(self, scene: Scene) -> None:
+    def __init__(self, harness: WireHarness) -> None:
         super().__init__()
-        self._scene = scene
+        self._harness = harness
 
     async def connect(self, address: str) -> UpstreamConnection:
         await asyncio.sleep(0)
-        scene = self._scene
-        if address in scene.refusing:
+        harness = self._harness
+        if address in harness.refusing:
             raise ConnectionRefusedError("refused")
         connection = UpstreamConnection(self._on_idle, self._on_closed)
         self._addresses[connection] = address
-        number = len(scene.upstreams)
+        number = len(harness.upstreams)
         transport = FakeTransport(
-            lambda data: scene.lines.append(f"to upstream {number} ({address}): {data!r}"), connection
+            lambda data: harness.lines.append(f"to upstream {number} ({address}): {data!r}"), connection
         )
-        scene.upstreams.append(transport)
+        harness.upstreams.append(transport)
         connection.connection_made(transport)
         return connection
 
@@ -235,15 +235,15 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def a_get_without_a_body(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/safe/a?b=c", "Accept: */*"))
-    scene.answer(0, reply(200, "Connection: keep-alive", "Keep-Alive: timeout=5", "X-Server-Load: 1,0,4"))
+def a_get_without_a_body(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/safe/a?b=c", "Accept: */*"))
+    harness.answer(0, reply(200, "Connection: keep-alive", "Keep-Alive: timeout=5", "X-Server-Load: 1,0,4"))
 
 
-def a_post_with_headers_of_its_connection_alone(scene: Scene) -> None:
-    scene.configure()
-    scene.request(
+def a_post_with_headers_of_its_connection_alone(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(
         head(
             "POST",
             "/plain/x",
@@ -264,100 +264,100 @@
             body=b"hello",
         )
     )
-    scene.answer(0, reply(201, "X-More: 1"))
+    harness.answer(0, reply(201, "X-More: 1"))
 
 
-def a_put_without_a_body_and_a_second_request_on_both_connections(scene: Scene) -> None:
-    scene.configure()
-    client = scene.request(head("PUT", "/plain/x"))
-    scene.answer(0, reply(204, body=b""))
-    scene.wait(1.0)
-    scene.request(head("GET", "/plain/y"), client)
-    scene.answer(0, reply(404, body=b"no such thing"))
+def a_put_without_a_body_and_a_second_request_on_both_connections(harness: WireHarness) -> None:
+    harness.configure()
+    client = harness.request(head("PUT", "/plain/x"))
+    harness.answer(0, reply(204, body=b""))
+    harness.wait(1.0)
+    harness.request(head("GET", "/plain/y"), client)
+    harness.answer(0, reply(404, body=b"no such thing"))
 
 
-def a_tenants_request(scene: Scene) -> None:
-    scene.configure(tenants=True)
-    scene.request(
+def a_tenants_request(harness: WireHarness) -> None:
+    harness.configure(tenants=True)
+    harness.request(
         head("POST", "/safe/x", "X-Api-Key: key-1", "X-Token-Usage: 20,30", "X-Tenant: forged", body=b"b")
     )
-    scene.answer(0, reply())
+    harness.answer(0, reply())
 
 
-def a_deadline_that_has_partly_passed(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/safe/x", "X-Deadline-Ms: 4000"))
-    scene.wait(1.25)
-    scene.reset(0)
-    scene.answer(1, reply())
+def a_deadline_that_has_partly_passed(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/safe/x", "X-Deadline-Ms: 4000"))
+    harness.wait(1.25)
+    harness.reset(0)
+    harness.answer(1, reply())
 
 
-def a_refusal_and_a_failure_before_the_answer(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("POST", "/safe/x", body=b"again"))
-    scene.answer(0, reply(503, "X-Not-Executed: 1", "X-Server-Load: 1,0,4"))
-    scene.answer(1, reply(500))
-    scene.answer(2, reply())
+def a_refusal_and_a_failure_before_the_answer(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("POST", "/safe/x", body=b"again"))
+    harness.answer(0, reply(503, "X-Not-Executed: 1", "X-Server-Load: 1,0,4"))
+    harness.answer(1, reply(500))
+    harness.answer(2, reply())
 
 
-def a_resumed_stream(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("POST", "/resumable/x", "Last-Event-ID: 0", body=b"s"))
-    scene.answer(0, STREAM_HEAD + b"\r\n\r\n" + chunk(b"id: 1\ndata: a\n\nid: 2\nda"))
-    scene.wait(0.5)
-    scene.reset(0)
-    scene.answer(1, STREAM_HEAD + b"\r\n\r\n" + chunk(b"id: 2\ndata: b\n\n") + b"0\r\n\r\n")
+def a_resumed_stream(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("POST", "/resumable/x", "Last-Event-ID: 0", body=b"s"))
+    harness.answer(0, STREAM_HEAD + b"\r\n\r\n" + chunk(b"id: 1\ndata: a\n\nid: 2\nda"))
+    harness.wait(0.5)
+    harness.reset(0)
+    harness.answer(1, STREAM_HEAD + b"\r\n\r\n" + chunk(b"id: 2\ndata: b\n\n") + b"0\r\n\r\n")
 
 
-def a_stream_that_breaks_for_good(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/resumable/x"))
+def a_stream_that_breaks_for_good(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/resumable/x"))
     for number in range(3):
         piece = f"id: {number}\ndata: x\n\n".encode()
-        scene.answer(number, STREAM_HEAD + b"\r\n\r\n" + chunk(piece))
-        scene.reset(number)
+        harness.answer(number, STREAM_HEAD + b"\r\n\r\n" + chunk(piece))
+        harness.reset(number)
 
 
-def an_answer_that_breaks(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/plain/x"))
-    scene.answer(0, reply(body=b"whole")[:-2])
-    scene.reset(0)
+def an_answer_that_breaks(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/plain/x"))
+    harness.answer(0, reply(body=b"whole")[:-2])
+    harness.reset(0)
 
 
-def an_expected_continue(scene: Scene) -> None:
-    scene.configure()
-    client = scene.request(
+def an_expected_continue(harness: WireHarness) -> None:
+    harness.configure()
+    client = harness.request(
         head("POST", "/plain/x", "Expect: 100-continue", "Content-Length: 2", "Content-Type: text/plain")
     )
-    scene.request(b"ok", client)
-    scene.answer(0, reply())
+    harness.request(b"ok", client)
+    harness.answer(0, reply())
 
 
-def a_router_that_stops(scene: Scene) -> None:
-    scene.configure()
-    client = scene.client()
-    scene.plane.stopping = True
-    scene.request(head("GET", "/plain/x"), client)
-    scene.answer(0, reply())
+def a_router_that_stops(harness: WireHarness) -> None:
+    harness.configure()
+    client = harness.client()
+    harness.plane.stopping = True
+    harness.request(head("GET", "/plain/x"), client)
+    harness.answer(0, reply())
 
 
-def a_client_that_goes(scene: Scene) -> None:
-    scene.configure()
-    client = scene.request(head("GET", "/plain/x"))
-    scene.do(lambda: client.end(None))
+def a_client_that_goes(harness: WireHarness) -> None:
+    harness.configure()
+    client = harness.request(head("GET", "/plain/x"))
+    harness.do(lambda: client.end(None))
 
 
-def a_silent_call_that_goes_elsewhere(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/safe/x"))
-    scene.wait(6.0)
-    scene.answer(1, reply())
+def a_silent_call_that_goes_elsewhere(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/safe/x"))
+    harness.wait(6.0)
+    harness.answer(1, reply())
 
 
-def a_prompt_for_an_engine(scene: Scene) -> None:
-    scene.configure()
-    scene.request(
+def a_prompt_for_an_engine(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(
         head(
             "POST",
             "/v1",
@@ -367,109 +367,109 @@
             body=b"p",
         )
     )
-    scene.wait(0.125)
-    scene.answer(0, reply(200, "X-Server-Load: 2,0,16"))
+    harness.wait(0.125)
+    harness.answer(0, reply(200, "X-Server-Load: 2,0,16"))
 
 
 # The router's own answers
 
 
-def bad_request(scene: Scene) -> None:
-    scene.configure()
-    scene.request(b"\x00nonsense\r\n\r\n")
+def bad_request(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(b"\x00nonsense\r\n\r\n")
 
 
-def headers_too_large(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/plain/x", "X-Long: " + "x" * 3_000)[:2_500])
+def headers_too_large(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/plain/x", "X-Long: " + "x" * 3_000)[:2_500])
 
 
-def body_too_large(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("POST", "/plain/x", body=b"x" * 101))
+def body_too_large(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("POST", "/plain/x", body=b"x" * 101))
     chunked = b"POST /plain/x HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\n"
-    scene.request(chunked + chunk(b"x" * 60) + chunk(b"x" * 60))
+    harness.request(chunked + chunk(b"x" * 60) + chunk(b"x" * 60))
 
 
-def client_too_slow(scene: Scene) -> None:
-    scene.configure()
-    scene.request(b"GET /plain/x HTTP/1.1\r\n")
-    scene.wait(3.0)
+def client_too_slow(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(b"GET /plain/x HTTP/1.1\r\n")
+    harness.wait(3.0)
 
 
-def no_configuration(scene: Scene) -> None:
-    scene.request(head("GET", "/plain/x"))
+def no_configuration(harness: WireHarness) -> None:
+    harness.request(head("GET", "/plain/x"))
 
 
-def no_route(scene: Scene) -> None:
-    scene.configure()
-    client = scene.request(head("GET", "/other"))
-    scene.request(head("GET", "/plain/x", host="b.example"), client)
+def no_route(harness: WireHarness) -> None:
+    harness.configure()
+    client = harness.request(head("GET", "/other"))
+    harness.request(head("GET", "/plain/x", host="b.example"), client)
 
 
-def unknown_key(scene: Scene) -> None:
-    scene.configure(tenants=True)
-    scene.request(head("GET", "/plain/x", "X-Api-Key: forged"))
+def unknown_key(harness: WireHarness) -> None:
+    harness.configure(tenants=True)
+    harness.request(head("GET", "/plain/x", "X-Api-Key: forged"))
 
 
-def over_quota(scene: Scene) -> None:
-    scene.configure(tenants=True)
+def over_quota(harness: WireHarness) -> None:
+    harness.configure(tenants=True)
     for _ in range(2):
-        scene.request(head("GET", "/plain/x", "X-Api-Key: key-1", "X-Token-Usage: 5000,0"))
-    scene.request(head("GET", "/plain/x", "X-Api-Key: key-2"))
-    scene.request(head("GET", "/plain/x", "X-Api-Key: key-2"))
+        harness.request(head("GET", "/plain/x", "X-Api-Key: key-1", "X-Token-Usage: 5000,0"))
+    harness.request(head("GET", "/plain/x", "X-Api-Key: key-2"))
+    harness.request(head("GET", "/plain/x", "X-Api-Key: key-2"))
 
 
-def no_upstream(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/empty/x"))
-    scene.refusing.update(ADDRESSES)
-    scene.request(head("GET", "/plain/x"))
+def no_upstream(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/empty/x"))
+    harness.refusing.update(ADDRESSES)
+    harness.request(head("GET", "/plain/x"))
 
 
-def turned_away(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("POST", "/plain/x", body=b"x"))
-    scene.answer(0, reply(503, "X-Not-Executed: 1"))
-    scene.answer(1, reply(429, "X-Not-Executed: 1", "X-Server-Load: 4,2,4"))
-    scene.answer(2, reply(421))
+def turned_away(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("POST", "/plain/x", body=b"x"))
+    harness.answer(0, reply(503, "X-Not-Executed: 1"))
+    harness.answer(1, reply(429, "X-Not-Executed: 1", "X-Server-Load: 4,2,4"))
+    harness.answer(2, reply(421))
 
 
-def upstream_failed(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("POST", "/plain/x", body=b"x"))
-    scene.reset(0)
-    scene.request(head("POST", "/plain/x", body=b"x"))
-    scene.answer(1, reply(503))
+def upstream_failed(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("POST", "/plain/x", body=b"x"))
+    harness.reset(0)
+    harness.request(head("POST", "/plain/x", body=b"x"))
+    harness.answer(1, reply(503))
 
 
-def timed_out(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/plain/x"))
-    scene.wait(10.0)
+def timed_out(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/plain/x"))
+    harness.wait(10.0)
 
 
-def timed_out_unsent(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/plain/x", "X-Deadline-Ms: 4"))
+def timed_out_unsent(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/plain/x", "X-Deadline-Ms: 4"))
 
 
-def internal(scene: Scene) -> None:
-    scene.configure()
+def internal(harness: WireHarness) -> None:
+    harness.configure()
 
     def fail(service: str) -> RetryBudget:
         raise ArithmeticError(service)
 
-    scene.plane.retry_budgets.budget = fail  # type: ignore[method-assign]
-    scene.request(head("GET", "/plain/x"))
+    harness.plane.retry_budgets.budget = fail  # type: ignore[method-assign]
+    harness.request(head("GET", "/plain/x"))
 
 
-def a_number_that_no_client_may_state(scene: Scene) -> None:
-    scene.configure()
-    scene.request(head("GET", "/plain/x", "X-Token-Usage: 1,-900000"))
+def a_number_that_no_client_may_state(harness: WireHarness) -> None:
+    harness.configure()
+    harness.request(head("GET", "/plain/x", "X-Token-Usage: 1,-900000"))
 
 
-SCENES: list[Callable[[Scene], None]] = [
+SCENARIOS: list[Callable[[WireHarness], None]] = [
     a_get_without_a_body,
     a_post_with_headers_of_its_connection_alone,
     a_put_without_a_body_and_a_second_request_on_both_connections,
@@ -502,50 +502,50 @@
 ]
 
 
-class Lines(picologging.Handler):
+class LogRecorder(picologging.Handler):
     """Puts the program's log lines between what it writes, without their time and the process' name."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.scene: Scene | None = None
+        self.harness: WireHarness | None = None
 
     def emit(self, record: picologging.LogRecord) -> None:
-        if self.scene is not None:
+        if self.harness is not None:
             line = re.sub(r'^\{"time":[0-9.e+]+,("node":"[^"]*",)?', "{", str(record.msg))
             line = re.sub(r'"at":"[^"]*"', '"at":"FILE:LINE"', line)
-            self.scene.lines.append(f"log: {line}")
+            self.harness.lines.append(f"log: {line}")
 
 
-LINES = Lines()
+LOG_RECORDER = LogRecorder()
 
 
 @pytest.fixture
 def debugging() -> Iterator[None]:
     logger = picologging.getLogger("larkweir")
     before = logger.level
-    logger.addHandler(LINES)
+    logger.addHandler(LOG_RECORDER)
     logger.setLevel(picologging.DEBUG)
     yield
-    LINES.scene = None
-    logger.removeHandler(LINES)
+    LOG_RECORDER.harness = None
+    logger.removeHandler(LOG_RECORDER)
     logger.setLevel(before)
 
 
-def played(scenario: Callable[[Scene], None]) -> list[str]:
-    """What a scene writes."""
-    scene = LINES.scene = Scene()
+def run_scenario(scenario: Callable[[WireHarness], None]) -> list[str]:
+    """What a scenario writes."""
+    harness = LOG_RECORDER.harness = WireHarness()
     try:
-        scenario(scene)
-        return scene.finish()
+        scenario(harness)
+        return harness.finish()
     finally:
-        LINES.scene = None
-        scene.close()
+        LOG_RECORDER.harness = None
+        harness.close()
 
 
-def stored() -> dict[str, list[str]]:
-    """The transcripts by the name of their scene."""
+def stored_transcripts() -> dict[str, list[str]]:
+    """The transcripts by the name of their scenario."""
     found: dict[str, list[str]] = {}
-    for line in STORED.read_text().splitlines():
+    for line in TRANSCRIPT_FILE.read_text().splitlines():
         if line.startswith("== "):
             lines = found[line[3:]] = []
         elif line:
@@ -555,15 +555,17 @@
 
 def test_each_kind_of_the_routers_own_answers_has_a_scene() -> None:
     kinds = {kind.value for kind in ErrorKind}
-    assert kinds <= {one.__name__ for one in SCENES}
+    assert kinds <= {one.__name__ for one in SCENARIOS}
     for kind in kinds:
-        assert any(line.startswith("counted: ") and f"'{kind}'" in line for line in stored()[kind]), kind
+        assert any(
+            line.startswith("counted: ") and f"'{kind}'" in line for line in stored_transcripts()[kind]
+        ), kind
 
 
 def test_no_transcript_is_left_over() -> None:
-    assert list(stored()) == [one.__name__ for one in SCENES]
+    assert list(stored_transcripts()) == [one.__name__ for one in SCENARIOS]
 
 
-@pytest.mark.parametrize("scenario", SCENES, ids=lambda one: one.__name__)
-def test_what_a_router_writes(scenario: Callable[[Scene], None], debugging: None) -> None:
-    assert played(scenario) == stored()[scenario.__name__]
+@pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda one: one.__name__)
+def test_what_a_router_writes(scenario: Callable[[WireHarness], None], debugging: None) -> None:
+    assert run_scenario(scenario) == stored_transcripts()[scenario.__name__]
