--- a/tests/router/test_answer_verdict.py
+++ b/tests/router/test_answer_verdict.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "status", "leaving", "late", "fair", "verdict"),
+    ("outcome", "status", "is_leaving", "is_deadline_over", "is_upstream_slow", "verdict"),
     [
         (Outcome.OK, 200, False, False, False, ANSWERED),
         (Outcome.OK, 404, False, False, False, ANSWERED),
@@ -43,8 +43,19 @@
         (Outcome.MOOT, 0, False, False, True, NONE),
     ],
 )
-def test_each_end(
-    outcome: Outcome, status: int, leaving: bool, late: bool, fair: bool, verdict: AnswerVerdict
+def test_verdict_of_each_outcome(
+    outcome: Outcome,
+    status: int,
+    is_leaving: bool,
+    is_deadline_over: bool,
+    is_upstream_slow: bool,
+    verdict: AnswerVerdict,
 ) -> None:
-    found = judge_answer(outcome, status, is_leaving=leaving, is_deadline_over=late, is_upstream_slow=fair)
+    found = judge_answer(
+        outcome,
+        status,
+        is_leaving=is_leaving,
+        is_deadline_over=is_deadline_over,
+        is_upstream_slow=is_upstream_slow,
+    )
     assert found is verdict
--- a/tests/router/test_attempt.py
+++ b/tests/router/test_attempt.py
@@ -49,12 +49,12 @@
 
 
 @pytest.mark.parametrize("kind", sorted(REPEATABLE))
-def test_a_silent_call_that_may_be_repeated_goes_elsewhere(kind: str, harness: RouterHarness) -> None:
+def test_an_overdue_repeatable_request_is_retried_elsewhere(kind: str, harness: RouterHarness) -> None:
     sent = harness.request(harness.client(), kind)
-    (silent,) = harness.waiting()
-    instance = instance_of(harness, silent)
+    (overdue_upstream,) = harness.waiting()
+    instance = instance_of(harness, overdue_upstream)
     fire_overdue_timer(harness)
-    assert not silent.is_open
+    assert not overdue_upstream.is_open
     (other,) = harness.waiting()
     harness.answer(other)
     assert sent.complete
@@ -65,14 +65,14 @@
 
 
 @pytest.mark.parametrize("kind", sorted(set(KINDS) - REPEATABLE))
-def test_a_silent_call_that_may_have_run_is_waited_for_and_reported(
+def test_an_overdue_unrepeatable_request_keeps_waiting_and_counts_as_failed(
     kind: str, harness: RouterHarness
 ) -> None:
     sent = harness.request(harness.client(), kind)
-    (silent,) = harness.waiting()
-    instance = instance_of(harness, silent)
+    (overdue_upstream,) = harness.waiting()
+    instance = instance_of(harness, overdue_upstream)
     fire_overdue_timer(harness)
-    harness.answer(silent)
+    harness.answer(overdue_upstream)
     assert sent.complete
     assert len(harness.model.runs[sent.id]) == 1
     assert reported_outcomes(harness) == {
@@ -81,21 +81,21 @@
     harness.model.check()
 
 
-def test_a_stream_of_which_only_the_head_arrived_is_resumed_elsewhere(harness: RouterHarness) -> None:
+def test_an_overdue_stream_with_only_its_head_received_is_resumed_elsewhere(harness: RouterHarness) -> None:
     sent = harness.request(harness.client(), "resumable")
-    (silent,) = harness.waiting()
-    assert silent.run is not None
-    answer = answer_of(silent.run)
-    silent.begin(answer)
-    harness.do(lambda: silent.send(answer.index(b"\r\n\r\n") + 4))
+    (overdue_upstream,) = harness.waiting()
+    assert overdue_upstream.run is not None
+    answer = answer_of(overdue_upstream.run)
+    overdue_upstream.begin(answer)
+    harness.do(lambda: overdue_upstream.send(answer.index(b"\r\n\r\n") + 4))
     fire_overdue_timer(harness)
-    assert not silent.is_open
+    assert not overdue_upstream.is_open
     harness.answer(harness.waiting()[0])
     assert sent.complete
     harness.model.check()
 
 
-def test_without_another_upstream_a_silent_call_is_waited_for(harness: RouterHarness) -> None:
+def test_an_overdue_request_keeps_waiting_without_another_upstream(harness: RouterHarness) -> None:
     gone = Upstream("i1", "s", harness.model.ADDRESSES[1], "z", sequence=1, state=UpstreamState.GONE)
     harness.do(lambda: harness.model.plane.upstreams.update([gone], 0.0))
     sent = harness.request(harness.client(), "safe")
@@ -107,10 +107,10 @@
 
 
 @pytest.mark.parametrize(
-    ("load", "bad"), [("2,0,16", True), ("16,0,16", False), ("3,1,16", False), ("", False)]
+    ("load", "counts_as_failed"), [("2,0,16", True), ("16,0,16", False), ("3,1,16", False), ("", False)]
 )
-def test_a_call_that_is_turned_away_with_places_free_speaks_against_the_upstream(
-    load: str, bad: bool, harness: RouterHarness
+def test_a_rejection_by_an_upstream_with_free_slots_counts_as_failed(
+    load: str, counts_as_failed: bool, harness: RouterHarness
 ) -> None:
     harness.request(harness.client(), "safe")
     upstream = harness.waiting()[0]
@@ -120,5 +120,7 @@
     upstream.begin(answer_of(upstream.run, status=503, **more), executed=False)
     harness.do(lambda: upstream.send(len(upstream.unsent)))
     harness.answer(harness.waiting()[0])
-    assert reported_outcomes(harness) == ({instance: OutcomeCounts(succeeded=0, failed=1)} if bad else {})
+    assert reported_outcomes(harness) == (
+        {instance: OutcomeCounts(succeeded=0, failed=1)} if counts_as_failed else {}
+    )
     harness.model.check()
--- a/tests/router/test_attempt_samples.py
+++ b/tests/router/test_attempt_samples.py
@@ -13,7 +13,7 @@
 from tests.router.rollout_model import NEW, rollout
 
 SENT_MS = 1_000.0
-PAUSE_MS = 40.0
+EVENT_INTERVAL_MS = 40.0
 
 
 class AttemptHarness:
@@ -31,9 +31,9 @@
         self.attempt.on_head(200)
 
     def events(self, first: int, last: int) -> None:
-        """Each `PAUSE_MS` behind the one before."""
+        """Each `EVENT_INTERVAL_MS` behind the one before."""
         for number in range(first, last + 1):
-            self.attempt.on_event(SENT_MS + number * PAUSE_MS)
+            self.attempt.on_event(SENT_MS + number * EVENT_INTERVAL_MS)
 
     def end(self, outcome: Outcome, after_ms: float) -> None:
         self.attempt.on_ended(outcome, SENT_MS + after_ms, is_leaving=False, is_overdue=False)
@@ -43,49 +43,53 @@
         return self.samples.changed_since(0)["s"].target.routes.get("r", RouteSamples())
 
 
-def test_the_pace_of_a_stream_counts_once_its_first_events_have_come() -> None:
+def test_the_pace_of_a_stream_is_recorded_after_its_first_events() -> None:
     harness = AttemptHarness()
     harness.send()
     harness.events(1, PACE_SAMPLE_EVENTS - 1)
-    assert harness.route == RouteSamples(first_byte={bucket_of(PAUSE_MS): 1})
+    assert harness.route == RouteSamples(first_byte={bucket_of(EVENT_INTERVAL_MS): 1})
     harness.events(PACE_SAMPLE_EVENTS, PACE_SAMPLE_EVENTS)
-    assert harness.route.pace == {bucket_of(PAUSE_MS): 1}
+    assert harness.route.pace == {bucket_of(EVENT_INTERVAL_MS): 1}
     harness.events(PACE_SAMPLE_EVENTS + 1, 4 * PACE_SAMPLE_EVENTS)
     harness.end(Outcome.OK, 90_000.0)
-    assert harness.route == RouteSamples(1, 0, {bucket_of(PAUSE_MS): 1}, {bucket_of(PAUSE_MS): 1})
+    assert harness.route == RouteSamples(
+        1, 0, {bucket_of(EVENT_INTERVAL_MS): 1}, {bucket_of(EVENT_INTERVAL_MS): 1}
+    )
 
 
 @pytest.mark.parametrize("events", range(1, PACE_SAMPLE_EVENTS))
-def test_the_pace_of_a_short_stream_counts_at_its_end(events: int) -> None:
+def test_the_pace_of_a_short_stream_is_recorded_at_its_end(events: int) -> None:
     harness = AttemptHarness()
     harness.send()
     harness.events(1, events)
     assert not harness.route.pace
-    harness.end(Outcome.OK, events * PAUSE_MS)
-    assert harness.route.pace == ({bucket_of(PAUSE_MS): 1} if events >= MIN_PACE_SAMPLE_EVENTS else {})
+    harness.end(Outcome.OK, events * EVENT_INTERVAL_MS)
+    assert harness.route.pace == (
+        {bucket_of(EVENT_INTERVAL_MS): 1} if events >= MIN_PACE_SAMPLE_EVENTS else {}
+    )
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CANCELLED])
-def test_what_is_known_of_an_answer_counts_though_it_is_not_complete(outcome: Outcome) -> None:
+def test_durations_of_an_incomplete_response_are_recorded(outcome: Outcome) -> None:
     harness = AttemptHarness()
     harness.send()
     harness.events(1, PACE_SAMPLE_EVENTS)
     harness.end(outcome, 1_000.0)
     assert harness.route == RouteSamples(
-        0, int(outcome is Outcome.RESET), {bucket_of(PAUSE_MS): 1}, {bucket_of(PAUSE_MS): 1}
+        0, int(outcome is Outcome.RESET), {bucket_of(EVENT_INTERVAL_MS): 1}, {bucket_of(EVENT_INTERVAL_MS): 1}
     )
 
 
-def test_an_answer_that_is_no_stream_counts_its_whole_time_at_its_end() -> None:
+def test_a_response_that_is_no_stream_records_its_total_time_as_pace() -> None:
     harness = AttemptHarness("idempotent")
     harness.send()
     harness.events(1, 2 * PACE_SAMPLE_EVENTS)
-    assert harness.route == RouteSamples(first_byte={bucket_of(PAUSE_MS): 1})
+    assert harness.route == RouteSamples(first_byte={bucket_of(EVENT_INTERVAL_MS): 1})
     harness.end(Outcome.OK, 900.0)
-    assert harness.route == RouteSamples(1, 0, {bucket_of(PAUSE_MS): 1}, {bucket_of(900.0): 1})
+    assert harness.route == RouteSamples(1, 0, {bucket_of(EVENT_INTERVAL_MS): 1}, {bucket_of(900.0): 1})
 
 
-def test_errors_tell_no_durations() -> None:
+def test_error_responses_record_no_durations() -> None:
     harness = AttemptHarness()
     harness.attempt.on_sent(SENT_MS)
     harness.attempt.on_head(500)
@@ -94,7 +98,7 @@
     assert harness.route == RouteSamples(failed=1)
 
 
-def test_what_was_not_sent_counts_as_in_flight_alone() -> None:
+def test_an_unsent_attempt_is_only_counted_as_in_flight() -> None:
     harness = AttemptHarness()
     assert harness.samples.changed_since(0)["s"].target.in_flight == 1
     harness.end(Outcome.CONNECT_FAILED, 0.0)
--- a/tests/router/test_exchange.py
+++ b/tests/router/test_exchange.py
@@ -28,7 +28,7 @@
     [(False, True), (True, True), (False, False)],
     ids=["reset", "close", "reset without a length"],
 )
-def test_a_connection_that_ends_at_each_byte_of_an_answer(kind: str, in_order: bool, framed: bool) -> None:
+def test_a_connection_that_ends_at_each_byte_of_a_response(kind: str, in_order: bool, framed: bool) -> None:
     at = 0
     while True:
         harness = RouterHarness()
@@ -72,7 +72,7 @@
     harness.model.check()
 
 
-def test_a_late_answer_of_the_request_before_is_passed_over(harness: RouterHarness) -> None:
+def test_a_late_response_to_the_previous_request_is_skipped(harness: RouterHarness) -> None:
     client = harness.client()
     harness.request(client, "plain")
     upstream = harness.waiting()[0]
@@ -87,7 +87,7 @@
     harness.model.check()
 
 
-def test_an_extra_answer_on_an_idle_connection_ends_it(harness: RouterHarness) -> None:
+def test_an_unrequested_response_on_an_idle_connection_closes_it(harness: RouterHarness) -> None:
     client = harness.client()
     harness.request(client, "plain")
     upstream = harness.waiting()[0]
@@ -98,7 +98,7 @@
     harness.model.check()
 
 
-def test_a_success_that_names_no_request_is_not_believed(harness: RouterHarness) -> None:
+def test_a_success_without_a_request_id_is_not_accepted(harness: RouterHarness) -> None:
     sent = harness.request(harness.client(), "plain")
     upstream = harness.waiting()[0]
     harness.answer(upstream, echo=False)
@@ -106,7 +106,7 @@
     assert not upstream.is_open
 
 
-def test_a_success_without_a_signature_is_not_believed(harness: RouterHarness) -> None:
+def test_a_success_without_a_signature_is_not_accepted(harness: RouterHarness) -> None:
     sent = harness.request(harness.client(), "plain")
     upstream = harness.waiting()[0]
     assert upstream.run is not None
@@ -116,13 +116,13 @@
     assert sent.status == 502
 
 
-def test_a_rejection_that_names_no_request_proves_that_it_has_not_run(harness: RouterHarness) -> None:
+def test_a_rejection_without_a_request_id_proves_that_the_request_has_not_run(harness: RouterHarness) -> None:
     sent = harness.request(harness.client(), "plain")
     for _ in range(2):
         upstream = harness.waiting()[0]
         assert upstream.run is not None
-        refusal = answer_of(upstream.run, status=503, echo=False, **{"X-Not-Executed": "1"})
-        upstream.begin(refusal, executed=False)
+        rejection = answer_of(upstream.run, status=503, echo=False, **{"X-Not-Executed": "1"})
+        upstream.begin(rejection, executed=False)
         harness.do(lambda one=upstream: one.send(len(one.unsent)))  # type: ignore[misc]
     assert sent.status == 503
     harness.model.check()
@@ -132,9 +132,9 @@
     harness.request(harness.client(), "plain")
     upstream = harness.waiting()[0]
     assert upstream.run is not None
-    refusal = answer_of(upstream.run, status=421, echo=False)
-    upstream.begin(refusal, executed=False)
-    harness.do(lambda: upstream.send(len(refusal)))
+    rejection = answer_of(upstream.run, status=421, echo=False)
+    upstream.begin(rejection, executed=False)
+    harness.do(lambda: upstream.send(len(rejection)))
     assert not upstream.is_open
     harness.model.check()
 
@@ -209,9 +209,9 @@
         upstream = self._pick(self._unanswered(), pick)
         assert upstream.run is not None
         headers = {} if status == 421 else {"X-Not-Executed": "1"}
-        refusal = answer_of(upstream.run, status=status, echo=echo, **headers)
-        upstream.begin(refusal, executed=False)
-        self.harness.do(lambda: upstream.send(len(refusal)))
+        rejection = answer_of(upstream.run, status=status, echo=echo, **headers)
+        upstream.begin(rejection, executed=False)
+        self.harness.do(lambda: upstream.send(len(rejection)))
 
     @rule(pick=st.integers(0, 9), status=st.sampled_from([500, 503, 408]))
     @precondition(lambda self: self._unanswered())
--- a/tests/router/test_exchange_guard.py
+++ b/tests/router/test_exchange_guard.py
@@ -121,7 +121,7 @@
     assert (following.status, following.complete) == (200, True)
 
 
-def test_the_quota_of_a_request_that_has_not_run_is_given_back(
+def test_the_quota_of_a_request_that_has_not_run_is_refunded(
     harness: RouterHarness, logged: list[tuple[str, dict[str, object]]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plane = harness.model.plane
@@ -171,7 +171,7 @@
     return sent
 
 
-def test_a_head_that_an_upstream_refuses_by_closing_is_sent_once_and_not_held_against_it(
+def test_an_oversized_head_refused_by_closing_is_sent_once_and_not_counted_as_failed(
     harness: RouterHarness,
 ) -> None:
     sent = send_oversized_request(harness, "safe")
@@ -192,7 +192,7 @@
     assert len(harness.model.runs[sent.id]) == 2
 
 
-def test_the_upstreams_own_answer_to_a_large_head_is_passed_on(harness: RouterHarness) -> None:
+def test_the_upstreams_own_response_to_a_large_head_is_relayed(harness: RouterHarness) -> None:
     sent = send_oversized_request(harness, "safe")
     (upstream,) = harness.waiting()
     harness.answer(upstream, status=431)
@@ -200,7 +200,7 @@
     assert len(harness.model.runs[sent.id]) == 1
 
 
-def test_a_reset_of_a_small_request_is_retried_and_counts(harness: RouterHarness) -> None:
+def test_a_reset_of_a_small_request_is_retried_and_counts_as_failed(harness: RouterHarness) -> None:
     sent = harness.request(harness.client(), "safe")
     reset_connection(harness)
     answer_request(harness)
@@ -208,7 +208,7 @@
     assert harness.do(lambda: harness.model.plane.outcomes.failing_upstreams(harness.loop.time() * 1000.0))
 
 
-def test_only_the_first_piece_of_a_plain_answer_is_a_first_event(
+def test_only_the_first_chunk_of_a_response_counts_as_its_first_event(
     harness: RouterHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     observed: list[float] = []
--- a/tests/router/test_exchange_planted.py
+++ b/tests/router/test_exchange_planted.py
@@ -100,7 +100,7 @@
 
 
 def run_cut_stream_test() -> None:
-    exchange_tests.test_a_connection_that_ends_at_each_byte_of_an_answer(
+    exchange_tests.test_a_connection_that_ends_at_each_byte_of_a_response(
         "resumable", in_order=False, framed=True
     )
 
--- a/tests/router/test_executions_charged.py
+++ b/tests/router/test_executions_charged.py
@@ -37,7 +37,7 @@
     assert (status(harness), charged(harness)) == ("200", 200.0)
 
 
-def test_an_attempt_that_was_rejected_after_one_that_may_have_run_gives_nothing_back(
+def test_a_rejection_after_an_attempt_that_may_have_run_refunds_nothing(
     harness: WireHarness,
 ) -> None:
     harness.request(head("GET", "/safe/x", KEY, USAGE))
@@ -50,7 +50,7 @@
     assert harness.controller.refunded == []
 
 
-def test_attempts_that_were_all_rejected_are_given_back(harness: WireHarness) -> None:
+def test_a_request_whose_attempts_were_all_rejected_is_refunded(harness: WireHarness) -> None:
     harness.request(head("GET", "/safe/x", KEY, USAGE))
     for number in range(4):
         if number < len(harness.upstreams):
@@ -58,7 +58,7 @@
     assert (status(harness), charged(harness)) == ("503", 0.0)
 
 
-def test_a_rejected_attempt_after_an_execution_is_paid_for_the_next_one(harness: WireHarness) -> None:
+def test_the_charge_for_a_rejected_attempt_covers_the_next_one(harness: WireHarness) -> None:
     harness.request(head("GET", "/safe/x", KEY, USAGE))
     harness.reset(0)
     harness.answer(1, reply(503, "X-Not-Executed: 1"))
--- a/tests/router/test_lying_upstreams.py
+++ b/tests/router/test_lying_upstreams.py
@@ -86,7 +86,7 @@
     harness.close()
 
 
-def test_an_upstream_that_reports_ready_and_fails_is_left_out_by_what_it_does(fleet: FleetHarness) -> None:
+def test_an_upstream_that_reports_ready_but_fails_is_ejected(fleet: FleetHarness) -> None:
     fleet.failing = {"u3"}
     detector = FleetOutlierDetector()
     assert all(sent.status == 200 for sent in fleet.requests(REQUESTS)), "its failures are retried elsewhere"
@@ -110,7 +110,7 @@
     assert fleet.take_counts()["u3"] > 0, "once it is well it is used again"
 
 
-def test_an_upstream_that_is_well_is_used_whatever_its_health_address_would_say(fleet: FleetHarness) -> None:
+def test_healthy_upstreams_are_used_without_requests_to_a_health_address(fleet: FleetHarness) -> None:
     """No router asks a health address: the model fails on any request that no client has sent."""
     assert all(sent.status == 200 for sent in fleet.requests(4 * REQUESTS))
     counts = fleet.take_counts()
@@ -119,7 +119,7 @@
     assert min(counts.values()) >= 0.3 * 4 * REQUESTS / len(UPSTREAMS)
 
 
-def test_time_stands_still_in_a_scene(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_of_the_harness_stands_still(monkeypatch: pytest.MonkeyPatch) -> None:
     """However slow the machine is: no timer of the router sends a request again or gives it up."""
     clock = count(step=30)  # seconds at each look; a request may take 60
     monkeypatch.setattr(asyncio.BaseEventLoop, "time", lambda loop: float(next(clock)))
@@ -136,7 +136,7 @@
     ("route", "tenant", "forwarded"),
     [(0, None, "0"), (9, None, "9"), (12, None, "9"), (-3, None, "0"), (7, 2, "2"), (2, 7, "7"), (5, 0, "0")],
 )
-def test_the_urgency_that_upstreams_are_told(
+def test_the_priority_that_is_forwarded_to_upstreams(
     fleet: FleetHarness, route: int, tenant: int | None, forwarded: str
 ) -> None:
     """0 is the most urgent: a tenant's goes before the route's, whatever the client states."""
@@ -146,16 +146,18 @@
     assert [headers["priority"] for headers in fleet.runs] == [forwarded]
 
 
-def test_a_retry_keeps_its_urgency(fleet: FleetHarness) -> None:
+def test_a_retry_keeps_its_priority(fleet: FleetHarness) -> None:
     fleet.failing = set(UPSTREAMS)
     fleet.configure({"priority": 3, "backend": "s"})
     fleet.request()
     assert [headers["priority"] for headers in fleet.runs] == ["3"] * 3
 
 
-def test_a_split_gives_each_service_its_share_and_a_retry_stays_there(fleet: FleetHarness) -> None:
-    few = [f"few{number}" for number in range(10)]
-    fleet.list_upstreams("t", few)
+def test_a_traffic_split_follows_its_weights_and_retries_stay_at_the_drawn_service(
+    fleet: FleetHarness,
+) -> None:
+    small_service = [f"few{number}" for number in range(10)]
+    fleet.list_upstreams("t", small_service)
     fleet.failing = {"u1", "few1"}
     split = [{"backend": "s", "weight": 80}, {"backend": "t", "weight": 20}]
     fleet.configure({"traffic_split": split})
@@ -163,7 +165,7 @@
     for _ in range(1_000):
         fleet.runs.clear()
         assert fleet.request().status == 200
-        drawn = {headers["x-target-instance"] in few for headers in fleet.runs}
+        drawn = {headers["x-target-instance"] in small_service for headers in fleet.runs}
         assert len(drawn) == 1, "a retry went to the other service"
         services[drawn.pop()] += 1
     assert 160 <= services[True] <= 240  # three standard deviations of 1,000 draws
--- a/tests/router/test_request_metadata.py
+++ b/tests/router/test_request_metadata.py
@@ -1,4 +1,4 @@
-"""Numbers that clients state: bounded, or the request is refused."""
+"""Numbers that clients state: bounded, or the request is rejected."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 
 
-def test_what_a_client_states() -> None:
+def test_each_header_is_parsed() -> None:
     headers = [
         (b"x-token-usage", b"1460, 80"),
         (b"x-prompt-prefix", b"5c1e07a2:800, 91bd3f06:410,e4402b7d:250"),
@@ -36,14 +36,14 @@
     assert metadata.total_tokens == 1_540
 
 
-def test_a_client_that_states_nothing() -> None:
+def test_missing_and_empty_headers() -> None:
     assert parse_metadata([(b"host", b"a")]) == RequestMetadata()
     assert RequestMetadata().total_tokens is None
     empty = [(b"x-token-usage", b""), (b"x-prompt-prefix", b""), (b"x-deadline-ms", b"")]
     assert parse_metadata(empty) == RequestMetadata()
 
 
-def test_the_maximum_itself_is_taken() -> None:
+def test_the_maximum_itself_is_accepted() -> None:
     metadata = parse_metadata([(b"x-token-usage", b"%d,%d" % (MAX_TOKENS, MAX_TOKENS))])
     assert metadata.total_tokens == 2 * MAX_TOKENS
 
@@ -77,10 +77,10 @@
         ("Last-Event-Id", "7" * (MAX_EVENT_ID_BYTES + 1)),
     ],
 )
-def test_other_values_are_refused_by_the_name_of_their_header(header: str, value: str) -> None:
-    with pytest.raises(InvalidHeaderError, match=header) as refused:
+def test_invalid_values_are_rejected_with_the_name_of_their_header(header: str, value: str) -> None:
+    with pytest.raises(InvalidHeaderError, match=header) as rejected:
         parse_metadata([(header.lower().encode(), value.encode())])
-    assert refused.value.header == header
+    assert rejected.value.header == header
 
 
 numbers = st.one_of(
@@ -92,7 +92,7 @@
 
 
 @given(st.lists(st.lists(numbers, max_size=3).map(",".join), min_size=1, max_size=20))
-def test_no_value_that_is_taken_lowers_the_usage_of_its_tenant(usages: list[str]) -> None:
+def test_no_accepted_value_lowers_the_usage_of_its_tenant(usages: list[str]) -> None:
     allocator = QuotaAllocator()
     allocator.set_share(TOTAL_SHARE, 1e9, 0.0)
     allocator.set_limits({"t": RateLimit(2_000.0, 8_000.0)}, 0.0, controllers=1, is_restart=False)
--- a/tests/router/test_wire_golden.py
+++ b/tests/router/test_wire_golden.py
@@ -168,7 +168,7 @@
         """That connection ends."""
         self.do(lambda: self.upstreams[number].end(ConnectionResetError()))
 
-    def finish(self) -> list[str]:
+    def collect_lines(self) -> list[str]:
         """Who was closed, behind what was written."""
         for name, transports in (("client", self.clients), ("upstream", self.upstreams)):
             self.lines += [
@@ -536,7 +536,7 @@
     harness = LOG_RECORDER.harness = WireHarness()
     try:
         scenario(harness)
-        return harness.finish()
+        return harness.collect_lines()
     finally:
         LOG_RECORDER.harness = None
         harness.close()
@@ -553,7 +553,7 @@
     return found
 
 
-def test_each_kind_of_the_routers_own_answers_has_a_scene() -> None:
+def test_each_error_kind_has_a_scenario() -> None:
     kinds = {kind.value for kind in ErrorKind}
     assert kinds <= {one.__name__ for one in SCENARIOS}
     for kind in kinds:
@@ -562,10 +562,12 @@
         ), kind
 
 
-def test_no_transcript_is_left_over() -> None:
+def test_every_transcript_has_a_scenario() -> None:
     assert list(stored_transcripts()) == [one.__name__ for one in SCENARIOS]
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda one: one.__name__)
-def test_what_a_router_writes(scenario: Callable[[WireHarness], None], debugging: None) -> None:
+def test_the_router_writes_the_stored_transcript(
+    scenario: Callable[[WireHarness], None], debugging: None
+) -> None:
     assert run_scenario(scenario) == stored_transcripts()[scenario.__name__]
