--- a/larkweir/router/__init__.py
+++ b/larkweir/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router: takes clients' requests and passes each to an upstream of its route's service."""
+"""The router: receives requests from clients and forwards each to an upstream of its route's service."""
--- a/larkweir/router/admission.py
+++ b/larkweir/router/admission.py
@@ -1,4 +1,4 @@
-"""Admission of a request: configuration, route and API key; then, apart, its tenant's quota."""
+"""Admission of a request in two steps: `authorize` checks route and API key; `admit` follows the quota decision."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """An admitted request: where it goes, until when, and what was charged for it."""
+    """An admitted request: its route, service and deadline, and what its tenant was charged."""
 
     route: Route
     service: str
     deadline_ms: float  # on the event loop's clock
     tenant: Tenant | None  # None: the route is public, or there are no tenants
-    charge: QuotaCharge | None  # to `tenant`; to be refunded if the request is known not to have run
+    charge: QuotaCharge | None  # what `tenant` was charged; refunded if the request is known not to have run
 
     def routing_headers(
         self, instance: str, remaining_ms: float, last_event_id: bytes | None
     ) -> RoutingHeaders:
-        """What an attempt adds to the request.
+        """The headers that the router adds to the request for one attempt.
 
         Args:
-            instance: the upstream that it is sent to.
-            remaining_ms: of the deadline.
-            last_event_id: of the stream that the attempt resumes; None: it resumes none.
+            instance: the upstream that the request is sent to.
+            remaining_ms: the time left until the deadline.
+            last_event_id: the id after which the attempt resumes a stream; None if it does not resume one.
         """
         priority = self.route.priority
         if self.tenant is not None and self.tenant.priority is not None:
@@ -48,25 +48,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Authorization:
-    """A request that its route and key allow. Its tenant's quota was not asked yet."""
+    """A request with a route and a valid API key. The tenant's quota has not been checked yet."""
 
     route: Route
     tenant: Tenant | None  # None: the route is public, or there are no tenants
-    units: float  # of the tenant's quota
+    units: float  # the units of the tenant's quota that the request costs
     deadline_ms: float  # on the event loop's clock
 
 
 @dataclass(frozen=True, slots=True)
 class Denial:
-    """A request that is answered with an error at once. Nothing was charged for it."""
+    """A request that is rejected with an error response. Nothing was charged for it."""
 
     kind: ErrorKind
     route: Route | None = None
-    retry_after_s: float | None = None  # None: as `ERROR_RESPONSES` has it
+    retry_after_s: float | None = None  # None: the value in `ERROR_RESPONSES`
 
 
 def authorize(plane: DataPlane, request: ClientRequest) -> Authorization | Denial:
-    """Check a request against the configuration in force.
+    """Check a request against the current configuration.
 
     Args:
         plane: the router's shared state.
@@ -94,12 +94,13 @@
 ) -> Admission:
     """Admit a request that its tenant's quota allows.
 
-    Draws the service by the route's weights and earns the service's retry budget.
+    Draws the service at random by the route's weights, and adds the request to the service's retry budget, which
+    grows with the number of requests.
 
     Args:
         plane: the router's shared state.
-        authorization: of the request.
-        charge: to the tenant's quota.
+        authorization: the authorization of the request.
+        charge: what the tenant's quota was charged; None if no quota applies.
         now_ms: the event loop's time.
     """
     route = authorization.route
--- a/larkweir/router/answer_verdict.py
+++ b/larkweir/router/answer_verdict.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of the version that ran it. Pure rules."""
+"""Decides whether the end of an attempt counts for or against the version that ran it. Pure functions."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from larkweir_balancing.interface import Outcome
 
-SLOW_RESPONSE_FACTOR = 4.0  # times the latency target, after which a deadline is no excuse for an upstream
-DEADLINE_MARGIN_MS = (
-    100.0  # before the deadline, from which a client that disconnects has waited for its whole time
-)
+# An upstream that takes longer than this multiple of the latency target is too slow, even if the client's deadline
+# is short.
+SLOW_RESPONSE_FACTOR = 4.0
+DEADLINE_MARGIN_MS = 100.0  # a client that disconnects this shortly before the deadline counts as timed out
 
 
 class AnswerVerdict(Enum):
-    """How an attempt counts for a version."""
+    """How an attempt is counted for the version that ran it."""
 
     ANSWERED = auto()
     FAILED = auto()
@@ -27,11 +27,14 @@
     """The verdict on an attempt whose request was sent.
 
     Args:
-        outcome: of the attempt.
-        status: of the response; 0 where no head arrived.
-        is_leaving: the upstream had announced that it stops: a connection that ends there is no fault of its version.
-        is_deadline_over: that of the request, but for `DEADLINE_MARGIN_MS`: clients disconnect then.
-        is_upstream_slow: it was silent for much longer than others are, or had `SLOW_RESPONSE_FACTOR` times the target.
+        outcome: the outcome of the attempt.
+        status: the status of the response; 0 if no head arrived.
+        is_leaving: whether the upstream had announced that it is shutting down. A reset by such an upstream is not
+            counted against its version.
+        is_deadline_over: whether the deadline of the request, less `DEADLINE_MARGIN_MS`, has passed. Clients
+            disconnect around that time.
+        is_upstream_slow: whether the upstream was silent for much longer than is usual for such a request, or took
+            longer than `SLOW_RESPONSE_FACTOR` times the latency target.
     """
     failed = False
     match outcome:
--- a/larkweir/router/answers.py
+++ b/larkweir/router/answers.py
@@ -1,4 +1,4 @@
-"""The errors with which a router itself ends a request, and the HTTP response to each."""
+"""The errors that a router itself responds with, and the HTTP response for each."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ErrorKind(Enum):
-    """Why the router responds itself. `ERROR_RESPONSES` has each."""
+    """The reason for an error response of the router's own. `ERROR_RESPONSES` has the response for each."""
 
     BAD_REQUEST = "bad_request"
     HEADERS_TOO_LARGE = "headers_too_large"
@@ -19,24 +19,24 @@
     NO_ROUTE = "no_route"
     UNKNOWN_KEY = "unknown_key"
     OVER_QUOTA = "over_quota"
-    NO_UPSTREAM = "no_upstream"  # none is ready, or all were tried; the request has not run
-    REJECTED = "turned_away"  # by upstreams, which did not run it
-    UPSTREAM_FAILED = "upstream_failed"  # it may have run
-    TIMED_OUT = "timed_out"  # it may have run
-    TIMED_OUT_UNSENT = "timed_out_unsent"  # it has not run
-    INTERNAL = "internal"  # a fault of the router; the request may have run
+    NO_UPSTREAM = "no_upstream"  # no upstream is ready, or all were tried; the request has not run
+    REJECTED = "turned_away"  # upstreams rejected the request without running it
+    UPSTREAM_FAILED = "upstream_failed"  # the request may have run
+    TIMED_OUT = "timed_out"  # the request may have run
+    TIMED_OUT_UNSENT = "timed_out_unsent"  # the request has not run
+    INTERNAL = "internal"  # an unexpected exception in the router; the request may have run
 
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """A status without a body."""
+    """An error response, which has no body."""
 
     status: int
     retry_after_s: float | None = None  # None: no `Retry-After` header
-    close: bool = False  # the connection can't be used any more
+    close: bool = False  # whether the connection is closed afterwards, as it can't be reused
 
     def headers(self, retry_after_s: float | None = None) -> Headers:
-        """The response's headers; `retry_after_s` in place of its own where it is given."""
+        """The headers of the response; the argument `retry_after_s`, if not None, replaces the default value."""
         headers = [(b"content-length", b"0")]
         wait_s = self.retry_after_s if retry_after_s is None else retry_after_s
         if wait_s is not None:
@@ -46,7 +46,7 @@
         return headers
 
 
-STARTING_RETRY_S = 1.0  # a router that has just started has synchronised with the controllers by then
+STARTING_RETRY_S = 1.0  # a router that has just started synchronises with the controllers within this time
 UPSTREAM_RETRY_S = 0.8  # upstreams send a heartbeat about once a second
 AT_CAPACITY_RETRY_S = 0.3
 
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an upstream: its connection, its share of the upstream's backlog, its overdue timer, its outcome."""
+"""One attempt at an upstream: its connection, its part of the upstream's backlog, its overdue timer, its outcome."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from larkweir.router.upstream_choice import SelectedUpstream
 from larkweir.router.upstream_connection import UpstreamConnection
 
-MIN_ANNOUNCED_TOKENS = 4_000.0  # of prefill, from which other routers are notified at once
-# Outcomes that count for and against an upstream in the fleet's outlier detection; the others are no evidence.
+MIN_ANNOUNCED_TOKENS = 4_000.0  # prefill tokens from which other routers are notified at once
+# Outcomes that the fleet's outlier detection counts against or for an upstream; all others are not counted.
 FAILURES = frozenset((Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR))
 SUCCESSES = frozenset((Outcome.OK, Outcome.REJECTED))
 
 
 class Attempt:
-    """From the selection of an upstream to the end of the call there. Owns the task that connects."""
+    """One attempt, from the selection of an upstream to the end of the call to it. Owns the task that connects."""
 
     def __init__(
         self, plane: DataPlane, admission: Admission, selected: SelectedUpstream, prompt: Prompt
     ) -> None:
-        """Take the upstream's token, and notify the fleet of a long prefill.
+        """Take a token of the upstream, and notify the other routers of a long prefill.
 
         Args:
             plane: the router's shared state.
-            admission: of the request.
+            admission: the admission of the request.
             selected: the upstream.
-            prompt: what the request asks an engine to read.
+            prompt: the prompt that an engine has to prefill.
         """
         service, instance = admission.service, selected.id
         self._plane = plane
@@ -47,13 +47,13 @@
         self._has_upstream_token = True
         self._has_first_event = False
         self._is_overdue = False
-        self._is_reported = False  # the fleet's outlier detection has its outcome
+        self._is_reported = False  # the outcome has been recorded for the fleet's outlier detection
         self._overdue_timer: asyncio.TimerHandle | None = None
         self._connect_task: asyncio.Task[None] | None = None
         self._selector = selected.selector
         self.instance = instance
         self.address = plane.upstreams.address(instance)
-        self.connection: UpstreamConnection | None = None  # once the request has been sent
+        self.connection: UpstreamConnection | None = None  # None until the request is sent
         self.queued_tokens = self._selector.prefill_backlog_tokens(instance)
         self.prefill_tokens = self._selector.on_attempt_started(
             instance, prompt, self._now_ms(), is_cached=selected.is_cached
@@ -71,11 +71,11 @@
     def connect(
         self, on_connected: Callable[[UpstreamConnection], None], on_failed: Callable[[str], None]
     ) -> None:
-        """Take an idle connection, or open one.
+        """Take an idle connection, or open a new one. No callback is called after `cancel_connect`.
 
         Args:
-            on_connected: called with an open connection; at once where one is idle.
-            on_failed: called with the error where none could be made. Neither is called after `cancel_connect`.
+            on_connected: called with an open connection; called at once if an idle connection exists.
+            on_failed: called with the error message if no connection could be opened.
         """
         connection = self._plane.pool.take(self.address)
         if connection is not None:
@@ -101,13 +101,13 @@
             on_failed("reset at once")
 
     def cancel_connect(self) -> None:
-        """Stop connecting, if that is under way."""
+        """Cancel the connect task, if it is running."""
         if self._connect_task is not None:
             self._connect_task.cancel()
             self._connect_task = None
 
     def on_request_sent(self, connection: UpstreamConnection, on_overdue: Callable[[], None]) -> None:
-        """The request goes out on that connection; `on_overdue` is called if no response arrives for too long."""
+        """Record that the request is sent on `connection`, and start the timer that calls `on_overdue`."""
         self.connection = connection
         self._sent_ms = self._now_ms()
         self._samples.on_sent(self._sent_ms)
@@ -126,11 +126,11 @@
             self._overdue_timer = None
 
     def on_head(self, status: int) -> None:
-        """The head of the response arrived."""
+        """Record that the head of the response arrived."""
         self._samples.on_head(status)
 
     def on_event(self) -> None:
-        """A chunk of the response's body arrived."""
+        """Record that a chunk of the response body arrived."""
         now_ms = self._now_ms()
         self._samples.on_event(now_ms)
         if not self._has_first_event:
@@ -138,7 +138,7 @@
             self.on_first_event(now_ms)
 
     def on_first_event(self, now_ms: float) -> None:
-        """An engine has prefilled the prompt: its token is returned."""
+        """Record that the upstream has prefilled the prompt; an engine's token is returned now."""
         self._cancel_timer()
         tokens = self.prefill_tokens + self.queued_tokens
         self._selector.prefill_time.observe(tokens, now_ms - self._sent_ms)
@@ -147,11 +147,11 @@
             self._selector.on_attempt_released(self.instance, self.prefill_tokens, now_ms)
 
     def record_shedding(self) -> None:
-        """The upstream rejected the request though it reports capacity: that counts as a failure."""
+        """Record a failure: the upstream rejected the request although it reports free capacity."""
         self._report(failed=True)
 
     def end(self, outcome: Outcome, trace: RequestTrace | None) -> None:
-        """The call is over: return the token, and report the outcome to the selector and to the fleet."""
+        """End the attempt: return the token, and report the outcome to the selector and to the fleet."""
         if trace is not None and outcome is not Outcome.OK:
             trace.on_ended(outcome.name)
         self._cancel_timer()
@@ -167,24 +167,24 @@
             self._report(failed=False)
 
     def abort(self, outcome: Outcome, trace: RequestTrace | None) -> None:
-        """End the call whatever it waits for, and its connection."""
+        """End the attempt in any state, and close its connection."""
         self.cancel_connect()
         self.end(outcome, trace)
         if self.connection is not None:
             self.connection.close()
 
     def pause_reading(self) -> None:
-        """The client does not keep up."""
+        """Stop reading the response: the client reads more slowly than the upstream sends."""
         if self.connection is not None:
             self.connection.pause_reading()
 
     def resume_reading(self) -> None:
-        """The client has caught up."""
+        """Continue reading the response: the client has read what was buffered."""
         if self.connection is not None:
             self.connection.resume_reading()
 
     def _report(self, *, failed: bool) -> None:
-        """Only the first report of an attempt counts."""
+        """Record success or failure for the fleet's outlier detection; only the first call per attempt counts."""
         if not self._is_reported:
             self._is_reported = True
             self._plane.outcomes.record(self.instance, self._now_ms(), failed=failed)
--- a/larkweir/router/attempt_samples.py
+++ b/larkweir/router/attempt_samples.py
@@ -1,4 +1,7 @@
-"""What one attempt tells of the version that runs it: its durations as soon as they are known, and how it ends."""
+"""Records one attempt in the roll-out samples of the version that runs it.
+
+Durations are recorded as soon as they are known, and the verdict on the attempt at its end.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +18,23 @@
 )
 from larkweir.router.rollout_samples import RolloutSamples, SampleKey
 
-PACE_SAMPLE_EVENTS = 5  # of a stream, at which its pace is counted
-MIN_PACE_SAMPLE_EVENTS = 3  # of a stream that ends before that
+PACE_SAMPLE_EVENTS = 5  # the pace of a stream is recorded when this many events have arrived
+MIN_PACE_SAMPLE_EVENTS = 3  # the pace of a shorter stream is recorded at its end if it had this many events
 
 
 class AttemptSamples:
-    """The samples of one attempt. Times are milliseconds of the event loop's clock.
+    """The samples of one attempt. Times are milliseconds on the event loop's clock.
 
-    Without a running roll-out of its service it is little more than a count of what is in flight.
+    If its service has no running roll-out, the attempt is little more than counted as in flight.
     """
 
     def __init__(self, samples: RolloutSamples, admission: Admission, key: SampleKey) -> None:
-        """Count the attempt as in flight, until `on_ended`.
+        """Count the attempt as in flight until `on_ended`.
 
         Args:
-            samples: where everything is counted.
-            admission: of the request.
-            key: what the attempt is counted under.
+            samples: the router's samples, which the attempt is added to.
+            admission: the admission of the request.
+            key: the key of the samples that the attempt belongs to.
         """
         self._samples = samples
         self._route = admission.route
@@ -45,11 +48,11 @@
         samples.on_attempt_started(self._key)
 
     def on_sent(self, now_ms: float) -> None:
-        """The request goes out."""
+        """Record that the request is sent."""
         self._sent_ms = now_ms
 
     def on_head(self, status: int) -> None:
-        """The head of the response arrived."""
+        """Record that the head of the response arrived."""
         self._status = status
 
     @property
@@ -57,7 +60,7 @@
         return self._status >= HTTPStatus.INTERNAL_SERVER_ERROR
 
     def on_event(self, now_ms: float) -> None:
-        """A chunk of the response's body arrived."""
+        """Record that a chunk of the response body arrived."""
         self._event_count += 1
         if self._event_count == 1:
             self._first_event_ms = now_ms
@@ -67,20 +70,20 @@
             self._record_pace(now_ms)
 
     def _record_pace(self, now_ms: float) -> None:
-        """The mean time between the events of a stream so far."""
+        """Record the mean time between the events of a stream so far, once per attempt."""
         if self._route.is_streaming and not self._has_pace and not self._is_server_error:
             self._has_pace = True
             pace_ms = (now_ms - self._first_event_ms) / (self._event_count - 1)
             self._samples.record_pace(self._key, pace_ms)
 
     def on_ended(self, outcome: Outcome, now_ms: float, *, is_leaving: bool, is_overdue: bool) -> None:
-        """The attempt is over.
+        """Record the end of the attempt.
 
         Args:
-            outcome: how it ended.
+            outcome: how the attempt ended.
             now_ms: the event loop's time.
-            is_leaving: the upstream had announced that it stops.
-            is_overdue: it was silent for much longer than others are.
+            is_leaving: whether the upstream had announced that it is shutting down.
+            is_overdue: whether the upstream was silent for much longer than is usual for such a request.
         """
         self._samples.on_attempt_ended(self._key)
         if self._sent_ms is None or not self._samples.is_observed(self._key.service):
--- a/larkweir/router/client_connection.py
+++ b/larkweir/router/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's HTTP/1.1 connection (h11): its requests one after the other, each as one exchange."""
+"""A client's HTTP/1.1 connection (h11). Its requests are processed one after the other, each by an `Exchange`."""
 
 from __future__ import annotations
 
@@ -16,20 +16,24 @@
 from larkweir.router.exchange import Exchange
 from larkweir.router.request_metadata import Headers, InvalidHeaderError, parse_metadata
 
-USER_TIMEOUT_MS = 10_000.0  # sent bytes that stay unacknowledged for so long: the client is gone
-MAX_PIPELINED_BYTES = 64 * 1024  # received while a request is in progress; then reading pauses
-MAX_UNSENT_BYTES = 64 * 1024  # buffered for the client; then reading from the upstream pauses
+USER_TIMEOUT_MS = 10_000.0  # a client that acknowledges no sent bytes for this long is gone
+MAX_PIPELINED_BYTES = (
+    64 * 1024
+)  # reading pauses when more than this is received while a request is in progress
+MAX_UNSENT_BYTES = (
+    64 * 1024
+)  # reading from the upstream pauses when more than this is buffered for the client
 CLOSE_HEADER = (b"connection", b"close")
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client: limits and time-outs of its requests, and the writer of their responses.
+    """One connection of a client. Enforces the limits and time-outs of requests, and writes the responses.
 
     Implements `response_relay.ResponseWriter` and `data_plane.OpenConnection`.
     """
 
     def __init__(self, plane: DataPlane) -> None:
-        """The connection is in `plane.connections` from `connection_made` to `connection_lost`."""
+        """Create the protocol. It is in `plane.connections` from `connection_made` until `connection_lost`."""
         self._plane = plane
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -48,8 +52,10 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The client has connected: wait for its first request."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
+        """Wait for the first request: the client has connected."""
+        transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports don't inherit from asyncio.Transport
         self._transport = transport
         transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS)
@@ -57,7 +63,7 @@
         self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended: cancel the request in progress."""
+        """Cancel the request in progress: the connection has ended."""
         self._transport = None
         self._plane.connections.discard(self)
         self._stop_timer()
@@ -66,21 +72,21 @@
             exchange.cancel()
 
     def eof_received(self) -> bool:
-        """A client that has closed its side has disconnected: the transport is closed."""
+        """Return False, so that the transport closes: a client that closes its side counts as disconnected."""
         return False
 
     def pause_writing(self) -> None:
-        """The client does not keep up: `send_body` returns False from now on."""
+        """Make `send_body` return False: too much is buffered for the client."""
         self._writable = False
 
     def resume_writing(self) -> None:
-        """The client has caught up."""
+        """Continue sending: the client has read what was buffered."""
         self._writable = True
         if self._exchange is not None:
             self._exchange.on_client_writable()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the next request; those of pipelined ones wait until it is their turn."""
+        """Parse bytes of the next request. Bytes of pipelined requests stay buffered until their turn."""
         self._h11.receive_data(data)
         if self._exchange is not None:
             self._pipelined_bytes += len(data)
@@ -123,19 +129,19 @@
         return self._exchange is None and self._request_head is None and self._is_idle_timer
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is under way."""
+        """Close the connection unless a request is in progress."""
         if self.is_idle and self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close the connection whatever is under way."""
+        """Close the connection, even if a request is in progress."""
         if self._transport is not None:
             self._transport.abort()
 
     # Requests
 
     def _advance(self) -> None:
-        """Parse what has been received, until a request is complete or more bytes are needed."""
+        """Parse the received bytes until a request is complete or more bytes are needed."""
         while self._exchange is None and self._transport is not None and not self._transport.is_closing():
             try:
                 event = self._h11.next_event()
@@ -197,7 +203,7 @@
         exchange.start()
 
     def _on_exchange_done(self) -> None:
-        """The exchange is over: close the connection, or go on with the next request."""
+        """Close the connection, or continue with the next request: the exchange is done."""
         self._exchange = None
         self._request_head = None
         transport = self._transport
@@ -216,9 +222,9 @@
             transport.close()
 
     def _reject(self, kind: ErrorKind, problem: str = "") -> None:
-        """Respond to what is no valid request within the limits, and close the connection.
+        """Respond to an invalid request, or to one that exceeds a limit, and close the connection.
 
-        `problem`: what is wrong, in a line of text for the client; empty: the response has no body.
+        `problem`: one line of text for the client that says what is wrong; if empty, the response has no body.
         """
         self._stop_timer()
         if self._transport is None:
@@ -238,7 +244,7 @@
     # response_relay.ResponseWriter
 
     def start_response(self, status: int, headers: Headers) -> None:
-        """Send the head of a response; a router that stops adds `Connection: close`."""
+        """Send the head of a response. A router that is shutting down adds `Connection: close`."""
         if self._plane.stopping and CLOSE_HEADER not in headers:
             headers = [*headers, CLOSE_HEADER]
         out = self._h11.send(h11.Response(status_code=status, headers=list(headers)))
@@ -246,24 +252,24 @@
             self._transport.write(out)
 
     def send_body(self, data: bytes) -> bool:
-        """Send a chunk of the body; False while the client does not keep up."""
+        """Send a chunk of the body; returns False while too much is buffered for the client."""
         out = self._h11.send(h11.Data(data=data))
         if self._transport is not None and out:
             self._transport.write(out)
         return self._writable
 
     def end_response(self) -> None:
-        """Mark the response as complete; it is aborted where it is shorter than its head promised."""
+        """Mark the response as complete, or abort it if its body is shorter than its `Content-Length`."""
         try:
             out = self._h11.send(h11.EndOfMessage())
-        except h11.LocalProtocolError:  # fewer bytes than its Content-Length
+        except h11.LocalProtocolError:  # the body is shorter than its Content-Length
             self.abort_response()
             return
         if self._transport is not None and out:
             self._transport.write(out)
 
     def abort_response(self) -> None:
-        """Close without the mark of a complete response; what was sent before still arrives."""
+        """Close the connection without marking the response as complete; bytes already sent still arrive."""
         self._h11.send_failed()
         if self._transport is not None:
             self._transport.close()
--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the router reads it, and the headers that are forwarded to an upstream."""
+"""A client's request as received by the router, and the headers that are forwarded to an upstream."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from larkweir.router.request_metadata import Headers, RequestMetadata
 
-# Of one connection only (RFC 9110, 7.6.1), or set anew by the framing of the next.
+# Headers that apply to one connection only (RFC 9110, 7.6.1), or that are set again for the next connection.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -25,10 +25,10 @@
     )
 )
 HEADER_LINE_BYTES = 4  # colon, space and line end of one header
-# Servers that accept no larger head close the connection, and their answer is often lost by that (RFC 9112, 9.6).
-# 16 KiB is the largest default among common servers.
+# Servers that reject such a large head close the connection, and their error response is often lost with it
+# (RFC 9112, 9.6). 16 KiB is the largest default limit among common servers.
 MIN_OVERSIZED_HEAD_BYTES = 16 * 1024
-# Set by the router, whatever the client sent.
+# Headers that the router sets itself; the client's values are dropped.
 ROUTER_HEADERS = frozenset(
     (b"content-length", b"x-api-key", b"x-tenant", b"x-deadline-ms", b"x-target-instance", b"priority")
 )
@@ -36,13 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingHeaders:
-    """What the router adds to a request that it forwards."""
+    """The values of the headers that the router adds to a request that it forwards."""
 
-    deadline_ms: int  # that remain
+    deadline_ms: int  # time left until the deadline
     instance: str
     tenant: str | None
     priority: int
-    last_event_id: bytes | None  # of the stream that is resumed; None: the client's own header is kept
+    last_event_id: (
+        bytes | None
+    )  # id after which a stream is resumed; None: the client's own header is forwarded
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +59,7 @@
     metadata: RequestMetadata = field(default_factory=RequestMetadata)
 
     def header(self, name: bytes) -> bytes:
-        """The first value of that name, or an empty one."""
+        """The first value of the header `name` (in lower case); empty if the request has no such header."""
         for found, value in self.headers:
             if found == name:
                 return value
@@ -65,25 +67,28 @@
 
     @property
     def has_oversized_head(self) -> bool:
-        """Whether its target and headers are so large that an upstream may refuse them."""
+        """Whether target and headers together are so large that an upstream may refuse them."""
         sizes = (len(name) + len(value) + HEADER_LINE_BYTES for name, value in self.headers)
         return len(self.target) + sum(sizes) >= MIN_OVERSIZED_HEAD_BYTES
 
     @property
     def host(self) -> str:
-        """The host that the client names, without a port, in lower case."""
+        """The `Host` header without the port, in lower case."""
         return self.header(b"host").decode("latin-1").partition(":")[0].lower()
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.decode("latin-1").partition("?")[0]
 
     def prompt(self, target_ms: float) -> Prompt:
-        """What an engine has to prefill. Its prefix is named by the deepest block that it shares with others.
+        """The prompt that an engine has to prefill. Its prefix is named after its last block that is not its own.
+
+        The last block of `X-Prompt-Prefix` belongs to this request or its session alone; the blocks before it are
+        the prefix, which other requests may share.
 
         Args:
-            target_ms: the latency target of its first event, in milliseconds.
+            target_ms: the latency target of the first event, in milliseconds.
         """
         metadata = self.metadata
         tokens = float(metadata.prompt_tokens or 0)
@@ -94,12 +99,12 @@
         return Prompt(shared_blocks[-1].id, tokens, min(tokens, prefix_tokens), target_ms)
 
     def upstream_request(self, routing: RoutingHeaders) -> h11.Request:
-        """The request as it is sent to an upstream."""
+        """The head of the request that is sent to an upstream."""
         headers = self.upstream_headers(routing)
         return h11.Request(method=self.method, target=self.target, headers=headers)
 
     def upstream_headers(self, routing: RoutingHeaders) -> list[tuple[bytes, bytes]]:
-        """The headers for an upstream: the client's, without those of its connection, and the router's."""
+        """The headers for an upstream: the client's, without hop-by-hop headers, and those of the router."""
         dropped = HOP_BY_HOP_HEADERS | ROUTER_HEADERS
         if routing.last_event_id is not None:
             dropped = dropped | {b"last-event-id"}
--- a/larkweir/router/connect_timeout.py
+++ b/larkweir/router/connect_timeout.py
@@ -1,4 +1,4 @@
-"""How long a new connection to an upstream may take, learned from those that were made."""
+"""The time-out for new connections to upstreams, adapted to the observed connect times."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from larkweir_balancing.decision_options import OPTIONS
 
-MAX_CONNECT_TIMEOUT_S = 0.4  # an upstream that is there accepts within milliseconds
-MIN_CONNECT_TIMEOUT_S = 0.1  # on a slow link its SYN-ACK waits behind what the link already carries
+MAX_CONNECT_TIMEOUT_S = 0.4  # a reachable upstream accepts within milliseconds
+MIN_CONNECT_TIMEOUT_S = 0.1  # on a slow link the SYN-ACK queues behind other traffic
 DEVIATION_FACTOR = 4.0
 DEVIATION_DIVISOR = 4.0
 MEAN_DIVISOR = 8.0
@@ -15,14 +15,14 @@
 
 @dataclass(slots=True)
 class ConnectTimeout:
-    """Smoothed mean and deviation of the times to connect, as RFC 6298 (2) sets a retransmission timer."""
+    """A time-out from the smoothed mean and deviation of connect times, like the TCP timer of RFC 6298 (2)."""
 
     seconds: float = MAX_CONNECT_TIMEOUT_S
     _mean_s: float | None = None
     _deviation_s: float = 0.0
 
     def observe(self, elapsed_s: float) -> None:
-        """Take in the time, in seconds, that a successful connect took."""
+        """Record how long a successful connect took, in seconds."""
         if self._mean_s is None:
             self._mean_s, self._deviation_s = elapsed_s, elapsed_s / 2.0
         else:
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -1,4 +1,4 @@
-"""What all requests of a router share: each part of that state with its one owner."""
+"""The state that all requests of a router share. Each part of it has exactly one owner."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 class OpenConnection(Protocol):
-    """A client's connection, as the router's shutdown sees it."""
+    """The methods of a client's connection that the shutdown of the router uses."""
 
     def close_if_idle(self) -> None:
-        """Close it unless a request is under way."""
+        """Close the connection unless a request is in progress."""
 
     def abort(self) -> None:
-        """Close it whatever is under way."""
+        """Close the connection, even if a request is in progress."""
 
 
 class DataPlane:
-    """The state that exchanges use; changed only between their steps, by the one event loop."""
+    """The state that exchanges use. Everything runs in one event loop, so it only changes between their steps."""
 
     def __init__(self, bounds: Bounds, rng: Random, link_mbps: float = 1_000.0) -> None:
-        """Know no configuration and no upstream yet.
+        """Create the state, without a configuration or upstreams.
 
         Args:
-            bounds: the deployment's figures.
-            rng: for every random draw of the request path.
+            bounds: the deployment's bounds.
+            rng: the generator for all random draws of the request path.
             link_mbps: the bandwidth of this router's network link, in megabits per second.
         """
         self.rng = rng
@@ -57,21 +57,21 @@
         self.prefix_affinity = PrefixAffinity(link_mbps)
         self.outcomes = OutcomeWindow()
         self.rollout_samples = RolloutSamples()
-        self._had_configuration = False  # with a configuration in force
+        self._had_configuration = False  # whether the last call of `apply_rollouts` found a configuration
         self.connections: set[OpenConnection] = set()
         self.stopping = False
         self.error_counts: dict[ErrorKind, int] = dict.fromkeys(ErrorKind, 0)
-        # Notifies controllers of a long prompt at once; set by the owner of the links.
+        # Notifies the controllers of a long prompt at once. Set by the owner of the links to them.
         self.announce_backlog: Callable[[], None] = lambda: None
 
     def is_engine(self, service: str) -> bool:
-        """Whether the upstreams of that service are model engines."""
+        """Whether the upstreams of `service` are model engines."""
         table = self.configuration.table
         known = table.services.get(service) if table is not None else None
         return known is not None and known.engine is not None
 
     def apply_rollouts(self, now_ms: float) -> list[Rollout]:
-        """Follow the roll-outs of the configuration in force; returns those that are new or in another state."""
+        """Apply the roll-outs of the current configuration; returns those that are new or have changed their state."""
         table = self.configuration.table
         rollouts = table.rollouts if table is not None else {}
         had_configuration, self._had_configuration = self._had_configuration, table is not None
@@ -83,11 +83,14 @@
         return [rollout for rollout in rollouts.values() if _has_new_state(rollout, before)]
 
     def count_error(self, kind: ErrorKind) -> None:
-        """Count a response of the router's own."""
+        """Count an error response of the router's own."""
         self.error_counts[kind] += 1
 
     def set_router_count(self, routers: int, *, is_reliable: bool) -> None:
-        """How many routers share quotas and retry budgets, this one included; whether that may be relied on."""
+        """Set how many routers, including this one, share quotas and retry budgets.
+
+        `is_reliable`: whether the number may be relied on.
+        """
         self.quotas.set_process_count(routers, is_reliable=is_reliable)
         self.retry_budgets.set_router_count(routers)
 
--- a/larkweir/router/event_stream.py
+++ b/larkweir/router/event_stream.py
@@ -1,21 +1,24 @@
-"""Complete events of a `text/event-stream` (WHATWG HTML, 9.2), so that a broken stream can be resumed elsewhere."""
+"""Splits a `text/event-stream` (WHATWG HTML, 9.2) into complete events.
+
+Only complete events are relayed, so that a broken stream can be resumed at another upstream.
+"""
 
 from __future__ import annotations
 
-MAX_PENDING_BYTES = 1024 * 1024  # of one event; a longer one is relayed in chunks and can't be resumed
+MAX_PENDING_BYTES = 1024 * 1024  # a longer event is relayed in chunks, and its stream can't be resumed
 
 
 class EventBuffer:
-    """Buffers an incomplete event, and knows the id of the last one that was relayed."""
+    """Buffers the incomplete event at the end of a stream, and records the id of the last complete event."""
 
     def __init__(self) -> None:
-        """Nothing has been received."""
+        """Create an empty buffer."""
         self._pending = b""
         self.last_id: bytes | None = None
         self.resumable = True
 
     def feed(self, data: bytes) -> bytes:
-        """Take in a chunk; return the complete events, to be relayed now."""
+        """Add a chunk; returns the complete events, which can be relayed now."""
         self._pending += data
         end = self._end_of_last_event()
         if end == 0:
@@ -38,10 +41,10 @@
         return max(ends, default=0)
 
     def flush(self) -> bytes:
-        """The stream is complete: return what is buffered."""
+        """Return the buffered bytes, at the end of the stream."""
         remaining, self._pending = self._pending, b""
         return remaining
 
     def restart(self) -> None:
-        """The stream broke: drop the incomplete event, which the next upstream sends again."""
+        """Drop the incomplete event of a broken stream; the next upstream sends it again."""
         self._pending = b""
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -1,7 +1,8 @@
-"""The life of one request in a router: admission, attempts at upstreams, the response.
+"""Processes one request in a router: admission, attempts at upstreams, the response.
 
-`Exchange` owns the state of a request and joins the modules that decide: `admission`, `upstream_choice`, `attempt`,
-`retry_allowance`, `response_classification` and `response_relay`. Times are milliseconds of the event loop's clock.
+`Exchange` owns the state of a request and calls the modules that make the decisions: `admission`, `upstream_choice`,
+`attempt`, `retry_allowance`, `response_classification` and `response_relay`. Times are milliseconds on the event
+loop's clock.
 """
 
 from __future__ import annotations
@@ -39,22 +40,22 @@
 from larkweir.router.upstream_choice import UpstreamChoice
 from larkweir.router.upstream_connection import CallFailure, UpstreamConnection
 
-MIN_REMAINING_MS = 5.0  # of the deadline, under which a request is not sent any more
+MIN_REMAINING_MS = 5.0  # a request with less time left until its deadline is not sent
 
 
 class Exchange:
-    """One request and its response. It always ends with exactly one response, or with the client's disconnect."""
+    """One request and its response. Every exchange ends with exactly one response or with the client's disconnect."""
 
     def __init__(
         self, plane: DataPlane, client: ResponseWriter, request: ClientRequest, on_done: Callable[[], None]
     ) -> None:
-        """Do nothing until `start`.
+        """Create an exchange; `start` begins it.
 
         Args:
             plane: the router's shared state.
-            client: where the response goes.
+            client: writes the response to the client.
             request: the complete request.
-            on_done: called once, after the last call of `client`.
+            on_done: called once, after the last call to `client`.
         """
         self._plane = plane
         self._request = request
@@ -63,28 +64,28 @@
         self._state = ExchangeState.NEW
         self._relay = ResponseRelay(client)
         self._trace = RequestTrace(request.received_ms) if log.is_debug_enabled() else None
-        self._route: Route | None = None  # None: not known yet, or there is none
+        self._route: Route | None = None  # None: not looked up yet, or no route matches
         self._prompt = Prompt()
         self._admission: Admission | None = None
         self._retries: RetryAllowance | None = None
         self._choice: UpstreamChoice | None = None
-        self._attempt: Attempt | None = None  # the one under way
-        self._discard_outcome = Outcome.ERROR  # of the attempt whose response is discarded
+        self._attempt: Attempt | None = None  # the attempt in progress
+        self._discard_outcome = Outcome.ERROR  # outcome of the attempt whose response is being discarded
         self._deadline_timer: asyncio.TimerHandle | None = None
 
     def _transition(self, state: ExchangeState) -> None:
-        """Change the state; the only place that does. Each row is in `exchange_state.TRANSITIONS`.
+        """Change the state. All changes go through this method; `exchange_state.TRANSITIONS` lists the valid ones.
 
-        NEW -> ADMITTING: its route and key allow it
-        ADMITTING -> PLACING: its tenant's quota allows it, and its prompt has a prefix that an engine may own
+        NEW -> ADMITTING: a route matches and the API key is valid
+        ADMITTING -> PLACING: the tenant's quota allows the request, and an engine may own the prompt's prefix
         ADMITTING, PLACING -> CONNECTING: an upstream is selected
-        CONNECTING -> CONNECTING: no connection; another upstream is selected
+        CONNECTING -> CONNECTING: the connect failed; another upstream is selected
         CONNECTING -> AWAITING: the request is sent
-        AWAITING -> RELAYING: the head of a response for the client arrived
-        AWAITING -> DISCARDING: the head of another response arrived
+        AWAITING -> RELAYING: a response head that is relayed to the client arrived
+        AWAITING -> DISCARDING: a response head that is not relayed arrived
         AWAITING, RELAYING -> CONNECTING: the call failed or is overdue, and may be retried or resumed
-        DISCARDING -> CONNECTING: the discarded response ended, and the request may be retried
-        any but DONE -> DONE: responded, aborted, or the client disconnected
+        DISCARDING -> CONNECTING: the discarded response is complete, and the request may be retried
+        any state but DONE -> DONE: responded, aborted, or the client disconnected
         """
         self._state = state
 
@@ -99,7 +100,7 @@
 
     @guarded
     def start(self) -> None:
-        """Admit the request and begin its first attempt, or respond with an error."""
+        """Admit the request and start its first attempt, or respond with an error."""
         authorized = authorize(self._plane, self._request)
         self._route = authorized.route
         if authorized.route is not None:
@@ -117,7 +118,7 @@
 
     @guarded
     def _on_quota(self, authorized: Authorization, verdict: Verdict) -> None:
-        """The tenant's quota allows the request, or does not."""
+        """Handle the decision on the tenant's quota: start the attempts, or respond with an error."""
         if self._is_done:
             if isinstance(verdict, QuotaCharge):
                 self._plane.quotas.refund(verdict)
@@ -127,7 +128,7 @@
             self._begin_attempts(admit(self._plane, authorized, verdict, self._now_ms()))
 
     def _begin_attempts(self, admitted: Admission) -> None:
-        """Find the owner of the prompt's prefix, if it has one, and begin the first attempt."""
+        """Look up the engine that owns the prompt's prefix, if the prefix is placed, and start the first attempt."""
         self._admission = admitted
         budget = self._plane.retry_budgets.budget(admitted.service)
         self._retries = RetryAllowance(admitted.route.max_attempts, budget)
@@ -145,7 +146,7 @@
 
     @guarded
     def _on_prefix_owner(self) -> None:
-        """The owner of the prompt's prefix is known, or there is none."""
+        """Start the first attempt: the lookup of the prefix owner has finished, with or without an owner."""
         if self._state is not ExchangeState.PLACING:
             return
         if self._trace is not None:
@@ -155,7 +156,7 @@
     # Attempts
 
     def _start_attempt(self) -> None:
-        """Select the next upstream and connect, or respond with an error where none is left."""
+        """Select the next upstream and connect to it, or respond with an error if no upstream is left."""
         admission, _ = self._admitted()
         assert self._choice is not None
         selected = self._choice.select(self._now_ms())
@@ -170,7 +171,7 @@
 
     @guarded
     def _on_connect_failed(self, error: str) -> None:
-        """Nothing was sent: another upstream may be tried."""
+        """Try another upstream unless too many connects have failed. This is safe, as nothing was sent."""
         _, retries = self._admitted()
         log.debug("connect_failed", instance=self._attempt.instance if self._attempt else None, error=error)
         self._end_attempt(Outcome.CONNECT_FAILED)
@@ -181,7 +182,7 @@
 
     @guarded
     def _send_request(self, connection: UpstreamConnection) -> None:
-        """Send the request on that connection, unless its deadline is as good as over."""
+        """Send the request on `connection`, unless less than `MIN_REMAINING_MS` is left until its deadline."""
         admission, retries = self._admitted()
         assert self._attempt is not None
         remaining_ms = admission.deadline_ms - self._now_ms()
@@ -210,14 +211,14 @@
             attempt.end(outcome, self._trace)
 
     def _abort_attempt(self, outcome: Outcome) -> None:
-        """End the attempt under way, whatever it waits for."""
+        """End the attempt in progress, in whichever state it is, and close its connection."""
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.abort(outcome, self._trace)
 
     @guarded
     def _on_overdue(self) -> None:
-        """The upstream is silent for longer than others are: retry elsewhere if that is safe and others are left."""
+        """Retry an overdue call at another upstream, if a retry is safe and an untried upstream is left."""
         admission, _ = self._admitted()
         log.debug("overdue", instance=self._attempt.instance if self._attempt else None, state=self._state)
         may_retry = OPTIONS.retry_overdue and admission.route.is_idempotent
@@ -234,7 +235,7 @@
 
     @guarded
     def on_response_head(self, response: h11.Response) -> None:
-        """The head of a response: relayed, unless the request goes elsewhere."""
+        """Relay a response from its head on, or discard it because the request may be retried elsewhere."""
         admission, retries = self._admitted()
         head = ResponseHead(response.status_code, response.headers)
         if self._trace is not None:
@@ -261,7 +262,7 @@
 
     @guarded
     def on_response_data(self, data: bytes) -> None:
-        """A chunk of a response's body."""
+        """Relay a chunk of the response body; chunks of a discarded response are dropped."""
         if self._state is not ExchangeState.RELAYING:
             return
         if self._trace is not None:
@@ -273,7 +274,7 @@
 
     @guarded
     def on_response_end(self) -> None:
-        """The response is complete."""
+        """Handle the end of the response: finish the exchange, or retry if the response was discarded."""
         if self._state is ExchangeState.DISCARDING:
             self._on_discarded()
             return
@@ -283,11 +284,11 @@
         self._finish()
 
     def _on_discarded(self) -> None:
-        """A discarded response has been read: retry, or respond with an error."""
+        """Retry, or respond with an error, after a discarded response has been read to its end."""
         admission, retries = self._admitted()
         outcome = self._discard_outcome
         self._end_attempt(outcome)
-        if outcome is Outcome.ERROR:  # its retry was taken from the budget when the head arrived
+        if outcome is Outcome.ERROR:  # the retry was taken from the budget when the head arrived
             may_retry = admission.route.is_idempotent and not retries.is_exhausted
         else:
             may_retry = self._take_retry()
@@ -298,7 +299,7 @@
 
     @guarded
     def on_call_failed(self, failure: CallFailure) -> None:
-        """The connection ended, or sent what is no HTTP, before the response was complete."""
+        """Handle a connection that closed, or sent an invalid response, before the response was complete."""
         admission, retries = self._admitted()
         log.debug("call_failed", ending=failure, state=self._state, sent=retries.sent)
         if self._state is ExchangeState.DISCARDING and self._discard_outcome is not Outcome.ERROR:
@@ -306,7 +307,8 @@
             return
         is_closed = failure is CallFailure.CLOSED and not self._relay.has_started
         if is_closed and self._request.has_oversized_head:
-            self._end_attempt(Outcome.CANCELLED)  # the others would refuse it too: no fault of this one
+            # Not counted against the upstream: other upstreams would refuse such a large head too.
+            self._end_attempt(Outcome.CANCELLED)
             self._respond_error(ErrorKind.UPSTREAM_FAILED)
             return
         self._end_attempt(Outcome.RESET)
@@ -321,13 +323,13 @@
 
     @guarded
     def on_client_writable(self) -> None:
-        """The client has taken what was buffered for it."""
+        """Resume reading from the upstream: the data buffered for the client has been sent."""
         if self._attempt is not None:
             self._attempt.resume_reading()
 
     @guarded
     def cancel(self) -> None:
-        """The client has disconnected: the upstream need not go on."""
+        """Stop the call to the upstream: the client has disconnected."""
         if self._is_done:
             return
         self._abort_attempt(Outcome.CANCELLED)
@@ -348,7 +350,7 @@
             self._respond_error(ErrorKind.TIMED_OUT_UNSENT if is_unsent else ErrorKind.TIMED_OUT)
 
     def _respond_unavailable(self) -> None:
-        """No further upstream: promise that the request has not run only where that is known."""
+        """Respond that no upstream is left; the status says that the request has not run only if that is certain."""
         _, retries = self._admitted()
         if self._relay.has_started:
             self._abort_response()
@@ -374,7 +376,7 @@
         self._finish()
 
     def fail(self, error: Exception) -> None:
-        """End with 500 after an unexpected exception, giving back all that the request holds."""
+        """Respond with 500 after an unexpected exception, and release all resources of the request."""
         log_failure("exchange_failed", error, id=self._request.header(b"x-request-id").decode("latin-1"))
         if not self._is_done:
             has_started = self._relay.has_started
@@ -382,7 +384,7 @@
                 self._abort_response if has_started else partial(self._respond_error, ErrorKind.INTERNAL)
             )
             run_each((partial(self._abort_attempt, Outcome.CANCELLED), respond))
-        if not self._is_done:  # the response could not be sent either
+        if not self._is_done:  # sending the error response failed too
             run_each((self._relay.abort, self._finish))
 
     def _finish(self) -> None:
--- a/larkweir/router/exchange_guard.py
+++ b/larkweir/router/exchange_guard.py
@@ -1,8 +1,8 @@
-"""What nobody expected ends the one exchange that it happens in, and nothing else.
+"""Ends only the affected exchange when an unexpected exception is raised.
 
-An exchange is entered by the event loop: a connection's bytes, a timer, an answer of a controller. An exception that
-left it there would be a traceback in the log, and a client that waits for its deadline with its token, its quota and
-its connection to an upstream.
+The event loop calls an exchange when bytes arrive on a connection, a timer fires or a controller responds. If an
+exception propagated to the event loop, it would only leave a traceback in the log: the client would wait until its
+deadline, and the exchange would keep its upstream token, its quota charge and its upstream connection until then.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class Guarded(Protocol):
-    """What can end by itself when one of its entry points has raised."""
+    """An object whose `fail` method ends it after one of its entry points has raised an exception."""
 
     def fail(self, error: Exception) -> None:
-        """End after an unexpected exception; raises nothing."""
+        """End after an unexpected exception. Must not raise."""
 
 
 P = ParamSpec("P")
@@ -26,12 +26,12 @@
 
 
 def guarded(method: Callable[Concatenate[G, P], None]) -> Callable[Concatenate[G, P], None]:
-    """Make a method an entry point: an exception in it is handed to `fail` instead of its caller."""
+    """Make a method an entry point: an exception in it is passed to `fail` instead of the caller."""
 
     def entry_point(self: G, /, *args: P.args, **kwargs: P.kwargs) -> None:
         try:
             method(self, *args, **kwargs)
-        except Exception as error:  # whatever it is, the other exchanges go on
+        except Exception as error:  # of any type, so that the other exchanges continue
             self.fail(error)
 
     functools.update_wrapper(entry_point, method)
@@ -39,7 +39,7 @@
 
 
 def run_each(steps: Iterable[Callable[[], None]]) -> None:
-    """Run all steps of a clean-up, also those behind one that raises; each exception is logged."""
+    """Run all steps of a cleanup, even after a step has raised; each exception is logged."""
     for step in steps:
         try:
             step()
--- a/larkweir/router/exchange_state.py
+++ b/larkweir/router/exchange_state.py
@@ -6,15 +6,15 @@
 
 
 class ExchangeState(Enum):
-    """Where a request stands. The values appear in the debug log (field `state`)."""
+    """The states of an exchange. The values appear in the debug log (field `state`)."""
 
     NEW = "new"
-    ADMITTING = "admitting"  # a controller is asked for units of the tenant's quota
-    PLACING = "placing"  # a controller is asked which engine owns the prompt's prefix
+    ADMITTING = "admitting"  # waiting for a decision on the tenant's quota
+    PLACING = "placing"  # waiting for a controller to say which engine owns the prompt's prefix
     CONNECTING = "connecting"  # to an upstream; nothing has been sent yet
     AWAITING = "awaiting"  # the request has been sent; no response head has arrived
-    DISCARDING = "discarding"  # a response that is not relayed is read to its end
-    RELAYING = "relaying"  # the response is passed on to the client
+    DISCARDING = "discarding"  # a response that is not relayed is being read to its end
+    RELAYING = "relaying"  # the response is being relayed to the client
     DONE = "done"
 
 
@@ -32,4 +32,4 @@
     ExchangeState.RELAYING: frozenset((ExchangeState.CONNECTING, ExchangeState.DONE)),
     ExchangeState.DONE: frozenset(),
 }
-"""For each state those that may follow it; the docstring of `Exchange._transition` says when."""
+"""The states that may follow each state. The docstring of `Exchange._transition` explains each transition."""
--- a/larkweir/router/graceful_shutdown.py
+++ b/larkweir/router/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a router after SIGTERM: it finishes what it has accepted, within the platform's grace period."""
+"""Graceful shutdown of a router after SIGTERM: accepted requests are finished within the platform's grace period."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from larkweir.cluster import log
 from larkweir.router.data_plane import DataPlane
 
-# The platform checks readiness every second, and sends connections until the second check has failed.
+# The platform checks readiness every second, and sends new connections until two checks have failed.
 ACCEPT_GRACE_S = 2.6
-LAST_REQUEST_TIMEOUT_S = 0.2  # that a connection accepted at the last moment has for its request to arrive
+LAST_REQUEST_TIMEOUT_S = 0.2  # time for the request on a connection that was accepted last to arrive
 FINAL_ACCEPT_ITERATIONS = (
-    3  # turns of the event loop in which connections that wait in the kernel are still accepted
+    3  # event loop iterations in which connections queued in the kernel are still accepted
 )
-SHUTDOWN_MARGIN_S = 0.4  # of the grace period, kept for the process to end in
+SHUTDOWN_MARGIN_S = 0.4  # reserved at the end of the grace period for the process to exit
 IDLE_CHECK_S = 0.05
 
 
 class GracefulShutdown:
-    """Accepts for a while, then closes the listening socket, then waits for the requests in progress."""
+    """Accepts connections for a while, then closes the listening socket and waits for the requests in progress."""
 
     def __init__(self, plane: DataPlane, front: asyncio.Server, grace_s: float) -> None:
-        """Change nothing yet.
+        """Create the shutdown procedure; `drain` starts it.
 
         Args:
-            plane: with the clients' connections.
-            front: the server that accepts them.
+            plane: the router's shared state, with the connections of clients.
+            front: the server that accepts connections of clients.
             grace_s: seconds from SIGTERM until the platform kills the process.
         """
         self._plane = plane
@@ -34,7 +34,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def drain(self) -> None:
-        """Return when all connections have ended, or the grace period is almost over."""
+        """Shut down; returns when all connections have ended or the grace period is almost over."""
         self._plane.stopping = True
         started_s = self._loop.time()
         log.event("router_draining", connections=len(self._plane.connections))
@@ -52,7 +52,11 @@
         await asyncio.sleep(max(0.0, when_s - self._loop.time()))
 
     async def _stop_accepting(self) -> None:
-        """A later request could not be finished: its client gets a refused connection and tries another router."""
+        """Close the listening socket.
+
+        A request that arrives later could not be finished in time. Its client's connection is refused, so the client
+        tries another router.
+        """
         for _ in range(FINAL_ACCEPT_ITERATIONS):
             await asyncio.sleep(0)
         self._front.close()
--- a/larkweir/router/node.py
+++ b/larkweir/router/node.py
@@ -1,4 +1,4 @@
-"""The composition root of a router."""
+"""The composition root of a router: creates its parts and connects them."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from larkweir.router.fleet_sync import FleetSync
 from larkweir.router.graceful_shutdown import GracefulShutdown
 
-BACKLOG = 1_024  # connections that wait in the kernel to be accepted
+BACKLOG = 1_024  # connections that the kernel queues until they are accepted
 MAX_READY_BODY_BYTES = 1_024
 TICK_S = 0.1
 QUOTA_LOG_EVERY_TICKS = 10
-EXPIRY_EVERY_TICKS = 10  # of idle connections to upstreams
+EXPIRY_EVERY_TICKS = 10  # how often idle connections to upstreams are expired
 
 
 class Router:
-    """One router process. Owns its servers and the task of its tick loop."""
+    """One router process. Owns its listening servers and the task of its tick loop."""
 
     def __init__(self, settings: Settings) -> None:
-        """Open nothing yet."""
+        """Create a router; `run` starts it."""
         self._settings = settings
         self._loop = asyncio.get_running_loop()
         self._plane = DataPlane(settings.bounds, Random(), settings.limits.link_mbps)
@@ -38,10 +38,10 @@
         self._tick_task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Serve until SIGTERM, and until the requests accepted by then are finished.
+        """Serve until SIGTERM or SIGINT, then finish the accepted requests.
 
         Raises:
-            OSError: an address of the settings can't be listened on.
+            OSError: the router can't listen on an address of the settings.
             EssentialTaskError: the periodic tasks have ended.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -83,7 +83,7 @@
         return self._loop.time() * 1000.0
 
     def close(self) -> None:
-        """End everything at once, as a kill would."""
+        """Close all servers and connections at once, without waiting for requests in progress."""
         for server in self._servers:
             server.close()
         if self._tick_task is not None:
--- a/larkweir/router/request_metadata.py
+++ b/larkweir/router/request_metadata.py
@@ -1,8 +1,8 @@
-"""What a client states about its request in headers, validated: its deadline, its tokens, the blocks of its prompt.
+"""Parses and validates the headers in which a client states a deadline, token counts and the blocks of its prompt.
 
-Every number that a client states is read here, and nowhere else: it is whole, not negative and at most a named maximum.
-A client could otherwise lower its own quota with a negative number, or end its exchange with one that is too large for
-a float.
+All numbers in clients' headers are parsed in this module. Each must be an integer from 0 to a fixed maximum. Otherwise
+a client could reduce its own quota usage with a negative number, or make its exchange fail with a number that is too
+large for a float.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 from larkweir.cluster.errors import LarkweirError
 
-MAX_TOKENS = 100_000_000  # of one number: two hundred times the largest context windows
-MAX_DEADLINE_MS = 86_400_000  # a day: no route waits for longer
+MAX_TOKENS = 100_000_000  # maximum of each token count: two hundred times the largest context windows
+MAX_DEADLINE_MS = 86_400_000  # one day: no route has a longer time-out
 MAX_PROMPT_BLOCKS = 1_024
 MAX_BLOCK_ID_BYTES = 128
 MAX_EVENT_ID_BYTES = 1_024
-MAX_USAGE_NUMBERS = 2  # tokens of the prompt, and the most that are generated
+MAX_USAGE_NUMBERS = 2  # tokens of the prompt, and maximum number of generated tokens
 
 Headers = Sequence[tuple[bytes, bytes]]
 
 
 class InvalidHeaderError(LarkweirError):
-    """A header's value is not what its definition allows; the request is answered with 400."""
+    """The value of a header is invalid. The client gets status 400."""
 
     def __init__(self, header: str, problem: str) -> None:
-        """`header`: its name as it is usually written. `problem`: what is wrong, without the client's bytes."""
+        """`header`: the name in its usual capitalization. `problem`: what is wrong, without the client's bytes."""
         super().__init__(f"{header}: {problem}")
         self.header = header
 
 
 @dataclass(frozen=True, slots=True)
 class PromptBlock:
-    """A part of a prompt (`X-Prompt-Prefix`); requests that name the same blocks first share that prefix."""
+    """A part of a prompt (`X-Prompt-Prefix`). Requests whose first blocks are the same share that prefix."""
 
     id: str
     tokens: int
@@ -41,29 +41,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What is known of a request beside its method and target. Numbers are bounded."""
+    """What the client's headers state about a request. All numbers are bounded."""
 
-    deadline_ms: int | None = None  # how long the client waits (`X-Deadline-Ms`); None: it does not say
-    prompt_tokens: int | None = None  # first number of `X-Token-Usage`; None: it does not say
-    max_generated_tokens: int = 0  # second number of it
+    deadline_ms: int | None = None  # how long the client waits (`X-Deadline-Ms`); None: not stated
+    prompt_tokens: int | None = None  # first number of `X-Token-Usage`; None: not stated
+    max_generated_tokens: int = 0  # second number of `X-Token-Usage`
     prompt_blocks: tuple[
         PromptBlock, ...
-    ] = ()  # in order; the last belongs to the request or its session alone
+    ] = ()  # in prompt order; the last block belongs to this request or its session alone
 
     @property
     def total_tokens(self) -> float | None:
-        """Tokens of the prompt and the most that are generated; None where the client does not say."""
+        """Tokens of the prompt plus the maximum number of generated tokens; None if not stated."""
         return None if self.prompt_tokens is None else float(self.prompt_tokens + self.max_generated_tokens)
 
 
 def parse_metadata(headers: Headers) -> RequestMetadata:
-    """Read the headers that state something about a request. Of a repeated header the first value counts.
+    """Parse the metadata headers of a request. The first value of a repeated header is used.
 
     Args:
-        headers: of the request, names in lower case.
+        headers: the headers of the request, with names in lower case.
 
     Raises:
-        InvalidHeaderError: a value is not what its header allows.
+        InvalidHeaderError: the value of a header is invalid.
     """
     values: dict[bytes, bytes] = {}
     for name, value in headers:
@@ -114,7 +114,7 @@
 
 def _parse_number(header: str, text: bytes, maximum: int) -> int:
     digits = text.strip()
-    # The length is bounded first: Python refuses to convert thousands of digits, and is slow with hundreds.
+    # The length is checked first: Python refuses to convert thousands of digits, and is slow with hundreds.
     if not digits.isdigit() or len(digits) > len(str(maximum)):
         raise InvalidHeaderError(header, f"no whole number from 0 to {maximum}")
     number = int(digits)
--- a/larkweir/router/request_trace.py
+++ b/larkweir/router/request_trace.py
@@ -1,6 +1,6 @@
-"""A request's line in the debug log: which upstreams it went to, why these, and how long each step took.
+"""The debug log line of a request: the upstreams it was sent to, why they were selected, and the time of each step.
 
-The names of the fields are read by `benchmarks/fleet_losses.py`; `docs/operators/fleet-logs.md` describes them.
+`benchmarks/fleet_losses.py` reads the fields by name; `docs/operators/fleet-logs.md` describes them.
 """
 
 from __future__ import annotations
@@ -19,35 +19,37 @@
 
 
 class AttemptTrace(msgspec.Struct, omit_defaults=True):
-    """One upstream that a request went to. Times are milliseconds since the request was received."""
+    """One attempt at an upstream. Times are milliseconds since the request was received."""
 
     upstream: str
-    reason: SelectionReason  # why this one
+    reason: SelectionReason  # why the upstream was selected
     selected_ms: int = msgspec.field(name="chosen_ms")
     backlog_tokens: int = msgspec.field(
         name="waiting_tokens", default=0
-    )  # before it, by the router's estimate
-    prefill_tokens: int = msgspec.field(name="tokens", default=0)  # of this request
+    )  # tokens queued at the upstream before this request, by the router's estimate
+    prefill_tokens: int = msgspec.field(name="tokens", default=0)  # tokens of this request to prefill
     sent_ms: int | None = msgspec.field(name="written_ms", default=None)
     head_ms: int | None = None
-    first_event_ms: int | None = msgspec.field(name="first_ms", default=None)  # or the first chunk of a body
+    first_event_ms: int | None = msgspec.field(
+        name="first_ms", default=None
+    )  # or the first chunk of a body that is no event stream
     status: int = 0
-    load: str = ""  # its own `X-Server-Load`: running, waiting, slots
-    outcome: str = msgspec.field(name="ending", default="")  # where the response was not complete
-    track: Track | None = None  # where its service has a roll-out
+    load: str = ""  # `X-Server-Load` of the response: running, waiting, slots
+    outcome: str = msgspec.field(name="ending", default="")  # empty if the response was complete
+    track: Track | None = None  # None if the service has no roll-out
 
 
 @dataclass(slots=True)
 class RequestTrace:
-    """The steps of one request, recorded as they happen. Only kept while debugging.
+    """The steps of one request, recorded as they happen. Only used if debug logging is enabled.
 
     Args:
         received_ms: when the request was received, on the event loop's clock.
     """
 
     received_ms: float
-    placed_ms: int | None = None  # the owner of the prompt's prefix was known, or the controller timed out
-    first_event_ms: int | None = None  # of all attempts
+    placed_ms: int | None = None  # when the lookup of the prefix owner ended, with a result or a time-out
+    first_event_ms: int | None = None  # when the first chunk of a body arrived in any attempt
     attempts: list[AttemptTrace] = field(default_factory=list)
 
     def elapsed_ms(self, now_ms: float) -> int:
@@ -55,11 +57,11 @@
         return round(now_ms - self.received_ms)
 
     def on_placed(self, now_ms: float) -> None:
-        """The owner of the prompt's prefix has been looked up, whether or not there is one."""
+        """Record that the lookup of the prefix owner has ended, whether or not an owner was found."""
         self.placed_ms = self.elapsed_ms(now_ms)
 
     def on_selected(self, selected: SelectedUpstream, now_ms: float) -> None:
-        """An attempt begins."""
+        """Record the start of an attempt at the selected upstream."""
         backlog_tokens = round(selected.selector.prefill_backlog_tokens(selected.id))
         self.attempts.append(
             AttemptTrace(
@@ -68,29 +70,29 @@
         )
 
     def on_request_sent(self, prefill_tokens: float, now_ms: float) -> None:
-        """The request has been sent to the upstream."""
+        """Record that the request was sent to the upstream."""
         self.attempts[-1].prefill_tokens = round(prefill_tokens)
         self.attempts[-1].sent_ms = self.elapsed_ms(now_ms)
 
     def on_head(self, status: int, load: str, now_ms: float) -> None:
-        """The head of a response arrived."""
+        """Record that the head of a response arrived."""
         last = self.attempts[-1]
         last.status, last.load, last.head_ms = status, load, self.elapsed_ms(now_ms)
 
     def on_first_event(self, now_ms: float) -> None:
-        """A chunk of a body arrived; only the first one of a request is recorded."""
+        """Record that a chunk of a body arrived. Only the first chunk of a request is recorded."""
         if self.first_event_ms is None:
             self.first_event_ms = self.attempts[-1].first_event_ms = self.elapsed_ms(now_ms)
 
     def on_ended(self, outcome: str) -> None:
-        """The attempt is over without a complete response."""
+        """Record that the attempt ended without a complete response."""
         if self.attempts:
             self.attempts[-1].outcome = outcome
 
     def write(
         self, request: ClientRequest, route: Route | None, prompt: Prompt, sent: int, now_ms: float
     ) -> None:
-        """Write the line. `sent`: how often the request was sent to an upstream."""
+        """Write the log line. `sent`: how many times the request was sent to an upstream."""
         log.debug(
             "request",
             id=request.header(b"x-request-id").decode("latin-1"),
--- a/larkweir/router/response_classification.py
+++ b/larkweir/router/response_classification.py
@@ -1,4 +1,4 @@
-"""What becomes of an upstream's response: relayed, or discarded because the request may go elsewhere. Pure rules."""
+"""Decides whether an upstream's response is relayed, or discarded and the request retried. Pure functions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 LOAD_HEADER = b"x-server-load"
 LOAD_FIELD_COUNT = 3  # requests running, requests waiting, slots
 NOT_EXECUTED_HEADER = b"x-not-executed"
-# Statuses that tell a client that the request has not run (with `X-Not-Executed`; 421 by RFC 9110, 15.5.20).
+# Statuses by which clients may assume that the request has not run. An upstream has to confirm it with the header
+# `X-Not-Executed`, except for 421 (RFC 9110, 15.5.20).
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
@@ -25,12 +26,12 @@
 
     @property
     def load(self) -> bytes:
-        """The value of `X-Server-Load` (running, waiting, slots); empty where there is none."""
+        """The value of `X-Server-Load` (running, waiting, slots); empty if the header is missing."""
         return next((value for name, value in self.headers if name == LOAD_HEADER), b"")
 
     @property
     def is_misdirected(self) -> bool:
-        """Whether another process than the addressed instance answered."""
+        """Whether a process other than the addressed instance responded."""
         return self.status == HTTPStatus.MISDIRECTED_REQUEST
 
     @property
@@ -42,7 +43,7 @@
 
     @property
     def reports_capacity(self) -> bool:
-        """Whether the upstream says that it could run another request; False where it says nothing."""
+        """Whether the upstream reports that it could run another request; False if it reports no valid load."""
         fields = self.load.split(b",")
         if len(fields) != LOAD_FIELD_COUNT or not all(field.strip().isdigit() for field in fields):
             return False
@@ -51,22 +52,23 @@
 
 
 class ResponseClass(Enum):
-    """What a response means for the request."""
+    """The classes of responses, by what they mean for the request."""
 
-    MISDIRECTED = auto()  # not executed; another instance listens there
-    REJECTED = auto()  # not executed; the upstream is at capacity
-    RETRYABLE_ERROR = auto()  # may have run, but may run again
-    UNUSABLE = auto()  # may have run; relaying it would be a false promise or would corrupt a stream
+    MISDIRECTED = auto()  # not executed: another instance listens at the address
+    REJECTED = auto()  # not executed: the upstream is at capacity
+    RETRYABLE_ERROR = auto()  # may have been executed, but the request is idempotent
+    # May have been executed. Relaying the response would wrongly claim that it was not, or would corrupt a stream.
+    UNUSABLE = auto()
     RELAYABLE = auto()
 
 
 def classify_response(head: ResponseHead, route: Route, *, response_started: bool) -> ResponseClass:
-    """The class of a response, before the retry budget is asked.
+    """Classify a response, without regard to the retry budget.
 
     Args:
-        head: of the response.
-        route: of the request.
-        response_started: the client has received the head of an earlier response to this request.
+        head: the head of the response.
+        route: the route of the request.
+        response_started: whether the client has received the head of an earlier response to this request.
     """
     if head.proves_not_executed:
         return ResponseClass.MISDIRECTED if head.is_misdirected else ResponseClass.REJECTED
@@ -76,7 +78,7 @@
 
 
 def classify_without_retry(head: ResponseHead, route: Route, *, response_started: bool) -> ResponseClass:
-    """The class of a response that may have run, where no retry is left."""
+    """Classify a response to a request that may have been executed and can't be retried any more."""
     is_false_guarantee = head.status in NOT_EXECUTED_STATUSES and not route.is_idempotent
     if is_false_guarantee or (response_started and head.status != HTTPStatus.OK):
         return ResponseClass.UNUSABLE
--- a/larkweir/router/response_relay.py
+++ b/larkweir/router/response_relay.py
@@ -1,4 +1,4 @@
-"""The way of a response to the client: head, body by complete events where the stream can be resumed, end."""
+"""Relays a response to the client. The body of a resumable stream is relayed in complete events only."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
 
 
 class ResponseWriter(Protocol):
-    """The client's side of an exchange."""
+    """Writes the response of an exchange to the client."""
 
     def start_response(self, status: int, headers: Headers) -> None:
-        """The response begins."""
+        """Send the head of the response."""
 
     def send_body(self, data: bytes) -> bool:
-        """A chunk of its body; False while the client does not keep up."""
+        """Send a chunk of the body; returns False while too much is buffered for the client."""
 
     def end_response(self) -> None:
-        """The response is complete."""
+        """Mark the response as complete."""
 
     def abort_response(self) -> None:
-        """The response ends early and must not look complete."""
+        """End the response early, in a way that the client can't mistake for a complete response."""
 
 
 class ResponseRelay:
-    """What the client has received of the response to one request, from however many upstreams."""
+    """The response to one request, which may be composed of responses of several upstreams."""
 
     def __init__(self, writer: ResponseWriter) -> None:
-        """Nothing has been sent to `writer` yet."""
+        """Create a relay that sends to `writer`."""
         self._writer = writer
         self.has_started = False
-        self.events: EventBuffer | None = None  # of a stream that can be resumed
+        self.events: EventBuffer | None = None  # None if the response is not a resumable stream
 
     @property
     def can_resume(self) -> bool:
-        """Whether the rest of a response that has begun can come from another upstream."""
+        """Whether another upstream can provide the rest of a response that has started."""
         return self.events is not None and self.events.resumable
 
     @property
     def last_event_id(self) -> bytes | None:
-        """The id of the last event that the client has received, where the stream can be resumed."""
+        """The id of the last event that was relayed; None if there is none or the response is no resumable stream."""
         return self.events.last_id if self.events is not None else None
 
     def start(self, status: int, headers: Headers, route: Route) -> None:
-        """Pass on the head of a response; that of a resumed stream is dropped, as the client has the first one."""
+        """Relay the head of a response. The head of a resumed stream is dropped, as the client already has one."""
         if self.has_started:
             return
         if route.is_streaming and route.resumable and status == HTTPStatus.OK:
@@ -57,13 +57,13 @@
         self._writer.start_response(status, relayed)
 
     def send(self, data: bytes) -> bool:
-        """Pass on a chunk of the body; False while the client does not keep up."""
+        """Relay a chunk of the body; returns False while too much is buffered for the client."""
         if self.events is not None:
             data = self.events.feed(data)
         return not data or self._writer.send_body(data)
 
     def flush(self) -> None:
-        """The upstream's response is complete: pass on what is left of its body."""
+        """Relay the buffered rest of the body, at the end of the upstream's response."""
         rest = self.events.flush() if self.events is not None else b""
         if rest:
             self._writer.send_body(rest)
@@ -73,12 +73,12 @@
         self._writer.end_response()
 
     def restart(self) -> None:
-        """The upstream failed and another goes on behind the last complete event."""
+        """Prepare for another upstream to continue after the last complete event: the previous one failed."""
         if self.events is not None:
             self.events.restart()
 
     def abort(self) -> None:
-        """End a response that can't be completed."""
+        """Abort a response that can't be completed."""
         self._writer.abort_response()
 
     def send_error(self, status: int, headers: Headers) -> None:
--- a/larkweir/router/response_timeout.py
+++ b/larkweir/router/response_timeout.py
@@ -1,8 +1,9 @@
-"""How long a router waits for a controller's response to a message about a request."""
+"""The time-out for a controller's response to a message about a request."""
 
 from __future__ import annotations
 
-# So many times what the request's body takes on this router's link, behind which the response may come.
+# The response may queue behind the request's body on this router's network link. The time-out is extended by this
+# multiple of the time that the link needs for the body.
 BODY_TRANSFER_FACTOR = 2.0
 
 
@@ -13,12 +14,12 @@
         """Create a time-out.
 
         Args:
-            base_s: within which a controller responds, in seconds.
+            base_s: the time-out for a request without a body, in seconds.
             link_mbps: the bandwidth of this router's network link, in megabits per second.
         """
         self._base_s = base_s
         self._link_bytes_per_s = link_mbps * 1e6 / 8.0
 
     def seconds(self, body_bytes: int) -> float:
-        """For a request with a body of that size."""
+        """The time-out for a request with a body of `body_bytes`, in seconds."""
         return self._base_s + BODY_TRANSFER_FACTOR * body_bytes / self._link_bytes_per_s
--- a/larkweir/router/retry_allowance.py
+++ b/larkweir/router/retry_allowance.py
@@ -1,23 +1,23 @@
-"""How often one request may be sent: the route's limit, and the retry budget that all requests of a service share."""
+"""Limits the attempts of one request by its route's maximum and by the retry budget that a service's requests share."""
 
 from __future__ import annotations
 
 from larkweir_quotas.retry_budget import RetryBudget
 
-MAX_FAILED_CONNECTS = 3  # upstreams without a connection that are tried for one request
+MAX_FAILED_CONNECTS = 3  # failed connects after which a request is not tried at another upstream
 
 
 class RetryAllowance:
-    """The attempts of one request. A failed connection costs no retry, as nothing was sent."""
+    """Counts and limits the attempts of one request. A failed connect is no retry, as nothing was sent."""
 
     def __init__(self, max_attempts: int, budget: RetryBudget) -> None:
-        """`max_attempts`: that may be sent, the first included. `budget`: the service's."""
+        """`max_attempts`: the route's maximum, including the first attempt. `budget`: the service's retry budget."""
         self._max_attempts = max_attempts
         self._budget = budget
         self._failed_connects = 0
         self.sent = 0  # attempts whose request was written to an upstream
         self.executions = 0  # attempts that may have been executed
-        self._charged_executions = 1  # to the tenant's quota; the first with the admission
+        self._charged_executions = 1  # executions charged to the tenant's quota; admission charges the first
 
     @property
     def is_exhausted(self) -> bool:
@@ -25,7 +25,7 @@
         return self.sent >= self._max_attempts
 
     def record_sent(self) -> bool:
-        """An attempt's request is written to an upstream; whether that may be an execution more than was charged."""
+        """Count an attempt whose request is sent; returns whether a further execution has to be charged."""
         self.sent += 1
         self.executions += 1
         if self.executions <= self._charged_executions:
@@ -34,14 +34,14 @@
         return True
 
     def record_not_executed(self) -> None:
-        """The upstream has said that it did not execute the last attempt."""
+        """Record that the upstream guarantees that it did not execute the last attempt."""
         self.executions -= 1
 
     def record_failed_connect(self) -> bool:
-        """No connection was made; whether another upstream may be tried."""
+        """Count a failed connect; returns whether another upstream may be tried."""
         self._failed_connects += 1
         return self._failed_connects < MAX_FAILED_CONNECTS
 
     def take_retry(self, now_ms: float) -> bool:
-        """Whether one more attempt may be sent; if so, it is taken from the budget."""
+        """Take a retry from the budget, if the route and the budget allow one; returns whether they do."""
         return not self.is_exhausted and self._budget.try_consume(now_ms)
--- a/larkweir/router/retry_budgets.py
+++ b/larkweir/router/retry_budgets.py
@@ -1,4 +1,4 @@
-"""The retry budget of each service, which all routers share."""
+"""The retry budgets of the services. All routers share each budget."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class RetryBudgets:
-    """Owns the budgets, by service."""
+    """Owns this router's retry budget of each service."""
 
     def __init__(self, bounds: Bounds) -> None:
-        """`bounds`: the deployment's figures for every budget."""
+        """`bounds`: the deployment's bounds, with the parameters of every budget."""
         self._bounds = bounds
         self._budgets: dict[str, RetryBudget] = {}
         self._router_count = 1
 
     def budget(self, service: str) -> RetryBudget:
-        """That of a service; made at its first use."""
+        """The budget of a service; it is created at the first call."""
         budget = self._budgets.get(service)
         if budget is None:
             bounds = self._bounds
@@ -27,7 +27,7 @@
         return budget
 
     def set_router_count(self, routers: int) -> None:
-        """How many routers share each budget, this one included."""
+        """Set how many routers share each budget, including this one."""
         self._router_count = routers
         for budget in self._budgets.values():
             budget.process_count = routers
--- a/larkweir/router/upstream_connection.py
+++ b/larkweir/router/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection (h11) to an upstream, and the call on it."""
+"""One HTTP/1.1 connection (h11) to an upstream, and the current call on it."""
 
 from __future__ import annotations
 
@@ -11,49 +11,47 @@
 
 from larkweir.cluster.tcp_options import set_tcp_options
 
-USER_TIMEOUT_MS = (
-    1_200.0  # sent bytes that stay unacknowledged for so long: the upstream is gone or partitioned
-)
+USER_TIMEOUT_MS = 1_200.0  # an upstream that acknowledges no sent bytes for this long is gone or partitioned
 MAX_HEADER_BYTES = 64 * 1024
 SIGNATURE_HEADER = b"x-server-signature"
-MIN_FAILURE_STATUS = 300  # a lower status is a success, which must name its request and be signed
+MIN_FAILURE_STATUS = 300  # a lower status is a success, which must be signed and repeat the request's id
 
 
 class CallFailure(Enum):
-    """How a call ended without a complete response. The values appear in the debug log (field `ending`)."""
+    """Why a call ended without a complete response. The values appear in the debug log (field `ending`)."""
 
     CLOSED = "closed"  # the connection ended; the request may have run
-    GARBLED = "garbled"  # what was received is no response to the request
+    GARBLED = "garbled"  # the bytes received are no valid response to the request
 
 
 class ResponseListener(Protocol):
-    """What a call reports to. After `on_response_end` or `on_call_failed` nothing more is called."""
+    """Receives the events of a call. No method is called after `on_response_end` or `on_call_failed`."""
 
     def on_response_head(self, response: h11.Response) -> None:
-        """The head of the response."""
+        """Called when the head of the response arrives."""
 
     def on_response_data(self, data: bytes) -> None:
-        """A chunk of its body."""
+        """Called with each chunk of the body."""
 
     def on_response_end(self) -> None:
-        """The response is complete."""
+        """Called when the response is complete."""
 
     def on_call_failed(self, failure: CallFailure) -> None:
-        """The response will not be completed."""
+        """Called when the response can't be completed any more."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection; one call at a time.
+    """One connection, with one call at a time.
 
-    A response that names another request is a late one of an earlier call on this connection (a copy, or one that
-    was given up by the upstream's side only): it is skipped. A success that names no request, or is not signed, is
-    not taken for a response.
+    A response with the `X-Request-Id` of another request is a late response to an earlier call on this connection (a
+    duplicate, or the response to a call that only the upstream had given up). It is skipped. A success without a
+    request id or without a signature is not accepted: the call fails.
     """
 
     def __init__(
         self, on_idle: Callable[[UpstreamConnection], None], on_closed: Callable[[UpstreamConnection], None]
     ):
-        """`on_idle` is called when a call is over and another can be made, `on_closed` when the connection ends."""
+        """`on_idle` is called when the connection can be used for another call, `on_closed` when it has ended."""
         self._on_idle = on_idle
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
@@ -61,19 +59,23 @@
         self._listener: ResponseListener | None = None
         self._request: h11.Request | None = None
         self._request_id = b""
-        self._is_stale_response = False  # what is being read responds to an earlier request
+        self._is_stale_response = False  # the response being read belongs to an earlier request
         self._is_reusable = True
-        self.keep_alive_s: float | None = None  # idle time that the upstream advertises; None: it does not
-        self.has_served = False  # at least one call was completed
+        self.keep_alive_s: float | None = (
+            None  # idle time-out that the upstream advertises; None: not advertised
+        )
+        self.has_served = False  # at least one call has been completed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection can be used."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
+        """Prepare the connection for calls."""
+        transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports don't inherit from asyncio.Transport
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS, keepalive=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, and the call on it has failed."""
+        """Report that the connection has ended, and that the current call has failed."""
         self._transport = None
         self._on_closed(self)
         listener, self._listener = self._listener, None
@@ -81,7 +83,7 @@
             listener.on_call_failed(CallFailure.CLOSED)
 
     def eof_received(self) -> bool:
-        """The upstream has closed its side: that completes a response without a length."""
+        """Complete a response without a length: the upstream has closed its side."""
         if self._listener is not None:
             self._h11.receive_data(b"")
             self._advance()
@@ -89,11 +91,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a call can be made."""
+        """Whether the connection is open."""
         return self._transport is not None and not self._transport.is_closing()
 
     def close(self) -> None:
-        """End the connection, and the call on it without a report."""
+        """Close the connection. The current call ends without a report to its listener."""
         self._listener = None
         if self._transport is not None:
             self._transport.abort()
@@ -102,10 +104,10 @@
         """Send a request. The connection must be open and idle.
 
         Args:
-            request: the head, with a `Content-Length` where there is a body.
-            request_id: the value of its `X-Request-Id`, which the response must repeat; empty: it has none.
+            request: the head of the request; it must have a `Content-Length` if there is a body.
+            request_id: the value of `X-Request-Id`, which the response must repeat; empty if there is none.
             body: the complete body.
-            listener: reported to until the call is over.
+            listener: receives the events of the call.
         """
         assert self._transport is not None
         assert self._listener is None
@@ -118,17 +120,17 @@
         self._transport.write(out)
 
     def pause_reading(self) -> None:
-        """The client does not keep up."""
+        """Stop reading the response: the client reads more slowly than the upstream sends."""
         if self._transport is not None and self._transport.is_reading():
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """The client has caught up."""
+        """Continue reading the response."""
         if self._transport is not None and not self._transport.is_reading():
             self._transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a response; on an idle connection they end it."""
+        """Parse bytes of a response. An idle connection is closed, as it should receive no bytes."""
         if self._listener is None:  # no request is in progress
             self.close()
             return
@@ -169,14 +171,14 @@
         if echoed_id and echoed_id != self._request_id:
             self._is_stale_response = True
         elif response.status_code < MIN_FAILURE_STATUS and not (echoed_id and is_signed):
-            self._fail(CallFailure.GARBLED)  # errors may name no request, successes do
+            self._fail(CallFailure.GARBLED)  # only errors may omit the request id and the signature
         else:
-            if not echoed_id:  # a copy of it could not be distinguished from the response to the next request
+            if not echoed_id:  # a duplicate could not be distinguished from the response to the next request
                 self._is_reusable = False
             self._listener.on_response_head(response)
 
     def _on_end(self) -> None:
-        """A response is complete: that to the call, or a late one to an earlier request."""
+        """Handle the end of a response, either to the current call or, if stale, to an earlier request."""
         if self._is_stale_response:
             self._restart_parser()
             return
@@ -197,7 +199,7 @@
         listener.on_response_end()
 
     def _restart_parser(self) -> None:
-        """Parse from here on as if the request had just been sent: its response is still to arrive."""
+        """Reset the parser after a stale response: the response to the current request is still to arrive."""
         self._is_stale_response = False
         if self._h11.their_state is not h11.DONE or not self._is_reusable:
             self._fail(CallFailure.CLOSED)
@@ -206,7 +208,7 @@
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
         assert self._request is not None
         self._h11.send(self._request)
-        # The body has been sent already: the parser only has to count its bytes.
+        # The real body has already been sent; zero bytes of the same length bring the parser into the same state.
         length = next((int(value) for name, value in self._request.headers if name == b"content-length"), 0)
         if length:
             self._h11.send(h11.Data(data=bytes(length)))
@@ -226,7 +228,7 @@
 
 
 def _parse_idle_timeout(value: bytes) -> float | None:
-    """The seconds of `Keep-Alive: timeout=N` (RFC 2068, 19.7.1.1) or of a bare number; None where there are none."""
+    """Parse the seconds of `Keep-Alive: timeout=N` (RFC 2068, 19.7.1.1) or of a bare number; None if not stated."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit():
--- a/larkweir/router/upstream_pool.py
+++ b/larkweir/router/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: kept open for reuse, and opened where none is idle."""
+"""A pool of connections to upstreams, which are kept open for reuse."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from larkweir.router.connect_timeout import ConnectTimeout
 from larkweir.router.upstream_connection import UpstreamConnection
 
-MAX_IDLE_S = 30.0  # where the upstream advertises no time
-IDLE_MARGIN_S = 1.0  # before the upstream closes an idle connection, by the time that it advertises
+MAX_IDLE_S = 30.0  # idle time-out if the upstream advertises none
+IDLE_MARGIN_S = 1.0  # idle connections are closed this long before the advertised time-out of the upstream
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,14 +23,14 @@
     """Owns all connections of a router to upstreams, by address (`IP:PORT`)."""
 
     def __init__(self) -> None:
-        """Open nothing yet."""
+        """Create an empty pool."""
         self._loop = asyncio.get_running_loop()
         self._connect_timeout = ConnectTimeout()
         self._idle: dict[str, list[_IdleConnection]] = {}
         self._addresses: dict[UpstreamConnection, str] = {}
 
     def take(self, address: str) -> UpstreamConnection | None:
-        """Take out the idle connection that was used last; None where there is none."""
+        """Remove and return the most recently used idle connection; None if no connection is idle."""
         idle = self._idle.get(address)
         while idle:
             found = idle.pop()
@@ -40,15 +40,15 @@
         return None
 
     def has_idle(self, address: str) -> bool:
-        """Whether a connection to that address is idle."""
+        """Whether the pool has an idle connection to `address`."""
         return bool(self._idle.get(address))
 
     async def connect(self, address: str) -> UpstreamConnection:
         """Open a new connection.
 
         Raises:
-            OSError: the upstream does not accept it.
-            TimeoutError: it was not made in time.
+            OSError: the upstream does not accept the connection.
+            TimeoutError: the connect did not finish within the time-out.
         """
         host, port = parse_address(address)
         started_s = self._loop.time()
@@ -82,7 +82,7 @@
             self._idle.pop(address, None)
 
     def expire(self) -> None:
-        """Close idle connections that the upstream would close soon; to be called about once a second."""
+        """Close idle connections that the upstream would close soon. Must be called about once a second."""
         now_s = self._loop.time()
         for idle in list(self._idle.values()):
             for entry in [entry for entry in idle if now_s >= entry.reusable_until_s]:
@@ -90,11 +90,11 @@
                 idle.remove(entry)
 
     def close(self) -> None:
-        """End all connections, idle or not."""
+        """Close all connections, whether idle or in use."""
         for connection in list(self._addresses):
             connection.close()
 
     def drop(self, address: str) -> None:
-        """Close the idle connections to an upstream that is gone."""
+        """Close the idle connections to `address`, whose upstream is gone."""
         for entry in self._idle.pop(address, ()):
             entry.connection.close()
