--- a/tests/router/router_model.py
+++ b/tests/router/router_model.py
@@ -98,7 +98,7 @@
     id: str
     kind: str
     number: int  # the how-manieth run of this id
-    after: int  # the event behind which it goes on
+    resumed_after: int  # the event behind which it goes on
     executed: bool = True
     complete: bool = False  # the upstream has answered all of it
     headers: dict[str, str] = field(default_factory=dict)  # of the request, as the upstream got it
@@ -130,7 +130,7 @@
         return not self.transport.is_closing() and not self.ended
 
     @property
-    def may_send_more(self) -> bool:
+    def can_send_unrequested(self) -> bool:
         """Whether bytes that belong to no answer can be told from one."""
         return self.is_open and not self.unsent and not self.is_unframed
 
@@ -200,7 +200,7 @@
         self._h11 = h11.Connection(h11.CLIENT)
         self._current: SentRequest | None = None
         self.waiting: list[SentRequest] = []
-        self.unread = b""  # of requests that the router has not got yet
+        self.unsent = b""  # of requests that the router has not got yet
         connection.connection_made(self.transport)
 
     @property
@@ -211,10 +211,10 @@
         """One more request, with further header lines; `send` passes it on."""
         self.waiting.append(sent)
         head = f"POST /{sent.kind}/x HTTP/1.1\r\nHost: a\r\nX-Request-Id: {sent.id}\r\n{headers}"
-        self.unread += f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
+        self.unsent += f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
     def send(self, count: int) -> None:
-        data, self.unread = self.unread[:count], self.unread[count:]
+        data, self.unsent = self.unsent[:count], self.unsent[count:]
         self.transport.deliver(data)
 
     def _on_data(self, data: bytes) -> None:
@@ -352,7 +352,7 @@
         headers["X-Request-Id"] = run.id
     body = run.body() if run.kind not in STREAMS or status != 200 else b""
     if run.kind in STREAMS and status == 200:
-        events = [run.event(number) for number in range(run.after + 1, EVENTS + 1)]
+        events = [run.event(number) for number in range(run.resumed_after + 1, EVENTS + 1)]
         if not framed:
             body = b"".join(events)
         else:
@@ -364,7 +364,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-TURNS = 12  # of the event loop, until nothing more happens by itself
+LOOP_ITERATIONS = 12  # of the event loop, until nothing more happens by itself
 
 
 class FrozenClockLoop(asyncio.SelectorEventLoop):
@@ -386,7 +386,7 @@
 
         async def inside() -> T:
             found = call()
-            for _ in range(TURNS):
+            for _ in range(LOOP_ITERATIONS):
                 await asyncio.sleep(0)
             return found
 
@@ -412,7 +412,7 @@
         sent = SentRequest(f"r{len(self.model.sent)}", kind)
         self.model.sent[sent.id] = sent
         client.queue(sent, body)
-        self.do(lambda: client.send(len(client.unread)))
+        self.do(lambda: client.send(len(client.unsent)))
         return sent
 
     def waiting(self) -> list[FakeUpstream]:
--- a/tests/router/test_exchange.py
+++ b/tests/router/test_exchange.py
@@ -167,10 +167,10 @@
         return self.harness.model
 
     def _unanswered(self) -> list[FakeUpstream]:
-        return [one for one in self.harness.waiting() if one.may_send_more]
+        return [one for one in self.harness.waiting() if one.can_send_unrequested]
 
     def _able_to_send(self) -> list[FakeUpstream]:
-        return [one for one in self.model.upstreams if one.may_send_more]
+        return [one for one in self.model.upstreams if one.can_send_unrequested]
 
     def _pick(self, upstreams: list[FakeUpstream], pick: int) -> FakeUpstream:
         return upstreams[pick % len(upstreams)]
--- a/tests/router/test_exchange_guard.py
+++ b/tests/router/test_exchange_guard.py
@@ -167,7 +167,7 @@
     sent = SentRequest(f"r{len(harness.model.sent)}", kind)
     harness.model.sent[sent.id] = sent
     client.queue(sent, b"", headers=f"X-Long: {'x' * 70_000}\r\n")
-    harness.do(lambda: client.send(len(client.unread)))
+    harness.do(lambda: client.send(len(client.unsent)))
     return sent
 
 
--- a/tests/router/test_lying_upstreams.py
+++ b/tests/router/test_lying_upstreams.py
@@ -62,7 +62,7 @@
         sent = SentRequest(f"r{len(self.harness.model.sent)}", "safe")
         self.harness.model.sent[sent.id] = sent
         client.queue(sent, b"", headers)
-        self.harness.do(lambda: client.send(len(client.unread)))
+        self.harness.do(lambda: client.send(len(client.unsent)))
         return sent
 
     def _answer(self, upstream: FakeUpstream) -> None:
--- a/tests/router/test_rollout_samples.py
+++ b/tests/router/test_rollout_samples.py
@@ -139,7 +139,7 @@
     scenario.order(rollout(1.0))
     _, upstream = begin_at_target(scenario, "stream")
     assert upstream.run is not None
-    upstream.run.after = EVENTS - 2
+    upstream.run.resumed_after = EVENTS - 2
     scenario.wait(0.03)
     scenario.answer(upstream)
     samples = target(scenario).routes["stream"]
@@ -332,7 +332,7 @@
     sent = SentRequest(f"r{len(scenario.model.sent)}", "plain")
     scenario.model.sent[sent.id] = sent
     client.queue(sent, b"", f"X-Deadline-Ms: {milliseconds}\r\n")
-    scenario.do(lambda: client.send(len(client.unread)))
+    scenario.do(lambda: client.send(len(client.unsent)))
 
 
 @pytest.mark.parametrize(("deadline_ms", "counts"), [(60, False), (500, True)])
--- a/tests/router/test_rollout_tracks.py
+++ b/tests/router/test_rollout_tracks.py
@@ -378,7 +378,7 @@
             sent = SentRequest(f"r{len(scenario.model.sent)}", "plain")
             scenario.model.sent[sent.id] = sent
             client.queue(sent, b"x", "X-Token-Usage: 6000,10\r\nX-Prompt-Prefix: h:5000,own:1000\r\n")
-            scenario.do(lambda client=client: client.send(len(client.unread)))  # type: ignore[misc]
+            scenario.do(lambda client=client: client.send(len(client.unsent)))  # type: ignore[misc]
             scenario.answer(scenario.waiting()[0])
         return len(lookups)
 
--- a/tests/router/test_wire_golden.py
+++ b/tests/router/test_wire_golden.py
@@ -28,7 +28,7 @@
 from larkweir.router.upstream_connection import UpstreamConnection
 from larkweir.router.upstream_pool import UpstreamPool
 from tests.router.granting_controller import GrantingController, connect
-from tests.router.router_model import TURNS, FakeTransport
+from tests.router.router_model import LOOP_ITERATIONS, FakeTransport
 
 T = TypeVar("T")
 TRANSCRIPT_FILE = Path(__file__).parent / "data" / "router_wire.txt"
@@ -107,7 +107,7 @@
 
         async def inside() -> T:
             found = call()
-            for _ in range(TURNS):
+            for _ in range(LOOP_ITERATIONS):
                 await asyncio.sleep(0)
             return found
 
