--- a/larkweir/router/client_connection.py
+++ b/larkweir/router/client_connection.py
@@ -17,12 +17,10 @@
 from larkweir.router.request_metadata import Headers, InvalidHeaderError, parse_metadata
 
 USER_TIMEOUT_MS = 10_000.0  # a client that acknowledges no sent bytes for this long is gone
-MAX_PIPELINED_BYTES = (
-    64 * 1024
-)  # reading pauses when more than this is received while a request is in progress
-MAX_UNSENT_BYTES = (
-    64 * 1024
-)  # reading from the upstream pauses when more than this is buffered for the client
+# Reading pauses when more than this is received while a request is in progress.
+MAX_PIPELINED_BYTES = 64 * 1024
+# Reading from the upstream pauses when more than this is buffered for the client.
+MAX_UNSENT_BYTES = 64 * 1024
 CLOSE_HEADER = (b"connection", b"close")
 
 
--- a/larkweir/router/request_metadata.py
+++ b/larkweir/router/request_metadata.py
@@ -46,9 +46,8 @@
     deadline_ms: int | None = None  # how long the client waits (`X-Deadline-Ms`); None: not stated
     prompt_tokens: int | None = None  # first number of `X-Token-Usage`; None: not stated
     max_generated_tokens: int = 0  # second number of `X-Token-Usage`
-    prompt_blocks: tuple[
-        PromptBlock, ...
-    ] = ()  # in prompt order; the last block belongs to this request or its session alone
+    # In the order of the prompt. The last block belongs to this request or its session alone.
+    prompt_blocks: tuple[PromptBlock, ...] = ()
 
     @property
     def total_tokens(self) -> float | None:
--- a/larkweir/router/request_trace.py
+++ b/larkweir/router/request_trace.py
@@ -24,15 +24,13 @@
     upstream: str
     reason: SelectionReason  # why the upstream was selected
     selected_ms: int = msgspec.field(name="chosen_ms")
-    backlog_tokens: int = msgspec.field(
-        name="waiting_tokens", default=0
-    )  # tokens queued at the upstream before this request, by the router's estimate
+    # Tokens queued at the upstream before this request, by the router's estimate.
+    backlog_tokens: int = msgspec.field(name="waiting_tokens", default=0)
     prefill_tokens: int = msgspec.field(name="tokens", default=0)  # tokens of this request to prefill
     sent_ms: int | None = msgspec.field(name="written_ms", default=None)
     head_ms: int | None = None
-    first_event_ms: int | None = msgspec.field(
-        name="first_ms", default=None
-    )  # or the first chunk of a body that is no event stream
+    # When the first event of a stream, or the first chunk of another body, arrived.
+    first_event_ms: int | None = msgspec.field(name="first_ms", default=None)
     status: int = 0
     load: str = ""  # `X-Server-Load` of the response: running, waiting, slots
     outcome: str = msgspec.field(name="ending", default="")  # empty if the response was complete
--- a/larkweir/router/upstream_connection.py
+++ b/larkweir/router/upstream_connection.py
@@ -61,9 +61,7 @@
         self._request_id = b""
         self._is_stale_response = False  # the response being read belongs to an earlier request
         self._is_reusable = True
-        self.keep_alive_s: float | None = (
-            None  # idle time-out that the upstream advertises; None: not advertised
-        )
+        self.keep_alive_s: float | None = None  # idle time-out that the upstream advertises, if any
         self.has_served = False  # at least one call has been completed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/tests/router/router_model.py
+++ b/tests/router/router_model.py
@@ -1,4 +1,4 @@
-"""A router's request path between clients and upstreams that a test writes, byte by byte, without sockets."""
+"""Test model of a router's request path. A test plays the clients and upstreams byte by byte, without sockets."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 }
 REPEATABLE = frozenset(("safe", "resumable"))
 STREAMS = frozenset(("stream", "resumable"))
-EVENTS = 3  # of a stream
+EVENTS = 3  # number of events in each stream
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 SIGNATURE = "x-server-signature"
 
 
 class FakeTransport(asyncio.Transport):
-    """The router's end of a connection: what it writes goes to the test, at once."""
+    """The router's end of a connection. Bytes that the router writes are passed to the test at once."""
 
     def __init__(self, on_write: Callable[[bytes], None], protocol: asyncio.Protocol) -> None:
         super().__init__()
@@ -60,19 +60,19 @@
         self.close()
 
     def end(self, problem: Exception | None) -> None:
-        """The connection is over, by whichever side."""
+        """Ends the connection, whichever side closed it."""
         self._closing = True
         if not self.lost:
             self.lost = True
             self._protocol.connection_lost(problem)
 
     def deliver(self, data: bytes) -> None:
-        """Bytes from the other side."""
+        """Passes bytes from the other side to the router."""
         if not self._closing:
             self._protocol.data_received(data)
 
     def deliver_eof(self) -> None:
-        """The other side has closed in order."""
+        """Signals that the other side has closed the connection with an end of file, not a reset."""
         if not self._closing:
             stays_open = self._protocol.eof_received()
             if not stays_open:
@@ -93,18 +93,20 @@
 
 @dataclass
 class Run:
-    """A request as an upstream got it, and what became of it there."""
+    """One delivery of a request to an upstream, and its result there."""
 
     id: str
     kind: str
-    number: int  # the how-manieth run of this id
-    resumed_after: int  # the event behind which it goes on
+    number: int  # how many deliveries of this request came before
+    resumed_after: int  # number of the event after which the stream is resumed; 0: from the start
     executed: bool = True
-    complete: bool = False  # the upstream has answered all of it
-    headers: dict[str, str] = field(default_factory=dict)  # of the request, as the upstream got it
+    complete: bool = False  # whether the upstream has sent the complete response
+    headers: dict[str, str] = field(
+        default_factory=dict
+    )  # the headers of the request, as the upstream received it
 
     def body(self) -> bytes:
-        """Unlike that of any other run."""
+        """A response body that differs from that of every other run."""
         return f"{self.id}/{self.number}".encode()
 
     def event(self, number: int) -> bytes:
@@ -112,17 +114,17 @@
 
 
 class FakeUpstream:
-    """One connection at an upstream: reads what the router sends, and answers as it is told."""
+    """One connection at an upstream. Parses what the router sends; the test decides on the responses."""
 
     def __init__(self, model: RouterModel, connection: UpstreamConnection) -> None:
         self.model = model
         self.transport = FakeTransport(self._on_data, connection)
         self._h11 = h11.Connection(h11.SERVER)
-        self.run: Run | None = None  # that is to be answered
+        self.run: Run | None = None  # the request that waits for a response
         self.last_answer = b""
-        self.unsent = b""  # of an answer that has begun
+        self.unsent = b""  # the rest of a response that has been started
         self.ended = False
-        self.is_unframed = False  # the answer under way has no length and ends with the connection
+        self.is_unframed = False  # the current response has no length and ends with the connection
         connection.connection_made(self.transport)
 
     @property
@@ -131,7 +133,7 @@
 
     @property
     def can_send_unrequested(self) -> bool:
-        """Whether bytes that belong to no answer can be told from one."""
+        """Whether the router can distinguish unrequested bytes sent now from a part of a response."""
         return self.is_open and not self.unsent and not self.is_unframed
 
     def _on_data(self, data: bytes) -> None:
@@ -139,7 +141,7 @@
         while True:
             event = self._h11.next_event()
             if isinstance(event, h11.Request):
-                assert self.run is None, "two requests at once on a connection"
+                assert self.run is None, "two requests at the same time on one connection"
                 self.run = self.model.record_run(event)
             elif isinstance(event, h11.EndOfMessage):
                 left = self._h11.trailing_data[0]
@@ -150,14 +152,14 @@
                 return
 
     def begin(self, answer: bytes, complete: bool = True, executed: bool = True) -> None:
-        """Prepares an answer to the request that waits; `send` passes it on."""
+        """Prepares a response to the waiting request; `send` sends it."""
         assert self.run is not None
         self.run.executed = executed
         self.unsent, self.last_answer = answer, answer
         self.is_unframed = not complete
 
     def send(self, count: int) -> None:
-        """So many bytes of the answer, all of them where there are no more."""
+        """Sends the next `count` bytes of the response, or all that are left if there are fewer."""
         data, self.unsent = self.unsent[:count], self.unsent[count:]
         run = self.run
         if not self.unsent and run is not None and not self.is_unframed:
@@ -166,11 +168,11 @@
         self.transport.deliver(data)
 
     def send_unrequested(self, data: bytes) -> None:
-        """Bytes that nobody asked for."""
+        """Sends bytes that do not belong to a response to the current request."""
         self.transport.deliver(data)
 
     def close(self, in_order: bool) -> None:
-        """Ends the connection by a close or a reset."""
+        """Ends the connection with an end of file if `in_order`, else with a reset."""
         self.ended = True
         if in_order:
             self.transport.deliver_eof()
@@ -180,7 +182,7 @@
 
 @dataclass
 class SentRequest:
-    """A client's request, and the answer that it got."""
+    """A client's request, and the response that the client received."""
 
     id: str
     kind: str
@@ -192,7 +194,7 @@
 
 
 class FakeClient:
-    """One connection of a client; answers are matched with requests by their order, as HTTP has it."""
+    """One connection of a client. Responses are matched to requests by order, as in HTTP."""
 
     def __init__(self, model: RouterModel) -> None:
         connection = ClientConnection(model.plane)
@@ -200,7 +202,7 @@
         self._h11 = h11.Connection(h11.CLIENT)
         self._current: SentRequest | None = None
         self.waiting: list[SentRequest] = []
-        self.unsent = b""  # of requests that the router has not got yet
+        self.unsent = b""  # bytes of requests that have not been sent to the router yet
         connection.connection_made(self.transport)
 
     @property
@@ -208,7 +210,7 @@
         return not self.transport.is_closing()
 
     def queue(self, sent: SentRequest, body: bytes, headers: str = "") -> None:
-        """One more request, with further header lines; `send` passes it on."""
+        """Queues a request with the additional header lines `headers`; `send` sends it."""
         self.waiting.append(sent)
         head = f"POST /{sent.kind}/x HTTP/1.1\r\nHost: a\r\nX-Request-Id: {sent.id}\r\n{headers}"
         self.unsent += f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
@@ -224,7 +226,7 @@
         while True:
             event = self._h11.next_event()
             if isinstance(event, h11.Response):
-                assert self._current is not None, "an answer that nobody waits for"
+                assert self._current is not None, "a response without a request"
                 self._current.status = event.status_code
                 self._current.headers = {name.decode(): value.decode() for name, value in event.headers}
             elif isinstance(event, h11.Data):
@@ -244,7 +246,7 @@
                 return
 
     def _next_answer(self) -> None:
-        assert self.waiting, "bytes on a connection where nobody waits"
+        assert self.waiting, "bytes on a connection without an unanswered request"
         self._current = self.waiting.pop(0)
         self._h11.send(h11.Request(method="POST", target="/", headers=[("Host", "a")]))
         self._h11.send(h11.EndOfMessage())
@@ -254,7 +256,7 @@
 
 
 class FakePool(UpstreamPool):
-    """Opens connections to the test's upstreams."""
+    """A pool that opens connections to the fake upstreams of the model."""
 
     def __init__(self, model: RouterModel) -> None:
         super().__init__()
@@ -276,7 +278,7 @@
     ADDRESSES = ("127.0.0.1:1", "127.0.0.1:2")
 
     def __init__(self) -> None:
-        """To be made inside the loop."""
+        """Must be created inside the event loop."""
         self.plane = DataPlane(Bounds(retry_budget_ratio=10.0, retry_budget_slack=1_000.0), Random(1))
         self.plane.pool = FakePool(self)
         self.upstreams: list[FakeUpstream] = []
@@ -302,7 +304,7 @@
         self.plane.upstreams.update(listed, 0.0)
 
     def record_run(self, head: h11.Request) -> Run:
-        """Notes that an upstream has got a request."""
+        """Records that an upstream has received a request."""
         headers = {name.decode(): value.decode() for name, value in head.headers}
         id_ = headers["x-request-id"]
         assert id_ in self.sent, "a request that no client sent"
@@ -314,17 +316,22 @@
         return run
 
     def check(self) -> None:
-        """Right caller, at most once, no false promise, nothing torn that seems complete, no internal error."""
+        """Checks the guarantees of the request path.
+
+        Each response goes to its own client. A request that must not be repeated is executed at most once. A status
+        that says that a request was not executed is true. A truncated response does not look complete. There are no
+        internal errors.
+        """
         assert self.plane.error_counts[ErrorKind.INTERNAL] == 0
         for id_, sent in self.sent.items():
             runs = self.runs.get(id_, [])
             executed = [run for run in runs if run.executed]
             if sent.kind not in REPEATABLE:
-                assert len(executed) <= 1, f"{id_} ran {len(executed)} times"
+                assert len(executed) <= 1, f"{id_} was executed {len(executed)} times"
                 if sent.ended and sent.status in NOT_EXECUTED_STATUSES:
-                    assert not executed, f"{id_} was answered {sent.status} and ran"
+                    assert not executed, f"{id_} got status {sent.status} but was executed"
             if 200 <= sent.status < 300:
-                assert SIGNATURE in sent.headers, f"{id_}: a success of the router's own"
+                assert SIGNATURE in sent.headers, f"{id_}: a success that no upstream sent"
                 self._check_success(sent, runs)
 
     def _check_success(self, sent: SentRequest, runs: list[Run]) -> None:
@@ -333,20 +340,28 @@
             complete = b"".join(f"id: {n}\ndata: {sent.id} {n}\n\n".encode() for n in numbers)
             assert complete.startswith(
                 sent.body
-            ), f"{sent.id}: events of another, twice, or left out: {sent.body!r}"
+            ), f"{sent.id}: foreign, duplicate or missing events: {sent.body!r}"
             assert (
                 not sent.complete or sent.body == complete
-            ), f"{sent.id}: ends as complete before its last event"
+            ), f"{sent.id}: marked as complete before its last event"
         else:
             bodies = [run.body() for run in runs]
             assert any(
                 body.startswith(sent.body) for body in bodies
-            ), f"{sent.id}: {sent.body!r} is not its own"
+            ), f"{sent.id}: {sent.body!r} is the body of another request"
             assert not sent.complete or any(run.complete and run.body() == sent.body for run in runs)
 
 
 def answer_of(run: Run, *, framed: bool = True, echo: bool = True, status: int = 200, **more: str) -> bytes:
-    """A complete answer to that run."""
+    """The bytes of a complete response to `run`.
+
+    Args:
+        run: the request.
+        framed: whether the response has a length or is chunked; otherwise it ends with the connection.
+        echo: whether the response repeats the id of the request.
+        status: the status of the response.
+        more: additional headers.
+    """
     headers = {"X-Server-Signature": run.body().decode(), **more}
     if echo:
         headers["X-Request-Id"] = run.id
@@ -364,25 +379,25 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-LOOP_ITERATIONS = 12  # of the event loop, until nothing more happens by itself
+LOOP_ITERATIONS = 12  # enough for all pending callbacks of the event loop and their follow-ups to run
 
 
 class FrozenClockLoop(asyncio.SelectorEventLoop):
-    """A loop whose time stands still, so that no timer of the router fires, however long a play takes."""
+    """An event loop whose clock stands still, so that no timer of the router fires, however slow the test is."""
 
     def time(self) -> float:
         return 0.0
 
 
 class RouterHarness:
-    """The model in a loop of its own, in which time stands still."""
+    """Runs the model in an event loop of its own, whose clock stands still."""
 
     def __init__(self) -> None:
         self.loop = FrozenClockLoop()
         self.model = self.do(RouterModel)
 
     def do(self, call: Callable[[], T]) -> T:
-        """Calls inside the loop, and lets all happen that follows."""
+        """Calls `call` inside the event loop, and runs the loop until its consequences are complete."""
 
         async def inside() -> T:
             found = call()
@@ -408,7 +423,7 @@
         return client
 
     def request(self, client: FakeClient, kind: str, body: bytes = b"") -> SentRequest:
-        """One more request on that connection, complete."""
+        """Sends a complete request on the connection of `client`."""
         sent = SentRequest(f"r{len(self.model.sent)}", kind)
         self.model.sent[sent.id] = sent
         client.queue(sent, body)
@@ -416,7 +431,7 @@
         return sent
 
     def waiting(self) -> list[FakeUpstream]:
-        """Upstream connections on which a request waits for its answer."""
+        """The upstream connections on which a request waits for its response."""
         return [one for one in self.model.upstreams if one.is_open and one.run is not None]
 
     def answer(self, upstream: FakeUpstream, **how: object) -> Run:
--- a/tests/router/test_answer_verdict.py
+++ b/tests/router/test_answer_verdict.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of the version that ran it."""
+"""Whether the end of an attempt counts for or against the version that ran it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
             False,
             False,
             FAILED,
-        ),  # relayed: the upstream did not say that it has not run
+        ),  # relayed, as the upstream did not guarantee that the request was not executed
         (Outcome.OK, 200, True, True, True, ANSWERED),
         (Outcome.ERROR, 500, False, False, False, FAILED),
         (Outcome.ERROR, 500, True, False, False, FAILED),
--- a/tests/router/test_answers.py
+++ b/tests/router/test_answers.py
@@ -1,4 +1,4 @@
-"""The router's own errors."""
+"""The error responses of the router itself."""
 
 from __future__ import annotations
 
--- a/tests/router/test_attempt.py
+++ b/tests/router/test_attempt.py
@@ -1,4 +1,4 @@
-"""Upstreams that do not answer, or turn calls away with places free: what goes elsewhere, what the fleet is told."""
+"""Overdue calls and rejections by upstreams with free slots: which are retried, and what is reported to the fleet."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def fire_overdue_timer(harness: RouterHarness) -> None:
-    """The patience with the one request that is under way ends."""
+    """Fires the overdue timer of the one request in progress."""
     (exchange,) = [one._exchange for one in harness.model.plane.connections if one._exchange is not None]
     attempt = exchange._attempt
     assert attempt is not None
@@ -77,7 +77,7 @@
     assert len(harness.model.runs[sent.id]) == 1
     assert reported_outcomes(harness) == {
         instance: OutcomeCounts(succeeded=0, failed=1)
-    }, "counted once, though it ended well later"
+    }, "the failure is counted once, even though the request succeeded later"
     harness.model.check()
 
 
--- a/tests/router/test_attempt_samples.py
+++ b/tests/router/test_attempt_samples.py
@@ -1,4 +1,4 @@
-"""When the durations of an attempt are counted."""
+"""When the durations of an attempt are recorded."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self.attempt.on_head(200)
 
     def events(self, first: int, last: int) -> None:
-        """Each `EVENT_INTERVAL_MS` behind the one before."""
+        """Delivers the events numbered `first` to `last`, one per `EVENT_INTERVAL_MS`."""
         for number in range(first, last + 1):
             self.attempt.on_event(SENT_MS + number * EVENT_INTERVAL_MS)
 
--- a/tests/router/test_client_request.py
+++ b/tests/router/test_client_request.py
@@ -1,4 +1,4 @@
-"""What is read from a client's headers, and what is forwarded to an upstream."""
+"""The values that are read from a client's headers, and the headers that are forwarded to an upstream."""
 
 from __future__ import annotations
 
--- a/tests/router/test_connect_timeout.py
+++ b/tests/router/test_connect_timeout.py
@@ -1,4 +1,4 @@
-"""For how long a new connection to an upstream is waited for."""
+"""The time-out for new connections to upstreams."""
 
 from __future__ import annotations
 
--- a/tests/router/test_event_stream.py
+++ b/tests/router/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Complete events are relayed, and incomplete ones dropped where a stream is resumed."""
+"""Only complete events are relayed; an incomplete event is dropped when a stream is resumed."""
 
 from __future__ import annotations
 
--- a/tests/router/test_exchange.py
+++ b/tests/router/test_exchange.py
@@ -1,4 +1,7 @@
-"""An answer goes to the one who asked, and what may not be repeated runs once: resets at each byte, late answers."""
+"""Each response goes to the client that sent the request, and non-idempotent requests are executed at most once.
+
+Upstream connections are reset at each byte of a response, and upstreams send late, duplicate and invalid responses.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
             complete = at == length and framed
             assert (sent.complete and sent.status == 200) == complete, f"cut at {at} of {length}"
         elif kind == "resumable" and not sent.complete:
-            assert harness.waiting(), f"it is not sent again when cut at {at} of {length}"
+            assert harness.waiting(), f"the stream is not resumed when cut at {at} of {length}"
             harness.answer(harness.waiting()[0])
             harness.model.check()
             assert sent.complete, f"cut at {at} of {length}"
@@ -79,7 +82,7 @@
     harness.answer(upstream)
     late = upstream.last_answer
     second = harness.request(client, "plain")
-    assert harness.waiting() == [upstream], "the connection is used again"
+    assert harness.waiting() == [upstream], "the connection should be reused"
     harness.do(lambda: upstream.send_unrequested(late))
     assert not second.ended
     harness.answer(upstream)
@@ -140,7 +143,7 @@
 
 
 def test_a_connection_that_was_reset_before_the_request_was_written(harness: RouterHarness) -> None:
-    """The pool's connection ends between its opening and the first write."""
+    """The connection is reset between the connect and the first write."""
     client = harness.client()
     original = harness.model.plane.pool.connect
 
@@ -156,7 +159,7 @@
 
 
 class ExchangeMachine(RuleBasedStateMachine):
-    """Clients, requests and upstreams in any order of events."""
+    """Events of clients and upstreams in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -198,7 +201,7 @@
         upstream = self._pick(self.harness.waiting(), pick)
         assert upstream.run is not None
         if upstream.is_unframed and not upstream.unsent:
-            return  # all of it is sent: its end is the close
+            return  # all bytes are sent: only closing the connection ends the response
         if not upstream.unsent:
             upstream.begin(answer_of(upstream.run, framed=framed), complete=framed)
         self.harness.do(lambda: upstream.send(count))
@@ -240,7 +243,8 @@
         upstream = self._pick([one for one in self.model.upstreams if one.is_open], pick)
         if upstream.is_unframed and upstream.run is not None:
             if upstream.unsent:
-                in_order = False  # nobody could tell that it is not complete
+                # With an end of file the router could not see that the response is truncated.
+                in_order = False
             else:
                 upstream.run.complete = in_order
         self.harness.do(lambda: upstream.close(in_order))
--- a/tests/router/test_exchange_guard.py
+++ b/tests/router/test_exchange_guard.py
@@ -1,4 +1,4 @@
-"""An exception that nobody expected ends one exchange, which gives back all that it holds."""
+"""An unexpected exception ends only its own exchange, which releases all its resources."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PlantedError(Exception):
-    """What nobody expected."""
+    """An unexpected exception, raised by a test."""
 
 
 @pytest.fixture
@@ -75,7 +75,7 @@
 
 
 def assert_nothing_is_in_use(harness: RouterHarness) -> None:
-    """All upstreams are believed idle again, no connection is half used, and nothing waits."""
+    """Asserts that no upstream has a request in flight, and that no exchange is in progress."""
     plane = harness.model.plane
     selector = plane.upstreams.selector("s")
     for name in ("i0", "i1"):
@@ -108,7 +108,7 @@
         sent = harness.request(client, "plain")
         action(harness)
     assert (sent.status, sent.ended) in [(500, True), (200, False), (200, True)]
-    # All bytes of a body with a length may have been relayed before its end.
+    # If the exception is raised at the end of the response, a body with a length has been relayed completely.
     assert sent.status == 500 or not sent.complete or where == "end of the response"
     assert not client.is_open
     failures = [fields for event, fields in logged if event == "exchange_failed"]
@@ -160,7 +160,7 @@
 
 
 def send_oversized_request(harness: RouterHarness, kind: str) -> SentRequest:
-    """A request with a header that upstreams may refuse."""
+    """Sends a request whose head is so large that upstreams may refuse it."""
     client = harness.client()
     (connection,) = harness.model.plane.connections
     connection._h11._max_incomplete_event_size = 100_000  # type: ignore[attr-defined]
--- a/tests/router/test_exchange_planted.py
+++ b/tests/router/test_exchange_planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in the request path: the tests of `test_exchange` must find each."""
+"""Faults planted in the request path. The tests of `test_exchange` must detect each of them."""
 
 from __future__ import annotations
 
@@ -125,5 +125,5 @@
 @pytest.mark.parametrize("plant", FAULTS, ids=lambda plant: plant.__name__)
 def test_the_state_machine_finds_it(plant: Patch, monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
-    with pytest.raises(Exception):  # noqa: B017 — whatever breaks first, the model's check or the parser
+    with pytest.raises(Exception):  # noqa: B017 — either the model's check or the parser fails first
         run_state_machine()
--- a/tests/router/test_exchange_state.py
+++ b/tests/router/test_exchange_state.py
@@ -1,4 +1,4 @@
-"""An exchange changes its state only as the table of transitions has it, and each row of the table is met."""
+"""All state changes of exchanges are in the table of transitions, and each transition of the table occurs."""
 
 from __future__ import annotations
 
--- a/tests/router/test_executions_charged.py
+++ b/tests/router/test_executions_charged.py
@@ -1,4 +1,4 @@
-"""What a tenant pays for attempts that may have been executed, and what its client is told of them."""
+"""The quota charges for attempts that may have been executed, and the status that the client gets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def status(harness: WireHarness) -> str:
-    """Of the answer to the first client."""
+    """The status of the response to the first client."""
     line = next(line for line in harness.lines if line.startswith("to client 0"))
     return line.split(" ")[4]
 
@@ -45,7 +45,7 @@
     for number in range(1, len(harness.upstreams) + 4):
         if number < len(harness.upstreams):
             harness.answer(number, reply(503, "X-Not-Executed: 1"))
-    assert status(harness) == "502", "503 would promise that it has not run"
+    assert status(harness) == "502", "503 would wrongly say that the request was not executed"
     assert charged(harness) >= 100.0
     assert harness.controller.refunded == []
 
--- a/tests/router/test_lying_upstreams.py
+++ b/tests/router/test_lying_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams whose reports are false, the order of urgency, and shares of a split, through whole exchanges."""
+"""Upstreams that falsely report to be ready, request priorities, and traffic splits, tested with whole exchanges."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FleetHarness:
-    """Upstreams that are listed as ready; those in `failing` answer every request with 500."""
+    """Upstreams that are listed as ready. Those in `failing` respond to every request with status 500."""
 
     def __init__(self, harness: RouterHarness) -> None:
         self.harness = harness
@@ -33,24 +33,24 @@
         self.list_upstreams("s", UPSTREAMS)
 
     def list_upstreams(self, service: str, names: list[str]) -> None:
-        """All report that they are ready."""
+        """Adds upstreams of a service, all of which report that they are ready."""
         listed = [Upstream(name, service, f"{name}:1", "z") for name in names]
         self.harness.model.instances.update(names)
         self.harness.do(lambda: self.plane.upstreams.update(listed, 0.0))
 
     def configure(self, route: dict[str, Any], **fields: Any) -> None:
-        """Puts one route in force in place of the model's, at the path of its `safe` requests."""
+        """Replaces the routes of the model by one route, at the path of its `safe` requests."""
         common = {"name": "r", "host": "a", "path_prefix": "/safe/", "kind": "idempotent", "max_attempts": 3}
         document = {"generation": 2, "routes": [{**common, **route}], "services": [], **fields}
         update = ConfigUpdate(2, -1, msgspec.Raw(msgspec.json.encode(document)))
         self.harness.do(lambda: self.plane.configuration.apply(update))
 
     def request(self, headers: str = "") -> SentRequest:
-        """One request, and the answers of all upstreams that get it."""
+        """Sends one request, and lets each upstream that receives it respond."""
         return self.requests(1, headers)[0]
 
     def requests(self, count: int, headers: str = "") -> list[SentRequest]:
-        """So many at once: routers rather use an upstream to which they have an idle connection."""
+        """Sends `count` requests at the same time, as routers prefer upstreams with an idle connection."""
         batch = [self._send(headers) for _ in range(count)]
         while not all(sent.ended for sent in batch):
             for upstream in self.harness.waiting():
@@ -73,7 +73,7 @@
         self.harness.answer(upstream, status=500 if is_failing else 200)
 
     def take_counts(self) -> Counter[str]:
-        """How often each upstream ran a request since the last call."""
+        """Returns the number of requests that each upstream received since the last call."""
         counts = Counter(headers["x-target-instance"] for headers in self.runs)
         self.runs.clear()
         return counts
@@ -89,7 +89,9 @@
 def test_an_upstream_that_reports_ready_but_fails_is_ejected(fleet: FleetHarness) -> None:
     fleet.failing = {"u3"}
     detector = FleetOutlierDetector()
-    assert all(sent.status == 200 for sent in fleet.requests(REQUESTS)), "its failures are retried elsewhere"
+    assert all(
+        sent.status == 200 for sent in fleet.requests(REQUESTS)
+    ), "requests that fail at u3 are retried at other upstreams"
     counts = fleet.take_counts()
     assert counts["u3"] >= 3
     now_ms = fleet.harness.loop.time() * 1000.0
@@ -97,7 +99,7 @@
     assert detector.evaluate([UPSTREAMS], sum_outcomes([report]), now_ms)
     assert detector.ejected == {"u3"}
     fleet.harness.do(lambda: fleet.plane.upstreams.set_ejected(detector.ejected))
-    # It goes on to report that it is ready.
+    # u3 still reports that it is ready.
     fleet.harness.do(
         lambda: fleet.plane.upstreams.update([Upstream("u3", "s", "u3:1", "z", sequence=9)], now_ms)
     )
@@ -107,11 +109,11 @@
     fleet.failing = set()
     fleet.harness.do(lambda: fleet.plane.upstreams.set_ejected(detector.ejected))
     fleet.requests(4 * REQUESTS)
-    assert fleet.take_counts()["u3"] > 0, "once it is well it is used again"
+    assert fleet.take_counts()["u3"] > 0, "after its recovery it is used again"
 
 
 def test_healthy_upstreams_are_used_without_requests_to_a_health_address(fleet: FleetHarness) -> None:
-    """No router asks a health address: the model fails on any request that no client has sent."""
+    """The model fails on any request that no client has sent, so a health check by a router would be detected."""
     assert all(sent.status == 200 for sent in fleet.requests(4 * REQUESTS))
     counts = fleet.take_counts()
     assert sum(counts.values()) == 4 * REQUESTS
@@ -120,8 +122,9 @@
 
 
 def test_the_clock_of_the_harness_stands_still(monkeypatch: pytest.MonkeyPatch) -> None:
-    """However slow the machine is: no timer of the router sends a request again or gives it up."""
-    clock = count(step=30)  # seconds at each look; a request may take 60
+    """No timer of the router retries or aborts a request, however slow the machine is."""
+    # Each reading of the real clock advances it by 30 s; a request times out after 60 s.
+    clock = count(step=30)
     monkeypatch.setattr(asyncio.BaseEventLoop, "time", lambda loop: float(next(clock)))
     harness = RouterHarness()
     sent = harness.request(harness.client(), "safe")
@@ -139,7 +142,7 @@
 def test_the_priority_that_is_forwarded_to_upstreams(
     fleet: FleetHarness, route: int, tenant: int | None, forwarded: str
 ) -> None:
-    """0 is the most urgent: a tenant's goes before the route's, whatever the client states."""
+    """The tenant's priority overrides the route's, and the client's header is ignored. 0 is the most urgent."""
     tenants = [{"name": "t", "api_keys": ["k"], "priority": tenant}]
     fleet.configure({"priority": route, "backend": "s"}, tenants=tenants)
     assert fleet.request("X-Api-Key: k\r\nPriority: 1\r\n").status == 200
@@ -166,6 +169,6 @@
         fleet.runs.clear()
         assert fleet.request().status == 200
         drawn = {headers["x-target-instance"] in small_service for headers in fleet.runs}
-        assert len(drawn) == 1, "a retry went to the other service"
+        assert len(drawn) == 1, "a retry was sent to the other service"
         services[drawn.pop()] += 1
-    assert 160 <= services[True] <= 240  # three standard deviations of 1,000 draws
+    assert 160 <= services[True] <= 240  # the mean of 1,000 draws plus or minus three standard deviations
--- a/tests/router/test_request_metadata.py
+++ b/tests/router/test_request_metadata.py
@@ -1,4 +1,4 @@
-"""Numbers that clients state: bounded, or the request is rejected."""
+"""Numbers in clients' headers are bounded; a request with another value is rejected."""
 
 from __future__ import annotations
 
--- a/tests/router/test_response_classification.py
+++ b/tests/router/test_response_classification.py
@@ -1,4 +1,4 @@
-"""Which responses of upstreams are relayed, and which are discarded because the request may go elsewhere."""
+"""Which responses of upstreams are relayed, and which are discarded because the request may be retried."""
 
 from __future__ import annotations
 
--- a/tests/router/test_retry_allowance.py
+++ b/tests/router/test_retry_allowance.py
@@ -1,4 +1,4 @@
-"""How often one request may be sent."""
+"""The limits on the attempts of one request."""
 
 from __future__ import annotations
 
--- a/tests/router/test_wire_golden.py
+++ b/tests/router/test_wire_golden.py
@@ -1,7 +1,7 @@
-"""The bytes that a router writes to upstreams and clients, and its debug lines, against a stored transcript.
+"""Compares the bytes that a router writes to upstreams and clients, and its debug log, with stored transcripts.
 
-Each harness below has one. `data/router_wire.txt` was written by the router of 2 December 2026,
-before its modules were renamed.
+`data/router_wire.txt` has one transcript per scenario, under the name of the scenario's function. It was written by
+the router of 2 December 2026, before its modules were renamed.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
 
 class WireHarness:
-    """A router's data plane in a loop whose time the test moves, and all that it writes."""
+    """A router's data plane in an event loop whose clock the test advances. Records all that the router writes."""
 
     def __init__(self) -> None:
         self.now_s = 1_000.0
@@ -103,7 +103,7 @@
         return plane
 
     def do(self, call: Callable[[], T]) -> T:
-        """Calls inside the loop, and lets all happen that follows."""
+        """Calls `call` inside the event loop, and runs the loop until its consequences are complete."""
 
         async def inside() -> T:
             found = call()
@@ -114,7 +114,7 @@
         return self.loop.run_until_complete(inside())
 
     def configure(self, *, tenants: bool = False) -> None:
-        """Puts the configuration in force, and four upstreams of each service."""
+        """Applies the configuration, and adds four upstreams for each of the services `s` and `e`."""
         document = {**CONFIGURATION, "tenants": TENANTS if tenants else []}
         update = ConfigUpdate(1, -1, msgspec.Raw(msgspec.json.encode(document)))
         listed = [
@@ -134,12 +134,12 @@
         self.do(apply)
 
     def wait(self, seconds: float) -> None:
-        """Time passes, with all that is due in it."""
+        """Advances the clock, and runs the timers that are due."""
         self.now_s += seconds
         self.do(lambda: None)
 
     def client(self) -> FakeTransport:
-        """A new connection of a client."""
+        """Opens a new connection of a client."""
         number = len(self.clients)
 
         def connect() -> FakeTransport:
@@ -155,21 +155,21 @@
         return transport
 
     def request(self, data: bytes, client: FakeTransport | None = None) -> FakeTransport:
-        """A client's bytes, on a connection of its own where none is given."""
+        """Sends bytes of a client, on a new connection unless `client` is given."""
         used = client if client is not None else self.client()
         self.do(lambda: used.deliver(data))
         return used
 
     def answer(self, number: int, data: bytes) -> None:
-        """An upstream's bytes, on the connection that was opened as that one."""
+        """Sends bytes of an upstream. `number`: the connection, in the order of opening."""
         self.do(lambda: self.upstreams[number].deliver(data))
 
     def reset(self, number: int) -> None:
-        """That connection ends."""
+        """Resets the connection to an upstream. `number`: the connection, in the order of opening."""
         self.do(lambda: self.upstreams[number].end(ConnectionResetError()))
 
     def collect_lines(self) -> list[str]:
-        """Who was closed, behind what was written."""
+        """The recorded lines, followed by the connections that were closed and the counts of errors."""
         for name, transports in (("client", self.clients), ("upstream", self.upstreams)):
             self.lines += [
                 f"{name} {number} closed" for number, one in enumerate(transports) if one.is_closing()
@@ -191,7 +191,7 @@
 
 
 class RecordingPool(UpstreamPool):
-    """Opens connections to the test."""
+    """A pool that opens fake connections and records what the router writes to them."""
 
     def __init__(self, harness: WireHarness) -> None:
         super().__init__()
@@ -214,14 +214,14 @@
 
 
 def head(method: str, target: str, *more: str, host: str = "a.example", body: bytes = b"") -> bytes:
-    """A client's request."""
+    """The bytes of a client's request."""
     length = [f"Content-Length: {len(body)}"] if body else []
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}", "X-Request-Id: r-1", *more, *length]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
 def reply(status: int = 200, *more: str, body: bytes = b"ok") -> bytes:
-    """An upstream's whole answer."""
+    """The bytes of an upstream's complete response."""
     lines = [f"HTTP/1.1 {status} X", "X-Request-Id: r-1", "X-Server-Signature: sig", *more]
     return ("\r\n".join(lines) + f"\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
 
@@ -371,7 +371,7 @@
     harness.answer(0, reply(200, "X-Server-Load: 2,0,16"))
 
 
-# The router's own answers
+# Error responses of the router itself, by the values of `ErrorKind`
 
 
 def bad_request(harness: WireHarness) -> None:
@@ -503,7 +503,7 @@
 
 
 class LogRecorder(picologging.Handler):
-    """Puts the program's log lines between what it writes, without their time and the process' name."""
+    """Adds the router's log lines to the recorded lines, without their time and the name of the process."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -532,7 +532,7 @@
 
 
 def run_scenario(scenario: Callable[[WireHarness], None]) -> list[str]:
-    """What a scenario writes."""
+    """Runs a scenario; returns the lines that it recorded."""
     harness = LOG_RECORDER.harness = WireHarness()
     try:
         scenario(harness)
@@ -543,7 +543,7 @@
 
 
 def stored_transcripts() -> dict[str, list[str]]:
-    """The transcripts by the name of their scenario."""
+    """The stored transcripts, by the name of their scenario."""
     found: dict[str, list[str]] = {}
     for line in TRANSCRIPT_FILE.read_text().splitlines():
         if line.startswith("== "):
