--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -42,9 +42,8 @@
     instance: str
     tenant: str | None
     priority: int
-    last_event_id: (
-        bytes | None
-    )  # id after which a stream is resumed; None: the client's own header is forwarded
+    # The id after which a stream is resumed; None: the client's own header is forwarded.
+    last_event_id: bytes | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +81,7 @@
         return self.target.decode("latin-1").partition("?")[0]
 
     def prompt(self, target_ms: float) -> Prompt:
-        """The prompt that an engine has to prefill. Its prefix is named after its last block that is not its own.
+        """The prompt that an engine has to prefill. The last block of its prefix gives the prefix its name.
 
         The last block of `X-Prompt-Prefix` belongs to this request or its session alone; the blocks before it are
         the prefix, which other requests may share.
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -128,7 +128,7 @@
             self._begin_attempts(admit(self._plane, authorized, verdict, self._now_ms()))
 
     def _begin_attempts(self, admitted: Admission) -> None:
-        """Look up the engine that owns the prompt's prefix, if the prefix is placed, and start the first attempt."""
+        """Look up the owner of the prompt's prefix, if the controllers place it, then start the first attempt."""
         self._admission = admitted
         budget = self._plane.retry_budgets.budget(admitted.service)
         self._retries = RetryAllowance(admitted.route.max_attempts, budget)
--- a/larkweir/router/node.py
+++ b/larkweir/router/node.py
@@ -21,7 +21,7 @@
 MAX_READY_BODY_BYTES = 1_024
 TICK_S = 0.1
 QUOTA_LOG_EVERY_TICKS = 10
-EXPIRY_EVERY_TICKS = 10  # how often idle connections to upstreams are expired
+EXPIRY_EVERY_TICKS = 10  # interval between two expiries of idle connections to upstreams
 
 
 class Router:
