--- a/larkweir/router/quota_admission.py
+++ b/larkweir/router/quota_admission.py
@@ -115,7 +115,7 @@
             on_verdict(QuotaCharge(tenant, 0.0, AdmissionRule.UNLIMITED))
             return
         begin = partial(self._begin, tenant, units, self._timeout.seconds(body_bytes), on_verdict)
-        if self._requester.has_granting:
+        if self._requester.has_granting_controller:
             begin()
         elif (verdict := self._verdict_by_statuses(tenant, units, limit)) is not None:
             on_verdict(verdict)
@@ -175,7 +175,7 @@
             self._without_share.add(node)
         else:
             self._without_share.discard(node)
-        if self._requester.has_granting or not self._without_share:
+        if self._requester.has_granting_controller or not self._without_share:
             self._share_wait.resume()
 
     def usage(self, controller: str) -> dict[str, float]:
--- a/packages/quotas/src/larkweir_quotas/local_reserve.py
+++ b/packages/quotas/src/larkweir_quotas/local_reserve.py
@@ -20,7 +20,7 @@
 ISOLATED_FRACTION = 0.5  # of an equal part of a limit's rate: what an isolated process gets
 ISOLATION_NOTICE_MS = 2_000.0  # within which controllers notice that a process has lost them
 REFILL_FRACTION = 0.25  # of its capacity, by which a reserve refills in each window
-ISOLATED_SAVING_S = 1.0  # of an isolated process' rate, which it may save up beside that
+ISOLATED_BURST_S = 1.0  # of an isolated process' rate, which it may save up beside that
 
 
 @dataclass(slots=True)
@@ -42,10 +42,10 @@
 
     def __post_init__(self) -> None:
         """Draw the first threshold."""
-        self._draw()
+        self._draw_threshold()
 
     def refill(
-        self, limit: RateLimit, tolerance: Tolerance, processes: int, isolated_ms: float, now_ms: float
+        self, limit: RateLimit, tolerance: Tolerance, processes: int, isolated_since_ms: float, now_ms: float
     ) -> None:
         """Add what has accrued since the last refill.
 
@@ -53,26 +53,26 @@
             limit: of all processes together.
             tolerance: by how much it may be exceeded.
             processes: that share it equally.
-            isolated_ms: since when no controller hands out units to this process; infinite: one does.
+            isolated_since_ms: since when no controller hands out units to this process; infinite: one does.
             now_ms: the present.
         """
         capacity = RESERVES_FRACTION * tolerance.units(limit) / processes
         slow_per_s = REFILL_FRACTION * capacity / tolerance.window_s
         elapsed_s = max(0.0, now_ms - self.updated_ms) / 1000.0
-        noticed_ms = isolated_ms + ISOLATION_NOTICE_MS
-        isolated_s = max(0.0, now_ms - max(self.updated_ms, noticed_ms)) / 1000.0
+        isolation_noticed_ms = isolated_since_ms + ISOLATION_NOTICE_MS
+        isolated_s = max(0.0, now_ms - max(self.updated_ms, isolation_noticed_ms)) / 1000.0
         isolated_per_s = ISOLATED_FRACTION * limit.rate_per_s / processes
         self._rounding = 1.0 - 1.0 / processes
         accrued = slow_per_s * elapsed_s + isolated_per_s * isolated_s
-        is_noticed = now_ms >= noticed_ms
-        if is_noticed:
-            capacity += isolated_per_s * ISOLATED_SAVING_S
+        is_isolation_noticed = now_ms >= isolation_noticed_ms
+        if is_isolation_noticed:
+            capacity += isolated_per_s * ISOLATED_BURST_S
         self.level = min(capacity, self.level + accrued)
         self.updated_ms = max(self.updated_ms, now_ms)
         # A full reserve gains no more by waiting, so each time that it could have been filled counts as one more draw.
-        per_s = isolated_per_s if is_noticed else slow_per_s
+        per_s = isolated_per_s if is_isolation_noticed else slow_per_s
         if per_s * (self.updated_ms - self._drawn_ms) / 1000.0 >= capacity:
-            self._draw()
+            self._draw_threshold()
 
     def admits(self, units: float) -> bool:
         """Whether a request of that size may be admitted now; to be charged then."""
@@ -85,12 +85,12 @@
     def charge(self, units: float) -> None:
         """Withdraw what was admitted."""
         self.level -= units
-        self._draw()
+        self._draw_threshold()
 
     def refund(self, units: float) -> None:
         """Return what was charged for a request that was never executed."""
         self.level += units
 
-    def _draw(self) -> None:
+    def _draw_threshold(self) -> None:
         self._threshold_fraction = self.rng.random()
         self._drawn_ms = self.updated_ms
--- a/packages/quotas/src/larkweir_quotas/quota_allocator.py
+++ b/packages/quotas/src/larkweir_quotas/quota_allocator.py
@@ -22,7 +22,7 @@
 from larkweir_quotas.share_leases import TOTAL_SHARE
 from larkweir_quotas.token_bucket import TokenBucket
 
-LARGEST_RETENTION = 0.98  # of the largest request's size, at each further request
+LARGEST_REQUEST_DECAY = 0.98  # of the largest request's size, at each further request
 MAX_THRESHOLD_FRACTION = 0.5  # of a bucket's capacity
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 5.0
@@ -75,7 +75,7 @@
         A large request may leave a debt of `max_debt`; where the bucket holds little more than such a request, a
         larger one.
         """
-        self.largest_units = max(units, LARGEST_RETENTION * self.largest_units)
+        self.largest_units = max(units, LARGEST_REQUEST_DECAY * self.largest_units)
         threshold = max(0.0, self.largest_units - self.max_debt)
         return min(threshold, MAX_THRESHOLD_FRACTION * self.bucket.limit.burst)
 
@@ -105,15 +105,15 @@
             is_restart: tenants that are new here may have used their limits before.
         """
         self._refill_all(now_ms)
-        self._tenants = {tenant: one for tenant, one in self._tenants.items() if tenant in limits}
+        self._tenants = {tenant: quota for tenant, quota in self._tenants.items() if tenant in limits}
         for tenant, limit in limits.items():
-            known = self._tenants.get(tenant)
+            quota = self._tenants.get(tenant)
             tolerated = self._tolerance.units(limit) / controllers
-            if known is None:
+            if quota is None:
                 part = limit.burst / controllers
                 level = min(part, RESTARTS_FRACTION * tolerated) if is_restart else part
-                known = self._tenants[tenant] = _TenantQuota(limit, TokenBucket(limit, level, now_ms))
-            known.fleet_limit, known.max_debt = limit, DEBTS_FRACTION * tolerated
+                quota = self._tenants[tenant] = _TenantQuota(limit, TokenBucket(limit, level, now_ms))
+            quota.fleet_limit, quota.max_debt = limit, DEBTS_FRACTION * tolerated
         self._apply_share()
 
     def set_share(self, share: int, expires_ms: float, now_ms: float) -> None:
@@ -147,31 +147,31 @@
         check_units(units)
         if not self.has_share(now_ms):
             return UNDECIDED
-        known = self._tenants.get(tenant)
-        if known is None:
+        quota = self._tenants.get(tenant)
+        if quota is None:
             return GRANTED
-        known.bucket.refill(now_ms)
-        missing = known.threshold(units) - known.bucket.level
+        quota.bucket.refill(now_ms)
+        missing = quota.threshold(units) - quota.bucket.level
         if missing > 0.0:
             self.refused_units[tenant] = self.refused_units.get(tenant, 0.0) + units
-            return QuotaDecision(QuotaOutcome.REFUSED, _retry_after_s(missing, known.bucket.limit.rate_per_s))
-        known.bucket.charge(units)
+            return QuotaDecision(QuotaOutcome.REFUSED, _retry_after_s(missing, quota.bucket.limit.rate_per_s))
+        quota.bucket.charge(units)
         self.granted_units[tenant] = self.granted_units.get(tenant, 0.0) + units
         return GRANTED
 
     def charge(self, tenant: str, units: float, now_ms: float) -> None:
         """Withdraw what was used without a request for it, into debt if need be."""
-        known = self._tenants.get(tenant)
-        if known is not None:
-            known.bucket.refill(min(now_ms, self._expires_ms))
-            known.bucket.charge(units)
+        quota = self._tenants.get(tenant)
+        if quota is not None:
+            quota.bucket.refill(min(now_ms, self._expires_ms))
+            quota.bucket.charge(units)
 
     def refund(self, tenant: str, units: float, now_ms: float) -> None:
         """Take back units that this controller granted to a process and that were not used."""
-        known = self._tenants.get(tenant)
-        if known is not None:
-            known.bucket.refill(min(now_ms, self._expires_ms))
-            known.bucket.refund(units)
+        quota = self._tenants.get(tenant)
+        if quota is not None:
+            quota.bucket.refill(min(now_ms, self._expires_ms))
+            quota.bucket.refund(units)
 
     def has_share(self, now_ms: float) -> bool:
         """Whether this controller may hand out anything now."""
@@ -187,12 +187,12 @@
             return {}
         statuses = {}
         for tenant in tenants:
-            known = self._tenants.get(tenant)
-            if known is not None:
-                known.bucket.refill(now_ms)
+            quota = self._tenants.get(tenant)
+            if quota is not None:
+                quota.bucket.refill(now_ms)
                 fleet_factor = TOTAL_SHARE / self._share
-                used_per_s = round(known.bucket.used_per_s * fleet_factor)
-                level = round(known.bucket.level * fleet_factor)
+                used_per_s = round(quota.bucket.used_per_s * fleet_factor)
+                level = round(quota.bucket.level * fleet_factor)
                 statuses[tenant] = QuotaStatus(level, used_per_s, level <= 0)
         return statuses
 
@@ -202,16 +202,16 @@
 
     def _refill_all(self, now_ms: float) -> None:
         """Nothing accrues behind the end of a lease."""
-        for one in self._tenants.values():
-            one.bucket.refill(min(now_ms, self._expires_ms))
-            one.bucket.updated_ms = now_ms
+        for quota in self._tenants.values():
+            quota.bucket.refill(min(now_ms, self._expires_ms))
+            quota.bucket.updated_ms = now_ms
 
     def _apply_share(self) -> None:
         """Set the buckets' rates and capacities. Without a share they keep their levels, which nobody can use then."""
         part = self._share / TOTAL_SHARE
-        for one in self._tenants.values():
-            rate_per_s = one.fleet_limit.rate_per_s * part * self._rate_fraction
-            one.bucket.set_limit(RateLimit(rate_per_s, one.fleet_limit.burst * (part or 1.0)))
+        for quota in self._tenants.values():
+            rate_per_s = quota.fleet_limit.rate_per_s * part * self._rate_fraction
+            quota.bucket.set_limit(RateLimit(rate_per_s, quota.fleet_limit.burst * (part or 1.0)))
 
 
 def _retry_after_s(missing: float, rate_per_s: float) -> float:
--- a/packages/quotas/src/larkweir_quotas/quota_requester.py
+++ b/packages/quotas/src/larkweir_quotas/quota_requester.py
@@ -117,8 +117,8 @@
         self.process_count = 0
         self._limits: dict[str, RateLimit] = {}
         self._tenants: dict[str, _TenantState] = {}
-        self._granting: set[str] = set()  # controllers in reach that hold a share
-        self._isolated_ms = -math.inf
+        self._granting_controllers: set[str] = set()  # controllers in reach that hold a share
+        self._isolated_since_ms = -math.inf
         self._pending: dict[int, _Pending] = {}
         self._request_ids = count(1)
 
@@ -135,21 +135,21 @@
         return self._limits
 
     @property
-    def has_granting(self) -> bool:
+    def has_granting_controller(self) -> bool:
         """Whether any controller in reach holds a share."""
-        return bool(self._granting)
+        return bool(self._granting_controllers)
 
     def set_granting(self, controller: str, now_ms: float, *, is_granting: bool) -> None:
         """A controller in reach says whether it holds a share, or it was lost."""
         if is_granting:
-            if not self._granting:
+            if not self._granting_controllers:
                 self._refill_all(now_ms)
-            self._granting.add(controller)
-            self._isolated_ms = math.inf
-        elif controller in self._granting:
-            self._granting.discard(controller)
-            if not self._granting:
-                self._isolated_ms = now_ms
+            self._granting_controllers.add(controller)
+            self._isolated_since_ms = math.inf
+        elif controller in self._granting_controllers:
+            self._granting_controllers.discard(controller)
+            if not self._granting_controllers:
+                self._isolated_since_ms = now_ms
 
     def begin(self, tenant: str, units: float, now_ms: float) -> Step:
         """Admit a request, reject it, or tell whom to query.
@@ -168,7 +168,7 @@
         state = self._state(tenant, now_ms)
         if now_ms < state.backoff_until_ms:
             return self.rejection((state.backoff_until_ms - now_ms) / 1000.0, AdmissionRule.BACKOFF)
-        controllers = sorted(self._granting)
+        controllers = sorted(self._granting_controllers)
         self._rng.shuffle(controllers)
         return self._query_next(next(self._request_ids), _Pending(tenant, units, controllers), now_ms)
 
@@ -214,9 +214,9 @@
         """A request is executed once more. Returns the controller to be told of that; None: the reserve was charged."""
         if charge.units == 0.0:
             return None
-        if self._granting:
-            is_granting = charge.controller in self._granting
-            return charge.controller if is_granting else self._rng.choice(sorted(self._granting))
+        if self._granting_controllers:
+            is_granting = charge.controller in self._granting_controllers
+            return charge.controller if is_granting else self._rng.choice(sorted(self._granting_controllers))
         self._state(charge.tenant, now_ms).reserve.charge(charge.units)
         return None
 
@@ -227,7 +227,7 @@
     def _query_next(self, request_id: int, pending: _Pending, now_ms: float) -> Step:
         while pending.controllers and pending.unanswered < MAX_UNANSWERED:
             controller = pending.controllers.pop()
-            if controller in self._granting:
+            if controller in self._granting_controllers:
                 pending.queried = controller
                 self._pending[request_id] = pending
                 return Query(request_id, controller, pending.tenant, pending.units)
@@ -278,7 +278,7 @@
         limit = self._limits.get(tenant)
         if limit is not None and self.process_count:
             reserve = state.reserve
-            reserve.refill(limit, self._tolerance, self.process_count, self._isolated_ms, now_ms)
+            reserve.refill(limit, self._tolerance, self.process_count, self._isolated_since_ms, now_ms)
         else:
             state.reserve.updated_ms = now_ms
 
--- a/packages/quotas/src/larkweir_quotas/retry_budget.py
+++ b/packages/quotas/src/larkweir_quotas/retry_budget.py
@@ -51,8 +51,12 @@
     def try_consume(self, now_ms: float) -> bool:
         """Count one more retry, and return True, where the budget allows it."""
         self._expire(now_ms)
-        earned = RATIO_FRACTION * self._ratio * len(self._requests)
-        allowed = earned + SLACK_FRACTION * self._slack / max(1, self.process_count) + self._round_up(now_ms)
+        allowed_by_ratio = RATIO_FRACTION * self._ratio * len(self._requests)
+        allowed = (
+            allowed_by_ratio
+            + SLACK_FRACTION * self._slack / max(1, self.process_count)
+            + self._round_up(now_ms)
+        )
         if len(self._retries) + 1 > allowed:
             return False
         self._retries.append(now_ms)
--- a/packages/quotas/src/larkweir_quotas/share_leases.py
+++ b/packages/quotas/src/larkweir_quotas/share_leases.py
@@ -19,7 +19,7 @@
 
 TOTAL_SHARE = 1_000_000  # units of share that a limit is divided into
 LEASE_MS = 2_000.0
-URGENT_CHANGE = (
+URGENT_SHARE_CHANGE = (
     TOTAL_SHARE // 50
 )  # by which an offer must differ from what its holder has, to be sent ahead of time
 
@@ -99,7 +99,7 @@
     def __init__(self, term: Term, now_ms: float) -> None:
         """Begin a term. No earlier primary may grant anything from now on."""
         self.term = term
-        self._begun_ms = now_ms
+        self._started_ms = now_ms
         self._leases: dict[str, _Lease] = {}
 
     def record_claim(self, holder: str, claim: ShareClaim, now_ms: float) -> None:
@@ -112,8 +112,8 @@
         lease.clients = claim.clients
         lease.is_confirmed = is_confirmed
         # A process that has accepted no offer yet holds nothing: what its predecessor held ended with it.
-        is_known = is_confirmed or claim.term == NO_TERM
-        lease.share = claim.share if is_known else max(lease.share, claim.share)
+        is_exact = is_confirmed or claim.term == NO_TERM
+        lease.share = claim.share if is_exact else max(lease.share, claim.share)
 
     def offer(self, holder: str, claim: ShareClaim, members: Collection[str], now_ms: float) -> ShareOffer:
         """Grant a lease in answer to that claim, which is the last one of its holder."""
@@ -128,7 +128,7 @@
         if claim.term != self.term:
             return True
         share = self._next_share(holder, claim, members, now_ms)
-        return abs(share - claim.share) >= URGENT_CHANGE
+        return abs(share - claim.share) >= URGENT_SHARE_CHANGE
 
     def _next_share(self, holder: str, claim: ShareClaim, members: Collection[str], now_ms: float) -> int:
         self._forget_expired(now_ms)
@@ -136,7 +136,7 @@
             self.record_claim(holder, claim, now_ms)
         if holder not in members:
             return 0
-        if not self._knows_all(members, now_ms):
+        if not self._knows_all_leases(members, now_ms):
             return claim.share
         others = sum(lease.share for node, lease in self._leases.items() if node != holder)
         return min(self._target(holder, members), TOTAL_SHARE - others)
@@ -149,9 +149,9 @@
             return TOTAL_SHARE // max(1, len(clients))
         return TOTAL_SHARE * clients.get(holder, 0) // total
 
-    def _knows_all(self, members: Collection[str], now_ms: float) -> bool:
+    def _knows_all_leases(self, members: Collection[str], now_ms: float) -> bool:
         """Whether every lease that may be in force is in this ledger."""
-        if now_ms >= self._begun_ms + LEASE_MS:
+        if now_ms >= self._started_ms + LEASE_MS:
             return True
         leases = (self._leases.get(member) for member in members)
         return all(lease is not None and lease.is_confirmed for lease in leases)
--- a/packages/quotas/tests/quota_controllers.py
+++ b/packages/quotas/tests/quota_controllers.py
@@ -19,7 +19,7 @@
     TENANT,
     TICK_MS,
     Controller,
-    Site,
+    FleetConfig,
 )
 
 
@@ -28,18 +28,18 @@
 
     Attributes:
         split: controllers that do not reach the others; they reach each other.
-        most_shares: that were in force at once.
+        max_total_share: that were in force at once.
     """
 
-    def __init__(self, site: Site, seed: int) -> None:
-        self.site = site
+    def __init__(self, config: FleetConfig, seed: int) -> None:
+        self.config = config
         self.rng = Random(seed)
         self.now_ms = 0.0
-        self.limit = site.limit
-        self.tenants = [TENANT, *(f"{TENANT}{number}" for number in range(1, site.tenants))]
-        self.split: set[int] = set()
-        self.most_shares = 0
-        self.controllers: list[Controller | None] = [None] * site.controllers
+        self.limit = config.limit
+        self.tenants = [TENANT, *(f"{TENANT}{number}" for number in range(1, config.tenants))]
+        self.split_controllers: set[int] = set()
+        self.max_total_share = 0
+        self.controllers: list[Controller | None] = [None] * config.controllers
         self._term = 0
         self._primary: int | None = None
         self._election_ms = 0.0
@@ -61,7 +61,7 @@
         return dict.fromkeys(self.tenants, self.limit)
 
     def _reach_each_other(self, one: int, other: int) -> bool:
-        return (one in self.split) == (other in self.split)
+        return (one in self.split_controllers) == (other in self.split_controllers)
 
     def _has_majority(self, number: int) -> bool:
         alive = [
@@ -72,19 +72,19 @@
             and controller.has_limits
             and self._reach_each_other(number, other)
         ]
-        return 2 * len(alive) > self.site.controllers
+        return 2 * len(alive) > self.config.controllers
 
     def _tick(self) -> None:
         self._renew_leader()
         for number, controller in enumerate(self.controllers):
             if controller is not None and not controller.is_frozen and controller.has_limits:
                 self._update_reserve(controller)
-                if self._certain_term(number) is not None:
+                if self._leased_term(number) is not None:
                     claim = controller.holder.claim(len(controller.connected), self.now_ms)
                     self._record_claim(number, number, claim)
                     self._accept(controller, self._offer(number, number, claim), self.now_ms)
         shares = (one.holder.share(self.now_ms) for one in self.controllers if one is not None)
-        self.most_shares = max(self.most_shares, sum(shares))
+        self.max_total_share = max(self.max_total_share, sum(shares))
         self.at(self.now_ms + TICK_MS, self._tick)
 
     def _renew_leader(self) -> None:
@@ -114,7 +114,7 @@
         self._primary = None
         self._election_ms = self.now_ms + LEADER_LEASE_MS + self.rng.uniform(*ELECTION_MS)
 
-    def _certain_term(self, number: int) -> Term | None:
+    def _leased_term(self, number: int) -> Term | None:
         controller = self.controllers[number]
         if number != self._primary or controller is None or controller.lease_table is None:
             return None
@@ -122,7 +122,7 @@
         return controller.lease_table.term if self.now_ms < until_ms else None
 
     def _members(self) -> list[str]:
-        return [str(number) for number in range(self.site.controllers)]
+        return [str(number) for number in range(self.config.controllers)]
 
     def _record_claim(self, primary: int, holder: int, claim: ShareClaim) -> None:
         controller = self.controllers[primary]
@@ -167,14 +167,14 @@
             return
         self._record_claim(primary, number, claim)
         is_urgent = lease_table.is_urgent(str(number), claim, self._members(), self.now_ms)
-        answer_ms = self.now_ms + (0.0 if is_urgent else self.site.report_ms)
+        answer_ms = self.now_ms + (0.0 if is_urgent else self.config.report_ms)
         self.at(answer_ms, lambda: self._answer_claim(number, controller, primary, claim, claimed_ms))
 
     def _table_of(self, primary: int, holder: int) -> LeaseTable | None:
         one = self.controllers[primary]
         if one is None or one.is_frozen or not self._reach_each_other(primary, holder):
             return None
-        return one.lease_table if self._certain_term(primary) is not None else None
+        return one.lease_table if self._leased_term(primary) is not None else None
 
     def _answer_claim(
         self, number: int, controller: Controller, primary: int, claim: ShareClaim, claimed_ms: float
--- a/packages/quotas/tests/quota_faults.py
+++ b/packages/quotas/tests/quota_faults.py
@@ -31,39 +31,39 @@
 
     def clear(self) -> None:
         """End all faults."""
-        self.fleet.cut.clear()
-        self.fleet.split.clear()
+        self.fleet.cut_links.clear()
+        self.fleet.split_controllers.clear()
 
     def _cut_controller(self, for_ms: float) -> None:
-        number = self.rng.randrange(self.fleet.site.controllers)
-        self.fleet.cut = {(router, number) for router in range(len(self.fleet.routers))}
+        number = self.rng.randrange(self.fleet.config.controllers)
+        self.fleet.cut_links = {(router, number) for router in range(len(self.fleet.routers))}
 
     def _cut_routers(self, for_ms: float) -> None:
         some = self.rng.sample(range(len(self.fleet.routers)), max(1, len(self.fleet.routers) // 3))
-        controllers = range(self.fleet.site.controllers)
-        self.fleet.cut = {(router, number) for router in some for number in controllers}
+        controllers = range(self.fleet.config.controllers)
+        self.fleet.cut_links = {(router, number) for router in some for number in controllers}
 
     def _cut_all(self, for_ms: float) -> None:
-        routers, controllers = range(len(self.fleet.routers)), range(self.fleet.site.controllers)
-        self.fleet.cut = {(router, number) for router in routers for number in controllers}
+        routers, controllers = range(len(self.fleet.routers)), range(self.fleet.config.controllers)
+        self.fleet.cut_links = {(router, number) for router in routers for number in controllers}
 
     def _split(self, for_ms: float) -> None:
-        self.fleet.split = set(
-            self.rng.sample(range(self.fleet.site.controllers), self.fleet.site.controllers // 2)
+        self.fleet.split_controllers = set(
+            self.rng.sample(range(self.fleet.config.controllers), self.fleet.config.controllers // 2)
         )
 
     def _freeze(self, for_ms: float) -> None:
-        self.fleet.freeze_controller(self.rng.randrange(self.fleet.site.controllers), for_ms)
+        self.fleet.freeze_controller(self.rng.randrange(self.fleet.config.controllers), for_ms)
 
     def _restart_controller(self, for_ms: float) -> None:
-        number = self.rng.randrange(self.fleet.site.controllers)
+        number = self.rng.randrange(self.fleet.config.controllers)
         self.fleet.kill_controller(number)
-        self.fleet.return_controller(number)
+        self.fleet.start_controller(number)
 
     def _restart_all(self, for_ms: float) -> None:
-        for number in range(self.fleet.site.controllers):
+        for number in range(self.fleet.config.controllers):
             self.fleet.kill_controller(number)
-            self.fleet.return_controller(number)
+            self.fleet.start_controller(number)
 
     def _restart_router(self, for_ms: float) -> None:
         self.fleet.restart_router(self.rng.randrange(len(self.fleet.routers)))
--- a/packages/quotas/tests/quota_fleet.py
+++ b/packages/quotas/tests/quota_fleet.py
@@ -24,9 +24,9 @@
     SILENCE_MS,
     TENANT,
     Controller,
+    FleetConfig,
     Request,
     Router,
-    Site,
 )
 
 
@@ -39,20 +39,20 @@
         max_latency_ms: of a message.
     """
 
-    def __init__(self, site: Site, seed: int) -> None:
-        super().__init__(site, seed)
+    def __init__(self, config: FleetConfig, seed: int) -> None:
+        super().__init__(config, seed)
         self.demand_per_s = 0.0  # of each tenant
-        self.cut: set[tuple[int, int]] = set()
-        self.deaf: set[tuple[int, int]] = set()
+        self.cut_links: set[tuple[int, int]] = set()
+        self.one_way_links: set[tuple[int, int]] = set()
         self.max_latency_ms = MAX_LATENCY_MS
         self.admitted: dict[str, list[tuple[float, float]]] = {tenant: [] for tenant in self.tenants}
         self.rejected: list[tuple[float, float]] = []  # first tries only
         self.by_rule: dict[AdmissionRule, float] = {}
         self._links: dict[tuple[int, int], int] = {}  # number of the connection, for events of an earlier one
         self._received_ms: dict[tuple[int, int], float] = {}  # by the router of the controller
-        self.routers = [self._router() for _ in range(site.routers)]
-        for number in range(site.controllers):
-            self.return_controller(number, limits_after_ms=0.0, is_first=True)
+        self.routers = [self._router() for _ in range(config.routers)]
+        for number in range(config.controllers):
+            self.start_controller(number, limits_after_ms=0.0, is_first=True)
         self.at(0.0, self._next_request)
         self.at(0.0, self._tick)
 
@@ -66,26 +66,26 @@
         is_silent = self.rng.random() < 0.3
         for router in range(len(self.routers)):
             if (router, number) in self._links and not is_silent:
-                self._lose(router, number)
+                self._disconnect(router, number)
 
-    def return_controller(
+    def start_controller(
         self, number: int, limits_after_ms: float | None = None, *, is_first: bool = False
     ) -> None:
         """A controller starts empty; it learns the limits after a while, and routers reach it one after another."""
-        allocator = QuotaAllocator(self.site.tolerance)
+        allocator = QuotaAllocator(self.config.tolerance)
         controller = self.controllers[number] = Controller(self.now_ms, allocator)
         after_ms = self.rng.uniform(0.0, MAX_LIMITS_MS) if limits_after_ms is None else limits_after_ms
-        self.at(self.now_ms + after_ms, lambda: self._know_limits(controller, is_first=is_first))
+        self.at(self.now_ms + after_ms, lambda: self._learn_limits(controller, is_first=is_first))
         self.at(self.now_ms + after_ms, lambda: self._claim(number, controller))
         for router in range(len(self.routers)):
-            self._lose(router, number)
+            self._disconnect(router, number)
 
-    def _know_limits(self, controller: Controller, *, is_first: bool) -> None:
+    def _learn_limits(self, controller: Controller, *, is_first: bool) -> None:
         controller.has_limits = True
         self._set_limits_at(controller, is_restart=not is_first)
 
     def _set_limits_at(self, controller: Controller, *, is_restart: bool = False) -> None:
-        controllers = self.site.controllers
+        controllers = self.config.controllers
         controller.allocator.set_limits(
             self._limits(), self.now_ms, controllers=controllers, is_restart=is_restart
         )
@@ -100,24 +100,24 @@
     def restart_router(self, number: int) -> None:
         """A router starts again, without any memory."""
         self.routers[number] = self._router()
-        for controller in range(self.site.controllers):
-            self._lose(number, controller)
+        for controller in range(self.config.controllers):
+            self._disconnect(number, controller)
 
     def add_routers(self, routers: int) -> None:
         """More routers start, beside those that are there."""
         for number in range(len(self.routers), len(self.routers) + routers):
             self.routers.append(self._router())
-            for controller in range(self.site.controllers):
-                self._lose(number, controller)
+            for controller in range(self.config.controllers):
+                self._disconnect(number, controller)
 
     def freeze_router(self, number: int, for_ms: float) -> None:
         """A router's machine stops; what was sent to it meanwhile is read all at once."""
         router = self.routers[number]
         if not router.is_frozen:
             router.is_frozen = True
-            self.at(self.now_ms + for_ms, lambda: self._thaw(number, router))
+            self.at(self.now_ms + for_ms, lambda: self._unfreeze(number, router))
 
-    def _thaw(self, number: int, router: Router) -> None:
+    def _unfreeze(self, number: int, router: Router) -> None:
         router.is_frozen = False
         if self.routers[number] is not router:  # killed meanwhile
             return
@@ -154,54 +154,55 @@
                 self._set_limits_at(controller)
 
     def _router(self) -> Router:
-        requester = QuotaRequester(self.site.tolerance, Random(self.rng.random()))
+        requester = QuotaRequester(self.config.tolerance, Random(self.rng.random()))
         requester.set_limits(self._limits(), self.now_ms)
         return Router(requester, self.now_ms)
 
     # Connections
 
-    def _lose(self, router: int, number: int) -> None:
+    def _disconnect(self, router: int, number: int) -> None:
         """Either end has lost the connection, or there was none; the router dials again."""
         link = self._links.pop((router, number), None)
         if link is not None:
-            self._notice_lost(self.routers[router], number, link)
+            self._report_lost_controller(self.routers[router], number, link)
             controller = self.controllers[number]
             if controller is not None:
                 controller.connected.pop(router, None)
                 controller.lost_ms[router] = self.now_ms
-        self._dial(router, number)
+        self._schedule_connect(router, number)
 
-    def _notice_lost(self, router: Router, number: int, link: int) -> None:
+    def _report_lost_controller(self, router: Router, number: int, link: int) -> None:
         """A router that stands still notices it when it goes on."""
 
         def notice() -> None:
             for request_id, step in router.requester.on_controller_lost(f"{number}#{link}", self.now_ms):
-                self._follow(router, router.pending.pop(request_id), step)
+                self._handle_step(router, router.pending.pop(request_id), step)
 
         if router.is_frozen:
             router.unread.append(notice)
         else:
             notice()
 
-    def _dial(self, router: int, number: int) -> None:
-        who = self.routers[router]
+    def _schedule_connect(self, router: int, number: int) -> None:
+        router_process = self.routers[router]
         self.at(
-            self.now_ms + self.rng.uniform(0.0, MAX_RECONNECT_MS), lambda: self._connect(router, number, who)
+            self.now_ms + self.rng.uniform(0.0, MAX_RECONNECT_MS),
+            lambda: self._connect(router, number, router_process),
         )
 
-    def _connect(self, router: int, number: int, who: Router) -> None:
-        if self.routers[router] is not who or (router, number) in self._links:
+    def _connect(self, router: int, number: int, router_process: Router) -> None:
+        if self.routers[router] is not router_process or (router, number) in self._links:
             return
         controller = self.controllers[number]
-        is_away = controller is None or controller.is_frozen or who.is_frozen
-        if is_away or (router, number) in self.cut or (router, number) in self.deaf:
-            self._dial(router, number)
+        is_unreachable = controller is None or controller.is_frozen or router_process.is_frozen
+        if is_unreachable or (router, number) in self.cut_links or (router, number) in self.one_way_links:
+            self._schedule_connect(router, number)
             return
         assert controller is not None
         link = self._links[router, number] = next(self._numbers)
         controller.lost_ms.pop(router, None)
-        if who.is_reliable:
-            controller.expected_routers = max(controller.expected_routers, who.max_count)
+        if router_process.is_reliable:
+            controller.expected_routers = max(controller.expected_routers, router_process.max_count)
         self._received_ms[router, number] = controller.connected[router] = self.now_ms
         self._exchange(router, number, link)
 
@@ -210,17 +211,17 @@
         if self._links.get((number, index)) != link:
             return
         controller, router = self.controllers[index], self.routers[number]
-        is_reached = (number, index) not in self.cut and (number, index) not in self.deaf
+        is_reached = (number, index) not in self.cut_links and (number, index) not in self.one_way_links
         is_up = controller is not None and not controller.is_frozen and is_reached
         if is_up and not router.is_frozen:
             assert controller is not None
             self._received_ms[number, index] = controller.connected[number] = self.now_ms
             self._receive(number, index, link)
         elif self.now_ms >= self._received_ms[number, index] + SILENCE_MS:
-            self._lose(number, index)
+            self._disconnect(number, index)
             return
         self.at(
-            self.now_ms + min(self.site.report_ms, SILENCE_MS / 2.0),
+            self.now_ms + min(self.config.report_ms, SILENCE_MS / 2.0),
             lambda: self._exchange(number, index, link),
         )
 
@@ -234,10 +235,10 @@
     # Requests
 
     def _next_request(self) -> None:
-        mean_tokens = (self.site.min_tokens + self.site.max_tokens) / 2.0
+        mean_tokens = (self.config.min_tokens + self.config.max_tokens) / 2.0
         if self.demand_per_s > 0.0:
             tenant = self.rng.choice(self.tenants) if len(self.tenants) > 1 else TENANT
-            tokens = self.rng.uniform(self.site.min_tokens, self.site.max_tokens)
+            tokens = self.rng.uniform(self.config.min_tokens, self.config.max_tokens)
             self._request(Request(tenant, tokens, is_retry=False))
         per_s = max(self.demand_per_s * len(self.tenants), mean_tokens) / mean_tokens
         self.at(self.now_ms + 1_000.0 * self.rng.expovariate(per_s), self._next_request)
@@ -253,7 +254,7 @@
         """Routers take requests once a controller has answered, and wait a while for any to hold a share."""
         if router.first_count_ms is None:
             return
-        is_granting = router.requester.has_granting
+        is_granting = router.requester.has_granting_controller
         is_connected = not is_granting and self._is_connected(router)
         if is_granting or not is_connected:
             self._start(router, request)
@@ -262,13 +263,13 @@
 
     def _is_connected(self, router: Router) -> bool:
         number = self.routers.index(router) if router in self.routers else -1
-        return any((number, index) in self._links for index in range(self.site.controllers))
+        return any((number, index) in self._links for index in range(self.config.controllers))
 
     def _start(self, router: Router, request: Request) -> None:
         step = router.requester.begin(request.tenant, request.tokens, self.now_ms)
-        self._follow(router, request, step)
+        self._handle_step(router, request, step)
 
-    def _follow(self, router: Router, request: Request, step: Step) -> None:
+    def _handle_step(self, router: Router, request: Request, step: Step) -> None:
         if isinstance(step, Query):
             router.pending[step.request_id] = request
             self._query(router, step)
@@ -294,13 +295,13 @@
     def _decide(self, router: Router, query: Query, index: int, link: int) -> None:
         controller = self.controllers[index]
         number = next((pair[0] for pair, one in self._links.items() if one == link), None)
-        if controller is None or controller.is_frozen or number is None or (number, index) in self.cut:
+        if controller is None or controller.is_frozen or number is None or (number, index) in self.cut_links:
             return
         decision = QuotaDecision(QuotaOutcome.UNDECIDED)
         is_current = not controller.is_behind or router.requester.limits.get(query.tenant) != self.limit
         if controller.has_limits and is_current:
             decision = controller.allocator.request(query.tenant, query.units, self.now_ms)
-        if (number, index) in self.deaf:
+        if (number, index) in self.one_way_links:
             return
         is_late = self.rng.random() < LATE_FRACTION
         after_ms = QUERY_TIMEOUT_MS + 10.0 if is_late else self.rng.uniform(0.2, self.max_latency_ms)
@@ -318,27 +319,27 @@
     ) -> None:
         step = router.requester.on_decision(query.request_id, query.controller, decision, self.now_ms)
         if step is not None:
-            self._follow(router, router.pending.pop(query.request_id), step)
+            self._handle_step(router, router.pending.pop(query.request_id), step)
         elif decision.outcome is QuotaOutcome.GRANTED:
             controller.allocator.refund(query.tenant, query.units, self.now_ms)
 
     def _time_out(self, router: Router, query: Query) -> None:
         step = router.requester.on_timeout(query.request_id, query.controller, self.now_ms)
         if step is not None:
-            self._follow(router, router.pending.pop(query.request_id), step)
+            self._handle_step(router, router.pending.pop(query.request_id), step)
 
     # Sums
 
-    def most_in_a_window(self, since_ms: float = 0.0) -> float:
+    def max_admitted_in_window(self, since_ms: float = 0.0) -> float:
         """Return the tokens of one tenant admitted within the fullest window."""
-        return max(self._most_of(admitted, since_ms) for admitted in self.admitted.values())
+        return max(self._max_in_window(admitted, since_ms) for admitted in self.admitted.values())
 
-    def _most_of(self, admitted: list[tuple[float, float]], since_ms: float) -> float:
+    def _max_in_window(self, admitted: list[tuple[float, float]], since_ms: float) -> float:
         most = window = 0.0
         start = 0
         for when_ms, tokens in admitted:
             window += tokens
-            while admitted[start][0] <= when_ms - self.site.window_ms:
+            while admitted[start][0] <= when_ms - self.config.window_ms:
                 window -= admitted[start][1]
                 start += 1
             if when_ms >= since_ms:
--- a/packages/quotas/tests/quota_processes.py
+++ b/packages/quotas/tests/quota_processes.py
@@ -1,4 +1,4 @@
-"""A simulated fleet's parts: its site, and what each router and controller keeps."""
+"""A simulated fleet's parts: its config, and what each router and controller keeps."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class FleetConfig:
     """A fleet and the limit of its tenants."""
 
     routers: int = 195
--- a/packages/quotas/tests/test_quotas_herd.py
+++ b/packages/quotas/tests/test_quotas_herd.py
@@ -21,12 +21,12 @@
 
 
 def controllers() -> dict[str, QuotaAllocator]:
-    made = {}
+    allocators = {}
     for number in range(CONTROLLERS):
-        allocator = made[f"c{number}"] = QuotaAllocator(TOLERANCE)
+        allocator = allocators[f"c{number}"] = QuotaAllocator(TOLERANCE)
         allocator.set_share(TOTAL_SHARE // CONTROLLERS, 10.0 * FOR_MS, 0.0)
         allocator.set_limits({"t": LIMIT}, 0.0, controllers=CONTROLLERS, is_restart=False)
-    return made
+    return allocators
 
 
 def admitted(processes: int, rng: Random) -> list[tuple[float, float]]:
@@ -39,7 +39,7 @@
         for name in allocators:
             requester.set_granting(name, 0.0, is_granting=True)
 
-    def verdict(number: int, units: float, now_ms: float) -> Step:
+    def decide(number: int, units: float, now_ms: float) -> Step:
         step = requesters[number].begin("t", units, now_ms)
         while isinstance(step, Query):
             decision = allocators[step.controller].request("t", units, now_ms)
@@ -49,7 +49,7 @@
         return step
 
     retries: list[tuple[float, int, float]] = []
-    found: list[tuple[float, float]] = []
+    admissions: list[tuple[float, float]] = []
     now_ms = 0.0
     while now_ms < FOR_MS:
         now_ms += STEP_MS
@@ -60,20 +60,22 @@
         requested += [one for one in retries if one[0] <= now_ms]
         retries = [one for one in retries if one[0] > now_ms]
         for _, number, units in requested:
-            decided = verdict(number, units, now_ms)
+            decided = decide(number, units, now_ms)
             if isinstance(decided, QuotaRejection):
                 retries.append((now_ms + 1_000.0 * decided.retry_after_s, rng.randrange(processes), units))
             else:
-                found.append((now_ms, units))
-    return found
+                admissions.append((now_ms, units))
+    return admissions
 
 
 @pytest.mark.parametrize("processes", [89])
 @pytest.mark.parametrize("seed", range(3))
 def test_clients_that_retry_together_do_not_exceed_the_limit(processes: int, seed: int) -> None:
     allowed = LIMIT.rate_per_s * WINDOW_MS / 1_000.0 + LIMIT.burst + TOLERANCE.units(LIMIT)
-    found = admitted(processes, Random(seed))
+    admissions = admitted(processes, Random(seed))
     starts = [step * 100.0 for step in range(int((FOR_MS - WINDOW_MS) / 100.0))]
-    windows = [sum(units for at_ms, units in found if start <= at_ms < start + WINDOW_MS) for start in starts]
+    windows = [
+        sum(units for at_ms, units in admissions if start <= at_ms < start + WINDOW_MS) for start in starts
+    ]
     assert max(windows) <= allowed
     assert min(windows) >= 0.8 * LIMIT.rate_per_s * WINDOW_MS / 1_000.0, "nor does it get much less"
--- a/packages/quotas/tests/test_quotas_isolation.py
+++ b/packages/quotas/tests/test_quotas_isolation.py
@@ -16,7 +16,9 @@
 TRY_MS = 50.0
 LARGE_REQUEST_TOKENS = 17_020.0
 RATE_WINDOW_S = (WINDOW_MS - ISOLATION_NOTICE_MS) / 1_000.0
-INTENDED = RESERVES_FRACTION * TOLERANCE.units(LIMIT) + ISOLATED_FRACTION * LIMIT.rate_per_s * RATE_WINDOW_S
+EXPECTED_UNITS = (
+    RESERVES_FRACTION * TOLERANCE.units(LIMIT) + ISOLATED_FRACTION * LIMIT.rate_per_s * RATE_WINDOW_S
+)
 
 
 def isolated_requesters(processes: int, seed: int) -> list[QuotaRequester]:
@@ -44,14 +46,14 @@
 
 @pytest.mark.parametrize("processes", [9, 30, 89, 195, 300])
 @pytest.mark.parametrize("seed", range(2))
-def test_isolated_routers_do_not_each_go_into_debt_by_one_request(processes: int, seed: int) -> None:
+def test_isolated_processes_do_not_each_go_into_debt_by_one_request(processes: int, seed: int) -> None:
     admitted = admitted_together(isolated_requesters(processes, seed), FULL_MS, FULL_MS + WINDOW_MS)
-    assert admitted <= 1.4 * INTENDED
-    assert admitted >= 0.6 * INTENDED, "nor do parts that are smaller than a request lie idle"
+    assert admitted <= 1.4 * EXPECTED_UNITS
+    assert admitted >= 0.6 * EXPECTED_UNITS, "nor do parts that are smaller than a request lie idle"
 
 
 @pytest.mark.parametrize("processes", [9, 89, 300])
-def test_isolated_again_and_again_a_fleet_admits_no_more_than_its_reserves(processes: int) -> None:
+def test_a_repeatedly_isolated_fleet_admits_little_more_than_its_reserves(processes: int) -> None:
     requesters, admitted = isolated_requesters(processes, 0), 0.0
     for number in range(20):
         begun_ms = FULL_MS + number * WINDOW_MS / 20.0
--- a/packages/quotas/tests/test_quotas_planted.py
+++ b/packages/quotas/tests/test_quotas_planted.py
@@ -21,10 +21,10 @@
 
 
 def a_new_primary_knows_all_leases_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LeaseTable, "_knows_all", lambda self, members, now_ms: True)
+    patch.setattr(LeaseTable, "_knows_all_leases", lambda self, members, now_ms: True)
 
 
-def a_share_that_shrinks_counts_less_at_once(patch: pytest.MonkeyPatch) -> None:
+def a_smaller_share_counts_at_once(patch: pytest.MonkeyPatch) -> None:
     def offer(
         self: LeaseTable, holder: str, claim: ShareClaim, members: Collection[str], now_ms: float
     ) -> ShareOffer:
@@ -36,7 +36,7 @@
     patch.setattr(LeaseTable, "offer", offer)
 
 
-def offers_of_earlier_terms_are_taken(patch: pytest.MonkeyPatch) -> None:
+def offers_of_earlier_terms_are_accepted(patch: pytest.MonkeyPatch) -> None:
     def accept(self: ShareHolder, offer: ShareOffer, claimed_ms: float) -> None:
         self._term, self._share = max(self._term, offer.term), offer.share
         self.expires_ms = claimed_ms + share_leases.LEASE_MS
@@ -51,7 +51,7 @@
     )
 
 
-def a_returning_controller_hands_out_half_a_burst(patch: pytest.MonkeyPatch) -> None:
+def a_restarted_controller_grants_half_a_burst(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(quota_allocator, "RESTARTS_FRACTION", 100.0)
 
 
@@ -60,7 +60,7 @@
     patch.setattr(LocalReserve, "admits", lambda self, units: True)
 
 
-def nothing_is_reserved_for_the_isolated(patch: pytest.MonkeyPatch) -> None:
+def no_rate_is_reserved_for_isolated_processes(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(QuotaAllocator, "set_rate_fraction", lambda self, fraction, now_ms: None)
     patch.setattr(local_reserve, "ISOLATED_FRACTION", 3.0)
 
@@ -69,62 +69,62 @@
     patch.setattr(LocalReserve, "missing", lambda self, units: 0.0)
 
 
-def a_returning_controller_begins_far_in_debt(patch: pytest.MonkeyPatch) -> None:
+def a_restarted_controller_starts_far_in_debt(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(quota_allocator, "RESTARTS_FRACTION", -1.0)
 
 
-def shares_are_lost_for_good(patch: pytest.MonkeyPatch) -> None:
+def expired_leases_are_kept(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(LeaseTable, "_forget_expired", lambda self, now_ms: None)
 
 
-def find_too_much(seed: int) -> None:
-    returns.test_the_sum_stays_under_the_limit_during_every_fault(returns.LARGE, seed)
+def find_excess_during_faults(seed: int) -> None:
+    returns.test_admissions_stay_within_the_limit_during_every_fault(returns.LARGE, seed)
 
 
-def find_too_much_in_an_outage(seed: int) -> None:
-    outages.test_controllers_that_answer_before_they_know_the_limits_hand_out_nothing(outages.MEDIUM, seed)
+def find_excess_during_an_outage(seed: int) -> None:
+    outages.test_controllers_that_answer_before_they_know_the_limits_grant_nothing(outages.MEDIUM, seed)
 
 
-def find_too_much_in_two_outages(seed: int) -> None:
-    disturbances.test_no_disturbance_passes_the_limit(disturbances.controllers_die_twice, seed)
+def find_excess_during_two_outages(seed: int) -> None:
+    disturbances.test_no_disturbance_exceeds_the_limit(disturbances.controllers_crash_twice, seed)
 
 
-def find_too_large_a_sum_of_shares(seed: int) -> None:
+def find_excess_of_shares(seed: int) -> None:
     leases.test_shares_in_force_never_exceed_the_total(seed)
 
 
-def find_too_much_of_isolated_processes(seed: int) -> None:
-    isolation.test_isolated_routers_do_not_each_go_into_debt_by_one_request(195, seed)
+def find_excess_by_isolated_processes(seed: int) -> None:
+    isolation.test_isolated_processes_do_not_each_go_into_debt_by_one_request(195, seed)
 
 
-def find_a_share_that_nobody_has(seed: int) -> None:
+def find_an_unused_share(seed: int) -> None:
     leases.test_a_member_that_is_silent_for_a_lease_loses_its_share_to_the_others()
 
 
-def find_an_offer_that_is_void(seed: int) -> None:
-    leases.test_a_delayed_offer_of_an_earlier_term_is_void()
+def find_an_accepted_stale_offer(seed: int) -> None:
+    leases.test_a_delayed_offer_of_an_earlier_term_is_ignored()
 
 
-def find_too_little(seed: int) -> None:
+def find_rejections_below_the_limit(seed: int) -> None:
     returns.test_below_the_limit_nobody_is_rejected_a_second_after_a_fault(seed)
 
 
 FAULTS: list[tuple[Patch, Find]] = [
-    (a_new_primary_knows_all_leases_at_once, find_too_large_a_sum_of_shares),
-    (a_share_that_shrinks_counts_less_at_once, find_too_large_a_sum_of_shares),
-    (offers_of_earlier_terms_are_taken, find_an_offer_that_is_void),
-    (a_lease_counts_from_its_arrival, find_too_large_a_sum_of_shares),
-    (a_returning_controller_hands_out_half_a_burst, find_too_much_in_two_outages),
-    (every_request_is_admitted_while_anything_is_left, find_too_much_in_an_outage),
-    (nothing_is_reserved_for_the_isolated, find_too_much),
-    (isolated_parts_are_rounded_up, find_too_much_of_isolated_processes),
-    (a_returning_controller_begins_far_in_debt, find_too_little),
-    (shares_are_lost_for_good, find_a_share_that_nobody_has),
+    (a_new_primary_knows_all_leases_at_once, find_excess_of_shares),
+    (a_smaller_share_counts_at_once, find_excess_of_shares),
+    (offers_of_earlier_terms_are_accepted, find_an_accepted_stale_offer),
+    (a_lease_counts_from_its_arrival, find_excess_of_shares),
+    (a_restarted_controller_grants_half_a_burst, find_excess_during_two_outages),
+    (every_request_is_admitted_while_anything_is_left, find_excess_during_an_outage),
+    (no_rate_is_reserved_for_isolated_processes, find_excess_during_faults),
+    (isolated_parts_are_rounded_up, find_excess_by_isolated_processes),
+    (a_restarted_controller_starts_far_in_debt, find_rejections_below_the_limit),
+    (expired_leases_are_kept, find_an_unused_share),
 ]
 
 
 @pytest.mark.parametrize(("plant", "find"), FAULTS, ids=lambda one: getattr(one, "__name__", ""))
-def test_the_plays_find_it(plant: Patch, find: Find, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_simulations_detect_the_fault(plant: Patch, find: Find, monkeypatch: pytest.MonkeyPatch) -> None:
     plant(monkeypatch)
     for seed in range(MAX_SEEDS):
         try:
--- a/packages/quotas/tests/test_quotas_retry_budget.py
+++ b/packages/quotas/tests/test_quotas_retry_budget.py
@@ -29,7 +29,7 @@
         assert len(again) <= 0.2 * len(inside) + 58.0
 
 
-def test_a_single_process_can_retry_at_once_but_not_for_ever() -> None:
+def test_a_single_process_may_retry_at_once_up_to_its_allowance() -> None:
     budget = RetryBudget(0.2, 10.0, 10.0)
     assert sum(budget.try_consume(0.0) for _ in range(100)) == 7
     assert budget.try_consume(10_001.0)
@@ -41,15 +41,15 @@
     rng = Random(processes)
     budgets = [RetryBudget(0.2, slack, 10.0, Random(rng.random())) for _ in range(processes)]
     retries: list[float] = []
-    lucky: set[int] = set()
+    retried: set[int] = set()
     for budget in budgets:
         budget.process_count = processes
     for now_ms in range(0, 120_000, 500):
         for number in rng.sample(range(processes), processes):
             if budgets[number].try_consume(now_ms + 0.0):
                 retries.append(now_ms)
-                lucky.add(number)
+                retried.add(number)
     for end in range(10_000, 120_000, 500):
         assert sum(1 for when in retries if end - 10_000 < when <= end) <= slack
     if slack == 430.0:
-        assert len(lucky) >= 0.95 * processes, "who is in need gets one some time"
+        assert len(retried) >= 0.95 * processes, "who is in need gets one some time"
--- a/packages/quotas/tests/test_quotas_returns.py
+++ b/packages/quotas/tests/test_quotas_returns.py
@@ -9,11 +9,11 @@
 from larkweir_quotas.share_leases import TOTAL_SHARE
 from quota_faults import FaultInjector
 from quota_fleet import Fleet
-from quota_processes import Site
+from quota_processes import FleetConfig
 
 SEEDS = int(os.environ.get("QUOTA_SEEDS", "10"))
 CONVERGENCE_MS = 1_000.0  # after a fault, in which a request may still be rejected
-SMALL = Site(
+SMALL = FleetConfig(
     routers=9,
     controllers=3,
     limit=RateLimit(1_000.0, 1_600.0),
@@ -22,7 +22,7 @@
     max_tokens=20.0,
     slack=2_600.0,  # in the same ratio as in deployments
 )
-LARGE = Site(
+LARGE = FleetConfig(
     routers=63,
     controllers=5,
     limit=RateLimit(2_000.0, 3_200.0),
@@ -31,7 +31,7 @@
     max_tokens=40.0,
     slack=2_600.0,
 )
-WITHIN_PER_S = 800.0
+BELOW_LIMIT_PER_S = 800.0
 
 
 def advance(fleet: Fleet, for_ms: float, per_s: float) -> None:
@@ -39,52 +39,52 @@
     fleet.run_until(fleet.now_ms + for_ms)
 
 
-@pytest.mark.parametrize("away_ms", [1_500.0, 8_000.0, 20_000.0])
-def test_a_returning_controller_rejects_nobody_within_the_limit(away_ms: float) -> None:
+@pytest.mark.parametrize("outage_ms", [1_500.0, 8_000.0, 20_000.0])
+def test_a_reconnected_controller_rejects_no_tenant_below_its_limit(outage_ms: float) -> None:
     fleet = Fleet(SMALL, seed=1)
-    advance(fleet, 3_000.0, WITHIN_PER_S)
-    fleet.cut = {(router, 0) for router in range(SMALL.routers)}
-    advance(fleet, away_ms, WITHIN_PER_S)
-    fleet.cut = set()
+    advance(fleet, 3_000.0, BELOW_LIMIT_PER_S)
+    fleet.cut_links = {(router, 0) for router in range(SMALL.routers)}
+    advance(fleet, outage_ms, BELOW_LIMIT_PER_S)
+    fleet.cut_links = set()
     returned_ms = fleet.now_ms
-    advance(fleet, 10_000.0, WITHIN_PER_S)
+    advance(fleet, 10_000.0, BELOW_LIMIT_PER_S)
     assert fleet.rejected_within(returned_ms, fleet.now_ms) == 0.0
 
 
-def test_a_paused_controller_rejects_nobody_within_the_limit() -> None:
+def test_a_paused_controller_rejects_no_tenant_below_its_limit() -> None:
     fleet = Fleet(SMALL, seed=1)
-    advance(fleet, 3_000.0, WITHIN_PER_S)
+    advance(fleet, 3_000.0, BELOW_LIMIT_PER_S)
     fleet.freeze_controller(0, 10_000.0)
-    advance(fleet, 10_000.0, WITHIN_PER_S)
-    thawed_ms = fleet.now_ms
-    advance(fleet, 10_000.0, WITHIN_PER_S)
-    assert fleet.rejected_within(thawed_ms, fleet.now_ms) == 0.0
+    advance(fleet, 10_000.0, BELOW_LIMIT_PER_S)
+    unfrozen_ms = fleet.now_ms
+    advance(fleet, 10_000.0, BELOW_LIMIT_PER_S)
+    assert fleet.rejected_within(unfrozen_ms, fleet.now_ms) == 0.0
 
 
-def test_a_returning_controller_still_knows_of_an_oversubscribed_tenant() -> None:
+def test_an_oversubscribed_tenant_stays_within_its_limit_after_a_controller_reconnects() -> None:
     fleet = Fleet(SMALL, seed=2)
     advance(fleet, 5_000.0, 6_000.0)
-    fleet.cut = {(router, 0) for router in range(SMALL.routers)}
+    fleet.cut_links = {(router, 0) for router in range(SMALL.routers)}
     advance(fleet, 8_000.0, 6_000.0)
-    fleet.cut = {(router, number) for router in range(SMALL.routers) for number in (1, 2)}
+    fleet.cut_links = {(router, number) for router in range(SMALL.routers) for number in (1, 2)}
     advance(fleet, 8_000.0, 6_000.0)
-    assert fleet.most_in_a_window() <= SMALL.allowed
+    assert fleet.max_admitted_in_window() <= SMALL.allowed
 
 
-@pytest.mark.parametrize("site", [SMALL, LARGE], ids=["9 routers", "63 routers"])
+@pytest.mark.parametrize("config", [SMALL, LARGE], ids=["9 routers", "63 routers"])
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_the_sum_stays_under_the_limit_during_every_fault(site: Site, seed: int) -> None:
-    fleet = Fleet(site, seed)
+def test_admissions_stay_within_the_limit_during_every_fault(config: FleetConfig, seed: int) -> None:
+    fleet = Fleet(config, seed)
     injector = FaultInjector(fleet)
-    pressing_per_s = 6.0 * site.limit.rate_per_s
+    overload_per_s = 6.0 * config.limit.rate_per_s
     for _ in range(4):
-        advance(fleet, fleet.rng.uniform(200.0, 6_000.0), pressing_per_s)
+        advance(fleet, fleet.rng.uniform(200.0, 6_000.0), overload_per_s)
         for_ms = injector.inject()
-        advance(fleet, for_ms, pressing_per_s)
+        advance(fleet, for_ms, overload_per_s)
         injector.clear()
-    advance(fleet, 10_000.0, pressing_per_s)
-    assert fleet.most_in_a_window() <= site.allowed
-    assert fleet.most_shares <= TOTAL_SHARE
+    advance(fleet, 10_000.0, overload_per_s)
+    assert fleet.max_admitted_in_window() <= config.allowed
+    assert fleet.max_total_share <= TOTAL_SHARE
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
@@ -92,10 +92,10 @@
     fleet = Fleet(SMALL, seed)
     injector = FaultInjector(fleet)
     for _ in range(4):
-        advance(fleet, 3_000.0, WITHIN_PER_S)
+        advance(fleet, 3_000.0, BELOW_LIMIT_PER_S)
         for_ms = injector.inject()
-        advance(fleet, for_ms, WITHIN_PER_S)
+        advance(fleet, for_ms, BELOW_LIMIT_PER_S)
         injector.clear()
         restored_ms = fleet.now_ms
-        advance(fleet, 6_000.0, WITHIN_PER_S)
+        advance(fleet, 6_000.0, BELOW_LIMIT_PER_S)
         assert fleet.rejected_within(restored_ms + CONVERGENCE_MS, fleet.now_ms) == 0.0
--- a/packages/quotas/tests/test_quotas_share_leases.py
+++ b/packages/quotas/tests/test_quotas_share_leases.py
@@ -28,7 +28,7 @@
     holder.accept(lease_table.offer(name, claim, MEMBERS, now_ms), now_ms)
 
 
-def lease_table_in_use(now_ms: float = 0.0) -> tuple[LeaseTable, dict[str, ShareHolder]]:
+def confirmed_lease_table(now_ms: float = 0.0) -> tuple[LeaseTable, dict[str, ShareHolder]]:
     """A lease_table that all members have confirmed, and that each has got its share from."""
     lease_table, holders = LeaseTable(FIRST, now_ms), {name: ShareHolder() for name in MEMBERS}
     for _ in range(3):
@@ -45,11 +45,11 @@
     lease_table, one = LeaseTable(FIRST, 0.0), ShareHolder()
     renew(lease_table, "a", one, 0.0)
     assert one.share(0.0) == 0, "the others may hold leases of an earlier primary"
-    assert shares(lease_table_in_use()[1], 0.0) == [TOTAL_SHARE // 3] * 3
+    assert shares(confirmed_lease_table()[1], 0.0) == [TOTAL_SHARE // 3] * 3
 
 
 def test_a_member_that_is_silent_for_a_lease_loses_its_share_to_the_others() -> None:
-    lease_table, holders = lease_table_in_use()
+    lease_table, holders = confirmed_lease_table()
     for now_ms in (LEASE_MS / 2.0, LEASE_MS - 1.0, LEASE_MS + 1.0):
         for name in ("a", "b"):
             renew(lease_table, name, holders[name], now_ms)
@@ -58,7 +58,7 @@
 
 
 def test_a_new_primary_renews_claims_but_lets_none_grow_until_earlier_leases_have_ended() -> None:
-    _, holders = lease_table_in_use()
+    _, holders = confirmed_lease_table()
     lease_table = LeaseTable(SECOND, 100.0)
     for _ in range(3):
         for name in ("a", "b"):
@@ -70,15 +70,15 @@
     assert shares(holders, 100.0 + LEASE_MS) == [TOTAL_SHARE // 2, TOTAL_SHARE // 2, 0]
 
 
-def test_a_delayed_offer_of_an_earlier_term_is_void() -> None:
-    _, holders = lease_table_in_use()
+def test_a_delayed_offer_of_an_earlier_term_is_ignored() -> None:
+    _, holders = confirmed_lease_table()
     renew(LeaseTable(SECOND, 100.0), "a", holders["a"], 100.0)
     holders["a"].accept(ShareOffer(FIRST, TOTAL_SHARE), 100.0)
     assert holders["a"].share(100.0) == TOTAL_SHARE // 3
 
 
 def test_a_restarted_process_has_no_share_and_gets_one_at_once() -> None:
-    lease_table, holders = lease_table_in_use()
+    lease_table, holders = confirmed_lease_table()
     holders["c"] = ShareHolder()
     for _ in range(2):
         renew(lease_table, "c", holders["c"], 50.0)
@@ -86,18 +86,18 @@
 
 
 def test_shares_are_in_proportion_to_clients() -> None:
-    lease_table, holders = lease_table_in_use()
+    lease_table, holders = confirmed_lease_table()
     for _ in range(3):
         for name, clients in (("a", 0), ("b", 100), ("c", 300)):
             renew(lease_table, name, holders[name], 50.0, clients)
     assert shares(holders, 50.0) == [0, TOTAL_SHARE // 4, 3 * TOTAL_SHARE // 4]
 
 
-def test_who_is_no_member_gets_nothing() -> None:
-    lease_table, stranger = lease_table_in_use()[0], ShareHolder()
-    renew(lease_table, "d", stranger, 50.0)
-    renew(lease_table, "d", stranger, 50.0)
-    assert stranger.share(50.0) == 0
+def test_a_non_member_gets_no_share() -> None:
+    lease_table, non_member = confirmed_lease_table()[0], ShareHolder()
+    renew(lease_table, "d", non_member, 50.0)
+    renew(lease_table, "d", non_member, 50.0)
+    assert non_member.share(50.0) == 0
 
 
 def test_a_first_claim_is_urgent_until_its_share_has_arrived() -> None:
@@ -126,8 +126,8 @@
     now_ms: float = 0.0
     holders: dict[str, ShareHolder] = field(default_factory=lambda: {one: ShareHolder() for one in "abcde"})
     lease_tables: list[LeaseTable] = field(default_factory=list)  # the last one is the primary's
-    is_led: bool = False
-    is_calm: bool = False
+    has_primary: bool = False
+    is_stable: bool = False
     paused_until_ms: dict[str, float] = field(default_factory=dict)
     claiming: set[tuple[str, int]] = field(default_factory=set)  # holder and term: one claim at a time
     due: list[tuple[float, int, str, ShareOffer | ShareClaim, float]] = field(default_factory=list)
@@ -139,22 +139,22 @@
             term = len(self.lease_tables)
             if (name, term) not in self.claiming and self.rng.random() < 0.2:
                 self.claiming.add((name, term))
-                clients = 195 if self.is_calm else self.rng.choice([0, 1, 50, 195])
+                clients = 195 if self.is_stable else self.rng.choice([0, 1, 50, 195])
                 claim = self.holders[name].claim(clients, self.now_ms)
                 self._send(name, claim, self.now_ms)
-            if not self.is_calm and self.rng.random() < 0.003:
+            if not self.is_stable and self.rng.random() < 0.003:
                 self.paused_until_ms[name] = self.now_ms + self.rng.uniform(100.0, 3.0 * LEASE_MS)
-            if not self.is_calm and self.rng.random() < 0.002:
+            if not self.is_stable and self.rng.random() < 0.002:
                 self._restart(name)
         for message in [one for one in self.due if one[0] <= self.now_ms]:
             self._deliver(message)
 
     def _change_primary(self) -> None:
-        if self.is_led and not self.is_calm and self.rng.random() < 0.003:
-            self.is_led = False
-        elif not self.is_led and self.rng.random() < 0.03:
+        if self.has_primary and not self.is_stable and self.rng.random() < 0.003:
+            self.has_primary = False
+        elif not self.has_primary and self.rng.random() < 0.03:
             self.lease_tables.append(LeaseTable((len(self.lease_tables) + 1, "p"), self.now_ms))
-            self.is_led = True
+            self.has_primary = True
 
     def _restart(self, name: str) -> None:
         """The process is another one; messages to and from the earlier one are lost."""
@@ -165,7 +165,7 @@
     def _send(self, name: str, message: ShareOffer | ShareClaim, claimed_ms: float) -> None:
         arrives_ms = (
             self.now_ms + STEP_MS
-            if self.is_calm
+            if self.is_stable
             else self.rng.choice([STEP_MS, STEP_MS, 50.0, 50.0, 400.0, 1_500.0])
         )
         self.due.append((arrives_ms, len(self.lease_tables), name, message, claimed_ms))
@@ -175,12 +175,12 @@
         if isinstance(content, ShareOffer) and self.now_ms < self.paused_until_ms.get(name, 0.0):
             return  # it is read when the pause is over
         self.due.remove(message)
-        if not self.is_calm and self.rng.random() < 0.1:
+        if not self.is_stable and self.rng.random() < 0.1:
             self.claiming.discard((name, term))  # lost, and the connection is made anew
         elif isinstance(content, ShareOffer):
             self.holders[name].accept(content, claimed_ms)
             self.claiming.discard((name, term))
-        elif self.is_led and term == len(self.lease_tables):
+        elif self.has_primary and term == len(self.lease_tables):
             lease_table = self.lease_tables[-1]
             lease_table.record_claim(name, content, self.now_ms)
             self._send(name, lease_table.offer(name, content, list(self.holders), self.now_ms), claimed_ms)
@@ -197,7 +197,7 @@
     for _ in range(6_000):
         group.step()
         assert group.in_force() <= TOTAL_SHARE
-    group.is_calm = True
+    group.is_stable = True
     for _ in range(2_000):
         group.step()
         assert group.in_force() <= TOTAL_SHARE
--- a/packages/quotas/tests/test_quotas_sums.py
+++ b/packages/quotas/tests/test_quotas_sums.py
@@ -9,9 +9,9 @@
 from larkweir_quotas.limits import RateLimit
 from larkweir_quotas.local_reserve import ISOLATED_FRACTION
 from quota_fleet import Fleet
-from quota_processes import Site
+from quota_processes import FleetConfig
 
-SITE = Site(
+SITE = FleetConfig(
     routers=9,
     controllers=3,
     limit=RateLimit(1_000.0, 2_000.0),
@@ -22,54 +22,56 @@
     slack=1_000.0,
 )
 ALLOWED = 1_000.0 * SITE.window_ms / 1_000.0 + 2_000.0
-PRESSING_PER_S = 6_000.0
+OVERLOAD_PER_S = 6_000.0
 
 
-def play(fleet: Fleet, per_s: float, until_ms: float) -> None:
+def simulate(fleet: Fleet, per_s: float, until_ms: float) -> None:
     fleet.demand_per_s = per_s
     fleet.run_until(until_ms)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_far_above_the_limit_the_sum_stays_near_it(seed: int) -> None:
+def test_overload_is_admitted_up_to_about_the_limit(seed: int) -> None:
     fleet = Fleet(SITE, seed)
-    play(fleet, PRESSING_PER_S, 30_000.0)
-    assert fleet.most_in_a_window() <= 1.1 * ALLOWED + 1_000.0
-    assert fleet.most_in_a_window() >= 0.9 * 1_000.0 * SITE.window_ms / 1_000.0
+    simulate(fleet, OVERLOAD_PER_S, 30_000.0)
+    assert fleet.max_admitted_in_window() <= 1.1 * ALLOWED + 1_000.0
+    assert fleet.max_admitted_in_window() >= 0.9 * 1_000.0 * SITE.window_ms / 1_000.0
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_below_the_limit_all_is_admitted_but_for_the_start(seed: int) -> None:
+def test_below_the_limit_nearly_everything_is_admitted(seed: int) -> None:
     fleet = Fleet(SITE, seed)
-    play(fleet, 750.0, 30_000.0)
+    simulate(fleet, 750.0, 30_000.0)
     rejected, admitted = fleet.rejected_within(0.0, 30_000.0), fleet.admitted_within(0.0, 30_000.0)
     assert admitted / (admitted + rejected) > 0.98
 
 
 @pytest.mark.parametrize("cut", [1, 3])
-def test_isolated_processes_fall_back_to_a_small_part(cut: int) -> None:
+def test_isolated_processes_admit_only_a_small_part_of_the_limit(cut: int) -> None:
     fleet = Fleet(SITE, 1)
-    play(fleet, PRESSING_PER_S, 10_000.0)
-    fleet.cut = {(router, controller) for router in range(cut) for controller in range(SITE.controllers)}
-    play(fleet, PRESSING_PER_S, 40_000.0)
+    simulate(fleet, OVERLOAD_PER_S, 10_000.0)
+    fleet.cut_links = {
+        (router, controller) for router in range(cut) for controller in range(SITE.controllers)
+    }
+    simulate(fleet, OVERLOAD_PER_S, 40_000.0)
     extra = ALLOWED * ISOLATED_FRACTION * cut / 9
-    assert fleet.most_in_a_window() <= 1.1 * ALLOWED + extra + 1_000.0
+    assert fleet.max_admitted_in_window() <= 1.1 * ALLOWED + extra + 1_000.0
 
 
-def test_a_new_controller_that_knows_nothing_does_no_harm() -> None:
+def test_a_restarted_controller_does_not_exceed_the_limit() -> None:
     fleet = Fleet(SITE, 1)
-    play(fleet, PRESSING_PER_S, 10_000.0)
+    simulate(fleet, OVERLOAD_PER_S, 10_000.0)
     fleet.kill_controller(0)
-    fleet.return_controller(0, limits_after_ms=0.0)
-    play(fleet, PRESSING_PER_S, 25_000.0)
-    assert fleet.most_in_a_window() <= 1.1 * ALLOWED + 1_000.0
+    fleet.start_controller(0, limits_after_ms=0.0)
+    simulate(fleet, OVERLOAD_PER_S, 25_000.0)
+    assert fleet.max_admitted_in_window() <= 1.1 * ALLOWED + 1_000.0
 
 
-def test_controllers_that_learn_the_limits_late_hand_out_no_burst_on_top() -> None:
+def test_controllers_that_learn_the_limits_late_grant_no_extra_burst() -> None:
     fleet = Fleet(SITE, 2)
-    play(fleet, PRESSING_PER_S, 10_000.0)
+    simulate(fleet, OVERLOAD_PER_S, 10_000.0)
     for controller in range(SITE.controllers):
         fleet.kill_controller(controller)
-        fleet.return_controller(controller, limits_after_ms=700.0)
-    play(fleet, PRESSING_PER_S, 25_000.0)
-    assert fleet.most_in_a_window() <= 1.1 * ALLOWED + 1_000.0
+        fleet.start_controller(controller, limits_after_ms=700.0)
+    simulate(fleet, OVERLOAD_PER_S, 25_000.0)
+    assert fleet.max_admitted_in_window() <= 1.1 * ALLOWED + 1_000.0
