--- a/packages/quotas/src/larkweir_quotas/__init__.py
+++ b/packages/quotas/src/larkweir_quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that many processes enforce together: tenants' quotas and a retry budget."""
+"""Limits that many processes enforce together: tenant quotas and retry budgets."""
--- a/packages/quotas/src/larkweir_quotas/limits.py
+++ b/packages/quotas/src/larkweir_quotas/limits.py
@@ -1,4 +1,4 @@
-"""A tenant's rate limit, and what processes of earlier versions tell each other of its use."""
+"""Tenant rate limits, how far they may be exceeded, and quota messages for compatibility with earlier versions."""
 
 from __future__ import annotations
 
@@ -7,44 +7,45 @@
 
 import msgspec
 
-MAX_UNITS = 1e18  # of any number of requests or tokens in a message
+MAX_UNITS = 1e18  # requests or tokens; bound of every such number in a message
 Units = Annotated[float, msgspec.Meta(ge=0.0, le=MAX_UNITS)]
 Level = Annotated[float, msgspec.Meta(ge=-MAX_UNITS, le=MAX_UNITS)]
 
 
 def check_units(units: float) -> None:
-    """Raise ValueError where a number of units is negative, infinite or no number: it would lower a tenant's use."""
+    """Raise ValueError unless `units` is finite and not negative; other values would corrupt a tenant's usage."""
     if not 0.0 <= units < math.inf:
-        raise ValueError(f"units of a request: {units}")
+        raise ValueError(f"units of a request must be finite and not negative: {units}")
 
 
 class RateLimit(msgspec.Struct, frozen=True):
     """The parameters of a tenant's token bucket.
 
     Attributes:
-        rate_per_s: units (requests or tokens) by which it refills each second.
-        burst: units that it holds at most.
+        rate_per_s: refill rate, in units (requests or tokens) per second.
+        burst: capacity of the bucket, in units.
     """
 
     rate_per_s: float
     burst: float
 
 
-# What a limit tolerates is divided between those that may exceed it, so that they fit into it together.
-RESERVES_FRACTION = 0.15  # processes' own reserves
+# The tolerated excess of a limit is divided between the mechanisms that may exceed the limit, so that their sum stays
+# within the tolerance.
+RESERVES_FRACTION = 0.15  # for the local reserves of all processes
 RESTARTS_FRACTION = (
-    0.5  # what controllers hand out that have lost their memory, each of them once in a window
+    0.5  # for the initial levels of restarted controllers, each of which restarts at most once per window
 )
-DEBTS_FRACTION = 0.3  # requests that are larger than what a controller has left
+DEBTS_FRACTION = 0.3  # for requests that are larger than the remaining level of a controller's bucket
 
 
 class Tolerance(msgspec.Struct, frozen=True):
     """By how much a limit may be exceeded within a window.
 
     Attributes:
-        window_s: the window in which use is counted.
-        over: the fraction of what the limit allows in it.
-        slack: units beyond that.
+        window_s: length of the window, in seconds.
+        over: tolerated excess, as a fraction of the units that the limit allows within the window.
+        slack: further tolerated units.
     """
 
     window_s: float = 8.0
@@ -52,16 +53,16 @@
     slack: float = 0.0
 
     def units(self, limit: RateLimit) -> float:
-        """Units of that limit that may be used in any window beyond its rate and burst."""
+        """Return how many units may be used in any window beyond the rate and burst of the limit."""
         return self.over * (limit.rate_per_s * self.window_s + limit.burst) + self.slack
 
 
 class QuotaSnapshot(msgspec.Struct, frozen=True):
-    """What a process tells a controller when it connects.
+    """The message of a process to a controller on connecting.
 
     Attributes:
-        levels: only sent by versions before share leases, and not read any more.
-        process_count: how many processes it believes to share the limits; 0: it does not know.
+        levels: sent only by versions without share leases; no longer read.
+        process_count: number of processes that share the limits, as far as the sender knows; 0 if unknown.
     """
 
     levels: dict[str, Level] = {}
@@ -69,12 +70,12 @@
 
 
 class QuotaStatus(msgspec.Struct, frozen=True, array_like=True):
-    """A tenant's token bucket, as processes without share leases report and read it.
+    """The state of a tenant's token bucket, in the format of versions without share leases.
 
     Attributes:
-        level: units left in the token bucket; a debt where it is negative.
-        used_per_s: units a second that all processes together have admitted recently.
-        is_oversubscribed: the bucket was empty recently, so the tenant asks for more than its limit.
+        level: units left in the bucket; negative for a debt.
+        used_per_s: units per second that all processes together have admitted recently.
+        is_oversubscribed: the bucket was empty recently, so the tenant requests more than its limit.
     """
 
     level: Level
--- a/packages/quotas/src/larkweir_quotas/quota_allocator.py
+++ b/packages/quotas/src/larkweir_quotas/quota_allocator.py
@@ -1,8 +1,8 @@
-"""What one controller hands out of all tenants' limits: token buckets for its share of them.
+"""Grants units of tenant limits at one controller, from token buckets for the controller's share of the limits.
 
-Units are withdrawn before they are handed out, and a share is leased (`share_leases`), so all controllers together hand
-out no more than the limits yield, whoever is cut off from whom. A controller that returns without memory hands out no
-more at first than limits tolerate beyond that: what its buckets held may be out already.
+Units are withdrawn before they are granted, and shares are leased (`share_leases`). So all controllers together grant
+no more than the limits allow, even during a network partition. A restarted controller may already have granted the
+units of its buckets before the restart, so its buckets start with no more than a part of the tolerated excess.
 """
 
 from __future__ import annotations
@@ -22,18 +22,20 @@
 from larkweir_quotas.share_leases import TOTAL_SHARE
 from larkweir_quotas.token_bucket import TokenBucket
 
-LARGEST_REQUEST_DECAY = 0.98  # of the largest request's size, at each further request
+LARGEST_REQUEST_DECAY = 0.98  # factor on the size of the largest request, applied at each further request
 MAX_THRESHOLD_FRACTION = 0.5  # of a bucket's capacity
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 5.0
 
 
 class QuotaOutcome(StrEnum):
-    """How a controller answers a process that asks for units."""
+    """A controller's answer to a process that requests units."""
 
     GRANTED = "granted"
     REFUSED = "refused"
-    UNDECIDED = "undecided"  # it holds no share at present, or an older configuration than the process
+    UNDECIDED = (
+        "undecided"  # the controller holds no share now, or its configuration is older than the process's
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,8 +43,8 @@
     """The answer to one request for units.
 
     Attributes:
-        outcome: whether they were withdrawn.
-        retry_after_s: after which the units may be there; 0 unless refused.
+        outcome: whether the units were granted.
+        retry_after_s: time after which the units may be available; 0 unless refused.
     """
 
     outcome: QuotaOutcome
@@ -55,13 +57,13 @@
 
 @dataclass(slots=True)
 class _TenantQuota:
-    """A tenant's bucket here, and the size of its large requests.
+    """A tenant's bucket at this controller, and the size of its largest recent request.
 
     Attributes:
         fleet_limit: the limit of all controllers together.
-        bucket: of this controller's share.
-        max_debt: by how much its level may fall below zero here.
-        largest_units: of the largest request of late.
+        bucket: the bucket for this controller's share.
+        max_debt: by how much the level of the bucket may fall below zero.
+        largest_units: units of the largest recent request, decaying with each further request.
     """
 
     fleet_limit: RateLimit
@@ -70,10 +72,10 @@
     largest_units: float = 0.0
 
     def threshold(self, units: float) -> float:
-        """The level from which on a request of any size is admitted, so that no size has an advantage.
+        """Return the level at which a request of any size is granted, so that small requests have no advantage.
 
-        A large request may leave a debt of `max_debt`; where the bucket holds little more than such a request, a
-        larger one.
+        A large request may leave a debt of `max_debt`. The debt may be larger if the bucket's capacity is small
+        compared with such a request.
         """
         self.largest_units = max(units, LARGEST_REQUEST_DECAY * self.largest_units)
         threshold = max(0.0, self.largest_units - self.max_debt)
@@ -81,28 +83,28 @@
 
 
 class QuotaAllocator:
-    """Owns the buckets of one controller. Times are milliseconds of its monotonic clock."""
+    """Grants units from the token buckets of one controller. Times are milliseconds of its monotonic clock."""
 
     def __init__(self, tolerance: Tolerance | None = None) -> None:
-        """Know no limits and hold no share. `tolerance`: by how much limits may be exceeded."""
+        """Create an allocator without limits and share. `tolerance`: by how much limits may be exceeded."""
         self._tolerance = tolerance or Tolerance()
         self._tenants: dict[str, _TenantQuota] = {}
         self._share = 0
         self._expires_ms = 0.0
         self._rate_fraction = 1.0
-        self.granted_units: dict[str, float] = {}  # by tenant, since the start
+        self.granted_units: dict[str, float] = {}  # by tenant, since the start of the process
         self.refused_units: dict[str, float] = {}
 
     def set_limits(
         self, limits: dict[str, RateLimit], now_ms: float, *, controllers: int, is_restart: bool
     ) -> None:
-        """Set the limits of all tenants that have one; buckets of those that keep one keep their level.
+        """Set the limits of all tenants. Tenants that already had a limit keep their bucket level.
 
         Args:
             limits: by tenant.
-            now_ms: the present.
-            controllers: that fill an equal part each of a new tenant's bucket.
-            is_restart: tenants that are new here may have used their limits before.
+            now_ms: the current time.
+            controllers: number of controllers; each fills an equal part of a new tenant's bucket.
+            is_restart: the controller has restarted, so tenants may already have used their limits.
         """
         self._refill_all(now_ms)
         self._tenants = {tenant: quota for tenant, quota in self._tenants.items() if tenant in limits}
@@ -117,7 +119,7 @@
         self._apply_share()
 
     def set_share(self, share: int, expires_ms: float, now_ms: float) -> None:
-        """Take a lease of a part of `TOTAL_SHARE`, until `expires_ms`."""
+        """Set the leased share, a part of `TOTAL_SHARE`, which is valid until `expires_ms`."""
         if share != self._share:
             self._refill_all(now_ms)
             self._share = share
@@ -127,22 +129,22 @@
         self._expires_ms = expires_ms
 
     def set_rate_fraction(self, fraction: float, now_ms: float) -> None:
-        """Hand out only that fraction of the rates: the rest is reserved for processes that reach no controller."""
+        """Grant only that fraction of the rates; the rest is reserved for processes that reach no controller."""
         if fraction != self._rate_fraction:
             self._refill_all(now_ms)
             self._rate_fraction = fraction
             self._apply_share()
 
     def request(self, tenant: str, units: float, now_ms: float) -> QuotaDecision:
-        """Withdraw units for a process, if they are there.
+        """Withdraw units for a process if they are available.
 
         Args:
-            tenant: who uses them.
-            units: that a request uses; finite and not negative.
-            now_ms: the present.
+            tenant: the tenant whose limit is charged.
+            units: units that the tenant's request uses; finite and not negative.
+            now_ms: the current time.
 
         Raises:
-            ValueError: `units` is no such number.
+            ValueError: `units` is negative or not finite.
         """
         check_units(units)
         if not self.has_share(now_ms):
@@ -160,29 +162,29 @@
         return GRANTED
 
     def charge(self, tenant: str, units: float, now_ms: float) -> None:
-        """Withdraw what was used without a request for it, into debt if need be."""
+        """Withdraw units that were used without being requested. The level may become negative."""
         quota = self._tenants.get(tenant)
         if quota is not None:
             quota.bucket.refill(min(now_ms, self._expires_ms))
             quota.bucket.charge(units)
 
     def refund(self, tenant: str, units: float, now_ms: float) -> None:
-        """Take back units that this controller granted to a process and that were not used."""
+        """Put back units that this controller granted but the process did not use."""
         quota = self._tenants.get(tenant)
         if quota is not None:
             quota.bucket.refill(min(now_ms, self._expires_ms))
             quota.bucket.refund(units)
 
     def has_share(self, now_ms: float) -> bool:
-        """Whether this controller may hand out anything now."""
+        """Return whether this controller may grant units now."""
         return self._share > 0 and now_ms < self._expires_ms
 
     def share(self, now_ms: float) -> int:
-        """The part of `TOTAL_SHARE` that this controller may hand out now."""
+        """Return the part of `TOTAL_SHARE` from which this controller may grant units now."""
         return self._share if self.has_share(now_ms) else 0
 
     def statuses(self, tenants: Iterable[str], now_ms: float) -> dict[str, QuotaStatus]:
-        """Return what is left of whole limits, for processes that know no share leases."""
+        """Return the state of the fleet's limits, extrapolated from this share, for processes without share leases."""
         if not self.has_share(now_ms):
             return {}
         statuses = {}
@@ -197,17 +199,17 @@
         return statuses
 
     def share_of(self, units: float, now_ms: float) -> float:
-        """The part of a use, reported to all controllers, that this one has to charge."""
+        """Return the part of the used `units` that this controller charges, if usage is reported to all controllers."""
         return units * self._share / TOTAL_SHARE if self.has_share(now_ms) else 0.0
 
     def _refill_all(self, now_ms: float) -> None:
-        """Nothing accrues behind the end of a lease."""
+        """Refill all buckets up to now, but not beyond the end of the lease."""
         for quota in self._tenants.values():
             quota.bucket.refill(min(now_ms, self._expires_ms))
             quota.bucket.updated_ms = now_ms
 
     def _apply_share(self) -> None:
-        """Set the buckets' rates and capacities. Without a share they keep their levels, which nobody can use then."""
+        """Set the rates and capacities of the buckets. Without a share the levels are kept but cannot be used."""
         part = self._share / TOTAL_SHARE
         for quota in self._tenants.values():
             rate_per_s = quota.fleet_limit.rate_per_s * part * self._rate_fraction
@@ -215,6 +217,6 @@
 
 
 def _retry_after_s(missing: float, rate_per_s: float) -> float:
-    """When what is missing has accrued."""
+    """Return the time until the missing units have accrued, within the bounds for clients."""
     retry_after_s = missing / rate_per_s if rate_per_s > 0.0 else MAX_RETRY_AFTER_S
     return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
--- a/packages/quotas/src/larkweir_quotas/quota_requester.py
+++ b/packages/quotas/src/larkweir_quotas/quota_requester.py
@@ -1,8 +1,9 @@
-"""Admission of tenants' requests at one process: it asks a controller for the units of each request.
+"""Admission of tenant requests in one process, which requests the units of each request from a controller.
 
-A state machine without I/O: events in (`begin`, `on_decision`, `on_timeout`, `on_controller_lost`), steps out (`Query`,
-`Admitted`, `Rejected`). Each controller hands out its own share of a limit, so one that refuses says nothing of the
-others, which are asked in turn. Where none decides, the process' own reserve does.
+A state machine without I/O: it takes events (`begin`, `on_decision`, `on_timeout`, `on_controller_lost`) and returns
+steps (`Query`, `QuotaCharge`, `QuotaRejection`). Each controller grants units of its own share of a limit, so after a
+refusal by one controller the others are queried in turn. If no controller decides, the local reserve of the process
+does.
 """
 
 from __future__ import annotations
@@ -23,31 +24,31 @@
     QuotaOutcome,
 )
 
-MAX_UNANSWERED = 2  # controllers that do not answer in time, after which the reserve decides
+MAX_UNANSWERED = 2  # queries without an answer in time, after which no further controller is queried
 RETRY_SPREAD = (
-    0.5  # of the time after which a client should return, added at random, so that not all return together
+    0.5  # largest random addition to a retry delay, as a fraction, so that clients do not all retry together
 )
 
 
 class AdmissionRule(StrEnum):
-    """By which rule a request was admitted or rejected."""
+    """The rule by which a request was admitted or rejected."""
 
     UNLIMITED = "unlimited"  # the tenant has no limit, or the request uses no units
-    GRANT = "grant"  # by a controller
-    RESERVE = "reserve"  # by this process' own
-    STATUS = "status"  # by what a usage table of an earlier version tells
-    BACKOFF = "backoff"  # rejected without asking, as all controllers refused shortly before
+    GRANT = "grant"  # controllers granted or refused the units
+    RESERVE = "reserve"  # the local reserve of this process decided
+    STATUS = "status"  # the reported bucket states of controllers without share leases decided
+    BACKOFF = "backoff"  # rejected without a query, because all controllers refused shortly before
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaCharge:
-    """An admitted request, and what was withdrawn for it; the receipt for a refund.
+    """An admitted request and the units withdrawn for it, which a refund puts back.
 
     Attributes:
-        tenant: whose request it is.
-        units: 0 where the tenant has no limit.
-        rule: by which it was admitted.
-        controller: that granted it; None for none.
+        tenant: the tenant that sent the request.
+        units: withdrawn units; 0 if the tenant has no limit.
+        rule: the rule by which the request was admitted.
+        controller: the controller that granted the units; None if none did.
     """
 
     tenant: str
@@ -58,11 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRejection:
-    """A request that would exceed its tenant's limit. Nothing was withdrawn.
+    """A rejected request, because it would exceed its tenant's limit. No units were withdrawn.
 
     Attributes:
-        retry_after_s: after which its client should retry.
-        rule: by which it was rejected.
+        retry_after_s: time after which the client should retry.
+        rule: the rule by which the request was rejected.
     """
 
     retry_after_s: float
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """A controller is to be asked; then `on_decision` or, a while later, `on_timeout` is to be called."""
+    """A query to send to a controller. The caller then calls `on_decision` or, without an answer, `on_timeout`."""
 
     request_id: int
     controller: str
@@ -84,30 +85,31 @@
 
 @dataclass(slots=True)
 class _Pending:
-    """A request that waits for a controller's decision."""
+    """A request that is waiting for a controller's decision."""
 
     tenant: str
     units: float
-    controllers: list[str]  # still to be asked, the next one last
+    controllers: list[str]  # controllers still to be queried; the last element is queried next
     queried: str = ""
     unanswered: int = 0
-    retry_after_s: float = math.inf  # the least of all that refused
+    retry_after_s: float = math.inf  # the shortest of all refusals so far
 
 
 @dataclass(slots=True)
 class _TenantState:
-    """What this process keeps of one tenant."""
+    """The state of one tenant in this process."""
 
     reserve: LocalReserve
     backoff_until_ms: float = -math.inf
-    admitted: dict[AdmissionRule, float] = field(default_factory=dict)  # units
+    admitted: dict[AdmissionRule, float] = field(default_factory=dict)  # units by rule
 
 
 class QuotaRequester:
-    """Owns the requests that wait for units, and this process' reserves. Times are of its monotonic clock.
+    """Admits or rejects tenant requests in one process. Times are milliseconds of its monotonic clock.
 
     Attributes:
-        process_count: how many processes share the limits; 0: not known reliably yet, so that reserves stay empty.
+        process_count: number of processes that share the limits; 0 while it is not known reliably, and reserves are
+            not refilled until it is.
     """
 
     def __init__(self, tolerance: Tolerance | None = None, rng: Random | None = None) -> None:
@@ -117,13 +119,13 @@
         self.process_count = 0
         self._limits: dict[str, RateLimit] = {}
         self._tenants: dict[str, _TenantState] = {}
-        self._granting_controllers: set[str] = set()  # controllers in reach that hold a share
+        self._granting_controllers: set[str] = set()  # connected controllers that hold a share
         self._isolated_since_ms = -math.inf
         self._pending: dict[int, _Pending] = {}
         self._request_ids = count(1)
 
     def set_limits(self, limits: dict[str, RateLimit], now_ms: float) -> None:
-        """Set the limits of all tenants that have one."""
+        """Set the limits by tenant. Tenants that are not in `limits` have no limit."""
         self._refill_all(now_ms)
         self._limits = limits
         for tenant in limits:
@@ -131,16 +133,16 @@
 
     @property
     def limits(self) -> Mapping[str, RateLimit]:
-        """By tenant."""
+        """The limits by tenant."""
         return self._limits
 
     @property
     def has_granting_controller(self) -> bool:
-        """Whether any controller in reach holds a share."""
+        """Whether any connected controller holds a share."""
         return bool(self._granting_controllers)
 
     def set_granting(self, controller: str, now_ms: float, *, is_granting: bool) -> None:
-        """A controller in reach says whether it holds a share, or it was lost."""
+        """Record whether a controller is connected and holds a share."""
         if is_granting:
             if not self._granting_controllers:
                 self._refill_all(now_ms)
@@ -152,15 +154,15 @@
                 self._isolated_since_ms = now_ms
 
     def begin(self, tenant: str, units: float, now_ms: float) -> Step:
-        """Admit a request, reject it, or tell whom to query.
+        """Admit a request, reject it, or return a query for a controller.
 
         Args:
-            tenant: whose request it is.
-            units: what it uses of the limit; finite and not negative.
-            now_ms: the present time.
+            tenant: the tenant that sent the request.
+            units: units of the limit that the request uses; finite and not negative.
+            now_ms: the current time.
 
         Raises:
-            ValueError: `units` is no such number.
+            ValueError: `units` is negative or not finite.
         """
         check_units(units)
         if units == 0.0 or tenant not in self._limits:
@@ -175,7 +177,10 @@
     def on_decision(
         self, request_id: int, controller: str, decision: QuotaDecision, now_ms: float
     ) -> Step | None:
-        """A controller answered. None: nobody waits for that, and units that it granted are to be given back."""
+        """Handle a controller's answer.
+
+        Returns None if the request no longer waits for this answer. The caller then refunds units that it granted.
+        """
         pending = self._pending.get(request_id)
         if pending is None or pending.queried != controller:
             return None
@@ -187,7 +192,7 @@
         return self._query_next(request_id, pending, now_ms)
 
     def on_timeout(self, request_id: int, controller: str, now_ms: float) -> Step | None:
-        """A controller has not answered in time. None: it is no longer waited for."""
+        """Handle a query that was not answered in time. Returns None if the request no longer waits for it."""
         pending = self._pending.get(request_id)
         if pending is None or pending.queried != controller:
             return None
@@ -196,7 +201,7 @@
         return self._query_next(request_id, pending, now_ms)
 
     def on_controller_lost(self, controller: str, now_ms: float) -> list[tuple[int, Step]]:
-        """The connection to a controller has ended: the next steps of all requests that it was asked for, by id."""
+        """Handle a lost connection. Returns the next step, with its id, of each request that waited for an answer."""
         self.set_granting(controller, now_ms, is_granting=False)
         waiting = [(id_, one) for id_, one in self._pending.items() if one.queried == controller]
         steps = []
@@ -206,12 +211,16 @@
         return steps
 
     def refund(self, charge: QuotaCharge, now_ms: float) -> None:
-        """Return the units of a request that was never executed to the reserve, if they are from there."""
+        """Put the units of a request that was never executed back into the reserve, if they were charged to it."""
         if charge.rule is AdmissionRule.RESERVE:
             self._state(charge.tenant, now_ms).reserve.refund(charge.units)
 
     def charge_again(self, charge: QuotaCharge, now_ms: float) -> str | None:
-        """A request is executed once more. Returns the controller to be told of that; None: the reserve was charged."""
+        """Charge a further execution of a request.
+
+        Returns the controller to which the caller must report the execution. None: the reserve was charged, or the
+        request uses no units.
+        """
         if charge.units == 0.0:
             return None
         if self._granting_controllers:
@@ -221,7 +230,7 @@
         return None
 
     def admitted_units(self) -> dict[str, dict[AdmissionRule, float]]:
-        """Units admitted since the start, by tenant and rule."""
+        """Return the units admitted since the start of the process, by tenant and rule."""
         return {tenant: dict(state.admitted) for tenant, state in self._tenants.items() if state.admitted}
 
     def _query_next(self, request_id: int, pending: _Pending, now_ms: float) -> Step:
@@ -236,7 +245,7 @@
         return self._decide_locally(pending, now_ms)
 
     def _back_off(self, pending: _Pending, now_ms: float) -> QuotaRejection:
-        """All that answered refused: ask none again before the units can be there."""
+        """Reject a request that was refused, and query no controller for its tenant for a random part of the delay."""
         backoff_ms = 1000.0 * pending.retry_after_s * self._rng.random()
         state = self._state(pending.tenant, now_ms)
         state.backoff_until_ms = max(state.backoff_until_ms, now_ms + backoff_ms)
@@ -262,12 +271,12 @@
         return charge
 
     def rejection(self, retry_after_s: float, rule: AdmissionRule) -> QuotaRejection:
-        """Reject by that rule; clients are told to return after that time or a little later."""
+        """Return a rejection by that rule, with a random addition to the retry delay."""
         spread = 1.0 + RETRY_SPREAD * self._rng.random()
         return QuotaRejection(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s * spread)), rule)
 
     def _state(self, tenant: str, now_ms: float) -> _TenantState:
-        """The tenant's state, with its reserve refilled."""
+        """Return the tenant's state, with its reserve refilled."""
         state = self._tenants.get(tenant)
         if state is None:
             state = self._tenants[tenant] = _TenantState(LocalReserve(self._rng, now_ms))
@@ -283,6 +292,6 @@
             state.reserve.updated_ms = now_ms
 
     def _refill_all(self, now_ms: float) -> None:
-        """Isolation ends: what accrued until now is the reserves'."""
+        """Refill all reserves by the limits and the isolation state that were in force until now."""
         for tenant, state in self._tenants.items():
             self._refill(tenant, state, now_ms)
--- a/packages/quotas/src/larkweir_quotas/retry_budget.py
+++ b/packages/quotas/src/larkweir_quotas/retry_budget.py
@@ -1,7 +1,8 @@
-"""A retry budget: how many attempts beyond the first all processes together may add to a service's load.
+"""A retry budget: a bound on the retries that all processes together send to a service.
 
-A process' part may be smaller than one retry. It is rounded at random, by a draw that holds for a window. A window may
-meet two draws, so each is the square of a uniform one: the greater of two is uniform, and the expected sum the budget.
+The part of one process may be smaller than one retry, so it is rounded at random, by a random number that is kept for
+one window. A sliding window may overlap the windows of two random numbers. Each is therefore the square of a uniformly
+distributed number: the larger of two squares is uniformly distributed, so the expected sum is the budget.
 """
 
 from __future__ import annotations
@@ -11,27 +12,29 @@
 from random import Random
 
 RATIO_FRACTION = (
-    0.75  # of the allowed ratio: the others' clocks may count requests at a window's edge differently
+    0.75  # of the allowed ratio; the rest covers requests that other clocks count in another window
 )
 SLACK_FRACTION = 0.7  # of the fixed allowance, split evenly over the processes
-ROUNDING_DEVIATIONS = 6.0  # of the rounded sum, which the rest of the fixed allowance has to cover
+ROUNDING_DEVIATIONS = (
+    6.0  # standard deviations of the rounded sum that the rest of the fixed allowance must cover
+)
 
 
 class RetryBudget:
-    """The budget of one service, over a sliding window of this process' own requests and retries.
+    """The retry budget of one service in one process, over a sliding window of its own requests and retries.
 
     Attributes:
-        process_count: how many processes share the slack, as far as is known.
+        process_count: number of processes that share the slack, as far as this process knows.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float, rng: Random | None = None) -> None:
-        """Create the budget of a service.
+        """Create the retry budget of a service.
 
         Args:
-            ratio: retries that are allowed for each request, over all processes.
-            slack: retries that are allowed beyond that, over all processes.
-            window_s: the time within which both are counted.
-            rng: rounds this process' part.
+            ratio: retries allowed per request, over all processes.
+            slack: further retries allowed within the window, over all processes.
+            window_s: length of the sliding window, in seconds.
+            rng: rounds the part of this process at random.
         """
         self._ratio = ratio
         self._slack = slack
@@ -44,12 +47,12 @@
         self.process_count = 1
 
     def record_request(self, now_ms: float) -> None:
-        """Count a client's request for the service."""
+        """Count a client request to the service."""
         self._requests.append(now_ms)
         self._expire(now_ms)
 
     def try_consume(self, now_ms: float) -> bool:
-        """Count one more retry, and return True, where the budget allows it."""
+        """Count one more retry and return True if the budget allows it; otherwise return False."""
         self._expire(now_ms)
         allowed_by_ratio = RATIO_FRACTION * self._ratio * len(self._requests)
         allowed = (
@@ -63,7 +66,7 @@
         return True
 
     def _round_up(self, now_ms: float) -> float:
-        """Return what is added before rounding down; 0 where the sum of many could pass the allowance."""
+        """Return the random amount to add to the allowance; 0 if the sum over all processes might exceed the slack."""
         if now_ms >= self._drawn_ms + self._window_ms:
             self._rounding, self._drawn_ms = self._rng.random() ** 2, now_ms
         deviation = math.sqrt(self.process_count) / 2.0
--- a/packages/quotas/src/larkweir_quotas/share_leases.py
+++ b/packages/quotas/src/larkweir_quotas/share_leases.py
@@ -1,12 +1,13 @@
-"""Leases of parts of all limits: each controller hands out only what its own share of a limit yields.
+"""Leases of shares of all limits: each controller grants only the units of its own share.
 
-The primary leases shares to all controllers. The shares that are in force never add up to more than the whole: a share
-grows only by what all others are known not to hold, and one that shrinks counts as before until its holder confirms
-that, or until its lease has expired (leases: Gray and Cheriton 1989). So limits hold in their sum without any
-message between controllers for a request, and also while the fleet is divided.
+The primary leases shares to all controllers. The shares in force never add up to more than the whole. A share grows
+only by the part that no other controller can hold, and a reduced share counts in full until its holder confirms the
+reduction or its lease expires (leases: Gray and Cheriton 1989). So the controllers together respect each limit without
+exchanging messages for single requests, even during a network partition.
 
-A new primary does not know what its predecessors leased. It renews what holders claim, which adds nothing, and lets
-shares grow once every member has confirmed its term, or once all leases of earlier terms have expired.
+A new primary does not know which shares its predecessors leased. It renews the shares that holders claim, which does
+not raise their sum, and lets shares grow once every member has confirmed its term or once all leases of earlier terms
+have expired.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 
 import msgspec
 
-TOTAL_SHARE = 1_000_000  # units of share that a limit is divided into
+TOTAL_SHARE = 1_000_000  # the whole of each limit; shares are parts of this number
 LEASE_MS = 2_000.0
 URGENT_SHARE_CHANGE = (
     TOTAL_SHARE // 50
-)  # by which an offer must differ from what its holder has, to be sent ahead of time
+)  # an offer that differs by at least this much from the holder's share is sent at once
 
 Share = Annotated[int, msgspec.Meta(ge=0, le=TOTAL_SHARE)]
-Term = tuple[int, str]  # of a primary: its number and node; a later primary has a higher one
+Term = tuple[int, str]  # number and node of a primary; a later primary has a higher term
 NO_TERM: Term = (-1, "")
 
 
 class ShareClaim(msgspec.Struct, frozen=True, array_like=True):
-    """What a controller holds, as it tells the others.
+    """The share that a controller reports to the primary as its own.
 
     Attributes:
-        term: of the last offer that it accepted.
-        share: that it may use at present.
-        clients: processes that are connected to it and ask it for units.
+        term: term of the last offer that the controller accepted.
+        share: share that the controller may use now.
+        clients: number of processes that are connected to the controller and request units from it.
     """
 
     term: Term = NO_TERM
@@ -43,11 +44,11 @@
 
 
 class ShareOffer(msgspec.Struct, frozen=True, array_like=True):
-    """A lease: its holder may use the share for `LEASE_MS` from when it sent the claim that this answers.
+    """A lease: its holder may use the share for `LEASE_MS` from the time it sent the claim that the offer answers.
 
     Attributes:
-        term: of the primary that grants it.
-        share: that may be used.
+        term: term of the primary that grants the lease.
+        share: share that the holder may use.
     """
 
     term: Term
@@ -58,21 +59,24 @@
     """The lease of one controller. Times are milliseconds of its own monotonic clock."""
 
     def __init__(self) -> None:
-        """Hold nothing, as after every start."""
+        """Create a holder without a lease, as after every start of the process."""
         self._term = NO_TERM
         self._share = 0
         self.expires_ms = 0.0
 
     def share(self, now_ms: float) -> int:
-        """The share that may be used now."""
+        """Return the share that may be used now; 0 without a valid lease."""
         return self._share if now_ms < self.expires_ms else 0
 
     def claim(self, clients: int, now_ms: float) -> ShareClaim:
-        """What to tell the primary. `clients`: processes that ask this controller for units."""
+        """Return the claim to send to the primary. `clients`: processes that request units from this controller."""
         return ShareClaim(self._term, self.share(now_ms), clients)
 
     def accept(self, offer: ShareOffer, claimed_ms: float) -> None:
-        """Take a lease. `claimed_ms`: when the claim was sent that it answers. Offers of an older term are void."""
+        """Accept a lease, unless its term is older than that of the last one.
+
+        `claimed_ms`: when the claim that the offer answers was sent.
+        """
         if offer.term < self._term:
             return
         self._term, self._share = offer.term, offer.share
@@ -81,29 +85,29 @@
 
 @dataclass(slots=True)
 class _Lease:
-    """What the primary knows of one holder."""
+    """The primary's record of one holder."""
 
-    share: int  # the most that it may be using
+    share: int  # the largest share that the holder may be using
     expires_ms: float
     clients: int = 0
-    is_confirmed: bool = False  # it has accepted an offer of this term, and takes none of earlier ones
+    is_confirmed: bool = False  # it has accepted an offer of this term, so it ignores those of earlier terms
 
 
 class LeaseTable:
     """The leases of one primary's term. Times are milliseconds of its monotonic clock.
 
     Attributes:
-        term: of the primary.
+        term: term of the primary.
     """
 
     def __init__(self, term: Term, now_ms: float) -> None:
-        """Begin a term. No earlier primary may grant anything from now on."""
+        """Start a term. From now on no earlier primary may grant a lease."""
         self.term = term
         self._started_ms = now_ms
         self._leases: dict[str, _Lease] = {}
 
     def record_claim(self, holder: str, claim: ShareClaim, now_ms: float) -> None:
-        """A holder tells what it has."""
+        """Record the share that a holder claims."""
         self._forget_expired(now_ms)
         lease = self._leases.get(holder)
         is_confirmed = claim.term == self.term
@@ -111,12 +115,12 @@
             lease = self._leases[holder] = _Lease(claim.share, now_ms + LEASE_MS)
         lease.clients = claim.clients
         lease.is_confirmed = is_confirmed
-        # A process that has accepted no offer yet holds nothing: what its predecessor held ended with it.
+        # A process that has not accepted an offer holds nothing; a lease of its predecessor ended with that process.
         is_exact = is_confirmed or claim.term == NO_TERM
         lease.share = claim.share if is_exact else max(lease.share, claim.share)
 
     def offer(self, holder: str, claim: ShareClaim, members: Collection[str], now_ms: float) -> ShareOffer:
-        """Grant a lease in answer to that claim, which is the last one of its holder."""
+        """Grant a lease in answer to `claim`, which must be the latest claim of the holder."""
         share = self._next_share(holder, claim, members, now_ms)
         lease = self._leases[holder]
         lease.share = max(lease.share, share)
@@ -124,7 +128,7 @@
         return ShareOffer(self.term, share)
 
     def is_urgent(self, holder: str, claim: ShareClaim, members: Collection[str], now_ms: float) -> bool:
-        """Whether an offer now would tell the holder something that it should know soon."""
+        """Return whether the claim should be answered at once because the holder's term or share changes notably."""
         if claim.term != self.term:
             return True
         share = self._next_share(holder, claim, members, now_ms)
@@ -132,7 +136,7 @@
 
     def _next_share(self, holder: str, claim: ShareClaim, members: Collection[str], now_ms: float) -> int:
         self._forget_expired(now_ms)
-        if holder not in self._leases:  # the claim has waited since before this term, or for long
+        if holder not in self._leases:  # the claim dates from before this term, or its lease has expired
             self.record_claim(holder, claim, now_ms)
         if holder not in members:
             return 0
@@ -142,7 +146,7 @@
         return min(self._target(holder, members), TOTAL_SHARE - others)
 
     def _target(self, holder: str, members: Collection[str]) -> int:
-        """In proportion to the clients of each holder: what nobody can ask for would lie idle."""
+        """Return the holder's share by its number of clients. A share without clients to request it would lie idle."""
         clients = {node: lease.clients for node, lease in self._leases.items() if node in members}
         total = sum(clients.values())
         if total == 0:
@@ -150,7 +154,7 @@
         return TOTAL_SHARE * clients.get(holder, 0) // total
 
     def _knows_all_leases(self, members: Collection[str], now_ms: float) -> bool:
-        """Whether every lease that may be in force is in this ledger."""
+        """Return whether this table records every lease that may be in force."""
         if now_ms >= self._started_ms + LEASE_MS:
             return True
         leases = (self._leases.get(member) for member in members)
--- a/packages/quotas/tests/test_quotas_outages.py
+++ b/packages/quotas/tests/test_quotas_outages.py
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_a_lowered_limit_holds_from_two_windows_later(seed: int) -> None:
+def test_a_lowered_limit_applies_within_two_windows(seed: int) -> None:
     fleet = start(MEDIUM, seed, OVERLOAD_FACTOR)
     fleet.run_until(8_000.0)
     lower = RateLimit(MEDIUM.limit.rate_per_s / 4.0, MEDIUM.limit.burst / 4.0)
@@ -154,7 +154,7 @@
 
 def test_retries_are_still_spread_when_a_long_debt_is_paid() -> None:
     deep_debt = 17  # seed: paid 13 s after its last charge
-    test_a_lowered_limit_holds_from_two_windows_later(deep_debt)
+    test_a_lowered_limit_applies_within_two_windows(deep_debt)
 
 
 @pytest.mark.parametrize("config", [MEDIUM, LARGE], ids=["195 routers", "300 routers"])
--- a/packages/quotas/tests/test_quotas_planted.py
+++ b/packages/quotas/tests/test_quotas_planted.py
@@ -73,7 +73,7 @@
     patch.setattr(quota_allocator, "RESTARTS_FRACTION", -1.0)
 
 
-def expired_leases_are_kept(patch: pytest.MonkeyPatch) -> None:
+def expired_leases_are_not_removed(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(LeaseTable, "_forget_expired", lambda self, now_ms: None)
 
 
@@ -119,7 +119,7 @@
     (no_rate_is_reserved_for_isolated_processes, find_excess_during_faults),
     (isolated_parts_are_rounded_up, find_excess_by_isolated_processes),
     (a_restarted_controller_starts_far_in_debt, find_rejections_below_the_limit),
-    (expired_leases_are_kept, find_an_unused_share),
+    (expired_leases_are_not_removed, find_an_unused_share),
 ]
 
 
