--- a/packages/quotas/tests/quota_controllers.py
+++ b/packages/quotas/tests/quota_controllers.py
@@ -1,4 +1,4 @@
-"""Simulated controllers: an elected primary that leases shares of the quotas to all of them."""
+"""Simulated controllers, one of which is elected primary and leases shares of the quotas to all."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class ControllerGroup:
-    """The controllers, on the clock of the whole fleet.
+    """The controllers, simulated event by event on the fleet's clock.
 
     Attributes:
-        split: controllers that do not reach the others; they reach each other.
-        max_total_share: that were in force at once.
+        split_controllers: controllers that reach each other but none of the other controllers.
+        max_total_share: largest sum of the shares that were in force at the same time.
     """
 
     def __init__(self, config: FleetConfig, seed: int) -> None:
@@ -51,7 +51,7 @@
         heapq.heappush(self._events, (when_ms, next(self._numbers), action))
 
     def run_until(self, end_ms: float) -> None:
-        """Play all events up to that time."""
+        """Process all events up to that time."""
         while self._events and self._events[0][0] < end_ms:
             self.now_ms, _, action = heapq.heappop(self._events)
             action()
@@ -142,7 +142,7 @@
         controller.allocator.set_share(share, controller.holder.expires_ms, self.now_ms)
 
     def _claim(self, number: int, controller: Controller) -> None:
-        """A controller pulls from the primary, which answers when there is news, or after a while."""
+        """Send the claim of a controller to the primary, which answers at once if that is urgent, or else later."""
         if self.controllers[number] is not controller:
             return
         primary = self._primary
--- a/packages/quotas/tests/quota_faults.py
+++ b/packages/quotas/tests/quota_faults.py
@@ -1,4 +1,4 @@
-"""Seeded faults of a simulated fleet."""
+"""Random, seeded faults of a simulated fleet."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FaultInjector:
-    """Draws faults of controllers, routers and the links between them."""
+    """Injects random faults of controllers, routers and the links between them."""
 
     KINDS = (
         "cut_controller",
@@ -24,13 +24,13 @@
         self.rng = fleet.rng
 
     def inject(self) -> float:
-        """Inject a fault; return after how many milliseconds `clear` is to be called."""
+        """Inject a fault. Returns the milliseconds after which to call `clear`."""
         for_ms = self.rng.choice([300.0, 900.0, 2_000.0, 8_000.0, 20_000.0])
         getattr(self, "_" + self.rng.choice(self.KINDS))(for_ms)
         return for_ms
 
     def clear(self) -> None:
-        """End all faults."""
+        """End all partitions. Paused controllers resume by themselves."""
         self.fleet.cut_links.clear()
         self.fleet.split_controllers.clear()
 
--- a/packages/quotas/tests/quota_fleet.py
+++ b/packages/quotas/tests/quota_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet in memory: routers that request units, controllers that hand them out, clients, and faults of all.
+"""A simulated fleet: routers that request units, controllers that grant them, clients, and faults of all of these.
 
-Played event by event on one clock. The replication among the controllers is reduced to what quotas need of it: at most
-one primary whose lease a majority renews, elected a while after the last one's lease has ended.
+The simulation processes events on one clock. It includes only the part of replication that quotas need: there is at
+most one primary, whose lease a majority renews, and the next one is elected some time after that lease has expired.
 """
 
 from __future__ import annotations
@@ -34,22 +34,24 @@
     """Routers, controllers and clients.
 
     Attributes:
-        cut: pairs (router, controller) that do not reach each other.
-        deaf: pairs (router, controller) of which the router's messages arrive and the controller's do not.
-        max_latency_ms: of a message.
+        cut_links: pairs (router, controller) that do not reach each other.
+        one_way_links: pairs (router, controller) where only the router's messages arrive.
+        max_latency_ms: maximum latency of a message.
     """
 
     def __init__(self, config: FleetConfig, seed: int) -> None:
         super().__init__(config, seed)
-        self.demand_per_s = 0.0  # of each tenant
+        self.demand_per_s = 0.0  # tokens requested per second by each tenant
         self.cut_links: set[tuple[int, int]] = set()
         self.one_way_links: set[tuple[int, int]] = set()
         self.max_latency_ms = MAX_LATENCY_MS
         self.admitted: dict[str, list[tuple[float, float]]] = {tenant: [] for tenant in self.tenants}
-        self.rejected: list[tuple[float, float]] = []  # first tries only
+        self.rejected: list[tuple[float, float]] = []  # without retries
         self.by_rule: dict[AdmissionRule, float] = {}
-        self._links: dict[tuple[int, int], int] = {}  # number of the connection, for events of an earlier one
-        self._received_ms: dict[tuple[int, int], float] = {}  # by the router of the controller
+        self._links: dict[tuple[int, int], int] = {}  # connection number, to ignore events of earlier ones
+        self._received_ms: dict[
+            tuple[int, int], float
+        ] = {}  # when the router last received from the controller
         self.routers = [self._router() for _ in range(config.routers)]
         for number in range(config.controllers):
             self.start_controller(number, limits_after_ms=0.0, is_first=True)
@@ -59,7 +61,7 @@
     # Faults
 
     def kill_controller(self, number: int) -> None:
-        """A controller dies with all that it knows; its connections are reset, or fall silent."""
+        """Crash a controller, which loses its state. Its connections are reset or become silent."""
         self.controllers[number] = None
         if self._primary == number:
             self._end_term()
@@ -71,7 +73,7 @@
     def start_controller(
         self, number: int, limits_after_ms: float | None = None, *, is_first: bool = False
     ) -> None:
-        """A controller starts empty; it learns the limits after a while, and routers reach it one after another."""
+        """Start a controller without state. It learns the limits later, and routers connect to it one by one."""
         allocator = QuotaAllocator(self.config.tolerance)
         controller = self.controllers[number] = Controller(self.now_ms, allocator)
         after_ms = self.rng.uniform(0.0, MAX_LIMITS_MS) if limits_after_ms is None else limits_after_ms
@@ -91,27 +93,27 @@
         )
 
     def freeze_controller(self, number: int, for_ms: float) -> None:
-        """A controller's machine stands still."""
+        """Pause a controller for that time."""
         controller = self.controllers[number]
         if controller is not None:
             controller.is_frozen = True
             self.at(self.now_ms + for_ms, lambda: setattr(controller, "is_frozen", False))
 
     def restart_router(self, number: int) -> None:
-        """A router starts again, without any memory."""
+        """Restart a router, which loses its state."""
         self.routers[number] = self._router()
         for controller in range(self.config.controllers):
             self._disconnect(number, controller)
 
     def add_routers(self, routers: int) -> None:
-        """More routers start, beside those that are there."""
+        """Start additional routers."""
         for number in range(len(self.routers), len(self.routers) + routers):
             self.routers.append(self._router())
             for controller in range(self.config.controllers):
                 self._disconnect(number, controller)
 
     def freeze_router(self, number: int, for_ms: float) -> None:
-        """A router's machine stops; what was sent to it meanwhile is read all at once."""
+        """Pause a router for that time. It then reads all messages that arrived meanwhile at once."""
         router = self.routers[number]
         if not router.is_frozen:
             router.is_frozen = True
@@ -119,7 +121,7 @@
 
     def _unfreeze(self, number: int, router: Router) -> None:
         router.is_frozen = False
-        if self.routers[number] is not router:  # killed meanwhile
+        if self.routers[number] is not router:  # it was restarted meanwhile
             return
         self.rng.shuffle(router.unread)
         unread, router.unread = router.unread, []
@@ -127,9 +129,9 @@
             read()
 
     def set_limit(self, limit: RateLimit, behind: frozenset[int] = frozenset(), late_ms: float = 0.0) -> None:
-        """A change of the configuration reaches routers within `late_ms`, and all controllers that are not behind.
+        """Change the limit at routers within `late_ms`, and at once at all controllers that are not in `behind`.
 
-        A router that has it takes nothing from a controller that has not.
+        Controllers in `behind` answer "undecided" to routers that already have the new limit.
         """
         self.limit = limit
         for number, controller in enumerate(self.controllers):
@@ -147,7 +149,7 @@
             )
 
     def catch_up(self) -> None:
-        """Controllers that were behind learn the limits in force."""
+        """Set the current limits at the controllers that were behind."""
         for controller in self.controllers:
             if controller is not None and controller.is_behind:
                 controller.is_behind = False
@@ -160,22 +162,24 @@
 
     # Connections
 
-    def _disconnect(self, router: int, number: int) -> None:
-        """Either end has lost the connection, or there was none; the router dials again."""
-        link = self._links.pop((router, number), None)
+    def _disconnect(self, router: int, controller_id: int) -> None:
+        """Close the connection, if there is one, and let the router connect again."""
+        link = self._links.pop((router, controller_id), None)
         if link is not None:
-            self._report_lost_controller(self.routers[router], number, link)
-            controller = self.controllers[number]
+            self._report_lost_controller(self.routers[router], controller_id, link)
+            controller = self.controllers[controller_id]
             if controller is not None:
                 controller.connected.pop(router, None)
                 controller.lost_ms[router] = self.now_ms
-        self._schedule_connect(router, number)
+        self._schedule_connect(router, controller_id)
 
-    def _report_lost_controller(self, router: Router, number: int, link: int) -> None:
-        """A router that stands still notices it when it goes on."""
+    def _report_lost_controller(self, router: Router, controller_id: int, link: int) -> None:
+        """Tell a router that a connection was lost; a paused router handles that when it resumes."""
 
         def notice() -> None:
-            for request_id, step in router.requester.on_controller_lost(f"{number}#{link}", self.now_ms):
+            for request_id, step in router.requester.on_controller_lost(
+                f"{controller_id}#{link}", self.now_ms
+            ):
                 self._handle_step(router, router.pending.pop(request_id), step)
 
         if router.is_frozen:
@@ -183,54 +187,61 @@
         else:
             notice()
 
-    def _schedule_connect(self, router: int, number: int) -> None:
+    def _schedule_connect(self, router: int, controller_id: int) -> None:
         router_process = self.routers[router]
         self.at(
             self.now_ms + self.rng.uniform(0.0, MAX_RECONNECT_MS),
-            lambda: self._connect(router, number, router_process),
+            lambda: self._connect(router, controller_id, router_process),
         )
 
-    def _connect(self, router: int, number: int, router_process: Router) -> None:
-        if self.routers[router] is not router_process or (router, number) in self._links:
+    def _connect(self, router: int, controller_id: int, router_process: Router) -> None:
+        if self.routers[router] is not router_process or (router, controller_id) in self._links:
             return
-        controller = self.controllers[number]
+        controller = self.controllers[controller_id]
         is_unreachable = controller is None or controller.is_frozen or router_process.is_frozen
-        if is_unreachable or (router, number) in self.cut_links or (router, number) in self.one_way_links:
-            self._schedule_connect(router, number)
+        if (
+            is_unreachable
+            or (router, controller_id) in self.cut_links
+            or (router, controller_id) in self.one_way_links
+        ):
+            self._schedule_connect(router, controller_id)
             return
         assert controller is not None
-        link = self._links[router, number] = next(self._numbers)
+        link = self._links[router, controller_id] = next(self._numbers)
         controller.lost_ms.pop(router, None)
         if router_process.is_reliable:
             controller.expected_routers = max(controller.expected_routers, router_process.max_count)
-        self._received_ms[router, number] = controller.connected[router] = self.now_ms
-        self._exchange(router, number, link)
+        self._received_ms[router, controller_id] = controller.connected[router] = self.now_ms
+        self._exchange(router, controller_id, link)
 
-    def _exchange(self, number: int, index: int, link: int) -> None:
-        """A controller answers the pending pull of a router; either end gives up after a long silence."""
-        if self._links.get((number, index)) != link:
+    def _exchange(self, router_id: int, controller_id: int, link: int) -> None:
+        """Let a controller answer a router's pending pull, or close the connection after a long silence."""
+        if self._links.get((router_id, controller_id)) != link:
             return
-        controller, router = self.controllers[index], self.routers[number]
-        is_reached = (number, index) not in self.cut_links and (number, index) not in self.one_way_links
+        controller, router = self.controllers[controller_id], self.routers[router_id]
+        is_reached = (router_id, controller_id) not in self.cut_links and (
+            router_id,
+            controller_id,
+        ) not in self.one_way_links
         is_up = controller is not None and not controller.is_frozen and is_reached
         if is_up and not router.is_frozen:
             assert controller is not None
-            self._received_ms[number, index] = controller.connected[number] = self.now_ms
-            self._receive(number, index, link)
-        elif self.now_ms >= self._received_ms[number, index] + SILENCE_MS:
-            self._disconnect(number, index)
+            self._received_ms[router_id, controller_id] = controller.connected[router_id] = self.now_ms
+            self._receive(router_id, controller_id, link)
+        elif self.now_ms >= self._received_ms[router_id, controller_id] + SILENCE_MS:
+            self._disconnect(router_id, controller_id)
             return
         self.at(
             self.now_ms + min(self.config.report_ms, SILENCE_MS / 2.0),
-            lambda: self._exchange(number, index, link),
+            lambda: self._exchange(router_id, controller_id, link),
         )
 
-    def _receive(self, number: int, index: int, link: int) -> None:
-        controller, router = self.controllers[index], self.routers[number]
+    def _receive(self, router_id: int, controller_id: int, link: int) -> None:
+        controller, router = self.controllers[controller_id], self.routers[router_id]
         assert controller is not None
         is_granting = controller.has_limits and controller.allocator.has_share(self.now_ms)
         router.learn_count(len(controller.connected), self.now_ms, may_lower=is_granting)
-        router.requester.set_granting(f"{index}#{link}", self.now_ms, is_granting=is_granting)
+        router.requester.set_granting(f"{controller_id}#{link}", self.now_ms, is_granting=is_granting)
 
     # Requests
 
@@ -251,7 +262,7 @@
             self._begin(router, request)
 
     def _begin(self, router: Router, request: Request) -> None:
-        """Routers take requests once a controller has answered, and wait a while for any to hold a share."""
+        """Start a request if a controller has ever answered; wait up to `SHARE_WAIT_MS` if none holds a share."""
         if router.first_count_ms is None:
             return
         is_granting = router.requester.has_granting_controller
@@ -276,7 +287,7 @@
             return
         if isinstance(step, QuotaCharge):
             self.by_rule[step.rule] = self.by_rule.get(step.rule, 0.0) + step.units
-            if router in self.routers:  # else killed before it sent the request on
+            if router in self.routers:  # otherwise it was restarted before it forwarded the request
                 self.admitted[request.tenant].append((self.now_ms, request.tokens))
             return
         if not request.is_retry:
@@ -285,23 +296,28 @@
             self.at(self.now_ms + 1_000.0 * step.retry_after_s, lambda: self._request(again))
 
     def _query(self, router: Router, query: Query) -> None:
-        index, _, link = query.controller.partition("#")
+        controller_id, _, link = query.controller.partition("#")
         arrives_ms = self.now_ms + self.rng.uniform(0.2, self.max_latency_ms)
-        self.at(arrives_ms, lambda: self._decide(router, query, int(index), int(link)))
+        self.at(arrives_ms, lambda: self._decide(router, query, int(controller_id), int(link)))
         self.at(
             self.now_ms + QUERY_TIMEOUT_MS, lambda: self._read(router, lambda: self._time_out(router, query))
         )
 
-    def _decide(self, router: Router, query: Query, index: int, link: int) -> None:
-        controller = self.controllers[index]
-        number = next((pair[0] for pair, one in self._links.items() if one == link), None)
-        if controller is None or controller.is_frozen or number is None or (number, index) in self.cut_links:
+    def _decide(self, router: Router, query: Query, controller_id: int, link: int) -> None:
+        controller = self.controllers[controller_id]
+        router_id = next((pair[0] for pair, one in self._links.items() if one == link), None)
+        if (
+            controller is None
+            or controller.is_frozen
+            or router_id is None
+            or (router_id, controller_id) in self.cut_links
+        ):
             return
         decision = QuotaDecision(QuotaOutcome.UNDECIDED)
         is_current = not controller.is_behind or router.requester.limits.get(query.tenant) != self.limit
         if controller.has_limits and is_current:
             decision = controller.allocator.request(query.tenant, query.units, self.now_ms)
-        if (number, index) in self.one_way_links:
+        if (router_id, controller_id) in self.one_way_links:
             return
         is_late = self.rng.random() < LATE_FRACTION
         after_ms = QUERY_TIMEOUT_MS + 10.0 if is_late else self.rng.uniform(0.2, self.max_latency_ms)
@@ -328,10 +344,10 @@
         if step is not None:
             self._handle_step(router, router.pending.pop(query.request_id), step)
 
-    # Sums
+    # Totals
 
     def max_admitted_in_window(self, since_ms: float = 0.0) -> float:
-        """Return the tokens of one tenant admitted within the fullest window."""
+        """Return the largest number of tokens admitted for one tenant within any window that ends after `since_ms`."""
         return max(self._max_in_window(admitted, since_ms) for admitted in self.admitted.values())
 
     def _max_in_window(self, admitted: list[tuple[float, float]], since_ms: float) -> float:
@@ -347,10 +363,10 @@
         return most
 
     def admitted_within(self, since_ms: float, until_ms: float) -> float:
-        """Return the tokens admitted in that time."""
+        """Return the tokens admitted within that period."""
         all_admitted = chain.from_iterable(self.admitted.values())
         return sum(tokens for when_ms, tokens in all_admitted if since_ms <= when_ms < until_ms)
 
     def rejected_within(self, since_ms: float, until_ms: float) -> float:
-        """Return the tokens of requests rejected at their first try in that time."""
+        """Return the tokens of requests rejected at their first attempt within that period."""
         return sum(tokens for when_ms, tokens in self.rejected if since_ms <= when_ms < until_ms)
--- a/packages/quotas/tests/quota_processes.py
+++ b/packages/quotas/tests/quota_processes.py
@@ -1,4 +1,4 @@
-"""A simulated fleet's parts: its config, and what each router and controller keeps."""
+"""Parts of a simulated fleet: its configuration and the state of each router and controller."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from larkweir_quotas.share_leases import LeaseTable, ShareHolder
 
 TENANT = "t"
-LIMIT = RateLimit(200_000.0, 720_000.0)  # tokens, as on the day on which the fault was seen
+LIMIT = RateLimit(200_000.0, 720_000.0)  # tokens; the limit in force when the fault was seen
 TICK_MS = 40.0
 LEADER_LEASE_MS = 320.0
 LEADER_LEASE_MARGIN_MS = 40.0
 ELECTION_MS = (100.0, 800.0)
-MAX_LIMITS_MS = 300.0  # after a controller's return, until it knows the configuration
-MAX_RECONNECT_MS = 600.0  # after a controller's return, until a router reaches it
-SILENCE_MS = 1_000.0  # after which either end gives up a connection
+MAX_LIMITS_MS = 300.0  # until a started controller has the configuration
+MAX_RECONNECT_MS = 600.0  # until a router connects to a started controller
+SILENCE_MS = 1_000.0  # after which either end closes the connection
 QUERY_TIMEOUT_MS = 120.0
 SHARE_WAIT_MS = 300.0
 MAX_LATENCY_MS = 3.0
-LATE_FRACTION = 0.003  # of answers that come after their request has given up waiting
+LATE_FRACTION = 0.003  # of answers that arrive after the timeout of their query
 MIN_REPORTING_MS = 2_000.0
-ROUTER_COUNT_RETENTION_MS = 10_000.0  # as routers believe in the highest count that they were told
-DISCONNECTED_MS = 600_000.0  # for so long a router that was lost counts as isolated
+ROUTER_COUNT_RETENTION_MS = 10_000.0  # for which a router keeps the highest router count reported to it
+DISCONNECTED_MS = 600_000.0  # for which a disconnected router counts as isolated
 
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """A fleet and the limit of its tenants."""
+    """The size of a fleet, its message timing, and the limit of its tenants."""
 
     routers: int = 195
     controllers: int = 5
@@ -41,7 +41,7 @@
     window_ms: float = 8_000.0
     over: float = 0.1
     slack: float = 190_000.0
-    tenants: int = 1  # each with that limit
+    tenants: int = 1  # each of them has the limit `limit`
 
     @property
     def tolerance(self) -> Tolerance:
@@ -49,7 +49,7 @@
 
     @property
     def allowed(self) -> float:
-        """The most that may be admitted within any window."""
+        """Return the number of tokens that may be admitted within any window."""
         used = self.limit.rate_per_s * self.window_ms / 1_000.0 + self.limit.burst
         return used * (1.0 + self.over) + self.slack
 
@@ -74,10 +74,12 @@
     max_count_ms: float = 0.0
     first_count_ms: float | None = None
     is_frozen: bool = False
-    unread: list[Callable[[], None]] = field(default_factory=list)  # what reaches it while it is frozen
+    unread: list[Callable[[], None]] = field(
+        default_factory=list
+    )  # messages that arrive while the router is frozen
 
     def learn_count(self, routers: int, now_ms: float, *, may_lower: bool) -> None:
-        """Believe the highest count of late, once it has settled, as the fleet's routers do."""
+        """Use the highest recent count, as real routers do, once all controllers had time to report theirs."""
         if self.first_count_ms is None:
             self.first_count_ms = now_ms
         is_outdated = may_lower and now_ms >= self.max_count_ms + ROUTER_COUNT_RETENTION_MS
@@ -101,8 +103,10 @@
     lease_table: LeaseTable | None = None
     has_limits: bool = False
     is_frozen: bool = False
-    is_behind: bool = False  # with an older configuration
-    majority_ms: float = float("-inf")  # when a majority renewed its lease as the primary
+    is_behind: bool = False  # it has an older configuration
+    majority_ms: float = float("-inf")  # when a majority last renewed its lease as primary
     expected_routers: int = 0
-    connected: dict[int, float] = field(default_factory=dict)  # by router: when it was last received from
-    lost_ms: dict[int, float] = field(default_factory=dict)  # by router
+    connected: dict[int, float] = field(
+        default_factory=dict
+    )  # by router: when the router last received from the controller
+    lost_ms: dict[int, float] = field(default_factory=dict)  # by router: when its connection was lost
--- a/packages/quotas/tests/test_quotas_allocator.py
+++ b/packages/quotas/tests/test_quotas_allocator.py
@@ -1,4 +1,4 @@
-"""What one controller hands out of its share."""
+"""Tests of the units that one controller grants from its share."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def granted_units(allocator: QuotaAllocator, units: float, now_ms: float) -> float:
-    """How much is handed out until the first refusal."""
+    """Return the units granted until the first refusal."""
     total = 0.0
     while allocator.request("t", units, now_ms).outcome is QuotaOutcome.GRANTED:
         total += units
--- a/packages/quotas/tests/test_quotas_disturbances.py
+++ b/packages/quotas/tests/test_quotas_disturbances.py
@@ -1,4 +1,4 @@
-"""Large fleets through outages beside other disturbances, a family each: the sum of what is admitted."""
+"""Large fleets during controller outages combined with other disturbances must not admit more than the limit."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 SEEDS = int(os.environ.get("QUOTA_SEEDS", "1"))
 FIRST_SEED = int(os.environ.get("QUOTA_FIRST_SEED", "0"))
-SIZES = [MEDIUM, LARGE]  # even and odd seeds
-CONFIG_MS = 3_000.0  # within which a router in touch follows a change of the configuration
+SIZES = [MEDIUM, LARGE]  # for even and odd seeds
+CONFIG_MS = 3_000.0  # within which a connected router applies a changed configuration
 LOWERED_FRACTION = 0.25  # of the limit
 END_MS = 28_000.0
 Disturbance = Callable[[Fleet, Random, float], None]
 
 
 def schedule_outage(fleet: Fleet, at_ms: float, outage_ms: float) -> None:
-    """All controllers die, and return empty."""
+    """Crash all controllers and start them again without state after `outage_ms`."""
     for controller in range(fleet.config.controllers):
         fleet.at(at_ms, lambda controller=controller: fleet.kill_controller(controller))
         fleet.at(at_ms + outage_ms, lambda controller=controller: fleet.start_controller(controller))
@@ -55,7 +55,7 @@
 
 
 def fleet_is_partitioned(fleet: Fleet, rng: Random, at_ms: float) -> None:
-    """Two controllers and some routers reach each other only, and the rest each other only."""
+    """Separate two controllers and some routers from all the others."""
     routers_reach_one_side_only(fleet, rng, at_ms)
     fleet.at(at_ms, lambda: fleet.split_controllers.update({0, 1}))
     fleet.at(at_ms + rng.uniform(500.0, 8_000.0), fleet.split_controllers.clear)
@@ -113,7 +113,7 @@
 
 
 def simulate(disturbance: Disturbance, seed: int, tenants: int = 1) -> Fleet:
-    """Tenants become hot at some time around the disturbance, which all of them press through."""
+    """Simulate the disturbance. Shortly before or after its start all tenants begin to exceed their limits."""
     config = replace(SIZES[seed % len(SIZES)], tenants=tenants)
     fleet, rng = Fleet(config, seed), Random(seed)
     fleet.demand_per_s = HALF * config.limit.rate_per_s
@@ -183,7 +183,7 @@
 
 @seeds
 def test_a_limit_lowered_during_an_outage_takes_effect(seed: int) -> None:
-    """Some controllers die and some are behind, with the old limit; or all die, and it falls after their return."""
+    """Lower the limit while some controllers are down and others keep the old limit, or after all have restarted."""
     config = SIZES[seed % len(SIZES)]
     fleet, rng = Fleet(config, seed), Random(seed)
     fleet.demand_per_s = OVERLOAD_FACTOR * config.limit.rate_per_s
--- a/packages/quotas/tests/test_quotas_golden.py
+++ b/packages/quotas/tests/test_quotas_golden.py
@@ -1,6 +1,6 @@
-"""Bytes of messages about quotas. The fleet is updated one process at a time, so later versions read and write them.
+"""Encodings of quota messages. Versions are mixed during an update, so all must read and write the same bytes.
 
-Limits and statuses are as version 0.2 of the fleet wrote them.
+Limits and statuses are in the format of version 0.2.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 STATUSES = [
     (QuotaStatus(1_500.0, 320.0), b"[1500.0,320.0,false]"),
     (QuotaStatus(-40.5, 0.0, True), b"[-40.5,0.0,true]"),
-    (QuotaStatus(7, 3, False), b"[7,3,false]"),  # as controllers write it: rounded
+    (QuotaStatus(7, 3, False), b"[7,3,false]"),  # rounded, as controllers write it
 ]
 
 
--- a/packages/quotas/tests/test_quotas_herd.py
+++ b/packages/quotas/tests/test_quotas_herd.py
@@ -1,4 +1,4 @@
-"""An oversubscribed tenant whose rejected clients retry at all processes at the same moment."""
+"""An oversubscribed tenant whose rejected clients retry at all processes at the same time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from larkweir_quotas.quota_requester import Query, QuotaRejection, QuotaRequester, Step
 from larkweir_quotas.share_leases import TOTAL_SHARE
 
-LIMIT = RateLimit(860_000.0, 860_000.0)  # tokens, as on the day on which the fault was seen
+LIMIT = RateLimit(860_000.0, 860_000.0)  # tokens; the limit in force when the fault was seen
 TOLERANCE = Tolerance(window_s=8.0, over=0.1, slack=190_000.0)
 WINDOW_MS = 8_000.0
 CONTROLLERS = 5
@@ -30,7 +30,7 @@
 
 
 def admitted(processes: int, rng: Random) -> list[tuple[float, float]]:
-    """Return when how many tokens were admitted; clients that are rejected retry exactly when they should."""
+    """Return the time and tokens of each admission. Rejected clients retry exactly after the delay they were given."""
     allocators = controllers()
     requesters = [QuotaRequester(TOLERANCE, rng) for _ in range(processes)]
     for requester in requesters:
@@ -78,4 +78,4 @@
         sum(units for at_ms, units in admissions if start <= at_ms < start + WINDOW_MS) for start in starts
     ]
     assert max(windows) <= allowed
-    assert min(windows) >= 0.8 * LIMIT.rate_per_s * WINDOW_MS / 1_000.0, "nor does it get much less"
+    assert min(windows) >= 0.8 * LIMIT.rate_per_s * WINDOW_MS / 1_000.0, "the tenant gets most of its limit"
--- a/packages/quotas/tests/test_quotas_isolation.py
+++ b/packages/quotas/tests/test_quotas_isolation.py
@@ -1,4 +1,4 @@
-"""Processes that no controller reaches: what they admit together, by parts that are smaller than a request."""
+"""Isolated processes must together admit about their reserves, even if each reserve is smaller than one request."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from larkweir_quotas.local_reserve import ISOLATED_FRACTION, ISOLATION_NOTICE_MS
 from larkweir_quotas.quota_requester import QuotaCharge, QuotaRequester
 
-LIMIT = RateLimit(200_000.0, 720_000.0)  # tokens, as on the day on which the fault was seen
+LIMIT = RateLimit(200_000.0, 720_000.0)  # tokens; the limit in force when the fault was seen
 TOLERANCE = Tolerance(window_s=8.0, over=0.1, slack=190_000.0)
 WINDOW_MS = 8_000.0
-FULL_MS = 60_000.0  # by when a reserve is full
+FULL_MS = 60_000.0  # time by which a reserve is full
 TRY_MS = 50.0
 LARGE_REQUEST_TOKENS = 17_020.0
 RATE_WINDOW_S = (WINDOW_MS - ISOLATION_NOTICE_MS) / 1_000.0
@@ -22,7 +22,7 @@
 
 
 def isolated_requesters(processes: int, seed: int) -> list[QuotaRequester]:
-    """Processes that have been connected for long, until now."""
+    """Return requesters that lose their only controller at `FULL_MS`, after a long connection."""
     rng = Random(seed)
     requesters = [QuotaRequester(TOLERANCE, Random(rng.random())) for _ in range(processes)]
     for requester in requesters:
@@ -49,7 +49,7 @@
 def test_isolated_processes_do_not_each_go_into_debt_by_one_request(processes: int, seed: int) -> None:
     admitted = admitted_together(isolated_requesters(processes, seed), FULL_MS, FULL_MS + WINDOW_MS)
     assert admitted <= 1.4 * EXPECTED_UNITS
-    assert admitted >= 0.6 * EXPECTED_UNITS, "nor do parts that are smaller than a request lie idle"
+    assert admitted >= 0.6 * EXPECTED_UNITS, "reserves smaller than a request are also used"
 
 
 @pytest.mark.parametrize("processes", [9, 89, 300])
--- a/packages/quotas/tests/test_quotas_outages.py
+++ b/packages/quotas/tests/test_quotas_outages.py
@@ -1,4 +1,4 @@
-"""Large fleets through losses in any order: the sum of what is admitted, and what is left of a tenant's worth."""
+"""Large fleets during random faults must not admit more than the limit, and little less when they are healthy."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 LARGE = FleetConfig(routers=300, report_ms=600.0)
 OVERLOAD_FACTOR = 6.0  # times the limit
 HALF = 0.5
-RETURN_MS = 1_000.0  # until all routers have reached the controllers again and heard from them
-WARM_UP_MS = 2_000.0  # after the first start of all, when controllers know little
+RETURN_MS = 1_000.0  # until all routers have reconnected to the controllers and received their state
+WARM_UP_MS = 2_000.0  # after the first start, while controllers do not have their shares and limits yet
 
 
 def start(config: FleetConfig, seed: int, times_limit: float) -> Fleet:
@@ -29,7 +29,7 @@
 def simulate_outage(
     config: FleetConfig, seed: int, outage_ms: float, limits_after_ms: float | None = None
 ) -> Fleet:
-    """A calm tenant becomes hot; all controllers die and return empty."""
+    """Raise a tenant's demand above its limit, then crash all controllers and start them again without state."""
     fleet = start(config, seed, HALF)
     fleet.run_until(10_500.0)
     fleet.demand_per_s = OVERLOAD_FACTOR * config.limit.rate_per_s
@@ -44,7 +44,7 @@
 
 
 def schedule_random_fault(fleet: Fleet, rng: Random, at_ms: float) -> None:
-    """Draw a loss at that time, and its end; losses may overlap."""
+    """Schedule a random fault at that time, and its end. Faults may overlap."""
     config, for_ms = fleet.config, rng.uniform(300.0, 5_000.0)
     controllers = rng.sample(
         range(config.controllers), rng.choice([1, 2, config.controllers, config.controllers])
@@ -81,7 +81,7 @@
 
 
 def simulate_random_faults(config: FleetConfig, seed: int) -> Fleet:
-    """Losses in any order under a tenant that presses all the time."""
+    """Schedule random faults while a tenant's demand is above its limit all the time."""
     fleet, rng = start(config, seed, HALF), Random(seed)
     spike_ms = rng.uniform(2_000.0, 9_000.0)
     for _ in range(rng.randrange(1, 5)):
@@ -119,7 +119,7 @@
 
 def test_heavy_usage_just_before_all_controllers_crash_stays_within_the_limit() -> None:
     busy_before_all_controllers_die = (
-        18  # seed: by 0.3 s; the routers reconnect before they count as isolated
+        18  # seed; the demand rises 0.3 s before, and routers reconnect before they count as isolated
     )
     assert (
         simulate_random_faults(MEDIUM, busy_before_all_controllers_die).max_admitted_in_window()
@@ -129,7 +129,7 @@
 
 def test_first_requests_long_after_isolation_began_stay_within_the_limit() -> None:
     used_before_all_controllers_die = (
-        41  # seed: many routers' first request in isolation comes long after the loss
+        41  # seed; many routers get their first request in isolation long after the crash
     )
     assert (
         simulate_random_faults(LARGE, used_before_all_controllers_die).max_admitted_in_window()
@@ -153,7 +153,7 @@
 
 
 def test_retries_are_still_spread_when_a_long_debt_is_paid() -> None:
-    deep_debt = 17  # seed: paid 13 s after its last charge
+    deep_debt = 17  # seed; the debt is paid 13 s after its last charge
     test_a_lowered_limit_applies_within_two_windows(deep_debt)
 
 
@@ -189,7 +189,7 @@
 def test_a_demand_spike_while_controllers_are_slow_stays_within_the_limit(
     config: FleetConfig, times_limit: float, seed: int
 ) -> None:
-    """Controllers have no processor time left: they answer pulls every 800 ms, and some requests too late."""
+    """The controllers' processors are saturated: they answer pulls every 800 ms, and some requests too late."""
     fleet = start(replace(config, report_ms=800.0), seed, HALF)
     fleet.max_latency_ms = 90.0
     fleet.run_until(12_000.0)
--- a/packages/quotas/tests/test_quotas_planted.py
+++ b/packages/quotas/tests/test_quotas_planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in leases, allocators, requesters and reserves: the plays must find each."""
+"""Plants faults in leases, allocators and reserves. The simulations must detect each of them."""
 
 from __future__ import annotations
 
@@ -132,4 +132,4 @@
         except AssertionError:
             print(f"{plant.__name__}: found by seed {seed}")
             return
-    pytest.fail(f"{MAX_SEEDS} plays did not find it")
+    pytest.fail(f"{MAX_SEEDS} simulations did not detect the fault")
--- a/packages/quotas/tests/test_quotas_requester.py
+++ b/packages/quotas/tests/test_quotas_requester.py
@@ -1,4 +1,4 @@
-"""Admission at one process: whom it queries, and what it does when nobody answers."""
+"""Admission in one process: which controllers it queries, and what it does when none answers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 LIMITS = {"t": RateLimit(1_000.0, 2_000.0)}
 TOLERANCE = Tolerance(window_s=8.0, over=0.1, slack=500.0)
-FULL_MS = 60_000.0  # by when a reserve is full
+FULL_MS = 60_000.0  # time by which a reserve is full
 REFUSED = QuotaDecision(QuotaOutcome.REFUSED, 0.5)
 
 
@@ -58,7 +58,7 @@
     assert sorted(tried) == ["a", "b", "c"]
     assert isinstance(step, QuotaRejection)
     assert step.rule is AdmissionRule.GRANT
-    assert 0.5 <= step.retry_after_s <= 0.75, "spread, so that clients do not return together"
+    assert 0.5 <= step.retry_after_s <= 0.75, "spread, so that clients do not retry together"
 
 
 def test_clients_that_are_refused_together_get_different_retry_times() -> None:
@@ -143,7 +143,9 @@
     requester = make_requester()
     charge = requester.begin("t", 100.0, FULL_MS)
     assert isinstance(charge, QuotaCharge)
-    assert isinstance(requester.begin("t", 1_000.0, FULL_MS), QuotaCharge), "into debt: this process is alone"
+    assert isinstance(
+        requester.begin("t", 1_000.0, FULL_MS), QuotaCharge
+    ), "a single process may go into debt"
     assert isinstance(requester.begin("t", 10.0, FULL_MS), QuotaRejection)
     requester.refund(QuotaCharge("t", 1_000.0, AdmissionRule.RESERVE), FULL_MS)
     assert isinstance(requester.begin("t", 10.0, FULL_MS), QuotaCharge)
--- a/packages/quotas/tests/test_quotas_retry_budget.py
+++ b/packages/quotas/tests/test_quotas_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets of one and of several processes."""
+"""Retry budgets of one process and of several processes."""
 
 from __future__ import annotations
 
@@ -52,4 +52,6 @@
     for end in range(10_000, 120_000, 500):
         assert sum(1 for when in retries if end - 10_000 < when <= end) <= slack
     if slack == 430.0:
-        assert len(retried) >= 0.95 * processes, "who is in need gets one some time"
+        assert (
+            len(retried) >= 0.95 * processes
+        ), "nearly every process that needs a retry gets one at some time"
--- a/packages/quotas/tests/test_quotas_returns.py
+++ b/packages/quotas/tests/test_quotas_returns.py
@@ -1,4 +1,4 @@
-"""Controllers and routers that were cut off, paused or restarted: neither too much is admitted nor too little."""
+"""A fleet must admit neither too much nor too little when controllers or routers are cut off, paused or restarted."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from quota_processes import FleetConfig
 
 SEEDS = int(os.environ.get("QUOTA_SEEDS", "10"))
-CONVERGENCE_MS = 1_000.0  # after a fault, in which a request may still be rejected
+CONVERGENCE_MS = 1_000.0  # after a fault, while requests may still be rejected
 SMALL = FleetConfig(
     routers=9,
     controllers=3,
@@ -20,7 +20,7 @@
     report_ms=110.0,
     min_tokens=20.0,
     max_tokens=20.0,
-    slack=2_600.0,  # in the same ratio as in deployments
+    slack=2_600.0,  # same ratio to the limit as in deployments
 )
 LARGE = FleetConfig(
     routers=63,
--- a/packages/quotas/tests/test_quotas_share_leases.py
+++ b/packages/quotas/tests/test_quotas_share_leases.py
@@ -1,4 +1,4 @@
-"""Leases of shares: what is in force never adds up to more than the whole, whoever is elected, cut off or slow."""
+"""Shares in force must never add up to more than the whole, despite elections, partitions and delays."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def confirmed_lease_table(now_ms: float = 0.0) -> tuple[LeaseTable, dict[str, ShareHolder]]:
-    """A lease_table that all members have confirmed, and that each has got its share from."""
+    """Return a lease table whose term all members have confirmed, and holders that have their shares."""
     lease_table, holders = LeaseTable(FIRST, now_ms), {name: ShareHolder() for name in MEMBERS}
     for _ in range(3):
         for name, holder in holders.items():
@@ -44,7 +44,7 @@
 def test_all_members_get_equal_shares_once_all_have_confirmed_the_term() -> None:
     lease_table, one = LeaseTable(FIRST, 0.0), ShareHolder()
     renew(lease_table, "a", one, 0.0)
-    assert one.share(0.0) == 0, "the others may hold leases of an earlier primary"
+    assert one.share(0.0) == 0, "the other members may hold leases of an earlier primary"
     assert shares(confirmed_lease_table()[1], 0.0) == [TOTAL_SHARE // 3] * 3
 
 
@@ -53,7 +53,7 @@
     for now_ms in (LEASE_MS / 2.0, LEASE_MS - 1.0, LEASE_MS + 1.0):
         for name in ("a", "b"):
             renew(lease_table, name, holders[name], now_ms)
-    # The others' shares grow at the same renewal at which the silent one's lease has ended.
+    # The shares of the others grow at the first renewal after the silent member's lease has expired.
     assert shares(holders, LEASE_MS + 1.0) == [TOTAL_SHARE // 2, TOTAL_SHARE // 2, 0]
 
 
@@ -114,22 +114,24 @@
     lease_table.record_claim("a", claim, 0.0)
     assert claim == ShareClaim(FIRST, TOTAL_SHARE, 1)
     assert not lease_table.is_urgent("a", claim, ["a"], 0.0)
-    assert holder.claim(1, LEASE_MS) == ShareClaim(FIRST, 0, 1), "it has ended"
+    assert holder.claim(1, LEASE_MS) == ShareClaim(FIRST, 0, 1), "the lease has expired"
     assert ShareHolder().claim(1, 0.0).term == NO_TERM
 
 
 @dataclass
 class Group:
-    """Holders and primaries whose messages are late, lost, or held up by a pause of either end."""
+    """Holders and primaries whose messages are delayed, lost, or read late because the holder is paused."""
 
     rng: Random
     now_ms: float = 0.0
     holders: dict[str, ShareHolder] = field(default_factory=lambda: {one: ShareHolder() for one in "abcde"})
-    lease_tables: list[LeaseTable] = field(default_factory=list)  # the last one is the primary's
+    lease_tables: list[LeaseTable] = field(
+        default_factory=list
+    )  # one per term; the last one belongs to the current primary
     has_primary: bool = False
     is_stable: bool = False
     paused_until_ms: dict[str, float] = field(default_factory=dict)
-    claiming: set[tuple[str, int]] = field(default_factory=set)  # holder and term: one claim at a time
+    claiming: set[tuple[str, int]] = field(default_factory=set)  # holder and term of each unanswered claim
     due: list[tuple[float, int, str, ShareOffer | ShareClaim, float]] = field(default_factory=list)
 
     def step(self) -> None:
@@ -157,7 +159,7 @@
             self.has_primary = True
 
     def _restart(self, name: str) -> None:
-        """The process is another one; messages to and from the earlier one are lost."""
+        """Replace the process by a new one. Messages to and from the earlier process are lost."""
         self.holders[name] = ShareHolder()
         self.claiming = {one for one in self.claiming if one[0] != name}
         self.due = [one for one in self.due if one[2] != name]
@@ -173,10 +175,10 @@
     def _deliver(self, message: tuple[float, int, str, ShareOffer | ShareClaim, float]) -> None:
         _, term, name, content, claimed_ms = message
         if isinstance(content, ShareOffer) and self.now_ms < self.paused_until_ms.get(name, 0.0):
-            return  # it is read when the pause is over
+            return  # the holder reads it when the pause is over
         self.due.remove(message)
         if not self.is_stable and self.rng.random() < 0.1:
-            self.claiming.discard((name, term))  # lost, and the connection is made anew
+            self.claiming.discard((name, term))  # the message is lost, and the holder reconnects
         elif isinstance(content, ShareOffer):
             self.holders[name].accept(content, claimed_ms)
             self.claiming.discard((name, term))
@@ -201,4 +203,4 @@
     for _ in range(2_000):
         group.step()
         assert group.in_force() <= TOTAL_SHARE
-    assert group.in_force() >= 0.9 * TOTAL_SHARE, "nor do they stay small when all is well again"
+    assert group.in_force() >= 0.9 * TOTAL_SHARE, "shares grow again when there are no more faults"
--- a/packages/quotas/tests/test_quotas_sums.py
+++ b/packages/quotas/tests/test_quotas_sums.py
@@ -1,6 +1,6 @@
-"""Nine routers and three controllers: what all admit together, in quiet times and round the usual losses.
+"""Total admissions of nine routers and three controllers, without faults and during common faults.
 
-The bounds are those of the plays of routers that reported their usage (`test_quotas_reports` before share leases).
+The bounds are the same as in `test_quotas_reports`, which tested the usage reports that share leases have replaced.
 """
 
 from __future__ import annotations
