--- a/packages/quotas/tests/quota_fleet.py
+++ b/packages/quotas/tests/quota_fleet.py
@@ -21,7 +21,7 @@
     MAX_RECONNECT_MS,
     QUERY_TIMEOUT_MS,
     SHARE_WAIT_MS,
-    SILENCE_MS,
+    SILENCE_TIMEOUT_MS,
     TENANT,
     Controller,
     FleetConfig,
@@ -92,12 +92,12 @@
             self._limits(), self.now_ms, controllers=controllers, is_restart=is_restart
         )
 
-    def freeze_controller(self, number: int, for_ms: float) -> None:
+    def freeze_controller(self, number: int, duration_ms: float) -> None:
         """Pause a controller for that time."""
         controller = self.controllers[number]
         if controller is not None:
             controller.is_frozen = True
-            self.at(self.now_ms + for_ms, lambda: setattr(controller, "is_frozen", False))
+            self.at(self.now_ms + duration_ms, lambda: setattr(controller, "is_frozen", False))
 
     def restart_router(self, number: int) -> None:
         """Restart a router, which loses its state."""
@@ -112,12 +112,12 @@
             for controller in range(self.config.controllers):
                 self._disconnect(number, controller)
 
-    def freeze_router(self, number: int, for_ms: float) -> None:
+    def freeze_router(self, number: int, duration_ms: float) -> None:
         """Pause a router for that time. It then reads all messages that arrived meanwhile at once."""
         router = self.routers[number]
         if not router.is_frozen:
             router.is_frozen = True
-            self.at(self.now_ms + for_ms, lambda: self._unfreeze(number, router))
+            self.at(self.now_ms + duration_ms, lambda: self._unfreeze(number, router))
 
     def _unfreeze(self, number: int, router: Router) -> None:
         router.is_frozen = False
@@ -228,11 +228,11 @@
             assert controller is not None
             self._received_ms[router_id, controller_id] = controller.connected[router_id] = self.now_ms
             self._receive(router_id, controller_id, link)
-        elif self.now_ms >= self._received_ms[router_id, controller_id] + SILENCE_MS:
+        elif self.now_ms >= self._received_ms[router_id, controller_id] + SILENCE_TIMEOUT_MS:
             self._disconnect(router_id, controller_id)
             return
         self.at(
-            self.now_ms + min(self.config.report_ms, SILENCE_MS / 2.0),
+            self.now_ms + min(self.config.report_ms, SILENCE_TIMEOUT_MS / 2.0),
             lambda: self._exchange(router_id, controller_id, link),
         )
 
--- a/packages/quotas/tests/test_quotas_disturbances.py
+++ b/packages/quotas/tests/test_quotas_disturbances.py
@@ -16,8 +16,8 @@
 
 SEEDS = int(os.environ.get("QUOTA_SEEDS", "1"))
 FIRST_SEED = int(os.environ.get("QUOTA_FIRST_SEED", "0"))
-SIZES = [MEDIUM, LARGE]  # for even and odd seeds
-CONFIG_MS = 3_000.0  # within which a connected router applies a changed configuration
+CONFIGS = [MEDIUM, LARGE]  # for even and odd seeds
+CONFIG_DELAY_MS = 3_000.0  # within which a connected router applies a changed configuration
 LOWERED_FRACTION = 0.25  # of the limit
 END_MS = 28_000.0
 Disturbance = Callable[[Fleet, Random, float], None]
@@ -97,9 +97,11 @@
 def routers_freeze(fleet: Fleet, rng: Random, at_ms: float) -> None:
     if rng.random() < HALF:
         schedule_outage(fleet, at_ms + rng.uniform(0.0, 2_000.0), rng.uniform(300.0, 3_000.0))
-    for_ms = rng.uniform(300.0, 5_000.0)
+    duration_ms = rng.uniform(300.0, 5_000.0)
     for router in sample_routers(fleet, rng):
-        fleet.at(at_ms, lambda router=router: fleet.freeze_router(router, for_ms * rng.uniform(0.9, 1.1)))
+        fleet.at(
+            at_ms, lambda router=router: fleet.freeze_router(router, duration_ms * rng.uniform(0.9, 1.1))
+        )
 
 
 DISTURBANCES: list[Disturbance] = [
@@ -114,7 +116,7 @@
 
 def simulate(disturbance: Disturbance, seed: int, tenants: int = 1) -> Fleet:
     """Simulate the disturbance. Shortly before or after its start all tenants begin to exceed their limits."""
-    config = replace(SIZES[seed % len(SIZES)], tenants=tenants)
+    config = replace(CONFIGS[seed % len(CONFIGS)], tenants=tenants)
     fleet, rng = Fleet(config, seed), Random(seed)
     fleet.demand_per_s = HALF * config.limit.rate_per_s
     at_ms = rng.uniform(6_000.0, 12_000.0)
@@ -146,7 +148,7 @@
 @pytest.mark.parametrize("spike_ms", [26_000.0, 45_000.0])
 @seeds
 def test_a_demand_spike_in_a_long_partition_stays_within_the_limit(seed: int, spike_ms: float) -> None:
-    config = SIZES[seed % len(SIZES)]
+    config = CONFIGS[seed % len(CONFIGS)]
     fleet, rng = Fleet(config, seed), Random(seed)
     fleet.demand_per_s = HALF * config.limit.rate_per_s
     fleet.run_until(8_000.0)
@@ -184,7 +186,7 @@
 @seeds
 def test_a_limit_lowered_during_an_outage_takes_effect(seed: int) -> None:
     """Lower the limit while some controllers are down and others keep the old limit, or after all have restarted."""
-    config = SIZES[seed % len(SIZES)]
+    config = CONFIGS[seed % len(CONFIGS)]
     fleet, rng = Fleet(config, seed), Random(seed)
     fleet.demand_per_s = OVERLOAD_FACTOR * config.limit.rate_per_s
     at_ms, outage_ms = rng.uniform(6_000.0, 9_000.0), rng.uniform(300.0, 3_000.0)
@@ -198,10 +200,10 @@
     else:
         schedule_outage(fleet, at_ms, outage_ms)
         lowered_ms, behind = at_ms + outage_ms + rng.uniform(100.0, 4_000.0), frozenset()
-    fleet.at(lowered_ms, lambda: fleet.set_limit(lower, behind, late_ms=CONFIG_MS))
+    fleet.at(lowered_ms, lambda: fleet.set_limit(lower, behind, late_ms=CONFIG_DELAY_MS))
     fleet.at(lowered_ms + rng.uniform(1_000.0, 10_000.0), fleet.catch_up)
     fleet.run_until(END_MS)
-    in_touch_ms = max(lowered_ms, at_ms + outage_ms + MAX_RECONNECT_MS) + CONFIG_MS
+    in_touch_ms = max(lowered_ms, at_ms + outage_ms + MAX_RECONNECT_MS) + CONFIG_DELAY_MS
     assert fleet.max_admitted_in_window() <= config.allowed
     assert (
         fleet.max_admitted_in_window(in_touch_ms + config.window_ms) <= replace(config, limit=lower).allowed
--- a/packages/quotas/tests/test_quotas_herd.py
+++ b/packages/quotas/tests/test_quotas_herd.py
@@ -15,7 +15,7 @@
 WINDOW_MS = 8_000.0
 CONTROLLERS = 5
 STEP_MS = 10.0
-FOR_MS = 16_000.0
+DURATION_MS = 16_000.0
 MEAN_TOKENS = 8_000.0
 OVERSUBSCRIPTION_FACTOR = 3.0  # times the limit
 
@@ -24,7 +24,7 @@
     allocators = {}
     for number in range(CONTROLLERS):
         allocator = allocators[f"c{number}"] = QuotaAllocator(TOLERANCE)
-        allocator.set_share(TOTAL_SHARE // CONTROLLERS, 10.0 * FOR_MS, 0.0)
+        allocator.set_share(TOTAL_SHARE // CONTROLLERS, 10.0 * DURATION_MS, 0.0)
         allocator.set_limits({"t": LIMIT}, 0.0, controllers=CONTROLLERS, is_restart=False)
     return allocators
 
@@ -51,7 +51,7 @@
     retries: list[tuple[float, int, float]] = []
     admissions: list[tuple[float, float]] = []
     now_ms = 0.0
-    while now_ms < FOR_MS:
+    while now_ms < DURATION_MS:
         now_ms += STEP_MS
         new = round(OVERSUBSCRIPTION_FACTOR * LIMIT.rate_per_s / MEAN_TOKENS * STEP_MS / 1_000.0)
         requested = [
@@ -73,7 +73,7 @@
 def test_clients_that_retry_together_do_not_exceed_the_limit(processes: int, seed: int) -> None:
     allowed = LIMIT.rate_per_s * WINDOW_MS / 1_000.0 + LIMIT.burst + TOLERANCE.units(LIMIT)
     admissions = admitted(processes, Random(seed))
-    starts = [step * 100.0 for step in range(int((FOR_MS - WINDOW_MS) / 100.0))]
+    starts = [step * 100.0 for step in range(int((DURATION_MS - WINDOW_MS) / 100.0))]
     windows = [
         sum(units for at_ms, units in admissions if start <= at_ms < start + WINDOW_MS) for start in starts
     ]
--- a/packages/quotas/tests/test_quotas_isolation.py
+++ b/packages/quotas/tests/test_quotas_isolation.py
@@ -13,7 +13,7 @@
 TOLERANCE = Tolerance(window_s=8.0, over=0.1, slack=190_000.0)
 WINDOW_MS = 8_000.0
 FULL_MS = 60_000.0  # time by which a reserve is full
-TRY_MS = 50.0
+TRY_INTERVAL_MS = 50.0
 LARGE_REQUEST_TOKENS = 17_020.0
 RATE_WINDOW_S = (WINDOW_MS - ISOLATION_NOTICE_MS) / 1_000.0
 EXPECTED_UNITS = (
@@ -34,13 +34,13 @@
 
 
 def admitted_together(requesters: list[QuotaRequester], from_ms: float, until_ms: float) -> float:
-    """Offer each process a large request every `TRY_MS`; return the tokens admitted."""
+    """Offer each process a large request every `TRY_INTERVAL_MS`; return the tokens admitted."""
     admitted, now_ms = 0.0, from_ms
     while now_ms < until_ms:
         for requester in requesters:
             if isinstance(requester.begin("t", LARGE_REQUEST_TOKENS, now_ms), QuotaCharge):
                 admitted += LARGE_REQUEST_TOKENS
-        now_ms += TRY_MS
+        now_ms += TRY_INTERVAL_MS
     return admitted
 
 
--- a/packages/quotas/tests/test_quotas_outages.py
+++ b/packages/quotas/tests/test_quotas_outages.py
@@ -16,13 +16,13 @@
 LARGE = FleetConfig(routers=300, report_ms=600.0)
 OVERLOAD_FACTOR = 6.0  # times the limit
 HALF = 0.5
-RETURN_MS = 1_000.0  # until all routers have reconnected to the controllers and received their state
+RECONNECT_MS = 1_000.0  # until all routers have reconnected to the controllers and received their state
 WARM_UP_MS = 2_000.0  # after the first start, while controllers do not have their shares and limits yet
 
 
-def start(config: FleetConfig, seed: int, times_limit: float) -> Fleet:
+def start(config: FleetConfig, seed: int, demand_factor: float) -> Fleet:
     fleet = Fleet(config, seed)
-    fleet.demand_per_s = times_limit * config.limit.rate_per_s
+    fleet.demand_per_s = demand_factor * config.limit.rate_per_s
     return fleet
 
 
@@ -45,7 +45,7 @@
 
 def schedule_random_fault(fleet: Fleet, rng: Random, at_ms: float) -> None:
     """Schedule a random fault at that time, and its end. Faults may overlap."""
-    config, for_ms = fleet.config, rng.uniform(300.0, 5_000.0)
+    config, duration_ms = fleet.config, rng.uniform(300.0, 5_000.0)
     controllers = rng.sample(
         range(config.controllers), rng.choice([1, 2, config.controllers, config.controllers])
     )
@@ -55,23 +55,23 @@
         for controller in controllers:
             fleet.kill_controller(controller)
             fleet.at(
-                fleet.now_ms + for_ms * rng.uniform(0.5, 1.5),
+                fleet.now_ms + duration_ms * rng.uniform(0.5, 1.5),
                 lambda controller=controller: fleet.start_controller(controller),
             )
 
     def cut() -> None:
         pairs = {(router, controller) for router in routers for controller in controllers}
         fleet.cut_links |= pairs
-        fleet.at(fleet.now_ms + for_ms, lambda: fleet.cut_links.difference_update(pairs))
+        fleet.at(fleet.now_ms + duration_ms, lambda: fleet.cut_links.difference_update(pairs))
 
     def lose_answers() -> None:
         pairs = {(router, controller) for router in routers for controller in controllers}
         fleet.one_way_links |= pairs
-        fleet.at(fleet.now_ms + for_ms, lambda: fleet.one_way_links.difference_update(pairs))
+        fleet.at(fleet.now_ms + duration_ms, lambda: fleet.one_way_links.difference_update(pairs))
 
     def split() -> None:
         fleet.split_controllers = set(controllers[: config.controllers // 2])
-        fleet.at(fleet.now_ms + for_ms, fleet.split_controllers.clear)
+        fleet.at(fleet.now_ms + duration_ms, fleet.split_controllers.clear)
 
     def restart() -> None:
         for router in routers:
@@ -179,20 +179,20 @@
     for controller in range(config.controllers):
         fleet.start_controller(controller)
     fleet.run_until(20_000.0)
-    after_a_second = fleet.rejected_within(12_500.0 + RETURN_MS, 20_000.0)
-    assert after_a_second <= 0.02 * HALF * config.limit.rate_per_s * (7.5 - RETURN_MS / 1_000.0)
+    after_a_second = fleet.rejected_within(12_500.0 + RECONNECT_MS, 20_000.0)
+    assert after_a_second <= 0.02 * HALF * config.limit.rate_per_s * (7.5 - RECONNECT_MS / 1_000.0)
 
 
 @pytest.mark.parametrize("config", [MEDIUM, LARGE], ids=["195 routers", "300 routers"])
-@pytest.mark.parametrize("times_limit", [12.0, 30.0])
+@pytest.mark.parametrize("demand_factor", [12.0, 30.0])
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_a_demand_spike_while_controllers_are_slow_stays_within_the_limit(
-    config: FleetConfig, times_limit: float, seed: int
+    config: FleetConfig, demand_factor: float, seed: int
 ) -> None:
     """The controllers' processors are saturated: they answer pulls every 800 ms, and some requests too late."""
     fleet = start(replace(config, report_ms=800.0), seed, HALF)
     fleet.max_latency_ms = 90.0
     fleet.run_until(12_000.0)
-    fleet.demand_per_s = times_limit * config.limit.rate_per_s
+    fleet.demand_per_s = demand_factor * config.limit.rate_per_s
     fleet.run_until(24_000.0)
     assert fleet.max_admitted_in_window() <= config.allowed
--- a/packages/quotas/tests/test_quotas_returns.py
+++ b/packages/quotas/tests/test_quotas_returns.py
@@ -34,9 +34,9 @@
 BELOW_LIMIT_PER_S = 800.0
 
 
-def advance(fleet: Fleet, for_ms: float, per_s: float) -> None:
+def advance(fleet: Fleet, duration_ms: float, per_s: float) -> None:
     fleet.demand_per_s = per_s
-    fleet.run_until(fleet.now_ms + for_ms)
+    fleet.run_until(fleet.now_ms + duration_ms)
 
 
 @pytest.mark.parametrize("outage_ms", [1_500.0, 8_000.0, 20_000.0])
@@ -79,8 +79,8 @@
     overload_per_s = 6.0 * config.limit.rate_per_s
     for _ in range(4):
         advance(fleet, fleet.rng.uniform(200.0, 6_000.0), overload_per_s)
-        for_ms = injector.inject()
-        advance(fleet, for_ms, overload_per_s)
+        duration_ms = injector.inject()
+        advance(fleet, duration_ms, overload_per_s)
         injector.clear()
     advance(fleet, 10_000.0, overload_per_s)
     assert fleet.max_admitted_in_window() <= config.allowed
@@ -93,8 +93,8 @@
     injector = FaultInjector(fleet)
     for _ in range(4):
         advance(fleet, 3_000.0, BELOW_LIMIT_PER_S)
-        for_ms = injector.inject()
-        advance(fleet, for_ms, BELOW_LIMIT_PER_S)
+        duration_ms = injector.inject()
+        advance(fleet, duration_ms, BELOW_LIMIT_PER_S)
         injector.clear()
         restored_ms = fleet.now_ms
         advance(fleet, 6_000.0, BELOW_LIMIT_PER_S)
