--- a/packages/quotas/src/larkweir_quotas/limits.py
+++ b/packages/quotas/src/larkweir_quotas/limits.py
@@ -34,7 +34,7 @@
 # within the tolerance.
 RESERVES_FRACTION = 0.15  # for the local reserves of all processes
 RESTARTS_FRACTION = (
-    0.5  # for the initial levels of restarted controllers, each of which restarts at most once per window
+    0.5  # for the initial bucket levels of restarted controllers, at one restart of each per window
 )
 DEBTS_FRACTION = 0.3  # for requests that are larger than the remaining level of a controller's bucket
 
--- a/packages/quotas/src/larkweir_quotas/local_reserve.py
+++ b/packages/quotas/src/larkweir_quotas/local_reserve.py
@@ -40,10 +40,8 @@
     level: float = 0.0
     _rounding: float = field(
         init=False, default=1.0
-    )  # 0 if there is only one process: no other one can go into debt as well
-    _threshold_fraction: float = field(
-        init=False
-    )  # of a request's size, which the level must reach to admit the request
+    )  # 0 for a single process: no others can go into debt too
+    _threshold_fraction: float = field(init=False)  # of a request's size, which the level must reach
     _drawn_ms: float = field(init=False)
 
     def __post_init__(self) -> None:
--- a/packages/quotas/src/larkweir_quotas/quota_allocator.py
+++ b/packages/quotas/src/larkweir_quotas/quota_allocator.py
@@ -33,9 +33,7 @@
 
     GRANTED = "granted"
     REFUSED = "refused"
-    UNDECIDED = (
-        "undecided"  # the controller holds no share now, or its configuration is older than the process's
-    )
+    UNDECIDED = "undecided"  # no share now, or a configuration older than that of the process
 
 
 @dataclass(frozen=True, slots=True)
@@ -217,6 +215,6 @@
 
 
 def _retry_after_s(missing: float, rate_per_s: float) -> float:
-    """Return the time until the missing units have accrued, within the bounds for clients."""
+    """Return the time until the missing units have accrued, bounded for clients."""
     retry_after_s = missing / rate_per_s if rate_per_s > 0.0 else MAX_RETRY_AFTER_S
     return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
--- a/packages/quotas/src/larkweir_quotas/quota_requester.py
+++ b/packages/quotas/src/larkweir_quotas/quota_requester.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRejection:
-    """A rejected request, because it would exceed its tenant's limit. No units were withdrawn.
+    """A request that was rejected because it would exceed its tenant's limit. No units were withdrawn.
 
     Attributes:
         retry_after_s: time after which the client should retry.
@@ -201,7 +201,7 @@
         return self._query_next(request_id, pending, now_ms)
 
     def on_controller_lost(self, controller: str, now_ms: float) -> list[tuple[int, Step]]:
-        """Handle a lost connection. Returns the next step, with its id, of each request that waited for an answer."""
+        """Handle the loss of a controller. Returns the id and next step of each request that waited for its answer."""
         self.set_granting(controller, now_ms, is_granting=False)
         waiting = [(id_, one) for id_, one in self._pending.items() if one.queried == controller]
         steps = []
@@ -245,7 +245,11 @@
         return self._decide_locally(pending, now_ms)
 
     def _back_off(self, pending: _Pending, now_ms: float) -> QuotaRejection:
-        """Reject a request that was refused, and query no controller for its tenant for a random part of the delay."""
+        """Reject a request that all answering controllers refused.
+
+        For a random part of the retry delay, the tenant's requests are rejected without a query, because the units
+        cannot be available yet.
+        """
         backoff_ms = 1000.0 * pending.retry_after_s * self._rng.random()
         state = self._state(pending.tenant, now_ms)
         state.backoff_until_ms = max(state.backoff_until_ms, now_ms + backoff_ms)
--- a/packages/quotas/src/larkweir_quotas/retry_budget.py
+++ b/packages/quotas/src/larkweir_quotas/retry_budget.py
@@ -2,7 +2,8 @@
 
 The part of one process may be smaller than one retry, so it is rounded at random, by a random number that is kept for
 one window. A sliding window may overlap the windows of two random numbers. Each is therefore the square of a uniformly
-distributed number: the larger of two squares is uniformly distributed, so the expected sum is the budget.
+distributed number: the larger of two squares is uniformly distributed, so the expected sum of the rounded parts is the
+budget.
 """
 
 from __future__ import annotations
--- a/packages/quotas/src/larkweir_quotas/share_leases.py
+++ b/packages/quotas/src/larkweir_quotas/share_leases.py
@@ -128,7 +128,7 @@
         return ShareOffer(self.term, share)
 
     def is_urgent(self, holder: str, claim: ShareClaim, members: Collection[str], now_ms: float) -> bool:
-        """Return whether the claim should be answered at once because the holder's term or share changes notably."""
+        """Return whether the claim should be answered at once because the holder's term or share changes much."""
         if claim.term != self.term:
             return True
         share = self._next_share(holder, claim, members, now_ms)
@@ -146,7 +146,7 @@
         return min(self._target(holder, members), TOTAL_SHARE - others)
 
     def _target(self, holder: str, members: Collection[str]) -> int:
-        """Return the holder's share by its number of clients. A share without clients to request it would lie idle."""
+        """Return the holder's share, in proportion to its clients: a share without clients would lie idle."""
         clients = {node: lease.clients for node, lease in self._leases.items() if node in members}
         total = sum(clients.values())
         if total == 0:
--- a/packages/quotas/tests/test_quotas_outages.py
+++ b/packages/quotas/tests/test_quotas_outages.py
@@ -17,7 +17,7 @@
 OVERLOAD_FACTOR = 6.0  # times the limit
 HALF = 0.5
 RECONNECT_MS = 1_000.0  # until all routers have reconnected to the controllers and received their state
-WARM_UP_MS = 2_000.0  # after the first start, while controllers do not have their shares and limits yet
+WARM_UP_MS = 2_000.0  # after the first start, while shares and router counts are not settled
 
 
 def start(config: FleetConfig, seed: int, demand_factor: float) -> Fleet:
@@ -81,7 +81,7 @@
 
 
 def simulate_random_faults(config: FleetConfig, seed: int) -> Fleet:
-    """Schedule random faults while a tenant's demand is above its limit all the time."""
+    """Simulate random faults after a tenant's demand has risen above its limit."""
     fleet, rng = start(config, seed, HALF), Random(seed)
     spike_ms = rng.uniform(2_000.0, 9_000.0)
     for _ in range(rng.randrange(1, 5)):
@@ -161,8 +161,8 @@
 def test_an_overloading_tenant_gets_most_of_its_limit(config: FleetConfig) -> None:
     fleet = start(config, 0, OVERLOAD_FACTOR)
     fleet.run_until(20_000.0)
-    within = fleet.admitted_within(6_000.0, 20_000.0) / (14.0 * config.limit.rate_per_s)
-    assert within >= 0.8
+    admitted_fraction = fleet.admitted_within(6_000.0, 20_000.0) / (14.0 * config.limit.rate_per_s)
+    assert admitted_fraction >= 0.8
     assert fleet.max_admitted_in_window() <= config.allowed
 
 
--- a/packages/quotas/tests/test_quotas_returns.py
+++ b/packages/quotas/tests/test_quotas_returns.py
@@ -46,9 +46,9 @@
     fleet.cut_links = {(router, 0) for router in range(SMALL.routers)}
     advance(fleet, outage_ms, BELOW_LIMIT_PER_S)
     fleet.cut_links = set()
-    returned_ms = fleet.now_ms
+    reconnected_ms = fleet.now_ms
     advance(fleet, 10_000.0, BELOW_LIMIT_PER_S)
-    assert fleet.rejected_within(returned_ms, fleet.now_ms) == 0.0
+    assert fleet.rejected_within(reconnected_ms, fleet.now_ms) == 0.0
 
 
 def test_a_paused_controller_rejects_no_tenant_below_its_limit() -> None:
--- a/packages/quotas/tests/test_quotas_share_leases.py
+++ b/packages/quotas/tests/test_quotas_share_leases.py
@@ -125,9 +125,7 @@
     rng: Random
     now_ms: float = 0.0
     holders: dict[str, ShareHolder] = field(default_factory=lambda: {one: ShareHolder() for one in "abcde"})
-    lease_tables: list[LeaseTable] = field(
-        default_factory=list
-    )  # one per term; the last one belongs to the current primary
+    lease_tables: list[LeaseTable] = field(default_factory=list)  # one per term, the current one last
     has_primary: bool = False
     is_stable: bool = False
     paused_until_ms: dict[str, float] = field(default_factory=dict)
