--- a/packages/quotas/src/larkweir_quotas/local_reserve.py
+++ b/packages/quotas/src/larkweir_quotas/local_reserve.py
@@ -38,9 +38,7 @@
     rng: Random
     updated_ms: float
     level: float = 0.0
-    _rounding: float = field(
-        init=False, default=1.0
-    )  # 0 for a single process: no others can go into debt too
+    _rounding: float = field(init=False, default=1.0)  # 0 for a single process: only one may go into debt
     _threshold_fraction: float = field(init=False)  # of a request's size, which the level must reach
     _drawn_ms: float = field(init=False)
 
--- a/packages/quotas/tests/test_quotas_disturbances.py
+++ b/packages/quotas/tests/test_quotas_disturbances.py
@@ -152,13 +152,13 @@
     fleet, rng = Fleet(config, seed), Random(seed)
     fleet.demand_per_s = HALF * config.limit.rate_per_s
     fleet.run_until(8_000.0)
-    apart, minority = set(sample_routers(fleet, rng)), {0, 1}
+    separated_routers, minority = set(sample_routers(fleet, rng)), {0, 1}
     fleet.split_controllers.update(minority)
     fleet.cut_links.update(
         (router, controller)
         for router in range(config.routers)
         for controller in range(config.controllers)
-        if (controller in minority) != (router in apart)
+        if (controller in minority) != (router in separated_routers)
     )
     fleet.run_until(spike_ms)
     fleet.demand_per_s = OVERLOAD_FACTOR * config.limit.rate_per_s
@@ -203,8 +203,9 @@
     fleet.at(lowered_ms, lambda: fleet.set_limit(lower, behind, late_ms=CONFIG_DELAY_MS))
     fleet.at(lowered_ms + rng.uniform(1_000.0, 10_000.0), fleet.catch_up)
     fleet.run_until(END_MS)
-    in_touch_ms = max(lowered_ms, at_ms + outage_ms + MAX_RECONNECT_MS) + CONFIG_DELAY_MS
+    reconnected_ms = max(lowered_ms, at_ms + outage_ms + MAX_RECONNECT_MS) + CONFIG_DELAY_MS
     assert fleet.max_admitted_in_window() <= config.allowed
     assert (
-        fleet.max_admitted_in_window(in_touch_ms + config.window_ms) <= replace(config, limit=lower).allowed
+        fleet.max_admitted_in_window(reconnected_ms + config.window_ms)
+        <= replace(config, limit=lower).allowed
     )
--- a/packages/quotas/tests/test_quotas_herd.py
+++ b/packages/quotas/tests/test_quotas_herd.py
@@ -20,7 +20,7 @@
 OVERSUBSCRIPTION_FACTOR = 3.0  # times the limit
 
 
-def controllers() -> dict[str, QuotaAllocator]:
+def make_controllers() -> dict[str, QuotaAllocator]:
     allocators = {}
     for number in range(CONTROLLERS):
         allocator = allocators[f"c{number}"] = QuotaAllocator(TOLERANCE)
@@ -29,9 +29,9 @@
     return allocators
 
 
-def admitted(processes: int, rng: Random) -> list[tuple[float, float]]:
+def simulate_admissions(processes: int, rng: Random) -> list[tuple[float, float]]:
     """Return the time and tokens of each admission. Rejected clients retry exactly after the delay they were given."""
-    allocators = controllers()
+    allocators = make_controllers()
     requesters = [QuotaRequester(TOLERANCE, rng) for _ in range(processes)]
     for requester in requesters:
         requester.process_count = processes
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_clients_that_retry_together_do_not_exceed_the_limit(processes: int, seed: int) -> None:
     allowed = LIMIT.rate_per_s * WINDOW_MS / 1_000.0 + LIMIT.burst + TOLERANCE.units(LIMIT)
-    admissions = admitted(processes, Random(seed))
+    admissions = simulate_admissions(processes, Random(seed))
     starts = [step * 100.0 for step in range(int((DURATION_MS - WINDOW_MS) / 100.0))]
     windows = [
         sum(units for at_ms, units in admissions if start <= at_ms < start + WINDOW_MS) for start in starts
--- a/packages/quotas/tests/test_quotas_share_leases.py
+++ b/packages/quotas/tests/test_quotas_share_leases.py
@@ -187,7 +187,7 @@
         else:
             self.claiming.discard((name, term))
 
-    def in_force(self) -> int:
+    def total_share(self) -> int:
         return sum(holder.share(self.now_ms) for holder in self.holders.values())
 
 
@@ -196,9 +196,9 @@
     group = Group(Random(seed))
     for _ in range(6_000):
         group.step()
-        assert group.in_force() <= TOTAL_SHARE
+        assert group.total_share() <= TOTAL_SHARE
     group.is_stable = True
     for _ in range(2_000):
         group.step()
-        assert group.in_force() <= TOTAL_SHARE
-    assert group.in_force() >= 0.9 * TOTAL_SHARE, "shares grow again when there are no more faults"
+        assert group.total_share() <= TOTAL_SHARE
+    assert group.total_share() >= 0.9 * TOTAL_SHARE, "shares grow again when there are no more faults"
