--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -44,9 +44,9 @@
 if TYPE_CHECKING:
     from larkweir_balancing.shared_health import SharedHealth  # imported only where the feature is on
 
-LIST_COOKIE = 1 << 40  # a timer's, above every request id
+LIST_TIMER_COOKIE = 1 << 40  # a timer's, above every request id
 # From call to call for the list, by 0.5 to 1.5: in 6 s have to fit a pause, a call that fails after 2 s, and one more.
-LIST_PACE_MS = 1_000.0
+LIST_RETRY_INTERVAL_MS = 1_000.0
 
 
 class Balancer:
@@ -366,8 +366,8 @@
         """Nothing ready, legal and believed idle now: look again shortly, while an answer can still count."""
         latency = self._latency[request.class_index]
         last = request.useful_until_ms - 0.75 * latency
-        vain = self.table.restored_count and not self.table.may_admit_restored(request.request_class)
-        if vain or self.now_ms >= last or not request.can_attempt(self.now_ms):
+        unservable = self.table.restored_count and not self.table.may_admit_restored(request.request_class)
+        if unservable or self.now_ms >= last or not request.can_attempt(self.now_ms):
             self._refuse_or_fail(request)
             return
         # Guards against a herd: while polls find nearly nothing idle, several copies see the same server fall
@@ -384,7 +384,7 @@
         self.actions.append(SetTimer(request.id, delay_ms))
 
     def _on_timer(self, event: TimerFired) -> None:
-        if event.cookie == LIST_COOKIE:
+        if event.cookie == LIST_TIMER_COOKIE:
             self.actions.append(WatchList(True))
             return
         request = self.requests.get(event.cookie)
@@ -422,15 +422,17 @@
         """Where the list must be asked for: subscribe once, spread out, and ask again after a failure."""
         if kind is ListKind.FAILED:
             # Guards against a herd on a discovery service of fixed capacity. A call that was long in vain has paused.
-            pace = min(self.settings.list_request_interval_ms, LIST_PACE_MS) * (0.5 + self.rng.random())
+            pace = min(self.settings.list_request_interval_ms, LIST_RETRY_INTERVAL_MS) * (
+                0.5 + self.rng.random()
+            )
             pause = max(pace / 4.0, (self._list_requested_ms or self.now_ms) + pace - self.now_ms)
             self._list_requested_ms = self.now_ms + pause
-            self.actions.append(SetTimer(LIST_COOKIE, pause))
+            self.actions.append(SetTimer(LIST_TIMER_COOKIE, pause))
             return
         if self._list_requested_ms < 0.0:
             # The cached list serves at first; a quarter of the duty's interval leaves time for calls that fail.
             self.actions.append(
-                SetTimer(LIST_COOKIE, self.rng.random() * self.settings.list_request_interval_ms / 4.0)
+                SetTimer(LIST_TIMER_COOKIE, self.rng.random() * self.settings.list_request_interval_ms / 4.0)
             )
         self._list_requested_ms = 0.0
 
@@ -500,11 +502,11 @@
         probes.idle_share = number(learned.get("idle_share"), probes.idle_share, 1.0)
         probes.max_running = number(learned.get("most_running"), probes.max_running)
         for key, values in self._learned_by_class().items():
-            learned_server = learned.get(key)
-            if isinstance(learned_server, dict):
+            means = learned.get(key)
+            if isinstance(means, dict):
                 for at, cls in enumerate(self.settings.classes):
                     most = math.inf if key == "work" else cls.aim_ms  # the aim was longer before, maybe
-                    values[at] = number(learned_server.get(cls.name), values[at], most)
+                    values[at] = number(means.get(cls.name), values[at], most)
 
     def _on_reconfigured(self, event: Reconfigured) -> None:
         """Figures that change in service. What is known of servers and calls is kept: counts, the cold
--- a/packages/balancing/src/larkweir_balancing/selection.py
+++ b/packages/balancing/src/larkweir_balancing/selection.py
@@ -103,25 +103,25 @@
         return request.can_send_to(server, now_ms) and self.slow_start.admits(server, now_ms)
 
     def _sample_allowed(self, lists: list[SampleList], request: Request, now_ms: float) -> Server | None:
-        shunned = doubtful = None
+        class_ejected = last_resort = None
         for _ in range(MAX_SAMPLES):
             server = sample(lists, self.rng)
             if server is None:
                 break
             if not self._is_allowed(request, server, now_ms):
                 continue
-            bad = server.ejected_for_class.get(request.class_index)
-            if bad is not None and bad[1] > now_ms:
-                shunned = server
+            class_ejection = server.ejected_for_class.get(request.class_index)
+            if class_ejection is not None and class_ejection[1] > now_ms:
+                class_ejected = server
             elif server in self.table.ejected or (
                 server.unresponsive and request.request_class.effect is not Effect.SAFE
             ):
                 # Guards against drawing, where nobody holds a token, what was ejected; and against trying with
                 # a request that can't be repeated whether a server has found its voice again.
-                doubtful = server
+                last_resort = server
             else:
                 return server
-        return shunned or doubtful
+        return class_ejected or last_resort
 
     def record_zone_cost(self, request: Request, attempt: Attempt, spent_ms: float) -> None:
         """Draw over all zones as far as home does worse than crossing costs.
--- a/packages/balancing/src/larkweir_balancing/servers.py
+++ b/packages/balancing/src/larkweir_balancing/servers.py
@@ -98,16 +98,16 @@
         fresh: list[Server] = []
         gone: list[Server] = []
         if update.kind in (ListKind.FULL, ListKind.CACHED):
-            named = {entry.server for entry in update.entries}
-            gone = [self._remove(s) for s in list(self.servers.values()) if s.id not in named]
+            listed = {entry.server for entry in update.entries}
+            gone = [self._remove(s) for s in list(self.servers.values()) if s.id not in listed]
         for entry in update.entries:
             server = self.servers.get(entry.server)
-            over = entry.state is ServerState.GONE
+            is_gone = entry.state is ServerState.GONE
             # Guards against trusting a restarted process with what its predecessor earned.
-            if server and (over or server.started_ms != entry.started_ms or server.zone != entry.zone):
+            if server and (is_gone or server.started_ms != entry.started_ms or server.zone != entry.zone):
                 gone.append(self._remove(server))
                 server = None
-            if over:
+            if is_gone:
                 continue
             if server is None:
                 server = Server(entry.server, entry.zone, entry.kind, entry.started_ms)
--- a/packages/balancing/src/larkweir_balancing/slow_start.py
+++ b/packages/balancing/src/larkweir_balancing/slow_start.py
@@ -22,8 +22,8 @@
     FAILURE_LOSS_FRACTION = 0.25  # of what a request earns, that is lost where all calls fail
     CREDIT_CAP = 2.0  # no long saving up: a burst right after a start can spend a server's window
 
-    def __init__(self, settings: Settings, rng: Random, fleet: ServerTable) -> None:
-        self._rng, self._table = rng, fleet
+    def __init__(self, settings: Settings, rng: Random, table: ServerTable) -> None:
+        self._rng, self._table = rng, table
         # Random: low-rate copies must not all start with a free send, nor all without.
         self.credit = rng.random()
         self._most_ready = 0.0  # servers at a time, of late
@@ -60,7 +60,7 @@
             else 1.0
         )
 
-    def earn(self, now_ms: float, fail_share: float = 0.0) -> None:
+    def earn(self, now_ms: float, failure_rate: float = 0.0) -> None:
         """Called once a client's request, before its placement; its further attempts earn nothing."""
         if not self.cold.items:
             return
@@ -69,7 +69,7 @@
             self._most_ready *= self.READY_DECAY
         expected_count = max(self._table.ready_count, self.EXPECTED_FRACTION * self._most_ready)
         earned = (
-            min(self.earn_fraction, 1.0 - self.FAILURE_LOSS_FRACTION * fail_share)
+            min(self.earn_fraction, 1.0 - self.FAILURE_LOSS_FRACTION * failure_rate)
             * self._pace
             * self._cold_capacity
             / expected_count
--- a/packages/balancing/tests/test_balancing_first_seconds.py
+++ b/packages/balancing/tests/test_balancing_first_seconds.py
@@ -27,8 +27,8 @@
 )
 
 START_MS = 1_000_000.0
-LIFE_MS = 20_000.0
-SILENT_MS, REFUSED = (
+DURATION_MS = 20_000.0
+MAX_PAUSE_MS, MIN_REFUSED = (
     4_000.0,
     15,
 )  # so long without an attempt, and so many turned away meanwhile: none may be like that
@@ -43,7 +43,7 @@
 )
 
 
-class Life:
+class FirstSeconds:
     """One copy's first seconds; servers answer after 60 ms in the mean."""
 
     def __init__(self, seed: int, rate: float, known: int, cold: int) -> None:
@@ -52,48 +52,48 @@
         self._balancer = Balancer(SETTINGS, seed)
         self._heap: list[tuple[float, int, Event]] = []
         self._serial = count()
-        self._tries: dict[int, int] = {}
+        self._attempt_counts: dict[int, int] = {}
         self.sent: list[float] = []
         self.refused: list[float] = []
         self._handle(START_MS, ListUpdate(ListKind.CACHED, 1, [ServerEntry(n) for n in range(known)]))
         new = [ServerEntry(known + n, started_ms=START_MS) for n in range(cold)]
         self._handle(START_MS, ListUpdate(ListKind.FULL, 2, new))
-        self._play(rate)
+        self._run(rate)
 
-    def _play(self, rate: float) -> None:
+    def _run(self, rate: float) -> None:
         now = START_MS
-        for number in range(1, int(rate * LIFE_MS / 1_000.0) + 1):
+        for number in range(1, int(rate * DURATION_MS / 1_000.0) + 1):
             now += self._rng.expovariate(rate) * 1_000.0
-            self._after(now, RequestArrived(number, number % 2, 900.0))
-        while self._heap and self._heap[0][0] < START_MS + LIFE_MS:
+            self._schedule(now, RequestArrived(number, number % 2, 900.0))
+        while self._heap and self._heap[0][0] < START_MS + DURATION_MS:
             now, _, event = heappop(self._heap)
             self._handle(now, event)
 
-    def _after(self, at_ms: float, event: Event) -> None:
+    def _schedule(self, at_ms: float, event: Event) -> None:
         heappush(self._heap, (at_ms, next(self._serial), event))
 
     def _handle(self, now: float, event: Event) -> None:
         for action in self._balancer.handle(now, event):
-            self._act(now, action)
+            self._apply(now, action)
 
-    def _act(self, now: float, action: Action) -> None:
+    def _apply(self, now: float, action: Action) -> None:
         if isinstance(action, Send):
             self.sent.append(now)
-            attempt = self._tries.get(action.request, 0)
-            self._tries[action.request] = attempt + 1
+            attempt = self._attempt_counts.get(action.request, 0)
+            self._attempt_counts[action.request] = attempt + 1
             took = 60.0 * self._rng.expovariate(1.0)
             end = AttemptEnded(action.request, attempt, action.server, Outcome.OK, True, took)
-            self._after(now + took, end)
+            self._schedule(now + took, end)
         elif isinstance(action, SetTimer):
-            self._after(now + action.delay_ms, TimerFired(action.cookie))
+            self._schedule(now + action.delay_ms, TimerFired(action.cookie))
         elif isinstance(action, Refuse | Fail):
             self.refused.append(now)
 
-    def dead(self) -> bool:
+    def refused_everything(self) -> bool:
         """Whether it turned away all that it got for too long."""
-        edges = [START_MS, *self.sent, START_MS + LIFE_MS]
+        edges = [START_MS, *self.sent, START_MS + DURATION_MS]
         return any(
-            end - begin >= SILENT_MS and sum(begin <= at < end for at in self.refused) >= REFUSED
+            end - begin >= MAX_PAUSE_MS and sum(begin <= at < end for at in self.refused) >= MIN_REFUSED
             for begin, end in pairwise(edges)
         )
 
@@ -103,6 +103,6 @@
 def test_a_fresh_copy_before_cold_servers_alone_does_not_turn_all_away(
     rate: float, known: int, cold: int
 ) -> None:
-    lives = [Life(seed, rate, known, cold) for seed in range(16)]
-    assert not any(life.dead() for life in lives)
-    assert all(life.sent for life in lives)
+    runs = [FirstSeconds(seed, rate, known, cold) for seed in range(16)]
+    assert not any(run.refused_everything() for run in runs)
+    assert all(run.sent for run in runs)
--- a/packages/balancing/tests/test_balancing_restored_trust.py
+++ b/packages/balancing/tests/test_balancing_restored_trust.py
@@ -31,13 +31,15 @@
     may_become_trusted,
 )
 
-LOOK = RequestClass(400.0, 1000.0, Effect.SAFE, name="look")
-MOVE = RequestClass(400.0, 1000.0, Effect.UNSAFE, name="move")
-POST = RequestClass(400.0, 1000.0, Effect.KEYED, group=Group.ZONE, memory_ms=5000.0, name="post")
-MAIL = RequestClass(400.0, 1000.0, Effect.KEYED, group=Group.ALL, memory_ms=5000.0, name="mail")
-CLASSES = (LOOK, MOVE, POST, MAIL)
+SAFE = RequestClass(400.0, 1000.0, Effect.SAFE, name="safe")
+UNSAFE = RequestClass(400.0, 1000.0, Effect.UNSAFE, name="unsafe")
+KEYED_IN_ZONE = RequestClass(
+    400.0, 1000.0, Effect.KEYED, group=Group.ZONE, memory_ms=5000.0, name="keyed_in_zone"
+)
+KEYED = RequestClass(400.0, 1000.0, Effect.KEYED, group=Group.ALL, memory_ms=5000.0, name="keyed")
+CLASSES = (SAFE, UNSAFE, KEYED_IN_ZONE, KEYED)
 
-SEEN, BELONGS, PLACED = (
+PROBED, VERIFIED, LOCATED = (
     RestoredTrust(0.9, ObservedEvidence.PROBE),
     RestoredTrust(0.9, ObservedEvidence.PROBE, True),
     RestoredTrust(0.9, ObservedEvidence.PROBE, True, True),
@@ -45,26 +47,26 @@
 
 
 @pytest.mark.parametrize(
-    ("proof", "allowed"),
+    ("trust", "allowed"),
     [
         (RestoredTrust(MIN_CONFIDENCE / 2.0, ObservedEvidence.ANSWER, True, True), ""),
-        (RestoredTrust(DIRECT_SEND_CONFIDENCE), "look"),
-        (RestoredTrust(DIRECT_SEND_CONFIDENCE, probe_pending=True), "look"),
+        (RestoredTrust(DIRECT_SEND_CONFIDENCE), "safe"),
+        (RestoredTrust(DIRECT_SEND_CONFIDENCE, probe_pending=True), "safe"),
         (RestoredTrust(0.3, probe_pending=True), ""),  # a probe comes first
-        (RestoredTrust(0.3), "look"),  # none will: the request is the probe
-        (RestoredTrust(0.9, is_verified=True, has_location=True), "look"),  # it showed that in a life before
-        (SEEN, "look"),
-        (BELONGS, "look mail move"),
-        (PLACED, "look mail move post"),
+        (RestoredTrust(0.3), "safe"),  # none will: the request is the probe
+        (RestoredTrust(0.9, is_verified=True, has_location=True), "safe"),  # it showed that in a life before
+        (PROBED, "safe"),
+        (VERIFIED, "safe keyed unsafe"),
+        (LOCATED, "safe keyed unsafe keyed_in_zone"),
     ],
 )
-def test_which_classes_may_go_to_a_remembered_server(proof: RestoredTrust, allowed: str) -> None:
-    assert [cls.name for cls in CLASSES if is_trusted(cls, proof)] == [
+def test_which_classes_may_go_to_a_remembered_server(trust: RestoredTrust, allowed: str) -> None:
+    assert [cls.name for cls in CLASSES if is_trusted(cls, trust)] == [
         cls.name for cls in CLASSES if cls.name in allowed.split()
     ]
 
 
-proofs = st.builds(
+trusts = st.builds(
     RestoredTrust,
     st.floats(0.0, 1.0),
     st.sampled_from(ObservedEvidence),
@@ -74,22 +76,22 @@
 )
 
 
-@given(proofs, st.integers(0, 100))
-def test_what_is_known_more_never_allows_less(proof: RestoredTrust, out: int) -> None:
+@given(trusts, st.integers(0, 100))
+def test_what_is_known_more_never_allows_less(trust: RestoredTrust, in_flight: int) -> None:
     for cls in CLASSES:
-        better = [proof._replace(is_verified=True), proof._replace(has_location=True)]
-        if proof.evidence < ObservedEvidence.ANSWER:
-            better.append(proof._replace(evidence=ObservedEvidence(proof.evidence + 1)))
+        better = [trust._replace(is_verified=True), trust._replace(has_location=True)]
+        if trust.evidence < ObservedEvidence.ANSWER:
+            better.append(trust._replace(evidence=ObservedEvidence(trust.evidence + 1)))
         for more in better:
-            assert is_admitted(cls, proof, out) <= is_admitted(cls, more, out)
-        assert is_admitted(cls, proof, out) <= is_trusted(cls, proof) <= may_become_trusted(cls, proof)
+            assert is_admitted(cls, trust, in_flight) <= is_admitted(cls, more, in_flight)
+        assert is_admitted(cls, trust, in_flight) <= is_trusted(cls, trust) <= may_become_trusted(cls, trust)
         if cls.effect is not Effect.SAFE:
-            assert not is_admitted(cls, proof._replace(is_verified=False), out)
+            assert not is_admitted(cls, trust._replace(is_verified=False), in_flight)
 
 
-def module(*proofs: RestoredTrust | None, discovery: bool = False) -> Balancer:
+def make_balancer(*trusts: RestoredTrust | None, discovery: bool = False) -> Balancer:
     balancer = Balancer(Settings(CLASSES, max_attempts=3, tier=1, tiers=2, on_request_discovery=discovery), 1)
-    entries = [ServerEntry(n + 1, restored_trust=proof) for n, proof in enumerate(proofs)]
+    entries = [ServerEntry(n + 1, restored_trust=trust) for n, trust in enumerate(trusts)]
     balancer.handle(0.0, ListUpdate(ListKind.CACHED, 1, entries))
     return balancer
 
@@ -100,56 +102,56 @@
 
 
 def test_one_call_at_once_before_the_first_proof_and_as_many_as_come_after_an_answer() -> None:
-    balancer = module(RestoredTrust(0.9))
-    assert sends(balancer, 1.0, 1, LOOK) == [1]
-    assert sends(balancer, 2.0, 2, LOOK) == []  # held: the first call may prove it in a moment
+    balancer = make_balancer(RestoredTrust(0.9))
+    assert sends(balancer, 1.0, 1, SAFE) == [1]
+    assert sends(balancer, 2.0, 2, SAFE) == []  # held: the first call may prove it in a moment
     balancer.handle(
         3.0,
         ListUpdate(
             ListKind.PROOF, 1, [ServerEntry(1, restored_trust=RestoredTrust(1.0, ObservedEvidence.ANSWER))]
         ),
     )
-    found = [server for number in range(3, 9) for server in sends(balancer, 4.0, number, LOOK)]
+    found = [server for number in range(3, 9) for server in sends(balancer, 4.0, number, SAFE)]
     assert found == [1] * 6
 
 
 def test_what_no_server_will_take_is_refused_at_once_and_what_a_probe_may_change_is_not() -> None:
     for pending in (False, True):
-        balancer = module(RestoredTrust(0.9, probe_pending=pending))
-        found = balancer.handle(1.0, RequestArrived(1, CLASSES.index(MOVE), 1000.0))
+        balancer = make_balancer(RestoredTrust(0.9, probe_pending=pending))
+        found = balancer.handle(1.0, RequestArrived(1, CLASSES.index(UNSAFE), 1000.0))
         refused = any(isinstance(action, Refuse) for action in found)
         assert refused is not pending
         assert not any(isinstance(action, Send) for action in found)
 
 
 def test_a_repeat_of_a_keyed_request_goes_only_to_a_server_whose_zone_is_shown() -> None:
-    balancer = module(PLACED, BELONGS._replace(probe_pending=True))
-    assert sends(balancer, 1.0, 1, POST) == [1]
+    balancer = make_balancer(LOCATED, VERIFIED._replace(probe_pending=True))
+    assert sends(balancer, 1.0, 1, KEYED_IN_ZONE) == [1]
     again = balancer.handle(2.0, AttemptEnded(1, 0, 1, Outcome.RESET, False, 1.0))
     assert all(action.server == 1 for action in again if isinstance(action, Send))
 
 
 def test_discoverys_word_ends_it_without_a_gap() -> None:
-    balancer = module(RestoredTrust(0.9), RestoredTrust(0.9))
-    (first,) = sends(balancer, 1.0, 1, LOOK)
+    balancer = make_balancer(RestoredTrust(0.9), RestoredTrust(0.9))
+    (first,) = sends(balancer, 1.0, 1, SAFE)
     balancer.handle(2.0, ListUpdate(ListKind.FULL, 2, [ServerEntry(1), ServerEntry(2)]))
     assert balancer.table.servers[first].in_flight == 1  # what is out there is known still
     assert not balancer.table.restored_count
-    assert len(sends(balancer, 3.0, 2, MOVE)) == 1
+    assert len(sends(balancer, 3.0, 2, UNSAFE)) == 1
     done = balancer.handle(4.0, AttemptEnded(1, 0, first, Outcome.OK, True, 3.0))
     assert not any(isinstance(action, Send) for action in done)
 
 
 def test_a_server_that_is_not_trusted_any_more_is_gone_for_new_requests() -> None:
-    balancer = module(RestoredTrust(0.9), RestoredTrust(0.9))
+    balancer = make_balancer(RestoredTrust(0.9), RestoredTrust(0.9))
     balancer.handle(1.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, ServerState.GONE)]))
-    assert {sends(balancer, 2.0, number, LOOK)[0] for number in (1,)} == {2}
+    assert {sends(balancer, 2.0, number, SAFE)[0] for number in (1,)} == {2}
     assert balancer.table.restored_count == 1
 
 
 def test_a_proof_is_no_word_of_discovery() -> None:
     """Where the list must be asked for, asking goes on as if nothing had come."""
-    balancer = module(RestoredTrust(0.9), discovery=True)
+    balancer = make_balancer(RestoredTrust(0.9), discovery=True)
     balancer._list_requested_ms = 4_000.0
-    out = balancer.handle(1.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, restored_trust=PLACED)]))
+    out = balancer.handle(1.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, restored_trust=LOCATED)]))
     assert out == [] and balancer._list_requested_ms == 4_000.0
--- a/packages/balancing/tests/test_balancing_rules.py
+++ b/packages/balancing/tests/test_balancing_rules.py
@@ -87,27 +87,31 @@
     def long_request(self, klass: int) -> None:
         """One that is told of before its last byte has come."""
         classes = self.driver.settings.classes
-        self.driver.request(klass % len(classes), coming=True)
+        self.driver.request(klass % len(classes), body_incomplete=True)
 
     @rule(pick=st.integers(0, 10**6))
     def body_comes(self, pick: int) -> None:
-        coming = [r for r, o in self.driver.owed.items() if o.coming and not o.over]
-        if coming:
-            self.driver.body_came(coming[pick % len(coming)])
+        incomplete = [r for r, o in self.driver.requests.items() if o.body_incomplete and not o.over]
+        if incomplete:
+            self.driver.receive_body(incomplete[pick % len(incomplete)])
 
     @rule(pick=st.integers(0, 10**6))
     def long_answer_starts(self, pick: int) -> None:
-        owed = self.driver.owed
-        tries = [(r, n) for r, n in self.driver.open_tries() if not owed[r].over and not owed[r].coming]
-        if tries:
-            self.driver.start_answer(*tries[pick % len(tries)])
+        tracked = self.driver.requests
+        attempts = [
+            (r, n)
+            for r, n in self.driver.open_attempts()
+            if not tracked[r].over and not tracked[r].body_incomplete
+        ]
+        if attempts:
+            self.driver.start_answer(*attempts[pick % len(attempts)])
 
     @rule(
         effects=st.lists(st.sampled_from(list(Effect)), min_size=5, max_size=8),
         aim=st.sampled_from([100.0, 250.0]),
         most=st.integers(1, 4),
     )
-    def retune(self, effects: list[Effect], aim: float, most: int) -> None:
+    def reconfigure(self, effects: list[Effect], aim: float, most: int) -> None:
         """Classes come, change their effect, aim and deadline; fewer attempts are allowed, or more again."""
         count = max(len(effects), len(self.driver.settings.classes))
         effects = [*effects, *(Effect.SAFE for _ in range(count))][:count]
@@ -115,7 +119,7 @@
             RequestClass(aim, 4.0 * aim - 100.0 * (n % 2), effect, group=Group.ZONE, memory_ms=200.0)
             for n, effect in enumerate(effects)
         )
-        self.driver.retune(replace(self.driver.settings, classes=classes, max_attempts=most))
+        self.driver.reconfigure(replace(self.driver.settings, classes=classes, max_attempts=most))
 
     @rule(count=st.integers(5, 10), klass=st.integers(0, 4))
     def burst(self, count: int, klass: int) -> None:
@@ -134,23 +138,23 @@
         request = self.driver.next_id
         for outcome, wait in outcomes:
             while self.driver.probes:
-                self.driver.echo((0.0, 0.0))
+                self.driver.end_probe((0.0, 0.0))
             if wait:
                 self.driver.advance(wait)
-            mine = [one for one in self.driver.open_tries() if one[0] == request]
+            mine = [one for one in self.driver.open_attempts() if one[0] == request]
             if mine:
                 self.driver.end(*mine[0], outcome)
 
     @rule(pick=st.integers(0, 10**6), outcome=st.sampled_from([*Outcome, Outcome.OK, Outcome.FULL]))
     def attempt_ends(self, pick: int, outcome: Outcome) -> None:
-        tries = self.driver.open_tries()
-        if tries:
-            self.driver.end(*tries[pick % len(tries)], outcome)
+        attempts = self.driver.open_attempts()
+        if attempts:
+            self.driver.end(*attempts[pick % len(attempts)], outcome)
 
     @rule(report=st.lists(VALUES, max_size=3), outcome=st.sampled_from([Outcome.OK, Outcome.OK, *Outcome]))
-    def echo(self, report: list[float], outcome: Outcome) -> None:
+    def end_probe(self, report: list[float], outcome: Outcome) -> None:
         if self.driver.probes:
-            self.driver.echo(tuple(report), outcome)
+            self.driver.end_probe(tuple(report), outcome)
 
     @rule(ms=st.sampled_from([0.3, 5.0, 60.0, 300.0]))
     def advance(self, ms: float) -> None:
@@ -167,7 +171,9 @@
         entries = [ServerEntry(number, state, started, zone=number % 3, cell=number % 2)]
         if kind is ListKind.FULL:
             kept = [
-                e for e in self.driver.told.values() if e.server != number and e.state is not ServerState.GONE
+                e
+                for e in self.driver.listed.values()
+                if e.server != number and e.state is not ServerState.GONE
             ]
             entries = [e for e in entries if e.state is not ServerState.GONE] + kept[1:]
         self.driver.list(kind, tuple(entries))
@@ -186,10 +192,10 @@
 
     @rule(pick=st.integers(0, 10**6))
     def client_leaves(self, pick: int) -> None:
-        alive = [r for r, o in self.driver.owed.items() if not o.over]
+        alive = [r for r, o in self.driver.requests.items() if not o.over]
         if alive:
             request = alive[pick % len(alive)]
-            self.driver.owed[request].over = True
+            self.driver.requests[request].over = True
             self.driver.feed(ClientGone(request))
 
     @invariant()
@@ -200,13 +206,13 @@
 
     def teardown(self) -> None:
         if hasattr(self, "driver"):
-            for request, owed in list(self.driver.owed.items()):
-                if owed.coming and not owed.over:
-                    self.driver.body_came(request)
+            for request, tracked in list(self.driver.requests.items()):
+                if tracked.body_incomplete and not tracked.over:
+                    self.driver.receive_body(request)
             self.driver.advance(950.0)
-            for request, attempt in self.driver.open_tries():
+            for request, attempt in self.driver.open_attempts():
                 self.driver.end(request, attempt, Outcome.OK)
-            assert all(o.over for o in self.driver.owed.values())
+            assert all(o.over for o in self.driver.requests.values())
             assert not self.driver.balancer.requests, "finished requests are kept"
 
 
--- a/packages/balancing/tests/test_balancing_upstream_selection.py
+++ b/packages/balancing/tests/test_balancing_upstream_selection.py
@@ -1,4 +1,4 @@
-"""The token list of a fleet's router: who is drawn, what a token means, where heads of prompts go."""
+"""The token list of a fleet's router: who is drawn, what a token means, where chosen_ids of prompts go."""
 
 from __future__ import annotations
 
@@ -21,217 +21,225 @@
 
 NO_PROMPT = Prompt()
 IDS = [f"u{n}" for n in range(6)]
-HEADED = Prompt("5c1e", 9_000.0, 8_000.0)
+SHARED_PROMPT = Prompt("5c1e", 9_000.0, 8_000.0)
 
 
-def balancer(
-    ids: list[str] = IDS, *, engine: bool = False, linked: frozenset[str] = frozenset()
+def make_selector(
+    ids: list[str] = IDS, *, engine: bool = False, connected: frozenset[str] = frozenset()
 ) -> UpstreamSelector:
-    made = UpstreamSelector(Random(1), is_engine=engine, has_idle_connection=linked.__contains__)
-    made.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
-    return made
+    selector = UpstreamSelector(Random(1), is_engine=engine, has_idle_connection=connected.__contains__)
+    selector.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
+    return selector
 
 
-def drawn(made: UpstreamSelector, times: int = 600, prompt: Prompt = NO_PROMPT) -> Counter[str | None]:
-    return Counter(made.select(prompt, (), 0.0) for _ in range(times))
+def count_selected(
+    selector: UpstreamSelector, times: int = 600, prompt: Prompt = NO_PROMPT
+) -> Counter[str | None]:
+    return Counter(selector.select(prompt, (), 0.0) for _ in range(times))
 
 
 def test_the_draw_is_uniform_over_token_holders() -> None:
-    made = balancer()
-    made.on_attempt_started("u0", NO_PROMPT, 0.0)
-    counts = drawn(made)
+    selector = make_selector()
+    selector.on_attempt_started("u0", NO_PROMPT, 0.0)
+    counts = count_selected(selector)
     assert set(counts) == set(IDS[1:])
     assert min(counts.values()) > 80
 
 
 def test_without_a_token_the_draw_is_uniform_over_ready_ones() -> None:
-    made = balancer()
+    selector = make_selector()
     for id_ in IDS:
-        made.on_attempt_started(id_, NO_PROMPT, 0.0)
-    counts = drawn(made)
+        selector.on_attempt_started(id_, NO_PROMPT, 0.0)
+    counts = count_selected(selector)
     assert set(counts) == set(IDS)
     assert min(counts.values()) > 60
 
 
 def test_a_token_returns_when_the_last_own_call_has_ended() -> None:
-    made = balancer(["u0", "u1"])
-    made.on_attempt_started("u0", NO_PROMPT, 0.0)
-    made.on_attempt_started("u0", NO_PROMPT, 0.0)
-    made.on_attempt_released("u0", 0.0, 0.0)
-    assert set(drawn(made)) == {"u1"}
-    made.on_attempt_released("u0", 0.0, 0.0)
-    assert set(drawn(made)) == {"u0", "u1"}
+    selector = make_selector(["u0", "u1"])
+    selector.on_attempt_started("u0", NO_PROMPT, 0.0)
+    selector.on_attempt_started("u0", NO_PROMPT, 0.0)
+    selector.on_attempt_released("u0", 0.0, 0.0)
+    assert set(count_selected(selector)) == {"u1"}
+    selector.on_attempt_released("u0", 0.0, 0.0)
+    assert set(count_selected(selector)) == {"u0", "u1"}
 
 
 def test_an_engine_holds_its_token_while_few_calls_wait_for_their_first_event() -> None:
-    made = balancer(["u0", "u1"], engine=True)
+    selector = make_selector(["u0", "u1"], engine=True)
     for _ in range(MAX_AWAITING_FIRST_EVENT - 1):
-        made.on_attempt_started("u0", NO_PROMPT, 0.0)
-    assert set(drawn(made)) == {"u0", "u1"}
-    made.on_attempt_started("u0", NO_PROMPT, 0.0)
-    assert set(drawn(made)) == {"u1"}
+        selector.on_attempt_started("u0", NO_PROMPT, 0.0)
+    assert set(count_selected(selector)) == {"u0", "u1"}
+    selector.on_attempt_started("u0", NO_PROMPT, 0.0)
+    assert set(count_selected(selector)) == {"u1"}
 
 
 def test_one_that_is_ready_again_is_believed_idle_once_nothing_is_in_flight_there() -> None:
-    made = balancer(["u0", "u1", "u2"])
-    made.on_attempt_started("u2", NO_PROMPT, 0.0)
+    selector = make_selector(["u0", "u1", "u2"])
+    selector.on_attempt_started("u2", NO_PROMPT, 0.0)
     for is_ready in (False, True):
         paused = UpstreamStatus(is_ready=is_ready)
-        made.update({"u0": UpstreamStatus(is_ready=True), "u1": paused, "u2": paused}, 0.0, has_tracks=True)
-        assert set(drawn(made)) == ({"u0", "u1"} if is_ready else {"u0"})
-    made.on_attempt_released("u2", 0.0, 0.0)
-    assert set(drawn(made)) == {"u0", "u1", "u2"}
+        selector.update(
+            {"u0": UpstreamStatus(is_ready=True), "u1": paused, "u2": paused}, 0.0, has_tracks=True
+        )
+        assert set(count_selected(selector)) == ({"u0", "u1"} if is_ready else {"u0"})
+    selector.on_attempt_released("u2", 0.0, 0.0)
+    assert set(count_selected(selector)) == {"u0", "u1", "u2"}
 
 
 def test_draining_and_gone_ones_are_never_drawn() -> None:
-    made = balancer()
+    selector = make_selector()
     listed = {id_: UpstreamStatus(is_ready=id_ != "u1") for id_ in IDS if id_ != "u0"}
-    made.update(listed, 0.0)
-    assert not set(drawn(made)) & {"u0", "u1"}
+    selector.update(listed, 0.0)
+    assert not set(count_selected(selector)) & {"u0", "u1"}
     for id_ in IDS:
-        made.on_attempt_started(id_, NO_PROMPT, 0.0)
-    assert not set(drawn(made)) & {"u0", "u1"}
+        selector.on_attempt_started(id_, NO_PROMPT, 0.0)
+    assert not set(count_selected(selector)) & {"u0", "u1"}
 
 
 def test_silent_ones_are_drawn_only_where_there_is_no_other() -> None:
-    made = balancer()
-    made.update({"u0": UpstreamStatus(True, is_unresponsive=True), "u1": UpstreamStatus(True)}, 0.0)
-    assert set(drawn(made)) == {"u1"}
-    assert made.select(NO_PROMPT, {"u1"}, 0.0) == "u0"
+    selector = make_selector()
+    selector.update({"u0": UpstreamStatus(True, is_unresponsive=True), "u1": UpstreamStatus(True)}, 0.0)
+    assert set(count_selected(selector)) == {"u1"}
+    assert selector.select(NO_PROMPT, {"u1"}, 0.0) == "u0"
 
 
 def test_nothing_ready_gives_nothing() -> None:
-    made = balancer([])
-    assert made.select(NO_PROMPT, (), 0.0) is None
-    assert balancer(["u0"]).select(NO_PROMPT, {"u0"}, 0.0) is None
+    selector = make_selector([])
+    assert selector.select(NO_PROMPT, (), 0.0) is None
+    assert make_selector(["u0"]).select(NO_PROMPT, {"u0"}, 0.0) is None
 
 
 def test_a_head_goes_to_the_same_engine_in_every_router() -> None:
-    chosen = {balancer(engine=True).select(HEADED, (), 0.0) for _ in range(5)}
+    chosen = {make_selector(engine=True).select(SHARED_PROMPT, (), 0.0) for _ in range(5)}
     assert len(chosen) == 1
-    heads = {balancer(engine=True).select(Prompt(f"h{n}", 9_000.0, 8_000.0), (), 0.0) for n in range(60)}
-    assert heads == set(IDS)
+    chosen_ids = {
+        make_selector(engine=True).select(Prompt(f"h{n}", 9_000.0, 8_000.0), (), 0.0) for n in range(60)
+    }
+    assert chosen_ids == set(IDS)
 
 
 def test_the_placed_keeper_comes_first_while_it_holds_a_token() -> None:
-    made = balancer(engine=True)
-    own = made.select(HEADED, (), 0.0)
-    keeper = next(id_ for id_ in IDS if id_ != own)
-    assert made.select(HEADED, (), 0.0, keeper) == keeper
+    selector = make_selector(engine=True)
+    preferred = selector.select(SHARED_PROMPT, (), 0.0)
+    owner = next(id_ for id_ in IDS if id_ != preferred)
+    assert selector.select(SHARED_PROMPT, (), 0.0, owner) == owner
     for _ in range(MAX_AWAITING_FIRST_EVENT):
-        made.on_attempt_started(keeper, HEADED, 0.0)
-    assert made.select(HEADED, (), 0.0, keeper) == own
+        selector.on_attempt_started(owner, SHARED_PROMPT, 0.0)
+    assert selector.select(SHARED_PROMPT, (), 0.0, owner) == preferred
 
 
 def test_a_small_head_is_not_worth_a_new_connection() -> None:
-    made = balancer(engine=True, linked=frozenset({"u3"}))
-    counts = drawn(made, prompt=Prompt("5c1e", 400.0, 300.0))
+    selector = make_selector(engine=True, connected=frozenset({"u3"}))
+    counts = count_selected(selector, prompt=Prompt("5c1e", 400.0, 300.0))
     assert counts["u3"] > 400  # a few draws look for one with a connection; 100 of 600 were even
 
 
 def test_waiting_tokens_are_counted_without_a_head_that_was_sent_before() -> None:
-    made = balancer(engine=True)
-    first = made.on_attempt_started("u0", HEADED, 0.0)
-    second = made.on_attempt_started("u0", HEADED, 0.0)
+    selector = make_selector(engine=True)
+    first = selector.on_attempt_started("u0", SHARED_PROMPT, 0.0)
+    second = selector.on_attempt_started("u0", SHARED_PROMPT, 0.0)
     assert (first, second) == (9_000.0, 1_000.0)
-    assert made.own_prefill_backlog() == {"u0": 10_000}
-    made.on_attempt_released("u0", first, 0.0)
-    made.on_attempt_released("u0", second, 0.0)
-    assert made.own_prefill_backlog() == {}
+    assert selector.own_prefill_backlog() == {"u0": 10_000}
+    selector.on_attempt_released("u0", first, 0.0)
+    selector.on_attempt_released("u0", second, 0.0)
+    assert selector.own_prefill_backlog() == {}
 
 
-def tokens_read_in(made: UpstreamSelector, ms: float) -> float:
-    return (ms - made.prefill_time.fixed_ms) / made.prefill_time.ms_per_token
+def tokens_prefilled_in(selector: UpstreamSelector, ms: float) -> float:
+    return (ms - selector.prefill_time.fixed_ms) / selector.prefill_time.ms_per_token
 
 
 def test_small_requests_avoid_an_engine_where_reading_takes_a_part_of_their_aim() -> None:
-    made = balancer(["u0", "u1"], engine=True)
-    for part in PREFILL_BACKLOG_FRACTIONS:
-        made.set_peer_prefill_backlog(
-            {"u0": part * NO_PROMPT.latency_target_ms / made.prefill_time.ms_per_token + 1.0}
+    selector = make_selector(["u0", "u1"], engine=True)
+    for fraction in PREFILL_BACKLOG_FRACTIONS:
+        selector.set_peer_prefill_backlog(
+            {"u0": fraction * NO_PROMPT.latency_target_ms / selector.prefill_time.ms_per_token + 1.0}
         )
-        assert set(drawn(made)) == {"u1"}
-    made.set_peer_prefill_backlog({"u0": 1e6, "u1": 1e6})
-    assert set(drawn(made)) == {"u0", "u1"}
-    made.set_peer_prefill_backlog({})
-    assert set(drawn(made)) == {"u0", "u1"}
+        assert set(count_selected(selector)) == {"u1"}
+    selector.set_peer_prefill_backlog({"u0": 1e6, "u1": 1e6})
+    assert set(count_selected(selector)) == {"u0", "u1"}
+    selector.set_peer_prefill_backlog({})
+    assert set(count_selected(selector)) == {"u0", "u1"}
 
 
 def test_a_head_stays_where_it_is_kept_while_that_is_in_time() -> None:
-    made = balancer(["u0", "u1"], engine=True)
-    own_tokens = HEADED.tokens - HEADED.prefix_tokens
-    limit = tokens_read_in(made, IN_TIME_FACTOR * HEADED.latency_target_ms) - own_tokens
-    made.set_peer_prefill_backlog({"u0": limit - 1.0})
-    assert made.select(HEADED, (), 0.0, "u0") == "u0"
-    assert made.last_reason is SelectionReason.PREFIX_OWNER
-    made.set_peer_prefill_backlog({"u0": limit + 1.0})
-    assert made.select(HEADED, (), 0.0, "u0") == "u1"
+    selector = make_selector(["u0", "u1"], engine=True)
+    own_tokens = SHARED_PROMPT.tokens - SHARED_PROMPT.prefix_tokens
+    limit = tokens_prefilled_in(selector, IN_TIME_FACTOR * SHARED_PROMPT.latency_target_ms) - own_tokens
+    selector.set_peer_prefill_backlog({"u0": limit - 1.0})
+    assert selector.select(SHARED_PROMPT, (), 0.0, "u0") == "u0"
+    assert selector.last_reason is SelectionReason.PREFIX_OWNER
+    selector.set_peer_prefill_backlog({"u0": limit + 1.0})
+    assert selector.select(SHARED_PROMPT, (), 0.0, "u0") == "u1"
 
 
 def test_a_head_stays_where_it_is_kept_when_no_other_would_be_in_time() -> None:
-    made = balancer(["u0", "u1"], engine=True)
-    made.set_peer_prefill_backlog({"u0": 10_000.0})
-    hurried = Prompt("5c1e", 9_000.0, 8_000.0, latency_target_ms=60.0)
-    assert made.select(hurried, (), 0.0, "u0") == "u0"
-    assert made.select(HEADED, (), 0.0, "u0", remaining_ms=-5.0) == "u0"
+    selector = make_selector(["u0", "u1"], engine=True)
+    selector.set_peer_prefill_backlog({"u0": 10_000.0})
+    urgent = Prompt("5c1e", 9_000.0, 8_000.0, latency_target_ms=60.0)
+    assert selector.select(urgent, (), 0.0, "u0") == "u0"
+    assert selector.select(SHARED_PROMPT, (), 0.0, "u0", remaining_ms=-5.0) == "u0"
 
 
 def test_a_head_that_is_only_to_be_kept_there_counts_as_unread() -> None:
-    made = balancer(["u0", "u1"], engine=True)
-    made.update({"u0": UpstreamStatus(is_ready=True), "u1": UpstreamStatus(is_ready=True)}, 0.0)
-    unread = tokens_read_in(made, IN_TIME_FACTOR * HEADED.latency_target_ms) - HEADED.tokens
-    made.set_peer_prefill_backlog({"u0": unread + 1.0})
-    assert made.select(HEADED, (), 0.0, "u0", is_cached=True) == "u0"
-    assert made.select(HEADED, (), 0.0, "u0", is_cached=False) == "u1"
+    selector = make_selector(["u0", "u1"], engine=True)
+    selector.update({"u0": UpstreamStatus(is_ready=True), "u1": UpstreamStatus(is_ready=True)}, 0.0)
+    limit = (
+        tokens_prefilled_in(selector, IN_TIME_FACTOR * SHARED_PROMPT.latency_target_ms) - SHARED_PROMPT.tokens
+    )
+    selector.set_peer_prefill_backlog({"u0": limit + 1.0})
+    assert selector.select(SHARED_PROMPT, (), 0.0, "u0", is_cached=True) == "u0"
+    assert selector.select(SHARED_PROMPT, (), 0.0, "u0", is_cached=False) == "u1"
 
 
 def test_ejected_ones_are_drawn_only_where_there_is_no_other() -> None:
-    made = balancer(["u0", "u1", "u2"])
-    made.set_ejected({"u0", "u1", "another service's"})
-    assert set(drawn(made)) == {"u2"}
-    assert not made.is_ready("u0")
-    assert made.select(NO_PROMPT, {"u2"}, 0.0) in {"u0", "u1"}
-    assert made.last_reason is SelectionReason.EJECTED
-    made.update({"u0": UpstreamStatus(True, is_unresponsive=True), "u1": UpstreamStatus(True)}, 0.0)
-    assert made.select(NO_PROMPT, (), 0.0) == "u1"
-    made.set_ejected(())
-    made.update({id_: UpstreamStatus(True) for id_ in ("u0", "u1", "u2")}, 0.0)
-    assert set(drawn(made)) == {"u0", "u1", "u2"}
+    selector = make_selector(["u0", "u1", "u2"])
+    selector.set_ejected({"u0", "u1", "another service's"})
+    assert set(count_selected(selector)) == {"u2"}
+    assert not selector.is_ready("u0")
+    assert selector.select(NO_PROMPT, {"u2"}, 0.0) in {"u0", "u1"}
+    assert selector.last_reason is SelectionReason.EJECTED
+    selector.update({"u0": UpstreamStatus(True, is_unresponsive=True), "u1": UpstreamStatus(True)}, 0.0)
+    assert selector.select(NO_PROMPT, (), 0.0) == "u1"
+    selector.set_ejected(())
+    selector.update({id_: UpstreamStatus(True) for id_ in ("u0", "u1", "u2")}, 0.0)
+    assert set(count_selected(selector)) == {"u0", "u1", "u2"}
 
 
 def test_a_call_is_overdue_after_several_times_what_its_first_event_takes() -> None:
-    made = balancer(["u0"], engine=True)
+    selector = make_selector(["u0"], engine=True)
     for tokens in (0.0, 10_000.0) * 20:
-        made.prefill_time.observe(tokens, 20.0 + 0.02 * tokens)
-    assert made.overdue_after_ms(NO_PROMPT, 0.0) == NO_PROMPT.latency_target_ms
-    assert made.overdue_after_ms(NO_PROMPT, 10_000.0) == pytest.approx(4 * 220.0)
+        selector.prefill_time.observe(tokens, 20.0 + 0.02 * tokens)
+    assert selector.overdue_after_ms(NO_PROMPT, 0.0) == NO_PROMPT.latency_target_ms
+    assert selector.overdue_after_ms(NO_PROMPT, 10_000.0) == pytest.approx(4 * 220.0)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.FULL])
 def test_a_failure_keeps_the_token_back_for_a_while(outcome: Outcome) -> None:
-    made = balancer(["u0", "u1"])
-    made.on_outcome("u0", outcome, 0.0)
-    assert set(drawn(made)) == {"u1"}
-    assert made.select(NO_PROMPT, {"u1"}, FULL_BACKOFF_MS / 2) == "u0"
-    assert Counter(made.select(NO_PROMPT, (), 5_000.0) for _ in range(100))["u0"] > 20
+    selector = make_selector(["u0", "u1"])
+    selector.on_outcome("u0", outcome, 0.0)
+    assert set(count_selected(selector)) == {"u1"}
+    assert selector.select(NO_PROMPT, {"u1"}, FULL_BACKOFF_MS / 2) == "u0"
+    assert Counter(selector.select(NO_PROMPT, (), 5_000.0) for _ in range(100))["u0"] > 20
 
 
 def test_failures_in_a_row_pause_for_longer_and_a_success_ends_that() -> None:
-    made = balancer(["u0", "u1"])
+    selector = make_selector(["u0", "u1"])
     for _ in range(3):
-        made.on_outcome("u0", Outcome.RESET, 0.0)
-    assert made.select(NO_PROMPT, (), 900.0) == "u1"
-    made.on_outcome("u0", Outcome.OK, 2_000.0)
-    made.on_outcome("u0", Outcome.RESET, 2_000.0)
-    assert Counter(made.select(NO_PROMPT, (), 2_300.0) for _ in range(100))["u0"] > 20
+        selector.on_outcome("u0", Outcome.RESET, 0.0)
+    assert selector.select(NO_PROMPT, (), 900.0) == "u1"
+    selector.on_outcome("u0", Outcome.OK, 2_000.0)
+    selector.on_outcome("u0", Outcome.RESET, 2_000.0)
+    assert Counter(selector.select(NO_PROMPT, (), 2_300.0) for _ in range(100))["u0"] > 20
 
 
-class Draws(RuleBasedStateMachine):
+class SelectionMachine(RuleBasedStateMachine):
     """Any order of lists, calls and failures: only ready ones are drawn, tokens are believed idle ones."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.made = UpstreamSelector(Random(2), is_engine=False, has_idle_connection=lambda id_: False)
+        self.selector = UpstreamSelector(Random(2), is_engine=False, has_idle_connection=lambda id_: False)
         self.ready: set[str] = set()
         self.calls: Counter[str] = Counter()
         self.now_ms = 0.0
@@ -239,26 +247,26 @@
     @rule(ready=st.sets(st.sampled_from(IDS)), draining=st.sets(st.sampled_from(IDS)))
     def update(self, ready: set[str], draining: set[str]) -> None:
         listed = {id_: UpstreamStatus(is_ready=id_ not in draining) for id_ in ready | draining}
-        self.made.update(listed, self.now_ms)
+        self.selector.update(listed, self.now_ms)
         self.ready = ready - draining
         self.calls = Counter({id_: count for id_, count in self.calls.items() if id_ in listed})
 
     @rule(excluded=st.sets(st.sampled_from(IDS), max_size=2))
     def send(self, excluded: set[str]) -> None:
-        chosen = self.made.select(NO_PROMPT, excluded, self.now_ms)
+        chosen = self.selector.select(NO_PROMPT, excluded, self.now_ms)
         if chosen is None:
             assert not self.ready - excluded
             return
         assert chosen in self.ready - excluded
-        self.made.on_attempt_started(chosen, NO_PROMPT, self.now_ms)
+        self.selector.on_attempt_started(chosen, NO_PROMPT, self.now_ms)
         self.calls[chosen] += 1
 
     @rule(id_=st.sampled_from(IDS), outcome=st.sampled_from([Outcome.OK, Outcome.RESET, Outcome.FULL]))
     def end(self, id_: str, outcome: Outcome) -> None:
         if self.calls[id_]:
             self.calls[id_] -= 1
-            self.made.on_attempt_released(id_, 0.0, self.now_ms)
-            self.made.on_outcome(id_, outcome, self.now_ms)
+            self.selector.on_attempt_released(id_, 0.0, self.now_ms)
+            self.selector.on_outcome(id_, outcome, self.now_ms)
 
     @rule(by_ms=st.floats(0.0, 6_000.0))
     def wait(self, by_ms: float) -> None:
@@ -266,7 +274,7 @@
 
     @invariant()
     def it_counts_the_ready_ones(self) -> None:
-        assert self.made.ready_count == len(self.ready)
+        assert self.selector.ready_count == len(self.ready)
 
 
-TestDraws = Draws.TestCase
+TestSelectionMachine = SelectionMachine.TestCase
--- a/standins/world/planted.py
+++ b/standins/world/planted.py
@@ -429,7 +429,7 @@
         "a service that failed is asked again too late",
         "asked",
         POLICY,
-        "LIST_PACE_MS",
+        "LIST_RETRY_INTERVAL_MS",
         lambda real: 12_000.0,
         "news_is_known_in_time",
     ),
--- a/tests/balancing/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -310,9 +310,11 @@
 def engine_values(seed: int, *, engine: bool) -> list[Any]:
     rng = Random(seed)
     ids = [f"u{n}" for n in range(9)]
-    linked: set[str] = set()
-    made = UpstreamSelector(Random(seed + 1), is_engine=engine, has_idle_connection=linked.__contains__)
-    made.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
+    connected: set[str] = set()
+    selector = UpstreamSelector(
+        Random(seed + 1), is_engine=engine, has_idle_connection=connected.__contains__
+    )
+    selector.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
     calls: list[tuple[str, float]] = []
     values: list[Any] = []
     now_ms = 0.0
@@ -336,45 +338,51 @@
                 rng.choice((150.0, 500.0, 2_000.0)),
             )
             kept = rng.random() < 0.7
-            keeper = rng.choice((None, *ids))
+            owner = rng.choice((None, *ids))
             excluded = set(rng.sample(ids, rng.choice((0, 0, 0, 1, 3, 8))))
             left_ms = rng.choice((None, prompt.latency_target_ms * rng.random()))
-            chosen = made.select(prompt, excluded, now_ms, keeper, is_cached=kept, remaining_ms=left_ms)
-            values.append((chosen, made.last_reason.value))
+            chosen = selector.select(prompt, excluded, now_ms, owner, is_cached=kept, remaining_ms=left_ms)
+            values.append((chosen, selector.last_reason.value))
             if chosen is not None:
-                tokens = made.on_attempt_started(chosen, prompt, now_ms, is_cached=kept and chosen == keeper)
+                tokens = selector.on_attempt_started(
+                    chosen, prompt, now_ms, is_cached=kept and chosen == owner
+                )
                 calls.append((chosen, tokens))
-                linked.add(chosen)
+                connected.add(chosen)
                 values.append(
-                    (tokens, made.overdue_after_ms(prompt, tokens), made.prefill_backlog_tokens(chosen))
+                    (
+                        tokens,
+                        selector.overdue_after_ms(prompt, tokens),
+                        selector.prefill_backlog_tokens(chosen),
+                    )
                 )
         elif what < 0.92 and calls:
             id_, tokens = calls.pop(rng.randrange(len(calls)))
-            made.on_attempt_released(id_, tokens, now_ms)
-            made.on_outcome(id_, rng.choice(outcomes), now_ms)
-            made.prefill_time.observe(tokens, 30.0 + 0.02 * tokens * rng.uniform(0.8, 1.4))
+            selector.on_attempt_released(id_, tokens, now_ms)
+            selector.on_outcome(id_, rng.choice(outcomes), now_ms)
+            selector.prefill_time.observe(tokens, 30.0 + 0.02 * tokens * rng.uniform(0.8, 1.4))
             if rng.random() < 0.2:
-                linked.discard(id_)
+                connected.discard(id_)
         elif what < 0.95:
-            made.set_peer_prefill_backlog({id_: rng.uniform(0.0, 40_000.0) for id_ in rng.sample(ids, 5)})
+            selector.set_peer_prefill_backlog({id_: rng.uniform(0.0, 40_000.0) for id_ in rng.sample(ids, 5)})
         elif what < 0.97:
-            made.set_ejected(rng.sample(ids, rng.randrange(4)))
+            selector.set_ejected(rng.sample(ids, rng.randrange(4)))
         else:
             listed = rng.sample(ids, rng.randrange(3, 10))
-            made.update(
+            selector.update(
                 {
                     id_: UpstreamStatus(rng.random() < 0.9, is_unresponsive=rng.random() < 0.1)
                     for id_ in listed
                 },
                 now_ms,
             )
-            values.append((made.ready_count, [made.is_ready(id_) for id_ in ids]))
+            values.append((selector.ready_count, [selector.is_ready(id_) for id_ in ids]))
         if step % 50 == 0:
             values.append(
                 (
-                    sorted(made.own_prefill_backlog().items()),
-                    made.prefill_time.ms_per_token,
-                    made.prefill_time.fixed_ms,
+                    sorted(selector.own_prefill_backlog().items()),
+                    selector.prefill_time.ms_per_token,
+                    selector.prefill_time.fixed_ms,
                 )
             )
     return values
@@ -402,7 +410,7 @@
     rng = Random(21)
     ids = [f"u{n}" for n in range(10)]
     routers = [OutcomeWindow() for _ in range(3)]
-    judged = FleetOutlierDetector()
+    detector = FleetOutlierDetector()
     values: list[Any] = []
     now_ms = 0.0
     for _ in range(1_500):
@@ -413,40 +421,42 @@
         total: dict[str, OutcomeCounts] = sum_outcomes(
             [router.failing_upstreams(now_ms) for router in routers]
         )
-        changed = judged.evaluate([ids[:7], ids[7:]], total, now_ms)
-        values.append((changed, sorted(judged.ejected), sorted((k, tuple(v)) for k, v in total.items())))
+        changed = detector.evaluate([ids[:7], ids[7:]], total, now_ms)
+        values.append((changed, sorted(detector.ejected), sorted((k, tuple(v)) for k, v in total.items())))
     return values
 
 
-def reading_values() -> list[Any]:
+def prefill_values() -> list[Any]:
     rng = Random(22)
-    made = PrefillTime()
+    line = PrefillTime()
     values: list[Any] = []
     for step in range(600):
         tokens = rng.uniform(0.0, 6_000.0) if step > 40 else 100.0
-        made.observe(tokens, 20.0 + (0.01 if step < 300 else 0.6) * tokens * rng.random())
-        values.append((made.ms_per_token, made.fixed_ms, made.expected_ms(1_000.0)))
+        line.observe(tokens, 20.0 + (0.01 if step < 300 else 0.6) * tokens * rng.random())
+        values.append((line.ms_per_token, line.fixed_ms, line.expected_ms(1_000.0)))
     return values
 
 
-def door_values() -> list[Any]:
+def shedding_values() -> list[Any]:
     rng = Random(23)
     classes = [
         RequestClass(100.0, 400.0, Effect.SAFE, worth=1.0, name="a"),
         RequestClass(400.0, 900.0, Effect.UNSAFE, worth=8.0, name="b"),
     ]
-    door = LoadShedder(classes, Random(24))
+    shedder = LoadShedder(classes, Random(24))
     values: list[Any] = []
     for turn in range(1_200):
         if turn == 700:
-            door.configure(
+            shedder.configure(
                 [*classes[:1], RequestClass(300.0, 900.0, Effect.SAFE, worth=2.0, name="c"), classes[1]]
             )
         load = 60.0 if 200 < turn < 500 or turn > 800 else 6.0
-        let_in = [door.admits(rng.randrange(2), rng.random() < 0.3) for _ in range(rng.randrange(8))]
+        let_in = [shedder.admits(rng.randrange(2), rng.random() < 0.3) for _ in range(rng.randrange(8))]
         busy_ms = load * rng.uniform(0.5, 1.5) * (0.2 + 0.2 * sum(let_in))
-        door.on_iteration(busy_ms, busy_ms + rng.uniform(0.0, 10.0))
-        values.append((let_in, door.shed_fraction, door.is_shedding, door.shed_count, door.mean_busy_ms))
+        shedder.on_iteration(busy_ms, busy_ms + rng.uniform(0.0, 10.0))
+        values.append(
+            (let_in, shedder.shed_fraction, shedder.is_shedding, shedder.shed_count, shedder.mean_busy_ms)
+        )
     return values
 
 
@@ -464,11 +474,11 @@
 
 
 def test_the_prefill_time_is_the_same() -> None:
-    assert digest(reading_values()) == GOLDEN_PARTS["reading"]
+    assert digest(prefill_values()) == GOLDEN_PARTS["reading"]
 
 
 def test_the_door_sheds_the_same() -> None:
-    values = door_values()
+    values = shedding_values()
     assert values[-1][3] > 100
     assert digest(values) == GOLDEN_PARTS["door"]
 
@@ -476,7 +486,7 @@
 # what the simulator's wire does not carry: health told by other copies, restored servers, new settings
 
 
-class Copy:
+class SimulatedBalancer:
     """One copy's decisions and their world; what is hashed is each action's bytes."""
 
     def __init__(self, seed: int) -> None:
@@ -486,7 +496,7 @@
         self.balancer.shared_health = SharedHealth(self.balancer.outliers)
         self.now_ms = 1_000.0
         self.values: list[Any] = []
-        self.sick = {3, 7}
+        self.unhealthy = {3, 7}
         self._due: list[tuple[float, int, Event]] = []
         self._serial = 0
         self._attempts = Counter[int]()
@@ -525,10 +535,10 @@
         if isinstance(action, Send):
             self.values.append(action.write_by_ms)
             self._attempts[action.request] += 1
-            sick = action.server in self.sick
+            unhealthy = action.server in self.unhealthy
             outcome = (
                 rng.choice((Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR, Outcome.FULL))
-                if sick
+                if unhealthy
                 else Outcome.OK
             )
             if rng.random() < 0.02:
@@ -557,7 +567,7 @@
         elif isinstance(action, SetTimer):
             self.later(max(1.0, action.delay_ms), TimerFired(action.cookie))
         elif isinstance(action, Probe):
-            outcome = Outcome.TIMEOUT if action.server in self.sick else Outcome.OK
+            outcome = Outcome.TIMEOUT if action.server in self.unhealthy else Outcome.OK
             self.later(rng.uniform(1.0, 50.0), ProbeEnded(action.server, outcome, 5.0))
 
     def run(self, until_ms: float) -> None:
@@ -567,8 +577,8 @@
 
 
 def shared_values(seed: int) -> list[Any]:
-    copy = Copy(seed)
-    rng = copy.rng
+    simulated = SimulatedBalancer(seed)
+    rng = simulated.rng
     proofs = [
         None,
         RestoredTrust(0.9),
@@ -579,7 +589,7 @@
     cached = [
         ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, restored_trust=proofs[n % 5]) for n in range(12)
     ]
-    copy.feed(ListUpdate(ListKind.CACHED, 1, cached))
+    simulated.feed(ListUpdate(ListKind.CACHED, 1, cached))
     shown = [
         ServerEntry(
             n,
@@ -590,51 +600,62 @@
         )
         for n in (1, 2)
     ]
-    copy.later(300.0, ListUpdate(ListKind.PROOF, 1, shown))
+    simulated.later(300.0, ListUpdate(ListKind.PROOF, 1, shown))
     whole = [
         ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, started_ms=5_000.0 * (n == 9)) for n in range(12)
     ]
-    copy.later(4_500.0, ListUpdate(ListKind.FULL, 2, whole))
-    copy.later(9_000.0, ListUpdate(ListKind.DELTA, 3, [ServerEntry(2, ServerState.DRAINING)]))
-    copy.later(7_000.0, Reconfigured(Copy.tuned(2.0)))
+    simulated.later(4_500.0, ListUpdate(ListKind.FULL, 2, whole))
+    simulated.later(9_000.0, ListUpdate(ListKind.DELTA, 3, [ServerEntry(2, ServerState.DRAINING)]))
+    simulated.later(7_000.0, Reconfigured(SimulatedBalancer.tuned(2.0)))
     at_ms = 0.0
     for request in range(1, 2_500):
         at_ms += rng.expovariate(0.2)
         at = rng.randrange(3)
-        coming = rng.random() < 0.1
+        incomplete = rng.random() < 0.1
         expected_ms = rng.uniform(5.0, 80.0) if rng.random() < 0.4 else None
         left_ms = (400.0, 600.0, 600.0)[at] * (1.0 if rng.random() < 0.8 else rng.random())
         event = RequestArrived(
-            request, at, left_ms, rng.randrange(2), 0, expected_ms, rng.random() < 0.1, body_incomplete=coming
+            request,
+            at,
+            left_ms,
+            rng.randrange(2),
+            0,
+            expected_ms,
+            rng.random() < 0.1,
+            body_incomplete=incomplete,
         )
-        copy.later(at_ms, event)
-        if coming:
-            copy.later(at_ms + rng.uniform(0.0, 80.0), RequestBodyReceived(request))
+        simulated.later(at_ms, event)
+        if incomplete:
+            simulated.later(at_ms + rng.uniform(0.0, 80.0), RequestBodyReceived(request))
         if rng.random() < 0.02:
-            copy.later(at_ms + 10.0, ClientGone(request))
+            simulated.later(at_ms + 10.0, ClientGone(request))
         if rng.random() < 0.4:
             server, good = rng.choice((3, 7, rng.randrange(12))), rng.choice((True, False, None))
-            copy.later(
+            simulated.later(
                 at_ms,
                 PeerHealthReport(
                     server, good, rng.uniform(0.0, 9_000.0), rng.random() < 0.5, rng.random() < 0.4
                 ),
             )
-    while copy._due:
-        copy.run(copy.now_ms + 500.0 if copy._due[0][0] <= copy.now_ms + 500.0 else copy._due[0][0])
-        hearsay = copy.balancer.shared_health
-        copy.values.append([tuple(told) for told in hearsay.local_health(copy.now_ms)])
-        copy.balancer.set_other_in_flight(rng.randrange(12), rng.randrange(3), copy.now_ms)
-        copy.balancer.on_connections_closed(rng.randrange(12))
+    while simulated._due:
+        simulated.run(
+            simulated.now_ms + 500.0
+            if simulated._due[0][0] <= simulated.now_ms + 500.0
+            else simulated._due[0][0]
+        )
+        shared_health = simulated.balancer.shared_health
+        simulated.values.append([tuple(health) for health in shared_health.local_health(simulated.now_ms)])
+        simulated.balancer.set_other_in_flight(rng.randrange(12), rng.randrange(3), simulated.now_ms)
+        simulated.balancer.on_connections_closed(rng.randrange(12))
         if rng.random() < 0.05:
-            copy.sick = {3, 7} if rng.random() < 0.7 else {3, 4}
-    learned = copy.balancer.learned()
-    copy.values.append(sorted(learned))
-    copy.values.append(json.dumps(learned, sort_keys=True))
-    other = Balancer(Copy.tuned(1.0), seed + 1)
+            simulated.unhealthy = {3, 7} if rng.random() < 0.7 else {3, 4}
+    learned = simulated.balancer.learned()
+    simulated.values.append(sorted(learned))
+    simulated.values.append(json.dumps(learned, sort_keys=True))
+    other = Balancer(SimulatedBalancer.tuned(1.0), seed + 1)
     other.adopt({**learned, "retries": "no number", "window": math.nan})
-    copy.values.append(json.dumps(other.learned(), sort_keys=True))
-    return copy.values
+    simulated.values.append(json.dumps(other.learned(), sort_keys=True))
+    return simulated.values
 
 
 GOLDEN_SHARED: dict[int, str] = {
@@ -653,7 +674,7 @@
 
 
 def test_what_is_learned_keeps_its_published_names() -> None:
-    assert set(Balancer(Copy.tuned(1.0), 1).learned()) == LEARNED_KEYS
+    assert set(Balancer(SimulatedBalancer.tuned(1.0), 1).learned()) == LEARNED_KEYS
 
 
 # settings: every key of the wire's JSON, by value and place
--- a/tests/balancing/test_second_deployment.py
+++ b/tests/balancing/test_second_deployment.py
@@ -43,7 +43,7 @@
 )
 
 
-def figures(**more: Any) -> Settings:
+def make_settings(**more: Any) -> Settings:
     return Settings(
         classes=CLASSES,
         balancer_count=3,
@@ -56,20 +56,20 @@
     )
 
 
-def story(seed: int, report: Callable[[float, int], tuple[float, ...]]) -> list[Action]:
+def simulate(seed: int, report: Callable[[float, int], tuple[float, ...]]) -> list[Action]:
     """Ten seconds of calls to six servers, of which one chokes from 3 to 7 s; what is reported is the caller's
     choice.
     """
     rng = Random(seed)
-    balancer = Balancer(figures(), seed)
-    said: list[Action] = list(
+    balancer = Balancer(make_settings(), seed)
+    all_actions: list[Action] = list(
         balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(6)]))
     )
     due: list[tuple[float, int, AttemptEnded]] = []
     serial = count()
 
-    def hear(actions: list[Action], now: float) -> None:
-        said.extend(actions)
+    def apply(actions: list[Action], now: float) -> None:
+        all_actions.extend(actions)
         for action in actions:
             if isinstance(action, Send):
                 choked = action.server == 2 and 3_000.0 < now < 7_000.0
@@ -85,23 +85,25 @@
         while due and due[0][0] <= now:
             at, _, end = heappop(due)
             end.report = report(at, end.server)
-            hear(balancer.handle(max(at, balancer.now_ms), end), at)
-        hear(balancer.handle(max(now, balancer.now_ms), RequestArrived(number, number % 4 == 0, 4000.0)), now)
-    return said
+            apply(balancer.handle(max(at, balancer.now_ms), end), at)
+        apply(
+            balancer.handle(max(now, balancer.now_ms), RequestArrived(number, number % 4 == 0, 4000.0)), now
+        )
+    return all_actions
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_server_that_answers_well_and_reports_nothing_for_4_s(seed: int) -> None:
     """What is reported of queues is never trusted beyond own counts and times: without it each decision is the same."""
-    told = story(seed, lambda now, server: (1.0,))
-    assert story(seed, lambda now, server: () if 2_000.0 < now < 6_000.0 else (1.0,)) == told
+    expected = simulate(seed, lambda now, server: (1.0,))
+    assert simulate(seed, lambda now, server: () if 2_000.0 < now < 6_000.0 else (1.0,)) == expected
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_reports_4_s_late_during_a_choke(seed: int) -> None:
     """They call the choked server idle while it is choked, and choked when it is well again."""
-    fresh = story(seed, lambda now, server: (40.0 if server == 2 and 3_000.0 < now < 7_000.0 else 0.0,))
-    late = story(seed, lambda now, server: (40.0 if server == 2 and 7_000.0 < now < 11_000.0 else 0.0,))
+    fresh = simulate(seed, lambda now, server: (40.0 if server == 2 and 3_000.0 < now < 7_000.0 else 0.0,))
+    late = simulate(seed, lambda now, server: (40.0 if server == 2 and 7_000.0 < now < 11_000.0 else 0.0,))
     assert late == fresh
 
 
@@ -130,7 +132,7 @@
 
 def test_all_servers_of_the_home_zone_lost_while_the_list_does_not_say_so() -> None:
     """Calls move to the other zone although each crossing costs, and what can't be repeated does not run twice."""
-    settings = figures(zones=2, my_zone=0, price_cross_zone=0.04)
+    settings = make_settings(zones=2, my_zone=0, price_cross_zone=0.04)
     balancer = Balancer(settings, 3)
     entries = [ServerEntry(n, zone=n // 4) for n in range(8)]
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, entries))
@@ -163,32 +165,32 @@
     calls that fail do not add up.
     """
     copies = 60
-    balancers = [Balancer(figures(me=n, list_request_interval_ms=10_000.0), n) for n in range(copies)]
+    balancers = [Balancer(make_settings(me=n, list_request_interval_ms=10_000.0), n) for n in range(copies)]
     heap: list[tuple[float, int, Callable[[], None]]] = []
     serial = count()
     now = 0.0
     waiting: list[tuple[float, int]] = []
     busy = failed = 0
-    has: dict[int, float] = {}
+    first_list_ms: dict[int, float] = {}
 
     def after(delay: float, call: Callable[[], None]) -> None:
         heappush(heap, (now + delay, next(serial), call))
 
-    def tell(n: int, event: Any) -> None:
+    def deliver(n: int, event: Any) -> None:
         for action in balancers[n].handle(now, event):
             if isinstance(action, WatchList):
                 waiting.append((now, n))
-                after(2_000.0, lambda entry=waiting[-1]: overdue(entry))  # type: ignore[misc]
+                after(2_000.0, lambda entry=waiting[-1]: time_out(entry))  # type: ignore[misc]
                 serve()
             elif isinstance(action, SetTimer):
-                after(action.delay_ms, lambda cookie=action.cookie: tell(n, TimerFired(cookie)))  # type: ignore[misc]
+                after(action.delay_ms, lambda cookie=action.cookie: deliver(n, TimerFired(cookie)))  # type: ignore[misc]
 
-    def overdue(entry: tuple[float, int]) -> None:
+    def time_out(entry: tuple[float, int]) -> None:
         nonlocal failed
         if entry in waiting:
             waiting.remove(entry)
             failed += 1
-            tell(entry[1], ListUpdate(ListKind.FAILED))
+            deliver(entry[1], ListUpdate(ListKind.FAILED))
 
     def serve() -> None:
         nonlocal busy
@@ -200,23 +202,23 @@
     def done(n: int) -> None:
         nonlocal busy
         busy -= 1
-        has.setdefault(n, now)
-        tell(n, ListUpdate(ListKind.FULL, 1, [ServerEntry(0)]))
+        first_list_ms.setdefault(n, now)
+        deliver(n, ListUpdate(ListKind.FULL, 1, [ServerEntry(0)]))
         serve()
 
     for n in range(copies):
-        tell(n, ListUpdate(ListKind.CACHED, 0, [ServerEntry(0)]))
+        deliver(n, ListUpdate(ListKind.CACHED, 0, [ServerEntry(0)]))
     while heap and heap[0][0] < 30_000.0:
         now, _, call = heappop(heap)
         call()
-    assert len(has) == copies and max(has.values()) < 15_000.0
+    assert len(first_list_ms) == copies and max(first_list_ms.values()) < 15_000.0
     assert failed < copies
 
 
 def test_a_hint_20_times_the_usual() -> None:
     """Refused at once, with a word when to come back; the others are served as before."""
     world = World(5, upstreams=4, slots=4, service_ms=100.0)
-    balancer = Balancer(figures(max_retry_after_ms=1000.0), 5)
+    balancer = Balancer(make_settings(max_retry_after_ms=1000.0), 5)
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(4)]))
     now = 0.0
     for number in range(1, 200):
@@ -234,7 +236,7 @@
 
 def test_a_client_whose_try_is_given_up_at_50_per_cent_of_the_deadline_and_comes_back_at_once() -> None:
     """Its next try is a fresh one: it has its whole aim, and is sent; what was under way is not sent again."""
-    balancer = Balancer(figures(), 5)
+    balancer = Balancer(make_settings(), 5)
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(6)]))
     now = 0.0
     for number in range(1, 41):  # every client's usual try: half of the deadline
@@ -275,7 +277,7 @@
 @pytest.mark.parametrize("cold_ms", [0.0, 8_000.0])
 def test_a_server_that_fails_is_left_out_also_where_starts_take_no_time(cold_ms: float) -> None:
     """Guards against pauses that are bounded by how long a start takes, where that is none."""
-    balancer = Balancer(figures(cold_ms=cold_ms), 3)
+    balancer = Balancer(make_settings(cold_ms=cold_ms), 3)
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(6)]))
     now, to = 0.0, [0] * 6
     for number in range(1, 1_001):
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What the first of many servers that are back is sent, when all copies call for it."""
+"""What the first of many servers that are restarted is sent, when all copies call for it."""
 
 from __future__ import annotations
 
@@ -20,20 +20,22 @@
 from standins import cold_fleet
 
 CLASSES = (RequestClass(410.0, 1000.0, Effect.SAFE, name="look"),)
-WORK_MS, SHARE, COLD_MS, FALL = 50.0, 0.32, 8_900.0, 3.0
+WORK_MS, COLD_SHARE, COLD_MS, FALL_MULTIPLE = 50.0, 0.32, 8_900.0, 3.0
 
 
-def sends(copies: int, servers: int, seed: int, per_s: float, back: int = 1, stay: int = 0) -> list[float]:
+def max_work_per_second(
+    copies: int, servers: int, seed: int, per_s: float, restarted: int = 1, remaining: int = 0
+) -> list[float]:
     """The most work that each of the first `back` of `servers` was sent in a second, in seconds, once they are back
-    cold; beside them `stay` others are warm.
+    cold; beside them `remaining` others are warm.
     """
     settings = Settings(
         classes=CLASSES,
         balancer_count=copies,
         max_attempts=4,
-        cold_share=SHARE,
+        cold_share=COLD_SHARE,
         cold_ms=COLD_MS,
-        fall_multiple=FALL,
+        fall_multiple=FALL_MULTIPLE,
         fall_ms=1000.0,
     )
     balancers = [Balancer(settings, seed * 100 + n) for n in range(copies)]
@@ -41,8 +43,10 @@
     for balancer in balancers:
         balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, warm))
         balancer.handle(5_000.0, ListUpdate(ListKind.FULL, 2, []))
-        fresh = [ServerEntry(n, started_ms=10_000.0) for n in range(back)]
-        balancer.handle(10_000.0, ListUpdate(ListKind.FULL, 3, [*fresh, *warm[back : back + stay]]))
+        fresh = [ServerEntry(n, started_ms=10_000.0) for n in range(restarted)]
+        balancer.handle(
+            10_000.0, ListUpdate(ListKind.FULL, 3, [*fresh, *warm[restarted : restarted + remaining]])
+        )
     times: list[list[float]] = [[] for _ in range(servers)]
     number = 0
     due: list[tuple[float, Balancer, int, int, int]] = []
@@ -61,7 +65,9 @@
             if isinstance(action, Send):
                 due.append((now + 60.0, balancer, action.request, 0, action.server))
                 times[action.server].append(now)
-    most = [max((sum(at <= t < at + 1000.0 for t in row) for at in row), default=0) for row in times[:back]]
+    most = [
+        max((sum(at <= t < at + 1000.0 for t in row) for at in row), default=0) for row in times[:restarted]
+    ]
     return [number * WORK_MS / 1000.0 for number in most]
 
 
@@ -74,22 +80,28 @@
     part of the traffic was taken to be the whole of it.
     """
     per_s = 3.0 * 0.7 * servers * 1000.0 / WORK_MS / copies
-    assert max(sends(copies, servers, seed, per_s)) <= FALL * (SHARE + (1 - SHARE) * 1000.0 / COLD_MS)
+    assert max(max_work_per_second(copies, servers, seed, per_s)) <= FALL_MULTIPLE * (
+        COLD_SHARE + (1 - COLD_SHARE) * 1000.0 / COLD_MS
+    )
 
 
 def test_a_cold_server_is_not_starved() -> None:
-    assert sends(3, 5, 1, 30.0, back=5)[0] > 0.1
+    assert max_work_per_second(3, 5, 1, 30.0, restarted=5)[0] > 0.1
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize(("back", "stay"), [(24, 16), (4, 36), (4, 0)])
-def test_the_sum_of_two_hundred_copies_pushes_no_cold_server_over(back: int, stay: int, seed: int) -> None:
+@pytest.mark.parametrize(("restarted", "remaining"), [(24, 16), (4, 36), (4, 0)])
+def test_the_sum_of_two_hundred_copies_pushes_no_cold_server_over(
+    restarted: int, remaining: int, seed: int
+) -> None:
     """Each copy sees a few requests a second, three times the usual: N + 2 x root of N + 2 in the settings' time, N
     being what the settings allow a server that has just started.
     """
-    per_s = 3.0 * 0.7 * (back + stay) * 1000.0 / WORK_MS / 200
-    n = FALL * (SHARE + (1 - SHARE) * 1000.0 / COLD_MS) * 1000.0 / WORK_MS
-    most = [work * 1000.0 / WORK_MS for work in sends(200, 40, seed, per_s, back, stay)]
+    per_s = 3.0 * 0.7 * (restarted + remaining) * 1000.0 / WORK_MS / 200
+    n = FALL_MULTIPLE * (COLD_SHARE + (1 - COLD_SHARE) * 1000.0 / COLD_MS) * 1000.0 / WORK_MS
+    most = [
+        work * 1000.0 / WORK_MS for work in max_work_per_second(200, 40, seed, per_s, restarted, remaining)
+    ]
     assert 0.0 < max(most) <= n + 2.0 * n**0.5 + 2.0
 
 
@@ -136,27 +148,27 @@
     zones=3,
     max_attempts=4,
     price_cross_zone=0.005,
-    cold_share=SHARE,
+    cold_share=COLD_SHARE,
     cold_ms=COLD_MS,
-    fall_multiple=FALL,
+    fall_multiple=FALL_MULTIPLE,
 )
-COLD = 9
+COLD_SERVER = 9
 
 
-def before_one_cold() -> Balancer:
+def balancer_with_one_cold_server() -> Balancer:
     """Four warm servers at home, and one elsewhere that started a second ago; this copy has no credit for it."""
     balancer = Balancer(SETTINGS, 1)
-    servers = [*(ServerEntry(n) for n in range(4)), ServerEntry(COLD, started_ms=4_000.0, zone=2)]
+    servers = [*(ServerEntry(n) for n in range(4)), ServerEntry(COLD_SERVER, started_ms=4_000.0, zone=2)]
     balancer.handle(5_000.0, ListUpdate(ListKind.FULL, 1, servers))
     balancer.slow_start.credit = 0.0
     return balancer
 
 
 # What a request earns: the pace of a quarter of what pushes a server over, by its share, over five servers.
-EARNED = 0.25 * FALL * (SHARE + (1 - SHARE) * 1_000.0 / COLD_MS) / 5
+CREDIT_PER_REQUEST = 0.25 * FALL_MULTIPLE * (COLD_SHARE + (1 - COLD_SHARE) * 1_000.0 / COLD_MS) / 5
 
 
-def asked(balancer: Balancer, number: int) -> list[int]:
+def send_and_reject(balancer: Balancer, number: int) -> list[int]:
     """Where a request is sent, each of its attempts being turned away."""
     sent: list[int] = []
     actions = balancer.handle(5_000.0, RequestArrived(number, 0, 1000.0))
@@ -168,32 +180,34 @@
 
 
 def test_further_attempts_earn_nothing_for_cold_servers() -> None:
-    balancer = before_one_cold()
+    balancer = balancer_with_one_cold_server()
     sent, earned = [], 0.0
     for number in range(8):
-        earned += EARNED * (1.0 - 0.25 * balancer.outliers.failure_rate)  # as it is when the request comes
-        sent += asked(balancer, number)
-    assert len(sent) > 8 and COLD not in sent
+        earned += CREDIT_PER_REQUEST * (
+            1.0 - 0.25 * balancer.outliers.failure_rate
+        )  # as it is when the request comes
+        sent += send_and_reject(balancer, number)
+    assert len(sent) > 8 and COLD_SERVER not in sent
     assert balancer.slow_start.credit == pytest.approx(earned)
 
 
 @pytest.mark.parametrize(
-    ("fail_share", "usual_part", "part"),
+    ("failure_rate", "earn_fraction", "expected_fraction"),
     [(0.0, 1.0, 1.0), (0.4, 1.0, 0.9), (1.0, 1.0, 0.75), (0.4, 0.3, 0.3)],
 )
 def test_a_request_earns_less_for_cold_servers_by_the_share_of_calls_that_fail(
-    fail_share: float, usual_part: float, part: float
+    failure_rate: float, earn_fraction: float, expected_fraction: float
 ) -> None:
     """Unless it is known how much comes again, and that takes more away."""
-    balancer = before_one_cold()
-    balancer.outliers.failure_rate = fail_share
-    balancer.slow_start.earn_fraction = usual_part
+    balancer = balancer_with_one_cold_server()
+    balancer.outliers.failure_rate = failure_rate
+    balancer.slow_start.earn_fraction = earn_fraction
     balancer.handle(5_000.0, RequestArrived(1, 0, 1000.0))
-    assert balancer.slow_start.credit == pytest.approx(part * EARNED)
+    assert balancer.slow_start.credit == pytest.approx(expected_fraction * CREDIT_PER_REQUEST)
 
 
 def test_what_is_saved_for_cold_servers_is_bounded() -> None:
-    balancer = before_one_cold()
+    balancer = balancer_with_one_cold_server()
     for _ in range(1000):
         balancer.slow_start.earn(5_000.0)
     assert balancer.slow_start.credit == SlowStart.CREDIT_CAP == 2.0
@@ -201,21 +215,21 @@
 
 def test_credit_is_spent_at_once_in_any_zone_and_not_behind_an_own_call() -> None:
     """It was saved up where home had no cold server, by all copies, and spent on the first that home had."""
-    balancer = before_one_cold()
+    balancer = balancer_with_one_cold_server()
     balancer.slow_start.credit = 2.0
     sent = []
     for number in range(4):
         actions = balancer.handle(5_000.0, RequestArrived(number, 0, 1000.0))
         sent += [action.server for action in actions if isinstance(action, Send)]
-    assert len(sent) == 4 and sent.count(COLD) == 1
+    assert len(sent) == 4 and sent.count(COLD_SERVER) == 1
 
 
 def test_a_cold_server_that_fails_gets_no_more_than_the_ordinary_draw_gives_it() -> None:
-    balancer = before_one_cold()
+    balancer = balancer_with_one_cold_server()
     balancer.slow_start.credit = 2.0
-    balancer.table.servers[COLD].consecutive_failures = 1  # and warm ones at home are idle
+    balancer.table.servers[COLD_SERVER].consecutive_failures = 1  # and warm ones at home are idle
     actions = balancer.handle(5_000.0, RequestArrived(1, 0, 1000.0))
-    assert [action.server == COLD for action in actions if isinstance(action, Send)] == [False]
+    assert [action.server == COLD_SERVER for action in actions if isinstance(action, Send)] == [False]
 
 
 def test_the_first_send_of_a_copy_to_a_cold_server_comes_at_a_time_of_its_own() -> None:
@@ -225,9 +239,9 @@
 
 
 def test_a_server_that_can_do_nothing_at_its_start_earns_as_it_warms_up() -> None:
-    settings = Settings(classes=CLASSES, cold_share=0.0, cold_ms=COLD_MS, fall_multiple=FALL)
+    settings = Settings(classes=CLASSES, cold_share=0.0, cold_ms=COLD_MS, fall_multiple=FALL_MULTIPLE)
     balancer = Balancer(settings, 1)
-    balancer.handle(5_000.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(COLD, started_ms=5_000.0)]))
+    balancer.handle(5_000.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(COLD_SERVER, started_ms=5_000.0)]))
     balancer.slow_start.credit = 0.0
     balancer.slow_start.earn(5_000.0 + COLD_MS / 2.0)
-    assert balancer.slow_start.credit == pytest.approx(0.25 * FALL * 0.5)
+    assert balancer.slow_start.credit == pytest.approx(0.25 * FALL_MULTIPLE * 0.5)
