--- a/packages/balancing/src/larkweir_balancing/__init__.py
+++ b/packages/balancing/src/larkweir_balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Load-balancing decisions for services that call services, without any I/O of its own."""
+"""Load-balancing decisions for service-to-service requests. The package does no I/O."""
 
 from larkweir_balancing.errors import ContractError, SettingsError
 from larkweir_balancing.policy import Balancer
--- a/packages/balancing/src/larkweir_balancing/connections.py
+++ b/packages/balancing/src/larkweir_balancing/connections.py
@@ -1,4 +1,4 @@
-"""The connections to the servers, as far as the selection of a server depends on them. Pure logic."""
+"""Tracks the connections to the servers, which the selection of a server depends on. Pure logic."""
 
 from __future__ import annotations
 
@@ -11,52 +11,53 @@
 
 
 class ConnectionTracker:
-    """How long an idle connection is trusted, and whether a new one is expensive.
+    """Learns for how long an idle connection can be reused, and whether new connections are expensive.
 
-    Guards against connections that are dropped unseen while they lie idle: what is sent on one is lost, and
-    an unsafe call can't be repeated. A loss on an idle connection halves the trusted time; a call that goes
-    well after nearly that time lengthens it. Connections idle for longer are closed, so that the next call
-    opens a fresh one. New connections refused at once by many servers shorten it too: guards against
-    hundreds of copies filling the servers' connection tables with connections that nobody uses.
+    Idle connections may be dropped without notice. A request sent on such a connection is lost, and an unsafe request
+    can't be retried. Therefore a loss on an idle connection halves `max_idle_ms`, and a success after more than half of
+    that time increases it. Connections that are idle for longer are closed, so that the next request opens a new one.
+
+    `max_idle_ms` is also reduced, to at most half of the latency target, when many new connections are refused
+    immediately. This guards against hundreds of balancers filling the servers' connection tables with unused
+    connections.
     """
 
     SAMPLE_WEIGHT = 1.0 / 8.0
-    REFUSED_FRACTION = (
-        0.25  # of the new connections refused at once: more than servers that died would explain
-    )
-    MIN_LOSS_FRACTION = 0.1  # of calls on idle connections: less than that says nothing
+    # Fraction of new connections refused immediately, above which crashed servers alone can't be the cause.
+    REFUSED_FRACTION = 0.25
+    MIN_LOSS_FRACTION = 0.1  # fraction of requests on idle connections; fewer losses are not significant
     IDLE_GROWTH_FACTOR = 1.25
-    EXPENSIVE_FRACTION = 0.15  # of the aim, by which calls on new connections take longer
+    EXPENSIVE_FRACTION = 0.15  # extra latency of new connections, as a fraction of the latency target
 
     def __init__(self, settings: Settings) -> None:
         self.max_idle_ms = math.inf
         self.configure(settings)
-        self._new_loss = 0.0  # of calls on new connections, lost: what has nothing to do with lying idle
-        self._idle_loss = 0.0  # the same of calls on connections that had lain idle
-        self._refused = 0.0  # of new connections, refused at once
-        self._new_extra = 0.0  # time that a call on a new connection takes beyond the usual, in aims
-        self._idle_extra = 0.0
-        self._order: dict[int, Server] = {}  # with a connection, the longest unused first
+        self._new_loss = 0.0  # loss rate on new connections, which is not caused by idleness
+        self._idle_loss = 0.0  # loss rate on idle connections
+        self._refused = 0.0  # fraction of new connections refused immediately
+        self._new_extra = 0.0  # mean extra time on a new connection over the usual, in latency targets
+        self._idle_extra = 0.0  # the same on an idle connection
+        self._order: dict[int, Server] = {}  # servers with a connection, the longest unused first
         self.connected = SampleList()
 
     def configure(self, settings: Settings) -> None:
-        """Take over the bounds of new settings."""
+        """Apply new settings."""
         self._settings = settings
         self.max_idle_ms = min(self.max_idle_ms, settings.conn_idle_ms)
 
     @property
     def connections_expensive(self) -> bool:
-        """Whether new connections cost so much more than idle ones that they are to be avoided."""
+        """Whether new connections are so much slower than idle ones that they should be avoided."""
         return self._new_extra - self._idle_extra > self.EXPENSIVE_FRACTION
 
     def idle_ms(self, server: Server, now_ms: float) -> float | None:
-        """How long its connection has lain unused; None if a call has to open a new one."""
+        """How long the connection to the server has been idle; None if a request has to open a new one."""
         if not server.has_connection:
             return None
         return 0.0 if server.in_flight else now_ms - server.connection_used_ms
 
     def record_use(self, server: Server, now_ms: float) -> None:
-        """A connection to the server is in use at `now_ms`."""
+        """Record that a connection to the server is used now."""
         server.connection_used_ms = now_ms
         server.has_connection = True
         self._order.pop(server.id, None)
@@ -64,30 +65,29 @@
         self.connected.add(server)
 
     def remove(self, server: Server) -> None:
-        """The server is gone: forget its connection."""
+        """Record that there is no connection to the server any more."""
         server.has_connection = False
         self._order.pop(server.id, None)
         self.connected.discard(server)
 
     def find_expired(self, now_ms: float) -> Server | None:
-        """The connection unused for longest, if it is past its trusted time."""
+        """Return the server with the longest unused connection if that exceeds `max_idle_ms`, else None."""
         if self.connections_expensive and self._refused < self.REFUSED_FRACTION:
-            return None  # it may yet be tried
+            return None  # an old connection may still work, and a new one is slow
         server = next(iter(self._order.values()), None)
         if server is None or now_ms - server.connection_used_ms <= self.max_idle_ms:
             return None
         if not server.in_flight:
             return server
-        self.record_use(server, now_ms)  # a call is out on it: looked at again later
+        self.record_use(server, now_ms)  # a request is in flight on it: check again later
         return None
 
     def record_end(self, attempt: Attempt, spent_ms: float, usual_ms: float, aim_ms: float) -> None:
-        """An attempt has ended: learn what a new connection and an idle one add to its latency."""
+        """Learn from the end of an attempt, by whether its connection was new or idle."""
         outcome = attempt.outcome
         lost = outcome is Outcome.RESET or outcome is Outcome.TIMEOUT
-        if (
-            self.connections_expensive
-        ):  # a trusted time that is too short costs much: look whether it may be longer
+        # A value that is too short is costly: try a longer one.
+        if self.connections_expensive:
             self.max_idle_ms = min(self._settings.conn_idle_ms, self.IDLE_GROWTH_FACTOR * self.max_idle_ms)
         if attempt.connection_idle_ms is None:
             refused = outcome is Outcome.CONNECT_FAILED and spent_ms < 0.5 * self._settings.connect_timeout_ms
@@ -100,7 +100,7 @@
                 self._new_extra += self.SAMPLE_WEIGHT * (late - self._new_extra)
             return
         if attempt.connection_idle_ms > self._settings.tick_ms:
-            weight = 0.5 if outcome is Outcome.TIMEOUT else 1.0  # a long answer may be to blame
+            weight = 0.5 if outcome is Outcome.TIMEOUT else 1.0  # a slow response may be the cause
             self._idle_loss += self.SAMPLE_WEIGHT * (weight * lost - self._idle_loss)
         if outcome is Outcome.OK:
             self._idle_extra += self.SAMPLE_WEIGHT * ((spent_ms - usual_ms) / aim_ms - self._idle_extra)
--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -1,9 +1,10 @@
 """The `Balancer`: takes events and returns actions (`interface`). Pure logic.
 
-The ordinary path is PULL (Stolyar), single-token form: a request goes to a server sampled uniformly from the token
-holders, that is, the ready servers where none of this balancer's requests is in flight; if no server holds a token, to
-a uniformly random ready server. The token list is in `servers`, the selection with its exceptions in `selection`, what
-may be sent and sent again in `retry_safety`. No state is kept outside of the `Balancer`'s objects.
+The default algorithm is PULL (Stolyar) in its single-token form. A server holds a token while it is ready and none of
+this balancer's requests is in flight there. A request goes to a server sampled uniformly from the token holders, or to
+a uniformly random ready server if no server holds a token. The token list is in `servers`, the selection and its
+exceptions are in `selection`, and `retry_safety` decides what may be sent or sent again. All state is kept in the
+objects of the `Balancer`.
 """
 
 from __future__ import annotations
@@ -44,24 +45,25 @@
 if TYPE_CHECKING:
     from larkweir_balancing.shared_health import SharedHealth  # imported only where the feature is on
 
-LIST_TIMER_COOKIE = 1 << 40  # a timer's, above every request id
-# From call to call for the list, by 0.5 to 1.5: in 6 s have to fit a pause, a call that fails after 2 s, and one more.
+LIST_TIMER_COOKIE = 1 << 40  # identifies the timer of the server list; above every request id
+# Interval between requests for the server list after a failure, times a random factor of 0.5 to 1.5. A list change must
+# be known within 6 s, which has to cover a pause, a call that fails after 2 s, and another pause and call.
 LIST_RETRY_INTERVAL_MS = 1_000.0
 
 
 class Balancer:
-    """One copy of the decision logic, in front of one tier."""
+    """One instance of the decision logic, in front of one tier."""
 
-    NEVER_RAN_RETRY_PRICE = 0.25  # a call that a server never looked at cost no work
-    # Of the usual latency, that must be left for a call to be tried. Guards against work that nobody can use,
-    # and against time-outs held against servers that were given no time.
+    NEVER_RAN_RETRY_PRICE = 0.25  # instead of 1: an attempt that never ran cost the server no work
+    # A request is refused if the time left is at most this fraction of the usual latency. Guards against work whose
+    # answer comes too late to be used, and against counting time-outs of such requests as failures of the server.
     MIN_USEFUL_FRACTION = 0.25
-    # Of the time at low load of a request so heavy, by its hint. Guards against work of many times the usual, which
-    # is never done in time and keeps others from it.
+    # A request with a cost hint is refused if the time left is at most this fraction of its expected latency at low
+    # load. Guards against very expensive requests, which would not finish in time and would delay others.
     TOO_HEAVY_FRACTION = 0.75
 
     def __init__(self, settings: Settings, seed: int, limiter: ConcurrencyLimiter | None = None) -> None:
-        """`limiter`: another way to steer the window than its own."""
+        """`limiter` replaces the default concurrency limiter."""
         self.settings = settings
         self.rng = Random(seed)
         self.table = ServerTable(settings.zones)
@@ -77,16 +79,15 @@
         self.selector = ServerSelector(
             settings, self.rng, self.table, self.connections, self.slow_start, self.outliers
         )
-        self._latency = self.limiter.mean  # of the upstreams' time alone
+        self._latency = self.limiter.mean  # by class: mean time spent at the upstream
         self.requests: dict[int, Request] = {}
         self.now_ms = -1.0
         self.actions: list[Action] = []
-        self._list_requested_ms = (
-            -1.0
-        )  # when last, after a failure; 0: the last call was good; -1: no list yet
+        # When the list is to be requested after a failure; 0: the last request succeeded; -1: no list yet.
+        self._list_requested_ms = -1.0
         self._retry_budget = settings.tuning.retry_cap / 2.0
         self._awaiting_probe: dict[int, list[Request]] = {}
-        self.shared_health: SharedHealth | None = None  # where replicas share what they find of servers
+        self.shared_health: SharedHealth | None = None  # set where replicas share the health of servers
         self._handlers = {
             RequestArrived: self._on_request,
             AttemptEnded: self._on_attempt_end,
@@ -102,7 +103,7 @@
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; returns the actions to carry out, in order, at the same time."""
+        """Process one event and return the actions to carry out now, in this order."""
         if not now_ms >= self.now_ms:
             raise ContractError(f"time went back from {self.now_ms} to {now_ms}")
         self.now_ms = now_ms
@@ -117,7 +118,7 @@
             self._admit_waiting()
         return self.actions
 
-    # ------------------------------------------------ the ordinary path
+    # ------------------------------------------------ requests and attempts
 
     def _on_request(self, event: RequestArrived) -> None:
         at = event.class_index
@@ -141,7 +142,7 @@
             if event.expected_ms
             else 0.0
         )
-        verdict = Verdict.GO  # inner tiers do not shed: who has been let in above is served
+        verdict = Verdict.GO  # inner tiers do not shed: a request that an outer tier has admitted is served
         if left <= max(self.MIN_USEFUL_FRACTION * self._latency[at], heavy):
             verdict = Verdict.REFUSE
         elif not self.settings.tier:
@@ -164,16 +165,14 @@
             request, self._latency[request.class_index], self.now_ms
         ):
             self._probe(request, server)
-        elif server is None or (
-            request.probe_count and self.load_probing.serves_singly
-        ):  # every drawn server was busy
-            self._poll_later(request)
+        elif server is None or (request.probe_count and self.load_probing.serves_singly):
+            self._poll_later(request)  # no server was found, or every probed one was busy
         else:
             self._send(request, server)
 
     def _send(self, request: Request, server: Server) -> None:
         if not request.can_send_to(server, self.now_ms):
-            raise AssertionError("a send that legality forbids")
+            raise AssertionError("the request may not be sent to this server")
         request.wake_ms = math.inf
         self.slow_start.spend(server, self.now_ms)
         idle = self.connections.idle_ms(server, self.now_ms)
@@ -192,7 +191,7 @@
         request.in_flight += 1
 
     def _start_counting(self, attempt: Attempt) -> None:
-        """It is among the calls out from here on."""
+        """Count the attempt as in flight from now on."""
         attempt.is_counted = True
         attempt.server.in_flight += 1
         self.table.in_flight += 1
@@ -205,12 +204,15 @@
             self.table.in_flight -= 1
 
     def _on_body_received(self, event: RequestBodyReceived) -> None:
-        """Guards against calls whose body comes slowly: no server works on them, so they fill no window until now."""
+        """The last byte of the body has arrived: start the request's time and count its attempt as in flight.
+
+        No server works on a request whose body arrives slowly, so it must not fill the concurrency window until now.
+        """
         request = self.requests.get(event.request)
         if request is None or not request.body_incomplete:
             return
         request.body_incomplete = False
-        late = self.now_ms - request.arrived_ms  # its time runs from here on
+        late = self.now_ms - request.arrived_ms  # the time limits start now
         request.arrived_ms += late
         request.useful_until_ms += late
         request.deadline_ms += late
@@ -232,9 +234,8 @@
             return
         attempt.outcome = outcome
         request.in_flight -= 1
-        if (
-            event.attempts_left is not None
-        ):  # what was given back counts again, what is out elsewhere does not
+        # Attempts given back are available again, those in use elsewhere are not.
+        if event.attempts_left is not None:
             request.limit_attempts(event.attempts_left)
         self._stop_counting(attempt)
         spent = event.spent_ms if event.upstream_ms is None else event.upstream_ms
@@ -254,25 +255,25 @@
             request.is_answered = True
             self._finish(request)
         elif outcome is Outcome.REJECTED:
-            # Guards the servers against a caller's bad requests, which each of them would turn away in turn.
+            # Guards the servers against invalid requests, which each of them would reject in turn.
             self.actions.append(Fail(request.id))
             self._finish(request)
         elif not request.in_flight:
             self._retry_or_answer(request, outcome)
 
     def _update_connection(self, server: Server, outcome: Outcome) -> None:
-        """What an attempt's end says of the server's connection."""
+        """Update what is known of the server's connection from the outcome of an attempt."""
         if outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
             server.unresponsive = True
             if not server.in_flight and server.has_connection:
                 self.connections.remove(server)
-                if outcome is Outcome.TIMEOUT:  # the connection may be dead without a word
+                if outcome is Outcome.TIMEOUT:  # the connection may be broken without a reset
                     self.actions.append(CloseIdle(server.id))
         elif server.has_connection:
             self.connections.record_use(server, self.now_ms)
 
     def _retry_or_answer(self, request: Request, outcome: Outcome) -> None:
-        """Nothing is out any more and nothing was served: another attempt, or the final answer."""
+        """No attempt is in flight and none succeeded: start another attempt or give the final answer."""
         useful = request.useful_until_ms - self.now_ms > 0.75 * self._latency[request.class_index]
         price = self.NEVER_RAN_RETRY_PRICE if outcome in NEVER_RAN else 1.0
         if useful and self._retry_budget >= price and request.can_attempt(self.now_ms):
@@ -282,7 +283,7 @@
             self._refuse_or_fail(request)
 
     def _finish(self, request: Request) -> None:
-        """The request is over; its attempts still out keep it known until their ends have come."""
+        """The request is finished; it stays in `requests` until its last attempt in flight has ended."""
         if not request.is_answered and self.now_ms - request.arrived_ms > 0.5 * request.request_class.aim_ms:
             self.client_stats.record_unserved()
         request.is_answered = True
@@ -291,21 +292,21 @@
             self.requests.pop(request.id, None)
 
     def _refuse_or_fail(self, request: Request) -> None:
-        """The final answer of a request that will not be served.
+        """Give the final answer to a request that will not be served.
 
-        A refusal tells when to come again: what could not be placed now finds the same servers busy a moment
-        later, and a repeat at once would take a place from a request that can still be in time.
+        A refusal states a delay before the retry: an immediate retry would find the same servers busy, and would take
+        the slot of a request that can still be answered in time.
         """
         wait = self.settings.max_retry_after_ms
         self.actions.append(Refuse(request.id, wait) if request.can_refuse() else Fail(request.id))
         self._finish(request)
 
-    # ------------------------------------------------ waiting for a place, a report, or a server
+    # ------------------------------------------------ waiting for a slot, a load report, or a server
 
     def _try_enqueue(self, request: Request, left_ms: float, over_share: bool) -> bool:
-        """Let it wait for a place in the window; False where its turn would not come in time.
+        """Queue the request for a slot in the concurrency window; returns False if it would not get one in time.
 
-        Who has waited in vain is answered at once; nothing is held back until its deadline.
+        A request whose wait ends without a slot is answered at once, not at its deadline.
         """
         at = request.class_index
         pace = self.limiter.slot_interval_ms(at)
@@ -319,17 +320,18 @@
         return True
 
     def _admit_waiting(self) -> None:
-        """Those whose turn has come, as far as there are places."""
+        """Place the next queued requests, up to the number of free slots."""
         for _ in range(self.limiter.free_slots(self.table.in_flight)):
             if (turn := self.queue.pop_next()) is None:
                 return
             self._begin_placement(self.requests[turn])
 
     def _probe(self, request: Request, server: Server) -> None:
-        """Is the drawn server idle?"""
+        """Ask the sampled server for its load."""
         request.probe_count += 1
         request.probed_server = server
-        self.table.spend_token(server)  # reserved: two requests of this copy must not settle on one report
+        # Reserved: two requests of this balancer must not both rely on one load report.
+        self.table.spend_token(server)
         self._awaiting_probe.setdefault(server.id, []).append(request)
         self.actions.append(Probe(server.id))
         self._set_wake_timer(request, 2.0 * self.settings.tick_ms + 3.0 * self.load_probing.mean_probe_ms)
@@ -363,22 +365,23 @@
             self._place_next(request)
 
     def _poll_later(self, request: Request) -> None:
-        """Nothing ready, legal and believed idle now: look again shortly, while an answer can still count."""
+        """No server is ready, permitted and believed idle: try again shortly, while an answer can still be in time."""
         latency = self._latency[request.class_index]
         last = request.useful_until_ms - 0.75 * latency
         unservable = self.table.restored_count and not self.table.may_admit_restored(request.request_class)
         if unservable or self.now_ms >= last or not request.can_attempt(self.now_ms):
             self._refuse_or_fail(request)
             return
-        # Guards against a herd: while polls find nearly nothing idle, several copies see the same server fall
-        # idle before the first send shows. How often polls find one tells how often all copies together ask.
+        # Guards against a thundering herd: while almost no server is idle, several balancers see the same server become
+        # idle before the first request sent there shows in its load. The fraction of probes that find an idle server
+        # indicates how often all balancers together probe.
         probe_age_ms = 4.0 * (self.load_probing.mean_probe_ms + self.settings.tick_ms)
         crowd = probe_age_ms / (latency * max(self.load_probing.idle_share, 0.001))
         pause = latency / 32.0 * max(1.0, min(crowd, 16.0)) * (0.5 + self.rng.random())
         self._set_wake_timer(request, max(self.settings.tick_ms, min(pause, last - self.now_ms)))
 
     def _set_wake_timer(self, request: Request, delay_ms: float) -> None:
-        # Guards against a request lost while a report is awaited: a call may arrive with less time left than that.
+        # Guards against losing a request while it waits for a load report: its time left may be shorter than that wait.
         delay_ms = max(0.0, min(delay_ms, request.useful_until_ms - self.settings.tick_ms - self.now_ms))
         request.wake_ms = self.now_ms + delay_ms
         self.actions.append(SetTimer(request.id, delay_ms))
@@ -388,28 +391,28 @@
             self.actions.append(WatchList(True))
             return
         request = self.requests.get(event.cookie)
-        # Half a tick, since a caller's clock may round below what was asked for.
+        # Half a tick of tolerance, since the caller's clock may round the delay down.
         if (
             request is None
             or request.is_answered
             or self.now_ms + self.settings.tick_ms / 2.0 < request.wake_ms
         ):
             return
-        if self.queue and self.queue.remove(request.id):  # it has waited in vain
+        if self.queue and self.queue.remove(request.id):  # its time in the queue is over
             self._refuse_or_fail(request)
-        elif request.probed_server is not None:  # no report in time: the silence counts as busy
+        elif request.probed_server is not None:  # no load report in time: counts as busy
             request.probed_server = None
             self._place_next(request)
-        else:  # it was held
+        else:  # it has waited for a server
             request.has_waited = True
             self._begin_placement(request)
 
-    # ------------------------------------------------ what else is told
+    # ------------------------------------------------ other events
 
     def _on_list(self, event: ListUpdate) -> None:
         if event.kind is not ListKind.FAILED:
             fresh, gone = self.table.update(event)
-            for server in gone:  # its connections died with it
+            for server in gone:  # the connections ended with the process
                 self.connections.remove(server)
             self.slow_start.refresh(self.now_ms)
             self.limiter.open(self.table.ready_count, self.settings.balancer_count)
@@ -419,9 +422,10 @@
             self._poll_list(event.kind)
 
     def _poll_list(self, kind: ListKind) -> None:
-        """Where the list must be asked for: subscribe once, spread out, and ask again after a failure."""
+        """Where discovery is on request: subscribe once, after a random delay, and again after each failure."""
         if kind is ListKind.FAILED:
-            # Guards against a herd on a discovery service of fixed capacity. A call that was long in vain has paused.
+            # Guards against a thundering herd on a discovery service of fixed capacity. The time that the failed call
+            # took counts towards the pause.
             pace = min(self.settings.list_request_interval_ms, LIST_RETRY_INTERVAL_MS) * (
                 0.5 + self.rng.random()
             )
@@ -430,7 +434,7 @@
             self.actions.append(SetTimer(LIST_TIMER_COOKIE, pause))
             return
         if self._list_requested_ms < 0.0:
-            # The cached list serves at first; a quarter of the duty's interval leaves time for calls that fail.
+            # The cached list is used at first. A quarter of the permitted interval leaves time for calls that fail.
             self.actions.append(
                 SetTimer(LIST_TIMER_COOKIE, self.rng.random() * self.settings.list_request_interval_ms / 4.0)
             )
@@ -448,12 +452,12 @@
         if (request := self.requests.get(event.request)) is not None:
             request.is_answered = True
             if not request.request_class.streaming and 0 <= event.attempt < len(request.attempts):
-                # A long answer: the work is done, and how long its bytes take is the client's pace.
+                # A long response: the server's work is done, and the client determines how long the transfer takes.
                 self._stop_counting(request.attempts[event.attempt])
                 self.table.earn_token(request.attempts[event.attempt].server, self.now_ms)
 
     def set_other_in_flight(self, number: int, count: int, now_ms: float) -> None:
-        """So many calls of other decisions of this process are at a server: it is as little idle as with our own."""
+        """Set the requests in flight at a server from other balancers of this process; they count like own ones."""
         server = self.table.servers.get(number)
         if server is not None and server.other_in_flight != count:
             self.now_ms = max(self.now_ms, now_ms)
@@ -462,7 +466,7 @@
             self.table.earn_token(server, self.now_ms)
 
     def on_connections_closed(self, number: int) -> None:
-        """Other decisions of this process have closed the connections to a server that lay idle."""
+        """Another balancer of this process has closed the idle connections to a server."""
         if (server := self.table.servers.get(number)) is not None:
             self.connections.remove(server)
 
@@ -470,8 +474,9 @@
         return {"latency": self._latency, "base": self.limiter.base, "work": self.client_stats.mean_cost}
 
     def learned(self) -> dict[str, Any]:
-        """What another life of this copy may go on from, as plain values: the means by class name, and the
-        cold servers' credit, which is given away, so that both lives together spend it once.
+        """Return the state that a successor process may continue from, as plain values; means are by class name.
+
+        The slow start credit is handed over, so that both processes together spend it only once.
         """
         names = [cls.name for cls in self.settings.classes]
         credit, self.slow_start.credit = self.slow_start.credit, min(0.0, self.slow_start.credit)
@@ -484,7 +489,7 @@
         } | {key: dict(zip(names, values, strict=True)) for key, values in self._learned_by_class().items()}
 
     def adopt(self, learned: dict[str, Any]) -> None:
-        """Go on from what another life has learned; values that are none are passed over."""
+        """Continue from the `learned` state of a predecessor process; invalid values are ignored."""
 
         def number(value: Any, old: float, high: float = math.inf) -> float:
             good = isinstance(value, int | float) and not isinstance(value, bool) and 0.0 <= value < math.inf
@@ -492,7 +497,7 @@
 
         limiter, probes = self.limiter, self.load_probing
         self.slow_start.credit = number(learned.get("credit"), 0.0, SlowStart.CREDIT_CAP)
-        # Guards against a life that crashes again and again, each time with attempts to spare.
+        # Guards against a process that crashes repeatedly and starts each time with a full retry budget.
         self._retry_budget = number(
             learned.get("retries"), self._retry_budget, self.settings.tuning.retry_cap / 2.0
         )
@@ -505,21 +510,24 @@
             means = learned.get(key)
             if isinstance(means, dict):
                 for at, cls in enumerate(self.settings.classes):
-                    most = math.inf if key == "work" else cls.aim_ms  # the aim was longer before, maybe
+                    # The latency target may have been longer before.
+                    most = math.inf if key == "work" else cls.aim_ms
                     values[at] = number(means.get(cls.name), values[at], most)
 
     def _on_reconfigured(self, event: Reconfigured) -> None:
-        """Figures that change in service. What is known of servers and calls is kept: counts, the cold
-        servers' credit, drains. Requests that are here already end under the rules that they came with.
+        """Apply settings that change at run time.
+
+        The state of servers and attempts is kept: counts, slow start credit, draining. Requests that have already
+        arrived keep the settings that they arrived with.
         """
         old, new = self.settings, event.settings
         if problem := fixed_difference(old, new):
-            raise ContractError(f"{problem} can't change in service")
+            raise ContractError(f"{problem} can't change at run time")
         self.settings = self.outliers.settings = self.selector.settings = self.load_probing.settings = new
         for part in (self.connections, self.limiter, self.queue, self.client_stats):
             part.configure(new)
         self.slow_start.configure(new, self.now_ms)
         for at, (before, after) in enumerate(zip(old.classes, new.classes, strict=False)):
-            if before.name != after.name:  # another has taken the place of one that is no more
+            if before.name != after.name:  # another class has replaced a removed one
                 for server in self.table.servers.values():
                     server.ejected_for_class.pop(at, None)
--- a/packages/balancing/src/larkweir_balancing/prefill_backlog.py
+++ b/packages/balancing/src/larkweir_balancing/prefill_backlog.py
@@ -1,6 +1,6 @@
-"""Prompt tokens that wait to be prefilled at each engine: this router's, and its peers' as last reported.
+"""Prompt tokens waiting to be prefilled at each engine: those of this router, and those last reported by its peers.
 
-Engines are named by the numbers of the `TokenList`. Pure logic.
+Engines are identified by the numbers of the `TokenList`. Pure logic.
 """
 
 from __future__ import annotations
@@ -11,47 +11,47 @@
 
 @dataclass(slots=True)
 class EngineBacklog:
-    """Tokens that wait at one engine."""
+    """The tokens waiting at one engine."""
 
     own_tokens: float = 0.0
     peer_tokens: float = 0.0
 
     @property
     def total_tokens(self) -> float:
-        """Of all routers, as far as this one knows."""
+        """The tokens of all routers, as far as this one knows."""
         return self.own_tokens + self.peer_tokens
 
 
 class PrefillBacklog:
-    """The tokens that wait, by engine."""
+    """The waiting tokens by engine."""
 
     def __init__(self) -> None:
-        """Nothing waits yet."""
+        """Start without waiting tokens."""
         self._engines: dict[int, EngineBacklog] = {}
 
     def add_own(self, engine: int, tokens: float, *, has_attempts: bool) -> None:
-        """This router's tokens there change by so many; without an attempt in flight there they are none."""
+        """Change this router's tokens at an engine by `tokens`; they are 0 if it has no attempts in flight there."""
         backlog = self._engines.setdefault(engine, EngineBacklog())
         backlog.own_tokens = max(0.0, backlog.own_tokens + tokens) if has_attempts else 0.0
 
     def set_peers(self, tokens: Mapping[int, float]) -> None:
-        """The sum over all peers; engines that are not named have none."""
+        """Set the tokens of all peers together, by engine; engines that are not named have none."""
         for backlog in self._engines.values():
             backlog.peer_tokens = 0.0
         for engine, peer_tokens in tokens.items():
             self._engines.setdefault(engine, EngineBacklog()).peer_tokens = peer_tokens
 
     def remove(self, engine: int) -> None:
-        """The engine is gone."""
+        """Forget an engine that is gone."""
         self._engines.pop(engine, None)
 
     def total_tokens(self, engine: int) -> float:
-        """What waits there, of all routers."""
+        """The tokens of all routers that wait at an engine."""
         backlog = self._engines.get(engine)
         return backlog.total_tokens if backlog is not None else 0.0
 
     def above(self, max_tokens: float) -> set[int]:
-        """Engines where more than that waits."""
+        """The engines where more than `max_tokens` wait."""
         return {engine for engine, backlog in self._engines.items() if backlog.total_tokens > max_tokens}
 
     def own(self) -> dict[int, int]:
--- a/packages/balancing/src/larkweir_balancing/prefill_time.py
+++ b/packages/balancing/src/larkweir_balancing/prefill_time.py
@@ -1,16 +1,16 @@
-"""How long a model engine takes to its first event, learned from the requests of this router. Pure logic.
+"""Estimates a model engine's time to the first event, from the requests of this router. Pure logic.
 
-A first event is received after a fixed time and after the prompt, and those that wait before it, have been prefilled.
-Both figures are the least squares line through (tokens to prefill, time), with the weight of old samples decaying.
+The time to the first event is a fixed time plus the time to prefill the prompt and those that wait before it. The fixed
+time and the time per token are the least squares line through (tokens to prefill, time); the weight of samples decays.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SAMPLE_DECAY = 0.99  # of the weight of all samples, at each further one: some hundred count
-MIN_SAMPLE_WEIGHT = 8.0  # in all, before the line replaces the defaults
-MIN_SPREAD_TOKENS = 500.0  # standard deviation of the tokens, below which the slope can't be told
+SAMPLE_DECAY = 0.99  # applied to the weight of all samples at each new one; about the last hundred count
+MIN_SAMPLE_WEIGHT = 8.0  # total weight from which the fitted line replaces the defaults
+MIN_SPREAD_TOKENS = 500.0  # standard deviation of the tokens, below which the slope is not fitted
 DEFAULT_MS_PER_TOKEN = 0.012
 DEFAULT_FIXED_MS = 50.0
 MAX_MS_PER_TOKEN = 0.5
@@ -31,11 +31,11 @@
     _products: float = 0.0
 
     def expected_ms(self, tokens: float) -> float:
-        """From sending a request to its first event, with so many tokens to prefill until then."""
+        """The expected time from sending a request to its first event, with `tokens` to prefill before it."""
         return self.fixed_ms + self.ms_per_token * tokens
 
     def observe(self, tokens: float, elapsed_ms: float) -> None:
-        """A first event was received after so many tokens, by this router's estimate, had been prefilled."""
+        """Add a sample: a first event after `elapsed_ms`; `tokens` is this router's estimate of those prefilled."""
         self._weight = SAMPLE_DECAY * self._weight + 1.0
         self._tokens = SAMPLE_DECAY * self._tokens + tokens
         self._times = SAMPLE_DECAY * self._times + elapsed_ms
--- a/packages/balancing/src/larkweir_balancing/prefix_locations.py
+++ b/packages/balancing/src/larkweir_balancing/prefix_locations.py
@@ -1,7 +1,7 @@
-"""At which engines the prefix of a prompt is, or should be, cached. Pure logic.
+"""Finds the engines where the prefix of a prompt is cached or should be cached. Pure logic.
 
-Engines do not report their caches. This router remembers where it sent a prefix; where nothing is known, each prefix
-has a preference order of engines by rendezvous hashing, the same in all routers.
+Engines do not report the contents of their caches. This router remembers where it sent a prefix. If nothing is known of
+a prefix, its engines are ranked by rendezvous hashing, which gives the same preference order in all routers.
 """
 
 from __future__ import annotations
@@ -14,38 +14,37 @@
 from larkweir_balancing.servers import Server
 from larkweir_balancing.token_list import TokenList
 
-OWNERS_PER_PREFIX = (
-    2  # engines that cache one prefix, as far as tokens allow; further ones would read it again
-)
+# Engines that should cache one prefix, unless none of them holds a token; each further one has to prefill it again.
+OWNERS_PER_PREFIX = 2
 MAX_PREFERENCE_ORDERS = 4_096
-MAX_CACHED_PREFIXES = 16_384  # pairs of a prefix and an engine that was sent it
+MAX_CACHED_PREFIXES = 16_384  # pairs of a prefix and an engine that it was sent to
 
 
 class PrefixLocations:
-    """One service's prefixes; the least recently used are forgotten first."""
+    """The prefixes of one service; the least recently used are evicted first."""
 
     def __init__(self, upstreams: TokenList) -> None:
-        """`upstreams`: those of the service, of which the ready ones are ranked."""
+        """`upstreams`: the upstreams of the service; the ready ones are ranked."""
         self._upstreams = upstreams
         self._preference_orders: OrderedDict[str, list[Server]] = OrderedDict()
         self._cached: OrderedDict[tuple[str, int], None] = OrderedDict()
 
     def on_list_changed(self) -> None:
-        """The ready upstreams may be others now, so each order is worked out again."""
+        """Discard the preference orders, because the ready upstreams may have changed."""
         self._preference_orders.clear()
 
     def owners(self, prefix: str, known: Server | None) -> Iterator[Server]:
-        """The known owner, then the preferred ones, whose order is worked out only if the known one is of no use."""
+        """Yield the known owner, then the preferred engines; their order is computed only if it is needed."""
         if known is not None:
             yield known
         yield from self._preference_order(prefix)
 
     def is_cached(self, prefix: str, server: Server) -> bool:
-        """Whether this router has sent the prefix there, as far as it remembers."""
+        """Whether this router remembers sending the prefix to that engine."""
         return (prefix, server.id) in self._cached
 
     def record(self, prefix: str, server: Server) -> None:
-        """The prefix is sent there now."""
+        """Record that the prefix is sent to that engine."""
         if not OPTIONS.remembered_prefixes:
             return
         self._cached[(prefix, server.id)] = None
--- a/packages/balancing/src/larkweir_balancing/rendezvous.py
+++ b/packages/balancing/src/larkweir_balancing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing (highest random weight): all processes rank the same members alike, without talking."""
+"""Rendezvous hashing (highest random weight): all processes rank members in the same order, without communication."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def rendezvous_weight(key: str, member: str) -> bytes:
-    """The rank of a member for a key, 8 bytes; the lowest comes first."""
+    """The weight of a member for a key, as 8 bytes; the member with the lowest ranks first."""
     return blake2b(f"{key}/{member}".encode(), digest_size=8).digest()
--- a/packages/balancing/src/larkweir_balancing/selection.py
+++ b/packages/balancing/src/larkweir_balancing/selection.py
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class ServerSelector:
-    """Samples the token holders, those of the own zone first where crossing to another one costs."""
+    """Samples the token holders; where cross-zone traffic has a cost, those of the own zone come first."""
 
-    NEVER_RAN_COST = 0.5  # of the aim: what a call that never ran has cost
-    HOME_WORSE_FACTOR = 1.5  # times the cost elsewhere, from which home does worse
-    CROSS_ZONE_SAMPLE_FRACTION = (
-        0.02  # of calls that draw over all zones although home does well, to learn of the others
-    )
-    CROSS_ZONE_STEP = 0.1  # step of the part that does so while home does worse than crossing costs
+    NEVER_RAN_COST = 0.5  # of the latency target: cost of an attempt that never ran
+    HOME_WORSE_FACTOR = 1.5  # times the cost in other zones, above which the own zone counts as worse
+    # Fraction of requests that always sample all zones, to learn the cost in the others.
+    CROSS_ZONE_SAMPLE_FRACTION = 0.02
+    # Step of `cross_zone_fraction` towards 1 while the own zone is worse, else towards 0.
+    CROSS_ZONE_STEP = 0.1
 
     settings: Settings
     rng: Random
@@ -33,21 +33,21 @@
     connections: ConnectionTracker
     slow_start: SlowStart
     outliers: OutlierDetector
-    cross_zone_fraction: float = 0.0
-    # Of a call at home and elsewhere, in parts of the aim; a failure is a whole one.
+    cross_zone_fraction: float = 0.0  # of requests that sample all zones
+    # Mean cost of an attempt in the own zone and in the others, as a fraction of the latency target; a failure costs 1.
     zone_cost: list[float] = field(default_factory=lambda: [0.0, 0.0])
 
     def begin_round(self, request: Request) -> None:
-        """Begin a round of draws."""
+        """Start a new placement: reset the probe count and choose whether zones are ignored."""
         request.probe_count = 0
         request.ignores_zone = self.rng.random() < max(
             self.CROSS_ZONE_SAMPLE_FRACTION, self.cross_zone_fraction
         )
 
     def select(self, request: Request, now_ms: float) -> Server | None:
-        """A token holder drawn uniformly, else a uniformly random ready server."""
+        """Return a uniformly sampled token holder, else a uniformly random ready server, or None."""
         if self.slow_start.credit >= 1.0 and self.slow_start.cold.items:
-            # Exception, while there is credit for cold servers: any that does well, of any zone.
+            # Exception while there is slow start credit: any idle cold server of any zone without recent failures.
             server = self._sample_allowed([self.slow_start.cold], request, now_ms)
             if (
                 server is not None
@@ -56,15 +56,15 @@
             ):
                 return server
         if self.connections.connections_expensive:
-            # Exception, while new connections are seen to take long: token holders with an open one first.
+            # Exception while new connections are slow: token holders with an open connection first.
             for _ in range(MAX_SAMPLES):
                 sampled = sample([self.connections.connected], self.rng)
                 if sampled is None:
                     break
                 if sampled.list_level == 0 and self._is_allowed(request, sampled, now_ms):
                     return sampled
-        # Exception, while this copy's own calls outnumber the servers, so that own counts tell of the load:
-        # those with the fewest.
+        # Exception while this balancer has more requests in flight than there are servers, so that its own counts
+        # indicate the load: the servers with the fewest.
         crowded = self.table.in_flight > self.table.ready_count
         for lists in self.table.by_in_flight if crowded else self.table.by_in_flight[:1]:
             server = self._sample_near(lists, request, crowded, now_ms)
@@ -90,8 +90,10 @@
         return self._sample_allowed(lists, request, now_ms)
 
     def _prefers_home_queue(self, request: Request, now_ms: float) -> bool:
-        """Whether to queue behind an own call at home rather than cross: home does no worse than elsewhere, and the
-        time that this call adds loses less of the aim than crossing costs.
+        """Whether to queue behind an own request in the own zone rather than use another zone.
+
+        True if an attempt in the own zone costs no more than one elsewhere and the crossing together, and the added
+        delay makes the answer late with a probability that is at most the cost of crossing.
         """
         price = self.settings.price_cross_zone
         alone, behind = self.outliers.queue_ratio
@@ -116,18 +118,18 @@
             elif server in self.table.ejected or (
                 server.unresponsive and request.request_class.effect is not Effect.SAFE
             ):
-                # Guards against drawing, where nobody holds a token, what was ejected; and against trying with
-                # a request that can't be repeated whether a server has found its voice again.
+                # Guards against selecting an ejected server when no server holds a token, and against using a request
+                # that can't be retried to test whether an unresponsive server answers again.
                 last_resort = server
             else:
                 return server
         return class_ejected or last_resort
 
     def record_zone_cost(self, request: Request, attempt: Attempt, spent_ms: float) -> None:
-        """Draw over all zones as far as home does worse than crossing costs.
+        """Record the cost of an attempt, and adjust the fraction of requests that sample all zones.
 
-        Guards against a zone with more traffic than its own servers carry: a copy of low rate always finds a
-        token at home, so running out of tokens does not tell it.
+        Guards against a zone with more traffic than its own servers can handle. A balancer with a low request rate
+        always finds a token holder in its own zone, so it can't detect this by running out of tokens.
         """
         price = self.settings.price_cross_zone
         if price <= 0.0 or request.is_answered or attempt.outcome in INCONCLUSIVE:
@@ -138,6 +140,6 @@
             cost = self.NEVER_RAN_COST if attempt.outcome in NEVER_RAN else 1.0
         away = attempt.server.zone != self.settings.my_zone
         self.zone_cost[away] += SAMPLE_WEIGHT * (cost - self.zone_cost[away])
-        # Few calls tell of either: home must do clearly worse, else chance alone would make half cross.
+        # There are few samples of either cost: without a margin, chance alone would send half of the requests across.
         worse = self.zone_cost[0] > self.HOME_WORSE_FACTOR * self.zone_cost[1] + price
         self.cross_zone_fraction += self.CROSS_ZONE_STEP * (worse - self.cross_zone_fraction)
--- a/packages/balancing/src/larkweir_balancing/servers.py
+++ b/packages/balancing/src/larkweir_balancing/servers.py
@@ -22,22 +22,24 @@
     kind: int
     started_ms: float
     cell: int = 0
-    ready: bool = False  # else it drains, or is gone
-    restored_trust: RestoredTrust | None = None  # None: discovery vouches for it
-    in_flight: int = 0  # own calls, with those of other decisions of this process
-    other_in_flight: int = 0  # the latter alone
-    last_success_ms: float = -1.0  # when it last served one
-    list_level: int = -1  # the list it is drawn from; -1: none, its token is spent or withheld
-    withheld_until_ms: float = 0.0  # its token is withheld until then, on evidence of being busy or unwell
-    consecutive_failures: int = 0  # failed attempts in a row
-    unresponsive: bool = False  # the last that it was sent has no answer, in time or at all
+    ready: bool = False  # False: it is draining or gone
+    restored_trust: RestoredTrust | None = None  # None: it is listed by discovery
+    in_flight: int = 0  # own requests, including those of other balancers in this process
+    other_in_flight: int = 0  # only those of other balancers in this process
+    last_success_ms: float = -1.0  # when it last served a request
+    list_level: int = -1  # index into `by_in_flight`; -1: in no list, its token is spent or withheld
+    withheld_until_ms: float = 0.0  # its token is withheld until then, because it seemed busy or unhealthy
+    consecutive_failures: int = 0
+    unresponsive: bool = (
+        False  # an attempt there timed out or lost its connection, and none has succeeded since
+    )
     ejections: int = 0  # since its last success
-    # By class: its failures in a row, and until when its token does not count for that class.
+    # By class: consecutive failures, and until when the server is avoided for that class.
     ejected_for_class: dict[int, tuple[int, float]] = field(default_factory=dict)
-    # Running mean of its answers' times, by the usual of their class and size.
+    # Running mean of its response times, relative to the usual time for their class and size.
     slowness: float | None = None
-    has_connection: bool = False  # this copy holds a connection to it, as far as it knows
-    connection_used_ms: float = 0.0  # when that connection last carried anything
+    has_connection: bool = False  # whether this balancer believes that it has a connection to the server
+    connection_used_ms: float = 0.0  # when that connection was last used
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -48,13 +50,13 @@
     positions: dict[int, int] = field(default_factory=dict)
 
     def add(self, server: Server) -> None:
-        """Add a server; no effect where it is in the set."""
+        """Add a server; no effect if it is already in the list."""
         if server.id not in self.positions:
             self.positions[server.id] = len(self.items)
             self.items.append(server)
 
     def discard(self, server: Server) -> None:
-        """Remove a server; no effect where it is not in the set."""
+        """Remove a server; no effect if it is not in the list."""
         at = self.positions.pop(server.id, None)
         if at is None:
             return
@@ -65,7 +67,7 @@
 
 
 def sample(lists: Iterable[SampleList], rng: Random) -> Server | None:
-    """Uniform over the union of the lists."""
+    """Return a uniform sample from the union of the lists, or None if they are empty."""
     total = 0
     for part in lists:
         total += len(part.items)
@@ -78,23 +80,23 @@
 
 
 class ServerTable:
-    """The servers as discovery lists them, with the ready ones and the token holders of each zone."""
+    """The servers that discovery lists, with the ready ones and the token holders of each zone."""
 
-    MAX_IN_FLIGHT_LEVEL = 64  # servers with more own calls than this are not told apart
+    MAX_IN_FLIGHT_LEVEL = 64  # servers with this many own requests in flight, or more, share one list
 
     def __init__(self, zones: int) -> None:
         self.servers: dict[int, Server] = {}
         self.ready = [SampleList() for _ in range(zones)]
-        # By own calls outstanding; the first entry is the token list, the others serve the raised level.
+        # By own requests in flight, then by zone. Entry 0 is the token list, the others list servers without a token.
         self.by_in_flight = [[SampleList() for _ in range(zones)]]
-        self.in_flight = 0  # own calls outstanding, at all servers
+        self.in_flight = 0  # own requests in flight, at all servers
         self.ready_count = self.restored_count = 0
-        self.ejected: set[Server] = set()  # of those whose token is withheld
-        self._withheld: list[tuple[float, int, Server]] = []  # heap of tokens to give back
+        self.ejected: set[Server] = set()  # ejected servers; their tokens are withheld
+        self._withheld: list[tuple[float, int, Server]] = []  # heap of tokens to return
         self._serial = 0
 
     def update(self, update: ListUpdate) -> tuple[list[Server], list[Server]]:
-        """Apply discovery's word; returns the servers whose process is new to this copy, and those gone."""
+        """Apply an update from discovery; returns the servers whose process is new, and those that are gone."""
         fresh: list[Server] = []
         gone: list[Server] = []
         if update.kind in (ListKind.FULL, ListKind.CACHED):
@@ -103,7 +105,7 @@
         for entry in update.entries:
             server = self.servers.get(entry.server)
             is_gone = entry.state is ServerState.GONE
-            # Guards against trusting a restarted process with what its predecessor earned.
+            # Guards against attributing the statistics of a process to its successor after a restart.
             if server and (is_gone or server.started_ms != entry.started_ms or server.zone != entry.zone):
                 gone.append(self._remove(server))
                 server = None
@@ -121,7 +123,7 @@
             server.cell = entry.cell
             if server.ready:
                 self.ready[server.zone].add(server)
-            else:  # draining: from the moment we are told, neither list may yield it
+            else:  # draining: it must not be sampled from now on
                 self.ready[server.zone].discard(server)
                 self.spend_token(server)
         self.ready_count = sum(len(part.items) for part in self.ready)
@@ -130,7 +132,7 @@
         return fresh, gone
 
     def may_admit_restored(self, cls: RequestClass) -> bool:
-        """Whether there is a server that may take this class now or in a moment, where some are only remembered."""
+        """Whether a server may serve this class now or soon, where some servers are only restored from disk."""
         found = (server.restored_trust for server in self.servers.values() if server.ready)
         return any(proof is None or may_become_trusted(cls, proof) for proof in found)
 
@@ -142,7 +144,7 @@
         return self.servers.pop(server.id)
 
     def earn_token(self, server: Server, now_ms: float) -> None:
-        """List the server by its own calls outstanding, at none as a token holder, unless withheld."""
+        """List the server by its own requests in flight, unless its token is withheld; with none it holds a token."""
         self.spend_token(server)
         if server.withheld_until_ms <= now_ms and server.ready:
             server.list_level = min(server.in_flight, self.MAX_IN_FLIGHT_LEVEL)
@@ -151,13 +153,13 @@
             self.by_in_flight[server.list_level][server.zone].add(server)
 
     def spend_token(self, server: Server) -> None:
-        """Take the server off the lists of idle ones: a request is sent there."""
+        """Remove the server from the list that it is in."""
         if server.list_level >= 0:
             self.by_in_flight[server.list_level][server.zone].discard(server)
             server.list_level = -1
 
     def withhold_token(self, server: Server, until_ms: float) -> None:
-        """Keep the token back until a time; `give_back` returns it."""
+        """Withhold the token until `until_ms`; `return_tokens` then returns it."""
         self.spend_token(server)
         if until_ms > server.withheld_until_ms:
             server.withheld_until_ms = until_ms
@@ -165,7 +167,7 @@
             heappush(self._withheld, (until_ms, self._serial, server))
 
     def return_tokens(self, now_ms: float) -> None:
-        """Put servers whose token was withheld until `now_ms` back on the lists."""
+        """Put servers whose token was withheld until `now_ms` or earlier back on the lists."""
         while self._withheld and self._withheld[0][0] <= now_ms:
             server = heappop(self._withheld)[2]
             if server.withheld_until_ms <= now_ms:
--- a/packages/balancing/src/larkweir_balancing/slow_start.py
+++ b/packages/balancing/src/larkweir_balancing/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how many requests a server that has just started may be sent. Pure logic."""
+"""Slow start: limits how many requests are sent to a server that has just started. Pure logic."""
 
 from __future__ import annotations
 
@@ -9,37 +9,43 @@
 
 
 class SlowStart:
-    """A cold server's budget, kept by one copy alone: `pace` times the load of a warm one, scaled by its capacity.
+    """The credit of one balancer for requests to cold servers, without coordination with other balancers.
 
-    Each request earns credit: the cold servers' present capacity share, from the settings' even growth, over the number
-    of servers that share this copy's traffic when all are there. Guards the first that are back, for whom all call. A
-    send to a cold server spends a whole credit, at once and at any of them: guards the only one of a zone, and those
-    that start later, against what all copies have saved. Calls that fail lessen it, since they come again.
+    A cold server is to get at most `_pace` times the load of a warm one, scaled by its current capacity, which grows
+    linearly during the warm-up time.
+
+    Each request earns credit: `_pace` times the summed capacity of the cold servers, divided by the number of servers
+    that share this balancer's traffic when all are ready. Dividing by the ready servers alone would overload the first
+    servers that restart after an outage, when all traffic goes to them.
+
+    A request to any cold server spends one credit, as soon as there is one. This protects the only cold server of a
+    zone, and servers that start later, from credit that all balancers have saved up. Failed requests reduce the credit
+    earned, since they are retried.
     """
 
-    EXPECTED_FRACTION = 0.75  # of the most ready of late: all are there (a deploy moves as many)
-    READY_DECAY = 0.999  # of those: still known, a hundredth of a start later
-    FAILURE_LOSS_FRACTION = 0.25  # of what a request earns, that is lost where all calls fail
-    CREDIT_CAP = 2.0  # no long saving up: a burst right after a start can spend a server's window
+    # Fraction of the recent maximum of ready servers that counts as all of them (a deploy moves as many).
+    EXPECTED_FRACTION = 0.75
+    READY_DECAY = 0.999  # of that maximum, at each refresh, that is after a hundredth of the warm-up time
+    FAILURE_LOSS_FRACTION = 0.25  # of the credit earned, that is lost if all requests fail
+    CREDIT_CAP = 2.0  # limits saved credit: a burst right after a start can use up what the server can take
 
     def __init__(self, settings: Settings, rng: Random, table: ServerTable) -> None:
         self._rng, self._table = rng, table
-        # Random: low-rate copies must not all start with a free send, nor all without.
+        # Random: balancers with a low rate must neither all start with a full credit nor all without one.
         self.credit = rng.random()
-        self._most_ready = 0.0  # servers at a time, of late
-        self.earn_fraction = (
-            1.0  # of a request, that earns: less where others know that far more come than usual
-        )
+        self._most_ready = 0.0  # recent maximum of ready servers, decaying
+        # Upper bound for the factor of a request's credit; below 1 if far more requests arrive than usual.
+        self.earn_fraction = 1.0
         self.configure(settings, 0.0)
 
     def configure(self, settings: Settings, now_ms: float) -> None:
-        """Take the figures; the credit is carried on."""
+        """Apply new settings; the credit is kept."""
         self._initial_fraction, self._warmup_ms = settings.cold_share, settings.cold_ms
         self._pace = min(1.0, settings.fall_multiple * settings.tuning.cold_pace)
         self.refresh(now_ms)
 
     def refresh(self, now_ms: float) -> None:
-        """Look at all servers by how long they are cold now: at each change of the list, and while any is."""
+        """Recompute which servers are cold and their capacity: at each change of the list, and while any is cold."""
         self._most_ready = max(self._most_ready, self._table.ready_count)
         self.cold = SampleList(
             [s for s in self._table.servers.values() if s.ready and self.is_cold(s, now_ms)]
@@ -52,7 +58,7 @@
         return server.started_ms > 0.0 and now_ms - server.started_ms < self._warmup_ms
 
     def capacity_fraction(self, server: Server, now_ms: float) -> float:
-        """The part of its full capacity that a server bears at its age."""
+        """The fraction of its full capacity that a server has at its age."""
         age = max(0.0, now_ms - server.started_ms)
         return (
             self._initial_fraction + (1.0 - self._initial_fraction) * min(1.0, age / self._warmup_ms)
@@ -61,10 +67,10 @@
         )
 
     def earn(self, now_ms: float, failure_rate: float = 0.0) -> None:
-        """Called once a client's request, before its placement; its further attempts earn nothing."""
+        """Add credit; called once per client request, before its placement. Further attempts earn nothing."""
         if not self.cold.items:
             return
-        if now_ms >= self._refresh_at_ms:  # refreshed a hundred times in a start, never per request
+        if now_ms >= self._refresh_at_ms:  # a hundred times per warm-up time, not for each request
             self.refresh(now_ms)
             self._most_ready *= self.READY_DECAY
         expected_count = max(self._table.ready_count, self.EXPECTED_FRACTION * self._most_ready)
@@ -77,11 +83,11 @@
         self.credit = min(self.CREDIT_CAP, self.credit + earned)
 
     def admits(self, server: Server, now_ms: float) -> bool:
-        """Whether a drawn server may be sent to; the colder of two cold ones is let through less often."""
+        """Whether a sampled server may be used. A cold one needs credit, and is admitted at random by its capacity."""
         warm = not self.is_cold(server, now_ms)
         return warm or (self.credit >= 1.0 and self._rng.random() < self.capacity_fraction(server, now_ms))
 
     def spend(self, server: Server, now_ms: float) -> None:
-        """A request is sent to the server, which costs credit while it is cold."""
+        """Spend one credit if the server, which a request is sent to, is cold."""
         if self.is_cold(server, now_ms):
             self.credit -= 1.0
--- a/packages/balancing/src/larkweir_balancing/token_list.py
+++ b/packages/balancing/src/larkweir_balancing/token_list.py
@@ -1,11 +1,11 @@
-"""The upstreams of one service in one router, and which of them hold a token. Pure logic.
+"""The upstreams of one service in one router, and the tokens they hold. Pure logic.
 
-A token says that this router believes the upstream idle. For an ordinary service that is: none of this router's
-requests is in flight there. A model engine runs many requests at once and is held up by the prompts it prefills: it
-keeps its token while few of this router's requests wait for their first event.
+An upstream holds a token while this router believes it idle. An upstream of an ordinary service is believed idle while
+none of this router's requests is in flight there. A model engine runs many requests at once, and its bottleneck is
+prefilling prompts: it keeps its token while few of this router's requests wait there for their first event.
 
-The registry's ids are strings; here each listed upstream has a number, which `Server.id` and sets of excluded upstreams
-use. An upstream that is listed again after it was gone gets a new one.
+The ids of the registry are strings. This module gives each listed upstream a number, which `Server.id` and sets of
+excluded upstreams use. An upstream that is listed again after it was gone gets a new number.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from larkweir_balancing.outcomes import ListKind, ServerState
 from larkweir_balancing.servers import SampleList, Server, ServerTable, sample
 
-MAX_AWAITING_FIRST_EVENT = 4  # own requests that wait for one, from which an engine is not believed idle
-MAX_SAMPLES = 8  # random samples before all are looked at
+MAX_AWAITING_FIRST_EVENT = 4  # own requests awaiting their first event, from which an engine has no token
+MAX_SAMPLES = 8  # random samples before all upstreams are scanned
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,10 +32,10 @@
 
 
 class TokenList:
-    """PULL's token list (Stolyar) of one service. Times are milliseconds that only rise."""
+    """The token list of PULL (Stolyar) for one service. Times are monotonic, in milliseconds."""
 
     def __init__(self, rng: Random, *, is_engine: bool, has_idle_connection: Callable[[str], bool]) -> None:
-        """`is_engine`: the upstreams are model engines. `has_idle_connection`: whether one to an id is open."""
+        """`is_engine`: the upstreams are model engines. `has_idle_connection`: whether an id has an idle connection."""
         self._rng = rng
         self._is_engine = is_engine
         self._has_idle_connection = has_idle_connection
@@ -49,10 +49,10 @@
     def update(
         self, listed: Mapping[str, UpstreamStatus], now_ms: float, *, has_tracks: bool = False
     ) -> list[int]:
-        """Take the whole list: what it lacks is gone. Returns the numbers of those gone.
+        """Replace the list, and return the numbers of the upstreams that are no longer listed.
 
-        An upstream that drains or is gone is not sampled from now on. `has_tracks`: one that is ready again, as it has
-        moved here from another track of a roll-out, earns its token like a new one.
+        An upstream that is draining or gone is not sampled from now on. `has_tracks`: an upstream that is ready again,
+        because it has moved here from another track of a roll-out, earns a token like a new one.
         """
         entries = []
         self.unresponsive = set()
@@ -83,48 +83,48 @@
     # Upstreams by id
 
     def number(self, id_: str) -> int | None:
-        """The number of a listed upstream."""
+        """The number of an upstream; None if it is not listed."""
         return self._numbers.get(id_)
 
     def numbers(self, ids: Iterable[str]) -> set[int]:
-        """Those of the listed ones among these."""
+        """The numbers of those upstreams that are listed."""
         return {self._numbers[id_] for id_ in ids if id_ in self._numbers}
 
     def name(self, server: Server) -> str:
-        """The registry's id."""
+        """The registry's id of an upstream."""
         return self._ids[server.id]
 
     def name_of(self, number: int) -> str:
-        """The registry's id."""
+        """The registry's id of the upstream with that number."""
         return self._ids[number]
 
     def server(self, id_: str) -> Server | None:
-        """What is known of that upstream; None where it is not listed."""
+        """The state of an upstream; None if it is not listed."""
         number = self._numbers.get(id_)
         return None if number is None else self._servers.servers.get(number)
 
     def ready_servers(self) -> list[Server]:
-        """All that take requests, in the order of the list."""
+        """All ready upstreams, in the order of the list."""
         return [server for server in self._servers.servers.values() if server.ready]
 
     @property
     def ready_count(self) -> int:
-        """Upstreams that are ready, with those that are unresponsive."""
+        """The number of ready upstreams, including unresponsive ones."""
         return self._servers.ready_count
 
     # Ejection
 
     def set_ejected(self, ids: Collection[str]) -> None:
-        """The upstreams that the fleet ejects; ids of other services are ignored."""
+        """Set the upstreams that the fleet has ejected; ids of other services are ignored."""
         self._ejected = frozenset(ids) if OPTIONS.fleet_ejection else frozenset()
 
     @property
     def ejected(self) -> set[int]:
-        """Listed upstreams that are ejected."""
+        """The numbers of the listed upstreams that are ejected."""
         return self.numbers(self._ejected)
 
     def is_available(self, id_: str) -> bool:
-        """Whether that upstream is ready, responsive and not ejected."""
+        """Whether the upstream is ready, responsive and not ejected."""
         server = self.server(id_)
         if server is None or id_ in self._ejected:
             return False
@@ -133,15 +133,15 @@
     # Tokens
 
     def return_tokens(self, now_ms: float) -> None:
-        """Give back the tokens whose backoff is over."""
+        """Return the tokens whose backoff has ended."""
         self._servers.return_tokens(now_ms)
 
     def withhold_token(self, server: Server, until_ms: float) -> None:
-        """Keep the token back until then."""
+        """Withhold the token of an upstream until `until_ms`."""
         self._servers.withhold_token(server, until_ms)
 
     def add_in_flight(self, server: Server, count: int, now_ms: float) -> None:
-        """So many more of this router's requests, or fewer, count there; with none a token is earned."""
+        """Add `count` (negative to remove) to this router's requests in flight, and update the token."""
         server.other_in_flight = max(0, server.other_in_flight + count)
         if self._is_engine and OPTIONS.tokens_by_first_event:
             server.in_flight = max(0, server.other_in_flight - (MAX_AWAITING_FIRST_EVENT - 1))
@@ -149,14 +149,14 @@
             server.in_flight = server.other_in_flight
         self._servers.earn_token(server, now_ms)
 
-    # Sampling: uniform, without the excluded ones
+    # Sampling: uniform among upstreams that are not excluded
 
     def sample_holder(self, excluded: Collection[int]) -> Server | None:
-        """A token holder."""
+        """Sample a token holder."""
         return self._sample(self._servers.by_in_flight[0], excluded)
 
     def sample_connected_holder(self, excluded: Collection[int]) -> Server | None:
-        """A token holder with an idle connection, as far as a few samples find one."""
+        """Sample a token holder with an idle connection; None if a few samples find none."""
         if not OPTIONS.prefer_open_connections:
             return None
         for _ in range(MAX_SAMPLES):
@@ -168,7 +168,7 @@
         return None
 
     def sample_ready(self, excluded: Collection[int], now_ms: float) -> Server | None:
-        """A ready one; those whose token is withheld only where there is no other."""
+        """Sample a ready upstream; one whose token is withheld only if a few samples find no other."""
         for _ in range(MAX_SAMPLES):
             server = sample(self._servers.ready, self._rng)
             if server is None:
--- a/packages/balancing/src/larkweir_balancing/upstream_selection.py
+++ b/packages/balancing/src/larkweir_balancing/upstream_selection.py
@@ -1,9 +1,10 @@
-"""Which upstream of a service a router of the fleet sends a request to. Pure logic.
+"""Selection of the upstream of a service that a router of the fleet sends a request to. Pure logic.
 
-PULL (`token_list`): a request goes to an upstream sampled uniformly from the token holders, and where none holds a
-token to a uniformly random ready one. Among the token holders of a model's service, one that has the prefix of the
-prompt cached comes first (`prefix_locations`): prefilling it again elsewhere costs more than waiting. Of the others
-those with a small prefill backlog come first, and among these those with an open connection, since new ones are slow.
+The algorithm is PULL (`token_list`): a request goes to an upstream sampled uniformly from the token holders, or to a
+uniformly random ready upstream if none holds a token. For a model's service, a token holder that has the prefix of the
+prompt cached comes first (`prefix_locations`), because prefilling it again elsewhere costs more than waiting. Next come
+token holders with a small prefill backlog, and among these the ones with an open connection, because opening a new
+connection is slow.
 """
 
 from __future__ import annotations
@@ -24,9 +25,11 @@
 from larkweir_balancing.token_list import TokenList, UpstreamStatus
 from larkweir_balancing.upstream_backoff import record_outcome
 
-# Of what is left of the latency target: a prefix whose first event is expected later leaves its owner.
+# Times the remaining latency target. A request whose first event is expected later than this at the owner of its prefix
+# may go to another engine.
 IN_TIME_FACTOR = 1.2
-# Of the latency target, that the backlog of an engine takes to be prefilled: from each, others come first.
+# Fractions of the latency target. Engines whose backlog takes longer than the first to prefill are avoided; if that
+# leaves no token holder, only those above the second are.
 PREFILL_BACKLOG_FRACTIONS = (0.05, 0.25)
 OVERDUE_FACTOR = 4.0  # times the expected time to the first event, after which a request is overdue
 
@@ -34,8 +37,9 @@
 class SelectionReason(StrEnum):
     """Why an upstream was selected. The values are published in the router's debug log."""
 
-    PREFIX_OWNER = "keeper"  # it has the prefix cached, or is to cache it
-    LATE_PREFIX_OWNER = "late_keeper"  # the same, where the answer will be late and no other engine is idle
+    PREFIX_OWNER = "keeper"  # it has the prefix cached, or was chosen to cache it
+    # The same, although the answer will be late, because no other engine is idle.
+    LATE_PREFIX_OWNER = "late_keeper"
     OPEN_CONNECTION = "linked"  # a token holder with a small backlog and an open connection
     IDLE = "idle"  # a token holder with a small backlog
     TOKEN_HOLDER = "holder"
@@ -45,17 +49,17 @@
 
 
 class PrefixOwners(NamedTuple):
-    """A token holder that owns a prefix: one to be selected at once, or one to be selected if no other is idle."""
+    """A token holder that owns a prefix: `in_time` is selected first, `late` only if no other engine is idle."""
 
     in_time: Server | None = None
     late: Server | None = None
 
 
 class UpstreamSelector:
-    """The upstreams of one service in one router. Ids are the registry's; times are milliseconds that only rise."""
+    """Selects upstreams of one service in one router. Ids are the registry's; times are monotonic milliseconds."""
 
     def __init__(self, rng: Random, *, is_engine: bool, has_idle_connection: Callable[[str], bool]) -> None:
-        """`is_engine`: the upstreams are model engines. `has_idle_connection`: whether one to an id is open."""
+        """`is_engine`: the upstreams are model engines. `has_idle_connection`: whether an id has an idle connection."""
         self._is_engine = is_engine
         self._upstreams = TokenList(rng, is_engine=is_engine, has_idle_connection=has_idle_connection)
         self._prefixes = PrefixLocations(self._upstreams)
@@ -68,7 +72,7 @@
     def update(
         self, listed: Mapping[str, UpstreamStatus], now_ms: float, *, has_tracks: bool = False
     ) -> None:
-        """Take the whole list: what it lacks is gone, and nothing that drains or is gone is selected from now on.
+        """Replace the list. Upstreams that are draining or no longer listed are not selected from now on.
 
         `has_tracks`: the service has a roll-out, whose upstreams move from one selector to another.
         """
@@ -77,16 +81,16 @@
         self._prefixes.on_list_changed()
 
     def set_ejected(self, ids: Collection[str]) -> None:
-        """These are selected only where no other is left; ids of other services are ignored."""
+        """Set the ejected upstreams, which are selected only if no other is left; ids of other services are ignored."""
         self._upstreams.set_ejected(ids)
 
     @property
     def ready_count(self) -> int:
-        """Upstreams that are ready, with those that are unresponsive."""
+        """The number of ready upstreams, including unresponsive ones."""
         return self._upstreams.ready_count
 
     def is_ready(self, id_: str) -> bool:
-        """Whether that upstream is ready, responsive and not ejected."""
+        """Whether the upstream is ready, responsive and not ejected."""
         return self._upstreams.is_available(id_)
 
     # Selection
@@ -101,10 +105,15 @@
         is_cached: bool = True,
         remaining_ms: float | None = None,
     ) -> str | None:
-        """The upstream for a request, or None where none is ready.
-
-        `excluded`: those that it has been sent to. `prefix_owner`: where the fleet has placed the prefix of its prompt;
-        `is_cached`: the prefix was sent there before. `remaining_ms`: of its latency target; None for all.
+        """Return the upstream for a request, or None if none is ready.
+
+        Args:
+            prompt: The prompt of the request.
+            excluded: The upstreams that the request has already been sent to.
+            now_ms: The current time.
+            prefix_owner: The engine where the fleet has placed the prefix of the prompt.
+            is_cached: Whether the prefix was sent to `prefix_owner` before.
+            remaining_ms: The remaining part of the latency target; None for all of it.
         """
         upstreams = self._upstreams
         upstreams.return_tokens(now_ms)
@@ -133,7 +142,7 @@
         return server
 
     def _select_idle(self, prompt: Prompt, barred: set[int]) -> Server | None:
-        """Among token holders with a small backlog, those with an open connection first."""
+        """Select a token holder with a small prefill backlog, preferring one with an open connection."""
         for fraction in PREFILL_BACKLOG_FRACTIONS:
             backlogged = self._backlogged(fraction * prompt.latency_target_ms)
             server = self._with_reason(
@@ -144,7 +153,7 @@
         return None
 
     def _backlogged(self, max_ms: float) -> set[int]:
-        """Engines whose backlog takes longer to be prefilled."""
+        """Engines whose backlog takes longer than `max_ms` to prefill."""
         if not OPTIONS.avoid_prefill_backlog:
             return set()
         return self._backlog.above(max_ms / self.prefill_time.ms_per_token)
@@ -158,11 +167,11 @@
         *,
         is_cached: bool,
     ) -> PrefixOwners:
-        """Among token holders, one that has the prefix of the prompt cached, or is to cache it.
+        """Find a token holder that has the prefix of the prompt cached, or was chosen to cache it.
 
-        It is selected at once where its first event is expected in time, or where it would be late at any other engine
-        too; else only where no other engine is idle. Prefilling a prefix twice costs less than a late answer, but not
-        behind other prompts, where it would make those late as well.
+        It comes first if its first event is expected in time, or if an idle engine without the prefix would be late or
+        slower. Otherwise it is selected only if no other engine is idle: prefilling a prefix again on an idle engine
+        costs less than a late answer, but on a busy engine it would delay other prompts as well.
         """
         if not prompt.is_shared:
             return PrefixOwners()
@@ -185,12 +194,12 @@
         return PrefixOwners(in_time=best)
 
     def _expected_ms(self, server: Server, prompt: Prompt, *, has_prefix: bool) -> float:
-        """To the first event of that prompt there, behind the backlog."""
+        """The expected time to the first event of the prompt at that engine, including its backlog."""
         tokens = prompt.tokens - (prompt.prefix_tokens if has_prefix else 0.0)
         return self.prefill_time.expected_ms(tokens + self._backlog.total_tokens(server.id))
 
     def overdue_after_ms(self, prompt: Prompt, tokens: float) -> float:
-        """After how long without an answer a request with so many tokens to prefill is overdue."""
+        """The time in ms without an answer after which a request with `tokens` to prefill is overdue."""
         return max(prompt.latency_target_ms, OVERDUE_FACTOR * self.prefill_time.expected_ms(tokens))
 
     # Attempts
@@ -198,9 +207,9 @@
     def on_attempt_started(
         self, id_: str, prompt: Prompt, now_ms: float, *, is_cached: bool = False
     ) -> float:
-        """A request is sent there, which spends a token; returns its tokens to prefill, for `on_attempt_released`.
+        """Record a request that is sent to an upstream, and return its tokens to prefill for `on_attempt_released`.
 
-        `is_cached`: the fleet has sent the prefix of its prompt there before.
+        `is_cached`: the fleet has sent the prefix of the prompt to this upstream before.
         """
         server = self._upstreams.server(id_)
         if server is None:
@@ -214,7 +223,7 @@
         return tokens
 
     def on_attempt_released(self, id_: str, tokens: float, now_ms: float) -> None:
-        """An attempt no longer counts: it has ended, or its first event was received from an engine."""
+        """Stop counting an attempt: it has ended, or an engine has sent its first event."""
         server = self._upstreams.server(id_)
         if server is not None:
             self._add_attempts(server, -1, -tokens, now_ms)
@@ -225,7 +234,7 @@
             self._backlog.add_own(server.id, tokens, has_attempts=server.other_in_flight > 0)
 
     def on_outcome(self, id_: str, outcome: Outcome, now_ms: float) -> None:
-        """How an attempt there ended. Evidence that it is unhealthy or full keeps its token back for a while."""
+        """Record how an attempt ended. The token of an unhealthy or full upstream is withheld for a while."""
         server = self._upstreams.server(id_)
         if server is None:
             return
@@ -236,16 +245,16 @@
     # The prefill backlog
 
     def prefill_backlog_tokens(self, id_: str) -> float:
-        """The prompt tokens that are believed to wait at that engine, of all routers."""
+        """The estimated prompt tokens of all routers that wait at an engine."""
         number = self._upstreams.number(id_)
         return self._backlog.total_tokens(number) if number is not None else 0.0
 
     def own_prefill_backlog(self) -> dict[str, int]:
-        """By engine, the tokens of this router's requests that wait there; for the peers."""
+        """The waiting tokens of this router's requests by engine, to report to the peers."""
         return {self._upstreams.name_of(number): tokens for number, tokens in self._backlog.own().items()}
 
     def set_peer_prefill_backlog(self, tokens: Mapping[str, float]) -> None:
-        """By engine, the same of all peers together, as last reported; engines that are not named have none."""
+        """Set the waiting tokens of all peers together by engine, as last reported; engines not named have none."""
         known: dict[int, float] = {}
         if OPTIONS.peer_prefill_backlog:
             for id_, peer_tokens in tokens.items():
