--- a/packages/balancing/tests/balancing_driver.py
+++ b/packages/balancing/tests/balancing_driver.py
@@ -1,6 +1,6 @@
-"""Feeds a balancer legal event sequences and keeps its own account of the four rules.
+"""Feeds valid event sequences to a balancer and checks its actions against the four rules.
 
-It knows nothing of the module's insides: it sees actions only and fails on the first one that breaks a rule.
+It does not use the internals of the balancer: it sees only the actions, and fails on the first one that breaks a rule.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
 
 @dataclass
 class TrackedRequest:
-    cls: RequestClass  # as the settings had it when the request came, like the number of attempts
+    cls: RequestClass  # the class and `max_attempts` are those of the settings at the request's arrival
     max_attempts: int
     deadline: float
     left: float = 0.0
-    body_incomplete: bool = False  # its last byte is still to come
-    started: bool = False  # a long answer has begun
+    body_incomplete: bool = False  # its last byte has not arrived yet
+    started: bool = False  # a long response has started
     attempts: list[TrackedAttempt] = field(default_factory=list)
     answers: int = 0
     over: bool = False
@@ -70,7 +70,7 @@
         self.now = start
         self.listed: dict[int, ServerEntry] = {}
         self.requests: dict[int, TrackedRequest] = {}
-        self.unsettled: list[int] = []  # requests not settled yet
+        self.unsettled: list[int] = []  # requests that are not finished, or have attempts in flight
         self.timers: list[tuple[float, int]] = []
         self.probes: list[int] = []
         self.actions: list[Action] = []
@@ -78,7 +78,7 @@
         self.cold_sends = 0
         self.cold_allowance = 0.0
 
-    # what may be done
+    # Events
 
     def feed(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
@@ -116,7 +116,7 @@
         )
 
     def receive_body(self, request: int) -> list[Action]:
-        """The last byte: the request's time runs from here, and so does that of the attempt that carries it."""
+        """The last byte arrives: the time limits of the request and of its attempt in flight start now."""
         tracked = self.requests[request]
         tracked.body_incomplete = False
         tracked.deadline = self.now + tracked.left
@@ -126,7 +126,7 @@
         return self.feed(RequestBodyReceived(request))
 
     def start_answer(self, request: int, attempt: int) -> list[Action]:
-        """A long answer begins: it is the answer, and has no deadline."""
+        """A long response starts: it is the answer to the request, and has no deadline."""
         tracked = self.requests[request]
         tracked.answers += 1
         tracked.over = tracked.started = True
@@ -156,7 +156,7 @@
         if outcome is Outcome.OK and not tracked.over:
             tracked.answers += 1
             tracked.over = True
-        left = 0 if tracked.body_incomplete else None  # a part of its body is gone
+        left = 0 if tracked.body_incomplete else None  # a part of its body can't be sent again
         spent = self.now - ended.sent
         return self.feed(
             AttemptEnded(request, attempt, ended.server, outcome, tracked.over, spent, attempts_left=left)
@@ -166,7 +166,7 @@
         return self.feed(ProbeEnded(self.probes.pop(0), outcome, 1.0, report))
 
     def advance(self, ms: float) -> None:
-        """Let time pass a tick at a time: timers fire and attempts run into their time-outs."""
+        """Advance the time from event to event: timers fire and attempts time out."""
         end = self.now + ms
         while self.now < end:
             self.unsettled = [r for r in self.unsettled if not self._settled(self.requests[r])]
@@ -188,7 +188,7 @@
     def _settled(tracked: TrackedRequest) -> bool:
         return tracked.over and all(t.outcome is not None for t in tracked.attempts)
 
-    # the account
+    # Checks
 
     def check_answers(self) -> None:
         slack = self.settings.answer_slack_ms
@@ -206,7 +206,7 @@
             cls = tracked.cls
             ran = [t for t in tracked.attempts if t.outcome not in NEVER_RAN]
             harmless = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
-            assert harmless or not ran, "refused though it may have run"
+            assert harmless or not ran, "refused although it may have run"
         elif isinstance(action, Fail):
             self._record_answer(self.requests[action.request], action.request)
         elif isinstance(action, SetTimer):
@@ -221,7 +221,7 @@
             assert action.attempt < len(self.requests[action.request].attempts)
 
     def _record_answer(self, tracked: TrackedRequest, request: int) -> None:
-        assert not tracked.over, f"request {request} answered after its end"
+        assert not tracked.over, f"request {request} answered after it was finished"
         tracked.answers += 1
         tracked.over = True
 
@@ -229,29 +229,29 @@
         tracked = self.requests[action.request]
         cls = tracked.cls
         entry = self.listed.get(action.server)
-        assert not tracked.over, "sent for a request that is over"
+        assert not tracked.over, "sent for a request that is finished"
         assert (
             entry is not None and entry.state is ServerState.READY
-        ), "sent to a server that drains or is gone"
+        ), "sent to a server that is draining or gone"
         assert len(tracked.attempts) < tracked.max_attempts, "more attempts than allowed"
         if not self.settings.allows_hedging:
             assert all(t.outcome is not None for t in tracked.attempts), "two attempts at once"
         ran = [t for t in tracked.attempts if t.outcome not in NEVER_RAN]
         if cls.effect is Effect.UNSAFE:
-            assert not ran, "unsafe sent again though it may have run"
+            assert not ran, "unsafe request sent again although it may have run"
         if cls.effect is Effect.KEYED and ran:
-            assert self.now < ran[0].sent + cls.memory_ms, "keyed sent again after its memory"
+            assert self.now < ran[0].sent + cls.memory_ms, "keyed request sent again after `memory_ms`"
             if cls.group is Group.ZONE:
-                assert all(t.zone == entry.zone for t in ran), "keyed sent again outside its zone"
+                assert all(t.zone == entry.zone for t in ran), "keyed request sent again outside its zone"
             if cls.group is Group.CELL:
                 assert all(
                     (t.zone, t.cell) == (entry.zone, entry.cell) for t in ran
-                ), "keyed outside its cell"
+                ), "keyed request sent again outside its cell"
         if self.is_cold(entry):
             self.cold_sends += 1
-            # Own bound: the cold servers' fair part of the traffic, cut to their capacity, and a little to
-            # begin with.
-            assert self.cold_sends <= 4 + 1.1 * self.cold_allowance, "cold server pushed"
+            # An independent bound: the cold servers' fair part of the traffic, scaled by their capacity, plus a few
+            # requests at the start.
+            assert self.cold_sends <= 4 + 1.1 * self.cold_allowance, "cold server overloaded"
         expires = (
             tracked.deadline
             if action.timeout_ms <= 0
@@ -265,7 +265,7 @@
         )
 
     def check_counts(self) -> None:
-        """What the module counts as out is what may be at work at a server."""
+        """The balancer counts as in flight exactly the attempts that may be running at a server."""
         out = sum(
             not (self.requests[r].body_incomplete or self.requests[r].started)
             for r, _ in self.open_attempts()
--- a/packages/balancing/tests/test_balancing_first_seconds.py
+++ b/packages/balancing/tests/test_balancing_first_seconds.py
@@ -1,4 +1,4 @@
-"""The first seconds of a copy with little traffic, before servers that are all cold: it doesn't refuse all it gets."""
+"""A balancer that has just started, has little traffic and sees only cold servers must not refuse all requests."""
 
 from __future__ import annotations
 
@@ -28,10 +28,8 @@
 
 START_MS = 1_000_000.0
 DURATION_MS = 20_000.0
-MAX_PAUSE_MS, MIN_REFUSED = (
-    4_000.0,
-    15,
-)  # so long without an attempt, and so many turned away meanwhile: none may be like that
+# A run fails if no attempt is sent for this time, while at least this many requests are refused.
+MAX_PAUSE_MS, MIN_REFUSED = 4_000.0, 15
 SETTINGS = Settings(
     classes=(RequestClass(400.0, 900.0, Effect.SAFE), RequestClass(1500.0, 4000.0, Effect.SAFE)),
     balancer_count=200,
@@ -44,10 +42,10 @@
 
 
 class FirstSeconds:
-    """One copy's first seconds; servers answer after 60 ms in the mean."""
+    """Simulates the first seconds of one balancer; servers answer after 60 ms on average."""
 
     def __init__(self, seed: int, rate: float, known: int, cold: int) -> None:
-        """`rate`: requests a second. The servers that are known are all gone by the first list, which has cold ones."""
+        """`rate`: requests per second. The cached list has `known` servers, the first full list has `cold` new ones."""
         self._rng = Random(seed)
         self._balancer = Balancer(SETTINGS, seed)
         self._heap: list[tuple[float, int, Event]] = []
@@ -90,7 +88,7 @@
             self.refused.append(now)
 
     def refused_everything(self) -> bool:
-        """Whether it turned away all that it got for too long."""
+        """Whether all requests were refused for too long."""
         edges = [START_MS, *self.sent, START_MS + DURATION_MS]
         return any(
             end - begin >= MAX_PAUSE_MS and sum(begin <= at < end for at in self.refused) >= MIN_REFUSED
@@ -100,7 +98,7 @@
 
 @pytest.mark.parametrize("rate", [2.0, 4.0, 10.0])
 @pytest.mark.parametrize(("known", "cold"), [(0, 3), (40, 40), (100, 50), (4, 1)])
-def test_a_fresh_copy_before_cold_servers_alone_does_not_turn_all_away(
+def test_a_new_balancer_with_only_cold_servers_does_not_refuse_everything(
     rate: float, known: int, cold: int
 ) -> None:
     runs = [FirstSeconds(seed, rate, known, cold) for seed in range(16)]
--- a/packages/balancing/tests/test_balancing_policy.py
+++ b/packages/balancing/tests/test_balancing_policy.py
@@ -1,4 +1,4 @@
-"""Behaviour of the decision module, one test a behaviour, without the driver."""
+"""Behaviour of the `Balancer`, one test per behaviour, without the simulator."""
 
 from __future__ import annotations
 
@@ -66,14 +66,14 @@
     return sum((c - mean) ** 2 / mean for c in counts)
 
 
-# the ordinary path
+# selection
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_draw_is_uniform_among_token_holders(seed: int) -> None:
+def test_selection_is_uniform_over_token_holders(seed: int) -> None:
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=10, seed=seed)
     for _ in range(4):
-        driver.request()  # four tokens are spent and stay so
+        driver.request()  # spends four tokens, whose requests stay in flight
     busy = {t.server for o in driver.requests.values() for t in o.attempts}
     counts: Counter[int] = Counter()
     for _ in range(6000):
@@ -82,10 +82,11 @@
         driver.end(driver.next_id, 0, Outcome.OK)
     assert len(busy) == 4
     assert not busy & counts.keys()
-    assert chi_square([counts[n] for n in range(10) if n not in busy]) < 20.5  # 5 degrees, odds 0.001
+    # 5 degrees of freedom, p = 0.001.
+    assert chi_square([counts[n] for n in range(10) if n not in busy]) < 20.5
 
 
-def test_without_any_token_the_draw_is_over_the_ready_servers() -> None:
+def test_selection_is_uniform_over_ready_servers_if_none_holds_a_token() -> None:
     counts: Counter[int] = Counter()
     for seed in range(3000):
         driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
@@ -93,24 +94,24 @@
             driver.request()
         (server,) = sends(driver.request())
         counts[server] += 1
-    assert chi_square([counts[n] for n in range(3)]) < 13.9  # 2 degrees, odds 0.001
+    assert chi_square([counts[n] for n in range(3)]) < 13.9  # 2 degrees of freedom, p = 0.001
 
 
-def test_a_token_returns_only_when_no_call_is_outstanding() -> None:
+def test_a_token_returns_only_when_no_request_is_in_flight() -> None:
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
     driver.request()
-    driver.request()  # one call at each server
-    (third,) = sends(driver.request())  # no token: a second call somewhere
+    driver.request()  # one request at each server
+    (third,) = sends(driver.request())  # no token is left: a second request at one of them
     first = next(r for r, o in driver.requests.items() if o.attempts[0].server == third)
-    driver.end(first, 0, Outcome.OK)  # that server still has the third call
+    driver.end(first, 0, Outcome.OK)  # that server still has the third request
     other = next(r for r, o in driver.requests.items() if o.attempts[0].server != third)
     driver.end(other, 0, Outcome.OK)
     (fourth,) = sends(driver.request())
     assert fourth != third
 
 
-def test_unvisited_servers_are_visited_by_a_copy_whose_calls_run_one_at_a_time() -> None:
-    # Guards against the lone sticky token: a copy of low rate returned to the first server it had met.
+def test_a_balancer_with_one_request_at_a_time_uses_all_servers() -> None:
+    # Guards against a single token that never moves: a balancer with a low rate kept using the first server.
     driver = make_driver(servers=10)
     seen = set()
     for _ in range(100):
@@ -120,8 +121,8 @@
     assert len(seen) == 10
 
 
-def test_when_no_token_is_held_the_level_is_raised() -> None:
-    # Guards against piling a third call onto a server while another has one.
+def test_without_tokens_the_servers_with_the_fewest_requests_are_selected() -> None:
+    # Guards against a third request at a server while another server has one.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=5)
     for _ in range(10):
         driver.request()
@@ -129,7 +130,7 @@
     assert set(load.values()) == {2}
 
 
-def test_same_seed_same_actions() -> None:
+def test_the_same_seed_gives_the_same_actions() -> None:
     runs = []
     for _ in range(2):
         driver = make_driver(PROBING, seed=9)
@@ -145,7 +146,7 @@
 # probing
 
 
-def test_an_idle_report_confirms_the_token_and_a_busy_one_draws_another() -> None:
+def test_an_idle_report_confirms_the_selection_and_a_busy_one_selects_another() -> None:
     driver = make_driver(PROBING)
     driver.request()
     first = driver.probes[0]
@@ -155,7 +156,7 @@
     assert sends(driver.end_probe((0.0, 0.0))) == [second]
 
 
-def test_silence_counts_as_busy() -> None:
+def test_a_missing_load_report_counts_as_busy() -> None:
     driver = make_driver(PROBING)
     driver.request()
     first = driver.probes[0]
@@ -163,21 +164,21 @@
     assert driver.probes[1] != first
 
 
-def test_a_call_with_little_time_left_is_not_lost_while_a_report_is_awaited() -> None:
+def test_a_request_with_little_time_left_is_not_lost_while_it_waits_for_a_report() -> None:
     driver = make_driver(replace(PROBING, tick_ms=5.0))
     driver.request(left=12.0)
     driver.advance(40.0)
     assert driver.requests[1].answers == 1
 
 
-def test_two_requests_never_settle_on_one_report() -> None:
+def test_two_requests_never_rely_on_one_report() -> None:
     driver = make_driver(PROBING, servers=2)
     driver.request()
     driver.request()
     assert driver.probes[0] != driver.probes[1]
 
 
-def test_calls_are_held_while_all_drawn_are_busy_and_refused_before_the_aim() -> None:
+def test_requests_wait_while_probed_servers_are_busy_and_are_refused_before_the_latency_target() -> None:
     driver = make_driver(PROBING, servers=4)
     driver.request()
     for _ in range(400):
@@ -189,8 +190,8 @@
     assert any(isinstance(a, Refuse) for a in driver.actions)
 
 
-def test_polls_thin_out_while_next_to_nothing_is_idle() -> None:
-    # Guards against a herd on the one server that falls idle, seen by many copies at once.
+def test_polls_become_rarer_while_almost_no_server_is_idle() -> None:
+    # Guards against a thundering herd on a server that becomes idle, which many balancers notice at once.
     driver = make_driver(replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.SAFE),)), servers=200)
     driver.request()
     counts = []
@@ -205,13 +206,13 @@
 
 
 @pytest.mark.parametrize("fields", [(), ("waiting",), ("svc_ms", "served_ps"), ("cpu_share",)])
-def test_reports_that_do_not_tell_idleness_are_not_paid_for(fields: tuple[str, ...]) -> None:
+def test_no_probe_is_sent_if_reports_do_not_identify_idle_servers(fields: tuple[str, ...]) -> None:
     driver = make_driver(replace(PROBING, report_fields=fields))
     assert len(sends(driver.request())) == 1
     assert not driver.probes
 
 
-def test_a_dear_probe_that_can_save_little_is_not_sent() -> None:
+def test_a_probe_that_costs_more_than_it_can_save_is_not_sent() -> None:
     driver = make_driver(replace(PROBING, price_probe=0.5))
     for _ in range(200):
         driver.request()
@@ -220,10 +221,10 @@
     assert sum(isinstance(a, Probe) for a in driver.actions) < 20
 
 
-# legality
+# retry safety
 
 
-def test_an_unsafe_call_is_repeated_only_after_proof_that_nothing_ran() -> None:
+def test_an_unsafe_request_is_retried_only_if_it_certainly_never_ran() -> None:
     driver = make_driver(servers=5)
     driver.request(1)
     assert len(sends(driver.end(1, 0, Outcome.CONNECT_FAILED))) == 1
@@ -231,7 +232,7 @@
     assert actions == [Fail(1)]
 
 
-def test_a_keyed_call_stays_in_the_zone_of_its_first_server() -> None:
+def test_a_keyed_request_stays_in_the_zone_of_its_first_server() -> None:
     keyed = RequestClass(200.0, 400.0, Effect.KEYED, group=Group.ZONE, memory_ms=300.0)
     for seed in range(30):
         driver = Driver(replace(PLAIN, classes=(keyed,), zones=3), seed)
@@ -243,27 +244,27 @@
         assert len(driver.requests[1].attempts) == 2
 
 
-def test_nothing_goes_to_a_draining_or_delisted_server() -> None:
+def test_nothing_is_sent_to_a_draining_or_removed_server() -> None:
     driver = make_driver(servers=3)
     driver.list(ListKind.DELTA, (ServerEntry(0, ServerState.DRAINING), ServerEntry(1, ServerState.GONE)))
     for _ in range(20):
         assert set(sends(driver.request())) <= {2}
 
 
-def test_a_server_that_drains_while_its_report_is_awaited_gets_nothing() -> None:
+def test_a_server_that_starts_draining_during_a_probe_gets_nothing() -> None:
     driver = make_driver(PROBING, servers=1)
     driver.request()
     driver.feed(ListUpdate(ListKind.DELTA, 2, (ServerEntry(0, ServerState.DRAINING),)))
     assert sends(driver.end_probe((0.0, 0.0))) == []
 
 
-def test_a_full_list_drops_what_it_lacks() -> None:
+def test_a_full_list_removes_servers_that_it_does_not_name() -> None:
     driver = make_driver(servers=3)
     driver.list(ListKind.FULL, (ServerEntry(2),))
     assert sends(driver.request()) == [2]
 
 
-def test_a_call_waits_for_a_server_and_is_answered_when_none_comes() -> None:
+def test_a_request_waits_for_a_server_and_is_answered_if_none_appears() -> None:
     driver = make_driver(servers=0)
     driver.request()
     assert not driver.requests[1].over
@@ -276,7 +277,7 @@
     assert empty.requests[1].answers == 1
 
 
-def test_a_streamed_answer_belongs_to_the_client() -> None:
+def test_a_request_whose_streamed_response_has_started_is_not_retried() -> None:
     driver = make_driver(replace(PLAIN, classes=(replace(SAFE, streaming=True),)))
     driver.request()
     driver.feed(AnswerStarted(1, 0, driver.requests[1].attempts[0].server))
@@ -289,7 +290,7 @@
 
 
 @pytest.mark.parametrize("balancer_count", [1, 40])
-def test_cold_servers_together_stay_within_their_budget(balancer_count: int) -> None:
+def test_cold_servers_get_no_more_than_their_capacity_allows(balancer_count: int) -> None:
     settings = replace(
         PLAIN,
         tier=1,
@@ -302,12 +303,12 @@
     fleet = [make_driver(settings, servers=8, seed=n, started_ms=999.0) for n in range(balancer_count)]
     hits: Counter[int] = Counter()
     rng = Random(5)
-    for _ in range(400):  # two seconds at 200 calls a second, all servers just started
+    for _ in range(400):  # two seconds at 200 requests per second; all servers have just started
         driver = fleet[rng.randrange(balancer_count)]
         for server in sends(driver.request()):
             hits[server] += 1
             driver.end(*driver.open_attempts()[-1], Outcome.OK)
-    # Warm servers would get 50 each; a tenth of that is what these can do, and three times it topples them.
+    # Warm servers would get 50 each. These have a tenth of that capacity, and three times as much overloads them.
     assert max(hits.values()) < 3 * 0.1 * 50 + 2
 
 
@@ -322,11 +323,11 @@
     assert 0 < got[0] < 20 < got[1]
 
 
-# health
+# server health
 
 
-def test_a_server_that_errs_at_once_does_not_attract_calls() -> None:
-    # Guards against the fast failure that regains its token first.
+def test_a_server_that_fails_fast_does_not_attract_requests() -> None:
+    # Guards against a server that fails fast and therefore always gets its token back first.
     driver = make_driver(servers=10)
     got: Counter[int] = Counter()
     for _ in range(400):
@@ -339,8 +340,8 @@
     assert got[0] < 15
 
 
-def test_a_request_that_a_server_rejects_fails_at_once_and_is_not_held_against_it() -> None:
-    # Guards the servers against callers whose requests no server will take.
+def test_a_rejected_request_fails_at_once_and_does_not_count_as_a_server_failure() -> None:
+    # Guards the servers against retries of invalid requests, which no server accepts.
     driver = make_driver(servers=2)
     for _ in range(50):
         driver.request(0)
@@ -352,8 +353,8 @@
     assert driver.balancer.outliers.failure_rate <= 0.1 and not driver.balancer.requests
 
 
-def test_every_refusal_tells_when_to_come_again() -> None:
-    # Guards against a client that repeats at once what no server could take.
+def test_every_refusal_states_a_retry_delay() -> None:
+    # Guards against clients that immediately retry a request that no server could take.
     driver = make_driver(replace(PLAIN, max_retry_after_ms=2000.0), servers=2)
     for _ in range(30):
         driver.request(0)
@@ -365,8 +366,8 @@
     assert refused and all(action.wait_ms == 2000.0 for action in refused)
 
 
-def test_a_call_without_time_for_an_answer_is_refused_at_once() -> None:
-    # Guards servers against work nobody can use, and against time-outs that come of having had no time.
+def test_a_request_without_time_for_an_answer_is_refused_at_once() -> None:
+    # Guards the servers against work that comes too late to be used, and against time-outs caused by the lack of time.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
     usual = driver.balancer._latency[0]
     driver.request(0, left=0.2 * usual)
@@ -375,7 +376,7 @@
     assert len(driver.requests[2].attempts) == 1
 
 
-def test_a_full_server_does_not_regain_its_token_at_once() -> None:
+def test_a_full_server_does_not_get_its_token_back_at_once() -> None:
     driver = make_driver(servers=2)
     driver.request(1)
     full = driver.requests[1].attempts[0].server
@@ -385,7 +386,7 @@
     assert set(sends(driver.request(1)) + sends(driver.request(1))) == {1 - full}
 
 
-def test_when_everything_fails_nothing_is_ejected() -> None:
+def test_nothing_is_ejected_if_all_requests_fail() -> None:
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=6)
     for _ in range(300):
         driver.request(1)
@@ -399,7 +400,7 @@
 
 
 def two_failures_of_one(driver: Driver, others: int, outcome: Outcome, after_ms: float = 0.0) -> int:
-    """Two calls in a row of one server fail, while so many calls are out beside them; that server."""
+    """Let two consecutive requests to one server fail while `others` are in flight; returns that server."""
     driver.balancer.outliers.failure_rate = 0.1
     for _ in range(others + 2):
         driver.request(class_index=1)
@@ -412,8 +413,8 @@
     return server
 
 
-def test_runs_of_failures_eject_nobody_while_as_many_are_odd_by_chance() -> None:
-    """Seen as four servers of which two were ejected in turn, for failures behind them, and the rest choked."""
+def test_two_failures_eject_no_server_if_chance_explains_them() -> None:
+    """Guards against ejecting two of four servers in turn for failures of their backend, which overloads the rest."""
     for others, outcome, ejected in (
         (1, Outcome.ERROR, True),
         (22, Outcome.ERROR, False),
@@ -424,8 +425,8 @@
         assert (driver.balancer.table.servers[server] in driver.balancer.table.ejected) is ejected
 
 
-def test_a_failure_that_took_its_time_withholds_no_token() -> None:
-    """A fast failure would attract the next call; a slow one does not, and withholding crowds the others."""
+def test_a_slow_failure_withholds_no_token() -> None:
+    """A fast failure would attract the next request; a slow one does not. Withholding a token loads the others."""
     for after, withheld in ((0.0, True), (350.0, False)):
         driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=4)
         driver.request(class_index=1)
@@ -436,7 +437,7 @@
         assert (driver.balancer.table.servers[server].withheld_until_ms > driver.now) is withheld
 
 
-def test_retries_stop_when_their_budget_is_spent() -> None:
+def test_retries_stop_when_the_retry_budget_is_spent() -> None:
     driver = make_driver(servers=20)
     for _ in range(200):
         driver.request()
@@ -446,10 +447,10 @@
     assert attempts < 200 * 1.3 + 10
 
 
-# the aim and shedding
+# latency target and load shedding
 
 
-def test_calls_are_cut_just_before_the_aim_where_late_answers_are_worthless() -> None:
+def test_attempts_time_out_just_before_the_latency_target_if_late_answers_have_no_value() -> None:
     driver = make_driver()
     (send,) = [a for a in driver.request() if isinstance(a, Send)]
     assert 90.0 < send.timeout_ms < 100.0
@@ -458,8 +459,8 @@
     assert send.timeout_ms == 400.0
 
 
-def test_a_last_retry_that_carries_the_rest_of_the_deadline_does_not_make_fresh_calls_late() -> None:
-    # Guards against cutting fresh calls after milliseconds: the longest time left is not the usual one.
+def test_a_retry_with_a_longer_time_left_does_not_make_first_tries_late() -> None:
+    # Guards against time-outs of a few milliseconds for first tries: the longest time left is not the usual one.
     driver = make_driver(servers=40)
     for _ in range(20):
         driver.request(left=250.0)
@@ -468,14 +469,14 @@
     driver.end(driver.next_id, 0, Outcome.OK)
     (send,) = [a for a in driver.request(left=250.0) if isinstance(a, Send)]
     assert send.timeout_ms > 90.0
-    # A client in haste: none of those that came here has waited in vain, so none can come again with the rest.
+    # A client with a short time-out: no request has ended unserved here, so this can't be a retry.
     assert [type(a) for a in driver.request(left=210.0)] == [Send]
-    assert [type(a) for a in driver.request(left=1.0)] == [Refuse]  # there is no time for it
+    assert [type(a) for a in driver.request(left=1.0)] == [Refuse]  # too little time left
 
 
-def test_the_rest_of_a_deadline_is_told_from_haste_by_what_has_ended_in_vain() -> None:
-    # Guards against refusing a spell of clients in haste, whose first tries come with little time, as if their aim were
-    # past; and against serving the last try of one that has waited in vain, which is worth nothing.
+def test_late_retries_are_recognized_by_the_number_of_unserved_requests() -> None:
+    # Guards against refusing first tries of clients with a short time-out as if their latency target had passed, and
+    # against serving the last try of a client that has already waited too long, whose answer has no value.
     driver = make_driver(servers=40)
     for _ in range(20):
         driver.request(left=250.0)
@@ -484,11 +485,12 @@
     late = driver.next_id
     driver.now += 90.0
     driver.end(late, 0, Outcome.TIMEOUT)
-    assert [type(a) for a in driver.request(left=210.0)] == [Refuse]  # 190 ms are gone, and the aim with them
-    assert [type(a) for a in driver.request(left=210.0)] == [Send]  # only one was in vain
+    # 190 ms have passed, more than the latency target.
+    assert [type(a) for a in driver.request(left=210.0)] == [Refuse]
+    assert [type(a) for a in driver.request(left=210.0)] == [Send]  # only one request has ended unserved
 
 
-def test_work_too_heavy_for_the_aim_is_refused_at_once_but_never_by_a_guess() -> None:
+def test_a_request_too_expensive_for_its_latency_target_is_refused_once_that_is_known() -> None:
     driver = make_driver(servers=40)
 
     def ask(expected: float) -> list[object]:
@@ -503,20 +505,20 @@
     ask(10.0)
     driver.now += 30.0
     driver.end(driver.next_id, 0, Outcome.OK)
-    assert [type(a) for a in ask(60.0)] == [Send]  # one answer is no knowledge
+    assert [type(a) for a in ask(60.0)] == [Send]  # one answer is not enough evidence
     driver.now += 30.0
     driver.end(driver.next_id, 0, Outcome.OK)
     for _ in range(30):
         ask(10.0)
         driver.now += 30.0
         driver.end(driver.next_id, 0, Outcome.OK)
-    assert [type(a) for a in ask(200.0)] == [Refuse]  # 600 ms of an aim of 100
+    assert [type(a) for a in ask(200.0)] == [Refuse]  # 600 ms at a latency target of 100 ms
     assert [type(a) for a in ask(15.0)] == [Send]
 
 
-def test_who_has_fallen_silent_is_not_tried_by_what_cannot_be_repeated() -> None:
+def test_an_unresponsive_server_is_not_tried_with_an_unsafe_request() -> None:
     driver = make_driver(servers=3)
-    for _ in range(12):  # all three answer, then one falls silent
+    for _ in range(12):  # all three answer, then one stops answering
         driver.request()
         driver.now += 10.0
         driver.end(driver.next_id, 0, Outcome.OK)
@@ -524,7 +526,7 @@
     (silent,) = sends(driver.actions[-1:])
     driver.now += 100.0
     driver.end(driver.next_id, 0, Outcome.RESET)
-    driver.now += 5_000.0  # any ejection is over
+    driver.now += 5_000.0  # any ejection has ended
     driver.actions.clear()
     for _ in range(20):
         driver.request(class_index=1)
@@ -538,19 +540,19 @@
     assert silent in sends(driver.actions)
 
 
-def test_where_nobody_holds_a_token_an_ejected_server_is_drawn_last() -> None:
-    for seed in range(30):  # by chance alone one of four would draw it
+def test_without_tokens_an_ejected_server_is_selected_last() -> None:
+    for seed in range(30):  # uniform selection would pick it once in four
         driver = make_driver(servers=4, seed=seed)
         fleet = driver.balancer.table
         fleet.ejected.add(fleet.servers[0])
         fleet.withhold_token(fleet.servers[0], driver.now + 1_000.0)
         driver.actions.clear()
-        for _ in range(4):  # no more calls than servers: own counts do not choose yet
+        for _ in range(4):  # no more requests than servers: own counts do not matter yet
             driver.request()
         assert 0 not in sends(driver.actions)
 
 
-def test_an_own_call_at_home_goes_before_crossing_while_home_does_no_worse() -> None:
+def test_queueing_in_the_own_zone_is_preferred_while_that_zone_is_no_worse() -> None:
     settings = replace(PLAIN, zones=2, price_cross_zone=0.04)
     stays = []
     for worse in (False, True):
@@ -566,7 +568,7 @@
     assert stays[1] == 3
 
 
-def test_usual_needs_a_clear_majority() -> None:
+def test_the_usual_value_needs_a_clear_majority() -> None:
     usual = UsualValue()
     rng = Random(3)
     assert all(usual.vote(rng.uniform(0.0, 1000.0), 1.0) for _ in range(500))
@@ -587,7 +589,7 @@
         for request, attempt in attempts:
             if driver.now - driver.requests[request].attempts[attempt].sent > 10.0 + 2.0 * len(attempts):
                 driver.end(request, attempt, Outcome.OK)
-    # Some were sent after a wait.
+    # Some were sent only after a wait.
     return Counter((tenant, bool(driver.requests[request].attempts)) for request, tenant in tenants.items())
 
 
@@ -607,7 +609,7 @@
 # discovery on request
 
 
-def test_a_copy_subscribes_within_its_duty_and_paces_its_calls_after_failures() -> None:
+def test_a_balancer_subscribes_in_time_and_delays_its_requests_for_the_list_after_failures() -> None:
     settings = replace(PLAIN, on_request_discovery=True, list_request_interval_ms=8000.0)
     driver = make_driver(settings)
     driver.advance(2000.0)
@@ -624,7 +626,7 @@
     assert max(gaps) - min(gaps) > 0.5 * LIST_RETRY_INTERVAL_MS  # spread out
 
 
-def test_fresh_copies_do_not_all_ask_discovery_at_once() -> None:
+def test_new_balancers_do_not_all_request_the_list_at_once() -> None:
     settings = replace(PLAIN, on_request_discovery=True, list_request_interval_ms=8000.0)
     asked = []
     for seed in range(40):
@@ -637,7 +639,7 @@
 # contract
 
 
-def test_broken_contracts_are_told() -> None:
+def test_contract_violations_raise() -> None:
     balancer = Balancer(PLAIN, 1)
     balancer.handle(5.0, RequestArrived(1, 0, 100.0))
     with pytest.raises(ContractError, match="twice"):
@@ -650,13 +652,13 @@
         balancer.handle(6.0, "hello")  # type: ignore[arg-type]
 
 
-def test_late_and_odd_events_are_ignored() -> None:
+def test_events_of_unknown_requests_and_probes_are_ignored() -> None:
     driver = make_driver()
     assert driver.feed(AttemptEnded(99, 0, 0, Outcome.OK, True)) == []
     assert driver.feed(ProbeEnded(77, Outcome.OK, 1.0, ())) == []
 
 
-# legality by itself: what no path of today would try must be forbidden all the same
+# the retry rules alone: they must also forbid what no code path tries at present
 
 
 def make_request_and_server(
@@ -670,7 +672,7 @@
     return request, server
 
 
-def test_a_keyed_call_is_not_repeated_after_the_memory_of_its_first_send() -> None:
+def test_a_keyed_request_is_not_retried_after_memory_ms_since_its_first_attempt() -> None:
     keyed = RequestClass(200.0, 5000.0, Effect.KEYED, group=Group.ALL, memory_ms=300.0)
     request, server = make_request_and_server(PLAIN, keyed, [Outcome.RESET])
     assert request.can_send_to(server, 390.0)
@@ -679,8 +681,8 @@
     assert unrun[0].can_send_to(unrun[1], 4000.0)
 
 
-def test_a_repeat_may_be_written_until_the_memory_of_the_first_that_may_have_run_ends() -> None:
-    """From the send of that one on, whatever was sent before it or is still out; a first attempt has no such time."""
+def test_a_retry_may_be_written_until_memory_ms_after_the_first_attempt_that_may_have_run() -> None:
+    """Attempts that never ran do not count, those in flight do. A first attempt has no such limit."""
     keyed = RequestClass(200.0, 5000.0, Effect.KEYED, group=Group.ALL, memory_ms=300.0)
     request, server = make_request_and_server(replace(PLAIN, allows_hedging=True), keyed, [])
     assert request.write_by_ms() == math.inf
@@ -696,8 +698,8 @@
 
 
 @pytest.mark.parametrize("memory_ms", [100.0, 3000.0])
-def test_a_repeat_is_sent_with_the_window_that_its_request_was_taken_with(memory_ms: float) -> None:
-    """Also where a reload has changed the window meanwhile."""
+def test_a_retry_uses_the_memory_ms_that_its_request_arrived_under(memory_ms: float) -> None:
+    """Even if a reload has changed `memory_ms` in the meantime."""
     keyed = RequestClass(200.0, 5000.0, Effect.KEYED, group=Group.ALL, memory_ms=300.0)
     settings = replace(PLAIN, classes=(keyed,))
     driver = Driver(settings)
@@ -711,14 +713,14 @@
     assert again.write_by_ms == sent_ms + 300.0 - settings.tick_ms
 
 
-def test_no_second_copy_where_none_is_allowed() -> None:
+def test_no_hedged_attempt_unless_hedging_is_allowed() -> None:
     request, server = make_request_and_server(PLAIN, SAFE, [None])
     assert not request.can_send_to(server, 110.0)
     request, server = make_request_and_server(replace(PLAIN, allows_hedging=True), SAFE, [None])
     assert request.can_send_to(server, 110.0)
 
 
-def test_outstanding_and_cancelled_attempts_count_as_may_have_run() -> None:
+def test_attempts_in_flight_and_cancelled_ones_may_have_run() -> None:
     for outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET):
         request, server = make_request_and_server(replace(PLAIN, allows_hedging=True), UNSAFE, [outcome])
         assert not request.can_send_to(server, 110.0)
@@ -729,7 +731,7 @@
         assert request.can_refuse()
 
 
-def test_no_more_attempts_than_allowed() -> None:
+def test_there_are_no_more_attempts_than_allowed() -> None:
     request, server = make_request_and_server(PLAIN, SAFE, [Outcome.RESET] * 4)
     assert not request.can_send_to(server, 110.0)
 
@@ -746,14 +748,14 @@
     return drawn
 
 
-def test_where_crossings_cost_home_servers_are_drawn_while_they_keep_up() -> None:
+def test_the_own_zone_is_preferred_if_crossing_has_a_cost_and_the_zone_keeps_up() -> None:
     assert zones_drawn(0.02, Outcome.OK)[1] > 90
     assert 30 < zones_drawn(0.0, Outcome.OK)[1] < 70
 
 
-def test_calls_spill_to_other_zones_while_home_does_worse() -> None:
-    # Guards against a zone with more traffic than its own servers carry; copies of low rate never run out of
-    # tokens at home.
+def test_requests_go_to_other_zones_while_the_own_zone_is_worse() -> None:
+    # Guards against a zone with more traffic than its own servers can handle; balancers with a low rate never run out
+    # of token holders in their own zone.
     assert zones_drawn(0.02, Outcome.ERROR)[0] > 30
 
 
@@ -768,14 +770,15 @@
     return seen
 
 
-def test_a_slower_server_is_visited_less_by_a_copy_whose_calls_run_one_at_a_time() -> None:
-    # Guards against slow kinds and servers that stay slow once crowded: even draws would fill them.
+def test_a_balancer_with_one_request_at_a_time_uses_a_slow_server_less() -> None:
+    # Guards against uniform selection overloading slow kinds of servers, and servers that stay slow once they are
+    # overloaded.
     assert visits(40.0)[0] < 75
     assert visits(10.0)[0] > 120
 
 
-def test_an_ejection_outlasts_the_time_between_two_visits() -> None:
-    # Guards against ejections that are over before a copy of low rate would have come by again.
+def test_an_ejection_lasts_longer_than_the_interval_between_requests_to_a_server() -> None:
+    # Guards against ejections that end before a balancer with a low rate would have used the server again.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=10)
     for _ in range(30):
         driver.request(class_index=1)
@@ -791,18 +794,18 @@
     assert bad not in seen
 
 
-def test_a_window_below_one_call_lets_a_part_of_the_calls_through() -> None:
-    # Guards against hundreds of copies that each may always have some calls out.
+def test_a_concurrency_window_below_one_admits_a_fraction_of_the_requests() -> None:
+    # Guards against hundreds of balancers that may each always have some requests in flight.
     driver = make_driver(replace(PLAIN, balancer_count=100), servers=10)
     served = []
     for _ in range(120):
         served.append(bool(sends(driver.request(1))))
-        driver.advance(40.0)  # every attempt runs into its aim, some 100 ms after its send
+        driver.advance(40.0)  # every attempt times out at the latency target, some 100 ms after it was sent
     assert 0 < sum(served[60:]) < 45
 
 
-def test_repeats_of_a_tenant_that_mostly_repeats_are_refused_first() -> None:
-    # Guards against clients that repeat at once, whatever they are told.
+def test_retries_of_a_tenant_that_mostly_retries_are_refused_first() -> None:
+    # Guards against clients that retry immediately although a refusal states a delay.
     driver = make_driver(replace(PLAIN, tenants=(Tenant(100.0), Tenant(100.0)), marks_retry=True))
     verdicts = {}
     for n in range(200):
@@ -812,8 +815,8 @@
     assert verdicts == {(0, False): False, (0, True): True, (1, False): False}
 
 
-def test_a_call_that_looks_again_asks_two_servers_not_eight() -> None:
-    # Guards against a herd: in a jam the polls of all copies met at each server that fell idle.
+def test_a_request_that_has_waited_probes_two_servers_not_eight() -> None:
+    # Guards against a thundering herd: under overload all balancers probed each server that became idle.
     driver = make_driver(replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.SAFE),)), servers=100)
     rounds = []
     driver.request()
@@ -828,7 +831,7 @@
     assert rounds == [8, 2, 2]
 
 
-def test_calls_that_no_server_looked_at_are_retried_more_freely() -> None:
+def test_attempts_that_never_ran_use_less_of_the_retry_budget() -> None:
     def attempts(outcome: Outcome) -> int:
         driver = make_driver(servers=40)
         for _ in range(100):
@@ -843,8 +846,8 @@
 # connections
 
 
-def test_a_loss_on_an_idle_connection_shortens_the_time_such_ones_are_trusted() -> None:
-    # Guards against connections dropped unseen while idle: each is lost once, then closed before it is used.
+def test_a_loss_on_an_idle_connection_shortens_the_idle_time_allowed() -> None:
+    # Guards against idle connections that are dropped without notice: after one loss they are closed before use.
     driver = make_driver(servers=1)
     driver.request()
     driver.end(driver.next_id, 0, Outcome.OK)
@@ -860,8 +863,8 @@
     assert kinds.index(CloseIdle) < kinds.index(Send)
 
 
-def test_connections_unused_are_closed_where_many_servers_refuse_new_ones() -> None:
-    # Guards against hundreds of copies filling the servers' connection tables with idle connections.
+def test_idle_connections_are_closed_if_many_servers_refuse_new_ones() -> None:
+    # Guards against hundreds of balancers filling the servers' connection tables with idle connections.
     driver = make_driver(servers=50)
     for _ in range(6):
         driver.request()
@@ -877,8 +880,8 @@
     assert len(closed) >= 2
 
 
-def test_a_restarted_server_with_an_open_connection_is_followed() -> None:
-    # Guards against the connection of a process that is gone being taken for its successor's.
+def test_the_connection_of_a_restarted_server_is_forgotten() -> None:
+    # Guards against treating the connection to an ended process as one to its successor.
     driver = make_driver(servers=3)
     for _ in range(9):
         driver.request()
@@ -890,8 +893,8 @@
     assert len(driver.balancer.connections.connected.items) <= 3
 
 
-def test_a_server_that_fails_one_class_is_kept_for_the_others() -> None:
-    # Guards against a server whose successes in other classes clear it: it would go on failing this one.
+def test_a_server_that_fails_one_class_still_serves_the_others() -> None:
+    # Guards against successes in other classes resetting the failures: the server would keep failing this class.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=5)
     drawn: Counter[tuple[int, int]] = Counter()
     for n in range(2000):
@@ -906,8 +909,8 @@
     assert drawn[0, 0] > 60
 
 
-def test_own_counts_choose_only_while_own_calls_outnumber_the_servers() -> None:
-    # Guards the design's fallback: with no token held, any ready server may be drawn, a withheld one too.
+def test_own_counts_matter_only_while_own_requests_outnumber_the_servers() -> None:
+    # Guards the fallback of the design: without tokens any ready server may be selected, even a withheld one.
     counts: Counter[bool] = Counter()
     for seed in range(600):
         driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
@@ -919,12 +922,12 @@
     assert 150 < counts[True] < 250
 
 
-# ---------------------------------------------------------------- a new generation, and another life
+# ---------------------------------------------------------------- reload and handover
 
 
-def test_new_figures_leave_open_requests_their_rules_and_counts() -> None:
-    """Guards rule 2 over a reload: a request that came when two attempts were allowed keeps them, one that
-    comes later has the new number, and what is out stays counted.
+def test_a_reload_keeps_the_settings_and_counts_of_requests_in_progress() -> None:
+    """Guards rule 2 during a reload: a request keeps the number of attempts that it arrived under, a later one has the
+    new number, and attempts in flight are still counted.
     """
     old = replace(PLAIN, max_attempts=3, classes=(RequestClass(1000.0, 4000.0, Effect.SAFE),))
     balancer = Balancer(old, 1)
@@ -942,7 +945,7 @@
     assert sum(server.in_flight for server in balancer.table.servers.values()) == 1
 
 
-def test_shapes_that_requests_are_held_by_can_t_change() -> None:
+def test_settings_that_requests_depend_on_cannot_change() -> None:
     balancer = Balancer(PLAIN, 1)
     other = replace(PLAIN, classes=(RequestClass(100.0, 400.0, Effect.UNSAFE, name="x"),))
     for settings in (other, replace(PLAIN, zones=3), replace(PLAIN, tier=2, tiers=3)):
@@ -951,14 +954,14 @@
         assert balancer.settings is PLAIN
 
 
-def test_a_longer_cold_time_makes_a_server_cold_that_was_warm() -> None:
+def test_a_longer_warm_up_time_makes_a_warm_server_cold() -> None:
     settings = replace(PLAIN, cold_ms=100.0, cold_share=0.1)
     balancer = Balancer(settings, 1)
     balancer.handle(1000.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(1, started_ms=500.0), ServerEntry(2)]))
     slow, server = balancer.slow_start, balancer.table.servers[1]
     assert not slow._cold_capacity and not slow.is_cold(server, 1000.0)
     balancer.handle(1001.0, Reconfigured(replace(settings, cold_ms=10_000.0)))
-    # Half a second of ten, from a tenth on: the other server, which is warm, counts for nothing.
+    # Half a second of ten, starting from a tenth. The other server is warm and does not count.
     assert (
         slow._cold_capacity
         == slow.capacity_fraction(server, 1001.0)
@@ -966,8 +969,8 @@
     )
 
 
-def test_the_cold_credit_is_one_for_both_lives() -> None:
-    """Guards rule 4 over a handover: what the successor gets, the predecessor has no more."""
+def test_slow_start_credit_is_handed_over_once() -> None:
+    """Guards rule 4 during a handover: the predecessor gives up the credit that the successor gets."""
     one, other = Balancer(PLAIN, 1), Balancer(PLAIN, 2)
     one.slow_start.credit = 1.75
     other.adopt(one.learned())
@@ -975,7 +978,7 @@
 
 
 @pytest.mark.parametrize("value", [None, -1.0, math.inf, math.nan, "x", True, [], {"none": 1}])
-def test_what_makes_no_sense_is_not_adopted(value: object) -> None:
+def test_invalid_learned_values_are_ignored(value: object) -> None:
     balancer = Balancer(PLAIN, 1)
     before = list(balancer._latency)
     balancer.adopt(dict.fromkeys(("credit", "window", "idle_share", "most_running"), value))
@@ -985,10 +988,10 @@
 
 
 @pytest.mark.parametrize(("balancer_count", "kept"), [(1, False), (2, True)])
-def test_a_slow_server_keeps_its_token_where_own_calls_are_all_there_are(
+def test_a_single_balancer_does_not_withhold_the_token_of_a_slow_server(
     balancer_count: int, kept: bool
 ) -> None:
-    """A lone copy with five calls at eight servers sees which are free."""
+    """A single balancer with five requests at eight servers knows from its own counts which are free."""
     cls = RequestClass(1000.0, 4000.0, Effect.SAFE)
     balancer = Balancer(Settings((cls,), balancer_count=balancer_count), 1)
     entries = [ServerEntry(n, kind=n // 4) for n in range(8)]
--- a/packages/balancing/tests/test_balancing_prefill_time.py
+++ b/packages/balancing/tests/test_balancing_prefill_time.py
@@ -1,4 +1,4 @@
-"""How long an engine takes to its first event, learned from noisy samples."""
+"""Estimating an engine's time to the first event from noisy samples."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(("fixed_ms", "ms_per_token"), [(30.0, 0.009), (60.0, 0.03), (10.0, 0.002)])
-def test_the_line_is_found_beneath_noise(fixed_ms: float, ms_per_token: float) -> None:
+def test_the_line_is_fitted_despite_noise(fixed_ms: float, ms_per_token: float) -> None:
     rng, line = Random(3), PrefillTime()
     for _ in range(400):
         tokens = rng.uniform(0.0, 40_000.0)
@@ -18,14 +18,14 @@
     assert line.fixed_ms == pytest.approx(fixed_ms, abs=10.0)
 
 
-def test_few_samples_are_not_believed() -> None:
+def test_few_samples_do_not_replace_the_defaults() -> None:
     line, fresh = PrefillTime(), PrefillTime()
     for _ in range(int(MIN_SAMPLE_WEIGHT) - 1):
         line.observe(1_000.0, 5_000.0)
     assert line.expected_ms(10_000.0) == fresh.expected_ms(10_000.0)
 
 
-def test_requests_of_one_size_tell_the_fixed_time_alone() -> None:
+def test_requests_of_one_size_determine_only_the_fixed_time() -> None:
     line = PrefillTime()
     for _ in range(200):
         line.observe(0.0, 75.0)
@@ -33,7 +33,7 @@
     assert line.expected_ms(0.0) == pytest.approx(75.0)
 
 
-def test_a_change_of_speed_is_followed() -> None:
+def test_the_estimate_follows_a_change_of_speed() -> None:
     rng, line = Random(4), PrefillTime()
     for ms_per_token in (0.01, 0.04):
         for _ in range(600):
--- a/packages/balancing/tests/test_balancing_restored_trust.py
+++ b/packages/balancing/tests/test_balancing_restored_trust.py
@@ -1,4 +1,4 @@
-"""What goes to a server that is only remembered."""
+"""Requests to restored servers, which are known from disk only."""
 
 from __future__ import annotations
 
@@ -52,15 +52,15 @@
         (RestoredTrust(MIN_CONFIDENCE / 2.0, ObservedEvidence.ANSWER, True, True), ""),
         (RestoredTrust(DIRECT_SEND_CONFIDENCE), "safe"),
         (RestoredTrust(DIRECT_SEND_CONFIDENCE, probe_pending=True), "safe"),
-        (RestoredTrust(0.3, probe_pending=True), ""),  # a probe comes first
-        (RestoredTrust(0.3), "safe"),  # none will: the request is the probe
-        (RestoredTrust(0.9, is_verified=True, has_location=True), "safe"),  # it showed that in a life before
+        (RestoredTrust(0.3, probe_pending=True), ""),  # it waits for the probe
+        (RestoredTrust(0.3), "safe"),  # no probe is pending: the request serves as one
+        (RestoredTrust(0.9, is_verified=True, has_location=True), "safe"),  # verified by a previous process
         (PROBED, "safe"),
         (VERIFIED, "safe keyed unsafe"),
         (LOCATED, "safe keyed unsafe keyed_in_zone"),
     ],
 )
-def test_which_classes_may_go_to_a_remembered_server(trust: RestoredTrust, allowed: str) -> None:
+def test_which_classes_may_be_sent_to_a_restored_server(trust: RestoredTrust, allowed: str) -> None:
     assert [cls.name for cls in CLASSES if is_trusted(cls, trust)] == [
         cls.name for cls in CLASSES if cls.name in allowed.split()
     ]
@@ -77,7 +77,7 @@
 
 
 @given(trusts, st.integers(0, 100))
-def test_what_is_known_more_never_allows_less(trust: RestoredTrust, in_flight: int) -> None:
+def test_more_knowledge_of_a_server_never_allows_less(trust: RestoredTrust, in_flight: int) -> None:
     for cls in CLASSES:
         better = [trust._replace(is_verified=True), trust._replace(has_location=True)]
         if trust.evidence < ObservedEvidence.ANSWER:
@@ -101,10 +101,10 @@
     return [action.server for action in found if isinstance(action, Send)]
 
 
-def test_one_call_at_once_before_the_first_proof_and_as_many_as_come_after_an_answer() -> None:
+def test_one_request_at_a_time_until_the_server_has_served_one() -> None:
     balancer = make_balancer(RestoredTrust(0.9))
     assert sends(balancer, 1.0, 1, SAFE) == [1]
-    assert sends(balancer, 2.0, 2, SAFE) == []  # held: the first call may prove it in a moment
+    assert sends(balancer, 2.0, 2, SAFE) == []  # waits: the first request may soon provide evidence
     balancer.handle(
         3.0,
         ListUpdate(
@@ -115,7 +115,7 @@
     assert found == [1] * 6
 
 
-def test_what_no_server_will_take_is_refused_at_once_and_what_a_probe_may_change_is_not() -> None:
+def test_a_request_is_refused_at_once_unless_a_pending_probe_may_admit_it() -> None:
     for pending in (False, True):
         balancer = make_balancer(RestoredTrust(0.9, probe_pending=pending))
         found = balancer.handle(1.0, RequestArrived(1, CLASSES.index(UNSAFE), 1000.0))
@@ -124,33 +124,33 @@
         assert not any(isinstance(action, Send) for action in found)
 
 
-def test_a_repeat_of_a_keyed_request_goes_only_to_a_server_whose_zone_is_shown() -> None:
+def test_a_keyed_request_is_retried_only_at_a_server_whose_zone_is_verified() -> None:
     balancer = make_balancer(LOCATED, VERIFIED._replace(probe_pending=True))
     assert sends(balancer, 1.0, 1, KEYED_IN_ZONE) == [1]
     again = balancer.handle(2.0, AttemptEnded(1, 0, 1, Outcome.RESET, False, 1.0))
     assert all(action.server == 1 for action in again if isinstance(action, Send))
 
 
-def test_discoverys_word_ends_it_without_a_gap() -> None:
+def test_a_full_list_from_discovery_ends_the_restored_state() -> None:
     balancer = make_balancer(RestoredTrust(0.9), RestoredTrust(0.9))
     (first,) = sends(balancer, 1.0, 1, SAFE)
     balancer.handle(2.0, ListUpdate(ListKind.FULL, 2, [ServerEntry(1), ServerEntry(2)]))
-    assert balancer.table.servers[first].in_flight == 1  # what is out there is known still
+    assert balancer.table.servers[first].in_flight == 1  # the request in flight is still counted
     assert not balancer.table.restored_count
     assert len(sends(balancer, 3.0, 2, UNSAFE)) == 1
     done = balancer.handle(4.0, AttemptEnded(1, 0, first, Outcome.OK, True, 3.0))
     assert not any(isinstance(action, Send) for action in done)
 
 
-def test_a_server_that_is_not_trusted_any_more_is_gone_for_new_requests() -> None:
+def test_a_restored_server_that_is_removed_gets_no_new_requests() -> None:
     balancer = make_balancer(RestoredTrust(0.9), RestoredTrust(0.9))
     balancer.handle(1.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, ServerState.GONE)]))
     assert {sends(balancer, 2.0, number, SAFE)[0] for number in (1,)} == {2}
     assert balancer.table.restored_count == 1
 
 
-def test_a_proof_is_no_word_of_discovery() -> None:
-    """Where the list must be asked for, asking goes on as if nothing had come."""
+def test_evidence_of_restored_servers_is_no_list_from_discovery() -> None:
+    """Where discovery is on request, requests for the list continue as if nothing had arrived."""
     balancer = make_balancer(RestoredTrust(0.9), discovery=True)
     balancer._list_requested_ms = 4_000.0
     out = balancer.handle(1.0, ListUpdate(ListKind.PROOF, 1, [ServerEntry(1, restored_trust=LOCATED)]))
--- a/packages/balancing/tests/test_balancing_upstream_selection.py
+++ b/packages/balancing/tests/test_balancing_upstream_selection.py
@@ -1,4 +1,4 @@
-"""The token list of a fleet's router: who is drawn, what a token means, where chosen_ids of prompts go."""
+"""Selection of an upstream in a router: sampling, tokens, backoff, prompt prefixes and prefill backlogs."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return Counter(selector.select(prompt, (), 0.0) for _ in range(times))
 
 
-def test_the_draw_is_uniform_over_token_holders() -> None:
+def test_selection_is_uniform_over_token_holders() -> None:
     selector = make_selector()
     selector.on_attempt_started("u0", NO_PROMPT, 0.0)
     counts = count_selected(selector)
@@ -46,7 +46,7 @@
     assert min(counts.values()) > 80
 
 
-def test_without_a_token_the_draw_is_uniform_over_ready_ones() -> None:
+def test_selection_is_uniform_over_ready_upstreams_if_none_holds_a_token() -> None:
     selector = make_selector()
     for id_ in IDS:
         selector.on_attempt_started(id_, NO_PROMPT, 0.0)
@@ -55,7 +55,7 @@
     assert min(counts.values()) > 60
 
 
-def test_a_token_returns_when_the_last_own_call_has_ended() -> None:
+def test_a_token_returns_when_the_last_own_request_has_ended() -> None:
     selector = make_selector(["u0", "u1"])
     selector.on_attempt_started("u0", NO_PROMPT, 0.0)
     selector.on_attempt_started("u0", NO_PROMPT, 0.0)
@@ -65,7 +65,7 @@
     assert set(count_selected(selector)) == {"u0", "u1"}
 
 
-def test_an_engine_holds_its_token_while_few_calls_wait_for_their_first_event() -> None:
+def test_an_engine_holds_its_token_while_few_requests_await_their_first_event() -> None:
     selector = make_selector(["u0", "u1"], engine=True)
     for _ in range(MAX_AWAITING_FIRST_EVENT - 1):
         selector.on_attempt_started("u0", NO_PROMPT, 0.0)
@@ -74,7 +74,7 @@
     assert set(count_selected(selector)) == {"u1"}
 
 
-def test_one_that_is_ready_again_is_believed_idle_once_nothing_is_in_flight_there() -> None:
+def test_an_upstream_that_is_ready_again_earns_its_token_once_nothing_is_in_flight() -> None:
     selector = make_selector(["u0", "u1", "u2"])
     selector.on_attempt_started("u2", NO_PROMPT, 0.0)
     for is_ready in (False, True):
@@ -87,7 +87,7 @@
     assert set(count_selected(selector)) == {"u0", "u1", "u2"}
 
 
-def test_draining_and_gone_ones_are_never_drawn() -> None:
+def test_draining_and_removed_upstreams_are_never_selected() -> None:
     selector = make_selector()
     listed = {id_: UpstreamStatus(is_ready=id_ != "u1") for id_ in IDS if id_ != "u0"}
     selector.update(listed, 0.0)
@@ -97,20 +97,20 @@
     assert not set(count_selected(selector)) & {"u0", "u1"}
 
 
-def test_silent_ones_are_drawn_only_where_there_is_no_other() -> None:
+def test_unresponsive_upstreams_are_selected_only_if_there_is_no_other() -> None:
     selector = make_selector()
     selector.update({"u0": UpstreamStatus(True, is_unresponsive=True), "u1": UpstreamStatus(True)}, 0.0)
     assert set(count_selected(selector)) == {"u1"}
     assert selector.select(NO_PROMPT, {"u1"}, 0.0) == "u0"
 
 
-def test_nothing_ready_gives_nothing() -> None:
+def test_none_is_selected_if_none_is_ready() -> None:
     selector = make_selector([])
     assert selector.select(NO_PROMPT, (), 0.0) is None
     assert make_selector(["u0"]).select(NO_PROMPT, {"u0"}, 0.0) is None
 
 
-def test_a_head_goes_to_the_same_engine_in_every_router() -> None:
+def test_a_prefix_goes_to_the_same_engine_in_every_router() -> None:
     chosen = {make_selector(engine=True).select(SHARED_PROMPT, (), 0.0) for _ in range(5)}
     assert len(chosen) == 1
     chosen_ids = {
@@ -119,7 +119,7 @@
     assert chosen_ids == set(IDS)
 
 
-def test_the_placed_keeper_comes_first_while_it_holds_a_token() -> None:
+def test_the_prefix_owner_comes_first_while_it_holds_a_token() -> None:
     selector = make_selector(engine=True)
     preferred = selector.select(SHARED_PROMPT, (), 0.0)
     owner = next(id_ for id_ in IDS if id_ != preferred)
@@ -129,13 +129,14 @@
     assert selector.select(SHARED_PROMPT, (), 0.0, owner) == preferred
 
 
-def test_a_small_head_is_not_worth_a_new_connection() -> None:
+def test_a_short_prefix_does_not_justify_a_new_connection() -> None:
     selector = make_selector(engine=True, connected=frozenset({"u3"}))
     counts = count_selected(selector, prompt=Prompt("5c1e", 400.0, 300.0))
-    assert counts["u3"] > 400  # a few draws look for one with a connection; 100 of 600 were even
+    # Several samples look for an open connection; uniform selection would give 100 of 600.
+    assert counts["u3"] > 400
 
 
-def test_waiting_tokens_are_counted_without_a_head_that_was_sent_before() -> None:
+def test_the_backlog_excludes_a_prefix_that_was_sent_before() -> None:
     selector = make_selector(engine=True)
     first = selector.on_attempt_started("u0", SHARED_PROMPT, 0.0)
     second = selector.on_attempt_started("u0", SHARED_PROMPT, 0.0)
@@ -150,7 +151,7 @@
     return (ms - selector.prefill_time.fixed_ms) / selector.prefill_time.ms_per_token
 
 
-def test_small_requests_avoid_an_engine_where_reading_takes_a_part_of_their_aim() -> None:
+def test_short_requests_avoid_an_engine_with_a_large_prefill_backlog() -> None:
     selector = make_selector(["u0", "u1"], engine=True)
     for fraction in PREFILL_BACKLOG_FRACTIONS:
         selector.set_peer_prefill_backlog(
@@ -163,7 +164,7 @@
     assert set(count_selected(selector)) == {"u0", "u1"}
 
 
-def test_a_head_stays_where_it_is_kept_while_that_is_in_time() -> None:
+def test_a_prefix_stays_at_its_owner_while_that_is_in_time() -> None:
     selector = make_selector(["u0", "u1"], engine=True)
     own_tokens = SHARED_PROMPT.tokens - SHARED_PROMPT.prefix_tokens
     limit = tokens_prefilled_in(selector, IN_TIME_FACTOR * SHARED_PROMPT.latency_target_ms) - own_tokens
@@ -174,7 +175,7 @@
     assert selector.select(SHARED_PROMPT, (), 0.0, "u0") == "u1"
 
 
-def test_a_head_stays_where_it_is_kept_when_no_other_would_be_in_time() -> None:
+def test_a_prefix_stays_at_its_owner_if_no_other_engine_is_in_time() -> None:
     selector = make_selector(["u0", "u1"], engine=True)
     selector.set_peer_prefill_backlog({"u0": 10_000.0})
     urgent = Prompt("5c1e", 9_000.0, 8_000.0, latency_target_ms=60.0)
@@ -182,7 +183,7 @@
     assert selector.select(SHARED_PROMPT, (), 0.0, "u0", remaining_ms=-5.0) == "u0"
 
 
-def test_a_head_that_is_only_to_be_kept_there_counts_as_unread() -> None:
+def test_a_prefix_that_is_not_cached_yet_counts_in_the_expected_time() -> None:
     selector = make_selector(["u0", "u1"], engine=True)
     selector.update({"u0": UpstreamStatus(is_ready=True), "u1": UpstreamStatus(is_ready=True)}, 0.0)
     limit = (
@@ -193,7 +194,7 @@
     assert selector.select(SHARED_PROMPT, (), 0.0, "u0", is_cached=False) == "u1"
 
 
-def test_ejected_ones_are_drawn_only_where_there_is_no_other() -> None:
+def test_ejected_upstreams_are_selected_only_if_there_is_no_other() -> None:
     selector = make_selector(["u0", "u1", "u2"])
     selector.set_ejected({"u0", "u1", "another service's"})
     assert set(count_selected(selector)) == {"u2"}
@@ -207,7 +208,7 @@
     assert set(count_selected(selector)) == {"u0", "u1", "u2"}
 
 
-def test_a_call_is_overdue_after_several_times_what_its_first_event_takes() -> None:
+def test_a_request_is_overdue_after_a_multiple_of_its_expected_time() -> None:
     selector = make_selector(["u0"], engine=True)
     for tokens in (0.0, 10_000.0) * 20:
         selector.prefill_time.observe(tokens, 20.0 + 0.02 * tokens)
@@ -216,7 +217,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT, Outcome.FULL])
-def test_a_failure_keeps_the_token_back_for_a_while(outcome: Outcome) -> None:
+def test_a_failure_withholds_the_token_for_a_while(outcome: Outcome) -> None:
     selector = make_selector(["u0", "u1"])
     selector.on_outcome("u0", outcome, 0.0)
     assert set(count_selected(selector)) == {"u1"}
@@ -224,7 +225,7 @@
     assert Counter(selector.select(NO_PROMPT, (), 5_000.0) for _ in range(100))["u0"] > 20
 
 
-def test_failures_in_a_row_pause_for_longer_and_a_success_ends_that() -> None:
+def test_the_backoff_grows_with_consecutive_failures_and_a_success_resets_it() -> None:
     selector = make_selector(["u0", "u1"])
     for _ in range(3):
         selector.on_outcome("u0", Outcome.RESET, 0.0)
@@ -235,7 +236,7 @@
 
 
 class SelectionMachine(RuleBasedStateMachine):
-    """Any order of lists, calls and failures: only ready ones are drawn, tokens are believed idle ones."""
+    """Any order of lists, requests and failures: only ready upstreams are selected."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -273,7 +274,7 @@
         self.now_ms += by_ms
 
     @invariant()
-    def it_counts_the_ready_ones(self) -> None:
+    def ready_count_is_correct(self) -> None:
         assert self.selector.ready_count == len(self.ready)
 
 
--- a/tests/balancing/test_asking.py
+++ b/tests/balancing/test_asking.py
@@ -1,4 +1,4 @@
-"""Asking a service for the list: how late news can come after calls in vain, and what load that makes."""
+"""Discovery on request: the delay until a list change is known after failed calls, and the load on the list service."""
 
 from __future__ import annotations
 
@@ -14,16 +14,15 @@
 
 from tests.balancing.test_second_deployment import make_settings
 
-NEWS_DEADLINE_MS = 6_000.0  # after discovery had a change and could be reached it counts as told
-MARGIN_MS = 100.0  # of that, for this process and the way
-CALL_TIMEOUT_MS = (
-    2_000.0  # after which a short call has failed: `AgentClient.CALL_S`, and a service that queues
-)
-CONNECT_TIMEOUT_MS = 1_250.0  # after which a connection that does not come up has: `AgentClient.CONNECT_S`
+# A change must be known this long after it happened and discovery became reachable.
+NEWS_DEADLINE_MS = 6_000.0
+MARGIN_MS = 100.0  # of that time, for this process and the network
+CALL_TIMEOUT_MS = 2_000.0  # time-out of a call: `AgentClient.CALL_S`, also while the service queues it
+CONNECT_TIMEOUT_MS = 1_250.0  # time-out of a connection attempt: `AgentClient.CONNECT_S`
 
 
 def pause_ms(balancer: Balancer, now_ms: float) -> float:
-    """After a call that has failed just now."""
+    """The pause after a call that fails at `now_ms`."""
     actions = balancer.handle(now_ms, ListUpdate(ListKind.FAILED))
     (timer,) = [
         action for action in actions if isinstance(action, SetTimer) and action.cookie == LIST_TIMER_COOKIE
@@ -32,7 +31,7 @@
 
 
 def make_balancer(seed: int, now_ms: float) -> Balancer:
-    """One whose watch has had an answer just now."""
+    """A balancer whose watch was answered at `now_ms`."""
     balancer = Balancer(make_settings(), seed)
     balancer.handle(0.0, ListUpdate(ListKind.CACHED, 0, [ServerEntry(0)]))
     balancer.handle(now_ms, ListUpdate(ListKind.FULL, 1, [ServerEntry(0)]))
@@ -43,9 +42,11 @@
 @pytest.mark.parametrize(
     "call_ms", [1.0, CONNECT_TIMEOUT_MS, CALL_TIMEOUT_MS], ids=["refused", "no connection", "silent"]
 )
-def test_news_is_here_in_time_after_a_call_in_vain_and_one_more(failures: int, call_ms: float) -> None:
-    """However many calls of whichever length were in vain before: discovery can be reached at the worst moment, just
-    after a call went out in vain; the next one is queued and turned away, and the one after that is answered.
+def test_a_change_is_known_in_time_after_two_failed_calls(failures: int, call_ms: float) -> None:
+    """Any number of calls of any duration fail first.
+
+    In the worst case, discovery becomes reachable just after a failing call was sent; the next call is queued and
+    rejected, and the one after that is answered.
     """
     worst = 0.0
     for seed in range(400):
@@ -54,19 +55,19 @@
         for _ in range(failures):
             now += pause_ms(balancer, now) + call_ms
         if not failures:
-            call_ms = 1.0  # a watch that ends
-        reachable = now  # the call that is out now was sent a moment before
+            call_ms = 1.0  # the end of a watch
+        reachable = now  # the current call was sent a moment before
         now += call_ms
         now += pause_ms(balancer, now) + CALL_TIMEOUT_MS
         now += pause_ms(balancer, now)
         worst = max(worst, now - reachable)
-    # What the last answer may take; less where the call that was out lasted, since then two more are in vain, not one.
+    # Time allowed for the last answer; less if the call in flight took long, since then two calls fail, not one.
     answer_ms = CALL_TIMEOUT_MS if call_ms < CONNECT_TIMEOUT_MS else 1_000.0
     assert worst + answer_ms <= NEWS_DEADLINE_MS - MARGIN_MS
 
 
-def test_copies_whose_calls_were_long_in_vain_do_not_ask_again_together() -> None:
-    """A service that was silent fails the calls of all copies alike, and each has lasted longer than the pace."""
+def test_balancers_whose_calls_failed_slowly_do_not_retry_at_the_same_time() -> None:
+    """An unresponsive service fails the calls of all balancers alike, each after longer than the retry interval."""
     pauses = []
     for seed in range(200):
         balancer = make_balancer(seed, 50_000.0)
@@ -75,7 +76,7 @@
     assert min(pauses) >= 100.0 and max(pauses) - min(pauses) > 200.0
 
 
-def test_asking_within_less_than_the_pace_is_kept() -> None:
+def test_a_list_request_interval_below_the_retry_interval_is_kept() -> None:
     balancer = Balancer(replace(make_settings(), list_request_interval_ms=400.0), 1)
     balancer.handle(0.0, ListUpdate(ListKind.CACHED, 0, [ServerEntry(0)]))
     assert max(pause_ms(balancer, now) for now in (1_000.0, 2_000.0, 3_000.0)) <= 1.5 * 400.0
@@ -83,29 +84,27 @@
 
 @dataclass
 class ListService:
-    """A list service that does so many calls at a time, and all copies that ask it. A copy's call is for the whole list
-    after a failure, and then the watch.
+    """A list service that processes `slots` calls at a time, and all balancers that call it.
+
+    A balancer's call requests the full list after a failure, and then the watch.
     """
 
-    copies: int
+    balancer_count: int
     slots: int
     work_ms: float
     now: float = 0.0
-    failure_mode: str = (
-        ""  # or how its calls fail: "refuses", or "queues", which fails them when they have waited
-    )
+    failure_mode: str = ""  # "": it works; "refuses": calls fail at once; "queues": calls fail after a wait
     call_times: list[float] = field(default_factory=list)
-    news_times: dict[int, float] = field(
-        default_factory=dict
-    )  # when each has had its first answer since the return
-    turned_away: int = 0
+    # By balancer: the time of its first answer after the outage.
+    news_times: dict[int, float] = field(default_factory=dict)
+    rejected: int = 0
 
     def __post_init__(self) -> None:
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._serial = count()
         self._waiting: list[tuple[float, int]] = []
         self._busy = 0
-        self._balancers = [make_balancer(n, 0.0) for n in range(self.copies)]
+        self._balancers = [make_balancer(n, 0.0) for n in range(self.balancer_count)]
 
     def schedule(self, delay_ms: float, call: Callable[[], None]) -> None:
         heappush(self._heap, (self.now + delay_ms, next(self._serial), call))
@@ -117,17 +116,18 @@
         self.now = until_ms
 
     def fail(self, how: str) -> None:
-        """All watches end."""
+        """Start an outage: all watches end."""
         self.failure_mode = how
-        for n in range(self.copies):
+        for n in range(self.balancer_count):
             self.deliver(n, ListUpdate(ListKind.FAILED))
 
     def deliver(self, n: int, event: ListUpdate | TimerFired) -> None:
         for action in self._balancers[n].handle(self.now, event):
             if isinstance(action, SetTimer):
                 self.schedule(
-                    action.delay_ms, lambda cookie=action.cookie: self.deliver(n, TimerFired(cookie))
-                )  # type: ignore[misc]
+                    action.delay_ms,
+                    lambda cookie=action.cookie: self.deliver(n, TimerFired(cookie)),  # type: ignore[misc]
+                )
             elif isinstance(action, WatchList):
                 self.call(n)
 
@@ -144,7 +144,7 @@
     def time_out(self, item: tuple[float, int]) -> None:
         if item in self._waiting:
             self._waiting.remove(item)
-            self.turned_away += not self.failure_mode
+            self.rejected += not self.failure_mode
             self.deliver(item[1], ListUpdate(ListKind.FAILED))
 
     def serve(self) -> None:
@@ -158,20 +158,20 @@
         if n not in self.news_times:
             self.news_times[n] = self.now
             self.deliver(n, ListUpdate(ListKind.FULL, 1, [ServerEntry(0)]))
-            self.schedule(25.0, lambda: self.call(n))  # the watch, which stays out
+            self.schedule(25.0, lambda: self.call(n))  # the watch, which stays open
         self.serve()
 
     def rate(self, begin_ms: float, end_ms: float) -> float:
-        """Calls a second."""
+        """Calls per second."""
         return 1_000.0 * sum(begin_ms <= at < end_ms for at in self.call_times) / (end_ms - begin_ms)
 
     def peak(self, begin_ms: float, end_ms: float) -> int:
-        """The most calls that came within a second."""
+        """The most calls within one second."""
         times = sorted(at for at in self.call_times if begin_ms <= at < end_ms)
         return max((sum(at <= other < at + 1_000.0 for other in times) for at in times), default=0)
 
 
-LOAD_LIMITS = {  # copies, how it fails: most calls a second in the outage, and within a second at its end
+LOAD_LIMITS = {  # balancers, failure mode: most calls per second during the outage, most within a second after it
     (30, "refuses"): (40, 60),
     (30, "queues"): (20, 60),
     (200, "refuses"): (240, 380),
@@ -179,12 +179,14 @@
 }
 
 
-@pytest.mark.parametrize(("copies", "how"), LOAD_LIMITS)
-def test_the_load_of_an_outage_and_of_its_end(copies: int, how: str) -> None:
-    """Each service can do two calls for each copy in some two seconds; nobody is turned away, and all have the news in
-    time. The figures hold the watches that follow the whole lists.
+@pytest.mark.parametrize(("balancer_count", "how"), LOAD_LIMITS)
+def test_the_load_of_an_outage_and_of_its_end(balancer_count: int, how: str) -> None:
+    """The service can process two calls per balancer in about two seconds.
+
+    No call is rejected, and all balancers know the change in time. The counts include the watches that follow the full
+    lists.
     """
-    service = ListService(copies, slots=max(2, copies // 20), work_ms=50.0)
+    service = ListService(balancer_count, slots=max(2, balancer_count // 20), work_ms=50.0)
     service.schedule(1_000.0, lambda: service.fail(how))
     service.run(21_000.0)
     service.failure_mode = ""
@@ -194,21 +196,21 @@
     peak = service.peak(21_000.0, 30_000.0)
     late = max(service.news_times.values()) - 21_000.0
     print(
-        f"{copies} copies, {how}: {mean:.0f} calls/s out, {peak} in a second at the end, news after {late:.0f} ms"
+        f"{balancer_count} balancers, {how}: {mean:.0f} calls/s, {peak} in a second at the end, {late:.0f} ms"
     )
-    most, most_at_end = LOAD_LIMITS[copies, how]
-    assert len(service.news_times) == copies and late <= NEWS_DEADLINE_MS - MARGIN_MS
-    assert mean <= most and peak <= most_at_end and not service.turned_away
+    most, most_at_end = LOAD_LIMITS[balancer_count, how]
+    assert len(service.news_times) == balancer_count and late <= NEWS_DEADLINE_MS - MARGIN_MS
+    assert mean <= most and peak <= most_at_end and not service.rejected
 
 
-@pytest.mark.parametrize("copies", [30, 200])
-def test_a_service_too_slow_for_all_is_kept_busy_and_serves_all_the_same(copies: int) -> None:
-    """It needs twice the time that counts: no call but turned away ones is made again, and none is lost for good."""
-    service = ListService(copies, slots=1, work_ms=6_000.0 / copies)
+@pytest.mark.parametrize("balancer_count", [30, 200])
+def test_a_service_too_slow_for_all_balancers_still_serves_them_all(balancer_count: int) -> None:
+    """It needs twice the time allowed: only rejected calls are repeated, and no balancer is left without the list."""
+    service = ListService(balancer_count, slots=1, work_ms=6_000.0 / balancer_count)
     service.schedule(1_000.0, lambda: service.fail("refuses"))
     service.run(10_000.0)
     service.failure_mode = ""
     service.run(40_000.0)
     late = max(service.news_times.values()) - 10_000.0
-    print(f"{copies} copies: all have the news after {late:.0f} ms, {service.turned_away} calls turned away")
-    assert len(service.news_times) == copies and late <= 1.6 * 2.0 * 6_000.0
+    print(f"{balancer_count} balancers: all updated in {late:.0f} ms, {service.rejected} calls rejected")
+    assert len(service.news_times) == balancer_count and late <= 1.6 * 2.0 * 6_000.0
--- a/tests/balancing/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -1,9 +1,9 @@
 """Digests of the decisions on fixed seeds: the same events must give the same actions, byte for byte.
 
-The first part speaks the simulator's wire format alone, so that it holds whatever the classes are called: `WireBench`
-plays servers and clients on `wirehost.serve`. The others hash plain values. A digest that changes means that a
-decision, a random draw or a float changed: find out which, never paste the new digest of a change that only renames
-or moves code.
+The first part uses only the simulator's wire format, so it does not depend on the names of classes: `WireBench`
+simulates servers and clients for `wirehost.serve`. The other parts hash plain values. A digest that changes means that
+a decision, a random number or a float has changed: find out which. Never paste the new digest of a change that only
+renames or moves code.
 """
 
 from __future__ import annotations
@@ -116,9 +116,9 @@
 
 
 class WireBench:
-    """Servers and clients of one instance, on the simulator's wire: `serve` reads events from it and writes actions.
+    """Simulates servers and clients of one balancer: `serve` reads events from it and writes actions to it.
 
-    Time is milliseconds. Server 2 fails often, 3 is slow, 4 is gone for a while, 5 drains, 6 starts cold.
+    Times are milliseconds. Server 2 fails often, 3 is slow, 4 is gone for a while, 5 is draining, 6 starts cold.
     """
 
     def __init__(self, name: str, seed: int, requests: int, pause_ms: float) -> None:
@@ -149,7 +149,7 @@
         self._later(2.0, b"")
 
     def _later(self, at_ms: float, record: bytes, frees: int = -1) -> None:
-        """An event to come; no bytes: the next request. `frees`: the server that has done a call then."""
+        """Schedule an event; empty `record`: the next request. `frees`: the server that finishes a request then."""
         self._serial += 1
         heappush(self._due, (at_ms, self._serial, frees, record))
 
@@ -164,10 +164,10 @@
             out += struct.pack(">dIHfBBHB", started_ms, n, 80, 1.0, state, n % 3 == 0, n // 4, zone)
         return out
 
-    # what `serve` reads and writes
+    # The streams that `serve` reads and writes
 
     def read(self, size: int) -> bytes:
-        """The next batch, header and body apart: all that is due at one time."""
+        """Return the next batch, the header and then the body: all events that are due at one time."""
         if self._pending is not None:
             body, self._pending = self._pending, None
             return body
@@ -203,7 +203,7 @@
         return struct.pack(">BIIHIQddB", 9, 1, number, at, tenant, 77, left_ms, hint, flags)
 
     def write(self, reply: bytes) -> None:
-        """Take the actions of one batch."""
+        """Process the actions of one batch."""
         self.digest.update(reply)
         at = 8
         sizes = {1: 11, 2: 11, 3: 9, 4: 21, 5: 23, 7: 5, 10: 6, 11: 17, 12: 11}
@@ -300,11 +300,11 @@
 
 
 def digest(values: list[Any]) -> str:
-    """Of plain values, floats by their exact text."""
+    """Hash plain values; floats are hashed by their exact text."""
     return hashlib.sha256(repr(values).encode()).hexdigest()
 
 
-# the engines' upstreams
+# selection of upstreams, model engines among them
 
 
 def engine_values(seed: int, *, engine: bool) -> list[Any]:
@@ -403,7 +403,7 @@
     assert digest(values) == GOLDEN_ENGINES[seed, engine]
 
 
-# ejection by the fleet, prefill time, the door
+# fleet outlier detection, prefill time, load shedding
 
 
 def ejection_values() -> list[Any]:
@@ -467,7 +467,7 @@
 }
 
 
-def test_the_fleet_ejects_the_same() -> None:
+def test_fleet_ejections_are_the_same() -> None:
     values = ejection_values()
     assert len({tuple(value[1]) for value in values}) > 5
     assert digest(values) == GOLDEN_PARTS["ejection"]
@@ -477,17 +477,17 @@
     assert digest(prefill_values()) == GOLDEN_PARTS["reading"]
 
 
-def test_the_door_sheds_the_same() -> None:
+def test_load_shedding_is_the_same() -> None:
     values = shedding_values()
     assert values[-1][3] > 100
     assert digest(values) == GOLDEN_PARTS["door"]
 
 
-# what the simulator's wire does not carry: health told by other copies, restored servers, new settings
+# what the wire format does not carry: health reports of peers, restored servers, new settings
 
 
 class SimulatedBalancer:
-    """One copy's decisions and their world; what is hashed is each action's bytes."""
+    """A balancer and its simulated environment; the bytes of each action are hashed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -666,14 +666,14 @@
 
 
 @pytest.mark.parametrize("seed", [31, 32, 33])
-def test_decisions_beside_other_copies_are_the_same(seed: int) -> None:
+def test_decisions_with_peer_health_reports_are_the_same(seed: int) -> None:
     assert digest(shared_values(seed)) == GOLDEN_SHARED[seed]
 
 
 LEARNED_KEYS = {"base", "credit", "idle_share", "latency", "most_running", "retries", "window", "work"}
 
 
-def test_what_is_learned_keeps_its_published_names() -> None:
+def test_learned_state_keeps_its_published_names() -> None:
     assert set(Balancer(SimulatedBalancer.tuned(1.0), 1).learned()) == LEARNED_KEYS
 
 
@@ -720,7 +720,7 @@
 
 
 def plain(value: Any) -> Any:
-    """The values alone, in the order of the fields."""
+    """Convert to plain values, in the order of the fields."""
     if is_dataclass(value):
         return tuple(plain(getattr(value, field.name)) for field in fields(value))
     if isinstance(value, Enum):
--- a/tests/balancing/test_second_deployment.py
+++ b/tests/balancing/test_second_deployment.py
@@ -1,6 +1,4 @@
-"""Hard cases of a deployment with no probes, late reports, cancels that stop nothing and a list that must be asked
-for.
-"""
+"""Difficult cases: no probes, late load reports, cancels that stop nothing, and discovery on request."""
 
 from __future__ import annotations
 
@@ -57,8 +55,9 @@
 
 
 def simulate(seed: int, report: Callable[[float, int], tuple[float, ...]]) -> list[Action]:
-    """Ten seconds of calls to six servers, of which one chokes from 3 to 7 s; what is reported is the caller's
-    choice.
+    """Simulate ten seconds of requests to six servers, of which one is slow from 3 to 7 s.
+
+    `report` gives the load report of a server at a time. Returns all actions.
     """
     rng = Random(seed)
     balancer = Balancer(make_settings(), seed)
@@ -93,22 +92,22 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_server_that_answers_well_and_reports_nothing_for_4_s(seed: int) -> None:
-    """What is reported of queues is never trusted beyond own counts and times: without it each decision is the same."""
+def test_missing_load_reports_of_a_healthy_server_change_no_decision(seed: int) -> None:
+    """Reported queue lengths never override own counts and times: without them each decision is the same."""
     expected = simulate(seed, lambda now, server: (1.0,))
     assert simulate(seed, lambda now, server: () if 2_000.0 < now < 6_000.0 else (1.0,)) == expected
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_reports_4_s_late_during_a_choke(seed: int) -> None:
-    """They call the choked server idle while it is choked, and choked when it is well again."""
+def test_load_reports_that_are_4_s_late_change_no_decision(seed: int) -> None:
+    """They report the slow server as idle while it is slow, and as busy when it has recovered."""
     fresh = simulate(seed, lambda now, server: (40.0 if server == 2 and 3_000.0 < now < 7_000.0 else 0.0,))
     late = simulate(seed, lambda now, server: (40.0 if server == 2 and 7_000.0 < now < 11_000.0 else 0.0,))
     assert late == fresh
 
 
-def test_a_connection_that_dies_without_a_word_under_an_unsafe_request() -> None:
-    """Answered in time, never sent again, and called failed: it may have run."""
+def test_an_unsafe_request_on_a_connection_that_silently_breaks() -> None:
+    """It is answered in time with a failure and never sent again, because it may have run."""
 
     async def work() -> None:
         async def silent(request: Incoming, talk: Talk) -> None:
@@ -130,8 +129,8 @@
     run(work())
 
 
-def test_all_servers_of_the_home_zone_lost_while_the_list_does_not_say_so() -> None:
-    """Calls move to the other zone although each crossing costs, and what can't be repeated does not run twice."""
+def test_all_servers_of_the_own_zone_fail_while_the_list_still_names_them() -> None:
+    """Requests move to the other zone although each crossing has a cost, and unsafe ones do not run twice."""
     settings = make_settings(zones=2, my_zone=0, price_cross_zone=0.04)
     balancer = Balancer(settings, 3)
     entries = [ServerEntry(n, zone=n // 4) for n in range(8)]
@@ -159,13 +158,15 @@
 
 
 @pytest.mark.parametrize("capacity", [3, 5])
-def test_a_list_service_that_queues_with_all_copies_starting_at_once(capacity: int) -> None:
-    """It does so many calls at a time, 0.4 s each; a call that waits for 2 s fails. Every copy has its list soon, and
-    the
-    calls that fail do not add up.
+def test_a_list_service_that_queues_while_all_balancers_start_at_once(capacity: int) -> None:
+    """It processes `capacity` calls at a time, 0.4 s each; a call that waits for 2 s fails.
+
+    Every balancer has its list soon, and failed calls do not accumulate.
     """
-    copies = 60
-    balancers = [Balancer(make_settings(me=n, list_request_interval_ms=10_000.0), n) for n in range(copies)]
+    balancer_count = 60
+    balancers = [
+        Balancer(make_settings(me=n, list_request_interval_ms=10_000.0), n) for n in range(balancer_count)
+    ]
     heap: list[tuple[float, int, Callable[[], None]]] = []
     serial = count()
     now = 0.0
@@ -206,17 +207,17 @@
         deliver(n, ListUpdate(ListKind.FULL, 1, [ServerEntry(0)]))
         serve()
 
-    for n in range(copies):
+    for n in range(balancer_count):
         deliver(n, ListUpdate(ListKind.CACHED, 0, [ServerEntry(0)]))
     while heap and heap[0][0] < 30_000.0:
         now, _, call = heappop(heap)
         call()
-    assert len(first_list_ms) == copies and max(first_list_ms.values()) < 15_000.0
-    assert failed < copies
+    assert len(first_list_ms) == balancer_count and max(first_list_ms.values()) < 15_000.0
+    assert failed < balancer_count
 
 
-def test_a_hint_20_times_the_usual() -> None:
-    """Refused at once, with a word when to come back; the others are served as before."""
+def test_a_request_with_a_cost_hint_of_20_times_the_usual() -> None:
+    """It is refused at once, with a retry delay; other requests are served as before."""
     world = World(5, upstreams=4, slots=4, service_ms=100.0)
     balancer = Balancer(make_settings(max_retry_after_ms=1000.0), 5)
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(4)]))
@@ -234,12 +235,12 @@
     assert any(isinstance(action, Send) for action in usual)
 
 
-def test_a_client_whose_try_is_given_up_at_50_per_cent_of_the_deadline_and_comes_back_at_once() -> None:
-    """Its next try is a fresh one: it has its whole aim, and is sent; what was under way is not sent again."""
+def test_a_client_that_gives_up_at_half_of_the_deadline_and_retries_at_once() -> None:
+    """Its next try counts as a first one: it has the full latency target and is sent. The old try is not retried."""
     balancer = Balancer(make_settings(), 5)
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(6)]))
     now = 0.0
-    for number in range(1, 41):  # every client's usual try: half of the deadline
+    for number in range(1, 41):  # each client usually gives up after half of the deadline
         now += 200.0
         (send,) = (a for a in balancer.handle(now, RequestArrived(number, 1, 2500.0)) if isinstance(a, Send))
         balancer.handle(now + 100.0, AttemptEnded(number, 0, send.server, Outcome.OK, True, 100.0))
@@ -252,15 +253,15 @@
     again = balancer.handle(now + 1.0, RequestArrived(901, 1, 2500.0))
     (send,) = (action for action in again if isinstance(action, Send))
     assert send.timeout_ms > 0.9 * CLASSES[1].aim_ms
-    # The old attempt ends late: nobody is answered by it, and nothing follows.
+    # The old attempt ends late: it produces no answer and no further action.
     (old,) = (action for action in first if isinstance(action, Send))
     end = AttemptEnded(900, 0, old.server, Outcome.TIMEOUT, True, 2500.0)
     assert not any(isinstance(action, Send) for action in balancer.handle(now + 2.0, end))
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_copy_that_sees_one_request_a_second(seed: int) -> None:
-    """It refuses nothing of a healthy tier, and one dead server of five costs it no request that may go elsewhere."""
+def test_a_balancer_with_one_request_per_second(seed: int) -> None:
+    """It refuses nothing if the tier is healthy, and loses no retriable request if one of five servers is down."""
     world = World(seed, upstreams=5, slots=2, service_ms=250.0, spread="lognormal", copies=3, classes=CLASSES)
     world.poisson(3.0, 120_000.0)
     world.run(125_000.0)
@@ -275,8 +276,8 @@
 
 
 @pytest.mark.parametrize("cold_ms", [0.0, 8_000.0])
-def test_a_server_that_fails_is_left_out_also_where_starts_take_no_time(cold_ms: float) -> None:
-    """Guards against pauses that are bounded by how long a start takes, where that is none."""
+def test_a_failing_server_is_ejected_even_if_there_is_no_warm_up_time(cold_ms: float) -> None:
+    """Guards against an ejection time that is limited to the warm-up time, if that is 0."""
     balancer = Balancer(make_settings(cold_ms=cold_ms), 3)
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(6)]))
     now, to = 0.0, [0] * 6
