--- a/packages/balancing/src/larkweir_balancing/client_stats.py
+++ b/packages/balancing/src/larkweir_balancing/client_stats.py
@@ -60,14 +60,14 @@
                 self.mean_cost.append(0.0)
             elif cls.name != self._classes[at]:  # another class has replaced a removed one
                 self._usual[at], self.mean_cost[at] = UsualValue(), 0.0
-        places = [self._tenants.get(tenant.name) for tenant in settings.tenants]
+        old_indices = [self._tenants.get(tenant.name) for tenant in settings.tenants]
         total = sum(tenant.quota_per_s for tenant in settings.tenants) or 1.0
         self._fair_fraction = [tenant.quota_per_s / total for tenant in settings.tenants]
         self._traffic_fraction = [
             self._fair_fraction[n] if at is None else self._traffic_fraction[at]
-            for n, at in enumerate(places)
+            for n, at in enumerate(old_indices)
         ]
-        self._retry_fraction = [0.0 if at is None else self._retry_fraction[at] for at in places]
+        self._retry_fraction = [0.0 if at is None else self._retry_fraction[at] for at in old_indices]
         self._classes = [cls.name for cls in settings.classes]
         self._tenants = {tenant.name: n for n, tenant in enumerate(settings.tenants)}
         self._settings = settings
--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -179,8 +179,8 @@
         if idle is not None and idle > self.connections.max_idle_ms:
             self._close(server)
             idle = None
-        ahead, mark = server.in_flight, self.limiter.round_of(self.table.in_flight)
-        attempt = Attempt(server, server.cell, self.now_ms, ahead, idle, mark)
+        in_flight_before, limiter_round = server.in_flight, self.limiter.round_of(self.table.in_flight)
+        attempt = Attempt(server, server.cell, self.now_ms, in_flight_before, idle, limiter_round)
         self.actions.append(
             Send(request.id, server.id, request.useful_until_ms - self.now_ms, request.write_by_ms())
         )
@@ -212,10 +212,10 @@
         if request is None or not request.body_incomplete:
             return
         request.body_incomplete = False
-        late = self.now_ms - request.arrived_ms  # the time limits start now
-        request.arrived_ms += late
-        request.useful_until_ms += late
-        request.deadline_ms += late
+        delay_ms = self.now_ms - request.arrived_ms  # the time limits start now
+        request.arrived_ms += delay_ms
+        request.useful_until_ms += delay_ms
+        request.deadline_ms += delay_ms
         for attempt in request.attempts:
             if attempt.outcome is None:
                 attempt.sent_ms = self.now_ms
@@ -234,7 +234,7 @@
             return
         attempt.outcome = outcome
         request.in_flight -= 1
-        # Attempts given back are available again, those in use elsewhere are not.
+        # The attempt budget may have changed: returned attempts are available again, those used elsewhere are not.
         if event.attempts_left is not None:
             request.limit_attempts(event.attempts_left)
         self._stop_counting(attempt)
@@ -242,8 +242,10 @@
         server, at = attempt.server, request.class_index
         usual = self._latency[at]
         if not request.is_answered:
-            tries, mark = len(request.attempts), attempt.limiter_round
-            self.limiter.record_end(at, outcome, spent, self.table.in_flight, mark, tries, request.size)
+            attempt_count, limiter_round = len(request.attempts), attempt.limiter_round
+            self.limiter.record_end(
+                at, outcome, spent, self.table.in_flight, limiter_round, attempt_count, request.size
+            )
         self.selector.record_zone_cost(request, attempt, spent)
         self.connections.record_end(attempt, spent, usual, request.request_class.aim_ms)
         self._update_connection(server, outcome)
--- a/packages/balancing/src/larkweir_balancing/slow_start.py
+++ b/packages/balancing/src/larkweir_balancing/slow_start.py
@@ -18,9 +18,9 @@
     that share this balancer's traffic when all are ready. Dividing by the ready servers alone would overload the first
     servers that restart after an outage, when all traffic goes to them.
 
-    A request to any cold server spends one credit, as soon as there is one. This protects the only cold server of a
-    zone, and servers that start later, from credit that all balancers have saved up. Failed requests reduce the credit
-    earned, since they are retried.
+    As soon as there is a whole credit, a request spends it at any cold server. This protects the only cold server
+    of a zone, and servers that start later, from credit that all balancers have saved up. Failed requests reduce the
+    credit earned, since they are retried.
     """
 
     # Fraction of the recent maximum of ready servers that counts as all of them (a deploy moves as many).
