--- a/tests/balancing/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -315,7 +315,7 @@
         Random(seed + 1), is_engine=engine, has_idle_connection=connected.__contains__
     )
     selector.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
-    calls: list[tuple[str, float]] = []
+    attempts: list[tuple[str, float]] = []
     values: list[Any] = []
     now_ms = 0.0
     outcomes = [Outcome.OK] * 6 + [
@@ -327,27 +327,29 @@
     ]
     for step in range(4_000):
         now_ms += rng.expovariate(0.2)
-        what = rng.random()
-        if what < 0.55:
-            head_tokens = rng.choice((0.0, 300.0, 2_000.0, 8_000.0))
-            head = f"h{rng.randrange(12)}" if head_tokens else ""
+        choice = rng.random()
+        if choice < 0.55:
+            prefix_tokens = rng.choice((0.0, 300.0, 2_000.0, 8_000.0))
+            prefix = f"h{rng.randrange(12)}" if prefix_tokens else ""
             prompt = Prompt(
-                head,
-                head_tokens + rng.uniform(10.0, 3_000.0),
-                head_tokens,
+                prefix,
+                prefix_tokens + rng.uniform(10.0, 3_000.0),
+                prefix_tokens,
                 rng.choice((150.0, 500.0, 2_000.0)),
             )
-            kept = rng.random() < 0.7
+            is_cached = rng.random() < 0.7
             owner = rng.choice((None, *ids))
             excluded = set(rng.sample(ids, rng.choice((0, 0, 0, 1, 3, 8))))
             left_ms = rng.choice((None, prompt.latency_target_ms * rng.random()))
-            chosen = selector.select(prompt, excluded, now_ms, owner, is_cached=kept, remaining_ms=left_ms)
+            chosen = selector.select(
+                prompt, excluded, now_ms, owner, is_cached=is_cached, remaining_ms=left_ms
+            )
             values.append((chosen, selector.last_reason.value))
             if chosen is not None:
                 tokens = selector.on_attempt_started(
-                    chosen, prompt, now_ms, is_cached=kept and chosen == owner
+                    chosen, prompt, now_ms, is_cached=is_cached and chosen == owner
                 )
-                calls.append((chosen, tokens))
+                attempts.append((chosen, tokens))
                 connected.add(chosen)
                 values.append(
                     (
@@ -356,16 +358,16 @@
                         selector.prefill_backlog_tokens(chosen),
                     )
                 )
-        elif what < 0.92 and calls:
-            id_, tokens = calls.pop(rng.randrange(len(calls)))
+        elif choice < 0.92 and attempts:
+            id_, tokens = attempts.pop(rng.randrange(len(attempts)))
             selector.on_attempt_released(id_, tokens, now_ms)
             selector.on_outcome(id_, rng.choice(outcomes), now_ms)
             selector.prefill_time.observe(tokens, 30.0 + 0.02 * tokens * rng.uniform(0.8, 1.4))
             if rng.random() < 0.2:
                 connected.discard(id_)
-        elif what < 0.95:
+        elif choice < 0.95:
             selector.set_peer_prefill_backlog({id_: rng.uniform(0.0, 40_000.0) for id_ in rng.sample(ids, 5)})
-        elif what < 0.97:
+        elif choice < 0.97:
             selector.set_ejected(rng.sample(ids, rng.randrange(4)))
         else:
             listed = rng.sample(ids, rng.randrange(3, 10))
@@ -445,25 +447,25 @@
     ]
     shedder = LoadShedder(classes, Random(24))
     values: list[Any] = []
-    for turn in range(1_200):
-        if turn == 700:
+    for iteration in range(1_200):
+        if iteration == 700:
             shedder.configure(
                 [*classes[:1], RequestClass(300.0, 900.0, Effect.SAFE, worth=2.0, name="c"), classes[1]]
             )
-        load = 60.0 if 200 < turn < 500 or turn > 800 else 6.0
-        let_in = [shedder.admits(rng.randrange(2), rng.random() < 0.3) for _ in range(rng.randrange(8))]
-        busy_ms = load * rng.uniform(0.5, 1.5) * (0.2 + 0.2 * sum(let_in))
+        load = 60.0 if 200 < iteration < 500 or iteration > 800 else 6.0
+        admitted = [shedder.admits(rng.randrange(2), rng.random() < 0.3) for _ in range(rng.randrange(8))]
+        busy_ms = load * rng.uniform(0.5, 1.5) * (0.2 + 0.2 * sum(admitted))
         shedder.on_iteration(busy_ms, busy_ms + rng.uniform(0.0, 10.0))
         values.append(
-            (let_in, shedder.shed_fraction, shedder.is_shedding, shedder.shed_count, shedder.mean_busy_ms)
+            (admitted, shedder.shed_fraction, shedder.is_shedding, shedder.shed_count, shedder.mean_busy_ms)
         )
     return values
 
 
 GOLDEN_PARTS: dict[str, str] = {
     "ejection": "9a06e0dfdb7f3351343e41e0552e843e7834613c1ee47442a395fe89516afcd3",
-    "reading": "bb024125817a1625bbcf2024a6a097a03a1c007c111e3ca80d5a73ffed71452f",
-    "door": "8547438e4f4107575d902ce3887613e8c0748aa659904ed2bb1c762c98adb07e",
+    "prefill_time": "bb024125817a1625bbcf2024a6a097a03a1c007c111e3ca80d5a73ffed71452f",
+    "load_shedding": "8547438e4f4107575d902ce3887613e8c0748aa659904ed2bb1c762c98adb07e",
 }
 
 
@@ -474,13 +476,13 @@
 
 
 def test_the_prefill_time_is_the_same() -> None:
-    assert digest(prefill_values()) == GOLDEN_PARTS["reading"]
+    assert digest(prefill_values()) == GOLDEN_PARTS["prefill_time"]
 
 
 def test_load_shedding_is_the_same() -> None:
     values = shedding_values()
     assert values[-1][3] > 100
-    assert digest(values) == GOLDEN_PARTS["door"]
+    assert digest(values) == GOLDEN_PARTS["load_shedding"]
 
 
 # what the wire format does not carry: health reports of peers, restored servers, new settings
@@ -590,7 +592,7 @@
         ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, restored_trust=proofs[n % 5]) for n in range(12)
     ]
     simulated.feed(ListUpdate(ListKind.CACHED, 1, cached))
-    shown = [
+    verified = [
         ServerEntry(
             n,
             zone=n % 2,
@@ -600,11 +602,11 @@
         )
         for n in (1, 2)
     ]
-    simulated.later(300.0, ListUpdate(ListKind.PROOF, 1, shown))
-    whole = [
+    simulated.later(300.0, ListUpdate(ListKind.PROOF, 1, verified))
+    full = [
         ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, started_ms=5_000.0 * (n == 9)) for n in range(12)
     ]
-    simulated.later(4_500.0, ListUpdate(ListKind.FULL, 2, whole))
+    simulated.later(4_500.0, ListUpdate(ListKind.FULL, 2, full))
     simulated.later(9_000.0, ListUpdate(ListKind.DELTA, 3, [ServerEntry(2, ServerState.DRAINING)]))
     simulated.later(7_000.0, Reconfigured(SimulatedBalancer.tuned(2.0)))
     at_ms = 0.0
