--- a/packages/balancing/src/larkweir_balancing/selection.py
+++ b/packages/balancing/src/larkweir_balancing/selection.py
@@ -119,7 +119,7 @@
                 server.unresponsive and request.request_class.effect is not Effect.SAFE
             ):
                 # Guards against selecting an ejected server when no server holds a token, and against using a request
-                # that can't be retried to test whether an unresponsive server answers again.
+                # that is not safe to repeat to test whether an unresponsive server answers again.
                 last_resort = server
             else:
                 return server
