--- a/tests/balancing/test_golden_decisions.py
+++ b/tests/balancing/test_golden_decisions.py
@@ -1,9 +1,9 @@
 """Digests of the decisions on fixed seeds: the same events must give the same actions, byte for byte.
 
-The first part speaks the simulator's wire format alone, so that it holds whatever the classes are called: `WireBench`
-plays servers and clients on `wirehost.serve`. The others hash plain values. A digest that changes means that a
-decision, a random draw or a float changed: find out which, never paste the new digest of a change that only renames
-or moves code.
+The first part uses only the simulator's wire format, so it does not depend on the names of classes: `WireBench`
+simulates servers and clients for `wirehost.serve`. The other parts hash plain values. A digest that changes means that
+a decision, a random number or a float has changed: find out which. Never paste the new digest of a change that only
+renames or moves code.
 """
 
 from __future__ import annotations
@@ -116,9 +116,9 @@
 
 
 class WireBench:
-    """Servers and clients of one instance, on the simulator's wire: `serve` reads events from it and writes actions.
+    """Simulates servers and clients of one balancer: `serve` reads events from it and writes actions to it.
 
-    Time is milliseconds. Server 2 fails often, 3 is slow, 4 is gone for a while, 5 drains, 6 starts cold.
+    Times are milliseconds. Server 2 fails often, 3 is slow, 4 is gone for a while, 5 is draining, 6 starts cold.
     """
 
     def __init__(self, name: str, seed: int, requests: int, pause_ms: float) -> None:
@@ -149,7 +149,7 @@
         self._later(2.0, b"")
 
     def _later(self, at_ms: float, record: bytes, frees: int = -1) -> None:
-        """An event to come; no bytes: the next request. `frees`: the server that has done a call then."""
+        """Schedule an event; empty `record`: the next request. `frees`: the server that finishes a request then."""
         self._serial += 1
         heappush(self._due, (at_ms, self._serial, frees, record))
 
@@ -164,10 +164,10 @@
             out += struct.pack(">dIHfBBHB", started_ms, n, 80, 1.0, state, n % 3 == 0, n // 4, zone)
         return out
 
-    # what `serve` reads and writes
+    # The streams that `serve` reads and writes
 
     def read(self, size: int) -> bytes:
-        """The next batch, header and body apart: all that is due at one time."""
+        """Return the next batch, the header and then the body: all events that are due at one time."""
         if self._pending is not None:
             body, self._pending = self._pending, None
             return body
@@ -203,7 +203,7 @@
         return struct.pack(">BIIHIQddB", 9, 1, number, at, tenant, 77, left_ms, hint, flags)
 
     def write(self, reply: bytes) -> None:
-        """Take the actions of one batch."""
+        """Process the actions of one batch."""
         self.digest.update(reply)
         at = 8
         sizes = {1: 11, 2: 11, 3: 9, 4: 21, 5: 23, 7: 5, 10: 6, 11: 17, 12: 11}
@@ -300,20 +300,22 @@
 
 
 def digest(values: list[Any]) -> str:
-    """Of plain values, floats by their exact text."""
+    """Hash plain values; floats are hashed by their exact text."""
     return hashlib.sha256(repr(values).encode()).hexdigest()
 
 
-# the engines' upstreams
+# selection of upstreams, model engines among them
 
 
 def engine_values(seed: int, *, engine: bool) -> list[Any]:
     rng = Random(seed)
     ids = [f"u{n}" for n in range(9)]
-    linked: set[str] = set()
-    made = UpstreamSelector(Random(seed + 1), is_engine=engine, has_idle_connection=linked.__contains__)
-    made.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
-    calls: list[tuple[str, float]] = []
+    connected: set[str] = set()
+    selector = UpstreamSelector(
+        Random(seed + 1), is_engine=engine, has_idle_connection=connected.__contains__
+    )
+    selector.update({id_: UpstreamStatus(is_ready=True) for id_ in ids}, 0.0)
+    attempts: list[tuple[str, float]] = []
     values: list[Any] = []
     now_ms = 0.0
     outcomes = [Outcome.OK] * 6 + [
@@ -325,56 +327,64 @@
     ]
     for step in range(4_000):
         now_ms += rng.expovariate(0.2)
-        what = rng.random()
-        if what < 0.55:
-            head_tokens = rng.choice((0.0, 300.0, 2_000.0, 8_000.0))
-            head = f"h{rng.randrange(12)}" if head_tokens else ""
+        choice = rng.random()
+        if choice < 0.55:
+            prefix_tokens = rng.choice((0.0, 300.0, 2_000.0, 8_000.0))
+            prefix = f"h{rng.randrange(12)}" if prefix_tokens else ""
             prompt = Prompt(
-                head,
-                head_tokens + rng.uniform(10.0, 3_000.0),
-                head_tokens,
+                prefix,
+                prefix_tokens + rng.uniform(10.0, 3_000.0),
+                prefix_tokens,
                 rng.choice((150.0, 500.0, 2_000.0)),
             )
-            kept = rng.random() < 0.7
-            keeper = rng.choice((None, *ids))
+            is_cached = rng.random() < 0.7
+            owner = rng.choice((None, *ids))
             excluded = set(rng.sample(ids, rng.choice((0, 0, 0, 1, 3, 8))))
             left_ms = rng.choice((None, prompt.latency_target_ms * rng.random()))
-            chosen = made.select(prompt, excluded, now_ms, keeper, is_cached=kept, remaining_ms=left_ms)
-            values.append((chosen, made.last_reason.value))
+            chosen = selector.select(
+                prompt, excluded, now_ms, owner, is_cached=is_cached, remaining_ms=left_ms
+            )
+            values.append((chosen, selector.last_reason.value))
             if chosen is not None:
-                tokens = made.on_attempt_started(chosen, prompt, now_ms, is_cached=kept and chosen == keeper)
-                calls.append((chosen, tokens))
-                linked.add(chosen)
+                tokens = selector.on_attempt_started(
+                    chosen, prompt, now_ms, is_cached=is_cached and chosen == owner
+                )
+                attempts.append((chosen, tokens))
+                connected.add(chosen)
                 values.append(
-                    (tokens, made.overdue_after_ms(prompt, tokens), made.prefill_backlog_tokens(chosen))
+                    (
+                        tokens,
+                        selector.overdue_after_ms(prompt, tokens),
+                        selector.prefill_backlog_tokens(chosen),
+                    )
                 )
-        elif what < 0.92 and calls:
-            id_, tokens = calls.pop(rng.randrange(len(calls)))
-            made.on_attempt_released(id_, tokens, now_ms)
-            made.on_outcome(id_, rng.choice(outcomes), now_ms)
-            made.prefill_time.observe(tokens, 30.0 + 0.02 * tokens * rng.uniform(0.8, 1.4))
+        elif choice < 0.92 and attempts:
+            id_, tokens = attempts.pop(rng.randrange(len(attempts)))
+            selector.on_attempt_released(id_, tokens, now_ms)
+            selector.on_outcome(id_, rng.choice(outcomes), now_ms)
+            selector.prefill_time.observe(tokens, 30.0 + 0.02 * tokens * rng.uniform(0.8, 1.4))
             if rng.random() < 0.2:
-                linked.discard(id_)
-        elif what < 0.95:
-            made.set_peer_prefill_backlog({id_: rng.uniform(0.0, 40_000.0) for id_ in rng.sample(ids, 5)})
-        elif what < 0.97:
-            made.set_ejected(rng.sample(ids, rng.randrange(4)))
+                connected.discard(id_)
+        elif choice < 0.95:
+            selector.set_peer_prefill_backlog({id_: rng.uniform(0.0, 40_000.0) for id_ in rng.sample(ids, 5)})
+        elif choice < 0.97:
+            selector.set_ejected(rng.sample(ids, rng.randrange(4)))
         else:
             listed = rng.sample(ids, rng.randrange(3, 10))
-            made.update(
+            selector.update(
                 {
                     id_: UpstreamStatus(rng.random() < 0.9, is_unresponsive=rng.random() < 0.1)
                     for id_ in listed
                 },
                 now_ms,
             )
-            values.append((made.ready_count, [made.is_ready(id_) for id_ in ids]))
+            values.append((selector.ready_count, [selector.is_ready(id_) for id_ in ids]))
         if step % 50 == 0:
             values.append(
                 (
-                    sorted(made.own_prefill_backlog().items()),
-                    made.prefill_time.ms_per_token,
-                    made.prefill_time.fixed_ms,
+                    sorted(selector.own_prefill_backlog().items()),
+                    selector.prefill_time.ms_per_token,
+                    selector.prefill_time.fixed_ms,
                 )
             )
     return values
@@ -395,14 +405,14 @@
     assert digest(values) == GOLDEN_ENGINES[seed, engine]
 
 
-# ejection by the fleet, prefill time, the door
+# fleet outlier detection, prefill time, load shedding
 
 
 def ejection_values() -> list[Any]:
     rng = Random(21)
     ids = [f"u{n}" for n in range(10)]
     routers = [OutcomeWindow() for _ in range(3)]
-    judged = FleetOutlierDetector()
+    detector = FleetOutlierDetector()
     values: list[Any] = []
     now_ms = 0.0
     for _ in range(1_500):
@@ -413,71 +423,73 @@
         total: dict[str, OutcomeCounts] = sum_outcomes(
             [router.failing_upstreams(now_ms) for router in routers]
         )
-        changed = judged.evaluate([ids[:7], ids[7:]], total, now_ms)
-        values.append((changed, sorted(judged.ejected), sorted((k, tuple(v)) for k, v in total.items())))
+        changed = detector.evaluate([ids[:7], ids[7:]], total, now_ms)
+        values.append((changed, sorted(detector.ejected), sorted((k, tuple(v)) for k, v in total.items())))
     return values
 
 
-def reading_values() -> list[Any]:
+def prefill_values() -> list[Any]:
     rng = Random(22)
-    made = PrefillTime()
+    line = PrefillTime()
     values: list[Any] = []
     for step in range(600):
         tokens = rng.uniform(0.0, 6_000.0) if step > 40 else 100.0
-        made.observe(tokens, 20.0 + (0.01 if step < 300 else 0.6) * tokens * rng.random())
-        values.append((made.ms_per_token, made.fixed_ms, made.expected_ms(1_000.0)))
+        line.observe(tokens, 20.0 + (0.01 if step < 300 else 0.6) * tokens * rng.random())
+        values.append((line.ms_per_token, line.fixed_ms, line.expected_ms(1_000.0)))
     return values
 
 
-def door_values() -> list[Any]:
+def shedding_values() -> list[Any]:
     rng = Random(23)
     classes = [
         RequestClass(100.0, 400.0, Effect.SAFE, worth=1.0, name="a"),
         RequestClass(400.0, 900.0, Effect.UNSAFE, worth=8.0, name="b"),
     ]
-    door = LoadShedder(classes, Random(24))
+    shedder = LoadShedder(classes, Random(24))
     values: list[Any] = []
-    for turn in range(1_200):
-        if turn == 700:
-            door.configure(
+    for iteration in range(1_200):
+        if iteration == 700:
+            shedder.configure(
                 [*classes[:1], RequestClass(300.0, 900.0, Effect.SAFE, worth=2.0, name="c"), classes[1]]
             )
-        load = 60.0 if 200 < turn < 500 or turn > 800 else 6.0
-        let_in = [door.admits(rng.randrange(2), rng.random() < 0.3) for _ in range(rng.randrange(8))]
-        busy_ms = load * rng.uniform(0.5, 1.5) * (0.2 + 0.2 * sum(let_in))
-        door.on_iteration(busy_ms, busy_ms + rng.uniform(0.0, 10.0))
-        values.append((let_in, door.shed_fraction, door.is_shedding, door.shed_count, door.mean_busy_ms))
+        load = 60.0 if 200 < iteration < 500 or iteration > 800 else 6.0
+        admitted = [shedder.admits(rng.randrange(2), rng.random() < 0.3) for _ in range(rng.randrange(8))]
+        busy_ms = load * rng.uniform(0.5, 1.5) * (0.2 + 0.2 * sum(admitted))
+        shedder.on_iteration(busy_ms, busy_ms + rng.uniform(0.0, 10.0))
+        values.append(
+            (admitted, shedder.shed_fraction, shedder.is_shedding, shedder.shed_count, shedder.mean_busy_ms)
+        )
     return values
 
 
 GOLDEN_PARTS: dict[str, str] = {
     "ejection": "9a06e0dfdb7f3351343e41e0552e843e7834613c1ee47442a395fe89516afcd3",
-    "reading": "bb024125817a1625bbcf2024a6a097a03a1c007c111e3ca80d5a73ffed71452f",
-    "door": "8547438e4f4107575d902ce3887613e8c0748aa659904ed2bb1c762c98adb07e",
+    "prefill_time": "bb024125817a1625bbcf2024a6a097a03a1c007c111e3ca80d5a73ffed71452f",
+    "load_shedding": "8547438e4f4107575d902ce3887613e8c0748aa659904ed2bb1c762c98adb07e",
 }
 
 
-def test_the_fleet_ejects_the_same() -> None:
+def test_fleet_ejections_are_the_same() -> None:
     values = ejection_values()
     assert len({tuple(value[1]) for value in values}) > 5
     assert digest(values) == GOLDEN_PARTS["ejection"]
 
 
 def test_the_prefill_time_is_the_same() -> None:
-    assert digest(reading_values()) == GOLDEN_PARTS["reading"]
+    assert digest(prefill_values()) == GOLDEN_PARTS["prefill_time"]
 
 
-def test_the_door_sheds_the_same() -> None:
-    values = door_values()
+def test_load_shedding_is_the_same() -> None:
+    values = shedding_values()
     assert values[-1][3] > 100
-    assert digest(values) == GOLDEN_PARTS["door"]
+    assert digest(values) == GOLDEN_PARTS["load_shedding"]
 
 
-# what the simulator's wire does not carry: health told by other copies, restored servers, new settings
+# what the wire format does not carry: health reports of peers, restored servers, new settings
 
 
-class Copy:
-    """One copy's decisions and their world; what is hashed is each action's bytes."""
+class SimulatedBalancer:
+    """A balancer and its simulated environment; the bytes of each action are hashed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -486,7 +498,7 @@
         self.balancer.shared_health = SharedHealth(self.balancer.outliers)
         self.now_ms = 1_000.0
         self.values: list[Any] = []
-        self.sick = {3, 7}
+        self.unhealthy = {3, 7}
         self._due: list[tuple[float, int, Event]] = []
         self._serial = 0
         self._attempts = Counter[int]()
@@ -525,10 +537,10 @@
         if isinstance(action, Send):
             self.values.append(action.write_by_ms)
             self._attempts[action.request] += 1
-            sick = action.server in self.sick
+            unhealthy = action.server in self.unhealthy
             outcome = (
                 rng.choice((Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR, Outcome.FULL))
-                if sick
+                if unhealthy
                 else Outcome.OK
             )
             if rng.random() < 0.02:
@@ -557,7 +569,7 @@
         elif isinstance(action, SetTimer):
             self.later(max(1.0, action.delay_ms), TimerFired(action.cookie))
         elif isinstance(action, Probe):
-            outcome = Outcome.TIMEOUT if action.server in self.sick else Outcome.OK
+            outcome = Outcome.TIMEOUT if action.server in self.unhealthy else Outcome.OK
             self.later(rng.uniform(1.0, 50.0), ProbeEnded(action.server, outcome, 5.0))
 
     def run(self, until_ms: float) -> None:
@@ -567,8 +579,8 @@
 
 
 def shared_values(seed: int) -> list[Any]:
-    copy = Copy(seed)
-    rng = copy.rng
+    simulated = SimulatedBalancer(seed)
+    rng = simulated.rng
     proofs = [
         None,
         RestoredTrust(0.9),
@@ -579,8 +591,8 @@
     cached = [
         ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, restored_trust=proofs[n % 5]) for n in range(12)
     ]
-    copy.feed(ListUpdate(ListKind.CACHED, 1, cached))
-    shown = [
+    simulated.feed(ListUpdate(ListKind.CACHED, 1, cached))
+    verified = [
         ServerEntry(
             n,
             zone=n % 2,
@@ -590,51 +602,62 @@
         )
         for n in (1, 2)
     ]
-    copy.later(300.0, ListUpdate(ListKind.PROOF, 1, shown))
-    whole = [
+    simulated.later(300.0, ListUpdate(ListKind.PROOF, 1, verified))
+    full = [
         ServerEntry(n, zone=n % 2, cell=n // 4, kind=n % 3, started_ms=5_000.0 * (n == 9)) for n in range(12)
     ]
-    copy.later(4_500.0, ListUpdate(ListKind.FULL, 2, whole))
-    copy.later(9_000.0, ListUpdate(ListKind.DELTA, 3, [ServerEntry(2, ServerState.DRAINING)]))
-    copy.later(7_000.0, Reconfigured(Copy.tuned(2.0)))
+    simulated.later(4_500.0, ListUpdate(ListKind.FULL, 2, full))
+    simulated.later(9_000.0, ListUpdate(ListKind.DELTA, 3, [ServerEntry(2, ServerState.DRAINING)]))
+    simulated.later(7_000.0, Reconfigured(SimulatedBalancer.tuned(2.0)))
     at_ms = 0.0
     for request in range(1, 2_500):
         at_ms += rng.expovariate(0.2)
         at = rng.randrange(3)
-        coming = rng.random() < 0.1
+        incomplete = rng.random() < 0.1
         expected_ms = rng.uniform(5.0, 80.0) if rng.random() < 0.4 else None
         left_ms = (400.0, 600.0, 600.0)[at] * (1.0 if rng.random() < 0.8 else rng.random())
         event = RequestArrived(
-            request, at, left_ms, rng.randrange(2), 0, expected_ms, rng.random() < 0.1, body_incomplete=coming
+            request,
+            at,
+            left_ms,
+            rng.randrange(2),
+            0,
+            expected_ms,
+            rng.random() < 0.1,
+            body_incomplete=incomplete,
         )
-        copy.later(at_ms, event)
-        if coming:
-            copy.later(at_ms + rng.uniform(0.0, 80.0), RequestBodyReceived(request))
+        simulated.later(at_ms, event)
+        if incomplete:
+            simulated.later(at_ms + rng.uniform(0.0, 80.0), RequestBodyReceived(request))
         if rng.random() < 0.02:
-            copy.later(at_ms + 10.0, ClientGone(request))
+            simulated.later(at_ms + 10.0, ClientGone(request))
         if rng.random() < 0.4:
             server, good = rng.choice((3, 7, rng.randrange(12))), rng.choice((True, False, None))
-            copy.later(
+            simulated.later(
                 at_ms,
                 PeerHealthReport(
                     server, good, rng.uniform(0.0, 9_000.0), rng.random() < 0.5, rng.random() < 0.4
                 ),
             )
-    while copy._due:
-        copy.run(copy.now_ms + 500.0 if copy._due[0][0] <= copy.now_ms + 500.0 else copy._due[0][0])
-        hearsay = copy.balancer.shared_health
-        copy.values.append([tuple(told) for told in hearsay.local_health(copy.now_ms)])
-        copy.balancer.set_other_in_flight(rng.randrange(12), rng.randrange(3), copy.now_ms)
-        copy.balancer.on_connections_closed(rng.randrange(12))
+    while simulated._due:
+        simulated.run(
+            simulated.now_ms + 500.0
+            if simulated._due[0][0] <= simulated.now_ms + 500.0
+            else simulated._due[0][0]
+        )
+        shared_health = simulated.balancer.shared_health
+        simulated.values.append([tuple(health) for health in shared_health.local_health(simulated.now_ms)])
+        simulated.balancer.set_other_in_flight(rng.randrange(12), rng.randrange(3), simulated.now_ms)
+        simulated.balancer.on_connections_closed(rng.randrange(12))
         if rng.random() < 0.05:
-            copy.sick = {3, 7} if rng.random() < 0.7 else {3, 4}
-    learned = copy.balancer.learned()
-    copy.values.append(sorted(learned))
-    copy.values.append(json.dumps(learned, sort_keys=True))
-    other = Balancer(Copy.tuned(1.0), seed + 1)
+            simulated.unhealthy = {3, 7} if rng.random() < 0.7 else {3, 4}
+    learned = simulated.balancer.learned()
+    simulated.values.append(sorted(learned))
+    simulated.values.append(json.dumps(learned, sort_keys=True))
+    other = Balancer(SimulatedBalancer.tuned(1.0), seed + 1)
     other.adopt({**learned, "retries": "no number", "window": math.nan})
-    copy.values.append(json.dumps(other.learned(), sort_keys=True))
-    return copy.values
+    simulated.values.append(json.dumps(other.learned(), sort_keys=True))
+    return simulated.values
 
 
 GOLDEN_SHARED: dict[int, str] = {
@@ -645,15 +668,15 @@
 
 
 @pytest.mark.parametrize("seed", [31, 32, 33])
-def test_decisions_beside_other_copies_are_the_same(seed: int) -> None:
+def test_decisions_with_peer_health_reports_are_the_same(seed: int) -> None:
     assert digest(shared_values(seed)) == GOLDEN_SHARED[seed]
 
 
 LEARNED_KEYS = {"base", "credit", "idle_share", "latency", "most_running", "retries", "window", "work"}
 
 
-def test_what_is_learned_keeps_its_published_names() -> None:
-    assert set(Balancer(Copy.tuned(1.0), 1).learned()) == LEARNED_KEYS
+def test_learned_state_keeps_its_published_names() -> None:
+    assert set(Balancer(SimulatedBalancer.tuned(1.0), 1).learned()) == LEARNED_KEYS
 
 
 # settings: every key of the wire's JSON, by value and place
@@ -699,7 +722,7 @@
 
 
 def plain(value: Any) -> Any:
-    """The values alone, in the order of the fields."""
+    """Convert to plain values, in the order of the fields."""
     if is_dataclass(value):
         return tuple(plain(getattr(value, field.name)) for field in fields(value))
     if isinstance(value, Enum):
