--- a/packages/balancing/src/larkweir_balancing/admission_queue.py
+++ b/packages/balancing/src/larkweir_balancing/admission_queue.py
@@ -21,7 +21,7 @@
 
     STANDING_FRACTION = 0.5  # of the aim, for so long
     MAX_WAITING = 4096  # that wait at once
-    OVER_SHARE_TURN = (
+    OVER_SHARE_INTERVAL = (
         16  # every so many turns, one over its share goes first: guards against starving it for good
     )
 
@@ -67,14 +67,14 @@
         return self._count > 0
 
     def max_wait_ms(
-        self, now_ms: float, aim_ms: float, aim_left_ms: float, pace_ms: float, over_share: bool
+        self, now_ms: float, aim_ms: float, aim_left_ms: float, slot_interval_ms: float, over_share: bool
     ) -> float:
-        """How long a request may wait; `pace_ms` is the mean time from place to place."""
+        """How long a request may wait; `slot_interval_ms` is the mean time from place to place."""
         part = self._burst_wait_fraction
         since = self._occupied_since_ms[over_share]
         if since >= 0.0 and now_ms - since > self.STANDING_FRACTION * aim_ms:
             # Where places come seldom, one or two of them: else no one would be there to take the next.
-            part = min(part, max(self._standing_wait_fraction, 2.0 * pace_ms / aim_ms))
+            part = min(part, max(self._standing_wait_fraction, 2.0 * slot_interval_ms / aim_ms))
         return part * aim_left_ms
 
     def try_enter(
@@ -83,14 +83,14 @@
         request: int,
         class_index: int,
         over_share: bool,
-        patience_ms: float,
-        pace_ms: float,
+        max_wait_ms: float,
+        slot_interval_ms: float,
     ) -> bool:
         """Let it wait, if its turn can come while it does; False: it is to be answered at once."""
-        if self._count >= self.MAX_WAITING or patience_ms <= 0.0:
+        if self._count >= self.MAX_WAITING or max_wait_ms <= 0.0:
             return False
         at = class_index + self._classes * over_share
-        if self._count_ahead(at) * pace_ms > patience_ms:
+        if self._count_ahead(at) * slot_interval_ms > max_wait_ms:
             return False
         queue = self._queues[at]
         if not queue:  # one that comes anew has saved up no turns
@@ -121,7 +121,7 @@
             return None
         within = self._count - self._over_share_count
         self._popped += 1
-        over = not within or (self._over_share_count > 0 and self._popped % self.OVER_SHARE_TURN == 0)
+        over = not within or (self._over_share_count > 0 and self._popped % self.OVER_SHARE_INTERVAL == 0)
         low, high = (self._classes, 2 * self._classes) if over else (0, self._classes)
         at = min((n for n in range(low, high) if self._queues[n]), key=self._next_pass.__getitem__)
         self._current_pass = self._next_pass[at]
--- a/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
+++ b/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
@@ -1,7 +1,7 @@
 """How many calls this copy may have out at once: the window of calls in flight. Pure logic.
 
 `ConcurrencyLimiter` holds the window. It is steered by the time that calls spend at the upstreams, never by what this
-process adds, and knows two ranges. Below `min_counted_window` calls a replica sees too little to keep
+process adds, and knows two ranges. Below `min_hard_limit` calls a replica sees too little to keep
 count by: a request is let through or refused by chance, on the mean of what is out. From there on the window is a hard
 bound, opens as fast as answers prove it, and who finds it full waits a while in the `admission_queue`. Times are
 milliseconds.
@@ -14,7 +14,7 @@
 from enum import Enum
 from random import Random
 
-from larkweir_balancing.fruitless_closing import FruitlessClosing
+from larkweir_balancing.fruitless_closing import FruitlessShrinkDetector
 from larkweir_balancing.latency_estimates import LatencyEstimates
 from larkweir_balancing.outcomes import Outcome
 from larkweir_balancing.over_share import OverShareAllowance
@@ -46,25 +46,25 @@
     A window that counts is steered in rounds: of the calls that were begun since it was last changed and that filled
     it, the mean time tells by what factor it is too small or too large, and so nothing is corrected twice. Until
     queues are seen it grows with every answer instead, which doubles it each round trip. A window below
-    `min_counted_window` takes a small step with every answer; several seconds may lie between two of them.
+    `min_hard_limit` takes a small step with every answer; several seconds may lie between two of them.
     """
 
     SAMPLE_WEIGHT = 1.0 / 16.0  # of one answer, by which an unused window narrows
     # What queues may add to the latency at low load: a multiple of it, but at least and at most such parts of the way
     # from it to the aim. A small window has no other place for its queue than the servers; one that counts has.
     MIN_TOLERANCE_FRACTION, TOLERANCE_FACTOR, MAX_TOLERANCE_FRACTION = 0.15, 2.0, 0.5
-    COUNTED_TOLERANCE_FACTOR, COUNTED_MAX_TOLERANCE_FRACTION = 0.25, 0.3
+    HARD_LIMIT_TOLERANCE_FACTOR, HARD_LIMIT_MAX_TOLERANCE_FRACTION = 0.25, 0.3
     GAIN = 0.2  # of a small window, an answer, for a latency off by the whole target
-    FIRST_CALLS_PER_SERVER = 4.0  # calls a server is first taken to bear, from all copies together
-    FIRST_WINDOW = 0.5  # at the least, until there is evidence
-    FIRST_WINDOW_ALONE = 8.0  # of a copy that is nearly alone, at the most, or one for each server
+    INITIAL_CALLS_PER_SERVER = 4.0  # calls a server is first taken to bear, from all copies together
+    MIN_INITIAL_WINDOW = 0.5  # at the least, until there is evidence
+    MAX_INITIAL_WINDOW = 8.0  # of a copy that is nearly alone, at the most, or one for each server
     # A part of a call is admitted by chance: copies of low rate must be able to shed as well.
     MIN_WINDOW = 0.1
     MAX_WINDOW = 100_000.0  # no evidence is good for more
     IN_FLIGHT_SAMPLE_WEIGHT = 1.0 / 8.0
     # Calls: a smaller window is kept by chance, a larger one by count. One of many copies sees in its answers what the
     # others do as well, and goes by small steps for longer.
-    MIN_COUNTED_WINDOW, MIN_COUNTED_WINDOW_OF_MANY = 2.0, 8.0
+    MIN_HARD_LIMIT, MIN_HARD_LIMIT_OF_MANY = 2.0, 8.0
     FEW_REPLICAS = 2  # copies that are not many
     USED_FRACTION = 0.6  # of the window out: what a call finds that tells whether the window is too large
     # Of the tolerance: while queues add less than that, the window doubles each round trip.
@@ -73,11 +73,11 @@
     DOUBLING_TOLERANCES = 4.0
     QUEUE_SAMPLE_WEIGHT = 1.0 / 8.0  # weight of a new sample in that
     # Of the tolerance, that a round's growth by the root of the window may add to the latency at most.
-    FAIR_GROWTH_FRACTION = 0.25
+    MAX_EXTRA_GROWTH_FRACTION = 0.25
     MIN_ROUND_CALLS, MAX_ROUND_CALLS = 8, 64  # calls: a round is as many as the window, within these bounds
     GROWTH_FRACTION = 0.5  # of what the mean time says that the window is too small: taken back is all of it
     CEILING_LIFT_FACTOR = 1.03  # of the ceiling, with every round that finds nothing there
-    MAX_DOUBT_TOLERANCES = 1.0  # tolerances, that are put down to chance
+    MAX_ERROR_TOLERANCES = 1.0  # tolerances, that are put down to chance
     MIN_ROUND_FACTOR = 0.5  # of the window, that one round takes back
     # Of a round's calls turned away, from which the window is too large whatever the others' time.
     FULL_FRACTION = 0.1
@@ -91,9 +91,9 @@
         self._rng = rng
         self.arbiter: Arbiter | None = None  # chooses whom to let in, of as many as the window lets in
         self._classes: Sequence[RequestClass] = settings.classes
-        self.min_counted_window = self._min_counted_window(settings)
-        self.window = self.FIRST_WINDOW  # calls that may be out at once; opened by the first list
-        self._first = self.FIRST_WINDOW  # what the first list opened
+        self.min_hard_limit = self._min_hard_limit(settings)
+        self.window = self.MIN_INITIAL_WINDOW  # calls that may be out at once; opened by the first list
+        self._initial_window = self.MIN_INITIAL_WINDOW  # what the first list opened
         self.opened = False
         self.latencies = LatencyEstimates(settings)
         self.mean, self.base = self.latencies.mean, self.latencies.base  # the same lists
@@ -107,7 +107,7 @@
         self._round = 1
         self._full_round, self._light_round = RoundSums(), RoundSums()
         self._ceiling = math.inf  # the window that would have been right when queues were last met
-        self._closing = FruitlessClosing()
+        self._shrink_detector = FruitlessShrinkDetector()
         self._tolerance, self._tolerance_answers = 1.0, 0  # the tolerance, kept for so many more answers
 
     def configure(self, settings: Settings) -> None:
@@ -118,11 +118,11 @@
         for at in self.latencies.configure(settings):
             self._last_arrival[at] = -math.inf
         self._classes = settings.classes
-        self.min_counted_window = self._min_counted_window(settings)
+        self.min_hard_limit = self._min_hard_limit(settings)
 
-    def _min_counted_window(self, settings: Settings) -> float:
+    def _min_hard_limit(self, settings: Settings) -> float:
         is_one_of_few = settings.balancer_count <= self.FEW_REPLICAS
-        return self.MIN_COUNTED_WINDOW if is_one_of_few else self.MIN_COUNTED_WINDOW_OF_MANY
+        return self.MIN_HARD_LIMIT if is_one_of_few else self.MIN_HARD_LIMIT_OF_MANY
 
     def open(self, ready: int, balancer_count: int) -> None:
         """The first list: as many calls as its servers are taken to bear from each copy, but of a copy that is nearly
@@ -130,15 +130,15 @@
         """
         if not self.opened and ready:
             self.opened = True
-            share = self.FIRST_CALLS_PER_SERVER * ready / balancer_count
-            self.window = self._first = max(
-                self.FIRST_WINDOW, min(share, max(self.FIRST_WINDOW_ALONE, ready))
+            share = self.INITIAL_CALLS_PER_SERVER * ready / balancer_count
+            self.window = self._initial_window = max(
+                self.MIN_INITIAL_WINDOW, min(share, max(self.MAX_INITIAL_WINDOW, ready))
             )
 
     def on_capacity_lost(self, servers: int) -> None:
         """One of so many servers that bear the window is sent nothing from now on."""
-        if self.is_counted:
-            self.window = max(self.min_counted_window, self.window * (1.0 - 1.0 / max(2, servers)))
+        if self.is_hard_limit:
+            self.window = max(self.min_hard_limit, self.window * (1.0 - 1.0 / max(2, servers)))
 
     @property
     def mean_in_flight(self) -> float:
@@ -148,16 +148,16 @@
     # ------------------------------------------------ letting in
 
     @property
-    def is_counted(self) -> bool:
+    def is_hard_limit(self) -> bool:
         """Whether the window is a hard bound, that can be waited for."""
-        return self.window >= self.min_counted_window
+        return self.window >= self.min_hard_limit
 
     def admit(self, class_index: int, in_flight: int, waiting: int, over_share: bool) -> Verdict:
-        """What is to become of a request, as `_own_verdict` says unless there is an arbiter."""
-        verdict = self._own_verdict(class_index, in_flight, waiting, over_share)
+        """What is to become of a request, as `_window_verdict` says unless there is an arbiter."""
+        verdict = self._window_verdict(class_index, in_flight, waiting, over_share)
         return verdict if self.arbiter is None else self.arbiter(class_index, verdict, waiting)
 
-    def _own_verdict(self, class_index: int, in_flight: int, waiting: int, over_share: bool) -> Verdict:
+    def _window_verdict(self, class_index: int, in_flight: int, waiting: int, over_share: bool) -> Verdict:
         """A request has come while `in_flight` calls are out and `waiting` requests wait for a place.
 
         Traffic over its tenant's share may fill a part of the window only, and that part closes while requests within
@@ -166,7 +166,7 @@
         self._arrivals += 1.0
         self._last_arrival[class_index] = self._arrivals
         self._mean_in_flight += self.IN_FLIGHT_SAMPLE_WEIGHT * (in_flight - self._mean_in_flight)
-        if self.is_counted:
+        if self.is_hard_limit:
             if over_share:
                 full = waiting > 0 or in_flight >= self.window * self._over_share.fraction
             else:
@@ -184,7 +184,7 @@
 
     def free_slots(self, in_flight: int) -> int:
         """How many that wait may go now."""
-        return max(0, int(self.window - in_flight)) if self.is_counted else max(0, 1 - in_flight)
+        return max(0, int(self.window - in_flight)) if self.is_hard_limit else max(0, 1 - in_flight)
 
     def slot_interval_ms(self, class_index: int) -> float:
         """The mean time from place to place; 0 while that can't be told, as the window opens with every answer."""
@@ -205,8 +205,8 @@
         """What queues may add to the latency at low load: the least over the classes in use."""
         least = math.inf
         times, most = self.TOLERANCE_FACTOR, self.MAX_TOLERANCE_FRACTION
-        if self.is_counted:
-            times, most = self.COUNTED_TOLERANCE_FACTOR, self.COUNTED_MAX_TOLERANCE_FRACTION
+        if self.is_hard_limit:
+            times, most = self.HARD_LIMIT_TOLERANCE_FACTOR, self.HARD_LIMIT_MAX_TOLERANCE_FRACTION
         horizon = self._arrivals - self.ACTIVE_ARRIVALS * len(self._classes)
         for at, cls in enumerate(self._classes):
             if self._last_arrival[at] >= horizon:
@@ -233,12 +233,14 @@
             return
         if outcome is Outcome.OK:
             self.latencies.record(class_index, spent_ms, size)
-        if self.is_counted:
-            self._steer_counted(class_index, outcome, spent_ms, in_flight, limiter_round, attempts, size)
+        if self.is_hard_limit:
+            self._steer_hard_limit(class_index, outcome, spent_ms, in_flight, limiter_round, attempts, size)
         else:
-            self._steer_small(class_index, outcome, spent_ms, in_flight, attempts)
+            self._steer_soft_limit(class_index, outcome, spent_ms, in_flight, attempts)
 
-    def _steer_small(self, at: int, outcome: Outcome, spent_ms: float, in_flight: int, attempts: int) -> None:
+    def _steer_soft_limit(
+        self, at: int, outcome: Outcome, spent_ms: float, in_flight: int, attempts: int
+    ) -> None:
         """Steer a small window. A failure counts as a whole aim."""
         aim = self._classes[at].aim_ms
         if outcome is Outcome.FULL:
@@ -257,7 +259,7 @@
             self.window = max(self.MIN_WINDOW, self.window + step)
         self.is_doubling = False
 
-    def _steer_counted(
+    def _steer_hard_limit(
         self,
         at: int,
         outcome: Outcome,
@@ -327,7 +329,7 @@
         """There are queues, and what is out does not fill the window: it is far too wide, and no round will ever tell.
         Guards against one that stands open from better times, and lets everything wait at the servers until it is late.
         """
-        used = max(self._first, (in_flight + 1.0) / self.USED_FRACTION)
+        used = max(self._initial_window, (in_flight + 1.0) / self.USED_FRACTION)
         if used < self.window:
             self.window += self.SAMPLE_WEIGHT * (used - self.window)
 
@@ -358,21 +360,21 @@
             factor = 1.0
         else:
             # Guards against closing for chance: the times of a few calls differ by their work, without any queue.
-            doubt = min(sums.error(), self.MAX_DOUBT_TOLERANCES * tolerance)
+            error_ms = min(sums.error(), self.MAX_ERROR_TOLERANCES * tolerance)
             factor = (base + tolerance) / max(latency, 0.001)
-            if 1.0 >= factor > (base + tolerance) / (base + tolerance + doubt):
+            if 1.0 >= factor > (base + tolerance) / (base + tolerance + error_ms):
                 factor = 1.0
             elif factor > 1.0:
-                self._closing.end()
+                self._shrink_detector.end()
                 factor = 1.0 if self.is_doubling else 1.0 + self.GROWTH_FRACTION * (min(factor, 3.0) - 1.0)
                 if self.window * factor > self._ceiling:
                     # Where queues were met before it goes on by small steps: there is least to win and most to lose.
                     factor = max(1.0, self._ceiling / self.window)
                     self._ceiling *= self.CEILING_LIFT_FACTOR
             else:
-                factor = (base + tolerance + doubt) / latency
-                self._ceiling = max(self.min_counted_window, self.window * factor)
-                if self._closing.is_fruitless(self.window, self.min_counted_window, latency, sums):
+                factor = (base + tolerance + error_ms) / latency
+                self._ceiling = max(self.min_hard_limit, self.window * factor)
+                if self._shrink_detector.is_fruitless(self.window, self.min_hard_limit, latency, sums):
                     self._rescale(sums, 1.0)
                     self._ceiling, factor = math.inf, 1.0
             if added < 0.0:
@@ -380,14 +382,15 @@
         if sums.full > self.FULL_FRACTION * (sums.calls + sums.full):
             factor = min(factor, 0.7)
         # The root, for a gain that is more of a small window than of a large one: lets late copies catch up.
-        fair = 0.0
+        extra_growth = 0.0
         if not self.is_doubling and factor > self.MIN_ROUND_FACTOR:
-            fair = min(
-                math.sqrt(self.window), self.FAIR_GROWTH_FRACTION * self.window * tolerance / max(base, 0.01)
+            extra_growth = min(
+                math.sqrt(self.window),
+                self.MAX_EXTRA_GROWTH_FRACTION * self.window * tolerance / max(base, 0.01),
             )
         self.window = min(
             self.MAX_WINDOW,
-            max(self.min_counted_window - 0.5, self.window * max(self.MIN_ROUND_FACTOR, factor) + fair),
+            max(self.min_hard_limit - 0.5, self.window * max(self.MIN_ROUND_FACTOR, factor) + extra_growth),
         )
         sums.clear()
         self._round += 1
--- a/packages/balancing/src/larkweir_balancing/fruitless_closing.py
+++ b/packages/balancing/src/larkweir_balancing/fruitless_closing.py
@@ -5,7 +5,7 @@
 from larkweir_balancing.round_sums import RoundSums
 
 
-class FruitlessClosing:
+class FruitlessShrinkDetector:
     """While the window closes: whether the latency is the same with half of it.
 
     Guards against closing it for ever on a tier that has become slower for each call, where no queue of ours is
@@ -17,21 +17,21 @@
     FRUITLESS_FRACTION = 0.85  # of the latency: with more than that left, no queue was ours
 
     def __init__(self) -> None:
-        self._began: tuple[float, float] | None = (
+        self._start: tuple[float, float] | None = (
             None  # window and mean time when it began to close, or halved
         )
 
     def end(self) -> None:
         """The window does not close any more."""
-        self._began = None
+        self._start = None
 
     def is_fruitless(self, window: float, min_window: float, latency: float, sums: RoundSums) -> bool:
         """Whether half of the window has changed nothing. `latency` is the mean of the round of `sums`."""
-        if self._began is None or sums.timed_out > self.MAX_TIMED_OUT_FRACTION * sums.calls:
-            self._began = (window, latency)
+        if self._start is None or sums.timed_out > self.MAX_TIMED_OUT_FRACTION * sums.calls:
+            self._start = (window, latency)
             return False
-        began_window, began_latency = self._began
-        if window > max(self.HALVED_FRACTION * began_window, min_window + 1.0):
+        start_window, start_latency = self._start
+        if window > max(self.HALVED_FRACTION * start_window, min_window + 1.0):
             return False
-        self._began = (window, latency)
-        return latency > self.FRUITLESS_FRACTION * began_latency
+        self._start = (window, latency)
+        return latency > self.FRUITLESS_FRACTION * start_latency
--- a/packages/balancing/src/larkweir_balancing/latency_estimates.py
+++ b/packages/balancing/src/larkweir_balancing/latency_estimates.py
@@ -31,18 +31,18 @@
         self._base_sizes = [0.0] * count  # the sum of the sizes of those answers
         # Of a call's time at low load, the part that goes by its request's size: of the tiers from here on, this one.
         self._slope = 1.0 / max(1, settings.tiers - settings.tier)
-        self._spread, self._along = 1.0, self._slope
+        self._size_variance, self._size_time_covariance = 1.0, self._slope
 
     def configure(self, settings: Settings) -> list[int]:
         """Take new classes, and return the places of those that were not there. What was learned of others stays.
 
         Classes keep their places; there may be more, and another class may have taken the place of one that is no more.
         """
-        more = len(settings.classes) - len(self._classes)
+        added_count = len(settings.classes) - len(self._classes)
         for values in (self.mean, self.base, self._base_sizes):
-            values.extend([0.0] * more)
+            values.extend([0.0] * added_count)
         for samples in (self._base_samples, self._mean_samples):
-            samples.extend([0] * more)
+            samples.extend([0] * added_count)
         new: list[int] = []
         for at, after in enumerate(settings.classes):
             before = self._classes[at] if at < len(self._classes) else None
@@ -75,17 +75,23 @@
 
     def _learn_slope(self, at: int, spent_ms: float, size: float) -> None:
         """What of a call's time goes by its size: a regression over all classes, on their own means."""
-        beside = min(self.MAX_SIZE, size) - 1.0
-        beyond = (spent_ms - self.mean[at]) / max(0.01, self.base[at])
-        self._spread += self.SLOPE_SAMPLE_WEIGHT * (beside * beside - self._spread)
-        self._along += self.SLOPE_SAMPLE_WEIGHT * (beside * min(self.MAX_SIZE, beyond) - self._along)
-        if self._spread > 0.0:
-            self._slope = min(1.0, max(0.0, self._along / self._spread))
+        size_deviation = min(self.MAX_SIZE, size) - 1.0
+        time_deviation = (spent_ms - self.mean[at]) / max(0.01, self.base[at])
+        self._size_variance += self.SLOPE_SAMPLE_WEIGHT * (
+            size_deviation * size_deviation - self._size_variance
+        )
+        self._size_time_covariance += self.SLOPE_SAMPLE_WEIGHT * (
+            size_deviation * min(self.MAX_SIZE, time_deviation) - self._size_time_covariance
+        )
+        if self._size_variance > 0.0:
+            self._slope = min(1.0, max(0.0, self._size_time_covariance / self._size_variance))
 
     def follow_mean(self, class_index: int) -> None:
         """Move the latency at low load towards the mean, as where hardly any call is out beside another."""
-        beyond = self.mean[class_index] - self.base[class_index]
-        self.base[class_index] += self.SAMPLE_WEIGHT * beyond * (1.0 if beyond < 0.0 else self.RISE_FACTOR)
+        deviation = self.mean[class_index] - self.base[class_index]
+        self.base[class_index] += (
+            self.SAMPLE_WEIGHT * deviation * (1.0 if deviation < 0.0 else self.RISE_FACTOR)
+        )
 
     def is_base_known(self, class_index: int) -> bool:
         """Whether so many answers have been given to `learn_base` that it is not called any more."""
--- a/packages/balancing/src/larkweir_balancing/load_shedding.py
+++ b/packages/balancing/src/larkweir_balancing/load_shedding.py
@@ -48,10 +48,12 @@
         self._previous_busy_ms = 0.0  # of the turn before
         self._arrived = self._admitted = 0  # since the last turn ended
         # Of some turns while it sheds: requests, what they cost in units of one let in, and times.
-        self._requests = self._units = self._busy_ms = self._elapsed_ms = self._previous_elapsed_ms = 0.0
+        self._requests = self._weighted_requests = self._busy_ms = self._elapsed_ms = (
+            self._previous_elapsed_ms
+        ) = 0.0
         # By class, repeats before first tries: what part of all that comes it brings, and the odds that one is shed.
         self._traffic_fractions = [0.5 / len(classes)] * (2 * len(classes))
-        self._shed_odds = [0.0] * (2 * len(classes))
+        self._shed_probabilities = [0.0] * (2 * len(classes))
         self._names = [cls.name for cls in classes]
         self.configure(classes)
 
@@ -62,12 +64,12 @@
         share = 0.5 / len(classes)
         more = 2 * len(classes) - len(self._traffic_fractions)
         self._traffic_fractions += [share] * more
-        self._shed_odds += [0.0] * more
+        self._shed_probabilities += [0.0] * more
         names = [cls.name for cls in classes]
         for at, (before, after) in enumerate(zip(self._names, names, strict=False)):
             if before != after:
                 self._traffic_fractions[2 * at : 2 * at + 2] = [share, share]
-                self._shed_odds[2 * at : 2 * at + 2] = [0.0, 0.0]
+                self._shed_probabilities[2 * at : 2 * at + 2] = [0.0, 0.0]
         self._names = names
         self._target_ms = min(cls.aim_ms for cls in classes)
         # Of equal worth, repeats go first: they have been refused before, and come from who does not wait.
@@ -91,8 +93,8 @@
         # What has come, at what it costs, is so many times what this core can do; all that is beyond is shed. That
         # alone would leave turns as long as they are: the rest steers them between the two bounds.
         load = (
-            self._requests / self._elapsed_ms * self._busy_ms / self._units
-            if self._units and self._elapsed_ms
+            self._requests / self._elapsed_ms * self._busy_ms / self._weighted_requests
+            if self._weighted_requests and self._elapsed_ms
             else 1.0
         )
         target = 0.5 * (high + low)
@@ -107,17 +109,17 @@
         )
         if self._quiet_ms > self.QUIET_TARGETS * self._target_ms:
             self.is_shedding = False
-        self._distribute()
+        self._assign_probabilities()
 
     def _begin_shedding(self, growth: float | None, elapsed_ms: float) -> None:
         """`growth`: times the iteration before, where that tells the load."""
         self.is_shedding, self._quiet_ms = True, 0.0
         self._arrived = self._admitted = 0
-        self._requests = self._units = self._busy_ms = self._elapsed_ms = 0.0
+        self._requests = self._weighted_requests = self._busy_ms = self._elapsed_ms = 0.0
         self._previous_elapsed_ms = elapsed_ms
         if growth is not None:
             self.shed_fraction = self._excess_fraction(min(growth, 1.0 / (1.0 - self.MAX_SHED_FRACTION)))
-            self._distribute()
+            self._assign_probabilities()
 
     def _excess_fraction(self, load: float) -> float:
         """The part that must be shed of so many times what this core can do; below 0 where it could do more."""
@@ -126,8 +128,8 @@
     def _count(self, busy_ms: float, period_ms: float) -> None:
         previous_weight = 1.0 - self.SAMPLE_WEIGHT
         self._requests = previous_weight * self._requests + self._arrived
-        self._units = (
-            previous_weight * self._units
+        self._weighted_requests = (
+            previous_weight * self._weighted_requests
             + self._admitted
             + self.REFUSAL_COST * (self._arrived - self._admitted)
         )
@@ -137,13 +139,15 @@
         self._previous_elapsed_ms = period_ms
         self._arrived = self._admitted = 0
 
-    def _distribute(self) -> None:
+    def _assign_probabilities(self) -> None:
         """Least worth first: each class's odds, so that all together make up the part."""
         left = self.shed_fraction * sum(self._traffic_fractions)
         for at in self._shed_order:
-            brings = self._traffic_fractions[at]
-            self._shed_odds[at] = min(self.MAX_SHED_FRACTION, left / brings) if brings > 0.0 else 0.0
-            left = max(0.0, left - brings * self._shed_odds[at])
+            fraction = self._traffic_fractions[at]
+            self._shed_probabilities[at] = (
+                min(self.MAX_SHED_FRACTION, left / fraction) if fraction > 0.0 else 0.0
+            )
+            left = max(0.0, left - fraction * self._shed_probabilities[at])
 
     def admits(self, class_index: int, is_retry: bool) -> bool:
         """Whether a request that has come while the door sheds is let in; `again`: it is marked as a repeat."""
@@ -153,7 +157,7 @@
         ]
         self._traffic_fractions[at] += self.TRAFFIC_SAMPLE_WEIGHT
         self._arrived += 1
-        if self._rng.random() >= self._shed_odds[at]:
+        if self._rng.random() >= self._shed_probabilities[at]:
             self._admitted += 1
             return True
         self.shed_count += 1
--- a/packages/balancing/src/larkweir_balancing/outlier_ejection.py
+++ b/packages/balancing/src/larkweir_balancing/outlier_ejection.py
@@ -22,7 +22,7 @@
     SLOWNESS_SAMPLE_WEIGHT = 0.25
     ORDINARY_RATIO = 1.0  # times the usual, up to which a server is not slow
     MAX_RATIO = 8.0  # times the usual, as far as a single answer counts
-    PACED_VISITS = 2.0  # visits for which a server of twice the ordinary time keeps no token
+    WITHHELD_VISITS = 2.0  # visits for which a server of twice the ordinary time keeps no token
 
     settings: Settings
     rng: Random
@@ -31,7 +31,7 @@
     client_stats: ClientStats
     load_probing: LoadProbing
     failure_rate: float = 0.1
-    newest_served_ms: float = -1.0  # when the call was sent that is the newest of those served
+    newest_success_sent_ms: float = -1.0  # when the call was sent that is the newest of those served
     kind_ratio: dict[int, float] = field(default_factory=dict)  # times the usual that a kind of server takes
     # The same of calls with no own call at the server before them, and with one or more.
     queue_ratio: list[float] = field(default_factory=lambda: [1.0, 2.0])
@@ -43,14 +43,14 @@
         server, at = attempt.server, request.class_index
         if attempt.outcome is not Outcome.OK:  # what ended early may have been given less than the usual time
             early = attempt.outcome is Outcome.TIMEOUT and (
-                spent_ms < usual_ms or self._waited_behind_own(attempt)
+                spent_ms < usual_ms or self._queued_behind_own_calls(attempt)
             )
             if not early and attempt.outcome not in INCONCLUSIVE:
                 self._record_failure(attempt, at, spent_ms, now_ms)
             return
         server.unresponsive = False
         server.last_success_ms = now_ms
-        self.newest_served_ms = max(self.newest_served_ms, attempt.sent_ms)
+        self.newest_success_sent_ms = max(self.newest_success_sent_ms, attempt.sent_ms)
         if spent_ms > self.settings.tuning.slow * usual_ms * max(1.0, request.size):
             self._record_failure(attempt, at, spent_ms, now_ms)
         else:
@@ -63,12 +63,15 @@
         )
         self._pace_visits(server, ratio, now_ms)
 
-    def _waited_behind_own(self, attempt: Attempt) -> bool:
+    def _queued_behind_own_calls(self, attempt: Attempt) -> bool:
         """Whether a call that came to nothing in time did so behind our own calls: its server has served others since,
         or no server any call that was sent later. Guards against ejecting a tier that we have overfilled, server by
         server, which would fill the rest the more.
         """
-        late = attempt.server.last_success_ms >= attempt.sent_ms or attempt.sent_ms >= self.newest_served_ms
+        late = (
+            attempt.server.last_success_ms >= attempt.sent_ms
+            or attempt.sent_ms >= self.newest_success_sent_ms
+        )
         return attempt.in_flight_before > 0 and late
 
     def _record_failure(self, attempt: Attempt, at: int, spent_ms: float, now_ms: float) -> None:
@@ -80,7 +83,7 @@
         """
         self.failure_rate += self.SAMPLE_WEIGHT * (1.0 - self.failure_rate)
         server, outcome, fleet, tuning = attempt.server, attempt.outcome, self.table, self.settings.tuning
-        visit = (
+        visit_interval_ms = (
             self.client_stats.arrival_interval_ms * fleet.ready_count
         )  # from one of this copy's visits there to the next
         latency = self.limiter.mean[at]
@@ -88,7 +91,7 @@
             # Guards against a server that fails one class and serves the others, whose successes would clear
             # it. One failure is enough: others are drawn meanwhile; if all of them fail it changes nothing.
             times = server.ejected_for_class.get(at, (0, 0.0))[0] + 1
-            server.ejected_for_class[at] = (times, now_ms + self._ejection_ms(visit, times))
+            server.ejected_for_class[at] = (times, now_ms + self._ejection_ms(visit_interval_ms, times))
         server.consecutive_failures += 1
         # Guards against the fast failure, whose token would be back first; one that took its time attracts nobody.
         pause = latency * (0.25 + 0.5 * self.rng.random()) - spent_ms
@@ -96,15 +99,17 @@
         # Of so many calls out, as many runs are looked at, and one is odd by chance: guards against ejecting servers
         # that are well, in turn, which crowds the rest. One that gives no sign of life is not waited for so long.
         runs = fleet.in_flight if outcome is Outcome.ERROR or outcome is Outcome.RESET else 1
-        odds = self.failure_rate**server.consecutive_failures * max(1, runs)
-        if odds < tuning.eject_odds and len(fleet.ejected) < tuning.eject_most * fleet.ready_count:
+        probability = self.failure_rate**server.consecutive_failures * max(1, runs)
+        if probability < tuning.eject_odds and len(fleet.ejected) < tuning.eject_most * fleet.ready_count:
             # Doubles with each ejection, not with each failure, which a bad tier gives to all.
             if server.unresponsive and not server.ejections:
                 self.limiter.on_capacity_lost(fleet.ready_count - len(fleet.ejected))
             server.ejections += 1
             fleet.ejected.add(server)
             # A copy of low rate comes by seldom: less than the time between two visits would be no ejection.
-            fleet.withhold_token(server, now_ms + self._ejection_ms(max(latency, visit), server.ejections))
+            fleet.withhold_token(
+                server, now_ms + self._ejection_ms(max(latency, visit_interval_ms), server.ejections)
+            )
 
     def _ejection_ms(self, first_ms: float, times: int) -> float:
         """Doubled each time, with jitter."""
@@ -128,9 +133,10 @@
         counts = self.table.in_flight >= self.table.ready_count * (
             0.5 if self.settings.balancer_count < 2 else 1.0
         )
-        beyond = server.slowness - self.ORDINARY_RATIO
-        if beyond > 0.0 and not self.load_probing.reports_idle and not counts:
-            visit = self.client_stats.arrival_interval_ms * self.table.ready_count
+        slowdown = server.slowness - self.ORDINARY_RATIO
+        if slowdown > 0.0 and not self.load_probing.reports_idle and not counts:
+            visit_interval_ms = self.client_stats.arrival_interval_ms * self.table.ready_count
             self.table.withhold_token(
-                server, now_ms + min(self.settings.longest_ms, self.PACED_VISITS * beyond * visit)
+                server,
+                now_ms + min(self.settings.longest_ms, self.WITHHELD_VISITS * slowdown * visit_interval_ms),
             )
--- a/packages/balancing/src/larkweir_balancing/shared_health.py
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -66,8 +66,8 @@
 class SharedHealth:
     """One replica's: it follows the servers that its detector has ejected, and says until when."""
 
-    def __init__(self, judge: OutlierDetector) -> None:
-        self._detector = judge
+    def __init__(self, detector: OutlierDetector) -> None:
+        self._detector = detector
         self._servers: dict[int, _ServerHealth] = {}
         self.untracked = 0  # servers beyond the bound
 
@@ -76,54 +76,62 @@
     def on_attempt_end(self, server: Server, outcome: Outcome, now_ms: float) -> None:
         """A request has ended, and the detector has recorded it."""
         fails = bool(server.ejections) and outcome is not Outcome.OK
-        known = self._track(server, now_ms) if fails else self._servers.get(server.id)
-        if known is None or known.server is not server or outcome in INCONCLUSIVE:
+        health = self._track(server, now_ms) if fails else self._servers.get(server.id)
+        if health is None or health.server is not server or outcome in INCONCLUSIVE:
             return
-        known.is_failing = fails or (known.is_failing and server.ejections > 0)
-        known.found_ms, known.from_request, known.is_healthy = now_ms, True, not server.ejections
+        health.is_failing = fails or (health.is_failing and server.ejections > 0)
+        health.found_ms, health.from_request, health.is_healthy = now_ms, True, not server.ejections
         if server.ejections:
-            known.failed_ms = now_ms
-            known.report_was_wrong = known.report_was_wrong or known.restored_on_report
+            health.failed_ms = now_ms
+            health.report_was_wrong = health.report_was_wrong or health.restored_on_report
         else:
-            known.report_was_wrong = False
-        known.restored_on_report = False
+            health.report_was_wrong = False
+        health.restored_on_report = False
 
     def on_probe_end(self, event: ProbeEnded, now_ms: float) -> bool:
         """A probe has ended; returns whether it was sent by this class."""
-        known = self._servers.get(event.server)
-        if known is None or not known.probe_in_flight:
+        health = self._servers.get(event.server)
+        if health is None or not health.probe_in_flight:
             return False
-        known.probe_in_flight = False
-        if event.outcome not in INCONCLUSIVE and known.server.ejections and known.found_ms <= known.probed_ms:
-            known.found_ms, known.from_request, known.is_healthy = now_ms, False, event.outcome is Outcome.OK
-            self._apply(known, known.is_healthy, False, 0.0, now_ms)
+        health.probe_in_flight = False
+        if (
+            event.outcome not in INCONCLUSIVE
+            and health.server.ejections
+            and health.found_ms <= health.probed_ms
+        ):
+            health.found_ms, health.from_request, health.is_healthy = (
+                now_ms,
+                False,
+                event.outcome is Outcome.OK,
+            )
+            self._apply(health, health.is_healthy, False, 0.0, now_ms)
         return True
 
     def local_health(self, now_ms: float) -> Iterator[LocalHealth]:
         """Of each server that is ejected, or was until recently."""
-        for number, known in list(self._servers.items()):
+        for number, health in list(self._servers.items()):
             over = (
-                known.is_healthy is True
-                and known.from_request
-                and now_ms - known.found_ms >= REPORT_LIFETIME_MS
+                health.is_healthy is True
+                and health.from_request
+                and now_ms - health.found_ms >= REPORT_LIFETIME_MS
             )
-            if over or not self._is_listed(known):
+            if over or not self._is_listed(health):
                 del self._servers[number]
                 continue
-            age = now_ms - known.found_ms
-            yield LocalHealth(number, known.is_failing, known.is_healthy, age, known.from_request)
+            age = now_ms - health.found_ms
+            yield LocalHealth(number, health.is_failing, health.is_healthy, age, health.from_request)
 
-    def _is_listed(self, known: _ServerHealth) -> bool:
-        return known.server.ready and self._detector.table.servers.get(known.server.id) is known.server
+    def _is_listed(self, health: _ServerHealth) -> bool:
+        return health.server.ready and self._detector.table.servers.get(health.server.id) is health.server
 
     def _track(self, server: Server, now_ms: float) -> _ServerHealth | None:
-        known = self._servers.get(server.id)
-        if known is None or known.server is not server:
-            if known is None and len(self._servers) >= MAX_SERVERS:
+        health = self._servers.get(server.id)
+        if health is None or health.server is not server:
+            if health is None and len(self._servers) >= MAX_SERVERS:
                 self.untracked += 1
                 return None
-            known = self._servers[server.id] = _ServerHealth(server, now_ms, -math.inf)
-        return known
+            health = self._servers[server.id] = _ServerHealth(server, now_ms, -math.inf)
+        return health
 
     # ------------------------------------------------ what others have found
 
@@ -132,35 +140,35 @@
         server = self._detector.table.servers.get(event.server)
         if server is None or not server.ready or not server.ejections:
             return
-        known = self._track(server, now_ms)
-        if known is None:
+        health = self._track(server, now_ms)
+        if health is None:
             return
         if event.is_probe_turn:
-            self._recheck(known, now_ms, out)
+            self._recheck(health, now_ms, out)
         elif (
-            event.is_healthy is not None and now_ms - event.age_ms > known.found_ms
+            event.is_healthy is not None and now_ms - event.age_ms > health.found_ms
         ):  # else this copy knows better
-            self._apply(known, event.is_healthy, event.from_request, event.age_ms, now_ms)
+            self._apply(health, event.is_healthy, event.from_request, event.age_ms, now_ms)
 
     def _apply(
-        self, known: _ServerHealth, is_healthy: bool, from_request: bool, age_ms: float, now_ms: float
+        self, health: _ServerHealth, is_healthy: bool, from_request: bool, age_ms: float, now_ms: float
     ) -> None:
         """Move the time at which it is tried again."""
-        server, worth = known.server, report_confidence(age_ms)
-        if worth <= 0.0:
+        server, confidence = health.server, report_confidence(age_ms)
+        if confidence <= 0.0:
             return
         if not is_healthy:
             # Guards against a wrong word that never ends: after that at the latest this copy finds out for itself.
-            last = known.failed_ms + self._detector.settings.longest_ms
-            known.restored_on_report = False
-            self._extend_ejection(server, min(now_ms + MAX_EJECTION_HINT_MS * worth, last), now_ms)
+            last = health.failed_ms + self._detector.settings.longest_ms
+            health.restored_on_report = False
+            self._extend_ejection(server, min(now_ms + MAX_EJECTION_HINT_MS * confidence, last), now_ms)
         elif (
-            not known.restored_on_report
-            and not known.report_was_wrong
+            not health.restored_on_report
+            and not health.report_was_wrong
             and (from_request or server.unresponsive)
         ):
             # A probe speaks for a server that gave no sign of life, not for one that answers, and answers badly.
-            known.restored_on_report = True
+            health.restored_on_report = True
             self._restore(server, now_ms + RESTORE_SPREAD_MS * self._detector.rng.random(), now_ms)
 
     def _extend_ejection(self, server: Server, until_ms: float, now_ms: float) -> None:
@@ -179,23 +187,23 @@
             server.withheld_until_ms = 0.0
             self._detector.table.withhold_token(server, at_ms)
 
-    def _recheck(self, known: _ServerHealth, now_ms: float, out: list[Action]) -> None:
+    def _recheck(self, health: _ServerHealth, now_ms: float, out: list[Action]) -> None:
         """This replica's turn: a probe; where none is allowed, or probes tell nothing, the next request there."""
-        server = known.server
-        if now_ms - max(known.probed_ms, known.found_ms) < RECHECK_INTERVAL_MS:
+        server = health.server
+        if now_ms - max(health.probed_ms, health.found_ms) < RECHECK_INTERVAL_MS:
             return
-        if known.probe_in_flight and now_ms - known.probed_ms < PROBE_TIMEOUT_MS:
+        if health.probe_in_flight and now_ms - health.probed_ms < PROBE_TIMEOUT_MS:
             return
         if (
             self._detector.settings.may_probe
             and server.unresponsive
-            and not (known.restored_on_report or known.report_was_wrong)
+            and not (health.restored_on_report or health.report_was_wrong)
         ):
-            known.probed_ms, known.probe_in_flight = now_ms, True
+            health.probed_ms, health.probe_in_flight = now_ms, True
             out.append(Probe(server.id))
             self._extend_ejection(
                 server,
-                min(now_ms + MAX_EJECTION_HINT_MS, known.failed_ms + self._detector.settings.longest_ms),
+                min(now_ms + MAX_EJECTION_HINT_MS, health.failed_ms + self._detector.settings.longest_ms),
                 now_ms,
             )
         else:
--- a/packages/balancing/src/larkweir_balancing/wire.py
+++ b/packages/balancing/src/larkweir_balancing/wire.py
@@ -41,7 +41,7 @@
     """An instance starts, with nothing known but its settings."""
 
     seed: int
-    facts: bytes
+    settings_json: bytes
 
 
 @dataclass(slots=True)
@@ -129,25 +129,25 @@
         return records
 
     def _read_update(self, frame: bytes, at: int) -> tuple[Record, int]:
-        inst, how, version, sheet = _UPDATE.unpack_from(frame, at)
+        inst, how, version, list_number = _UPDATE.unpack_from(frame, at)
         kind = LIST_KINDS.get(how)
         if kind is None:
             raise WireError(f"update of unknown kind {how}")
         if kind is ListKind.FAILED:
             update = ListUpdate(kind, version)
-        elif sheet in self._lists:
-            update = ListUpdate(kind, version, self._lists[sheet])
+        elif list_number in self._lists:
+            update = ListUpdate(kind, version, self._lists[list_number])
         else:
-            raise WireError(f"update names list {sheet}, which no catalog has set up")
+            raise WireError(f"update names list {list_number}, which no catalog has set up")
         return (inst, update), at + _UPDATE.size
 
     def _read_catalog(self, frame: bytes, at: int) -> tuple[None, int]:
-        sheet, n = _CATALOG.unpack_from(frame, at)
+        list_number, n = _CATALOG.unpack_from(frame, at)
         at += _CATALOG.size
         end = at + n * _ENTRY.size
         if end > len(frame):
             raise WireError(f"catalog of {n} entries runs past the frame's end")
-        self._lists[sheet] = tuple(map(_entry, _ENTRY.iter_unpack(frame[at:end])))
+        self._lists[list_number] = tuple(map(_entry, _ENTRY.iter_unpack(frame[at:end])))
         return None, end
 
 
@@ -167,7 +167,7 @@
 def _read_peer_message(frame: bytes, at: int) -> tuple[Record, int]:
     inst, sender, n = _PEER.unpack_from(frame, at)
     at += _PEER.size
-    return (inst, PeerMessage(sender, _blob(frame, at, n))), at + n
+    return (inst, PeerMessage(sender, _byte_field(frame, at, n))), at + n
 
 
 def _read_answer_started(frame: bytes, at: int) -> tuple[Record, int]:
@@ -201,7 +201,7 @@
 def _read_hello(frame: bytes, at: int) -> tuple[Record, int]:
     inst, seed, n = _HELLO.unpack_from(frame, at)
     at += _HELLO.size
-    return (inst, Hello(seed, _blob(frame, at, n))), at + n
+    return (inst, Hello(seed, _byte_field(frame, at, n))), at + n
 
 
 def _read_probe_ended(frame: bytes, at: int) -> tuple[Record, int]:
@@ -211,7 +211,7 @@
     return (inst, ProbeEnded(addr << 16 | port, _outcome(how), spent_ms, report)), at + 4 * n
 
 
-def _blob(frame: bytes, at: int, n: int) -> bytes:
+def _byte_field(frame: bytes, at: int, n: int) -> bytes:
     if at + n > len(frame):
         raise WireError(f"a field of {n} bytes runs past the frame's end")
     return frame[at : at + n]
@@ -269,16 +269,16 @@
     if isinstance(action, WatchList):
         return _TRACK.pack(10, inst, action.active)
     if isinstance(action, Log):
-        return _line(9, inst, action.text)
+        return _encode_text(9, inst, action.text)
     raise TypeError(f"not an action: {action!r}")
 
 
 def encode_crash(inst: int, text: str) -> bytes:
     """The record that says the decision code of an instance failed."""
-    return _line(8, inst, text)
+    return _encode_text(8, inst, text)
 
 
-def _line(code: int, inst: int, text: str) -> bytes:
+def _encode_text(code: int, inst: int, text: str) -> bytes:
     data = text.encode()[:0xFFFF]
     return _TEXT.pack(code, inst, len(data)) + data
 
--- a/packages/balancing/src/larkweir_balancing/wire_settings.py
+++ b/packages/balancing/src/larkweir_balancing/wire_settings.py
@@ -66,10 +66,10 @@
         return _Reader(self._get(key, {}), f"{self.path}{key}.")
 
 
-def decode_settings(facts: bytes) -> Settings:
+def decode_settings(settings_json: bytes) -> Settings:
     """Turn the settings text of `hello` into `Settings`; raises SettingsError naming key and value."""
     try:
-        top = _Reader(json.loads(facts), "")
+        top = _Reader(json.loads(settings_json), "")
     except (ValueError, RecursionError) as problem:
         raise SettingsError(f"settings: not JSON: {problem}") from problem
     limits, rules = top.sub("PolicyLimits"), top.sub("Guarantees")
--- a/packages/balancing/src/larkweir_balancing/wirehost.py
+++ b/packages/balancing/src/larkweir_balancing/wirehost.py
@@ -41,7 +41,7 @@
         for inst, event in decoder.batch(body, count):
             try:
                 if isinstance(event, Hello):
-                    balancers[inst] = Balancer(decode_settings(event.facts), event.seed)
+                    balancers[inst] = Balancer(decode_settings(event.settings_json), event.seed)
                 elif isinstance(event, Destroy):
                     balancers.pop(inst, None)
                 elif inst in balancers:
--- a/packages/balancing/tests/test_balancing_load_shedding.py
+++ b/packages/balancing/tests/test_balancing_load_shedding.py
@@ -114,7 +114,7 @@
         if door.is_shedding:
             door.admits(rng.randrange(2), rng.random() < 0.5)
         assert 0.0 <= door.shed_fraction <= LoadShedder.MAX_SHED_FRACTION
-        assert all(0.0 <= odds <= LoadShedder.MAX_SHED_FRACTION for odds in door._shed_odds)
+        assert all(0.0 <= odds <= LoadShedder.MAX_SHED_FRACTION for odds in door._shed_probabilities)
     for _ in range(400):
         door.on_iteration(0.0, 1.0)
     assert not door.is_shedding
@@ -127,13 +127,13 @@
     for _ in range(500):
         door.admits(0, False)
         door.on_iteration(AIM_MS, AIM_MS)
-    assert door._shed_odds[1] > 0.5 and door._traffic_fractions[1] > 0.9
-    kept = door._traffic_fractions[2:], door._shed_odds[2:]
+    assert door._shed_probabilities[1] > 0.5 and door._traffic_fractions[1] > 0.9
+    kept = door._traffic_fractions[2:], door._shed_probabilities[2:]
     door.configure((replace(CLASSES[0], name="new"), CLASSES[1]))
     new = LoadShedder(CLASSES, Random(1))
-    assert (door._traffic_fractions[:2], door._shed_odds[:2]) == (
+    assert (door._traffic_fractions[:2], door._shed_probabilities[:2]) == (
         new._traffic_fractions[:2],
-        new._shed_odds[:2],
+        new._shed_probabilities[:2],
     )
-    assert (door._traffic_fractions[2:], door._shed_odds[2:]) == kept
+    assert (door._traffic_fractions[2:], door._shed_probabilities[2:]) == kept
     assert all(door.admits(0, False) for _ in range(20))  # until the next turn says what is to be shed
--- a/packages/balancing/tests/test_balancing_wire.py
+++ b/packages/balancing/tests/test_balancing_wire.py
@@ -168,7 +168,7 @@
 
 # settings
 
-FACTS: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "Categories": [
         {
             "AimMs": 100.0,
@@ -188,15 +188,15 @@
 
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
-    settings = decode_settings(json.dumps(FACTS).encode())
+    settings = decode_settings(json.dumps(SETTINGS).encode())
     assert (settings.zones, settings.my_zone, settings.max_attempts) == (2, 1, 6)
     assert settings.classes[0].memory_ms == 9.0
     assert not settings.allows_hedging
 
 
 def _set(path: list[Any], value: Any) -> Callable[[dict[str, Any]], None]:
-    def change(facts: dict[str, Any]) -> None:
-        at: Any = facts
+    def change(settings_data: dict[str, Any]) -> None:
+        at: Any = settings_data
         for key in path[:-1]:
             at = at[key]
         if value is None:
@@ -227,10 +227,10 @@
     ],
 )
 def test_malformed_settings_name_key_and_value(change: Callable[[dict[str, Any]], None], says: str) -> None:
-    facts = json.loads(json.dumps(FACTS))
-    change(facts)
+    settings_data = json.loads(json.dumps(SETTINGS))
+    change(settings_data)
     with pytest.raises(SettingsError, match=says):
-        decode_settings(json.dumps(facts).encode())
+        decode_settings(json.dumps(settings_data).encode())
 
 
 def test_settings_that_are_not_json() -> None:
@@ -246,16 +246,16 @@
     return struct.pack(">dII", clock, 16 + len(body), count) + body
 
 
-def hello(inst: int, facts: dict[str, Any]) -> str:
-    data = json.dumps(facts).encode()
+def hello(inst: int, settings_data: dict[str, Any]) -> str:
+    data = json.dumps(settings_data).encode()
     return f"0a {inst:08x} 0000000000000007 {len(data):08x} {data.hex()}"
 
 
 def test_adapter_serves_a_request_and_ends_at_the_end_of_input() -> None:
     update = "04 00000003 03 00000001 00000000"
-    first = frame(1.0, hello(3, FACTS) + CATALOG + update, 3)
+    first = frame(1.0, hello(3, SETTINGS) + CATALOG + update, 3)
     ask = "09 00000003 00000007 0000 00000000 0000000000000000 4079000000000000 0000000000000000 00"
-    restart = frame(3.0, "07 00000003" + hello(3, FACTS), 2)
+    restart = frame(3.0, "07 00000003" + hello(3, SETTINGS), 2)
     sink = io.BytesIO()
     serve(io.BytesIO(first + frame(2.0, ask, 1) + restart), sink)
     count, length = struct.unpack_from(">II", sink.getvalue(), 8)
@@ -274,5 +274,5 @@
 def test_adapter_writes_nothing_for_a_cut_frame(cut: int) -> None:
     sink = io.BytesIO()
     with pytest.raises(WireError):
-        serve(io.BytesIO(frame(1.0, hello(3, FACTS), 1)[:cut]), sink)
+        serve(io.BytesIO(frame(1.0, hello(3, SETTINGS), 1)[:cut]), sink)
     assert sink.getvalue() == b""
--- a/standins/limiters.py
+++ b/standins/limiters.py
@@ -24,14 +24,14 @@
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         super().__init__(settings, rng)
-        self.min_counted_window, self.is_doubling = 1.0, False
+        self.min_hard_limit, self.is_doubling = 1.0, False
 
     def open(self, ready: int, copies: int) -> None:
         if not self.opened and ready:
             self.opened, self.window = True, self.FIRST
             self._servers = ready
 
-    def _steer_counted(
+    def _steer_hard_limit(
         self, at: int, outcome: Outcome, spent_ms: float, out: int, mark: int, tries: int
     ) -> None:
         if outcome is not Outcome.ERROR and not (outcome is Outcome.FULL and tries < 2):
@@ -49,7 +49,7 @@
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         super().__init__(settings, rng)
-        self.min_counted_window = math.inf
+        self.min_hard_limit = math.inf
 
 
 class Fixed(Other):
--- a/tests/door/test_guard.py
+++ b/tests/door/test_guard.py
@@ -152,7 +152,7 @@
         door = node.dispatcher.clock.on_iteration.__self__.door  # type: ignore[union-attr]
         door.on_iteration = lambda busy, whole: None
         door.is_shedding = True
-        door._shed_odds = [1.0] * len(door._shed_odds)
+        door._shed_probabilities = [1.0] * len(door._shed_probabilities)
         reload()
         reload("new")
         places = [cls.name for cls in node.node.settings.classes]
--- a/tests/lifecycle/test_reload_crossings.py
+++ b/tests/lifecycle/test_reload_crossings.py
@@ -259,11 +259,11 @@
 class Fixed(ConcurrencyLimiter):
     """A window that stays as it is."""
 
-    MIN_COUNTED_WINDOW = 1.0
+    MIN_HARD_LIMIT = 1.0
 
     def __init__(self, settings: Settings, window: float) -> None:
         super().__init__(settings, Balancer(settings, 1).rng)
-        self.min_counted_window, self.window, self.opened, self.is_doubling = 1.0, window, True, True
+        self.min_hard_limit, self.window, self.opened, self.is_doubling = 1.0, window, True, True
 
     def record_end(self, *told: Any) -> None:
         pass
@@ -271,7 +271,7 @@
     def configure(self, settings: Settings) -> None:
         window = self.window
         super().configure(settings)
-        self.window, self.min_counted_window = window, 1.0
+        self.window, self.min_hard_limit = window, 1.0
 
 
 def fixed(classes: Classes, window: float = 1.0) -> Balancer:
