--- a/packages/balancing/src/larkweir_balancing/admission_queue.py
+++ b/packages/balancing/src/larkweir_balancing/admission_queue.py
@@ -1,4 +1,4 @@
-"""Which requests wait for a place in the window of calls in flight, and in what order they go. Pure logic.
+"""The queue of requests that wait for a slot in the concurrency limiter's window. Pure logic.
 
 Times are milliseconds.
 """
@@ -11,18 +11,18 @@
 
 
 class AdmissionQueue:
-    """Requests that found the window full: first in, first out within a class and kind of traffic.
+    """Requests that found the window full: one FIFO queue for each class, within and over the tenant's share.
 
-    Traffic within its tenant's share goes before traffic over it, and the classes of either take turns by their
-    worth, so that none starves: a class of eight times the worth gets eight turns for one. How long one may wait is a
-    stated part of its aim; while the room has not been empty for a while, a smaller one (the rule of CoDel: a burst
-    may wait, a standing queue may not).
+    Traffic within its tenant's share goes before traffic over it. On either side, classes are served in proportion to
+    their `worth` (stride scheduling), so that none starves: a class of eight times the worth gets eight turns for one.
+    A request may wait for a fraction of its class's `aim_ms`; for a smaller fraction while the queue has not been empty
+    for some time, as in CoDel: a burst may wait, a standing queue may not.
     """
 
-    STANDING_FRACTION = 0.5  # of the aim, for so long
-    MAX_WAITING = 4096  # that wait at once
+    STANDING_FRACTION = 0.5  # of `aim_ms`: a queue that has not been empty for longer is a standing queue
+    MAX_WAITING = 4096  # requests
     OVER_SHARE_INTERVAL = (
-        16  # every so many turns, one over its share goes first: guards against starving it for good
+        16  # every so many turns, traffic over its share goes first, so that it never starves
     )
 
     def __init__(self, settings: Settings) -> None:
@@ -30,17 +30,17 @@
         self._next_pass: list[float] = []
         self._weights: list[float] = []
         self._count = 0
-        self._over_share_count = 0  # of them, over their share
+        self._over_share_count = 0  # of these, how many are over their tenant's share
         self._popped = 0
         self._current_pass = 0.0
-        # Since when some have waited without a break, within their share and over it; below 0: none does.
+        # Since when the queues within and over the share have not been empty; below 0: they are empty.
         self._occupied_since_ms = [-1.0, -1.0]
-        self._queue_of: dict[int, int] = {}  # which queue a request waits in
+        self._queue_of: dict[int, int] = {}  # by request: the index of its queue
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """The weights are the classes' worth; who waits already stays. Classes keep their places; there may be more."""
-        # Of the aim: how long a burst may wait, and how long where the room has not been empty.
+        """Take new settings; waiting requests stay. Classes keep their index; new ones may be added at the end."""
+        # Fractions of `aim_ms`: how long a request may wait in a burst, and in a standing queue.
         self._burst_wait_fraction, self._standing_wait_fraction = (
             settings.tuning.queue_patience,
             settings.tuning.queue_standing,
@@ -48,7 +48,7 @@
         had = len(self._weights)
         self._weights = [max(cls.worth, 0.001) for cls in settings.classes]
         self._classes = count = len(self._weights)
-        if had < count:  # within their share, then over it
+        if had < count:  # the queues within the share come first, then those over it
             fresh: list[OrderedDict[int, None]] = [OrderedDict() for _ in range(2 * (count - had))]
             self._queues = [*self._queues[:had], *fresh[::2], *self._queues[had:], *fresh[1::2]]
             none = [0.0] * (count - had)
@@ -56,7 +56,7 @@
             self._queue_of = {
                 request: at if at < had else at + count - had for request, at in self._queue_of.items()
             }
-        # Guards against a class whose worth was little before: it would wait for all the turns that this had cost it.
+        # A class whose worth was small before would otherwise wait for the turns that its old worth had cost it.
         latest = [self._current_pass + 1.0 / weight for weight in (*self._weights, *self._weights)]
         self._next_pass = [min(turn, most) for turn, most in zip(self._next_pass, latest, strict=True)]
 
@@ -69,11 +69,11 @@
     def max_wait_ms(
         self, now_ms: float, aim_ms: float, aim_left_ms: float, slot_interval_ms: float, over_share: bool
     ) -> float:
-        """How long a request may wait; `slot_interval_ms` is the mean time from place to place."""
+        """How long a request may wait; `slot_interval_ms` is the mean time between two free slots."""
         part = self._burst_wait_fraction
         since = self._occupied_since_ms[over_share]
         if since >= 0.0 and now_ms - since > self.STANDING_FRACTION * aim_ms:
-            # Where places come seldom, one or two of them: else no one would be there to take the next.
+            # Where slots are rarely free, long enough for one or two; otherwise no request would be there to take one.
             part = min(part, max(self._standing_wait_fraction, 2.0 * slot_interval_ms / aim_ms))
         return part * aim_left_ms
 
@@ -86,14 +86,14 @@
         max_wait_ms: float,
         slot_interval_ms: float,
     ) -> bool:
-        """Let it wait, if its turn can come while it does; False: it is to be answered at once."""
+        """Queue the request if it can get a slot within `max_wait_ms`; False means that it must be refused at once."""
         if self._count >= self.MAX_WAITING or max_wait_ms <= 0.0:
             return False
         at = class_index + self._classes * over_share
         if self._count_ahead(at) * slot_interval_ms > max_wait_ms:
             return False
         queue = self._queues[at]
-        if not queue:  # one that comes anew has saved up no turns
+        if not queue:  # a queue that was empty has not saved up turns
             self._next_pass[at] = max(self._next_pass[at], self._current_pass)
         queue[request] = None
         self._queue_of[request] = at
@@ -104,7 +104,7 @@
         return True
 
     def _count_ahead(self, at: int) -> float:
-        """How many go before one that joins this queue now, about."""
+        """An estimate of how many requests go before one that joins this queue now, including itself."""
         own = len(self._queues[at]) + 1
         if at >= self._classes:
             return self._count + 1.0
@@ -116,7 +116,7 @@
         return ahead
 
     def pop_next(self) -> int | None:
-        """Whose turn it is; it waits no more."""
+        """Remove the request whose turn it is and return it; None if the queue is empty."""
         if not self._count:
             return None
         within = self._count - self._over_share_count
@@ -132,7 +132,7 @@
         return request
 
     def remove(self, request: int) -> bool:
-        """It waits no more, whatever its turn; whether it did."""
+        """Remove the request before its turn; returns whether it was waiting."""
         at = self._queue_of.pop(request, None)
         if at is None:
             return False
--- a/packages/balancing/src/larkweir_balancing/fruitless_closing.py
+++ b/packages/balancing/src/larkweir_balancing/fruitless_closing.py
@@ -1,4 +1,4 @@
-"""Whether closing the window of calls helps at all. Pure logic."""
+"""Detects that shrinking the concurrency limiter's window does not reduce the latency. Pure logic."""
 
 from __future__ import annotations
 
@@ -6,27 +6,26 @@
 
 
 class FruitlessShrinkDetector:
-    """While the window closes: whether the latency is the same with half of it.
+    """Compares the latency before the window shrank with the latency at half that window.
 
-    Guards against closing it for ever on a tier that has become slower for each call, where no queue of ours is
-    to blame.
+    If it is about the same, each call has become slower at the servers and our queueing is not the cause. Without this
+    check, the window would shrink forever.
     """
 
-    MAX_TIMED_OUT_FRACTION = 0.1  # of a round's calls: with more of them its latency is a guess
-    HALVED_FRACTION = 0.5  # of the window that it began to close from
-    FRUITLESS_FRACTION = 0.85  # of the latency: with more than that left, no queue was ours
+    MAX_TIMED_OUT_FRACTION = 0.1  # of a round's calls: with more time-outs, its mean latency is a guess
+    HALVED_FRACTION = 0.5  # of the window before it shrank
+    FRUITLESS_FRACTION = 0.85  # of the latency before: if more of it remains, our queueing was not the cause
 
     def __init__(self) -> None:
-        self._start: tuple[float, float] | None = (
-            None  # window and mean time when it began to close, or halved
-        )
+        # Window and mean latency when it began to shrink, or was last halved.
+        self._start: tuple[float, float] | None = None
 
     def end(self) -> None:
-        """The window does not close any more."""
+        """The window no longer shrinks."""
         self._start = None
 
     def is_fruitless(self, window: float, min_window: float, latency: float, sums: RoundSums) -> bool:
-        """Whether half of the window has changed nothing. `latency` is the mean of the round of `sums`."""
+        """Whether halving the window has left the latency unchanged. `latency` is the mean of the round of `sums`."""
         if self._start is None or sums.timed_out > self.MAX_TIMED_OUT_FRACTION * sums.calls:
             self._start = (window, latency)
             return False
--- a/packages/balancing/src/larkweir_balancing/round_sums.py
+++ b/packages/balancing/src/larkweir_balancing/round_sums.py
@@ -1,4 +1,4 @@
-"""What the calls of one round of the concurrency limiter add up to. Pure logic."""
+"""Sums over the calls of one round of the concurrency limiter. Pure logic."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RoundSums:
-    """Of some calls that have ended: how many, what their times would be at low load, and what queues added."""
+    """The number of calls that have ended, the sum of their base latencies, and the sum of what queues added."""
 
     __slots__ = ("added_ms", "added_squares", "base_ms", "calls", "full", "timed_out")
 
@@ -17,13 +17,13 @@
         """Begin an empty round."""
         self.calls = 0
         self.full = 0
-        self.timed_out = 0  # of the calls, those that were given up: what they would have taken is a guess
+        self.timed_out = 0  # calls that were given up, so that their full latency is a guess
         self.base_ms = 0.0
         self.added_ms = 0.0
-        self.added_squares = 0.0  # of what queues added
+        self.added_squares = 0.0  # the sum of the squares of what queues added
 
     def add(self, base: float, added: float) -> None:
-        """Count a call: its latency without load and what was added to it, in milliseconds."""
+        """Count a call: its latency at low load and what queues added to it, in milliseconds."""
         self.calls += 1
         self.base_ms += base
         self.added_ms += added
