--- a/packages/balancing/src/larkweir_balancing/actions.py
+++ b/packages/balancing/src/larkweir_balancing/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decisions ask the caller to do, in order. Times are milliseconds."""
+"""Actions: what the balancer asks the caller to do, in order. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; a request's attempts are numbered 0, 1, 2 in the order of their sends."""
+    """Start an attempt; a request's attempts are numbered 0, 1, 2 in the order in which they are sent."""
 
     request: int
     server: int
     timeout_ms: float
-    # The latest time, by the clock that `handle` is told of, at which its last byte may be written; past it the attempt
-    # ends as MOOT. Servers may have forgotten by then what it repeats.
+    # The latest time at which its last byte may be written, on the clock of `Balancer.handle`; later, the attempt ends
+    # as MOOT. Servers may have forgotten the idempotency key of the request by then.
     write_by_ms: float = math.inf
 
 
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not served, and trying again does no harm."""
+    """Final answer: the request was not served, and a retry does no harm."""
 
     request: int
     wait_ms: float = 0.0
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: not served, and nothing is promised of its effect."""
+    """Final answer: the request was not served, but it may have had an effect."""
 
     request: int
 
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a server for its load."""
+    """Ask a server for its load report."""
 
     server: int
 
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class SendToPeer:
-    """`peer` of None reaches every peer."""
+    """Send a message to another balancer; a `peer` of None means all of them."""
 
     peer: int | None
     payload: bytes = b""
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class WatchList:
-    """Watch the list of servers, or stop doing so."""
+    """Start or stop watching the list of servers."""
 
     active: bool = field(default=True)
 
--- a/packages/balancing/src/larkweir_balancing/events.py
+++ b/packages/balancing/src/larkweir_balancing/events.py
@@ -1,6 +1,6 @@
-"""Events: what the caller reports to the decisions.
+"""Events: what the caller reports to the balancer.
 
-Times are milliseconds; durations are relative. Servers, requests and timers are named by integers that the caller
+Times are milliseconds; durations are relative. Servers, requests and timers are identified by integers that the caller
 chooses.
 """
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One line of discovery's list. `started_ms` of 0 means long ago."""
+    """One server in the list from discovery. A `started_ms` of 0 means long ago."""
 
     server: int
     state: ServerState = ServerState.READY
@@ -25,12 +25,12 @@
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    restored_trust: RestoredTrust | None = None  # None: discovery vouches for it
+    restored_trust: RestoredTrust | None = None  # None: the entry comes from discovery
 
 
 @dataclass(slots=True)
 class ListUpdate:
-    """The list of servers, or changes of it, has arrived."""
+    """The list of servers has arrived, or changes to it."""
 
     kind: ListKind
     version: int = 0
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client request; exactly one final answer is owed from here on."""
+    """A client request has arrived. From here on, it gets exactly one final answer."""
 
     request: int
     class_index: int
@@ -49,30 +49,29 @@
     expected_ms: float | None = None
     client_retry: bool = False
     write: bool = False
-    attempts_left: int | None = None  # that it may still cost, where the tier above says so
-    # Its last byte is still to come, and no server can begin it before: `BodyCame` tells of that. `time_left_ms` counts
-    # from then on.
+    attempts_left: int | None = None  # how many attempts it may still use, if the tier above limits them
+    # The last byte has not arrived, and no server can start before it has. `RequestBodyReceived` reports it, and
+    # `time_left_ms` counts from then on.
     body_incomplete: bool = False
-    choice: object | None = None  # of whoever chose these decisions among several; never looked at here
-    # Its class as it stood when the request was received, where a `Reconfigured` has changed it since; None: as the
-    # settings have it.
+    choice: object | None = None  # set by a caller that selects among balancers; not used in this package
+    # The request's class as of its arrival, if a `Reconfigured` has changed it since; None: the one in the settings.
     class_at_arrival: RequestClass | None = None
 
     def class_in(self, settings: Settings) -> RequestClass:
-        """The class that the request is held to."""
+        """The class whose rules apply to the request."""
         return self.class_at_arrival or settings.classes[self.class_index]
 
 
 @dataclass(slots=True)
 class RequestBodyReceived:
-    """The last byte of a request that was told of while it came."""
+    """The last byte of a request has arrived that was reported with `body_incomplete`."""
 
     request: int
 
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """A streamed answer has begun: the attempt now belongs to the client and no deadline runs."""
+    """A streamed answer has started: it is passed on to the client, and the deadline no longer applies."""
 
     request: int
     attempt: int
@@ -82,7 +81,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """Exactly one for each `Send`. `final` says the request itself is over."""
+    """An attempt has ended; exactly one for each `Send`. `is_final`: the request itself is finished."""
 
     request: int
     attempt: int
@@ -91,9 +90,9 @@
     is_final: bool
     spent_ms: float = 0.0
     report: Sequence[float] = ()
-    attempts_left: int | None = None  # attempts that the request may still cost, where it has a budget
-    # Of `spent_ms`, what was surely spent at the upstream and on the way; None: it can't be told apart from what
-    # this process added.
+    attempts_left: int | None = None  # how many attempts the request may still use, if it has a budget
+    # The part of `spent_ms` that was certainly spent at the upstream and on the network; None: it can't be separated
+    # from the time that this process added.
     upstream_ms: float | None = None
 
 
@@ -123,18 +122,18 @@
 
 @dataclass(slots=True)
 class PeerHealthReport:
-    """What another copy has found of a server: hearsay, which counts only for a server that is left out here."""
+    """What another replica has found about a server; it counts only while the server is ejected here."""
 
     server: int
-    is_healthy: bool | None = None  # None: nothing is known of it yet
-    age_ms: float = 0.0  # since it was found, at the least
-    from_request: bool = False  # by a real call, which tells more than a probe
-    is_probe_turn: bool = False  # this copy is to look, for itself and the others
+    is_healthy: bool | None = None  # None: nothing is known yet
+    age_ms: float = 0.0  # the least time since it was found
+    from_request: bool = False  # found by a real request, which is better evidence than a probe
+    is_probe_turn: bool = False  # it is this replica's turn to check the server, for itself and the others
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message of another balancer has arrived."""
+    """A message from another balancer has arrived."""
 
     sender: int
     payload: bytes = b""
@@ -142,10 +141,10 @@
 
 @dataclass(slots=True)
 class Reconfigured:
-    """New figures from here on. Requests that are known keep the class that they came with.
+    """New settings apply from here on. Requests that have arrived keep the class that they arrived with.
 
-    A class keeps its place in the settings as long as it is there. A new one is added at the end, or takes the place
-    of one that has long been gone.
+    A class keeps its index for as long as it exists. A new one is added at the end, or reuses the index of a class that
+    was removed long ago.
     """
 
     settings: Settings
--- a/packages/balancing/src/larkweir_balancing/fleet_outlier_detection.py
+++ b/packages/balancing/src/larkweir_balancing/fleet_outlier_detection.py
@@ -1,10 +1,10 @@
 """Outlier ejection by the fleet: which upstreams are left out for a while, by the outcomes that all routers report.
 
-One router sends an upstream a few requests a minute; all of them together see within a second or two that it fails.
-Each reports the recent outcomes at failing upstreams, and a controller sums them up. An upstream with enough failures,
-absolutely and as a fraction, is ejected: for longer each time, and never more than a fraction of its service. Where
-more than that fail, none is ejected, as then the load or the network makes them fail. After an ejection an upstream is
-on probation: fewer failures eject it again. Pure logic.
+One router sends an upstream a few requests a minute; all routers together see within a second or two that it fails.
+Each router reports the recent outcomes at failing upstreams, and a controller adds them up. An upstream with enough
+failures, both in number and as a fraction of its requests, is ejected, for longer each time. At most a fraction of the
+upstreams of a service is ejected; if more fail, none of them is, because the cause is then the load or the network.
+After an ejection an upstream is on probation: fewer failures eject it again. Pure logic.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from typing import NamedTuple
 
 WINDOW_MS = 2_000.0  # older outcomes no longer count
-MIN_FAILURES = 3  # from which an upstream is evaluated
+MIN_FAILURES = 3  # with fewer, an upstream is not ejected
 MIN_FAILURES_ON_PROBATION = 2
 MIN_FAILURE_FRACTION = 0.25  # of its requests; a lossy network fails some at every upstream
 MAX_EJECTED_FRACTION = 0.3  # of the upstreams of a service: the others must bear its load
 FIRST_EJECTION_MS = 2_000.0  # not under WINDOW_MS: the failures that it was ejected for must not count again
 MAX_EJECTION_MS = 12_000.0
 PROBATION_MS = 3_000.0
-BACKOFF_RESET_MS = 30_000.0  # without an ejection, after which the next one is as short as the first
+BACKOFF_RESET_MS = 30_000.0  # so long after an ejection, the next one is as short as the first
 
 
 class OutcomeCounts(NamedTuple):
@@ -33,11 +33,13 @@
 
 
 class OutcomeWindow:
-    """The recent outcomes at one router, by upstream. Times are milliseconds that only rise."""
+    """The recent outcomes at one router, by upstream. Times are monotonic, in milliseconds."""
 
     def __init__(self) -> None:
-        """No request has ended yet."""
-        self._outcomes: dict[str, deque[tuple[float, bool]]] = {}  # by upstream: when, and whether it failed
+        """Start without outcomes."""
+        self._outcomes: dict[
+            str, deque[tuple[float, bool]]
+        ] = {}  # by upstream: (time, failed) of each request
         self._last_failures_ms: dict[str, float] = {}  # by upstream where a request failed within the window
 
     def record(self, upstream: str, now_ms: float, *, failed: bool) -> None:
@@ -52,7 +54,7 @@
             self._last_failures_ms[upstream] = now_ms
 
     def failing_upstreams(self, now_ms: float) -> dict[str, OutcomeCounts]:
-        """The counts of those upstreams where a request failed within the window. No work where none did."""
+        """The counts of the upstreams where a request failed within the window. Costs nothing for the others."""
         found: dict[str, OutcomeCounts] = {}
         for upstream, failed_ms in list(self._last_failures_ms.items()):
             if failed_ms <= now_ms - WINDOW_MS:
@@ -65,7 +67,7 @@
         return found
 
     def _drop_idle_upstreams(self, now_ms: float) -> None:
-        """Forget upstreams that no request has ended at within the window, so that replaced ones do not add up."""
+        """Forget upstreams without a request within the window, so that replaced upstreams do not accumulate."""
         idle = [name for name, outcomes in self._outcomes.items() if outcomes[-1][0] <= now_ms - WINDOW_MS]
         for upstream in idle:
             del self._outcomes[upstream]
@@ -78,7 +80,7 @@
 
 
 def sum_outcomes(reports: Iterable[Mapping[str, tuple[int, int]]]) -> dict[str, OutcomeCounts]:
-    """The reports of several routers (succeeded and failed, as in `OutcomeCounts`), added up by upstream."""
+    """Add up the reports of several routers by upstream; each report maps an upstream to (succeeded, failed)."""
     total: dict[str, OutcomeCounts] = {}
     for counts in reports:
         for upstream, (succeeded, failed) in counts.items():
@@ -96,19 +98,19 @@
 
 
 class FleetOutlierDetector:
-    """Which upstreams one controller ejects. Times are milliseconds that only rise."""
+    """Decides which upstreams one controller ejects. Times are monotonic, in milliseconds."""
 
     def __init__(self) -> None:
-        """No upstream is ejected."""
+        """Start without ejected upstreams."""
         self._records: dict[str, _EjectionRecord] = {}
         self.ejected: frozenset[str] = frozenset()
 
     def evaluate(
         self, services: Iterable[Sequence[str]], outcomes: Mapping[str, OutcomeCounts], now_ms: float
     ) -> bool:
-        """Eject upstreams and take them back; returns whether `ejected` has changed.
+        """Eject upstreams and restore them; returns whether `ejected` has changed.
 
-        `services`: the ready upstreams of each. `outcomes`: of the whole fleet.
+        `services`: the ready upstreams of each service. `outcomes`: the sums over the whole fleet.
         """
         if not outcomes and not self._records:
             return False
@@ -117,7 +119,7 @@
             out = {id_ for id_ in upstreams if self._is_ejected(id_, now_ms)}
             allowed = int(MAX_EJECTED_FRACTION * len(upstreams)) - len(out)
             failing = [id_ for id_ in upstreams if id_ not in out and self._is_failing(id_, outcomes, now_ms)]
-            # Where more fail, it is the load or the network, and the others could not bear the load.
+            # If more fail, the cause is the load or the network, and the remaining ones could not take over the load.
             if len(failing) <= allowed:
                 for id_ in failing:
                     self._eject(id_, now_ms)
--- a/packages/balancing/src/larkweir_balancing/interface.py
+++ b/packages/balancing/src/larkweir_balancing/interface.py
@@ -1,7 +1,7 @@
-"""The interface of the decisions: settings, events and actions, from one place for the programs that use them.
+"""The public interface of this package: settings, events and actions.
 
-Times are milliseconds; durations are relative, `now_ms` is handed to `Balancer.handle` and only moves forward. Servers,
-requests and timers are named by integers that the caller chooses; the decisions read no meaning into them.
+Times are milliseconds. Durations are relative; the `now_ms` passed to `Balancer.handle` must not go backwards. Servers,
+requests and timers are identified by integers that the caller chooses and that have no meaning here.
 """
 
 from larkweir_balancing.actions import (
--- a/packages/balancing/src/larkweir_balancing/outcomes.py
+++ b/packages/balancing/src/larkweir_balancing/outcomes.py
@@ -1,4 +1,4 @@
-"""States of servers, outcomes of attempts and kinds of lists, as the platform's protocol has them."""
+"""States of servers, outcomes of attempts and kinds of server lists, as the platform's protocol defines them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ServerState(IntEnum):
-    """What discovery says of a server."""
+    """The state of a server according to discovery."""
 
     GONE = 0
     READY = 1
@@ -18,24 +18,24 @@
 
     OK = 0
     ERROR = 1  # the server answered with an error; it may have run
-    FULL = 2  # turned away unseen: proves that it never ran
-    TIMEOUT = 3  # no answer in time; may have run, or still be running
-    CONNECT_FAILED = 4  # no connection: proves that it never ran
-    RESET = 5  # connection lost; may have run
-    CANCELLED = 6  # called off by us; may have run
-    MOOT = 7  # never sent: proves that it never ran
-    REJECTED = 8  # the server says that the request itself is no good; tells nothing of the server's state
+    FULL = 2  # the server had no free slot and refused it; it never ran
+    TIMEOUT = 3  # no answer in time; it may have run, or still be running
+    CONNECT_FAILED = 4  # no connection; it never ran
+    RESET = 5  # connection lost; it may have run
+    CANCELLED = 6  # cancelled by us; it may have run
+    MOOT = 7  # never sent; it never ran
+    REJECTED = 8  # the server says that the request is invalid; says nothing about the server's health
 
 
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT))
 
 
 class ListKind(Enum):
-    """What a list event carries."""
+    """What a list event contains."""
 
-    FULL = "full"  # the whole list: a server that it lacks is gone
+    FULL = "full"  # the complete list: a server that is not in it is gone
     DELTA = "delta"  # changed entries only
-    CACHED = "cached"  # the whole list as last held; may be old
-    # entries of servers that are only remembered, changed by what was seen of them; not discovery's word
+    CACHED = "cached"  # the complete list as last known; may be outdated
+    # Entries of servers known only from an earlier list, updated by what was observed of them; not from discovery.
     PROOF = "proof"
-    FAILED = "failed"  # a call to discovery failed or the subscription broke; no entries
+    FAILED = "failed"  # a call to discovery failed or the subscription was lost; no entries
--- a/packages/balancing/src/larkweir_balancing/outlier_ejection.py
+++ b/packages/balancing/src/larkweir_balancing/outlier_ejection.py
@@ -19,10 +19,12 @@
     """Outlier ejection, and the pacing of requests to slow servers: both withhold tokens."""
 
     SAMPLE_WEIGHT = 1.0 / 32.0  # weight of a new sample in the running means
-    SLOWNESS_SAMPLE_WEIGHT = 0.25
-    ORDINARY_RATIO = 1.0  # times the usual, up to which a server is not slow
-    MAX_RATIO = 8.0  # times the usual, as far as a single answer counts
-    WITHHELD_VISITS = 2.0  # visits for which a server of twice the ordinary time keeps no token
+    SLOWNESS_SAMPLE_WEIGHT = 0.25  # weight of a new sample in a server's slowness
+    ORDINARY_RATIO = 1.0  # times the usual latency: up to this, a server is not slow
+    MAX_RATIO = 8.0  # times the usual latency: bounds the influence of a single answer
+    # How long the token of a server with twice the usual latency is withheld, in mean intervals between this replica's
+    # requests to one server.
+    WITHHELD_VISITS = 2.0
 
     settings: Settings
     rng: Random
@@ -31,17 +33,17 @@
     client_stats: ClientStats
     load_probing: LoadProbing
     failure_rate: float = 0.1
-    newest_success_sent_ms: float = -1.0  # when the call was sent that is the newest of those served
-    kind_ratio: dict[int, float] = field(default_factory=dict)  # times the usual that a kind of server takes
-    # The same of calls with no own call at the server before them, and with one or more.
+    newest_success_sent_ms: float = -1.0  # send time of the newest call that was served
+    kind_ratio: dict[int, float] = field(default_factory=dict)  # by kind of server: times the usual latency
+    # Times the usual latency of calls with no own call in flight at the server when they were sent, and with some.
     queue_ratio: list[float] = field(default_factory=lambda: [1.0, 2.0])
 
     def record_end(
         self, request: Request, attempt: Attempt, spent_ms: float, usual_ms: float, now_ms: float
     ) -> None:
-        """A call has ended; `usual_ms`: what those of its class have taken so far."""
+        """A call has ended; `usual_ms`: the mean latency of its class so far."""
         server, at = attempt.server, request.class_index
-        if attempt.outcome is not Outcome.OK:  # what ended early may have been given less than the usual time
+        if attempt.outcome is not Outcome.OK:  # an early timeout may have allowed less than the usual time
             early = attempt.outcome is Outcome.TIMEOUT and (
                 spent_ms < usual_ms or self._queued_behind_own_calls(attempt)
             )
@@ -64,9 +66,11 @@
         self._pace_visits(server, ratio, now_ms)
 
     def _queued_behind_own_calls(self, attempt: Attempt) -> bool:
-        """Whether a call that came to nothing in time did so behind our own calls: its server has served others since,
-        or no server any call that was sent later. Guards against ejecting a tier that we have overfilled, server by
-        server, which would fill the rest the more.
+        """Whether a call that timed out was probably queued behind our own calls.
+
+        It was if our other calls were in flight there, and the server has served a call since then, or no server has
+        served a call that was sent later. Ejecting the servers of a tier that we overload, one by one, would overload
+        the rest even more.
         """
         late = (
             attempt.server.last_success_ms >= attempt.sent_ms
@@ -77,59 +81,62 @@
     def _record_failure(self, attempt: Attempt, at: int, spent_ms: float, now_ms: float) -> None:
         """Outlier ejection: a run of failures withholds the token for a growing, bounded, jittered time.
 
-        One bad server is told from a bad tier by chance: the run must be one that the failure rate of all
-        servers together would give this one in fewer than `eject_odds` of cases, and at most `eject_most` of the ready
-        servers are ejected at once: guards against emptying a fleet that is slow as a whole.
+        A bad server is distinguished from a bad tier by probability: at the failure rate of all servers together, the
+        run must have a probability below `eject_odds`. At most `eject_most` of the ready servers are ejected at once,
+        so that a fleet that is slow as a whole is not emptied.
         """
         self.failure_rate += self.SAMPLE_WEIGHT * (1.0 - self.failure_rate)
         server, outcome, fleet, tuning = attempt.server, attempt.outcome, self.table, self.settings.tuning
         visit_interval_ms = (
             self.client_stats.arrival_interval_ms * fleet.ready_count
-        )  # from one of this copy's visits there to the next
+        )  # mean time between two requests of this replica to one server
         latency = self.limiter.mean[at]
         if outcome not in NEVER_RAN and outcome is not Outcome.OK:
-            # Guards against a server that fails one class and serves the others, whose successes would clear
-            # it. One failure is enough: others are drawn meanwhile; if all of them fail it changes nothing.
+            # For a server that fails one class and serves the others, whose successes would reset its failures. One
+            # failure is enough: other servers are selected meanwhile, and if all of them fail it changes nothing.
             times = server.ejected_for_class.get(at, (0, 0.0))[0] + 1
             server.ejected_for_class[at] = (times, now_ms + self._ejection_ms(visit_interval_ms, times))
         server.consecutive_failures += 1
-        # Guards against the fast failure, whose token would be back first; one that took its time attracts nobody.
+        # The token of a fast failure would return first and attract more requests, so it is withheld for about the
+        # usual latency. A slow failure has already taken that time.
         pause = latency * (0.25 + 0.5 * self.rng.random()) - spent_ms
         fleet.withhold_token(server, now_ms + pause)
-        # Of so many calls out, as many runs are looked at, and one is odd by chance: guards against ejecting servers
-        # that are well, in turn, which crowds the rest. One that gives no sign of life is not waited for so long.
+        # With many calls in flight, many runs are tested at once, and one of them is improbable by chance; so the
+        # probability is multiplied by their number (Bonferroni). Otherwise healthy servers would be ejected in turn,
+        # which overloads the rest. Not so for an unresponsive server, which is ejected sooner.
         runs = fleet.in_flight if outcome is Outcome.ERROR or outcome is Outcome.RESET else 1
         probability = self.failure_rate**server.consecutive_failures * max(1, runs)
         if probability < tuning.eject_odds and len(fleet.ejected) < tuning.eject_most * fleet.ready_count:
-            # Doubles with each ejection, not with each failure, which a bad tier gives to all.
+            # The time doubles with each ejection, not with each failure, since a bad tier makes all servers fail.
             if server.unresponsive and not server.ejections:
                 self.limiter.on_capacity_lost(fleet.ready_count - len(fleet.ejected))
             server.ejections += 1
             fleet.ejected.add(server)
-            # A copy of low rate comes by seldom: less than the time between two visits would be no ejection.
+            # For a replica with low traffic, less than the time between two requests would have no effect.
             fleet.withhold_token(
                 server, now_ms + self._ejection_ms(max(latency, visit_interval_ms), server.ejections)
             )
 
     def _ejection_ms(self, first_ms: float, times: int) -> float:
-        """Doubled each time, with jitter."""
+        """The duration of the ejection: `first_ms` doubled each time, bounded, with jitter."""
         span = first_ms * 2.0 ** min(times, 16)
         return min(self.settings.longest_ms, span) * (0.5 + self.rng.random())
 
     def _pace_visits(self, server: Server, ratio: float, now_ms: float) -> None:
-        """Keep a slower server's token back after its call, by how much slower than the usual it is.
+        """Withhold a slow server's token after a call, for longer the slower it is than the usual.
 
-        Guards against slow kinds and servers that stay slow once crowded: a copy that comes by seldom always
-        finds its own calls there ended, so that even draws fill the slow ones. Only where no report tells
-        which server is idle. A tier that is slow as a whole is its own usual, so nothing is withheld then.
+        A replica with low traffic always finds its own calls at a server ended, so selecting evenly would overload slow
+        servers and kinds. Only where no load reports show which server is idle. Where a whole tier is slow, slow is
+        usual, and nothing is withheld.
         """
         kind = self.kind_ratio.get(server.kind, 1.0)
         self.kind_ratio[server.kind] = kind + self.SAMPLE_WEIGHT * (ratio - kind)
-        # Its kind speaks for a server that this copy has hardly met.
+        # A server without samples starts from the ratio of its kind.
         known = kind if server.slowness is None else server.slowness
         server.slowness = known + self.SLOWNESS_SAMPLE_WEIGHT * (ratio - known)
-        # Own counts tell which server is free, a lone copy's sooner. Guards against leaving one empty, for the
-        # time that its answer took behind our own calls, while the others get twice as many.
+        # With enough own calls in flight, their counts show which server is free; a lone replica needs fewer. Then no
+        # token is withheld: an answer that was slow because it queued behind our own calls would leave its server idle
+        # while the others get twice as many calls.
         counts = self.table.in_flight >= self.table.ready_count * (
             0.5 if self.settings.balancer_count < 2 else 1.0
         )
--- a/packages/balancing/src/larkweir_balancing/settings.py
+++ b/packages/balancing/src/larkweir_balancing/settings.py
@@ -1,6 +1,6 @@
-"""What a balancer is configured with: classes of requests, tenants, tuning and the platform's settings.
+"""The settings of a balancer: request classes, tenants, tuning and the platform's settings.
 
-Times are milliseconds. Settings are checked when they are made: `SettingsError` names the key and the value.
+Times are milliseconds. Settings are validated on construction: `SettingsError` names the key and the value.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """Whether a request may run twice."""
 
-    SAFE = "safe"  # may be repeated freely
-    KEYED = "keyed"  # repeats are dropped inside a group of servers for a while
+    SAFE = "safe"  # may be retried freely
+    KEYED = "keyed"  # has an idempotency key: a group of servers drops duplicates for a limited time
     UNSAFE = "unsafe"  # must never run twice
 
 
 class Group(Enum):
-    """Which servers drop a keyed request's repeats."""
+    """The servers among which duplicates of a keyed request are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,10 +30,10 @@
 
 
 class ReportMode(Enum):
-    """When servers tell their load."""
+    """When servers report their load."""
 
-    INLINE = "inline"
-    ON_PROBE = "on_probe"
+    INLINE = "inline"  # with each answer
+    ON_PROBE = "on_probe"  # in answer to a probe
     OFF = "off"
 
 
@@ -47,7 +47,12 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests and what may be done with it."""
+    """One class of requests: its latency target and deadline, its importance, and whether it may be retried.
+
+    `aim_ms` is the latency target. `worth` is the value of an answer within it, relative to other classes; `late_worth`
+    is that of a later answer, up to `deadline_ms`. `group` and `memory_ms` say which servers drop duplicates of a keyed
+    request, and for how long.
+    """
 
     aim_ms: float
     deadline_ms: float
@@ -59,7 +64,7 @@
     streaming: bool = False
     aim_stretch: float = 0.0
     name: str = ""
-    attempts: int = 0  # at the most, where the class has a bound of its own; 0: as the settings say
+    attempts: int = 0  # the maximum for this class; 0: `Settings.max_attempts`
 
     def __post_init__(self) -> None:
         _require_number("class.", "aim_ms", self.aim_ms, 0.001)
@@ -70,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and the rate, over all copies together, that counts as within its share."""
+    """A tenant and its share: requests per second over all replicas together; traffic beyond it is over its share."""
 
     quota_per_s: float
     fraction: float = 0.0
@@ -83,24 +88,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Tuning:
-    """What staff may set of how the decisions weigh; the defaults are those that were measured."""
+    """Parameters of the decisions that operators may set."""
 
-    retry_ratio: float = 0.25  # further attempts earned by each request
-    retry_cap: float = 8.0  # as many as may be saved up
-    eject_odds: float = 0.05  # under which a run of failures is put down to the server
-    eject_most: float = 0.5  # of the ready servers, that may be ejected at once
-    # Times the usual latency of its class and size, from which an answer counts against its server.
+    retry_ratio: float = 0.25  # retries that each request adds to the retry budget
+    retry_cap: float = 8.0  # the most retries that the budget can save up
+    eject_odds: float = 0.05  # a run of failures less probable than this is attributed to the server
+    eject_most: float = 0.5  # the fraction of the ready servers that may be ejected at once
+    # An answer that took longer than this multiple of the usual latency of its class and size counts as a failure.
     slow: float = 4.0
-    queue_patience: float = 0.25  # of the aim, that a request may wait for a place
-    queue_standing: float = 0.1  # the same, where requests have been waiting without a break
-    # Of the multiple that topples a cold server, what is planned for; the rest is left to chance, heavy requests,
-    # retries and copies with another view.
+    queue_patience: float = 0.25  # the fraction of `aim_ms` that a request may wait for a slot
+    queue_standing: float = 0.1  # the same while the queue has not been empty for some time
+    # The planned load of a server in slow start, as a fraction of the multiple that overloads it; the rest is a margin
+    # for chance, heavy requests, retries and replicas with a different view.
     cold_pace: float = 0.25
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a copy is told at start. Every default is the cautious one."""
+    """All settings of one replica. Every default is the cautious choice."""
 
     classes: Sequence[RequestClass]
     tenants: Sequence[Tenant] = ()
@@ -129,7 +134,7 @@
     marks_retry: bool = False
     passes_deadline: bool = False
     report_mode: ReportMode = ReportMode.OFF
-    # A load report's values in order: calls "running_and_waiting", those "waiting"; "" is not used.
+    # The meaning of a load report's values, in order: "running_and_waiting" or "waiting" calls; "" is ignored.
     report_fields: Sequence[str] = ()
     over_share_worth: float = 1.0
     price_cross_zone: float = 0.0
@@ -137,7 +142,7 @@
     price_waste: float = 0.0
     price_late_fail: float = 0.0
     tuning: Tuning = field(default_factory=Tuning)
-    # A server is kept from calls for so long at the most: as long as a start takes, or as a request may. Derived.
+    # The longest time that a server gets no calls: its start-up time or the longest deadline. Derived.
     longest_ms: float = field(init=False, default=0.0)
 
     def __post_init__(self) -> None:
@@ -166,14 +171,14 @@
         object.__setattr__(self, "longest_ms", longest)
 
 
-# Numbers of zones and report values are places in these; the rest says who this copy is. Classes keep their places, to
-# which more may be added.
+# Settings that can't change while a balancer runs. Zones and report values are referred to by their index in these; the
+# others identify this replica. Classes keep their index, and more may be added.
 FIXED_SETTINGS = (
     "zones my_zone me tier tiers tick_ms on_request_discovery may_probe report_mode report_fields".split()
 )
 
 
 def fixed_difference(old: Settings, new: Settings) -> str:
-    """What two settings differ in that no balancer can change while it runs; empty if nothing."""
+    """The first difference that a running balancer can't apply; empty if there is none."""
     fewer = "fewer classes" if len(new.classes) < len(old.classes) else ""
     return next((name for name in FIXED_SETTINGS if getattr(old, name) != getattr(new, name)), fewer)
--- a/packages/balancing/src/larkweir_balancing/shared_health.py
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -1,10 +1,10 @@
-"""Health findings of other replicas about servers that this balancer has ejected, weighed by their age. Pure logic.
+"""Health reports of other replicas about servers that this balancer has ejected, weighted by their age. Pure logic.
 
-A report never ejects a server and never sends a request: it moves the time at which a server that this balancer
-itself has ejected is tried again, later or sooner, within bounds that its own knowledge sets. A server that is
-restored is selected under the usual rules: discovery must list it, slow start counts, and an unresponsive one gets
-requests that may be repeated first. A probe is sent only on this replica's turn, only where the settings allow
-probes, and only to a ready server.
+A report never ejects a server and never sends a request. It moves the time at which a server that this balancer itself
+has ejected is tried again, later or sooner, within bounds set by this balancer's own findings. A restored server is
+selected under the usual rules: discovery must list it, slow start applies, and one that was unresponsive first gets
+requests that may be retried. A probe is sent only when it is this replica's turn, only if the settings allow probes,
+and only to a ready server.
 """
 
 from __future__ import annotations
@@ -21,25 +21,26 @@
 from larkweir_balancing.outlier_ejection import OutlierDetector
 from larkweir_balancing.servers import Server
 
-MAX_SERVERS = 256  # reports of further ones are ignored
-REPORT_LIFETIME_MS = 12_000.0  # from this age on a report is ignored
-MAX_EJECTION_HINT_MS = 6_000.0  # for which a new report keeps an unhealthy server ejected; less with its age
-# Over which the replicas restore a server that was found healthy: a wrong report costs the first few only, and a server
-# that has just started is spared until discovery lists its start.
+MAX_SERVERS = 256  # reports about further servers are ignored
+REPORT_LIFETIME_MS = 12_000.0  # older reports are ignored
+# A new report keeps an unhealthy server ejected for so long, an older one for less.
+MAX_EJECTION_HINT_MS = 6_000.0
+# The replicas restore a server that was reported healthy at random times within this span. So a wrong report costs only
+# the first few of them, and a server that has just started is spared until discovery lists its start.
 RESTORE_SPREAD_MS = 3_000.0
-RECHECK_INTERVAL_MS = 2_000.0  # between two checks, by the replica whose turn it is
-PROBE_TIMEOUT_MS = 3_000.0  # after which a probe is no longer waited for
+RECHECK_INTERVAL_MS = 2_000.0  # minimum time between two checks by the replica whose turn it is
+PROBE_TIMEOUT_MS = 3_000.0  # then a probe without an answer is given up
 
 
 def report_confidence(age_ms: float) -> float:
-    """Of a report of this age, from 1 down to 0; a negative age counts as new."""
+    """The confidence in a report of this age, from 1 down to 0; a negative age counts as new."""
     return max(0.0, 1.0 - max(0.0, age_ms) / REPORT_LIFETIME_MS)
 
 
 class LocalHealth(NamedTuple):
-    """What this replica has found of a server by itself. `is_ejected`: requests failed there, and none succeeded since.
+    """This replica's own finding about a server. `is_ejected`: requests failed there, and none has succeeded since.
 
-    A server that is only slow is not reported.
+    A server that is only slow is not reported as ejected.
     """
 
     server: int
@@ -52,26 +53,27 @@
 @dataclass(slots=True, eq=False, repr=False)
 class _ServerHealth:
     server: Server
-    failed_ms: float  # its last failure here
-    found_ms: float  # when this copy found something itself, and what
+    failed_ms: float  # the last failure seen by this replica
+    found_ms: float  # this replica's last own finding; `is_healthy` and `from_request` describe it
     is_healthy: bool | None = None
     from_request: bool = False
-    is_failing: bool = False  # not slow alone
-    restored_on_report: bool = False  # brought back on hearsay, and not heard of since
-    report_was_wrong: bool = False  # that was wrong: no good word counts until it has served this copy
-    probed_ms: float = -math.inf  # of the last probe for others
-    probe_in_flight: bool = False  # it is out
+    is_failing: bool = False  # requests fail there; a server that is only slow is not failing
+    restored_on_report: bool = False  # restored on a report, and no own finding since
+    # It failed after that; reports that it is healthy are ignored until it has served a request here.
+    report_was_wrong: bool = False
+    probed_ms: float = -math.inf  # when the last probe was sent on this replica's turn
+    probe_in_flight: bool = False
 
 
 class SharedHealth:
-    """One replica's: it follows the servers that its detector has ejected, and says until when."""
+    """Tracks the servers that this replica's outlier detector has ejected, and moves the end of their ejection."""
 
     def __init__(self, detector: OutlierDetector) -> None:
         self._detector = detector
         self._servers: dict[int, _ServerHealth] = {}
-        self.untracked = 0  # servers beyond the bound
+        self.untracked = 0  # servers beyond `MAX_SERVERS`
 
-    # ------------------------------------------------ what this copy finds
+    # ------------------------------------------------ this replica's own findings
 
     def on_attempt_end(self, server: Server, outcome: Outcome, now_ms: float) -> None:
         """A request has ended, and the detector has recorded it."""
@@ -89,7 +91,7 @@
         health.restored_on_report = False
 
     def on_probe_end(self, event: ProbeEnded, now_ms: float) -> bool:
-        """A probe has ended; returns whether it was sent by this class."""
+        """A probe has ended; returns whether this object had asked for it."""
         health = self._servers.get(event.server)
         if health is None or not health.probe_in_flight:
             return False
@@ -108,7 +110,7 @@
         return True
 
     def local_health(self, now_ms: float) -> Iterator[LocalHealth]:
-        """Of each server that is ejected, or was until recently."""
+        """The finding about each server that is ejected, or was until recently."""
         for number, health in list(self._servers.items()):
             over = (
                 health.is_healthy is True
@@ -133,10 +135,10 @@
             health = self._servers[server.id] = _ServerHealth(server, now_ms, -math.inf)
         return health
 
-    # ------------------------------------------------ what others have found
+    # ------------------------------------------------ reports of other replicas
 
     def on_peer_report(self, event: PeerHealthReport, now_ms: float, out: list[Action]) -> None:
-        """Another replica reports; ignored for a server that is not listed, drains, or is not ejected here."""
+        """Another replica reports; ignored for a server that is not listed, is draining, or is not ejected here."""
         server = self._detector.table.servers.get(event.server)
         if server is None or not server.ready or not server.ejections:
             return
@@ -147,18 +149,19 @@
             self._recheck(health, now_ms, out)
         elif (
             event.is_healthy is not None and now_ms - event.age_ms > health.found_ms
-        ):  # else this copy knows better
+        ):  # else this replica's own finding is newer
             self._apply(health, event.is_healthy, event.from_request, event.age_ms, now_ms)
 
     def _apply(
         self, health: _ServerHealth, is_healthy: bool, from_request: bool, age_ms: float, now_ms: float
     ) -> None:
-        """Move the time at which it is tried again."""
+        """Move the time at which the server is tried again."""
         server, confidence = health.server, report_confidence(age_ms)
         if confidence <= 0.0:
             return
         if not is_healthy:
-            # Guards against a wrong word that never ends: after that at the latest this copy finds out for itself.
+            # Bounded by the last own failure, so that wrong reports without end can't keep a server ejected: then at
+            # the latest this replica tries the server itself.
             last = health.failed_ms + self._detector.settings.longest_ms
             health.restored_on_report = False
             self._extend_ejection(server, min(now_ms + MAX_EJECTION_HINT_MS * confidence, last), now_ms)
@@ -167,12 +170,12 @@
             and not health.report_was_wrong
             and (from_request or server.unresponsive)
         ):
-            # A probe speaks for a server that gave no sign of life, not for one that answers, and answers badly.
+            # A successful probe counts for a server that was unresponsive, not for one that answers with errors.
             health.restored_on_report = True
             self._restore(server, now_ms + RESTORE_SPREAD_MS * self._detector.rng.random(), now_ms)
 
     def _extend_ejection(self, server: Server, until_ms: float, now_ms: float) -> None:
-        """Within the detector's own bound of how many are ejected at once."""
+        """Eject the server until `until_ms`, within the detector's own bound on how many are ejected at once."""
         fleet = self._detector.table
         if server not in fleet.ejected:
             if len(fleet.ejected) >= self._detector.settings.tuning.eject_most * fleet.ready_count:
@@ -188,7 +191,10 @@
             self._detector.table.withhold_token(server, at_ms)
 
     def _recheck(self, health: _ServerHealth, now_ms: float, out: list[Action]) -> None:
-        """This replica's turn: a probe; where none is allowed, or probes tell nothing, the next request there."""
+        """Check a server on this replica's turn.
+
+        Sends a probe. Where probes are not allowed or say nothing, ends the ejection, so that a request is the check.
+        """
         server = health.server
         if now_ms - max(health.probed_ms, health.found_ms) < RECHECK_INTERVAL_MS:
             return
--- a/packages/balancing/src/larkweir_balancing/upstream_backoff.py
+++ b/packages/balancing/src/larkweir_balancing/upstream_backoff.py
@@ -1,4 +1,4 @@
-"""For how long an upstream's token is withheld after an attempt there has ended. Pure logic."""
+"""Backoff: how long an upstream's token is withheld after an attempt there has ended. Pure logic."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from larkweir_balancing.outcomes import Outcome
 from larkweir_balancing.servers import Server
 
-INITIAL_BACKOFF_MS = 250.0  # after a failed connection or call; doubles with each in a row
+INITIAL_BACKOFF_MS = 250.0  # after a failed connection or call; doubles with each consecutive failure
 MAX_BACKOFF_MS = 4_000.0
 MAX_COUNTED_FAILURES = 8
 FULL_BACKOFF_MS = 150.0  # after an upstream had no free slot
@@ -17,7 +17,7 @@
 
 
 def record_outcome(server: Server, outcome: Outcome) -> float | None:
-    """Count the failures in a row; returns the backoff in ms that this outcome asks for, or None."""
+    """Update the server's consecutive failures; returns the backoff in ms, or None for no backoff."""
     if outcome is Outcome.FULL:
         return FULL_BACKOFF_MS if OPTIONS.full_backoff else None
     if outcome in NOT_UPSTREAM_FAULTS:
--- a/packages/balancing/src/larkweir_balancing/wire.py
+++ b/packages/balancing/src/larkweir_balancing/wire.py
@@ -1,4 +1,4 @@
-"""Codec of the simulator's frames: bytes to events and actions to bytes. Pure logic."""
+"""Codec for the simulator's wire format: frames to events, and actions to frames. Pure logic."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Hello:
-    """An instance starts, with nothing known but its settings."""
+    """An instance starts; it knows only its settings."""
 
     seed: int
     settings_json: bytes
@@ -85,12 +85,12 @@
 
 
 class Decoder:
-    """Reads batches. It keeps the numbered server lists, which serve the whole process and are replaced in the order of
-    events.
+    """Decodes batches. Keeps the numbered server lists, which all instances share; a new list replaces the one with the
+    same number, in the order of events.
     """
 
     def __init__(self) -> None:
-        """No list is known yet."""
+        """Start without server lists."""
         self._lists: dict[int, tuple[ServerEntry, ...]] = {}
         self._readers: dict[int, Callable[[bytes, int], tuple[Record | None, int]]] = {
             1: _read_timer,
@@ -132,13 +132,13 @@
         inst, how, version, list_number = _UPDATE.unpack_from(frame, at)
         kind = LIST_KINDS.get(how)
         if kind is None:
-            raise WireError(f"update of unknown kind {how}")
+            raise WireError(f"list update of unknown kind {how}")
         if kind is ListKind.FAILED:
             update = ListUpdate(kind, version)
         elif list_number in self._lists:
             update = ListUpdate(kind, version, self._lists[list_number])
         else:
-            raise WireError(f"update names list {list_number}, which no catalog has set up")
+            raise WireError(f"list update refers to list {list_number}, but no catalog has defined it")
         return (inst, update), at + _UPDATE.size
 
     def _read_catalog(self, frame: bytes, at: int) -> tuple[None, int]:
@@ -151,7 +151,7 @@
         return None, end
 
 
-# Each takes a frame and where the record begins behind its code; returns it, with where the next one begins.
+# Each function takes a frame and the offset after the record's code; it returns the record and the offset of the next.
 
 
 def _read_timer(frame: bytes, at: int) -> tuple[Record, int]:
@@ -244,7 +244,7 @@
 
 
 def encode_action(inst: int, action: Action) -> bytes:
-    """One action record."""
+    """Encode one action as a record."""
     if isinstance(action, Send):
         return _SEND.pack(
             5, inst, action.request, action.server >> 16, action.server & 0xFFFF, action.timeout_ms
@@ -274,7 +274,7 @@
 
 
 def encode_crash(inst: int, text: str) -> bytes:
-    """The record that says the decision code of an instance failed."""
+    """Encode the record that reports a failure in an instance's decision code."""
     return _encode_text(8, inst, text)
 
 
@@ -284,6 +284,6 @@
 
 
 def encode_reply(records: Sequence[bytes]) -> bytes:
-    """Frame the records of one reply."""
+    """Join the records of one reply into a frame."""
     body = b"".join(records)
     return _REPLY.pack(len(records), len(body) + _REPLY.size) + body
--- a/packages/balancing/src/larkweir_balancing/wire_settings.py
+++ b/packages/balancing/src/larkweir_balancing/wire_settings.py
@@ -1,4 +1,4 @@
-"""Settings from the JSON text of the simulator's `hello`, by the wire's key names. Unknown keys are skipped."""
+"""Decodes settings from the JSON text of the simulator's `hello` record. Unknown keys are ignored."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 _EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
 _GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 _MODES = {"inline": ReportMode.INLINE, "on_probe": ReportMode.ON_PROBE, "off": ReportMode.OFF}
-_REPORT_FIELDS = {"busy_reqs": "running_and_waiting", "pending": "waiting"}  # others are not used
+_REPORT_FIELDS = {"busy_reqs": "running_and_waiting", "pending": "waiting"}  # others are ignored
 _MISSING = object()
 
 
 class _Reader:
-    """Takes typed values out of one JSON object and names key and value when it can't."""
+    """Reads typed values from one JSON object; errors name the key and the value."""
 
     def __init__(self, data: Any, path: str) -> None:
         if not isinstance(data, dict):
@@ -67,7 +67,7 @@
 
 
 def decode_settings(settings_json: bytes) -> Settings:
-    """Turn the settings text of `hello` into `Settings`; raises SettingsError naming key and value."""
+    """Decode the settings text of `hello`; raises `SettingsError`, which names the key and the value."""
     try:
         top = _Reader(json.loads(settings_json), "")
     except (ValueError, RecursionError) as problem:
--- a/packages/balancing/src/larkweir_balancing/wirehost.py
+++ b/packages/balancing/src/larkweir_balancing/wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: hosts many balancer instances on the bench's wire, standard input to standard output."""
+"""Adapter that hosts many balancer instances for the simulator, by its wire format on standard input and output."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; a batch is decoded whole before anything is written."""
+    """Answer batches until the input ends; a batch is decoded completely before its reply is written."""
     decoder = Decoder()
     balancers: dict[int, Balancer] = {}
     while True:
@@ -63,7 +63,7 @@
 
 def main() -> int:
     """Run until the end of input; a malformed frame ends with a plain message and status 1."""
-    gc.disable()  # copies live long and hold few cycles; collection pauses would be booked as decision cost
+    gc.disable()  # instances live long and have few cycles; GC pauses would count as decision cost
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as problem:
