--- a/packages/balancing/src/larkweir_balancing/admission_queue.py
+++ b/packages/balancing/src/larkweir_balancing/admission_queue.py
@@ -21,9 +21,7 @@
 
     STANDING_FRACTION = 0.5  # of `aim_ms`: a queue that has not been empty for longer is a standing queue
     MAX_WAITING = 4096  # requests
-    OVER_SHARE_INTERVAL = (
-        16  # every so many turns, traffic over its share goes first, so that it never starves
-    )
+    OVER_SHARE_INTERVAL = 16  # turns: one of so many goes to traffic over its share, so that it never starves
 
     def __init__(self, settings: Settings) -> None:
         self._queues: list[OrderedDict[int, None]] = []
--- a/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
+++ b/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
@@ -21,7 +21,8 @@
 from larkweir_balancing.round_sums import RoundSums
 from larkweir_balancing.settings import RequestClass, Settings
 
-INCONCLUSIVE = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # about the server's health
+# Outcomes that say nothing about the server's health.
+INCONCLUSIVE = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))
 
 
 class Verdict(Enum):
--- a/packages/balancing/src/larkweir_balancing/latency_estimates.py
+++ b/packages/balancing/src/larkweir_balancing/latency_estimates.py
@@ -13,7 +13,7 @@
 class LatencyEstimates:
     """Estimates by class, of the time at the upstreams only.
 
-    `base` is the latency at low load. The lists stay the same objects for as long as this one exists.
+    `base` is the latency at low load. The lists are changed in place and never replaced, so callers may keep them.
     """
 
     SAMPLE_WEIGHT = 1.0 / 16.0  # weight of a new sample in the running means
@@ -33,8 +33,8 @@
         self._base_samples = [0] * count  # answers that `learn_base` got
         self._mean_samples = [0] * count  # answers that `record` got, up to MIN_KNOWN_SAMPLES
         self._base_sizes = [0.0] * count  # the sum of the size scales of the answers that `learn_base` got
-        # The fraction of the base latency that is proportional to the request's size. Initially one of the tiers from
-        # here on: the servers called from here, as those behind them have work of their own size.
+        # The fraction of the base latency that is proportional to the request's size. The first guess is one of the
+        # remaining tiers, as the size of the work in the tiers behind it is unrelated.
         self._slope = 1.0 / max(1, settings.tiers - settings.tier)
         self._size_variance, self._size_time_covariance = 1.0, self._slope
 
--- a/packages/balancing/src/larkweir_balancing/load_shedding.py
+++ b/packages/balancing/src/larkweir_balancing/load_shedding.py
@@ -29,9 +29,8 @@
     MAX_SHED_FRACTION = 0.95  # of any class, for first tries and retries each: none is refused completely
     QUIET_TARGETS = 0.5  # times the smallest `aim_ms` without anything to shed, after which shedding ends
     TRAFFIC_SAMPLE_WEIGHT = 1.0 / 64.0  # weight of a request in the traffic fractions
-    MAX_ITERATION_FACTOR = (
-        4.0  # times `high`; an iteration is capped there, as a paused process says nothing of load
-    )
+    # Times `high`: a longer iteration counts as this long, as it may only mean that the process was paused.
+    MAX_ITERATION_FACTOR = 4.0
 
     def __init__(
         self, classes: Sequence[RequestClass], rng: Random, high: float = 0.25, low: float = 0.15
--- a/packages/balancing/src/larkweir_balancing/settings.py
+++ b/packages/balancing/src/larkweir_balancing/settings.py
@@ -142,7 +142,7 @@
     price_waste: float = 0.0
     price_late_fail: float = 0.0
     tuning: Tuning = field(default_factory=Tuning)
-    # The longest time that a server gets no calls: its start-up time or the longest deadline. Derived.
+    # The longest time that a server gets no calls: `cold_ms` or the longest deadline. Derived.
     longest_ms: float = field(init=False, default=0.0)
 
     def __post_init__(self) -> None:
--- a/packages/balancing/src/larkweir_balancing/shared_health.py
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -25,8 +25,8 @@
 REPORT_LIFETIME_MS = 12_000.0  # older reports are ignored
 # A new report keeps an unhealthy server ejected for so long, an older one for less.
 MAX_EJECTION_HINT_MS = 6_000.0
-# The replicas restore a server that was reported healthy at random times within this span. So a wrong report costs only
-# the first few of them, and a server that has just started is spared until discovery lists its start.
+# Each replica restores a server that was reported healthy after a random delay of up to this. So a wrong report costs
+# the first few replicas only, and a server that has just started is spared until discovery lists its start.
 RESTORE_SPREAD_MS = 3_000.0
 RECHECK_INTERVAL_MS = 2_000.0  # minimum time between two checks by the replica whose turn it is
 PROBE_TIMEOUT_MS = 3_000.0  # then a probe without an answer is given up
@@ -160,8 +160,8 @@
         if confidence <= 0.0:
             return
         if not is_healthy:
-            # Bounded by the last own failure, so that wrong reports without end can't keep a server ejected: then at
-            # the latest this replica tries the server itself.
+            # The bound counts from the last failure seen here: then at the latest this replica tries the server
+            # itself, even if wrong reports keep arriving.
             last = health.failed_ms + self._detector.settings.longest_ms
             health.restored_on_report = False
             self._extend_ejection(server, min(now_ms + MAX_EJECTION_HINT_MS * confidence, last), now_ms)
