--- a/packages/balancing/tests/test_balancing_wire.py
+++ b/packages/balancing/tests/test_balancing_wire.py
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "count", "says"),
+    ("text", "count", "message"),
     [
         ("01 00000003", 1, "ends inside"),
         ("", 1, "ends inside"),
@@ -161,8 +161,8 @@
         ("0b 00000003 0a124a07 2bc3 0001 4032800000000000 00", 1, "unknown outcome 1"),
     ],
 )
-def test_malformed_frames_get_a_plain_message(text: str, count: int, says: str) -> None:
-    with pytest.raises(WireError, match=says):
+def test_malformed_frames_get_a_plain_message(text: str, count: int, message: str) -> None:
+    with pytest.raises(WireError, match=message):
         Decoder().batch(raw(text), count)
 
 
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
         (_set(["Categories"], None), "Categories: missing"),
         (_set(["Categories"], []), "classes: the list is empty"),
@@ -226,10 +226,12 @@
         (_set(["Zones"], "ab"), "Zones: 'ab' is not a list"),
     ],
 )
-def test_malformed_settings_name_key_and_value(change: Callable[[dict[str, Any]], None], says: str) -> None:
+def test_malformed_settings_name_key_and_value(
+    change: Callable[[dict[str, Any]], None], message: str
+) -> None:
     settings_data = json.loads(json.dumps(SETTINGS))
     change(settings_data)
-    with pytest.raises(SettingsError, match=says):
+    with pytest.raises(SettingsError, match=message):
         decode_settings(json.dumps(settings_data).encode())
 
 
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -1,4 +1,4 @@
-"""The window and the waiting room, by scripts in simulated time, each hard case by its name."""
+"""The window and the waiting queue, by scripts in simulated time, each hard case by its name."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 from standins.tier import AIM_MS, DEADLINE_MS, World, jain, quantile
 
-FREE = 100_000  # slots: upstreams that are never full
+UNLIMITED = 100_000  # slots: upstreams that are never full
 
 
 def window(world: World) -> float:
     return float(world.copies[0].balancer.limiter.window)
 
 
-def test_a_step_to_30_100_300_callers_and_back_is_refused_nothing() -> None:
-    world = World(1, 3, FREE, 3.0)
+def test_steps_of_concurrency_from_30_to_300_and_back_are_not_refused() -> None:
+    world = World(1, 3, UNLIMITED, 3.0)
     ends = [world.closed(30)]
     for until, more in ((300.0, 70), (600.0, 200)):
         world.run(until)
@@ -50,8 +50,8 @@
     assert quantile(whole.spent, 0.99) < 0.1 * AIM_MS
 
 
-def test_a_burst_after_a_quiet_hour_is_refused_nothing() -> None:
-    world = World(2, 3, FREE, 20.0)
+def test_a_burst_after_a_quiet_hour_is_not_refused() -> None:
+    world = World(2, 3, UNLIMITED, 20.0)
     world.closed(2)()
     end = world.closed(2, think_ms=50.0)
     world.run(1_000.0)
@@ -65,7 +65,7 @@
     assert whole.served > 8_000 and not whole.refused
 
 
-def test_a_burst_after_an_overload_and_a_quiet_hour_opens_the_window_as_the_first_one_did() -> None:
+def test_a_burst_long_after_an_overload_doubles_the_window_again() -> None:
     world = World(15, 3, 4, 60.0)
     end = world.closed(200)
     world.run(4_000.0)
@@ -73,7 +73,7 @@
     end()
     world.run(5_000.0)
     for up in world.upstreams:
-        up.slots = FREE  # the tier is many times larger by now
+        up.slots = UNLIMITED  # the tier is many times larger by now
     end = world.closed(2, think_ms=50.0)
     world.run(9_000.0)
     end()
@@ -85,8 +85,8 @@
     assert whole.refused < 0.1 * whole.asked
 
 
-def test_a_tier_that_turns_slower_in_quiet_hours_does_not_rust_the_window_shut() -> None:
-    world = World(16, 3, FREE, 2.0)
+def test_a_tier_that_becomes_slower_at_low_load_does_not_keep_the_window_small() -> None:
+    world = World(16, 3, UNLIMITED, 2.0)
     world.closed(100, think_ms=5.0)()
     end = world.closed(100, think_ms=5.0)
     world.run(500.0)
@@ -105,8 +105,8 @@
     assert late.refused <= 0.001 * late.served and late.in_aim == late.served
 
 
-def test_a_window_that_stands_wide_open_from_better_times_closes_on_what_is_out() -> None:
-    world = World(18, 3, FREE, 5.0)
+def test_an_unused_large_window_shrinks_when_there_is_queueing() -> None:
+    world = World(18, 3, UNLIMITED, 5.0)
     end = world.closed(300)
     world.run(1_000.0)
     end()
@@ -120,7 +120,7 @@
     assert whole.in_aim > 0.95 * world.capacity_per_s * 6.0
 
 
-def test_a_tier_whose_calls_become_slower_is_looked_at_anew_and_worked_at_its_capacity() -> None:
+def test_the_base_latency_follows_a_tier_that_becomes_slower() -> None:
     world = World(17, 3, 8, 20.0)
     world.poisson(700.0, 40_000.0)  # under the capacity of 1,200 a second; then five times over it
     world.run(3_000.0)
@@ -131,7 +131,7 @@
     assert late.in_aim > 0.9 * world.capacity_per_s * 15.0
 
 
-def test_a_deploy_that_halves_the_servers_in_a_burst_leaves_the_rest_at_their_capacity() -> None:
+def test_when_half_of_the_servers_refuse_in_a_burst_the_rest_work_at_capacity() -> None:
     world = World(3, 4, 8, 20.0)
     world.closed(200)
     world.run(2_000.0)
@@ -142,8 +142,8 @@
     assert whole.in_aim > 0.9 * world.capacity_per_s * 3.0
 
 
-def test_one_upstream_of_ten_that_turns_slow_does_not_close_the_window_for_the_nine() -> None:
-    world = World(4, 10, FREE, 5.0)
+def test_one_slow_upstream_of_ten_does_not_shrink_the_window() -> None:
+    world = World(4, 10, UNLIMITED, 5.0)
     world.closed(60, think_ms=5.0)
     world.run(500.0)
     world.upstreams[0].slower = 100.0
@@ -153,7 +153,7 @@
     assert quantile(whole.spent, 0.5) < 10.0
 
 
-def test_all_slow_by_ten_for_a_second_and_then_well() -> None:
+def test_the_window_recovers_after_all_upstreams_were_slow_for_a_second() -> None:
     world = World(5, 3, 4, 20.0)
     world.closed(24, think_ms=20.0)
     world.run(2_000.0)
@@ -169,7 +169,7 @@
 
 
 def test_upstreams_of_half_a_millisecond_and_of_300_in_one_pool() -> None:
-    world = World(6, 10, FREE, 0.5)
+    world = World(6, 10, UNLIMITED, 0.5)
     for n in range(5):
         world.service_ms[n] = 300.0
     world.closed(30, think_ms=10.0)
@@ -178,7 +178,7 @@
     assert not whole.refused and whole.in_aim == whole.served
 
 
-def test_classes_with_aims_a_hundred_times_apart_share_queues_that_the_tighter_one_bears() -> None:
+def test_the_class_with_the_smallest_target_bounds_the_queues_of_all() -> None:
     classes = (
         RequestClass(100.0, 300.0, Effect.SAFE, name="tight"),
         RequestClass(10_000.0, 20_000.0, Effect.SAFE, name="loose"),
@@ -207,7 +207,7 @@
     assert world.total(6_000.0, 8_000.0).in_aim > 0.8 * world.capacity_per_s * 2.0
 
 
-def test_a_step_down_of_capacity_by_half_is_followed_within_a_few_aims() -> None:
+def test_the_window_follows_halved_capacity_within_four_targets() -> None:
     world = World(9, 3, 32, 50.0)
     world.poisson(2_500.0, 8_000.0)  # 1.3 times the capacity
     world.run(3_000.0)
@@ -219,7 +219,7 @@
     assert late.in_aim > 0.9 * world.capacity_per_s * (8.0 - 3.0 - 4.0 * AIM_MS / 1000.0)
 
 
-def test_264_copies_of_low_rate_before_one_shared_tier_build_no_standing_queue() -> None:
+def test_264_replicas_with_low_traffic_build_no_standing_queue_at_a_shared_tier() -> None:
     world = World(10, 20, 1, 100.0, copies=264, queue=200)
     world.poisson(0.35 * 264, 30_000.0)
     queues = []
@@ -231,7 +231,7 @@
     assert whole.in_aim > 0.8 * whole.asked
 
 
-def test_early_and_late_copies_come_nearer_to_equal_parts() -> None:
+def test_replicas_that_started_early_and_late_approach_equal_shares() -> None:
     world = World(11, 4, 16, 20.0, copies=2)
     for n, copy in enumerate(world.copies):
         copy.balancer.limiter.window = (100.0, 4.0)[n]
@@ -255,8 +255,8 @@
     assert quantile(whole.waits, 0.99) <= 0.25 * AIM_MS + 1.0
 
 
-def test_time_of_this_process_does_not_close_the_window() -> None:
-    closed, open_ = World(13, 3, FREE, 1.0), World(13, 3, FREE, 1.0)
+def test_time_spent_in_this_process_does_not_shrink_the_window() -> None:
+    closed, open_ = World(13, 3, UNLIMITED, 1.0), World(13, 3, UNLIMITED, 1.0)
     for world, lag in ((closed, 0.0), (open_, 200.0)):
         world.service_ms = [201.0] * 3  # of which 200 are our own
         world.lag_ms = lag
@@ -266,33 +266,33 @@
     assert not open_.total(0.0, 3_000.0).failed
 
 
-def test_a_full_server_or_two_is_no_crowd_but_a_tenth_of_a_round_is() -> None:
-    def limiter() -> ConcurrencyLimiter:
-        made = World(1, 3).copies[0].balancer.limiter
-        made.window = 20.0
-        return made
+def test_more_than_a_tenth_of_a_round_full_shrinks_the_window() -> None:
+    def new_limiter() -> ConcurrencyLimiter:
+        limiter = World(1, 3).copies[0].balancer.limiter
+        limiter.window = 20.0
+        return limiter
 
-    few, many = limiter(), limiter()
-    for made, every in ((few, 20), (many, 4)):
+    few, many = new_limiter(), new_limiter()
+    for limiter, every in ((few, 20), (many, 4)):
         for n in range(40):
             outcome = Outcome.FULL if n % every == 0 else Outcome.OK
-            made.admit(0, 19, 0, False)
-            made.record_end(0, outcome, 5.0, 19, made.round_of(19), 2)
+            limiter.admit(0, 19, 0, False)
+            limiter.record_end(0, outcome, 5.0, 19, limiter.round_of(19), 2)
     assert many.window < 20.0 <= few.window
 
 
-LOOK = RequestClass(AIM_MS, DEADLINE_MS, Effect.SAFE, worth=1.0)
-CLASSES = (LOOK, replace(LOOK, worth=8.0))
+LOW_WORTH = RequestClass(AIM_MS, DEADLINE_MS, Effect.SAFE, worth=1.0)
+CLASSES = (LOW_WORTH, replace(LOW_WORTH, worth=8.0))
 
 
-class Room(RuleBasedStateMachine):
+class AdmissionQueueMachine(RuleBasedStateMachine):
     """Whatever the order: who waits is known, nobody waits twice or goes twice, and a class is first in, first out."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.room = AdmissionQueue(Settings(classes=CLASSES))
-        self.inside: list[tuple[int, int, bool]] = []
-        self.next = 0
+        self.queue = AdmissionQueue(Settings(classes=CLASSES))
+        self.waiting: list[tuple[int, int, bool]] = []
+        self.next_request = 0
         self.now = 0.0
 
     @rule(
@@ -300,77 +300,77 @@
     )
     def enter(self, cls: int, over: bool, patience: float, pace: float) -> None:
         self.now += 1.0
-        self.next += 1
-        if self.room.try_enter(self.now, self.next, cls, over, patience, pace):
+        self.next_request += 1
+        if self.queue.try_enter(self.now, self.next_request, cls, over, patience, pace):
             assert patience > 0.0
-            self.inside.append((self.next, cls, over))
+            self.waiting.append((self.next_request, cls, over))
 
-    @precondition(lambda self: self.inside)
+    @precondition(lambda self: self.waiting)
     @rule()
-    def take(self) -> None:
-        turn = self.room.pop_next()
-        found = next(item for item in self.inside if item[0] == turn)
-        same = [item for item in self.inside if item[1:] == found[1:]]
+    def pop(self) -> None:
+        turn = self.queue.pop_next()
+        found = next(item for item in self.waiting if item[0] == turn)
+        same = [item for item in self.waiting if item[1:] == found[1:]]
         assert same[0] == found
-        self.inside.remove(found)
+        self.waiting.remove(found)
 
-    @precondition(lambda self: self.inside)
+    @precondition(lambda self: self.waiting)
     @rule(data=st.data())
-    def drop(self, data: st.DataObject) -> None:
-        gone = data.draw(st.sampled_from(self.inside))
-        assert self.room.remove(gone[0]) and not self.room.remove(gone[0])
-        self.inside.remove(gone)
+    def remove(self, data: st.DataObject) -> None:
+        removed = data.draw(st.sampled_from(self.waiting))
+        assert self.queue.remove(removed[0]) and not self.queue.remove(removed[0])
+        self.waiting.remove(removed)
 
     @invariant()
     def counted(self) -> None:
-        assert len(self.room) == len(self.inside)
-        assert bool(self.room) == bool(self.inside)
-        if not self.inside:
-            assert self.room.pop_next() is None
+        assert len(self.queue) == len(self.waiting)
+        assert bool(self.queue) == bool(self.waiting)
+        if not self.waiting:
+            assert self.queue.pop_next() is None
 
 
-TestRoom = Room.TestCase
-TestRoom.settings = hypothesis_settings(
+TestAdmissionQueue = AdmissionQueueMachine.TestCase
+TestAdmissionQueue.settings = hypothesis_settings(
     max_examples=60, stateful_step_count=40, deadline=None, derandomize=True
 )
 
 
-def test_classes_take_turns_by_their_worth_and_none_starves() -> None:
-    room = AdmissionQueue(Settings(classes=CLASSES))
+def test_classes_are_served_in_proportion_to_their_worth() -> None:
+    queue = AdmissionQueue(Settings(classes=CLASSES))
     for n in range(200):
-        assert room.try_enter(0.0, n, n % 2, False, 1_000.0, 0.0)
-    turns = [room.pop_next() for _ in range(90)]
+        assert queue.try_enter(0.0, n, n % 2, False, 1_000.0, 0.0)
+    turns = [queue.pop_next() for _ in range(90)]
     assert sum(turn is not None and turn % 2 == 1 for turn in turns) == 80  # eight of nine
 
 
-def test_traffic_over_its_share_goes_last_but_goes() -> None:
-    room = AdmissionQueue(Settings(classes=CLASSES))
+def test_traffic_over_its_share_is_served_last_but_does_not_starve() -> None:
+    queue = AdmissionQueue(Settings(classes=CLASSES))
     for n in range(100):
-        assert room.try_enter(0.0, n, 0, n < 50, 1_000.0, 0.0)
-    turns = [room.pop_next() for _ in range(48)]
+        assert queue.try_enter(0.0, n, 0, n < 50, 1_000.0, 0.0)
+    turns = [queue.pop_next() for _ in range(48)]
     over = sum(turn is not None and turn < 50 for turn in turns)
     assert over == 3
 
 
 def test_a_burst_may_wait_and_a_standing_queue_may_not() -> None:
-    room = AdmissionQueue(Settings(classes=CLASSES))
-    room.try_enter(0.0, 1, 0, False, 1_000.0, 0.0)
-    assert room.max_wait_ms(1.0, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.25 * AIM_MS)
-    assert room.max_wait_ms(AIM_MS, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.1 * AIM_MS)
-    room.pop_next()
-    assert room.max_wait_ms(AIM_MS, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.25 * AIM_MS)
+    queue = AdmissionQueue(Settings(classes=CLASSES))
+    queue.try_enter(0.0, 1, 0, False, 1_000.0, 0.0)
+    assert queue.max_wait_ms(1.0, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.25 * AIM_MS)
+    assert queue.max_wait_ms(AIM_MS, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.1 * AIM_MS)
+    queue.pop_next()
+    assert queue.max_wait_ms(AIM_MS, AIM_MS, AIM_MS, 1.0, False) == pytest.approx(0.25 * AIM_MS)
 
 
-def test_who_cannot_have_a_turn_in_time_is_told_at_once() -> None:
-    room = AdmissionQueue(Settings(classes=CLASSES))
+def test_a_request_that_cannot_be_served_in_time_is_refused_at_once() -> None:
+    queue = AdmissionQueue(Settings(classes=CLASSES))
     for n in range(10):
-        room.try_enter(0.0, n, 0, False, 100.0, 9.5)
-    assert not room.try_enter(0.0, 99, 0, False, 100.0, 9.5)
-    assert room.try_enter(0.0, 99, 1, False, 100.0, 9.5)  # of more worth: few of the others go before it
+        queue.try_enter(0.0, n, 0, False, 100.0, 9.5)
+    assert not queue.try_enter(0.0, 99, 0, False, 100.0, 9.5)
+    assert queue.try_enter(0.0, 99, 1, False, 100.0, 9.5)  # of more worth: few of the others go before it
 
 
-@pytest.mark.parametrize(("spread", "closes"), [(175.0, False), (0.0, True)])
-def test_a_few_calls_of_unlike_work_are_no_queue(spread: float, closes: bool) -> None:
+@pytest.mark.parametrize(("spread", "shrinks"), [(175.0, False), (0.0, True)])
+def test_latency_that_varies_by_chance_is_not_taken_for_queueing(spread: float, shrinks: bool) -> None:
     # Guards a copy of few calls: one mean is a queue where calls agree, and chance where they differ by their work.
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(410.0, 1000.0, Effect.SAFE),)), Random(1))
     limiter.open(8, 1)
@@ -384,11 +384,11 @@
         limiter.admit(0, out, 0, False)
         limiter.record_end(0, Outcome.OK, 185.0 + spread * (-1) ** n, out, limiter.round_of(out))
         windows.append(limiter.window)
-    assert (windows[-1] < windows[20]) is closes  # the first round still holds calls of before
+    assert (windows[-1] < windows[20]) is shrinks  # the first round still holds calls of before
 
 
-@pytest.mark.parametrize(("size", "closes"), [(4.0, False), (1.0, True)])
-def test_heavy_requests_are_not_taken_for_queues(size: float, closes: bool) -> None:
+@pytest.mark.parametrize(("size", "shrinks"), [(4.0, False), (1.0, True)])
+def test_heavy_requests_are_not_taken_for_queueing(size: float, shrinks: bool) -> None:
     # A spell of work of four times the usual does not close the window where the sizes are told.
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(410.0, 1000.0, Effect.SAFE),)), Random(1))
     limiter.open(8, 1)
@@ -401,11 +401,11 @@
         limiter.admit(0, out, 0, False)
         limiter.record_end(0, Outcome.OK, 200.0, out, limiter.round_of(out), size=size)
         least = min(least, limiter.window)
-    assert (least < before) is closes
+    assert (least < before) is shrinks
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_time_at_low_load_is_not_raised_by_small_requests(seed: int) -> None:
+def test_the_base_latency_is_not_raised_by_small_requests(seed: int) -> None:
     """Half of a call's time has nothing to do with its size: the mean of times by size would be twice the true one."""
     rng = Random(seed)
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(1500.0, 4000.0, Effect.SAFE),)), Random(1))
@@ -419,10 +419,10 @@
     assert limiter.base[0] * mean >= 0.6 * (200.0 + 200.0 * mean)  # what queues seemed to add is taken off
 
 
-def learned(
+def limiter_after(
     tiers: int, fixed_ms: float, by_size_ms: float, count: int = 8, seed: int = 4
 ) -> ConcurrencyLimiter:
-    """Told of calls that take a fixed time and one that goes by their size, at low load."""
+    """Told of calls that pop a fixed time and one that goes by their size, at low load."""
     rng = Random(seed)
     settings = Settings(classes=(RequestClass(1500.0, 4000.0, Effect.SAFE),), tiers=tiers)
     limiter = ConcurrencyLimiter(settings, Random(1))
@@ -435,9 +435,9 @@
 
 
 @pytest.mark.parametrize("tiers", [1, 2, 3])
-def test_the_tiers_behind_have_work_of_their_own_size(tiers: int) -> None:
+def test_the_first_size_scale_depends_on_the_number_of_tiers(tiers: int) -> None:
     own = 400.0 / tiers
-    limiter = learned(tiers, 400.0 - own, own)
+    limiter = limiter_after(tiers, 400.0 - own, own)
     assert limiter.base[0] == pytest.approx(400.0, rel=0.08)
     assert limiter.base[0] * limiter.latencies.size_scale(4.0) == pytest.approx(400.0 + 3.0 * own, rel=0.08)
 
@@ -445,16 +445,16 @@
 @pytest.mark.parametrize(
     ("fixed", "by_size", "part"), [(400.0, 0.0, 0.0), (0.0, 400.0, 1.0), (200.0, 200.0, 0.5)]
 )
-def test_what_of_the_time_goes_by_the_size_is_learned(fixed: float, by_size: float, part: float) -> None:
-    limiter = learned(2, fixed, by_size, 1_500)
+def test_the_size_dependent_fraction_of_the_latency_is_learned(
+    fixed: float, by_size: float, part: float
+) -> None:
+    limiter = limiter_after(2, fixed, by_size, 1_500)
     assert limiter.latencies.size_scale(2.0) == pytest.approx(1.0 + part, abs=0.1)
     assert limiter.latencies.size_scale(0.0) >= LatencyEstimates.MIN_SIZE_SCALE
 
 
 @pytest.mark.parametrize(("outcome", "first"), [(Outcome.RESET, 4.0 / 5.0), (Outcome.ERROR, 1.0)])
-def test_a_server_that_is_silent_takes_its_part_of_the_window_at_once_and_once(
-    outcome: Outcome, first: float
-) -> None:
+def test_an_unresponsive_server_shrinks_the_window_by_its_share_once(outcome: Outcome, first: float) -> None:
     """One that answers errors takes nothing: they may come from the tier behind it."""
     settings = Settings(classes=(RequestClass(1500.0, 4000.0, Effect.SAFE),), max_attempts=1)
     balancer = Balancer(settings, 1)
