--- a/packages/balancing/tests/test_balancing_fleet_outlier_detection.py
+++ b/packages/balancing/tests/test_balancing_fleet_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which upstreams the fleet leaves out, by how calls there have ended."""
+"""Outlier ejection by the fleet: which upstreams it ejects, given the outcomes of requests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     counts.record("u7", 200.0, failed=True)
     scanned.clear()
     assert counts.failing_upstreams(300.0) == {"u7": OutcomeCounts(1, 1)}
-    assert scanned == [2], "only the one where a request failed"
+    assert scanned == [2], "only the upstream where a request failed"
 
 
 def test_upstreams_without_requests_are_forgotten() -> None:
--- a/packages/balancing/tests/test_balancing_load_shedding.py
+++ b/packages/balancing/tests/test_balancing_load_shedding.py
@@ -23,7 +23,7 @@
 
 
 class SimulatedCore:
-    """Arrivals of `per_ms`, a admitted_fraction of `valuable` of the second class, `retries` of either are repeats."""
+    """Gets `per_ms` requests per ms: a fraction `valuable` is in the second class, a fraction `retries` are retries."""
 
     def __init__(self, per_ms: float, valuable: float = 0.25, retries: float = 0.0, seed: int = 1) -> None:
         self.rng = Random(seed)
@@ -45,7 +45,7 @@
                 spent += SERVE_MS
             else:
                 spent += SHED_MS
-        # Arrivals during an iteration are left for the next one; the cap bounds the backlog, as clients send only so much.
+        # Arrivals during an iteration are handled in the next one. The cap bounds the backlog, as clients do.
         self.iteration_ms = min(2_000.0, max(1.0, spent))
         self.now += self.iteration_ms
         self.longest_ms = max(self.longest_ms, self.iteration_ms)
@@ -74,10 +74,10 @@
     core = SimulatedCore(load / SERVE_MS)
     core.run(5_000.0)
     core.run(30_000.0)
-    assert core.longest_ms < 0.5 * AIM_MS  # three iterations are an answer
+    assert core.longest_ms < 0.5 * AIM_MS  # an answer takes three iterations
     served = sum(core.admitted.values()) * SERVE_MS / 30_000.0
     shed = (sum(core.arrived.values()) - sum(core.admitted.values())) * SHED_MS / 30_000.0
-    assert served + shed > 0.95  # nobody is shed for a core that idles
+    assert served + shed > 0.95  # nothing is shed while the core is idle
 
 
 def test_low_worth_and_retries_are_shed_first_but_never_completely() -> None:
@@ -101,7 +101,7 @@
 
 
 def test_one_long_iteration_is_not_an_overload() -> None:
-    # Guards against shedding for a process that stood still once: SIGSTOP, a page fault, a neighbour on the core.
+    # A process may be paused once, by SIGSTOP, a page fault or a neighbour on the core; that must not cause shedding.
     core = SimulatedCore(0.5 / SERVE_MS)
     core.run(1_000.0)
     core.shedder.on_iteration(2_000.0, 2_000.0)
@@ -130,7 +130,7 @@
 
 
 def test_a_class_that_reuses_an_index_starts_without_history() -> None:
-    """What was learned of the one that is no more says nothing of it: neither what it brings, nor its probability."""
+    """It takes over neither the traffic fraction nor the shed probability of the class that was removed."""
     shedder = LoadShedder(CLASSES, Random(1))
     shedder.is_shedding = True
     for _ in range(500):
--- a/packages/balancing/tests/test_balancing_rules.py
+++ b/packages/balancing/tests/test_balancing_rules.py
@@ -1,4 +1,4 @@
-"""The four rules as properties: legal event sequences, with the account kept by `tests/driver.py`."""
+"""Property tests of the balancer with legal event sequences; `balancing_driver.py` checks its rules."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
     @initialize(
         probes=st.booleans(),
         balancer_count=st.sampled_from([1, 3, 5000]),
-        hedging=st.booleans(),
+        second=st.booleans(),
         tier=st.integers(0, 1),
         crossing=st.sampled_from([0.0, 0.02]),
         tenants=st.booleans(),
-        on_request=st.booleans(),
+        ask=st.booleans(),
         seed=st.integers(0, 2**64 - 1),
         size=st.sampled_from([0, 1, 2, 7]),
     )
-    def start(self, probes, balancer_count, hedging, tier, crossing, tenants, on_request, seed, size) -> None:  # type: ignore[no-untyped-def]
+    def start(self, probes, balancer_count, second, tier, crossing, tenants, ask, seed, size) -> None:  # type: ignore[no-untyped-def]
         self.driver = Driver(
             Settings(
                 classes=CLASSES,
@@ -58,13 +58,13 @@
                 tier=tier,
                 tick_ms=5.0,
                 tiers=2,
-                on_request_discovery=on_request,
+                on_request_discovery=ask,
                 cold_ms=3000.0,
                 cold_share=0.2,
                 max_attempts=4,
                 may_cancel=True,
                 may_probe=probes,
-                allows_hedging=hedging,
+                allows_hedging=second,
                 report_mode=ReportMode.ON_PROBE,
                 report_fields=("running_and_waiting", "waiting"),
                 price_cross_zone=crossing,
@@ -76,81 +76,79 @@
         self.driver.list(ListKind.CACHED, entries)
 
     @rule(
-        class_index=st.integers(0, 4),
-        time_left_ms=st.sampled_from([0.5, 7.0, 90.0, 400.0, 5000.0]),
+        klass=st.integers(0, 4),
+        left=st.sampled_from([0.5, 7.0, 90.0, 400.0, 5000.0]),
         tenant=st.integers(0, 5),
     )
-    def request(self, class_index: int, time_left_ms: float, tenant: int) -> None:
-        self.driver.request(
-            class_index, min(time_left_ms, self.driver.settings.classes[class_index].deadline_ms), tenant
-        )
+    def request(self, klass: int, left: float, tenant: int) -> None:
+        self.driver.request(klass, min(left, self.driver.settings.classes[klass].deadline_ms), tenant)
 
-    @rule(class_index=st.integers(0, 7))
-    def long_request(self, class_index: int) -> None:
-        """One that is told of before its last byte has come."""
+    @rule(klass=st.integers(0, 7))
+    def long_request(self, klass: int) -> None:
+        """A request that is reported before its last byte has arrived."""
         classes = self.driver.settings.classes
-        self.driver.request(class_index % len(classes), coming=True)
+        self.driver.request(klass % len(classes), coming=True)
 
     @rule(pick=st.integers(0, 10**6))
-    def body_is_received(self, pick: int) -> None:
-        incomplete = [r for r, o in self.driver.owed.items() if o.coming and not o.over]
-        if incomplete:
-            self.driver.body_came(incomplete[pick % len(incomplete)])
+    def body_comes(self, pick: int) -> None:
+        coming = [r for r, o in self.driver.owed.items() if o.coming and not o.over]
+        if coming:
+            self.driver.body_came(coming[pick % len(coming)])
 
     @rule(pick=st.integers(0, 10**6))
     def long_answer_starts(self, pick: int) -> None:
         owed = self.driver.owed
-        attempts = [(r, n) for r, n in self.driver.open_tries() if not owed[r].over and not owed[r].coming]
-        if attempts:
-            self.driver.start_answer(*attempts[pick % len(attempts)])
+        tries = [(r, n) for r, n in self.driver.open_tries() if not owed[r].over and not owed[r].coming]
+        if tries:
+            self.driver.start_answer(*tries[pick % len(tries)])
 
     @rule(
         effects=st.lists(st.sampled_from(list(Effect)), min_size=5, max_size=8),
-        aim_ms=st.sampled_from([100.0, 250.0]),
-        max_attempts=st.integers(1, 4),
+        aim=st.sampled_from([100.0, 250.0]),
+        most=st.integers(1, 4),
     )
-    def reconfigure(self, effects: list[Effect], aim_ms: float, max_attempts: int) -> None:
-        """Classes come, change their effect, aim_ms and deadline; fewer attempts are allowed, or more again."""
+    def retune(self, effects: list[Effect], aim: float, most: int) -> None:
+        """Add classes and change their effects, targets and deadlines, and the maximum number of attempts."""
         count = max(len(effects), len(self.driver.settings.classes))
         effects = [*effects, *(Effect.SAFE for _ in range(count))][:count]
         classes = tuple(
-            RequestClass(aim_ms, 4.0 * aim_ms - 100.0 * (n % 2), effect, group=Group.ZONE, memory_ms=200.0)
+            RequestClass(aim, 4.0 * aim - 100.0 * (n % 2), effect, group=Group.ZONE, memory_ms=200.0)
             for n, effect in enumerate(effects)
         )
-        self.driver.retune(replace(self.driver.settings, classes=classes, max_attempts=max_attempts))
+        self.driver.retune(replace(self.driver.settings, classes=classes, max_attempts=most))
 
-    @rule(count=st.integers(5, 10), class_index=st.integers(0, 4))
-    def burst(self, count: int, class_index: int) -> None:
+    @rule(count=st.integers(5, 10), klass=st.integers(0, 4))
+    def burst(self, count: int, klass: int) -> None:
         for _ in range(count):
-            self.driver.request(class_index)
+            self.driver.request(klass)
 
     @rule(
-        class_index=st.integers(0, 4),
+        klass=st.integers(0, 4),
         outcomes=st.lists(
             st.tuples(st.sampled_from(list(Outcome)), st.sampled_from([0.0, 0.0, 160.0])), max_size=5
         ),
     )
-    def request_with_outcomes(self, class_index: int, outcomes: list[tuple[Outcome, float]]) -> None:
-        """A call and what becomes of its attempts, with idle reports for whatever it asks."""
-        self.driver.request(class_index)
+    def exchange(self, klass: int, outcomes: list[tuple[Outcome, float]]) -> None:
+        """A request whose attempts end with these outcomes; probes are answered with idle reports."""
+        self.driver.request(klass)
         request = self.driver.next_id
         for outcome, wait in outcomes:
             while self.driver.probes:
                 self.driver.echo((0.0, 0.0))
             if wait:
                 self.driver.advance(wait)
-            own_attempts = [item for item in self.driver.open_tries() if item[0] == request]
-            if own_attempts:
-                self.driver.end(*own_attempts[0], outcome)
+            mine = [one for one in self.driver.open_tries() if one[0] == request]
+            if mine:
+                self.driver.end(*mine[0], outcome)
 
     @rule(pick=st.integers(0, 10**6), outcome=st.sampled_from([*Outcome, Outcome.OK, Outcome.FULL]))
     def attempt_ends(self, pick: int, outcome: Outcome) -> None:
-        attempts = self.driver.open_tries()
-        if attempts:
-            self.driver.end(*attempts[pick % len(attempts)], outcome)
+        tries = self.driver.open_tries()
+        if tries:
+            self.driver.end(*tries[pick % len(tries)], outcome)
 
     @rule(report=st.lists(VALUES, max_size=3), outcome=st.sampled_from([Outcome.OK, Outcome.OK, *Outcome]))
-    def probe_ends(self, report: list[float], outcome: Outcome) -> None:
+    def echo(self, report: list[float], outcome: Outcome) -> None:
         if self.driver.probes:
             self.driver.echo(tuple(report), outcome)
 
@@ -161,11 +159,11 @@
     @rule(
         number=st.integers(0, 9),
         state=st.sampled_from(list(ServerState)),
-        is_restarted=st.booleans(),
+        fresh=st.booleans(),
         kind=st.sampled_from([ListKind.DELTA, ListKind.DELTA, ListKind.FULL]),
     )
-    def list_is_updated(self, number: int, state: ServerState, is_restarted: bool, kind: ListKind) -> None:
-        started = self.driver.now if is_restarted else 0.0
+    def list_changes(self, number: int, state: ServerState, fresh: bool, kind: ListKind) -> None:
+        started = self.driver.now if fresh else 0.0
         entries = [ServerEntry(number, state, started, zone=number % 3, cell=number % 2)]
         if kind is ListKind.FULL:
             kept = [
@@ -195,7 +193,7 @@
             self.driver.feed(ClientGone(request))
 
     @invariant()
-    def each_request_gets_one_final_answer(self) -> None:
+    def answers_are_owed_once(self) -> None:
         if hasattr(self, "driver"):
             self.driver.check_answers()
             self.driver.check_counts()
@@ -209,7 +207,7 @@
             for request, attempt in self.driver.open_tries():
                 self.driver.end(request, attempt, Outcome.OK)
             assert all(o.over for o in self.driver.owed.values())
-            assert not self.driver.balancer.requests, "finished requests are kept"
+            assert not self.driver.balancer.requests, "finished requests are still stored"
 
 
 Rules.TestCase.settings = settings(
--- a/packages/balancing/tests/test_balancing_shared_health.py
+++ b/packages/balancing/tests/test_balancing_shared_health.py
@@ -47,7 +47,7 @@
 
 
 class SimulatedBalancer:
-    """One copy with requests on demand; `outcomes`: how calls outcome, by server, where not probe_succeeds."""
+    """One replica with simulated requests; `outcomes`: by server, how calls end there if not with OK."""
 
     def __init__(
         self, probes: bool = True, seed: int = 7, servers: int = 8, shares_health: bool = True
@@ -62,7 +62,7 @@
         self.outcomes: dict[int, Outcome] = {}
         self.sent: list[tuple[float, int]] = []
         self.probes: list[tuple[float, int]] = []
-        self.probe_succeeds = False  # what a probe finds
+        self.probe_succeeds = False
         self._due: list[tuple[float, int, Event]] = []
         self._serial = self._requests = 0
         self._attempts: dict[int, int] = {}
@@ -99,37 +99,37 @@
     def run(self, ms: float, per_s: float = 100.0) -> None:
         until = self.now + ms
         step = 1000.0 / per_s if per_s else math.inf
-        coming = self.now + step
+        next_arrival_ms = self.now + step
         while True:
             due = self._due[0][0] if self._due else math.inf
-            self.now = min(due, coming, until)
+            self.now = min(due, next_arrival_ms, until)
             if self.now >= until:
                 return
-            if due <= coming:
+            if due <= next_arrival_ms:
                 self.handle(heappop(self._due)[2])
             else:
-                coming += step
+                next_arrival_ms += step
                 self._requests += 1
                 self.handle(RequestArrived(self._requests, 0, 2_000.0))
 
     def fail_until_ejected(self, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
-        """Until this copy has left the server out."""
+        """Run with a failing server until it is ejected."""
         self.run(2_000.0)
         self.outcomes[FAILING] = outcome
         for _ in range(200):
             if self.balancer.table.servers[FAILING] in self.balancer.table.ejected:
                 return
             self.run(20.0)
-        raise AssertionError("never left out")
+        raise AssertionError("the server was never ejected")
 
     def fail_until_ejected_for_long(self, outcome: Outcome = Outcome.CONNECT_FAILED) -> None:
-        """Until it is left out for longer than a is_final report would take to bring it back."""
+        """Run until it is ejected for longer than a healthy report would take to restore it."""
         self.fail_until_ejected(outcome)
-        while self.until < self.now + RESTORE_SPREAD_MS + 1_000.0:
+        while self.ejected_until_ms < self.now + RESTORE_SPREAD_MS + 1_000.0:
             self.run(20.0)
 
     @property
-    def until(self) -> float:
+    def ejected_until_ms(self) -> float:
         return self.balancer.table.servers[FAILING].withheld_until_ms
 
     def attempts(self) -> int:
@@ -137,10 +137,10 @@
 
 
 @pytest.mark.parametrize(
-    ("age_ms", "worth"), [(-5.0, 1.0), (0.0, 1.0), (3_000.0, 0.75), (11_999.0, 0.0), (1e9, 0.0)]
+    ("age_ms", "confidence"), [(-5.0, 1.0), (0.0, 1.0), (3_000.0, 0.75), (11_999.0, 0.0), (1e9, 0.0)]
 )
-def test_confidence_decreases_linearly_with_age(age_ms: float, worth: float) -> None:
-    assert report_confidence(age_ms) == pytest.approx(worth, abs=1e-3)
+def test_confidence_decreases_linearly_with_age(age_ms: float, confidence: float) -> None:
+    assert report_confidence(age_ms) == pytest.approx(confidence, abs=1e-3)
 
 
 @pytest.mark.parametrize("age_ms", [0.0, 3_000.0, 6_000.0, 9_000.0])
@@ -148,9 +148,9 @@
     replica = SimulatedBalancer()
     replica.fail_until_ejected()
     replica.run(10_000.0, per_s=0.0)
-    before = replica.until
+    before = replica.ejected_until_ms
     replica.handle(PeerHealthReport(FAILING, False, age_ms))
-    assert replica.until == pytest.approx(
+    assert replica.ejected_until_ms == pytest.approx(
         max(before, replica.now + MAX_EJECTION_HINT_MS * (1.0 - age_ms / REPORT_LIFETIME_MS))
     )
 
@@ -198,11 +198,11 @@
     replica = SimulatedBalancer()
     replica.fail_until_ejected_for_long()
     replica.run(100.0, per_s=0.0)
-    before = replica.until
+    before = replica.ejected_until_ms
     replica.handle(PeerHealthReport(FAILING, True, 200.0, from_request=True))
-    assert replica.until == before
+    assert replica.ejected_until_ms == before
     replica.handle(PeerHealthReport(FAILING, True, 50.0, from_request=True))
-    assert replica.until <= replica.now + RESTORE_SPREAD_MS
+    assert replica.ejected_until_ms <= replica.now + RESTORE_SPREAD_MS
 
 
 def test_the_server_is_tried_even_if_unhealthy_reports_never_end() -> None:
@@ -242,10 +242,10 @@
     assert before < replica.attempts() <= alone.attempts() + 2
     replica.outcomes.clear()
     replica.run(60_000.0)
-    replica.fail_until_ejected()  # it has served since: a is_final report counts again
+    replica.fail_until_ejected()  # it has served requests since: a healthy report counts again
     replica.run(50.0, per_s=0.0)
     replica.handle(PeerHealthReport(FAILING, True, from_request=by_call))
-    assert replica.until <= replica.now + RESTORE_SPREAD_MS
+    assert replica.ejected_until_ms <= replica.now + RESTORE_SPREAD_MS
 
 
 def test_replicas_restore_a_server_at_different_times() -> None:
@@ -255,7 +255,7 @@
         replica.fail_until_ejected_for_long()
         replica.run(50.0, per_s=0.0)
         replica.handle(PeerHealthReport(FAILING, True, from_request=True))
-        waits.append(replica.until - replica.now)
+        waits.append(replica.ejected_until_ms - replica.now)
     assert (
         0.0 <= min(waits) < 0.3 * RESTORE_SPREAD_MS
         and 0.7 * RESTORE_SPREAD_MS < max(waits) <= RESTORE_SPREAD_MS
@@ -266,12 +266,12 @@
     replica = SimulatedBalancer()
     replica.fail_until_ejected_for_long(Outcome.ERROR)
     replica.run(50.0, per_s=0.0)
-    before = replica.until
+    before = replica.ejected_until_ms
     replica.handle(PeerHealthReport(FAILING, True, from_request=False))
-    assert replica.until == before
+    assert replica.ejected_until_ms == before
     replica.run(2.0 * RECHECK_INTERVAL_MS, per_s=0.0)
     replica.handle(PeerHealthReport(FAILING, is_probe_turn=True))
-    assert not replica.probes and replica.until <= replica.now
+    assert not replica.probes and replica.ejected_until_ms <= replica.now
 
 
 def test_on_its_turn_a_replica_probes_at_intervals() -> None:
@@ -327,14 +327,14 @@
         len(list(shared_health_state.local_health(replica.now))) == MAX_SERVERS
         and shared_health_state.untracked == MAX_SERVERS + 10
     )
-    replica.list({0: ServerState.READY}, started_ms=5.0)  # the same number, another process
+    replica.list({0: ServerState.READY}, started_ms=5.0)  # the same id, but another process
     assert list(shared_health_state.local_health(replica.now)) == []
 
 
 def test_reports_eject_no_more_servers_than_the_detector_allows() -> None:
     replica = SimulatedBalancer()
     for server in replica.balancer.table.servers.values():
-        server.ejections = 1  # tried again, and not served from yet
+        server.ejections = 1  # tried again, but no request served yet
         replica.handle(PeerHealthReport(server.id, False))
     assert len(replica.balancer.table.ejected) == replica.settings.tuning.eject_most * 8
 
@@ -357,7 +357,7 @@
 def test_for_any_reports_only_ready_listed_servers_get_requests_and_probes(
     seed: int, probes: bool, script: list[object]
 ) -> None:
-    """Servers fail, drain and come back; each request is answered once, and the judge's bound holds."""
+    """Servers fail, drain and return; each request gets one final answer, and the detector's bound holds."""
     replica = SimulatedBalancer(probes=probes, seed=seed)
     states = dict.fromkeys(range(8), ServerState.READY)
     for item in script:
--- a/packages/balancing/tests/test_balancing_wire.py
+++ b/packages/balancing/tests/test_balancing_wire.py
@@ -1,4 +1,4 @@
-"""Wire vectors, both ways, and what is said of malformed frames."""
+"""Test vectors of the wire format, in both directions, and the errors for malformed frames."""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -1,4 +1,4 @@
-"""The window and the waiting queue, by scripts in simulated time, each hard case by its name."""
+"""The concurrency limiter and the admission queue, in simulated time."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     end()
     world.run(3_600_000.0)
     before = window(world)
-    assert before < 10.0  # it has not grown without evidence
+    assert before < 10.0  # it does not grow unused
     world.closed(100)
     world.run(3_602_000.0)
     whole = world.total(0.0, 3_602_000.0)
@@ -73,7 +73,7 @@
     end()
     world.run(5_000.0)
     for up in world.upstreams:
-        up.slots = UNLIMITED  # the tier is many times larger by now
+        up.slots = UNLIMITED  # meanwhile the tier has grown many times larger
     end = world.closed(2, think_ms=50.0)
     world.run(9_000.0)
     end()
@@ -81,7 +81,8 @@
     world.closed(300)
     world.run(3_602_000.0)
     whole = world.total(3_600_000.0, 3_602_000.0)
-    # Five doublings of 60 ms are three times as long as any may wait; by rounds it would be more than half.
+    # Five doublings of 60 ms take three times as long as any request may wait, so some are refused; if the window grew
+    # by rounds, more than half would be.
     assert whole.refused < 0.1 * whole.asked
 
 
@@ -93,12 +94,12 @@
     end()
     world.run(600.0)
     for up in world.upstreams:
-        up.slower = 100.0  # each call takes 200 ms of an aim of 410
+        up.slower = 100.0  # each call takes 200 ms; the target is 410 ms
     end = world.closed(2, think_ms=50.0)
     world.run(30_000.0)
     end()
     world.run(31_000.0)
-    assert window(world) >= 3.0  # what the first list opened
+    assert window(world) >= 3.0  # the initial window
     world.closed(30, think_ms=100.0)
     world.run(40_000.0)
     late = world.total(35_000.0, 40_000.0)
@@ -114,7 +115,7 @@
     world.run(1_500.0)
     for up in world.upstreams:
         up.slots, world.service_ms[up.number] = 4, 50.0
-    world.closed(170)  # half of the window, and three times what can be served within the aim
+    world.closed(170)  # half of the window, and three times what can be served within the target
     world.run(10_000.0)
     whole = world.total(4_000.0, 10_000.0)
     assert whole.in_aim > 0.95 * world.capacity_per_s * 6.0
@@ -122,10 +123,10 @@
 
 def test_the_base_latency_follows_a_tier_that_becomes_slower() -> None:
     world = World(17, 3, 8, 20.0)
-    world.poisson(700.0, 40_000.0)  # under the capacity of 1,200 a second; then five times over it
+    world.poisson(700.0, 40_000.0)  # first below the capacity of 1,200 per second, then five times above it
     world.run(3_000.0)
     for up in world.upstreams:
-        up.slower = 8.0  # 160 ms each: more than the tolerance at 20 allows
+        up.slower = 8.0  # 160 ms each: more than 20 ms plus its tolerance
     world.run(40_000.0)
     late = world.total(25_000.0, 40_000.0)
     assert late.in_aim > 0.9 * world.capacity_per_s * 15.0
@@ -185,10 +186,10 @@
     )
     world = World(7, 3, 4, 10.0, classes=classes)
     world.poisson(100.0, 6_000.0, cls=0)
-    world.poisson(3_000.0, 6_000.0, cls=1)  # two and a half times what the tier can do
+    world.poisson(3_000.0, 6_000.0, cls=1)  # two and a half times the capacity
     world.run(6_000.0)
     copy = world.copies[0]
-    assert copy.balancer.limiter.tolerance_ms() < 30.0  # not a part of ten seconds
+    assert copy.balancer.limiter.tolerance_ms() < 30.0  # not a fraction of the ten seconds of the other class
     assert max(len(up.waiting) for up in world.upstreams) < 30
 
 
@@ -227,7 +228,7 @@
         world.run(10_000.0 + at * 1_000.0)
         queues.append(sum(len(up.waiting) for up in world.upstreams))
     whole = world.total(10_000.0, 29_000.0)
-    assert quantile(queues, 0.5) < 20  # less than one a server
+    assert quantile(queues, 0.5) < 20  # less than one per server
     assert whole.in_aim > 0.8 * whole.asked
 
 
@@ -240,7 +241,8 @@
     for copy in world.copies:
         copy.served = 0
     world.run(8_000.0)
-    assert jain([float(copy.served) for copy in world.copies]) > 0.8  # 100 to 4 at the beginning: 0.54
+    # Windows of 100 and 4, as at the beginning, give 0.54.
+    assert jain([float(copy.served) for copy in world.copies]) > 0.8
 
 
 @pytest.mark.parametrize("slots", [1, 4, 32])
@@ -251,14 +253,14 @@
     world.run(6_000.0)
     whole = world.total(2_000.0, 6_000.0)
     assert whole.in_aim >= 0.95 * world.capacity_per_s * 4.0
-    # Who is given up is answered: at once where nothing can come of it, else after its stated wait.
+    # A request that is given up is answered at once if it has no chance, otherwise at the end of its maximum wait.
     assert quantile(whole.waits, 0.99) <= 0.25 * AIM_MS + 1.0
 
 
 def test_time_spent_in_this_process_does_not_shrink_the_window() -> None:
     closed, open_ = World(13, 3, UNLIMITED, 1.0), World(13, 3, UNLIMITED, 1.0)
     for world, lag in ((closed, 0.0), (open_, 200.0)):
-        world.service_ms = [201.0] * 3  # of which 200 are our own
+        world.service_ms = [201.0] * 3  # 200 of which are spent in this process
         world.lag_ms = lag
         world.closed(300)
         world.run(3_000.0)
@@ -286,7 +288,7 @@
 
 
 class AdmissionQueueMachine(RuleBasedStateMachine):
-    """Whatever the order: who waits is known, nobody waits twice or goes twice, and a class is first in, first out."""
+    """In any order of operations, no request is queued or popped twice, and each class is first in, first out."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -366,12 +368,12 @@
     for n in range(10):
         queue.try_enter(0.0, n, 0, False, 100.0, 9.5)
     assert not queue.try_enter(0.0, 99, 0, False, 100.0, 9.5)
-    assert queue.try_enter(0.0, 99, 1, False, 100.0, 9.5)  # of more worth: few of the others go before it
+    assert queue.try_enter(0.0, 99, 1, False, 100.0, 9.5)  # higher worth: few of the others go before it
 
 
 @pytest.mark.parametrize(("spread", "shrinks"), [(175.0, False), (0.0, True)])
 def test_latency_that_varies_by_chance_is_not_taken_for_queueing(spread: float, shrinks: bool) -> None:
-    # Guards a copy of few calls: one mean is a queue where calls agree, and chance where they differ by their work.
+    # With few calls, a higher mean latency shows queueing if the latencies agree, but may be chance if they vary.
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(410.0, 1000.0, Effect.SAFE),)), Random(1))
     limiter.open(8, 1)
     for _ in range(40):
@@ -384,12 +386,12 @@
         limiter.admit(0, out, 0, False)
         limiter.record_end(0, Outcome.OK, 185.0 + spread * (-1) ** n, out, limiter.round_of(out))
         windows.append(limiter.window)
-    assert (windows[-1] < windows[20]) is shrinks  # the first round still holds calls of before
+    assert (windows[-1] < windows[20]) is shrinks  # the first round still contains earlier calls
 
 
 @pytest.mark.parametrize(("size", "shrinks"), [(4.0, False), (1.0, True)])
 def test_heavy_requests_are_not_taken_for_queueing(size: float, shrinks: bool) -> None:
-    # A spell of work of four times the usual does not close the window where the sizes are told.
+    # A run of requests of four times the usual work does not shrink the window if their sizes are known.
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(410.0, 1000.0, Effect.SAFE),)), Random(1))
     limiter.open(8, 1)
     for _ in range(200):
@@ -406,7 +408,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_the_base_latency_is_not_raised_by_small_requests(seed: int) -> None:
-    """Half of a call's time has nothing to do with its size: the mean of times by size would be twice the true one."""
+    """Half of the latency does not depend on size, so the mean of latency divided by size would be far too high."""
     rng = Random(seed)
     limiter = ConcurrencyLimiter(Settings(classes=(RequestClass(1500.0, 4000.0, Effect.SAFE),)), Random(1))
     limiter.open(10, 1)
@@ -416,13 +418,15 @@
         limiter.record_end(0, Outcome.OK, 200.0 + 200.0 * size, 7, limiter.round_of(7), size=size)
     mean = sum(sizes) / len(sizes)
     assert limiter.base[0] <= (200.0 + 200.0 * mean) / mean + 1.0
-    assert limiter.base[0] * mean >= 0.6 * (200.0 + 200.0 * mean)  # what queues seemed to add is taken off
+    assert limiter.base[0] * mean >= 0.6 * (
+        200.0 + 200.0 * mean
+    )  # the queueing that seemed to be there is subtracted
 
 
 def limiter_after(
     tiers: int, fixed_ms: float, by_size_ms: float, count: int = 8, seed: int = 4
 ) -> ConcurrencyLimiter:
-    """Told of calls that pop a fixed time and one that goes by their size, at low load."""
+    """A limiter that has recorded calls at low load, with a fixed latency plus one proportional to size."""
     rng = Random(seed)
     settings = Settings(classes=(RequestClass(1500.0, 4000.0, Effect.SAFE),), tiers=tiers)
     limiter = ConcurrencyLimiter(settings, Random(1))
@@ -455,7 +459,7 @@
 
 @pytest.mark.parametrize(("outcome", "first"), [(Outcome.RESET, 4.0 / 5.0), (Outcome.ERROR, 1.0)])
 def test_an_unresponsive_server_shrinks_the_window_by_its_share_once(outcome: Outcome, first: float) -> None:
-    """One that answers errors takes nothing: they may come from the tier behind it."""
+    """A server that answers with errors does not shrink it: the errors may come from the tier behind it."""
     settings = Settings(classes=(RequestClass(1500.0, 4000.0, Effect.SAFE),), max_attempts=1)
     balancer = Balancer(settings, 1)
     balancer.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(5)]))
