--- a/packages/balancing/src/larkweir_balancing/shared_health.py
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -1,10 +1,10 @@
-"""Health findings of other replicas about servers that this balancer has ejected, weighed by their age. Pure logic.
+"""Health reports of other replicas about servers that this balancer has ejected, weighted by their age. Pure logic.
 
-A report never ejects a server and never sends a request: it moves the time at which a server that this balancer
-itself has ejected is tried again, later or sooner, within bounds that its own knowledge sets. A server that is
-restored is selected under the usual rules: discovery must list it, slow start counts, and an unresponsive one gets
-requests that may be repeated first. A probe is sent only on this replica's turn, only where the settings allow
-probes, and only to a ready server.
+A report never ejects a server and never sends a request. It moves the time at which a server that this balancer itself
+has ejected is tried again, later or sooner, within bounds set by this balancer's own findings. A restored server is
+selected under the usual rules: discovery must list it, slow start applies, and one that was unresponsive first gets
+requests that may be retried. A probe is sent only when it is this replica's turn, only if the settings allow probes,
+and only to a ready server.
 """
 
 from __future__ import annotations
@@ -21,25 +21,26 @@
 from larkweir_balancing.outlier_ejection import OutlierDetector
 from larkweir_balancing.servers import Server
 
-MAX_SERVERS = 256  # reports of further ones are ignored
-REPORT_LIFETIME_MS = 12_000.0  # from this age on a report is ignored
-MAX_EJECTION_HINT_MS = 6_000.0  # for which a new report keeps an unhealthy server ejected; less with its age
-# Over which the replicas restore a server that was found healthy: a wrong report costs the first few only, and a server
-# that has just started is spared until discovery lists its start.
+MAX_SERVERS = 256  # reports about further servers are ignored
+REPORT_LIFETIME_MS = 12_000.0  # older reports are ignored
+# A new report keeps an unhealthy server ejected for so long, an older one for less.
+MAX_EJECTION_HINT_MS = 6_000.0
+# Each replica restores a server that was reported healthy after a random delay of up to this. So a wrong report costs
+# the first few replicas only, and a server that has just started is spared until discovery lists its start.
 RESTORE_SPREAD_MS = 3_000.0
-RECHECK_INTERVAL_MS = 2_000.0  # between two checks, by the replica whose turn it is
-PROBE_TIMEOUT_MS = 3_000.0  # after which a probe is no longer waited for
+RECHECK_INTERVAL_MS = 2_000.0  # minimum time between two checks by the replica whose turn it is
+PROBE_TIMEOUT_MS = 3_000.0  # then a probe without an answer is given up
 
 
 def report_confidence(age_ms: float) -> float:
-    """Of a report of this age, from 1 down to 0; a negative age counts as new."""
+    """The confidence in a report of this age, from 1 down to 0; a negative age counts as new."""
     return max(0.0, 1.0 - max(0.0, age_ms) / REPORT_LIFETIME_MS)
 
 
 class LocalHealth(NamedTuple):
-    """What this replica has found of a server by itself. `is_ejected`: requests failed there, and none succeeded since.
+    """This replica's own finding about a server. `is_ejected`: requests failed there, and none has succeeded since.
 
-    A server that is only slow is not reported.
+    A server that is only slow is not reported as ejected.
     """
 
     server: int
@@ -52,119 +53,129 @@
 @dataclass(slots=True, eq=False, repr=False)
 class _ServerHealth:
     server: Server
-    failed_ms: float  # its last failure here
-    found_ms: float  # when this copy found something itself, and what
+    failed_ms: float  # the last failure seen by this replica
+    found_ms: float  # this replica's last own finding; `is_healthy` and `from_request` describe it
     is_healthy: bool | None = None
     from_request: bool = False
-    is_failing: bool = False  # not slow alone
-    restored_on_report: bool = False  # brought back on hearsay, and not heard of since
-    report_was_wrong: bool = False  # that was wrong: no good word counts until it has served this copy
-    probed_ms: float = -math.inf  # of the last probe for others
-    probe_in_flight: bool = False  # it is out
+    is_failing: bool = False  # requests fail there; a server that is only slow is not failing
+    restored_on_report: bool = False  # restored on a report, and no own finding since
+    # It failed after that; reports that it is healthy are ignored until it has served a request here.
+    report_was_wrong: bool = False
+    probed_ms: float = -math.inf  # when the last probe was sent on this replica's turn
+    probe_in_flight: bool = False
 
 
 class SharedHealth:
-    """One replica's: it follows the servers that its detector has ejected, and says until when."""
+    """Tracks the servers that this replica's outlier detector has ejected, and moves the end of their ejection."""
 
-    def __init__(self, judge: OutlierDetector) -> None:
-        self._detector = judge
+    def __init__(self, detector: OutlierDetector) -> None:
+        self._detector = detector
         self._servers: dict[int, _ServerHealth] = {}
-        self.untracked = 0  # servers beyond the bound
+        self.untracked = 0  # servers beyond `MAX_SERVERS`
 
-    # ------------------------------------------------ what this copy finds
+    # ------------------------------------------------ this replica's own findings
 
     def on_attempt_end(self, server: Server, outcome: Outcome, now_ms: float) -> None:
         """A request has ended, and the detector has recorded it."""
         fails = bool(server.ejections) and outcome is not Outcome.OK
-        known = self._track(server, now_ms) if fails else self._servers.get(server.id)
-        if known is None or known.server is not server or outcome in INCONCLUSIVE:
+        health = self._track(server, now_ms) if fails else self._servers.get(server.id)
+        if health is None or health.server is not server or outcome in INCONCLUSIVE:
             return
-        known.is_failing = fails or (known.is_failing and server.ejections > 0)
-        known.found_ms, known.from_request, known.is_healthy = now_ms, True, not server.ejections
+        health.is_failing = fails or (health.is_failing and server.ejections > 0)
+        health.found_ms, health.from_request, health.is_healthy = now_ms, True, not server.ejections
         if server.ejections:
-            known.failed_ms = now_ms
-            known.report_was_wrong = known.report_was_wrong or known.restored_on_report
+            health.failed_ms = now_ms
+            health.report_was_wrong = health.report_was_wrong or health.restored_on_report
         else:
-            known.report_was_wrong = False
-        known.restored_on_report = False
+            health.report_was_wrong = False
+        health.restored_on_report = False
 
     def on_probe_end(self, event: ProbeEnded, now_ms: float) -> bool:
-        """A probe has ended; returns whether it was sent by this class."""
-        known = self._servers.get(event.server)
-        if known is None or not known.probe_in_flight:
+        """A probe has ended; returns whether this object had asked for it."""
+        health = self._servers.get(event.server)
+        if health is None or not health.probe_in_flight:
             return False
-        known.probe_in_flight = False
-        if event.outcome not in INCONCLUSIVE and known.server.ejections and known.found_ms <= known.probed_ms:
-            known.found_ms, known.from_request, known.is_healthy = now_ms, False, event.outcome is Outcome.OK
-            self._apply(known, known.is_healthy, False, 0.0, now_ms)
+        health.probe_in_flight = False
+        if (
+            event.outcome not in INCONCLUSIVE
+            and health.server.ejections
+            and health.found_ms <= health.probed_ms
+        ):
+            health.found_ms, health.from_request, health.is_healthy = (
+                now_ms,
+                False,
+                event.outcome is Outcome.OK,
+            )
+            self._apply(health, health.is_healthy, False, 0.0, now_ms)
         return True
 
     def local_health(self, now_ms: float) -> Iterator[LocalHealth]:
-        """Of each server that is ejected, or was until recently."""
-        for number, known in list(self._servers.items()):
+        """The finding about each server that is ejected, or was until recently."""
+        for number, health in list(self._servers.items()):
             over = (
-                known.is_healthy is True
-                and known.from_request
-                and now_ms - known.found_ms >= REPORT_LIFETIME_MS
+                health.is_healthy is True
+                and health.from_request
+                and now_ms - health.found_ms >= REPORT_LIFETIME_MS
             )
-            if over or not self._is_listed(known):
+            if over or not self._is_listed(health):
                 del self._servers[number]
                 continue
-            age = now_ms - known.found_ms
-            yield LocalHealth(number, known.is_failing, known.is_healthy, age, known.from_request)
+            age = now_ms - health.found_ms
+            yield LocalHealth(number, health.is_failing, health.is_healthy, age, health.from_request)
 
-    def _is_listed(self, known: _ServerHealth) -> bool:
-        return known.server.ready and self._detector.table.servers.get(known.server.id) is known.server
+    def _is_listed(self, health: _ServerHealth) -> bool:
+        return health.server.ready and self._detector.table.servers.get(health.server.id) is health.server
 
     def _track(self, server: Server, now_ms: float) -> _ServerHealth | None:
-        known = self._servers.get(server.id)
-        if known is None or known.server is not server:
-            if known is None and len(self._servers) >= MAX_SERVERS:
+        health = self._servers.get(server.id)
+        if health is None or health.server is not server:
+            if health is None and len(self._servers) >= MAX_SERVERS:
                 self.untracked += 1
                 return None
-            known = self._servers[server.id] = _ServerHealth(server, now_ms, -math.inf)
-        return known
+            health = self._servers[server.id] = _ServerHealth(server, now_ms, -math.inf)
+        return health
 
-    # ------------------------------------------------ what others have found
+    # ------------------------------------------------ reports of other replicas
 
     def on_peer_report(self, event: PeerHealthReport, now_ms: float, out: list[Action]) -> None:
-        """Another replica reports; ignored for a server that is not listed, drains, or is not ejected here."""
+        """Another replica reports; ignored for a server that is not listed, is draining, or is not ejected here."""
         server = self._detector.table.servers.get(event.server)
         if server is None or not server.ready or not server.ejections:
             return
-        known = self._track(server, now_ms)
-        if known is None:
+        health = self._track(server, now_ms)
+        if health is None:
             return
         if event.is_probe_turn:
-            self._recheck(known, now_ms, out)
+            self._recheck(health, now_ms, out)
         elif (
-            event.is_healthy is not None and now_ms - event.age_ms > known.found_ms
-        ):  # else this copy knows better
-            self._apply(known, event.is_healthy, event.from_request, event.age_ms, now_ms)
+            event.is_healthy is not None and now_ms - event.age_ms > health.found_ms
+        ):  # else this replica's own finding is newer
+            self._apply(health, event.is_healthy, event.from_request, event.age_ms, now_ms)
 
     def _apply(
-        self, known: _ServerHealth, is_healthy: bool, from_request: bool, age_ms: float, now_ms: float
+        self, health: _ServerHealth, is_healthy: bool, from_request: bool, age_ms: float, now_ms: float
     ) -> None:
-        """Move the time at which it is tried again."""
-        server, worth = known.server, report_confidence(age_ms)
-        if worth <= 0.0:
+        """Move the time at which the server is tried again."""
+        server, confidence = health.server, report_confidence(age_ms)
+        if confidence <= 0.0:
             return
         if not is_healthy:
-            # Guards against a wrong word that never ends: after that at the latest this copy finds out for itself.
-            last = known.failed_ms + self._detector.settings.longest_ms
-            known.restored_on_report = False
-            self._extend_ejection(server, min(now_ms + MAX_EJECTION_HINT_MS * worth, last), now_ms)
+            # The bound counts from the last failure seen here: then at the latest this replica tries the server
+            # itself, even if wrong reports keep arriving.
+            last = health.failed_ms + self._detector.settings.longest_ms
+            health.restored_on_report = False
+            self._extend_ejection(server, min(now_ms + MAX_EJECTION_HINT_MS * confidence, last), now_ms)
         elif (
-            not known.restored_on_report
-            and not known.report_was_wrong
+            not health.restored_on_report
+            and not health.report_was_wrong
             and (from_request or server.unresponsive)
         ):
-            # A probe speaks for a server that gave no sign of life, not for one that answers, and answers badly.
-            known.restored_on_report = True
+            # A successful probe counts for a server that was unresponsive, not for one that answers with errors.
+            health.restored_on_report = True
             self._restore(server, now_ms + RESTORE_SPREAD_MS * self._detector.rng.random(), now_ms)
 
     def _extend_ejection(self, server: Server, until_ms: float, now_ms: float) -> None:
-        """Within the detector's own bound of how many are ejected at once."""
+        """Eject the server until `until_ms`, within the detector's own bound on how many are ejected at once."""
         fleet = self._detector.table
         if server not in fleet.ejected:
             if len(fleet.ejected) >= self._detector.settings.tuning.eject_most * fleet.ready_count:
@@ -179,23 +190,26 @@
             server.withheld_until_ms = 0.0
             self._detector.table.withhold_token(server, at_ms)
 
-    def _recheck(self, known: _ServerHealth, now_ms: float, out: list[Action]) -> None:
-        """This replica's turn: a probe; where none is allowed, or probes tell nothing, the next request there."""
-        server = known.server
-        if now_ms - max(known.probed_ms, known.found_ms) < RECHECK_INTERVAL_MS:
+    def _recheck(self, health: _ServerHealth, now_ms: float, out: list[Action]) -> None:
+        """Check a server on this replica's turn.
+
+        Sends a probe. Where probes are not allowed or say nothing, ends the ejection, so that a request is the check.
+        """
+        server = health.server
+        if now_ms - max(health.probed_ms, health.found_ms) < RECHECK_INTERVAL_MS:
             return
-        if known.probe_in_flight and now_ms - known.probed_ms < PROBE_TIMEOUT_MS:
+        if health.probe_in_flight and now_ms - health.probed_ms < PROBE_TIMEOUT_MS:
             return
         if (
             self._detector.settings.may_probe
             and server.unresponsive
-            and not (known.restored_on_report or known.report_was_wrong)
+            and not (health.restored_on_report or health.report_was_wrong)
         ):
-            known.probed_ms, known.probe_in_flight = now_ms, True
+            health.probed_ms, health.probe_in_flight = now_ms, True
             out.append(Probe(server.id))
             self._extend_ejection(
                 server,
-                min(now_ms + MAX_EJECTION_HINT_MS, known.failed_ms + self._detector.settings.longest_ms),
+                min(now_ms + MAX_EJECTION_HINT_MS, health.failed_ms + self._detector.settings.longest_ms),
                 now_ms,
             )
         else:
--- a/packages/balancing/tests/test_balancing_rules.py
+++ b/packages/balancing/tests/test_balancing_rules.py
@@ -1,4 +1,4 @@
-"""The four rules as properties: legal event sequences, with the account kept by `tests/driver.py`."""
+"""Property tests of the balancer with legal event sequences; `balancing_driver.py` checks its rules."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 
     @rule(klass=st.integers(0, 7))
     def long_request(self, klass: int) -> None:
-        """One that is told of before its last byte has come."""
+        """A request that is reported before its last byte has arrived."""
         classes = self.driver.settings.classes
         self.driver.request(klass % len(classes), body_incomplete=True)
 
@@ -111,8 +111,8 @@
         aim=st.sampled_from([100.0, 250.0]),
         most=st.integers(1, 4),
     )
-    def reconfigure(self, effects: list[Effect], aim: float, most: int) -> None:
-        """Classes come, change their effect, aim and deadline; fewer attempts are allowed, or more again."""
+    def retune(self, effects: list[Effect], aim: float, most: int) -> None:
+        """Add classes and change their effects, targets and deadlines, and the maximum number of attempts."""
         count = max(len(effects), len(self.driver.settings.classes))
         effects = [*effects, *(Effect.SAFE for _ in range(count))][:count]
         classes = tuple(
@@ -133,7 +133,7 @@
         ),
     )
     def exchange(self, klass: int, outcomes: list[tuple[Outcome, float]]) -> None:
-        """A call and what becomes of its attempts, with idle reports for whatever it asks."""
+        """A request whose attempts end with these outcomes; probes are answered with idle reports."""
         self.driver.request(klass)
         request = self.driver.next_id
         for outcome, wait in outcomes:
@@ -213,7 +213,7 @@
             for request, attempt in self.driver.open_attempts():
                 self.driver.end(request, attempt, Outcome.OK)
             assert all(o.over for o in self.driver.requests.values())
-            assert not self.driver.balancer.requests, "finished requests are kept"
+            assert not self.driver.balancer.requests, "finished requests are still stored"
 
 
 Rules.TestCase.settings = settings(
