--- a/larkweir/router/rollout_tracks.py
+++ b/larkweir/router/rollout_tracks.py
@@ -150,7 +150,7 @@
         return frozenset(
             version
             for version, since_ms in (self._listed_since_ms or {}).items()
-            if self.rollout.is_unnamed(version) and now_ms < since_ms + ORDER_WAIT_MS
+            if self.rollout.is_new_since_completion(version) and now_ms < since_ms + ORDER_WAIT_MS
         )
 
     def _has_target_alone(self, rollout: Rollout) -> bool:
--- a/packages/rollouts/src/larkweir_rollouts/exposure.py
+++ b/packages/rollouts/src/larkweir_rollouts/exposure.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from larkweir_rollouts.pooling import answered
+from larkweir_rollouts.pooling import count_answers
 from larkweir_rollouts.samples import RolloutReport, TrackSamples
 
 EXPOSURE_SHARE = 0.1  # of all requests until the deadline
@@ -57,4 +57,4 @@
 
 
 def _requests(track: TrackSamples) -> int:
-    return answered(track) + track.in_flight
+    return count_answers(track) + track.in_flight
--- a/packages/rollouts/src/larkweir_rollouts/orders.py
+++ b/packages/rollouts/src/larkweir_rollouts/orders.py
@@ -50,34 +50,34 @@
         The roll-outs from now on, or why the order is refused. A repeated order changes nothing: it is acknowledged
         again, and the time of the first one counts.
     """
-    present = rollout_of(rollouts, order.service)
-    if present is None:
+    current = rollout_of(rollouts, order.service)
+    if current is None:
         return (*rollouts, order)
-    if present.target_version == order.target_version:
-        return rollouts if _is_repeat(present, order) else _replace(rollouts, _after(present, order))
-    if present.is_running:
+    if current.target_version == order.target_version:
+        return rollouts if _is_repeat(current, order) else _replace(rollouts, _with_withdrawn(current, order))
+    if current.is_running:
         return OrderConflict(
-            f"a roll-out of {present.service} to {present.target_version} is running; it ends before another is ordered"
+            f"a roll-out of {current.service} to {current.target_version} is running; it ends before another is ordered"
         )
-    return _replace(rollouts, _after(present, order))
+    return _replace(rollouts, _with_withdrawn(current, order))
 
 
 def advance(rollouts: tuple[Rollout, ...], change: Advance) -> tuple[Rollout, ...]:
     """Apply a step if its order is in place and running; leave everything as it is otherwise."""
-    present = rollout_of(rollouts, change.service)
-    if present is None or not present.is_running or present.order_id != change.order_id:
+    current = rollout_of(rollouts, change.service)
+    if current is None or not current.is_running or current.order_id != change.order_id:
         return rollouts
     changed = msgspec.structs.replace(
-        present,
+        current,
         state=change.state,
         target_weight=change.target_weight,
         reason=change.reason,
-        other_versions=_union(present.other_versions, change.other_versions),
+        other_versions=_merge_versions(current.other_versions, change.other_versions),
     )
     return _replace(rollouts, changed)
 
 
-def _union(one: Versions, other: Versions) -> Versions:
+def _merge_versions(one: Versions, other: Versions) -> Versions:
     """Return the versions of both: no decider need have known all of them."""
     if isinstance(one, msgspec.UnsetType) or isinstance(other, msgspec.UnsetType):
         return other if isinstance(one, msgspec.UnsetType) else one
@@ -89,24 +89,24 @@
     return next((rollout for rollout in rollouts if rollout.service == service), None)
 
 
-def _is_repeat(present: Rollout, order: Rollout) -> bool:
-    """Whether an order of the same target adds nothing to the present roll-out.
+def _is_repeat(current: Rollout, order: Rollout) -> bool:
+    """Whether an order of the same target adds nothing to the current roll-out.
 
     A rolled-back version may be ordered again, once a repeat of the first order can no longer arrive. The two times may
     be of different controllers' clocks, so the later order may have the earlier time.
     """
-    if present.state is not RolloutState.ROLLED_BACK:
+    if current.state is not RolloutState.ROLLED_BACK:
         return True
-    return order.ordered_unix_ms - present.ordered_unix_ms < REPEAT_WINDOW_MS
+    return order.ordered_unix_ms - current.ordered_unix_ms < REPEAT_WINDOW_MS
 
 
-def _after(present: Rollout, order: Rollout) -> Rollout:
+def _with_withdrawn(current: Rollout, order: Rollout) -> Rollout:
     """Return the order with what is withdrawn or replaced: such upstreams may live on for some seconds."""
-    withdrawn = {*present.withdrawn_versions}
-    if present.state is RolloutState.COMPLETED:
-        withdrawn = {*(present.other_versions or ())}
-    if present.state is RolloutState.ROLLED_BACK:
-        withdrawn.add(present.target_version)
+    withdrawn = {*current.withdrawn_versions}
+    if current.state is RolloutState.COMPLETED:
+        withdrawn = {*(current.other_versions or ())}
+    if current.state is RolloutState.ROLLED_BACK:
+        withdrawn.add(current.target_version)
     withdrawn.discard(order.target_version)
     return msgspec.structs.replace(order, withdrawn_versions=tuple(sorted(withdrawn)))
 
--- a/packages/rollouts/src/larkweir_rollouts/pooling.py
+++ b/packages/rollouts/src/larkweir_rollouts/pooling.py
@@ -61,8 +61,8 @@
         """Count a router's report in place of the known one; the cost is that of the routes that have changed."""
         _replace_track(self.totals.target, known.target, report.target)
         _replace_track(self.totals.others, known.others, report.others)
-        _add(self.target_failures, router, failed(report.target) - failed(known.target))
-        _add(self.others_failures, router, failed(report.others) - failed(known.others))
+        _add(self.target_failures, router, count_failures(report.target) - count_failures(known.target))
+        _add(self.others_failures, router, count_failures(report.others) - count_failures(known.others))
 
     def since(self, begin: _Sums) -> _Sums:
         """Return what was added since these were the sums; shares nothing with either."""
@@ -75,7 +75,7 @@
         )
 
 
-_NOTHING = _Sums(RolloutReport(""))
+_ZERO_SUMS = _Sums(RolloutReport(""))
 
 
 class PooledSamples:
@@ -83,7 +83,7 @@
 
     def __init__(self, order_id: str = "") -> None:
         """Create a pool for an order."""
-        self._forget_all(order_id)
+        self._reset(order_id)
 
     @property
     def order_id(self) -> str:
@@ -98,7 +98,7 @@
     def begin(self, order_id: str) -> None:
         """Join reports of this order from now on, and forget those of others."""
         if order_id != self.order_id:
-            self._forget_all(order_id)
+            self._reset(order_id)
 
     def record(self, incarnation: str, report: RolloutReport) -> None:
         """Replace what an incarnation of a router (`NAME/...`) has reported.
@@ -108,15 +108,19 @@
         if report.order_id != self.order_id:
             return
         known = self._reports.get(incarnation, _EMPTY_REPORT)
-        if _total(report) < _total(known):
+        if _count_all_answers(report) < _count_all_answers(known):
             return
-        report = RolloutReport(report.order_id, self._by_name(report.target), self._by_name(report.others))
+        report = RolloutReport(
+            report.order_id,
+            self._merge_excess_routes(report.target),
+            self._merge_excess_routes(report.others),
+        )
         self._reports[incarnation] = report
         self._routers.add(_router_of(incarnation))
         self._sums.replace(_router_of(incarnation), known, report)
-        self._begin_window()
+        self._begin_window_if_due()
 
-    def _by_name(self, track: TrackSamples) -> TrackSamples:
+    def _merge_excess_routes(self, track: TrackSamples) -> TrackSamples:
         """Return a track with the routes that have a name here; all others, which came later, are counted together."""
         unknown = [name for name in track.routes if name not in self._route_names]
         self._route_names.update(unknown[: MAX_ROUTES - len(self._route_names)])
@@ -124,8 +128,8 @@
             return track
         routes: dict[str, RouteSamples] = {}
         for name, samples in track.routes.items():
-            shown = name if name in self._route_names else OTHER_ROUTES
-            add_route(routes.setdefault(shown, RouteSamples()), samples)
+            counted_name = name if name in self._route_names else OTHER_ROUTES
+            add_route(routes.setdefault(counted_name, RouteSamples()), samples)
         return msgspec.structs.replace(track, routes=routes)
 
     def disconnected(self, incarnation: str) -> None:
@@ -141,47 +145,47 @@
 
     def totals(self) -> RolloutReport:
         """Return the sums since the order."""
-        return self._sums.since(_NOTHING).totals
+        return self._sums.since(_ZERO_SUMS).totals
 
     def windows(self) -> list[Window]:
         """Return the sums since the order, and since some moments after it."""
         router_count, windows = self.router_count, []
-        for index, begin in [(0, _NOTHING), *self._later]:
+        for index, begin in [(0, _ZERO_SUMS), *self._begins]:
             sums = self._sums.since(begin)
             window = Window(index, sums.totals, sums.target_failures, sums.others_failures, router_count)
             windows.append(window)
         return windows
 
-    def _forget_all(self, order_id: str) -> None:
+    def _reset(self, order_id: str) -> None:
         self._sums = _Sums(RolloutReport(order_id))
         self._reports: dict[str, RolloutReport] = {}  # by incarnation
         self._routers: set[str] = set()
         self._route_names = {OTHER_ROUTES}  # only grows, so that a route is counted under one name
-        self._later: list[tuple[int, _Sums]] = []  # index of a window, and the sums where it began
-        self._next_begin = FIRST_WINDOW_ANSWERS
+        self._begins: list[tuple[int, _Sums]] = []  # index of a window, and the sums where it began
+        self._next_window_answers = FIRST_WINDOW_ANSWERS
 
-    def _begin_window(self) -> None:
+    def _begin_window_if_due(self) -> None:
         """Begin a window where enough answers have come since the last one began; the counts alone decide."""
-        answers = answered(self._sums.totals.target)
-        if answers < self._next_begin:
+        answers = count_answers(self._sums.totals.target)
+        if answers < self._next_window_answers:
             return
-        index = self._later[-1][0] + 1 if self._later else 1
-        self._later = [*self._later, (index, self._sums.since(_NOTHING))][-MAX_LATER_WINDOWS:]
-        self._next_begin = round(answers * WINDOW_GROWTH) + FIRST_WINDOW_ANSWERS
+        index = self._begins[-1][0] + 1 if self._begins else 1
+        self._begins = [*self._begins, (index, self._sums.since(_ZERO_SUMS))][-MAX_LATER_WINDOWS:]
+        self._next_window_answers = round(answers * WINDOW_GROWTH) + FIRST_WINDOW_ANSWERS
 
 
-def answered(track: TrackSamples) -> int:
+def count_answers(track: TrackSamples) -> int:
     """Count the answers at a track, failed ones too."""
     return sum(route.answered + route.failed for route in track.routes.values())
 
 
-def failed(track: TrackSamples) -> int:
+def count_failures(track: TrackSamples) -> int:
     """Count the failed answers at a track."""
     return sum(route.failed for route in track.routes.values())
 
 
-def _total(report: RolloutReport) -> int:
-    return answered(report.target) + answered(report.others)
+def _count_all_answers(report: RolloutReport) -> int:
+    return count_answers(report.target) + count_answers(report.others)
 
 
 def _router_of(incarnation: str) -> str:
--- a/packages/rollouts/src/larkweir_rollouts/schedule.py
+++ b/packages/rollouts/src/larkweir_rollouts/schedule.py
@@ -10,7 +10,7 @@
 
 from larkweir_rollouts.exposure import ExposureBounds, exposure_budget
 from larkweir_rollouts.orders import Advance
-from larkweir_rollouts.pooling import answered
+from larkweir_rollouts.pooling import count_answers
 from larkweir_rollouts.samples import RolloutReport
 from larkweir_rollouts.state import Rollout, RolloutState
 from larkweir_rollouts.verdict import Verdict
@@ -25,10 +25,10 @@
 
 # Until full weight the target's share follows from the exposure budget.
 PLANNING_FRACTIONS = (0.1, 0.8)  # of the time until full weight, between which the weight is planned
-PLANNED_BUDGET = (
+PLANNED_BUDGET_FRACTION = (
     0.75  # of the budget, that is spent when full weight begins; the rest is for finding a late fault
 )
-PAUSED_BUDGET = 0.9  # of the budget, that a target which may not grow spends until the deadline
+PAUSED_BUDGET_FRACTION = 0.9  # of the budget, that a target which may not grow spends until the deadline
 MAX_CANARY_WEIGHT = 0.25
 MIN_PAUSED_WEIGHT = 0.02  # a suspect goes on to be judged
 MIN_CHANGE_FACTOR = 1.2  # of the weight: smaller changes are not worth a change of the replicated state
@@ -43,7 +43,7 @@
 FULL_WEIGHT_DWELL_S = 1.5  # a target with all requests is looked at for so long before the others are stopped
 COMPLETION_MARGIN_S = 1.0  # before the deadline: requests under way at the others are waited for no longer
 ROLLBACK_MARGIN_S = 0.5  # before the deadline: an unanswered or suspect target is rolled back
-LATE_COMPLETION_S = 3.0  # after the deadline: a target at full weight may still be confirmed
+CONFIRMATION_GRACE_S = 3.0  # after the deadline: a target at full weight may still be confirmed
 
 
 class View(msgspec.Struct, frozen=True):
@@ -97,18 +97,18 @@
 
 def _scheduled_weight(view: View) -> float:
     """Return the weight of a target that nothing speaks against."""
-    present = view.rollout.target_weight
+    current = view.rollout.target_weight
     full_weight_s = full_weight_time_s(view.rollout.duration_s)
     if view.elapsed_s >= full_weight_s:
         return FULL_WEIGHT
     first, last = PLANNING_FRACTIONS
     if not first <= view.elapsed_s / full_weight_s <= last:
-        return present
+        return current
     budget = exposure_budget(view.totals, view.elapsed_s, view.rollout.duration_s, view.bounds)
-    planned = budget.weight_until(PLANNED_BUDGET, full_weight_s - view.elapsed_s)
+    planned = budget.weight_until(PLANNED_BUDGET_FRACTION, full_weight_s - view.elapsed_s)
     planned = min(MAX_CANARY_WEIGHT, max(CANARY_WEIGHT, planned))
-    is_near = present / MIN_CHANGE_FACTOR < planned < present * MIN_CHANGE_FACTOR
-    return present if is_near else planned
+    is_small_change = current / MIN_CHANGE_FACTOR < planned < current * MIN_CHANGE_FACTOR
+    return current if is_small_change else planned
 
 
 def full_weight_time_s(duration_s: float) -> float:
@@ -122,11 +122,11 @@
 def _next_step_at_full_weight(view: View) -> Advance | None:
     """Complete once nothing is under way at the others, or when the time is nearly up."""
     if obstacle := _missing_evidence(view):
-        is_over = view.remaining_s <= ROLLBACK_MARGIN_S
-        return _roll_back(view, f"no time left: {obstacle}") if is_over else None
+        is_time_up = view.remaining_s <= ROLLBACK_MARGIN_S
+        return _roll_back(view, f"no time left: {obstacle}") if is_time_up else None
     if not view.are_routers_confirmed:
-        is_over = view.remaining_s <= -LATE_COMPLETION_S
-        return _roll_back(view, "no time left: not confirmed by all routers") if is_over else None
+        is_time_up = view.remaining_s <= -CONFIRMATION_GRACE_S
+        return _roll_back(view, "no time left: not confirmed by all routers") if is_time_up else None
     is_observed = view.elapsed_s >= full_weight_time_s(view.rollout.duration_s) + FULL_WEIGHT_DWELL_S
     if (view.others_in_flight > 0 or not is_observed) and view.remaining_s >= COMPLETION_MARGIN_S:
         return None
@@ -142,9 +142,9 @@
     needed = needed_answers(view.totals)
     if view.verdict.target_answers < needed:
         return f"{view.verdict.target_answers} answers of the target, {needed} needed"
-    usual = _usual_in_flight(view)
-    if view.totals.target.in_flight > MAX_IN_FLIGHT_FACTOR * usual + MAX_IN_FLIGHT_MARGIN:
-        return f"{view.totals.target.in_flight} requests under way at the target, {usual:.0f} usual"
+    expected = _expected_in_flight(view)
+    if view.totals.target.in_flight > MAX_IN_FLIGHT_FACTOR * expected + MAX_IN_FLIGHT_MARGIN:
+        return f"{view.totals.target.in_flight} requests under way at the target, {expected:.0f} usual"
     return ""
 
 
@@ -159,11 +159,11 @@
 
 def needed_answers(totals: RolloutReport) -> int:
     """Return how many answers of the target allow its weight to grow, given the service's traffic so far."""
-    total = answered(totals.target) + answered(totals.others)
+    total = count_answers(totals.target) + count_answers(totals.others)
     return min(MIN_ANSWERS, int(EXPECTED_ANSWERS_FRACTION * CANARY_WEIGHT * total))
 
 
-def _usual_in_flight(view: View) -> float:
+def _expected_in_flight(view: View) -> float:
     """Return how many requests would be under way at the target if it were as fast as the others.
 
     Slow answers that have not ended are in no count yet, so a version that has just become slow shows here first.
@@ -174,12 +174,12 @@
 
 def _paused_weight(view: View) -> float:
     """Return the weight of a target that may not grow: it never rises, and keeps to the budget until the deadline."""
-    present = view.rollout.target_weight
+    current = view.rollout.target_weight
     budget = exposure_budget(view.totals, view.elapsed_s, view.rollout.duration_s, view.bounds)
-    allowed = max(MIN_PAUSED_WEIGHT, budget.weight_until(PAUSED_BUDGET, view.remaining_s))
+    allowed = max(MIN_PAUSED_WEIGHT, budget.weight_until(PAUSED_BUDGET_FRACTION, view.remaining_s))
     if view.verdict.is_suspect:
         allowed = min(allowed, CANARY_WEIGHT)
-    return allowed if allowed < present / MIN_CHANGE_FACTOR else present
+    return allowed if allowed < current / MIN_CHANGE_FACTOR else current
 
 
 def _roll_back(view: View, reason: str) -> Advance:
--- a/packages/rollouts/src/larkweir_rollouts/state.py
+++ b/packages/rollouts/src/larkweir_rollouts/state.py
@@ -60,9 +60,9 @@
 
     def is_target(self, version: str) -> bool:
         """Whether upstreams of that version are the target; once completed, all that came without an order since."""
-        return version == self.target_version or self.is_unnamed(version)
+        return version == self.target_version or self.is_new_since_completion(version)
 
-    def is_unnamed(self, version: str) -> bool:
+    def is_new_since_completion(self, version: str) -> bool:
         """Whether upstreams of that version have come since the completion, and no order has named it."""
         if self.state is not RolloutState.COMPLETED or isinstance(self.other_versions, msgspec.UnsetType):
             return False
--- a/packages/rollouts/src/larkweir_rollouts/verdict.py
+++ b/packages/rollouts/src/larkweir_rollouts/verdict.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from larkweir_rollouts.eprocess import e_value
-from larkweir_rollouts.pooling import PooledSamples, Window, answered, failed
+from larkweir_rollouts.pooling import PooledSamples, Window, count_answers, count_failures
 from larkweir_rollouts.samples import BUCKET_FACTOR, Histogram, RouteSamples, TrackSamples
 
 FALSE_ALARM_PROBABILITY = 0.001  # at most, that a version is condemned that is as the hypotheses say
@@ -35,25 +35,25 @@
 COLD_CACHE_FLOOR = 0.3
 PAST_CONTROL_SLOW_FLOOR = 0.35  # the same, where the others answered only earlier
 PAST_CONTROL_COLD_CACHE_FLOOR = 0.6
-FAR_SLOW_FACTOR = 5.0  # of the others' median: what a cold cache or a busy canary rarely explains
-FAR_COLD_CACHE_FACTOR = 10.0
-FAR_SLOW_FLOOR = 0.04
-PAST_CONTROL_FAR_SLOW_FLOOR = 0.08
+VERY_SLOW_FACTOR = 5.0  # of the others' median: what a cold cache or a busy canary rarely explains
+VERY_SLOW_COLD_CACHE_FACTOR = 10.0
+VERY_SLOW_FLOOR = 0.04
+PAST_CONTROL_VERY_SLOW_FLOOR = 0.08
 SLOW_SHARE_FACTOR = 2.0
 SLOW_SHARE_MARGIN = 0.05
-FAR_SLOW_SHARE_MARGIN = 0.02
+VERY_SLOW_SHARE_MARGIN = 0.02
 
-LONE_FACTOR = 3  # one upstream's or router's failures count up to so many times those of all others
-MANY_UPSTREAMS = 2  # or more: one of them accuses nobody alone
+OUTLIER_FACTOR = 3  # one upstream's or router's failures count up to so many times those of all others
+MULTIPLE_UPSTREAMS = 2  # or more: one of them accuses nobody alone
 
-EVEN_WINDOWS = 5  # after the order; these have the same weight
+EQUAL_WEIGHT_WINDOWS = 5  # after the order; these have the same weight
 
 # Weights of the tests in the mean: half over all routes, half divided evenly over the routes.
 FAILURES_WEIGHT = 0.5
 PACE_WEIGHT = 0.15
-FAR_PACE_WEIGHT = 0.2
+VERY_SLOW_PACE_WEIGHT = 0.2
 FIRST_BYTE_WEIGHT = 0.1
-FAR_FIRST_BYTE_WEIGHT = 0.05
+VERY_SLOW_FIRST_BYTE_WEIGHT = 0.05
 
 _NO_SAMPLES = RouteSamples()
 
@@ -136,19 +136,21 @@
 
 _SLOWNESS_TESTS = (
     _SlownessTest(_Duration.PACE, PACE_WEIGHT, SLOW_FACTOR, SLOW_FLOOR),
-    _SlownessTest(_Duration.PACE, FAR_PACE_WEIGHT, FAR_SLOW_FACTOR, FAR_SLOW_FLOOR, FAR_SLOW_SHARE_MARGIN),
+    _SlownessTest(
+        _Duration.PACE, VERY_SLOW_PACE_WEIGHT, VERY_SLOW_FACTOR, VERY_SLOW_FLOOR, VERY_SLOW_SHARE_MARGIN
+    ),
     _SlownessTest(_Duration.FIRST_BYTE, FIRST_BYTE_WEIGHT, COLD_CACHE_FACTOR, COLD_CACHE_FLOOR),
     _SlownessTest(
         _Duration.FIRST_BYTE,
-        FAR_FIRST_BYTE_WEIGHT,
-        FAR_COLD_CACHE_FACTOR,
-        FAR_SLOW_FLOOR,
-        FAR_SLOW_SHARE_MARGIN,
+        VERY_SLOW_FIRST_BYTE_WEIGHT,
+        VERY_SLOW_COLD_CACHE_FACTOR,
+        VERY_SLOW_FLOOR,
+        VERY_SLOW_SHARE_MARGIN,
     ),
 )
-_PAST_SLOWNESS_TESTS = (
+_PAST_CONTROL_SLOWNESS_TESTS = (
     _SlownessTest(_Duration.PACE, PACE_WEIGHT, SLOW_FACTOR, PAST_CONTROL_SLOW_FLOOR),
-    _SlownessTest(_Duration.PACE, FAR_PACE_WEIGHT, FAR_SLOW_FACTOR, PAST_CONTROL_FAR_SLOW_FLOOR),
+    _SlownessTest(_Duration.PACE, VERY_SLOW_PACE_WEIGHT, VERY_SLOW_FACTOR, PAST_CONTROL_VERY_SLOW_FLOOR),
     _SlownessTest(_Duration.FIRST_BYTE, FIRST_BYTE_WEIGHT, COLD_CACHE_FACTOR, PAST_CONTROL_COLD_CACHE_FLOOR),
 )
 
@@ -174,7 +176,7 @@
         is_suspect=evidence >= SUSPECT_EVIDENCE,
         reason=strongest.reason if strongest is not None and evidence > DOUBT_EVIDENCE else "",
         evidence=evidence,
-        target_answers=answered(windows[0].totals.target),
+        target_answers=count_answers(windows[0].totals.target),
     )
 
 
@@ -182,10 +184,10 @@
     """Return a window's weight in the mean: half for the one since the order, the rest over all that may follow."""
     if index == 0:
         return 0.5
-    if index <= EVEN_WINDOWS:
-        return 0.25 / EVEN_WINDOWS
+    if index <= EQUAL_WEIGHT_WINDOWS:
+        return 0.25 / EQUAL_WEIGHT_WINDOWS
     return (
-        0.25 * EVEN_WINDOWS / (index * (index - 1))
+        0.25 * EQUAL_WEIGHT_WINDOWS / (index * (index - 1))
     )  # of a sum that converges: the windows have no last one
 
 
@@ -195,31 +197,35 @@
     """Make every test in one window."""
     weight = window_weight(window.index)
     target, others, earlier = window.totals.target, window.totals.others, since_order.totals.others
-    lone_target = _lone_failures(target, window.target_failures, window.router_count, upstream_count)
-    lone_others = _lone_failures(others, window.others_failures, window.router_count, MANY_UPSTREAMS)
-    lone_earlier = _lone_failures(earlier, since_order.others_failures, window.router_count, MANY_UPSTREAMS)
+    target_outliers = _outlier_failures(target, window.target_failures, window.router_count, upstream_count)
+    others_outliers = _outlier_failures(
+        others, window.others_failures, window.router_count, MULTIPLE_UPSTREAMS
+    )
+    earlier_outliers = _outlier_failures(
+        earlier, since_order.others_failures, window.router_count, MULTIPLE_UPSTREAMS
+    )
 
     def failures(route: str | None, test_weight: float) -> _Finding:
         outcomes = _outcomes(target, route)
-        outcomes = _Outcomes(max(0.0, outcomes.failed - lone_target), outcomes.answers)
+        outcomes = _Outcomes(max(0.0, outcomes.failed - target_outliers), outcomes.answers)
         control = (
-            _without_lone(_outcomes(others, route), lone_others, others)
+            _without_outliers(_outcomes(others, route), others_outliers, others)
             if is_control_live
             else _Outcomes(0.0, 0)
         )
-        past_control = _without_lone(_outcomes(earlier, route), lone_earlier, earlier)
+        past_control = _without_outliers(_outcomes(earlier, route), earlier_outliers, earlier)
         return _test_failures(route or "all routes", test_weight, outcomes, control, past_control)
 
-    share = 0.5 * weight / max(1, len(target.routes))
+    route_weight = 0.5 * weight / max(1, len(target.routes))
     yield failures(None, 0.5 * weight * FAILURES_WEIGHT)
-    yield from (failures(route, share * FAILURES_WEIGHT) for route in target.routes)
-    for test in _SLOWNESS_TESTS if is_control_live else _PAST_SLOWNESS_TESTS:
+    yield from (failures(route, route_weight * FAILURES_WEIGHT) for route in target.routes)
+    for test in _SLOWNESS_TESTS if is_control_live else _PAST_CONTROL_SLOWNESS_TESTS:
         counts = {
             route: _slowness_counts(test, samples, others.routes.get(route), earlier.routes.get(route))
             for route, samples in target.routes.items()
         }
         yield _test_slowness(test, "all routes", 0.5 * weight, list(counts.values()))
-        yield from (_test_slowness(test, route, share, [count]) for route, count in counts.items())
+        yield from (_test_slowness(test, route, route_weight, [count]) for route, count in counts.items())
 
 
 def _test_failures(
@@ -242,16 +248,18 @@
 ) -> _SlownessCounts:
     """Count what is slow on one route, by the others' median there; nothing where the others hardly answered."""
     histograms = [_durations(test, samples) for samples in (control, past) if samples is not None]
-    usable = next((histogram for histogram in histograms if sum(histogram.values()) >= MIN_CONTROL), None)
-    if usable is None:
+    control_histogram = next(
+        (histogram for histogram in histograms if sum(histogram.values()) >= MIN_CONTROL), None
+    )
+    if control_histogram is None:
         return _SlownessCounts()
-    limit = _median_bucket(usable) + round(math.log(test.slow_factor) / math.log(BUCKET_FACTOR))
+    limit = _median_bucket(control_histogram) + round(math.log(test.slow_factor) / math.log(BUCKET_FACTOR))
     durations = _durations(test, target)
     return _SlownessCounts(
         _count_above(durations, limit),
         sum(durations.values()),
-        _count_above(usable, limit),
-        sum(usable.values()),
+        _count_above(control_histogram, limit),
+        sum(control_histogram.values()),
     )
 
 
@@ -269,25 +277,25 @@
     return _Finding(evidence, weight * test.weight, f"{reason}, {control_slow} of {control} at the others")
 
 
-def _lone_failures(
+def _outlier_failures(
     track: TrackSamples, by_router: dict[str, int], router_count: int, upstream_count: int
 ) -> float:
     """Count the failures that one upstream, or one router, has far beyond those of all others together.
 
     A crashed upstream, or a router with a bad network, says nothing about a version.
     """
-    total, lone = failed(track), 0
+    total, outliers = count_failures(track), 0
     for counts, sources in ((track.failures_by_upstream, upstream_count), (by_router, router_count)):
         if sources > 1:
             largest = max(counts.values(), default=0)
             rest = sum(counts.values()) - largest
-            lone = max(lone, total - rest - min(largest, max(1, LONE_FACTOR * rest)))
-    return lone
+            outliers = max(outliers, total - rest - min(largest, max(1, OUTLIER_FACTOR * rest)))
+    return outliers
 
 
-def _without_lone(outcomes: _Outcomes, lone: float, track: TrackSamples) -> _Outcomes:
-    """Leave out a control's lone failures, evenly from all of its routes, so that they excuse no other version."""
-    shared_fraction = 1.0 - lone / max(1, failed(track))
+def _without_outliers(outcomes: _Outcomes, outliers: float, track: TrackSamples) -> _Outcomes:
+    """Leave out a control's outlier failures, evenly from all of its routes, so that they excuse no other version."""
+    shared_fraction = 1.0 - outliers / max(1, count_failures(track))
     return _Outcomes(outcomes.failed * shared_fraction, outcomes.answers)
 
 
--- a/packages/rollouts/tests/rollout_cost.py
+++ b/packages/rollouts/tests/rollout_cost.py
@@ -27,12 +27,12 @@
         histogram[bucket] = histogram.get(bucket, 0) + 1
 
 
-def cost(routers: int) -> str:
+def cost_row(router_count: int) -> str:
     """Play good answers for some seconds, and measure the last report of each router."""
     rng, pool = Random(1), PooledSamples("v2/1")
-    reports = [RolloutReport("v2/1") for _ in range(routers)]
+    reports = [RolloutReport("v2/1") for _ in range(router_count)]
     for _ in range(SECONDS * REPORTS_PER_S):
-        for _ in range(round(routers * REQUESTS_PER_ROUTER_S / REPORTS_PER_S)):
+        for _ in range(round(router_count * REQUESTS_PER_ROUTER_S / REPORTS_PER_S)):
             add_answer(rng, rng.choice(reports))
         sent = [msgspec.json.encode(report) for report in reports]
         received = [msgspec.json.decode(data, type=RolloutReport) for data in sent]
@@ -44,12 +44,15 @@
     judge(pool, 70)
     judge_s = time.process_time() - begin
     cores = REPORTS_PER_S * (record_s + judge_s)
-    mean_bytes = sum(len(data) for data in sent) / routers
-    return f"| {routers} | {record_s / routers * 1e6:.0f} | {judge_s * 1e3:.1f} | {cores:.3f} | {mean_bytes:.0f} |"
+    mean_bytes = sum(len(data) for data in sent) / router_count
+    return (
+        f"| {router_count} | {record_s / router_count * 1e6:.0f} | {judge_s * 1e3:.1f} | {cores:.3f} "
+        f"| {mean_bytes:.0f} |"
+    )
 
 
 if __name__ == "__main__":
     print("| routers | microseconds a report | ms a judgement | cores of a controller | bytes a report |")
     print("| --- | --- | --- | --- | --- |")
     for count in (30, 200, 2_000):
-        print(cost(count), flush=True)
+        print(cost_row(count), flush=True)
--- a/packages/rollouts/tests/rollout_curves.py
+++ b/packages/rollouts/tests/rollout_curves.py
@@ -12,61 +12,64 @@
 from larkweir_rollouts.state import RolloutState
 from rollout_checks import check, check_bad
 from rollout_fleet import Result
-from rollout_scenarios import Scenario, Version, scenario
+from rollout_scenarios import Scenario, Version, draw_scenario
 from rollout_simulation import Simulation
 
 CURVES = {
     "good": Version(),
-    **{f"{share:.0%} fail": Version(failing=share) for share in (0.02, 0.05, 0.1, 0.2, 0.3, 0.5)},
+    **{f"{share:.0%} fail": Version(failure_share=share) for share in (0.02, 0.05, 0.1, 0.2, 0.3, 0.5)},
     **{f"{factor} times slower": Version(slowdown=factor) for factor in (1.5, 2.0, 3.0, 4.0, 6.0, 8.0)},
-    "30% fail, on one route": Version(failing=0.3, route="digest"),
+    "30% fail, on one route": Version(failure_share=0.3, route="digest"),
     "6 times slower, on one route": Version(slowdown=6.0, route="digest"),
-    **{f"30% fail, from {onset:.0%} on": Version(failing=0.3, onset=onset) for onset in (0.2, 0.4, 0.5, 0.6)},
+    **{
+        f"30% fail, from {onset:.0%} on": Version(failure_share=0.3, onset=onset)
+        for onset in (0.2, 0.4, 0.5, 0.6)
+    },
     **{
         f"6 times slower, from {onset:.0%} on": Version(slowdown=6.0, onset=onset)
         for onset in (0.2, 0.4, 0.5)
     },
-    "30% fail under load": Version(failing=0.3, is_under_load=True),
-    "6 times slower under load": Version(slowdown=6.0, is_under_load=True),
+    "30% fail under load": Version(failure_share=0.3, is_bad_only_under_load=True),
+    "6 times slower under load": Version(slowdown=6.0, is_bad_only_under_load=True),
 }
 
 
-def row(name: str, version: Version, seeds: range) -> str:
+def table_row(name: str, version: Version, seeds: range) -> str:
     """Play the seeds with a version, and sum up what came of it."""
-    rolled_back, within, bad_answers, sends = 0, 0, [], []
+    rolled_back, within_limits, bad_answers, sends = 0, 0, [], []
     for seed in seeds:
-        played = scenario(seed, version)
-        if version.route and version.route not in played.routes:
+        drawn = draw_scenario(seed, version)
+        if version.route and version.route not in drawn.routes:
             continue
-        result = Simulation(played).play()
-        is_back = result.state is RolloutState.ROLLED_BACK
-        rolled_back += is_back
-        within += _is_within(played, result)
+        result = Simulation(drawn).run()
+        is_rolled_back = result.state is RolloutState.ROLLED_BACK
+        rolled_back += is_rolled_back
+        within_limits += _keeps_exposure_limits(drawn, result)
         bad_answers.append(result.bad_answers)
         sends.append(result.target_sends)
     count = len(sends)
     median_bad, median_sends = statistics.median(bad_answers), statistics.median(sends)
-    exposure = "" if version.is_good else f"{within / count:.1%}"
+    exposure = "" if version.is_good else f"{within_limits / count:.1%}"
     shares = f"{rolled_back / count:.1%} | {exposure}"
     return f"| {name} | {count} | {shares} | {median_bad:.0f} | {median_sends:.0f} |"
 
 
-def _is_within(played: Scenario, result: Result) -> bool:
+def _keeps_exposure_limits(drawn: Scenario, result: Result) -> bool:
     try:
-        check_bad(played, result)
-    except AssertionError as broken:
-        return "exposure" not in str(broken) and "50th" not in str(broken)
+        check_bad(drawn, result)
+    except AssertionError as error:
+        return "exposure" not in str(error) and "50th" not in str(error)
     return True
 
 
-def failures(seeds: range) -> Iterator[str]:
+def failed_checks(seeds: range) -> Iterator[str]:
     """Check the drawn scenario of each seed; one line for each that fails."""
     for seed in seeds:
-        played = scenario(seed)
+        drawn = draw_scenario(seed)
         try:
-            check(played)
-        except AssertionError as broken:
-            yield f"seed {seed}: {broken}; {played}"
+            check(drawn)
+        except AssertionError as error:
+            yield f"seed {seed}: {error}; {drawn}"
 
 
 def main() -> None:
@@ -77,11 +80,11 @@
         print("| version | plays | rolled back | EXPOSURE holds | bad answers, median | requests, median |")
         print("| --- | --- | --- | --- | --- | --- |")
         for name, version in CURVES.items():
-            print(row(name, version, seeds), flush=True)
+            print(table_row(name, version, seeds), flush=True)
         return
-    good = sum(scenario(seed).version.is_good for seed in seeds)
+    good = sum(draw_scenario(seed).version.is_good for seed in seeds)
     print(f"{count} scenarios from seed {first}: {good} good versions, {count - good} bad ones", flush=True)
-    for line in failures(seeds):
+    for line in failed_checks(seeds):
         print(line, flush=True)
 
 
--- a/packages/rollouts/tests/rollout_fleet.py
+++ b/packages/rollouts/tests/rollout_fleet.py
@@ -9,7 +9,7 @@
 from larkweir_rollouts.state import Rollout, RolloutState
 
 STEP_S = 0.1
-PACE_PART = 0.2  # of a stream, after which its pace is known
+PACE_FRACTION = 0.2  # of a stream, after which its pace is known
 
 
 @dataclass(eq=False)
@@ -36,7 +36,7 @@
     @property
     def pace_step(self) -> int:
         """When its first events have come; streams report their pace by then."""
-        pace_ms = self.first_byte_ms + PACE_PART * (self.total_ms - self.first_byte_ms)
+        pace_ms = self.first_byte_ms + PACE_FRACTION * (self.total_ms - self.first_byte_ms)
         return self.sent_step + math.ceil(pace_ms / 1000.0 / STEP_S)
 
 
@@ -47,7 +47,7 @@
     name: str
     restarts: int = 0
     weight: float = 0.0
-    is_in_touch: bool = True
+    is_connected: bool = True
     report: RolloutReport = field(default_factory=lambda: RolloutReport(""))
 
     @property
@@ -62,18 +62,18 @@
     state: RolloutState = RolloutState.RUNNING
     reason: str = ""
     end_s: float = math.inf
-    bad_since_s: float = math.inf  # the 50th bad answer
-    first_bad_s: float = math.inf
+    fiftieth_bad_answer_s: float = math.inf  # the 50th bad answer
+    first_bad_answer_s: float = math.inf
     last_target_send_s: float = 0.0  # by a router in touch
     bad_answers: int = 0
     target_sends: int = 0
     sends: float = 0.0
-    cut_requests: int = 0  # of routers in touch, under way at the old upstreams when they were stopped
+    aborted_requests: int = 0  # of routers in touch, under way at the old upstreams when they were stopped
     is_order_replaced: bool = False
 
 
 @dataclass
-class Replicated:
+class ReplicatedState:
     """The replicated roll-outs, which simulations of several services share."""
 
     rollouts: tuple[Rollout, ...] = ()
--- a/packages/rollouts/tests/rollout_scenarios.py
+++ b/packages/rollouts/tests/rollout_scenarios.py
@@ -19,10 +19,10 @@
     ROUTER_WITH_BAD_NETWORK = auto()
     PRIMARY_CHANGES = auto()
     ROUTER_RESTARTS = auto()
-    ROUTER_OUT_OF_TOUCH = auto()
+    ROUTER_DISCONNECTED = auto()
     COLD_CACHES = auto()
     ORDER_REPEATED = auto()
-    OTHER_ORDER_MEANWHILE = auto()
+    CONFLICTING_ORDER = auto()
 
 
 @dataclass(frozen=True)
@@ -30,24 +30,24 @@
     """How a target version behaves; good where nothing is set.
 
     Attributes:
-        failing: share of its answers that fail.
+        failure_share: share of its answers that fail.
         slowdown: factor on its durations.
         slow_share: share of its answers that are slower.
         onset: fraction of the roll-out's duration after which it turns bad.
-        is_under_load: bad only at upstreams that are about as loaded as the others are.
+        is_bad_only_under_load: bad only at upstreams that are about as loaded as the others are.
         route: bad only there; everywhere where empty.
     """
 
-    failing: float = 0.0
+    failure_share: float = 0.0
     slowdown: float = 1.0
     slow_share: float = 1.0
     onset: float = 0.0
-    is_under_load: bool = False
+    is_bad_only_under_load: bool = False
     route: str = ""
 
     @property
     def is_good(self) -> bool:
-        return self.failing == 0.0 and self.slowdown == 1.0
+        return self.failure_share == 0.0 and self.slowdown == 1.0
 
 
 @dataclass(frozen=True)
@@ -79,7 +79,7 @@
     disturbance_at: float
 
 
-def scenario(seed: int, version: Version | None = None) -> Scenario:
+def draw_scenario(seed: int, version: Version | None = None) -> Scenario:
     """Draw a scenario; with a version of one's own where given."""
     rng = Random(seed)
     is_large = rng.random() < 0.5
@@ -99,14 +99,14 @@
     return drawn if version is None else replace(drawn, version=version)
 
 
-def partly_bad_scenario(seed: int) -> Scenario:
+def draw_partly_bad_scenario(seed: int) -> Scenario:
     """Draw a scenario with a version of which a quarter to a half of the answers fail, or are eight times slower."""
-    drawn, rng = scenario(seed), Random(seed * 31 + 7)
+    drawn, rng = draw_scenario(seed), Random(seed * 31 + 7)
     share = rng.uniform(0.25, 0.55)
-    version = Version(failing=share) if rng.random() < 0.5 else Version(slowdown=8.0, slow_share=share)
+    version = Version(failure_share=share) if rng.random() < 0.5 else Version(slowdown=8.0, slow_share=share)
     kind = rng.randrange(4)
     if kind == 1:
-        version = replace(version, is_under_load=True)
+        version = replace(version, is_bad_only_under_load=True)
     elif kind == 2:
         version = replace(version, route=rng.choice(drawn.routes))
     elif kind == 3:
@@ -119,15 +119,20 @@
     if rng.random() < 0.5:
         return Version()
     onset = rng.choice((0.0, 0.0, rng.uniform(0.1, 0.3)))
-    is_under_load = rng.random() < 0.25
+    is_bad_only_under_load = rng.random() < 0.25
     route = rng.choice(routes) if rng.random() < 0.25 else ""
     if rng.random() < 0.5:
-        return Version(failing=rng.uniform(0.2, 0.5), onset=onset, is_under_load=is_under_load, route=route)
+        return Version(
+            failure_share=rng.uniform(0.2, 0.5),
+            onset=onset,
+            is_bad_only_under_load=is_bad_only_under_load,
+            route=route,
+        )
     slow_share = rng.choice((1.0, rng.uniform(0.5, 1.0)))
     return Version(
         slowdown=rng.uniform(4.0, 8.0),
         slow_share=slow_share,
         onset=onset,
-        is_under_load=is_under_load,
+        is_bad_only_under_load=is_bad_only_under_load,
         route=route,
     )
--- a/packages/rollouts/tests/rollout_simulation.py
+++ b/packages/rollouts/tests/rollout_simulation.py
@@ -13,14 +13,14 @@
 from larkweir_rollouts.pooling import PooledSamples
 from larkweir_rollouts.samples import Histogram, RolloutReport, RouteSamples, TrackSamples, bucket_of
 from larkweir_rollouts.state import Rollout, RolloutState
-from rollout_fleet import STEP_S, Replicated, Request, Result, Router
+from rollout_fleet import STEP_S, ReplicatedState, Request, Result, Router
 from rollout_scenarios import Disturbance, Scenario
 
 STEPS_PER_REPORT = 2
 PROPAGATION_STEPS = 2  # from a change of the roll-out until routers act by it
 DISTURBANCE_S = 3.0  # how long upstreams, networks and links are in disturbance
-AFTER_DEADLINE_S = 5.0
-AFTER_END_S = 1.0
+RUN_AFTER_DEADLINE_S = 5.0
+RUN_AFTER_END_S = 1.0
 ROUTE_MS = {"digest": 1200.0, "brief": 700.0, "ask": 1500.0, "lookup": 30.0}  # until the end of an answer
 FIRST_BYTE_MS = {"digest": 300.0, "brief": 200.0, "ask": 60.0, "lookup": 28.0}
 SPREAD = 0.3  # of the logarithm of durations
@@ -34,7 +34,7 @@
     """One scenario as it is played."""
 
     def __init__(
-        self, scenario: Scenario, service: str = "chat", replicated: Replicated | None = None
+        self, scenario: Scenario, service: str = "chat", replicated: ReplicatedState | None = None
     ) -> None:
         self.service = service
         self.scenario = scenario
@@ -46,17 +46,17 @@
             service, "v2", scenario.duration_s, ORDERED_UNIX_MS, target_weight=schedule.CANARY_WEIGHT
         )
         self.order = order
-        self.replicated = replicated or Replicated()
+        self.replicated = replicated or ReplicatedState()
         placed = orders.place_order(self.replicated.rollouts, order)
         assert isinstance(placed, tuple)
         self.replicated.rollouts = placed
         self.history = [self.rollout]
         self.pool = PooledSamples()
         self.in_flight: set[Request] = set()
-        self.open_at: dict[str, int] = {}
-        self.crashed: dict[str, float] = {}  # until when
+        self.in_flight_by_upstream: dict[str, int] = {}
+        self.crashed_until_s: dict[str, float] = {}  # until when
         self.result = Result()
-        self.is_disturbed = False
+        self.has_disturbance_begun = False
         for router in self.routers:
             router.report = RolloutReport(order.order_id)
 
@@ -66,47 +66,47 @@
         assert found is not None
         return found
 
-    def play(self) -> Result:
+    def run(self) -> Result:
         """Play until a while after the roll-out's end."""
         while not self.is_over:
-            self.play_step()
-        return self.finished()
+            self.run_step()
+        return self.final_result()
 
     @property
     def is_over(self) -> bool:
-        end_s = self.scenario.duration_s + AFTER_DEADLINE_S
-        return self.now_s >= min(end_s, self.result.end_s + AFTER_END_S)
+        end_s = self.scenario.duration_s + RUN_AFTER_DEADLINE_S
+        return self.now_s >= min(end_s, self.result.end_s + RUN_AFTER_END_S)
 
-    def play_step(self) -> None:
+    def run_step(self) -> None:
         """Play the next tenth of a second."""
         self.step += 1
         self.now_s = self.step * STEP_S
-        self._finish()
-        self._disturb()
+        self._finish_requests()
+        self._apply_disturbance()
         self._propagate()
-        self._arrive()
+        self._send_new_requests()
         if self.step % STEPS_PER_REPORT == 0:
             self._report()
             self._decide()
 
-    def finished(self) -> Result:
+    def final_result(self) -> Result:
         """Return what came of it, with the traffic that is left until the deadline."""
         left_s = max(0.0, self.scenario.duration_s - self.now_s)
         self.result.sends += left_s * self.scenario.rate_per_s
         return self.result
 
-    def ready(self, version: str) -> list[str]:
+    def ready_upstreams(self, version: str) -> list[str]:
         """Return the upstreams of a version that are ready."""
         if version == "v2" and self.now_s < self.scenario.ready_after_s:
             return []
         if version == "v1" and self.result.state is RolloutState.COMPLETED:
             return []
         names = [f"{version}-{number}" for number in range(self.scenario.upstream_count)]
-        return [name for name in names if self.crashed.get(name, 0.0) <= self.now_s]
+        return [name for name in names if self.crashed_until_s.get(name, 0.0) <= self.now_s]
 
-    def _arrive(self) -> None:
+    def _send_new_requests(self) -> None:
         """New requests of this step, evenly spread and a little random."""
-        targets, others = self.ready("v2"), self.ready("v1")
+        targets, others = self.ready_upstreams("v2"), self.ready_upstreams("v1")
         canaries = {
             weight: sorted(canary.canary_upstreams(targets, len(others), weight))
             for weight in {router.weight for router in self.routers}
@@ -118,11 +118,11 @@
             is_target = bool(targets) and (wants_target or not others)
             chosen = canaries[router.weight] if is_target else others
             if chosen:
-                self._send(router, self.rng.choice(self.scenario.routes), is_target, chosen)
+                self._send_request(router, self.rng.choice(self.scenario.routes), is_target, chosen)
 
-    def _send(self, router: Router, route: str, is_target: bool, upstreams: list[str]) -> None:
-        two = self.rng.sample(upstreams, min(2, len(upstreams)))
-        upstream = min(two, key=lambda name: self.open_at.get(name, 0))
+    def _send_request(self, router: Router, route: str, is_target: bool, upstreams: list[str]) -> None:
+        candidates = self.rng.sample(upstreams, min(2, len(upstreams)))
+        upstream = min(candidates, key=lambda name: self.in_flight_by_upstream.get(name, 0))
         first_byte_ms, total_ms, has_failed, is_bad = self._outcome(router, route, is_target, upstream)
         end_step = self.step + max(1, math.ceil(total_ms / 1000.0 / STEP_S))
         request = Request(
@@ -138,11 +138,11 @@
             self.step,
         )
         self.in_flight.add(request)
-        self.open_at[upstream] = self.open_at.get(upstream, 0) + 1
+        self.in_flight_by_upstream[upstream] = self.in_flight_by_upstream.get(upstream, 0) + 1
         self._track(request).in_flight += 1
         if self.now_s <= self.scenario.duration_s:
             self.result.sends += 1
-        if is_target and router.is_in_touch:
+        if is_target and router.is_connected:
             self.result.target_sends += self.now_s <= self.scenario.duration_s
             self.result.last_target_send_s = self.now_s
 
@@ -157,7 +157,7 @@
         if is_cold and self.now_s < scenario.ready_after_s + COLD_CACHE_S:
             first_byte_ms *= self.rng.uniform(2.0, 5.0)
         has_bad_network = (
-            scenario.disturbance is Disturbance.ROUTER_WITH_BAD_NETWORK and self._is_disturbance_now()
+            scenario.disturbance is Disturbance.ROUTER_WITH_BAD_NETWORK and self._is_during_disturbance()
         )
         has_failed = (
             has_bad_network and router is self.routers[0] and self.rng.random() < BAD_NETWORK_FAILURES
@@ -165,8 +165,8 @@
         if not is_target or not self._is_version_bad(route, upstream):
             return first_byte_ms, total_ms, has_failed, False
         version = scenario.version
-        if version.failing:
-            is_bad = self.rng.random() < version.failing
+        if version.failure_share:
+            is_bad = self.rng.random() < version.failure_share
             return first_byte_ms, total_ms, has_failed or is_bad, is_bad
         is_bad = self.rng.random() < version.slow_share
         slowdown = version.slowdown if is_bad else 1.0
@@ -180,23 +180,26 @@
         if version.route not in ("", route):
             return False
         mean_s = sum(ROUTE_MS[name] for name in scenario.routes) / len(scenario.routes) / 1000.0
-        usual = scenario.rate_per_s * mean_s / scenario.upstream_count
-        return not version.is_under_load or self.open_at.get(upstream, 0) + 1 >= LOADED_FRACTION * usual
+        usual_in_flight = scenario.rate_per_s * mean_s / scenario.upstream_count
+        return (
+            not version.is_bad_only_under_load
+            or self.in_flight_by_upstream.get(upstream, 0) + 1 >= LOADED_FRACTION * usual_in_flight
+        )
 
     def _track(self, request: Request) -> TrackSamples:
         report = request.router.report
         return report.target if request.is_target else report.others
 
-    def _finish(self) -> None:
+    def _finish_requests(self) -> None:
         for request in self.in_flight:
             self._count_durations(request)
         for request in [one for one in self.in_flight if one.end_step <= self.step]:
-            self._end(request, request.has_failed)
+            self._end_request(request, request.has_failed)
 
-    def _end(self, request: Request, has_failed: bool) -> None:
+    def _end_request(self, request: Request, has_failed: bool) -> None:
         """Count an answer at its router."""
         self.in_flight.discard(request)
-        self.open_at[request.upstream] -= 1
+        self.in_flight_by_upstream[request.upstream] -= 1
         track = self._track(request)
         track.in_flight -= 1
         samples = track.routes.setdefault(request.route, RouteSamples())
@@ -209,9 +212,9 @@
             samples.answered += 1
         if request.is_bad:
             self.result.bad_answers += 1
-            self.result.first_bad_s = min(self.result.first_bad_s, self.now_s)
+            self.result.first_bad_answer_s = min(self.result.first_bad_answer_s, self.now_s)
             if self.result.bad_answers == 50:
-                self.result.bad_since_s = self.now_s
+                self.result.fiftieth_bad_answer_s = self.now_s
 
     def _count_durations(self, request: Request) -> None:
         """Count durations as soon as they are known: what is slow must not wait for its end to be seen."""
@@ -229,7 +232,7 @@
         """Routers in touch act by the roll-out as it was a little while ago."""
         known = self.history[max(0, len(self.history) - 1 - PROPAGATION_STEPS)]
         for router in self.routers:
-            if router.is_in_touch:
+            if router.is_connected:
                 router.weight = known.effective_weight
         self.history.append(self.rollout)
 
@@ -237,7 +240,7 @@
         """Routers in touch send their counts to the primary."""
         self.pool.begin(self.rollout.order_id)
         for router in self.routers:
-            if router.is_in_touch:
+            if router.is_connected:
                 sent = msgspec.json.decode(msgspec.json.encode(router.report), type=RolloutReport)
                 self.pool.record(router.incarnation, sent)
 
@@ -248,15 +251,15 @@
         is_control_live = self.rollout.target_weight < schedule.FULL_WEIGHT
         judged = verdict.judge(self.pool, self.scenario.upstream_count, is_control_live=is_control_live)
         totals = self.pool.totals()
-        in_touch = [router for router in self.routers if router.is_in_touch]
+        connected_routers = [router for router in self.routers if router.is_connected]
         view = schedule.View(
             self.rollout,
             self.now_s,
             judged,
             totals,
-            len(self.ready("v2")),
-            len(self.ready("v1")),
-            all(router.weight == self.rollout.target_weight for router in in_touch),
+            len(self.ready_upstreams("v2")),
+            len(self.ready_upstreams("v1")),
+            all(router.weight == self.rollout.target_weight for router in connected_routers),
             totals.others.in_flight,
         )
         change = schedule.next_step(view)
@@ -271,24 +274,24 @@
         self.result.end_s = self.now_s
         if self.rollout.state is RolloutState.COMPLETED:
             for request in [one for one in self.in_flight if not one.is_target]:
-                self.result.cut_requests += request.router.is_in_touch
-                self._end(request, True)
+                self.result.aborted_requests += request.router.is_connected
+                self._end_request(request, True)
 
-    def _is_disturbance_now(self) -> bool:
+    def _is_during_disturbance(self) -> bool:
         begin_s = self.scenario.disturbance_at * self.scenario.duration_s
         return begin_s <= self.now_s < begin_s + DISTURBANCE_S
 
-    def _disturb(self) -> None:
+    def _apply_disturbance(self) -> None:
         """Begin or end what else happens."""
         disturbance = self.scenario.disturbance
-        if disturbance is Disturbance.ROUTER_OUT_OF_TOUCH:
-            router, is_cut = self.routers[0], self._is_disturbance_now()
-            if is_cut and router.is_in_touch:
+        if disturbance is Disturbance.ROUTER_DISCONNECTED:
+            router, is_disconnected = self.routers[0], self._is_during_disturbance()
+            if is_disconnected and router.is_connected:
                 self.pool.disconnected(router.incarnation)
-            router.is_in_touch = not is_cut
-        if self.is_disturbed or not self._is_disturbance_now():
+            router.is_connected = not is_disconnected
+        if self.has_disturbance_begun or not self._is_during_disturbance():
             return
-        self.is_disturbed = True
+        self.has_disturbance_begun = True
         if disturbance is Disturbance.TARGET_UPSTREAM_CRASHES:
             self._crash("v2")
         elif disturbance is Disturbance.OTHER_UPSTREAM_CRASHES:
@@ -297,36 +300,36 @@
             self.pool = PooledSamples()
         elif disturbance is Disturbance.ROUTER_RESTARTS:
             self._restart(self.routers[0])
-        elif disturbance in (Disturbance.ORDER_REPEATED, Disturbance.OTHER_ORDER_MEANWHILE):
-            self._order_again(disturbance)
+        elif disturbance in (Disturbance.ORDER_REPEATED, Disturbance.CONFLICTING_ORDER):
+            self._place_second_order(disturbance)
 
     def _crash(self, version: str) -> None:
         """The busiest upstream of a version ends; its requests break off."""
-        ready = self.ready(version)
+        ready = self.ready_upstreams(version)
         if not ready:
             return
-        crashed = max(ready, key=lambda name: self.open_at.get(name, 0))
-        self.crashed[crashed] = self.now_s + DISTURBANCE_S
+        crashed = max(ready, key=lambda name: self.in_flight_by_upstream.get(name, 0))
+        self.crashed_until_s[crashed] = self.now_s + DISTURBANCE_S
         for request in [one for one in self.in_flight if one.upstream == crashed]:
-            self._end(request, True)
+            self._end_request(request, True)
 
     def _restart(self, router: Router) -> None:
         for request in [one for one in self.in_flight if one.router is router]:
             self.in_flight.discard(request)
-            self.open_at[request.upstream] -= 1
+            self.in_flight_by_upstream[request.upstream] -= 1
         self.pool.disconnected(router.incarnation)
         router.restarts += 1
         router.report = RolloutReport(self.order.order_id)
 
-    def _order_again(self, disturbance: Disturbance) -> None:
+    def _place_second_order(self, disturbance: Disturbance) -> None:
         """The operator repeats the order, or orders another version meanwhile; neither changes anything."""
         target = "v2" if disturbance is Disturbance.ORDER_REPEATED else "v3"
-        is_soon = self.rollout.is_running or target == "v2"
-        again = Rollout(
+        must_change_nothing = self.rollout.is_running or target == "v2"
+        second_order = Rollout(
             self.service, target, 9.0, ORDERED_UNIX_MS + 3_000.0, target_weight=schedule.CANARY_WEIGHT
         )
-        placed = orders.place_order(self.replicated.rollouts, again)
-        if is_soon and isinstance(placed, tuple):
+        placed = orders.place_order(self.replicated.rollouts, second_order)
+        if must_change_nothing and isinstance(placed, tuple):
             self.result.is_order_replaced = placed != self.replicated.rollouts
             self.replicated.rollouts = placed
 
--- a/packages/rollouts/tests/test_rollouts_canary.py
+++ b/packages/rollouts/tests/test_rollouts_canary.py
@@ -25,9 +25,7 @@
         (0, 0.08, 2),
     ],
 )
-def test_cold_upstreams_get_half_of_the_others_requests_each_and_warm_ones_as_many(
-    others_count: int, weight: float, count: int
-) -> None:
+def test_number_of_canary_upstreams_by_weight(others_count: int, weight: float, count: int) -> None:
     assert len(canary_upstreams(TARGETS, others_count, weight)) == count
 
 
--- a/packages/rollouts/tests/test_rollouts_orders.py
+++ b/packages/rollouts/tests/test_rollouts_orders.py
@@ -25,7 +25,7 @@
     return Rollout("chat", version, 20.0, FIRST.ordered_unix_ms + after_ms, target_weight=0.08)
 
 
-def present(state: RolloutState) -> tuple[Rollout, ...]:
+def rollouts_in_state(state: RolloutState) -> tuple[Rollout, ...]:
     return OTHER_SERVICE, msgspec.structs.replace(FIRST, state=state)
 
 
@@ -45,10 +45,10 @@
         (ROLLED_BACK, "v3", 0.0, "placed"),
     ],
 )
-def test_an_order_meets_the_last_one_of_its_service(
+def test_an_order_is_placed_ignored_or_refused_by_the_state_of_the_last_one(
     state: RolloutState, version: str, after_ms: float, result: str
 ) -> None:
-    rollouts, placed = present(state), order(version, after_ms)
+    rollouts, placed = rollouts_in_state(state), order(version, after_ms)
     answer = place_order(rollouts, placed)
     if result == "conflict":
         assert isinstance(answer, OrderConflict) and "v2 is running" in answer.detail
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("weight", [0.02, 0.15, 1.0])
 def test_a_step_of_the_running_order_changes_its_weight_up_or_down(weight: float) -> None:
-    changed = advance(present(RUNNING), step(FIRST.order_id, weight=weight))
+    changed = advance(rollouts_in_state(RUNNING), step(FIRST.order_id, weight=weight))
     assert changed == (OTHER_SERVICE, msgspec.structs.replace(FIRST, target_weight=weight, reason="why"))
 
 
@@ -82,7 +82,7 @@
     ],
 )
 def test_a_step_that_does_not_fit_changes_nothing(state: RolloutState, change: Advance) -> None:
-    assert advance(present(state), change) == present(state)
+    assert advance(rollouts_in_state(state), change) == rollouts_in_state(state)
 
 
 versions = st.sampled_from(["v2", "v3"])
@@ -103,9 +103,9 @@
             placed = place_order(rollouts, change)
             rollouts = placed if isinstance(placed, tuple) else rollouts
         else:
-            service, state, is_present = change
+            service, state, is_current_order = change
             found = rollout_of(rollouts, service)
-            order_id = found.order_id if found is not None and is_present else "v2/-1"
+            order_id = found.order_id if found is not None and is_current_order else "v2/-1"
             rollouts = advance(rollouts, Advance(service, order_id, state, 0.5))
         assert len({rollout.service for rollout in rollouts}) == len(rollouts)
         for rollout in rollouts:
@@ -136,7 +136,7 @@
 
 
 def test_the_versions_that_a_completion_replaced_are_withdrawn_with_the_next_order() -> None:
-    running = msgspec.structs.replace(present(RUNNING)[1], other_versions=("v0",))
+    running = msgspec.structs.replace(rollouts_in_state(RUNNING)[1], other_versions=("v0",))
     done = Advance("chat", FIRST.order_id, COMPLETED, 1.0, other_versions=("v1",))
     (_, completed) = advance((OTHER_SERVICE, running), done)
     assert completed.other_versions == ("v0", "v1"), "of all that decided"
--- a/packages/rollouts/tests/test_rollouts_planted.py
+++ b/packages/rollouts/tests/test_rollouts_planted.py
@@ -13,20 +13,20 @@
 from larkweir_rollouts.pooling import PooledSamples
 from larkweir_rollouts.state import Rollout
 from rollout_checks import check
-from rollout_scenarios import Disturbance, Scenario, Version, scenario
+from rollout_scenarios import Disturbance, Scenario, Version, draw_scenario
 
 MAX_SEEDS = 12
 Patch = Callable[[pytest.MonkeyPatch], None]
-Choose = Callable[[int], Scenario]
+ScenarioOfSeed = Callable[[int], Scenario]
 
 
-def nothing_is_judged(patch: pytest.MonkeyPatch) -> None:
+def no_version_is_condemned(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(verdict, "BAD_EVIDENCE", math.inf)
     patch.setattr(verdict, "SUSPECT_EVIDENCE", math.inf)
 
 
-def a_crashed_upstream_accuses_its_version(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(verdict, "_lone_failures", lambda *arguments: 0)
+def failures_of_one_upstream_count_in_full(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(verdict, "_outlier_failures", lambda *arguments: 0)
 
 
 def slowness_is_not_tested(patch: pytest.MonkeyPatch) -> None:
@@ -45,17 +45,17 @@
     patch.setattr(verdict, "_SLOWNESS_TESTS", (test,))
 
 
-def far_slow_answers_count_as_slow_ones(patch: pytest.MonkeyPatch) -> None:
-    far = (verdict.FAR_SLOW_FACTOR, verdict.FAR_COLD_CACHE_FACTOR)
+def very_slow_answers_are_not_tested(patch: pytest.MonkeyPatch) -> None:
+    far = (verdict.VERY_SLOW_FACTOR, verdict.VERY_SLOW_COLD_CACHE_FACTOR)
     near = tuple(test for test in verdict._SLOWNESS_TESTS if test.slow_factor not in far)
     patch.setattr(verdict, "_SLOWNESS_TESTS", near)
 
 
-def doubtful_versions_grow(patch: pytest.MonkeyPatch) -> None:
+def weight_grows_despite_doubt(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(verdict, "DOUBT_EVIDENCE", verdict.SUSPECT_EVIDENCE)
 
 
-def the_canary_gets_a_third(patch: pytest.MonkeyPatch) -> None:
+def canary_weight_is_a_third(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(schedule, "CANARY_WEIGHT", 0.35)
     patch.setattr(schedule, "MAX_CANARY_WEIGHT", 0.35)
 
@@ -68,12 +68,12 @@
     patch.setattr(schedule, "full_weight_time_s", lambda duration_s: duration_s - 1.0)
 
 
-def suspects_grow(patch: pytest.MonkeyPatch) -> None:
+def weight_grows_despite_suspicion(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(schedule, "_obstacle", lambda view: "")
     patch.setattr(verdict, "BAD_EVIDENCE", 1e12)
 
 
-def the_old_ones_are_stopped_at_once(patch: pytest.MonkeyPatch) -> None:
+def old_upstreams_are_stopped_at_once(patch: pytest.MonkeyPatch) -> None:
     def next_step(view: schedule.View) -> Any:
         step = original(view)
         if view.rollout.is_running and view.rollout.target_weight >= 1.0 and not view.verdict.is_bad:
@@ -89,7 +89,7 @@
     patch.setattr(schedule, "COMPLETION_MARGIN_S", -9.0)
 
 
-def a_repeated_order_starts_anew(patch: pytest.MonkeyPatch) -> None:
+def a_repeated_order_restarts_the_roll_out(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(orders, "_is_repeat", lambda present, order: False)
 
 
@@ -100,16 +100,16 @@
     patch.setattr(orders, "place_order", place)
 
 
-def late_answers_hide_behind_early_ones(patch: pytest.MonkeyPatch) -> None:
+def later_windows_are_not_judged(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(pooling, "FIRST_WINDOW_ANSWERS", 10**9)
-    patch.setattr(schedule, "_usual_in_flight", lambda view: math.inf)
+    patch.setattr(schedule, "_expected_in_flight", lambda view: math.inf)
 
 
-def the_load_is_spread_thin(patch: pytest.MonkeyPatch) -> None:
+def canary_load_is_spread_over_all_upstreams(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(canary, "ALL_UPSTREAMS_WEIGHT", 0.0)
 
 
-def unconfirmed_routers_do_not_matter(patch: pytest.MonkeyPatch) -> None:
+def unconfirmed_routers_are_ignored(patch: pytest.MonkeyPatch) -> None:
     def next_step(view: schedule.View) -> Any:
         if view.rollout.is_running and view.rollout.target_weight >= 1.0:
             view = msgspec.structs.replace(view, are_routers_confirmed=True, others_in_flight=0)
@@ -119,15 +119,15 @@
     patch.setattr(schedule, "next_step", next_step)
 
 
-def the_budget_counts_no_slack(patch: pytest.MonkeyPatch) -> None:
+def exposure_slack_is_too_large(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(exposure, "EXPOSURE_SLACK", 5_000.0)
     patch.setattr(schedule, "MAX_CANARY_WEIGHT", 0.9)
 
 
-def drawn(**changes: Any) -> Choose:
+def scenario_with(**changes: Any) -> ScenarioOfSeed:
     """Scenarios of a version, with some disturbance."""
     version = changes.pop("version", Version())
-    return lambda seed: replace(scenario(seed, version), **changes)
+    return lambda seed: replace(draw_scenario(seed, version), **changes)
 
 
 LARGE: dict[str, Any] = {
@@ -137,51 +137,59 @@
     "duration_s": 15.0,
 }
 LONG = LARGE | {"duration_s": 60.0}
-FAILING, SLOW = Version(failing=0.3), Version(slowdown=6.0)
-LATE = Version(failing=0.3, onset=0.35)
+FAILING, SLOW = Version(failure_share=0.3), Version(slowdown=6.0)
+LATE = Version(failure_share=0.3, onset=0.35)
 PARTLY_SLOW = Version(slowdown=8.0, slow_share=0.35, route="digest")
 LATE_PARTLY_SLOW = Version(slowdown=8.0, slow_share=0.35, onset=0.3)
-FAULTS: list[tuple[Patch, Choose]] = [
-    (nothing_is_judged, drawn(version=FAILING)),
+FAULTS: list[tuple[Patch, ScenarioOfSeed]] = [
+    (no_version_is_condemned, scenario_with(version=FAILING)),
     (
-        a_crashed_upstream_accuses_its_version,
-        drawn(disturbance=Disturbance.TARGET_UPSTREAM_CRASHES, disturbance_at=0.5, **LARGE),
+        failures_of_one_upstream_count_in_full,
+        scenario_with(disturbance=Disturbance.TARGET_UPSTREAM_CRASHES, disturbance_at=0.5, **LARGE),
     ),
-    (slowness_is_not_tested, drawn(version=SLOW, **LARGE)),
-    (failures_are_not_tested, drawn(version=FAILING)),
-    (cold_caches_count_as_slow, drawn(disturbance=Disturbance.COLD_CACHES, **LARGE)),
-    (the_canary_gets_a_third, drawn(version=LATE, **LARGE)),
-    (all_requests_go_to_the_target_at_once, drawn(version=LATE, **LARGE)),
-    (full_weight_is_delayed, drawn(**LARGE)),
-    (far_slow_answers_count_as_slow_ones, drawn(version=PARTLY_SLOW, **LARGE)),
-    (doubtful_versions_grow, drawn(version=LATE_PARTLY_SLOW)),
-    (suspects_grow, drawn(version=Version(failing=0.08), **LARGE)),
-    (the_old_ones_are_stopped_at_once, drawn(**LARGE)),
+    (slowness_is_not_tested, scenario_with(version=SLOW, **LARGE)),
+    (failures_are_not_tested, scenario_with(version=FAILING)),
+    (cold_caches_count_as_slow, scenario_with(disturbance=Disturbance.COLD_CACHES, **LARGE)),
+    (canary_weight_is_a_third, scenario_with(version=LATE, **LARGE)),
+    (all_requests_go_to_the_target_at_once, scenario_with(version=LATE, **LARGE)),
+    (full_weight_is_delayed, scenario_with(**LARGE)),
+    (very_slow_answers_are_not_tested, scenario_with(version=PARTLY_SLOW, **LARGE)),
+    (weight_grows_despite_doubt, scenario_with(version=LATE_PARTLY_SLOW)),
+    (weight_grows_despite_suspicion, scenario_with(version=Version(failure_share=0.08), **LARGE)),
+    (old_upstreams_are_stopped_at_once, scenario_with(**LARGE)),
     (
         disconnected_routers_have_requests_in_flight,
-        drawn(disturbance=Disturbance.ROUTER_RESTARTS, disturbance_at=0.3, **LARGE),
+        scenario_with(disturbance=Disturbance.ROUTER_RESTARTS, disturbance_at=0.3, **LARGE),
+    ),
+    (
+        a_repeated_order_restarts_the_roll_out,
+        scenario_with(disturbance=Disturbance.ORDER_REPEATED, disturbance_at=0.3),
     ),
-    (a_repeated_order_starts_anew, drawn(disturbance=Disturbance.ORDER_REPEATED, disturbance_at=0.3)),
     (
         another_order_replaces_the_running_one,
-        drawn(disturbance=Disturbance.OTHER_ORDER_MEANWHILE, disturbance_at=0.3),
+        scenario_with(disturbance=Disturbance.CONFLICTING_ORDER, disturbance_at=0.3),
+    ),
+    (later_windows_are_not_judged, scenario_with(version=Version(failure_share=0.08, onset=0.5), **LONG)),
+    (
+        canary_load_is_spread_over_all_upstreams,
+        scenario_with(version=Version(failure_share=0.4, is_bad_only_under_load=True), **LARGE),
     ),
-    (late_answers_hide_behind_early_ones, drawn(version=Version(failing=0.08, onset=0.5), **LONG)),
-    (the_load_is_spread_thin, drawn(version=Version(failing=0.4, is_under_load=True), **LARGE)),
-    (unconfirmed_routers_do_not_matter, drawn(**LARGE)),
-    (the_budget_counts_no_slack, drawn(version=Version(failing=0.2, route="digest"), **LARGE)),
+    (unconfirmed_routers_are_ignored, scenario_with(**LARGE)),
+    (exposure_slack_is_too_large, scenario_with(version=Version(failure_share=0.2, route="digest"), **LARGE)),
 ]
 
 
-@pytest.mark.parametrize(("plant", "choose"), FAULTS, ids=lambda one: getattr(one, "__name__", ""))
-def test_the_simulation_finds_it(plant: Patch, choose: Choose, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(("plant", "scenario_of_seed"), FAULTS, ids=lambda one: getattr(one, "__name__", ""))
+def test_the_simulation_finds_the_planted_fault(
+    plant: Patch, scenario_of_seed: ScenarioOfSeed, monkeypatch: pytest.MonkeyPatch
+) -> None:
     plant(monkeypatch)
     for seed in range(MAX_SEEDS):
         try:
-            check(choose(seed))
+            check(scenario_of_seed(seed))
         except AssertionError as found:
             print(f"{plant.__name__}: found by seed {seed}: {found}")
             monkeypatch.undo()
-            check(choose(seed))  # nothing is found without the fault
+            check(scenario_of_seed(seed))  # nothing is found without the fault
             return
     pytest.fail(f"{MAX_SEEDS} plays did not find it")
--- a/packages/rollouts/tests/test_rollouts_pooling.py
+++ b/packages/rollouts/tests/test_rollouts_pooling.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import msgspec
-from larkweir_rollouts.pooling import MAX_LATER_WINDOWS, PooledSamples, answered
+from larkweir_rollouts.pooling import MAX_LATER_WINDOWS, PooledSamples, count_answers
 from larkweir_rollouts.samples import MAX_ROUTES, RolloutReport, RouteSamples, TrackSamples
 
 ORDER = "v2/1"
@@ -32,10 +32,10 @@
     assert totals.target == TrackSamples(
         3, {"ask": RouteSamples(9, 1, {3: 9}, {5: 9})}, {"v2-0": 1}
     ), "sums of the last reports"
-    assert answered(totals.target) == 10 and pool.router_count == 2
+    assert count_answers(totals.target) == 10 and pool.router_count == 2
 
 
-def test_routers_that_see_different_routes_of_a_large_configuration_do_not_add_up() -> None:
+def test_the_number_of_routes_is_bounded_over_all_routers() -> None:
     rng, pool = Random(4), PooledSamples(ORDER)
     tracks = {f"router-{number}/a": TrackSamples() for number in range(40)}
     for _ in range(30):
@@ -67,13 +67,13 @@
     pool = PooledSamples(ORDER)
     pool.record("router-1/a", report(50))
     pool.begin(ORDER)
-    assert answered(pool.totals().target) == 50, "the same order once more changes nothing"
+    assert count_answers(pool.totals().target) == 50, "the same order once more changes nothing"
     pool.begin("v3/2")
     assert pool.totals() == RolloutReport("v3/2")
     assert len(pool.windows()) == 1 and pool.router_count == 0
 
 
-def test_a_router_that_is_gone_has_nothing_in_flight_and_its_counts_stay() -> None:
+def test_a_disconnected_router_has_nothing_in_flight_and_its_counts_stay() -> None:
     pool = PooledSamples(ORDER)
     pool.record("router-1/a", report(5, in_flight=7))
     pool.record("router-2/b", report(5, in_flight=1))
@@ -81,12 +81,12 @@
     pool.disconnected("router-1/a")
     pool.disconnected("unknown/x")
     totals = pool.totals()
-    assert (totals.target.in_flight, totals.others.in_flight, answered(totals.target)) == (1, 1, 10)
+    assert (totals.target.in_flight, totals.others.in_flight, count_answers(totals.target)) == (1, 1, 10)
     pool.record("router-1/a", report(5, in_flight=2))
     assert pool.totals().target.in_flight == 3, "it is back"
 
 
-def test_a_router_that_started_anew_adds_to_its_former_counts_and_is_one_router() -> None:
+def test_a_restarted_router_adds_to_its_former_counts_and_is_one_router() -> None:
     pool = PooledSamples(ORDER)
     pool.record("router-1/a", report(5, failed=2))
     pool.record("router-1/b", report(1, failed=3))
@@ -107,8 +107,8 @@
     pool.record("router-1/a", report(30))
     pool.record("router-1/a", report(33, failed=2))
     since_order, later = pool.windows()
-    assert (since_order.index, answered(since_order.totals.target)) == (0, 35)
-    assert (later.index, answered(later.totals.target), later.target_failures) == (1, 5, {"router-1": 2})
+    assert (since_order.index, count_answers(since_order.totals.target)) == (0, 35)
+    assert (later.index, count_answers(later.totals.target), later.target_failures) == (1, 5, {"router-1": 2})
 
 
 def test_the_number_of_windows_is_bounded() -> None:
@@ -117,7 +117,7 @@
         pool.record("router-1/a", report(count))
     windows = pool.windows()
     assert len(windows) == 1 + MAX_LATER_WINDOWS
-    sizes = [answered(window.totals.target) for window in windows]
+    sizes = [count_answers(window.totals.target) for window in windows]
     assert sizes == sorted(sizes, reverse=True) and sizes[0] == 4_990
 
 
--- a/packages/rollouts/tests/test_rollouts_samples.py
+++ b/packages/rollouts/tests/test_rollouts_samples.py
@@ -21,12 +21,12 @@
     assert BUCKET_FACTOR ** (bucket - 1) < duration_ms <= BUCKET_FACTOR**bucket
 
 
-def test_the_ends_of_the_scale() -> None:
+def test_the_smallest_and_the_largest_bucket() -> None:
     assert bucket_of(0.0) == 0
     assert bucket_of(1e300) == MAX_BUCKET
 
 
-def test_a_report_is_the_same_after_a_journey() -> None:
+def test_a_report_is_the_same_after_encoding_and_decoding() -> None:
     track = TrackSamples(2, {"r": RouteSamples(3, 1, {7: 2}, {9: 1})}, {"u-1": 1})
     report = RolloutReport("v2/17", track, TrackSamples())
     assert msgspec.json.decode(msgspec.json.encode(report), type=RolloutReport) == report
--- a/packages/rollouts/tests/test_rollouts_schedule.py
+++ b/packages/rollouts/tests/test_rollouts_schedule.py
@@ -12,7 +12,7 @@
 from larkweir_rollouts.schedule import (
     CANARY_WEIGHT,
     COMPLETION_MARGIN_S,
-    LATE_COMPLETION_S,
+    CONFIRMATION_GRACE_S,
     MAX_CANARY_WEIGHT,
     ROLLBACK_MARGIN_S,
     View,
@@ -74,7 +74,7 @@
         (view(12.5, 0.125), BACK),
     ],
 )
-def test_the_share_of_the_target_before_it_has_all_requests(
+def test_the_weight_of_the_target_before_full_weight(
     seen: View, result: tuple[RolloutState, float] | None
 ) -> None:
     assert outcome(next_step(seen)) == result
@@ -94,12 +94,10 @@
         (view(15.0 - ROLLBACK_MARGIN_S, 1.0, verdict=Verdict()), BACK),
         (view(15.5, 1.0), DONE),
         (view(15.5, 1.0, are_routers_confirmed=False), None),
-        (view(15.0 + LATE_COMPLETION_S, 1.0, are_routers_confirmed=False), BACK),
+        (view(15.0 + CONFIRMATION_GRACE_S, 1.0, are_routers_confirmed=False), BACK),
     ],
 )
-def test_the_end_of_a_target_that_has_all_requests(
-    seen: View, result: tuple[RolloutState, float] | None
-) -> None:
+def test_the_end_of_a_roll_out_at_full_weight(seen: View, result: tuple[RolloutState, float] | None) -> None:
     assert outcome(next_step(seen)) == result
 
 
@@ -111,7 +109,7 @@
 
 
 @pytest.mark.parametrize("state", [COMPLETED, ROLLED_BACK])
-def test_what_has_ended_stays(state: RolloutState) -> None:
+def test_an_ended_roll_out_does_not_change(state: RolloutState) -> None:
     ended = msgspec.structs.replace(ROLLOUT, state=state)
     assert next_step(view(3.0, rollout=ended, verdict=BAD)) is None
 
@@ -135,7 +133,7 @@
 @pytest.mark.parametrize(
     ("duration_s", "time_s"), [(2.0, 1.36), (8.0, 4.0), (12.0, 8.0), (15.0, 10.2), (60.0, 40.8)]
 )
-def test_full_weight_leaves_time_for_what_is_under_way(duration_s: float, time_s: float) -> None:
+def test_full_weight_leaves_time_for_requests_in_flight(duration_s: float, time_s: float) -> None:
     assert full_weight_time_s(duration_s) == pytest.approx(time_s)
 
 
--- a/packages/rollouts/tests/test_rollouts_simulation.py
+++ b/packages/rollouts/tests/test_rollouts_simulation.py
@@ -7,28 +7,28 @@
 
 import pytest
 from rollout_checks import check, check_both
-from rollout_scenarios import Disturbance, Version, partly_bad_scenario, scenario
+from rollout_scenarios import Disturbance, Version, draw_partly_bad_scenario, draw_scenario
 
 SEEDS = int(os.environ.get("ROLLOUT_SEEDS", "16"))
 GOOD = Version()
-FAILING = Version(failing=0.3)
+FAILING = Version(failure_share=0.3)
 SLOW = Version(slowdown=6.0)
 PARTLY_SLOW = Version(slowdown=8.0, slow_share=0.4)
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_a_drawn_scenario(seed: int) -> None:
-    check(scenario(seed))
+    check(draw_scenario(seed))
 
 
 @pytest.mark.parametrize("disturbance", list(Disturbance))
 def test_a_good_version_is_completed_whatever_else_happens(disturbance: Disturbance) -> None:
-    check(replace(scenario(1, GOOD), disturbance=disturbance))
+    check(replace(draw_scenario(1, GOOD), disturbance=disturbance))
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_a_drawn_version_of_which_a_part_of_the_answers_is_bad(seed: int) -> None:
-    check(partly_bad_scenario(seed))
+    check(draw_partly_bad_scenario(seed))
 
 
 @pytest.mark.parametrize("version", [FAILING, SLOW, PARTLY_SLOW], ids=["failing", "slow", "partly slow"])
@@ -36,13 +36,13 @@
 def test_a_bad_version_is_rolled_back_whatever_else_happens(
     disturbance: Disturbance, version: Version
 ) -> None:
-    check(replace(scenario(2, version), disturbance=disturbance))
+    check(replace(draw_scenario(2, version), disturbance=disturbance))
 
 
 @pytest.mark.parametrize("versions", [(GOOD, FAILING), (SLOW, GOOD), (FAILING, SLOW)])
-def test_roll_outs_of_two_services_do_not_meet(versions: tuple[Version, Version]) -> None:
-    check_both(scenario(4, versions[0]), scenario(5, versions[1]))
+def test_roll_outs_of_two_services_do_not_affect_each_other(versions: tuple[Version, Version]) -> None:
+    check_both(draw_scenario(4, versions[0]), draw_scenario(5, versions[1]))
 
 
 def test_the_same_seed_plays_the_same() -> None:
-    assert check(scenario(3)) == check(scenario(3))
+    assert check(draw_scenario(3)) == check(draw_scenario(3))
--- a/packages/rollouts/tests/test_rollouts_verdict.py
+++ b/packages/rollouts/tests/test_rollouts_verdict.py
@@ -16,10 +16,10 @@
 
 ORDER = "v2/1"
 FAST, SLOW, VERY_SLOW = 10, 16, 19  # buckets: the control's, four times and seven times its duration
-Row = tuple[int, int, int]  # router, upstream, failures there
+FailureRow = tuple[int, int, int]  # router, upstream, failures there
 
 
-def track(answers: int, failures: list[Row], router: int, bucket: int = FAST) -> TrackSamples:
+def track(answers: int, failures: list[FailureRow], router: int, bucket: int = FAST) -> TrackSamples:
     """What one of four routers has of a track's answers, evenly spread, and its failures."""
     here = [(upstream, count) for at, upstream, count in failures if at == router]
     good = answers // 4 + (router < answers % 4)
@@ -32,9 +32,9 @@
 
 def verdict(
     target: int,
-    failures: list[Row],
+    failures: list[FailureRow],
     others: int = 120,
-    others_failures: list[Row] | None = None,
+    others_failures: list[FailureRow] | None = None,
     bucket: int = FAST,
     upstreams: int = 4,
 ) -> Verdict:
@@ -47,16 +47,16 @@
     return judge(pool, upstreams)
 
 
-SPREAD: list[Row] = [(0, 0, 1), (1, 1, 1), (2, 0, 1), (3, 1, 1)]
+SPREAD: list[FailureRow] = [(0, 0, 1), (1, 1, 1), (2, 0, 1), (3, 1, 1)]
 
 
-def spread(failures: int) -> list[Row]:
+def spread(failures: int) -> list[FailureRow]:
     """Failures that routers and upstreams share."""
     return [(number % 4, number // 4 % 4, 1) for number in range(failures)]
 
 
 @pytest.mark.parametrize(
-    ("found", "is_bad", "is_suspect"),
+    ("result", "is_bad", "is_suspect"),
     [
         (verdict(6, SPREAD), True, True),
         (verdict(10, []), False, False),
@@ -94,9 +94,9 @@
         "a little slower",
     ],
 )
-def test_a_verdict(found: Verdict, is_bad: bool, is_suspect: bool) -> None:
-    assert (found.is_bad, found.is_suspect) == (is_bad, is_suspect), found
-    assert bool(found.reason) == found.is_doubtful
+def test_a_verdict(result: Verdict, is_bad: bool, is_suspect: bool) -> None:
+    assert (result.is_bad, result.is_suspect) == (is_bad, is_suspect), result
+    assert bool(result.reason) == result.is_doubtful
 
 
 def test_the_reason_names_the_strongest_test() -> None:
@@ -107,7 +107,7 @@
     )
 
 
-def test_a_cold_cache_is_no_slowness() -> None:
+def test_a_cold_cache_does_not_count_as_slow() -> None:
     pool = PooledSamples(ORDER)
     for router in range(4):
         target, others = track(10, [], router), track(40, [], router)
@@ -116,7 +116,7 @@
     assert not judge(pool, 4).is_suspect
 
 
-def test_a_version_that_turns_bad_late_does_not_hide_behind_its_good_answers() -> None:
+def test_a_version_that_turns_bad_late_is_condemned_despite_its_earlier_answers() -> None:
     pool = PooledSamples(ORDER)
     for answers in range(0, 400, 10):
         pool.record("router-0/a", RolloutReport(ORDER, track(4 * answers, [], 0), track(6_000, [], 0)))
@@ -126,7 +126,7 @@
     assert judge(pool, 4).is_bad, "20 of 30 failed since the last window began"
 
 
-def test_a_route_alone_is_condemned() -> None:
+def test_a_fault_on_one_route_condemns_the_version() -> None:
     pool = PooledSamples(ORDER)
     for router in range(4):
         target, others = track(200, spread(12), router), track(2_000, [], router)
--- a/tests/controller/test_pull_service.py
+++ b/tests/controller/test_pull_service.py
@@ -13,7 +13,7 @@
 from larkweir_registry.records import Record, Upstream
 from larkweir_registry.registry import Registry
 from larkweir_registry.unconfirmed import UnconfirmedUpstreams
-from larkweir_rollouts.pooling import answered
+from larkweir_rollouts.pooling import count_answers
 
 from larkweir.cluster.configuration.documents import ROLLOUTS_KEY
 from larkweir.cluster.links import Connection
@@ -187,10 +187,10 @@
         for router in made.routers:
             made.pulls.pull(router, Pull(rollouts={"s": report(order, 5, others_in_flight=2)}))
             made.pulls.pull(router, Pull())
-        assert answered(pool.totals().target) == 15
+        assert count_answers(pool.totals().target) == 15
         assert pool.totals().others.in_flight == 6
         made.pulls.disconnected(made.routers[0])
-        assert answered(pool.totals().target) == 15
+        assert count_answers(pool.totals().target) == 15
         assert pool.totals().others.in_flight == 4
 
     asyncio.run(scene())
@@ -212,7 +212,7 @@
         made.pulls.pull(new, Pull(rollouts={"s": report(later, 4, others_in_flight=3)}))
         made.pulls.disconnected(old)
         made.pulls.publish(2, msgspec.json.encode(document(later)).decode())
-        assert (answered(pool.totals().target), pool.totals().others.in_flight) == (4, 3)
+        assert (count_answers(pool.totals().target), pool.totals().others.in_flight) == (4, 3)
         made.pulls.disconnected(new)
         assert pool.totals().others.in_flight == 0
 
