--- a/packages/rollouts/src/larkweir_rollouts/__init__.py
+++ b/packages/rollouts/src/larkweir_rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs of service versions: what routers sample, how a version is judged, how its traffic grows."""
+"""Roll-outs of service versions: router samples, the verdict on a version, and the schedule of its traffic share."""
--- a/packages/rollouts/src/larkweir_rollouts/canary.py
+++ b/packages/rollouts/src/larkweir_rollouts/canary.py
@@ -1,7 +1,7 @@
-"""Which upstreams of the target version get requests while the target's share is small.
+"""Selects the upstreams of the target version that get requests while the target's weight is small.
 
-A version that fails under load shows it only where it has load: a few upstreams with about the work that the others
-have tell more than all of them with a twelfth.
+A version that fails only under load has to be tested under load. A few upstreams that are about as loaded as the others
+therefore reveal more than all upstreams with a twelfth of that load.
 """
 
 from __future__ import annotations
@@ -10,26 +10,26 @@
 import math
 from collections.abc import Sequence
 
-COLD_CACHE_WORK_FACTOR = 2.0  # times the work of a request at an upstream whose prefix cache is cold
-MAX_COLD_CACHE_SHARE = (
-    0.16  # of the others' count: as many upstreams get load early, and are warm when it grows
-)
-ALL_UPSTREAMS_WEIGHT = 0.5  # from this share of the requests on, all upstreams of the target get some
-MIN_CANARY_UPSTREAMS = 2  # the failures of a single one would accuse no version
+COLD_CACHE_WORK_FACTOR = 2.0  # work per request with a cold prefix cache, relative to a warm one
+# Limit of the enlarged selection, as a fraction of the others' count. These upstreams get load early, so that their
+# caches are warm when the weight grows.
+MAX_COLD_CACHE_SHARE = 0.16
+ALL_UPSTREAMS_WEIGHT = 0.5  # from this weight on, all upstreams of the target get requests
+MIN_CANARY_UPSTREAMS = 2  # failures of a single upstream are no evidence against its version
 
 
 def canary_upstreams(target_ids: Sequence[str], others_count: int, weight: float) -> frozenset[str]:
-    """Choose the upstreams of the target version that get requests; the same ones in every process.
+    """Choose the upstreams of the target version that get requests. Every process chooses the same ones.
 
     Args:
         target_ids: all ready upstreams of the target version.
-        others_count: how many ready upstreams the rest of the service has.
+        others_count: number of ready upstreams in the rest of the service.
         weight: the share of new requests that goes to the target version.
 
     Returns:
-        As many as have the work of one of the others each; at small weights, while caches are cold, up to twice as
-        many. The choice grows with the weight: none leaves it. When one of the target's upstreams goes, another takes
-        its place and the rest stay (Thaler and Ravishankar 1998).
+        The number of upstreams for which each has about the load of one of the others. At small weights, while caches
+        are cold, up to twice as many. A larger weight only adds upstreams. When an upstream of the target disappears,
+        another takes its place and the rest stay (rendezvous hashing, Thaler and Ravishankar 1998).
     """
     if weight >= ALL_UPSTREAMS_WEIGHT:
         return frozenset(target_ids)
--- a/packages/rollouts/src/larkweir_rollouts/exposure.py
+++ b/packages/rollouts/src/larkweir_rollouts/exposure.py
@@ -1,7 +1,7 @@
-"""How many requests a version that may be bad may get, and the share of the traffic that this allows.
+"""Limits the requests that a possibly bad version gets, and derives the weight that this limit allows.
 
-The bound is a share of all requests that reach the service until the deadline, and some more. For a service of little
-traffic the second part is the larger one: its target may get a larger share, and shows sooner what it is.
+The limit is a share of all requests to the service until the deadline plus a constant. For a service with little
+traffic the constant dominates: its target may get a larger share, so that a verdict is reached sooner.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from larkweir_rollouts.samples import RolloutReport, TrackSamples
 
 EXPOSURE_SHARE = 0.1  # of all requests until the deadline
-EXPOSURE_SLACK = 50.0  # requests beyond that
+EXPOSURE_SLACK = 50.0  # additional requests
 
 
 class ExposureBounds(msgspec.Struct, frozen=True):
-    """What a target that may be bad is allowed.
+    """Limits of the requests that a possibly bad target may get.
 
     Attributes:
-        share: of all requests until the deadline.
-        slack: requests beyond that.
+        share: share of all requests until the deadline.
+        slack: number of additional requests.
     """
 
     share: float
@@ -28,12 +28,12 @@
 
 
 class ExposureBudget(msgspec.Struct, frozen=True):
-    """The requests that a target may get until the deadline, by the traffic so far.
+    """The number of requests that a target may get until the deadline, extrapolated from the traffic so far.
 
     Attributes:
-        rate_per_s: requests to the service.
-        allowed: requests to the target until the deadline.
-        spent: requests to the target so far.
+        rate_per_s: requests to the service per second.
+        allowed: requests that the target may get until the deadline.
+        spent: requests that the target has got so far.
     """
 
     rate_per_s: float
@@ -41,7 +41,7 @@
     spent: float
 
     def weight_until(self, fraction: float, period_s: float) -> float:
-        """Return the share of new requests that spends a fraction of the budget within a time from now on."""
+        """Return the weight at which the target has spent a fraction of the budget when `period_s` has passed."""
         requests, left = self.rate_per_s * period_s, max(0.0, fraction * self.allowed - self.spent)
         return left / requests if left < requests else 1.0
 
@@ -49,7 +49,7 @@
 def exposure_budget(
     totals: RolloutReport, elapsed_s: float, duration_s: float, bounds: ExposureBounds | None = None
 ) -> ExposureBudget:
-    """Extrapolate the traffic since the order to the deadline. `bounds`: None for the usual ones."""
+    """Extrapolate the traffic since the order to the deadline. `bounds` is None for the defaults."""
     bounds = bounds or ExposureBounds(EXPOSURE_SHARE, EXPOSURE_SLACK)
     spent = _requests(totals.target)
     rate_per_s = (spent + _requests(totals.others)) / elapsed_s if elapsed_s > 0.0 else 0.0
--- a/packages/rollouts/src/larkweir_rollouts/only_version.py
+++ b/packages/rollouts/src/larkweir_rollouts/only_version.py
@@ -1,4 +1,4 @@
-"""The steps of a roll-out to the version that all upstreams of the service already have. A pure function."""
+"""The schedule of a roll-out to a version that all upstreams of the service already run. A pure function."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 def next_step_of_only_version(view: View) -> Advance | None:
-    """Decide the next step; it is never rolled back, as nothing else could serve.
+    """Return the next step, or None if nothing changes now. There is no roll-back, as no other version could serve.
 
-    The full weight is committed at once, for routers that have started since the order; the end comes when it is due.
+    Full weight is committed at once, so that routers which have started since the order apply it. The roll-out is
+    completed at the usual time.
     """
     if not view.rollout.is_running:
         return None
--- a/packages/rollouts/src/larkweir_rollouts/orders.py
+++ b/packages/rollouts/src/larkweir_rollouts/orders.py
@@ -1,7 +1,7 @@
-"""Changes of the replicated roll-outs: an order is placed, and its one decider advances it. Pure functions.
+"""Pure functions that change the replicated roll-outs: an operator places an order, the primary controller advances it.
 
-`rollouts` is the latest roll-out of each service, one per service. Every replica applies the same changes in the same
-order, so a change that no longer fits what is there leaves it as it is.
+`rollouts` holds the latest roll-out of each service, one per service. Every replica applies the same changes in the
+same sequence. A change that no longer matches the current state is ignored.
 """
 
 from __future__ import annotations
@@ -10,29 +10,30 @@
 
 from larkweir_rollouts.state import Rollout, RolloutState, Versions, Weight
 
-REPEAT_WINDOW_MS = 10_000.0  # an order this soon after a rolled-back one of the same target is its repeat
+# After a roll-back, an order for the same target within this time of the rolled-back order is a repeat of it.
+REPEAT_WINDOW_MS = 10_000.0
 
 
 class OrderConflict(msgspec.Struct, frozen=True):
     """An order that was refused.
 
     Attributes:
-        detail: what it is in conflict with, for the operator.
+        detail: what the order conflicts with, for the operator.
     """
 
     detail: str
 
 
 class Advance(msgspec.Struct, frozen=True):
-    """A step of one roll-out, as the primary controller decides it.
+    """A step of one roll-out, decided by the primary controller.
 
     Attributes:
-        service: whose roll-out it is.
-        order_id: of the order that was judged (`Rollout.order_id`).
-        state: from now on.
-        target_weight: share of new requests that go to the target version from now on.
-        reason: why, in one line.
-        other_versions: those of the service's other upstreams that the decider has known since the order.
+        service: the service whose roll-out advances.
+        order_id: the order that the decision is based on (`Rollout.order_id`).
+        state: the new state.
+        target_weight: the new share of new requests that go to the target version.
+        reason: one line that explains the step.
+        other_versions: versions of the service's other upstreams that this controller has seen since the order.
     """
 
     service: str
@@ -44,11 +45,11 @@
 
 
 def place_order(rollouts: tuple[Rollout, ...], order: Rollout) -> tuple[Rollout, ...] | OrderConflict:
-    """Place an order, which replaces the service's last roll-out unless it repeats it or is in conflict with it.
+    """Place an order. It replaces the service's last roll-out unless it repeats or conflicts with that one.
 
     Returns:
-        The roll-outs from now on, or why the order is refused. A repeated order changes nothing: it is acknowledged
-        again, and the time of the first one counts.
+        The new roll-outs, or the reason why the order was refused. A repeated order changes nothing: it is
+        acknowledged again, and the time of the first order counts.
     """
     current = rollout_of(rollouts, order.service)
     if current is None:
@@ -57,13 +58,13 @@
         return rollouts if _is_repeat(current, order) else _replace(rollouts, _with_withdrawn(current, order))
     if current.is_running:
         return OrderConflict(
-            f"a roll-out of {current.service} to {current.target_version} is running; it ends before another is ordered"
+            f"a roll-out of {current.service} to {current.target_version} is running; order another after it has ended"
         )
     return _replace(rollouts, _with_withdrawn(current, order))
 
 
 def advance(rollouts: tuple[Rollout, ...], change: Advance) -> tuple[Rollout, ...]:
-    """Apply a step if its order is in place and running; leave everything as it is otherwise."""
+    """Apply a step if its order is the current one and still running; otherwise change nothing."""
     current = rollout_of(rollouts, change.service)
     if current is None or not current.is_running or current.order_id != change.order_id:
         return rollouts
@@ -78,7 +79,7 @@
 
 
 def _merge_versions(one: Versions, other: Versions) -> Versions:
-    """Return the versions of both: no decider need have known all of them."""
+    """Return the union of both sets of versions, because no single controller may have seen all of them."""
     if isinstance(one, msgspec.UnsetType) or isinstance(other, msgspec.UnsetType):
         return other if isinstance(one, msgspec.UnsetType) else one
     return tuple(sorted({*one, *other}))
@@ -90,10 +91,10 @@
 
 
 def _is_repeat(current: Rollout, order: Rollout) -> bool:
-    """Whether an order of the same target adds nothing to the current roll-out.
+    """Whether an order for the same target repeats the current one and is to be ignored.
 
-    A rolled-back version may be ordered again, once a repeat of the first order can no longer arrive. The two times may
-    be of different controllers' clocks, so the later order may have the earlier time.
+    A rolled-back version may be ordered again once a repeat of the first order can no longer arrive. The two times
+    may come from the clocks of different controllers, so the later order may have the earlier time.
     """
     if current.state is not RolloutState.ROLLED_BACK:
         return True
@@ -101,7 +102,7 @@
 
 
 def _with_withdrawn(current: Rollout, order: Rollout) -> Rollout:
-    """Return the order with what is withdrawn or replaced: such upstreams may live on for some seconds."""
+    """Return the order with the withdrawn and replaced versions, whose upstreams may keep running for some seconds."""
     withdrawn = {*current.withdrawn_versions}
     if current.state is RolloutState.COMPLETED:
         withdrawn = {*(current.other_versions or ())}
--- a/packages/rollouts/src/larkweir_rollouts/pooling.py
+++ b/packages/rollouts/src/larkweir_rollouts/pooling.py
@@ -1,7 +1,7 @@
-"""Joins what many routers report of one service's roll-out.
+"""Aggregates the reports of many routers on one service's roll-out.
 
-Reports are cumulative, so one that is lost, repeated or late does no harm. Beside the sums since the order, sums since
-some later moments are kept: a version that turns bad late stands out in a sum that begins late.
+Reports are cumulative, so lost, repeated and late reports do no harm. In addition to the sums since the order, sums
+over later windows are kept: a version that turns bad late stands out in a window that begins late.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
     add_route,
 )
 
-FIRST_WINDOW_ANSWERS = 20  # at the target, until the second window begins
-WINDOW_GROWTH = 1.25  # of the answers between the beginnings of neighbouring windows
-MAX_LATER_WINDOWS = 8  # the latest ones are kept
+FIRST_WINDOW_ANSWERS = 20  # answers from the target until the second window begins
+WINDOW_GROWTH = 1.25  # growth of the number of answers between the starts of consecutive windows
+MAX_LATER_WINDOWS = 8  # windows after the first; the latest ones are kept
 
 Key = TypeVar("Key")
 FailuresByRouter = dict[str, int]
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """Everything that was reported since some moment.
+    """Everything that was reported since the window began.
 
     Attributes:
-        index: 0 for the window that begins at the order, then in order of beginning.
-        totals: sums over the routers.
-        target_failures: at the target version, by router.
-        others_failures: at the other upstreams, by router.
-        router_count: how many routers have reported.
+        index: 0 for the window that begins at the order; later windows are numbered by their start.
+        totals: sums over all routers.
+        target_failures: failures at the target version by router.
+        others_failures: failures at the other upstreams by router.
+        router_count: number of routers that have reported.
     """
 
     index: int
@@ -51,21 +51,21 @@
 
 @dataclass(slots=True)
 class _Sums:
-    """Sums over routers; only what is not 0 is held."""
+    """Sums over routers. Failure counts of 0 are not stored."""
 
     totals: RolloutReport
     target_failures: FailuresByRouter = field(default_factory=dict)
     others_failures: FailuresByRouter = field(default_factory=dict)
 
     def replace(self, router: str, known: RolloutReport, report: RolloutReport) -> None:
-        """Count a router's report in place of the known one; the cost is that of the routes that have changed."""
+        """Replace a router's report `known` by `report`. The cost depends only on the routes that have changed."""
         _replace_track(self.totals.target, known.target, report.target)
         _replace_track(self.totals.others, known.others, report.others)
         _add(self.target_failures, router, count_failures(report.target) - count_failures(known.target))
         _add(self.others_failures, router, count_failures(report.others) - count_failures(known.others))
 
     def since(self, begin: _Sums) -> _Sums:
-        """Return what was added since these were the sums; shares nothing with either."""
+        """Return the difference to the earlier sums `begin`, as a copy that shares no data with either."""
         target = _track_since(self.totals.target, begin.totals.target)
         others = _track_since(self.totals.others, begin.totals.others)
         return _Sums(
@@ -79,7 +79,7 @@
 
 
 class PooledSamples:
-    """The reports of all routers on the running roll-out of one service."""
+    """The aggregated reports of all routers on the running roll-out of one service."""
 
     def __init__(self, order_id: str = "") -> None:
         """Create a pool for an order."""
@@ -87,23 +87,23 @@
 
     @property
     def order_id(self) -> str:
-        """Of the order whose reports are joined."""
+        """The order whose reports are aggregated."""
         return self._sums.totals.order_id
 
     @property
     def router_count(self) -> int:
-        """How many routers have reported; one that started anew counts once."""
+        """Number of routers that have reported. A router that was restarted counts once."""
         return len(self._routers)
 
     def begin(self, order_id: str) -> None:
-        """Join reports of this order from now on, and forget those of others."""
+        """Accept reports on this order from now on, and discard those on any other order."""
         if order_id != self.order_id:
             self._reset(order_id)
 
     def record(self, incarnation: str, report: RolloutReport) -> None:
-        """Replace what an incarnation of a router (`NAME/...`) has reported.
+        """Replace the previous report of a router's incarnation (`NAME/...`).
 
-        A report of another order, or one that is older than the known one, is ignored.
+        Reports on another order, and reports older than the previous one, are ignored.
         """
         if report.order_id != self.order_id:
             return
@@ -121,7 +121,7 @@
         self._begin_window_if_due()
 
     def _merge_excess_routes(self, track: TrackSamples) -> TrackSamples:
-        """Return a track with the routes that have a name here; all others, which came later, are counted together."""
+        """Return the track with all routes beyond the first `MAX_ROUTES` counted together as `OTHER_ROUTES`."""
         unknown = [name for name in track.routes if name not in self._route_names]
         self._route_names.update(unknown[: MAX_ROUTES - len(self._route_names)])
         if track.routes.keys() <= self._route_names:
@@ -133,7 +133,7 @@
         return msgspec.structs.replace(track, routes=routes)
 
     def disconnected(self, incarnation: str) -> None:
-        """Count none of this incarnation's requests as under way, until it reports again. Its counts stay."""
+        """Count no requests of this incarnation as in flight until it reports again. Its other counts are kept."""
         known = self._reports.get(incarnation)
         if known is None:
             return
@@ -148,7 +148,7 @@
         return self._sums.since(_ZERO_SUMS).totals
 
     def windows(self) -> list[Window]:
-        """Return the sums since the order, and since some moments after it."""
+        """Return the window since the order, followed by the later windows."""
         router_count, windows = self.router_count, []
         for index, begin in [(0, _ZERO_SUMS), *self._begins]:
             sums = self._sums.since(begin)
@@ -160,12 +160,14 @@
         self._sums = _Sums(RolloutReport(order_id))
         self._reports: dict[str, RolloutReport] = {}  # by incarnation
         self._routers: set[str] = set()
-        self._route_names = {OTHER_ROUTES}  # only grows, so that a route is counted under one name
-        self._begins: list[tuple[int, _Sums]] = []  # index of a window, and the sums where it began
+        self._route_names = {
+            OTHER_ROUTES
+        }  # never shrinks, so that a route is always counted under the same name
+        self._begins: list[tuple[int, _Sums]] = []  # index of a later window, and the sums when it began
         self._next_window_answers = FIRST_WINDOW_ANSWERS
 
     def _begin_window_if_due(self) -> None:
-        """Begin a window where enough answers have come since the last one began; the counts alone decide."""
+        """Begin a window if enough answers have arrived since the last one began. Time plays no role."""
         answers = count_answers(self._sums.totals.target)
         if answers < self._next_window_answers:
             return
@@ -175,12 +177,12 @@
 
 
 def count_answers(track: TrackSamples) -> int:
-    """Count the answers at a track, failed ones too."""
+    """Count the answers of a track, including failed ones."""
     return sum(route.answered + route.failed for route in track.routes.values())
 
 
 def count_failures(track: TrackSamples) -> int:
-    """Count the failed answers at a track."""
+    """Count the failed answers of a track."""
     return sum(route.failed for route in track.routes.values())
 
 
@@ -222,7 +224,7 @@
 
 
 def _track_since(track: TrackSamples, begin: TrackSamples) -> TrackSamples:
-    """Return what a track has had since; what is under way is so at present."""
+    """Return the counts added since `begin`. The number of requests in flight is the current one."""
     routes = {}
     for name, route in track.routes.items():
         before = begin.routes.get(name, _EMPTY_ROUTE)
--- a/packages/rollouts/src/larkweir_rollouts/schedule.py
+++ b/packages/rollouts/src/larkweir_rollouts/schedule.py
@@ -1,7 +1,7 @@
-"""When the target version gets more of the requests, and when a roll-out ends.
+"""Decides when the weight of the target version changes and when a roll-out ends.
 
-A pure function of what the primary controller sees, evaluated several times a second. `docs/design/rollouts.md` has the
-arithmetic of how many requests a bad version gets by these steps.
+`next_step` is a pure function of what the primary controller sees, and is evaluated several times a second.
+`docs/design/rollouts.md` calculates how many requests a bad version gets under this schedule.
 """
 
 from __future__ import annotations
@@ -15,50 +15,51 @@
 from larkweir_rollouts.state import Rollout, RolloutState
 from larkweir_rollouts.verdict import Verdict
 
-CANARY_WEIGHT = 0.08  # from the order on
+CANARY_WEIGHT = 0.08  # initial weight, from the order on
 FULL_WEIGHT = 1.0
-FULL_WEIGHT_FRACTION = 0.68  # of the duration, at which all requests go to the target
-MIN_DURATION_WITH_RESERVE_S = 8.0
-FULL_WEIGHT_RESERVE_S = 4.0  # for requests that are under way at the others, and one slow change of state
+FULL_WEIGHT_FRACTION = 0.68  # fraction of the duration after which all requests go to the target
+MIN_DURATION_WITH_RESERVE_S = 8.0  # shorter roll-outs do not apply FULL_WEIGHT_RESERVE_S
+FULL_WEIGHT_RESERVE_S = 4.0  # for requests that are still in flight at the others, and one slow state change
 LATEST_FULL_WEIGHT_S = 2.5  # before the deadline; later there is no time to complete
-LATEST_FULL_WEIGHT_FRACTION = 0.25  # of the duration, where that is less
-
-# Until full weight the target's share follows from the exposure budget.
-PLANNING_FRACTIONS = (0.1, 0.8)  # of the time until full weight, between which the weight is planned
-PLANNED_BUDGET_FRACTION = (
-    0.75  # of the budget, that is spent when full weight begins; the rest is for finding a late fault
-)
-PAUSED_BUDGET_FRACTION = 0.9  # of the budget, that a target which may not grow spends until the deadline
+LATEST_FULL_WEIGHT_FRACTION = 0.25  # of the duration; applies if it is shorter than LATEST_FULL_WEIGHT_S
+
+# Before full weight, the exposure budget determines the target's weight.
+PLANNING_FRACTIONS = (0.1, 0.8)  # the weight is planned between these fractions of the time until full weight
+PLANNED_BUDGET_FRACTION = 0.75  # spent when full weight begins; the rest is for detecting a late fault
+PAUSED_BUDGET_FRACTION = 0.9  # spent by the deadline if the weight may not grow
 MAX_CANARY_WEIGHT = 0.25
-MIN_PAUSED_WEIGHT = 0.02  # a suspect goes on to be judged
-MIN_CHANGE_FACTOR = 1.2  # of the weight: smaller changes are not worth a change of the replicated state
+MIN_PAUSED_WEIGHT = 0.02  # keeps answers coming, so that a suspect version can still be judged
+MIN_CHANGE_FACTOR = 1.2  # of the weight; smaller changes do not justify a change of the replicated state
 
-MIN_ANSWERS = 20  # of the target, where the service's traffic allows it
-EXPECTED_ANSWERS_FRACTION = 0.3  # of those that the traffic makes expect
-MIN_READY_FRACTION = 0.6  # of the others' upstreams; fewer would not bear their load
+# Answers from the target before its weight may grow. For a service with little traffic, the fraction of the answers
+# expected at canary weight suffices.
+MIN_ANSWERS = 20
+EXPECTED_ANSWERS_FRACTION = 0.3
+MIN_READY_FRACTION = 0.6  # of the number of other upstreams; fewer could not carry their load
 
-MAX_IN_FLIGHT_FACTOR = 1.6  # of the target's requests under way, beside those at the others by their share
+# Limit of the target's requests in flight: factor times the number expected from the others' load, plus margin.
+MAX_IN_FLIGHT_FACTOR = 1.6
 MAX_IN_FLIGHT_MARGIN = 8
 
-FULL_WEIGHT_DWELL_S = 1.5  # a target with all requests is looked at for so long before the others are stopped
-COMPLETION_MARGIN_S = 1.0  # before the deadline: requests under way at the others are waited for no longer
-ROLLBACK_MARGIN_S = 0.5  # before the deadline: an unanswered or suspect target is rolled back
-CONFIRMATION_GRACE_S = 3.0  # after the deadline: a target at full weight may still be confirmed
+FULL_WEIGHT_DWELL_S = 1.5  # observation time at full weight before the other upstreams are stopped
+COMPLETION_MARGIN_S = 1.0  # before the deadline; then completion no longer waits for requests at the others
+ROLLBACK_MARGIN_S = 0.5  # before the deadline; a target that is suspect or has no answers is then rolled back
+CONFIRMATION_GRACE_S = 3.0  # after the deadline; routers may still confirm a target at full weight
 
 
 class View(msgspec.Struct, frozen=True):
-    """What the primary controller sees of one roll-out.
+    """The primary controller's view of one roll-out.
 
     Attributes:
-        rollout: its replicated state.
-        elapsed_s: since the order.
-        verdict: on the target version.
-        totals: what all routers together have reported.
-        target_ready: ready upstreams of the target version.
-        others_ready: all other ready upstreams of the service.
-        are_routers_confirmed: every connected router acts by the present state of the roll-out.
-        others_in_flight: requests that are under way at the others.
-        bounds: what the target is allowed; None for the usual.
+        rollout: the replicated state of the roll-out.
+        elapsed_s: time since the order.
+        verdict: the verdict on the target version.
+        totals: the sums of all routers' reports.
+        target_ready: number of ready upstreams of the target version.
+        others_ready: number of all other ready upstreams of the service.
+        are_routers_confirmed: whether every connected router has applied the current state of the roll-out.
+        others_in_flight: number of requests in flight at the other upstreams.
+        bounds: limits of the target's exposure; None for the defaults.
     """
 
     rollout: Rollout
@@ -73,12 +74,12 @@
 
     @property
     def remaining_s(self) -> float:
-        """Until the deadline; negative after it."""
+        """Time until the deadline; negative after it."""
         return self.rollout.duration_s - self.elapsed_s
 
 
 def next_step(view: View) -> Advance | None:
-    """Decide the next step of a roll-out, or None while it stays as it is."""
+    """Return the next step of a roll-out, or None if nothing changes now."""
     if not view.rollout.is_running:
         return None
     if view.verdict.is_bad:
@@ -96,7 +97,7 @@
 
 
 def _scheduled_weight(view: View) -> float:
-    """Return the weight of a target that nothing speaks against."""
+    """Return the weight of a target whose weight may grow."""
     current = view.rollout.target_weight
     full_weight_s = full_weight_time_s(view.rollout.duration_s)
     if view.elapsed_s >= full_weight_s:
@@ -120,7 +121,7 @@
 
 
 def _next_step_at_full_weight(view: View) -> Advance | None:
-    """Complete once nothing is under way at the others, or when the time is nearly up."""
+    """Complete once no requests are in flight at the others, or shortly before the deadline."""
     if obstacle := _missing_evidence(view):
         is_time_up = view.remaining_s <= ROLLBACK_MARGIN_S
         return _roll_back(view, f"no time left: {obstacle}") if is_time_up else None
@@ -134,7 +135,7 @@
 
 
 def _obstacle(view: View) -> str:
-    """Tell why the target's weight may not grow; empty if it may."""
+    """Return the reason why the target's weight may not grow; empty if it may."""
     if view.verdict.is_doubtful:
         return f"suspect: {view.verdict.reason}"
     if view.target_ready < max(1.0, MIN_READY_FRACTION * view.others_ready):
@@ -144,12 +145,12 @@
         return f"{view.verdict.target_answers} answers of the target, {needed} needed"
     expected = _expected_in_flight(view)
     if view.totals.target.in_flight > MAX_IN_FLIGHT_FACTOR * expected + MAX_IN_FLIGHT_MARGIN:
-        return f"{view.totals.target.in_flight} requests under way at the target, {expected:.0f} usual"
+        return f"{view.totals.target.in_flight} requests in flight at the target, {expected:.0f} expected"
     return ""
 
 
 def _missing_evidence(view: View) -> str:
-    """Tell what is missing to call a target at full weight good; empty if nothing is."""
+    """Return which evidence is missing to complete a target at full weight; empty if none is."""
     if view.verdict.is_suspect:
         return f"suspect: {view.verdict.reason}"
     if view.target_ready < 1 or view.verdict.target_answers < 1:
@@ -158,22 +159,25 @@
 
 
 def needed_answers(totals: RolloutReport) -> int:
-    """Return how many answers of the target allow its weight to grow, given the service's traffic so far."""
+    """Return how many answers from the target its weight needs to grow, given the service's traffic so far."""
     total = count_answers(totals.target) + count_answers(totals.others)
     return min(MIN_ANSWERS, int(EXPECTED_ANSWERS_FRACTION * CANARY_WEIGHT * total))
 
 
 def _expected_in_flight(view: View) -> float:
-    """Return how many requests would be under way at the target if it were as fast as the others.
+    """Return how many requests would be in flight at the target if it were as fast as the others.
 
-    Slow answers that have not ended are in no count yet, so a version that has just become slow shows here first.
+    Answers that have not ended are not counted yet, so this number is the first sign of a version that turns slow.
     """
     weight = view.rollout.target_weight
     return view.totals.others.in_flight * weight / (1.0 - weight)
 
 
 def _paused_weight(view: View) -> float:
-    """Return the weight of a target that may not grow: it never rises, and keeps to the budget until the deadline."""
+    """Return the weight of a target whose weight may not grow.
+
+    It never increases, and keeps the target within the exposure budget until the deadline.
+    """
     current = view.rollout.target_weight
     budget = exposure_budget(view.totals, view.elapsed_s, view.rollout.duration_s, view.bounds)
     allowed = max(MIN_PAUSED_WEIGHT, budget.weight_until(PAUSED_BUDGET_FRACTION, view.remaining_s))
--- a/packages/rollouts/src/larkweir_rollouts/verdict.py
+++ b/packages/rollouts/src/larkweir_rollouts/verdict.py
@@ -1,7 +1,7 @@
-"""Judges a version by what routers saw of it, against the other upstreams of its service at the same time.
+"""Judges a version by the routers' samples, in comparison with the other upstreams of its service at the same time.
 
-Each test (failures over all routes, failures by route, durations by route) in each window of the pooled samples gives
-an e-value; their weighted mean is the evidence against the version. See `docs/design/rollouts.md`.
+In each window of the pooled samples, failures and durations are tested over all routes and for each route. Each test
+yields an e-value. Their weighted mean is the evidence against the version. See `docs/design/rollouts.md`.
 """
 
 from __future__ import annotations
@@ -17,38 +17,42 @@
 from larkweir_rollouts.pooling import PooledSamples, Window, count_answers, count_failures
 from larkweir_rollouts.samples import BUCKET_FACTOR, Histogram, RouteSamples, TrackSamples
 
-FALSE_ALARM_PROBABILITY = 0.001  # at most, that a version is condemned that is as the hypotheses say
+FALSE_ALARM_PROBABILITY = 0.001  # upper bound for a version that satisfies the null hypotheses
 BAD_EVIDENCE = 1.0 / FALSE_ALARM_PROBABILITY
 SUSPECT_EVIDENCE = 10.0
-DOUBT_EVIDENCE = 1.0  # that of no answers; a good version falls below it with the first ones, and stays there
-
-MIN_CONTROL = 10  # answers of the others on a route, below which they are no control
-FAILURE_FLOOR = 0.01  # share of failures that every version is granted
-FAILURE_FACTOR = 2.0  # of the others' share
-PAST_CONTROL_FLOOR = 0.1  # of failures, where the others answered only earlier
-NO_CONTROL_FLOOR = 0.3  # of failures, where the others never answered
+# The evidence before any answer. A good version drops below it with its first answers and stays there.
+DOUBT_EVIDENCE = 1.0
+
+MIN_CONTROL = 10  # answers from the others on a route; with fewer answers they do not serve as the control
+FAILURE_FLOOR = 0.01  # share of failures that is always tolerated
+FAILURE_FACTOR = 2.0  # tolerated share of failures, relative to the others' share
+PAST_CONTROL_FLOOR = 0.1  # the same if the others have answered only earlier, or get no requests any more
+NO_CONTROL_FLOOR = 0.3  # the same if the others have never answered
 MAX_NULL_PROBABILITY = 0.95
 
-SLOW_FACTOR = 3.0  # of the others' median
-COLD_CACHE_FACTOR = 6.0  # the same for first bytes: a new upstream reads whole prompts at first
-SLOW_FLOOR = 0.15  # share of slow answers that every version is granted
+# An answer is slow if its duration exceeds a factor times the others' median. A floor is the share of slow answers that
+# is always tolerated.
+SLOW_FACTOR = 3.0
+COLD_CACHE_FACTOR = 6.0  # for first bytes; a new upstream has to process whole prompts at first
+SLOW_FLOOR = 0.15
 COLD_CACHE_FLOOR = 0.3
-PAST_CONTROL_SLOW_FLOOR = 0.35  # the same, where the others answered only earlier
+PAST_CONTROL_SLOW_FLOOR = 0.35  # if the others get no requests any more
 PAST_CONTROL_COLD_CACHE_FLOOR = 0.6
-VERY_SLOW_FACTOR = 5.0  # of the others' median: what a cold cache or a busy canary rarely explains
+VERY_SLOW_FACTOR = 5.0  # a cold cache or a busy canary rarely explains such durations
 VERY_SLOW_COLD_CACHE_FACTOR = 10.0
 VERY_SLOW_FLOOR = 0.04
 PAST_CONTROL_VERY_SLOW_FLOOR = 0.08
+# The tolerated share of slow answers is at least this factor times the others' share, plus the margin.
 SLOW_SHARE_FACTOR = 2.0
 SLOW_SHARE_MARGIN = 0.05
 VERY_SLOW_SHARE_MARGIN = 0.02
 
-OUTLIER_FACTOR = 3  # one upstream's or router's failures count up to so many times those of all others
-MULTIPLE_UPSTREAMS = 2  # or more: one of them accuses nobody alone
+OUTLIER_FACTOR = 3  # failures of one upstream or router count up to this multiple of those of all others
+MULTIPLE_UPSTREAMS = 2  # assumed number of other upstreams; failures of a single one of several are outliers
 
-EQUAL_WEIGHT_WINDOWS = 5  # after the order; these have the same weight
+EQUAL_WEIGHT_WINDOWS = 5  # number of windows after the first that have equal weights
 
-# Weights of the tests in the mean: half over all routes, half divided evenly over the routes.
+# Weights of the tests in the mean. Half of each is for the test over all routes, half is split evenly among the routes.
 FAILURES_WEIGHT = 0.5
 PACE_WEIGHT = 0.15
 VERY_SLOW_PACE_WEIGHT = 0.2
@@ -59,14 +63,14 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What is known against a version.
+    """The evidence against a version, and its consequences.
 
     Attributes:
-        is_bad: it is to be rolled back.
-        is_suspect: its traffic is to shrink, and it is not to be completed for now.
-        reason: the strongest test, in one line; empty while nothing speaks against the version.
-        evidence: the e-value.
-        target_answers: answers of the target version, on which it rests.
+        is_bad: whether the version is to be rolled back.
+        is_suspect: whether its weight is limited and it may not be completed for now.
+        reason: one line about the test with the strongest evidence; empty if there is no evidence against the version.
+        evidence: the e-value against the version.
+        target_answers: number of answers from the target version that the verdict is based on.
     """
 
     is_bad: bool = False
@@ -77,7 +81,7 @@
 
     @property
     def is_doubtful(self) -> bool:
-        """Whether its traffic is not to grow for now."""
+        """Whether the version's weight may not grow for now."""
         return self.is_suspect or self.evidence > DOUBT_EVIDENCE
 
 
@@ -92,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Outcomes:
-    """Answers of one track, and how many of them failed. Those that one upstream or router alone had are left out."""
+    """Number of answers and of failed answers in one track. Outlier failures may have been subtracted."""
 
     failed: float
     answers: int
 
 
 class _Duration(StrEnum):
-    """A duration of an answer, as reasons name it."""
+    """A measured duration of an answer. The values appear in reasons."""
 
     PACE = "pace"
     FIRST_BYTE = "first byte"
@@ -107,14 +111,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _SlownessTest:
-    """What makes an answer slow, and how many slow ones every version is granted.
+    """Defines when an answer is slow, and which share of slow answers is tolerated.
 
     Attributes:
-        duration: the one that is tested.
-        weight: in the mean.
-        slow_factor: of the others' median, above which an answer is slow.
-        floor: share of slow answers that every version is granted.
-        margin: the same, beyond twice the others' share.
+        duration: the duration that is tested.
+        weight: weight of the test in the mean.
+        slow_factor: answers are slow if their duration exceeds this factor times the others' median.
+        floor: share of slow answers that is always tolerated.
+        margin: tolerated share of slow answers beyond `SLOW_SHARE_FACTOR` times the others' share.
     """
 
     duration: _Duration
@@ -126,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SlownessCounts:
-    """Durations of both tracks, and how many of them are slow."""
+    """Number of durations and of slow durations in both tracks."""
 
     target_slow: int = 0
     target: int = 0
@@ -160,8 +164,10 @@
 
     Args:
         samples: the reports of all routers.
-        target_upstream_count: the most upstreams the target has had; where there are several, one alone accuses nobody.
-        is_control_live: the others still get requests; else a disturbance of today is not seen in their answers.
+        target_upstream_count: the largest number of upstreams that the target has had. If there are several, failures
+            of a single one are treated as outliers.
+        is_control_live: whether the others still get requests. If not, their answers do not reveal a current
+            disturbance that affects all versions.
     """
     windows = samples.windows()
     findings = [
@@ -181,20 +187,19 @@
 
 
 def window_weight(index: int) -> float:
-    """Return a window's weight in the mean: half for the one since the order, the rest over all that may follow."""
+    """Return a window's weight in the mean: half for the window since the order, the rest for all later windows."""
     if index == 0:
         return 0.5
     if index <= EQUAL_WEIGHT_WINDOWS:
         return 0.25 / EQUAL_WEIGHT_WINDOWS
-    return (
-        0.25 * EQUAL_WEIGHT_WINDOWS / (index * (index - 1))
-    )  # of a sum that converges: the windows have no last one
+    # The number of windows is unlimited, so the weights form a convergent series.
+    return 0.25 * EQUAL_WEIGHT_WINDOWS / (index * (index - 1))
 
 
 def _findings(
     window: Window, since_order: Window, upstream_count: int, *, is_control_live: bool
 ) -> Iterator[_Finding]:
-    """Make every test in one window."""
+    """Run all tests in one window."""
     weight = window_weight(window.index)
     target, others, earlier = window.totals.target, window.totals.others, since_order.totals.others
     target_outliers = _outlier_failures(target, window.target_failures, window.router_count, upstream_count)
@@ -231,7 +236,7 @@
 def _test_failures(
     name: str, weight: float, target: _Outcomes, control: _Outcomes, past_control: _Outcomes
 ) -> _Finding:
-    """Test whether more answers fail at the target than a pessimistic view of the others allows."""
+    """Test whether more answers fail at the target than the others' pessimistically estimated failure share allows."""
     if control.answers >= MIN_CONTROL:
         null_probability = max(FAILURE_FLOOR, FAILURE_FACTOR * _pessimistic_share(control))
     elif past_control.answers >= MIN_CONTROL:
@@ -246,7 +251,7 @@
 def _slowness_counts(
     test: _SlownessTest, target: RouteSamples, control: RouteSamples | None, past: RouteSamples | None
 ) -> _SlownessCounts:
-    """Count what is slow on one route, by the others' median there; nothing where the others hardly answered."""
+    """Count slow durations on one route by the others' median there. All counts are 0 if the others hardly answered."""
     histograms = [_durations(test, samples) for samples in (control, past) if samples is not None]
     control_histogram = next(
         (histogram for histogram in histograms if sum(histogram.values()) >= MIN_CONTROL), None
@@ -264,7 +269,7 @@
 
 
 def _test_slowness(test: _SlownessTest, name: str, weight: float, counts: list[_SlownessCounts]) -> _Finding:
-    """Test whether more of the target's durations are far above the others' median than of the others' own."""
+    """Test whether the target has a larger share of durations far above the others' median than the others have."""
     slow, total = sum(count.target_slow for count in counts), sum(count.target for count in counts)
     control_slow, control = (
         sum(count.control_slow for count in counts),
@@ -280,9 +285,9 @@
 def _outlier_failures(
     track: TrackSamples, by_router: dict[str, int], router_count: int, upstream_count: int
 ) -> float:
-    """Count the failures that one upstream, or one router, has far beyond those of all others together.
+    """Count the failures of one upstream or router that far exceed those of all others together.
 
-    A crashed upstream, or a router with a bad network, says nothing about a version.
+    A crashed upstream or a router with a bad network is no evidence against a version.
     """
     total, outliers = count_failures(track), 0
     for counts, sources in ((track.failures_by_upstream, upstream_count), (by_router, router_count)):
@@ -294,20 +299,20 @@
 
 
 def _without_outliers(outcomes: _Outcomes, outliers: float, track: TrackSamples) -> _Outcomes:
-    """Leave out a control's outlier failures, evenly from all of its routes, so that they excuse no other version."""
+    """Subtract a control's outlier failures evenly from all of its routes, so that they do not excuse a bad target."""
     shared_fraction = 1.0 - outliers / max(1, count_failures(track))
     return _Outcomes(outcomes.failed * shared_fraction, outcomes.answers)
 
 
 def _outcomes(track: TrackSamples, route: str | None) -> _Outcomes:
-    """Count a track's answers on one route, or on all."""
+    """Count a track's answers on one route, or on all routes if `route` is None."""
     chosen = track.routes.values() if route is None else [track.routes.get(route, _NO_SAMPLES)]
     failures = sum(samples.failed for samples in chosen)
     return _Outcomes(failures, failures + sum(samples.answered for samples in chosen))
 
 
 def _pessimistic_share(control: _Outcomes) -> float:
-    """The control's share of failures, by about a standard deviation too high."""
+    """Return the control's share of failures plus about one standard deviation."""
     return (control.failed + math.sqrt(control.failed) + 0.5) / control.answers
 
 
@@ -316,7 +321,7 @@
 
 
 def _median_bucket(histogram: Histogram) -> int:
-    """Return the bucket of the median; of the upper one of two."""
+    """Return the bucket of the median; of the upper median for an even number of durations."""
     left = sum(histogram.values()) // 2
     for bucket in sorted(histogram):
         left -= histogram[bucket]
