--- a/packages/rollouts/tests/rollout_cost.py
+++ b/packages/rollouts/tests/rollout_cost.py
@@ -1,4 +1,4 @@
-"""`python rollout_cost.py`: processor time and bytes of a roll-out at a controller, by number of routers; a table."""
+"""`python rollout_cost.py`: prints a table of a roll-out's CPU time and bytes at a controller, by number of routers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def add_answer(rng: Random, report: RolloutReport) -> None:
-    """One more good answer at a router."""
+    """Add one good answer to a router's report."""
     track: TrackSamples = report.target if rng.random() < TARGET_SHARE else report.others
     samples = track.routes.setdefault(f"route-{rng.randrange(ROUTES)}", RouteSamples())
     samples.answered += 1
@@ -28,7 +28,7 @@
 
 
 def cost_row(router_count: int) -> str:
-    """Play good answers for some seconds, and measure the last report of each router."""
+    """Simulate good answers for some seconds, and measure the last report of each router as a row of the table."""
     rng, pool = Random(1), PooledSamples("v2/1")
     reports = [RolloutReport("v2/1") for _ in range(router_count)]
     for _ in range(SECONDS * REPORTS_PER_S):
--- a/packages/rollouts/tests/rollout_curves.py
+++ b/packages/rollouts/tests/rollout_curves.py
@@ -1,6 +1,6 @@
-"""`python rollout_curves.py [SEEDS [FIRST [curves]]]`: checks drawn scenarios, and lists those that break a promise.
+"""`python rollout_curves.py [SEEDS [FIRST [curves]]]`: checks random scenarios, and lists those that fail the checks.
 
-With `curves`: a table of how often versions are rolled back, by what is wrong with them.
+With `curves`, it prints a table instead: how often versions are rolled back, by the kind of fault.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def table_row(name: str, version: Version, seeds: range) -> str:
-    """Play the seeds with a version, and sum up what came of it."""
+    """Simulate the seeds with a version, and summarize the results as a row of the table."""
     rolled_back, within_limits, bad_answers, sends = 0, 0, [], []
     for seed in seeds:
         drawn = draw_scenario(seed, version)
@@ -63,7 +63,7 @@
 
 
 def failed_checks(seeds: range) -> Iterator[str]:
-    """Check the drawn scenario of each seed; one line for each that fails."""
+    """Check the scenario of each seed, and yield a line for each one that fails."""
     for seed in seeds:
         drawn = draw_scenario(seed)
         try:
@@ -77,7 +77,7 @@
     first = int(sys.argv[2]) if len(sys.argv) > 2 else 0
     seeds = range(first, first + count)
     if len(sys.argv) > 3:
-        print("| version | plays | rolled back | EXPOSURE holds | bad answers, median | requests, median |")
+        print("| version | runs | rolled back | EXPOSURE holds | bad answers, median | requests, median |")
         print("| --- | --- | --- | --- | --- | --- |")
         for name, version in CURVES.items():
             print(table_row(name, version, seeds), flush=True)
--- a/packages/rollouts/tests/rollout_fleet.py
+++ b/packages/rollouts/tests/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""What a simulated fleet consists of: requests, routers, the replicated roll-outs; and what comes of a roll-out."""
+"""Data of a simulated fleet: requests, routers, the replicated roll-outs, and the result of a roll-out."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from larkweir_rollouts.state import Rollout, RolloutState
 
 STEP_S = 0.1
-PACE_FRACTION = 0.2  # of a stream, after which its pace is known
+PACE_FRACTION = 0.2  # fraction of a stream after which its pace is known
 
 
 @dataclass(eq=False)
 class Request:
-    """One request on its way."""
+    """A request in flight."""
 
     router: Router
     route: str
@@ -24,7 +24,7 @@
     total_ms: float
     end_step: int
     has_failed: bool
-    is_bad: bool  # by the version's fault
+    is_bad: bool  # because of the version
     sent_step: int
     is_first_byte_counted: bool = False
     is_pace_counted: bool = False
@@ -35,14 +35,14 @@
 
     @property
     def pace_step(self) -> int:
-        """When its first events have come; streams report their pace by then."""
+        """The step at which the first events have arrived and the pace of the stream is counted."""
         pace_ms = self.first_byte_ms + PACE_FRACTION * (self.total_ms - self.first_byte_ms)
         return self.sent_step + math.ceil(pace_ms / 1000.0 / STEP_S)
 
 
 @dataclass(eq=False)
 class Router:
-    """One router: what it knows of the roll-out, and what it has counted of it."""
+    """A router with its current weight of the target and its samples."""
 
     name: str
     restarts: int = 0
@@ -57,23 +57,23 @@
 
 @dataclass
 class Result:
-    """What came of a roll-out."""
+    """The result of a roll-out."""
 
     state: RolloutState = RolloutState.RUNNING
     reason: str = ""
     end_s: float = math.inf
-    fiftieth_bad_answer_s: float = math.inf  # the 50th bad answer
+    fiftieth_bad_answer_s: float = math.inf  # time of the 50th bad answer
     first_bad_answer_s: float = math.inf
-    last_target_send_s: float = 0.0  # by a router in touch
+    last_target_send_s: float = 0.0  # by a connected router
     bad_answers: int = 0
     target_sends: int = 0
     sends: float = 0.0
-    aborted_requests: int = 0  # of routers in touch, under way at the old upstreams when they were stopped
+    aborted_requests: int = 0  # of connected routers, in flight at the old upstreams when these were stopped
     is_order_replaced: bool = False
 
 
 @dataclass
 class ReplicatedState:
-    """The replicated roll-outs, which simulations of several services share."""
+    """The replicated roll-outs, shared by the simulations of several services."""
 
     rollouts: tuple[Rollout, ...] = ()
--- a/packages/rollouts/tests/rollout_scenarios.py
+++ b/packages/rollouts/tests/rollout_scenarios.py
@@ -1,4 +1,4 @@
-"""Seeded scenarios of the simulation: a version, good or bad in some way, and what else happens meanwhile."""
+"""Seeded scenarios of the simulation: a good or bad version, and a disturbance during its roll-out."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Disturbance(StrEnum):
-    """What else happens during a roll-out; none of it is the version's fault."""
+    """A disturbance during a roll-out that the version does not cause."""
 
     NONE = auto()
     TARGET_UPSTREAM_CRASHES = auto()
@@ -27,15 +27,15 @@
 
 @dataclass(frozen=True)
 class Version:
-    """How a target version behaves; good where nothing is set.
+    """Behaviour of a target version. The defaults describe a good one.
 
     Attributes:
-        failure_share: share of its answers that fail.
-        slowdown: factor on its durations.
-        slow_share: share of its answers that are slower.
-        onset: fraction of the roll-out's duration after which it turns bad.
-        is_bad_only_under_load: bad only at upstreams that are about as loaded as the others are.
-        route: bad only there; everywhere where empty.
+        failure_share: share of answers that fail.
+        slowdown: factor by which durations are longer.
+        slow_share: share of answers that are slowed down.
+        onset: fraction of the roll-out's duration after which the version turns bad.
+        is_bad_only_under_load: whether it is bad only at upstreams that are about as loaded as the others.
+        route: the only route on which it is bad; empty for all routes.
     """
 
     failure_share: float = 0.0
@@ -55,16 +55,16 @@
     """One roll-out of one service.
 
     Attributes:
-        seed: of everything random in it.
-        duration_s: from the order to its deadline.
-        rate_per_s: requests to the service.
-        router_count: how many routers there are.
-        upstream_count: how many upstreams of each version there are.
-        routes: those of the service, which have the same traffic.
-        ready_after_s: the time until the target's upstreams are ready.
-        version: the target's.
-        disturbance: what else happens.
-        disturbance_at: when, as a fraction of the duration.
+        seed: seed of all random numbers.
+        duration_s: time from the order to its deadline.
+        rate_per_s: requests to the service per second.
+        router_count: number of routers.
+        upstream_count: number of upstreams of each version.
+        routes: routes of the service; each gets the same traffic.
+        ready_after_s: time until the target's upstreams are ready.
+        version: behaviour of the target version.
+        disturbance: the disturbance during the roll-out.
+        disturbance_at: start of the disturbance, as a fraction of the duration.
     """
 
     seed: int
@@ -80,7 +80,7 @@
 
 
 def draw_scenario(seed: int, version: Version | None = None) -> Scenario:
-    """Draw a scenario; with a version of one's own where given."""
+    """Draw a random scenario. A given version replaces the random one."""
     rng = Random(seed)
     is_large = rng.random() < 0.5
     routes = LARGE_ROUTES if is_large else SMALL_ROUTES
@@ -100,7 +100,7 @@
 
 
 def draw_partly_bad_scenario(seed: int) -> Scenario:
-    """Draw a scenario with a version of which a quarter to a half of the answers fail, or are eight times slower."""
+    """Draw a scenario in which about a quarter to a half of the version's answers fail or are eight times slower."""
     drawn, rng = draw_scenario(seed), Random(seed * 31 + 7)
     share = rng.uniform(0.25, 0.55)
     version = Version(failure_share=share) if rng.random() < 0.5 else Version(slowdown=8.0, slow_share=share)
@@ -115,7 +115,7 @@
 
 
 def _draw_version(rng: Random, routes: tuple[str, ...]) -> Version:
-    """Good in half of the scenarios, otherwise clearly bad in one of many ways."""
+    """Draw a version that is good in half of the scenarios and otherwise clearly bad in one of many ways."""
     if rng.random() < 0.5:
         return Version()
     onset = rng.choice((0.0, 0.0, rng.uniform(0.1, 0.3)))
--- a/packages/rollouts/tests/rollout_simulation.py
+++ b/packages/rollouts/tests/rollout_simulation.py
@@ -1,6 +1,6 @@
-"""A simulated fleet during one roll-out: routers, upstreams of two versions, and a controller that is the primary.
+"""Simulates a fleet during one roll-out: routers, upstreams of two versions, and the primary controller.
 
-Time goes in steps. Everything random comes from the scenario's seed. Run as a script for the detection curves.
+Time advances in steps. All random numbers come from the scenario's seed. `rollout_curves.py` prints detection curves.
 """
 
 from __future__ import annotations
@@ -17,21 +17,22 @@
 from rollout_scenarios import Disturbance, Scenario
 
 STEPS_PER_REPORT = 2
-PROPAGATION_STEPS = 2  # from a change of the roll-out until routers act by it
-DISTURBANCE_S = 3.0  # how long upstreams, networks and links are in disturbance
+PROPAGATION_STEPS = 2  # from a change of the roll-out until routers apply it
+DISTURBANCE_S = 3.0  # duration of crashes, bad networks and lost connections
 RUN_AFTER_DEADLINE_S = 5.0
 RUN_AFTER_END_S = 1.0
-ROUTE_MS = {"digest": 1200.0, "brief": 700.0, "ask": 1500.0, "lookup": 30.0}  # until the end of an answer
+# Typical time until the end of an answer.
+ROUTE_MS = {"digest": 1200.0, "brief": 700.0, "ask": 1500.0, "lookup": 30.0}
 FIRST_BYTE_MS = {"digest": 300.0, "brief": 200.0, "ask": 60.0, "lookup": 28.0}
-SPREAD = 0.3  # of the logarithm of durations
+SPREAD = 0.3  # standard deviation of the logarithm of durations
 COLD_CACHE_S = 3.0
-LOADED_FRACTION = 0.6  # of the others' usual requests in flight for each upstream
+LOADED_FRACTION = 0.6  # of an upstream's usual number of requests in flight
 BAD_NETWORK_FAILURES = 0.2
 ORDERED_UNIX_MS = 1e12
 
 
 class Simulation:
-    """One scenario as it is played."""
+    """The simulation of one scenario."""
 
     def __init__(
         self, scenario: Scenario, service: str = "chat", replicated: ReplicatedState | None = None
@@ -54,7 +55,7 @@
         self.pool = PooledSamples()
         self.in_flight: set[Request] = set()
         self.in_flight_by_upstream: dict[str, int] = {}
-        self.crashed_until_s: dict[str, float] = {}  # until when
+        self.crashed_until_s: dict[str, float] = {}
         self.result = Result()
         self.has_disturbance_begun = False
         for router in self.routers:
@@ -67,7 +68,7 @@
         return found
 
     def run(self) -> Result:
-        """Play until a while after the roll-out's end."""
+        """Run until shortly after the end of the roll-out."""
         while not self.is_over:
             self.run_step()
         return self.final_result()
@@ -78,7 +79,7 @@
         return self.now_s >= min(end_s, self.result.end_s + RUN_AFTER_END_S)
 
     def run_step(self) -> None:
-        """Play the next tenth of a second."""
+        """Simulate the next step, a tenth of a second."""
         self.step += 1
         self.now_s = self.step * STEP_S
         self._finish_requests()
@@ -90,13 +91,13 @@
             self._decide()
 
     def final_result(self) -> Result:
-        """Return what came of it, with the traffic that is left until the deadline."""
+        """Return the result, with the remaining traffic until the deadline added to `sends`."""
         left_s = max(0.0, self.scenario.duration_s - self.now_s)
         self.result.sends += left_s * self.scenario.rate_per_s
         return self.result
 
     def ready_upstreams(self, version: str) -> list[str]:
-        """Return the upstreams of a version that are ready."""
+        """Return the ready upstreams of a version."""
         if version == "v2" and self.now_s < self.scenario.ready_after_s:
             return []
         if version == "v1" and self.result.state is RolloutState.COMPLETED:
@@ -105,7 +106,7 @@
         return [name for name in names if self.crashed_until_s.get(name, 0.0) <= self.now_s]
 
     def _send_new_requests(self) -> None:
-        """New requests of this step, evenly spread and a little random."""
+        """Send the new requests of this step. Their number varies randomly by one."""
         targets, others = self.ready_upstreams("v2"), self.ready_upstreams("v1")
         canaries = {
             weight: sorted(canary.canary_upstreams(targets, len(others), weight))
@@ -149,7 +150,7 @@
     def _outcome(
         self, router: Router, route: str, is_target: bool, upstream: str
     ) -> tuple[float, float, bool, bool]:
-        """Draw the durations of an answer, whether it fails, and whether that is the version's fault."""
+        """Draw the durations of an answer, whether it fails, and whether the version makes it bad."""
         factor = math.exp(self.rng.gauss(0.0, SPREAD))
         first_byte_ms, total_ms = FIRST_BYTE_MS[route] * factor, ROUTE_MS[route] * factor
         scenario = self.scenario
@@ -173,7 +174,7 @@
         return first_byte_ms * slowdown, total_ms * slowdown, has_failed, is_bad
 
     def _is_version_bad(self, route: str, upstream: str) -> bool:
-        """Whether the target's present answers on a route come out bad."""
+        """Whether the version is bad at present on this route and upstream."""
         scenario, version = self.scenario, self.scenario.version
         if version.is_good or self.now_s < version.onset * scenario.duration_s:
             return False
@@ -197,7 +198,7 @@
             self._end_request(request, request.has_failed)
 
     def _end_request(self, request: Request, has_failed: bool) -> None:
-        """Count an answer at its router."""
+        """End a request and count its answer at its router."""
         self.in_flight.discard(request)
         self.in_flight_by_upstream[request.upstream] -= 1
         track = self._track(request)
@@ -217,7 +218,7 @@
                 self.result.fiftieth_bad_answer_s = self.now_s
 
     def _count_durations(self, request: Request) -> None:
-        """Count durations as soon as they are known: what is slow must not wait for its end to be seen."""
+        """Count durations as soon as they are known, so that slow answers are detected before they end."""
         if request.has_failed:
             return
         samples = self._track(request).routes.setdefault(request.route, RouteSamples())
@@ -229,7 +230,7 @@
             _count(samples.pace, request.total_ms)
 
     def _propagate(self) -> None:
-        """Routers in touch act by the roll-out as it was a little while ago."""
+        """Connected routers apply the state of the roll-out with a delay of `PROPAGATION_STEPS`."""
         known = self.history[max(0, len(self.history) - 1 - PROPAGATION_STEPS)]
         for router in self.routers:
             if router.is_connected:
@@ -237,7 +238,7 @@
         self.history.append(self.rollout)
 
     def _report(self) -> None:
-        """Routers in touch send their counts to the primary."""
+        """Connected routers report their samples to the primary."""
         self.pool.begin(self.rollout.order_id)
         for router in self.routers:
             if router.is_connected:
@@ -245,7 +246,7 @@
                 self.pool.record(router.incarnation, sent)
 
     def _decide(self) -> None:
-        """The primary's judgement and step."""
+        """The primary judges the version and takes the next step."""
         if not self.rollout.is_running:
             return
         is_control_live = self.rollout.target_weight < schedule.FULL_WEIGHT
@@ -282,7 +283,7 @@
         return begin_s <= self.now_s < begin_s + DISTURBANCE_S
 
     def _apply_disturbance(self) -> None:
-        """Begin or end what else happens."""
+        """Begin or end the scenario's disturbance."""
         disturbance = self.scenario.disturbance
         if disturbance is Disturbance.ROUTER_DISCONNECTED:
             router, is_disconnected = self.routers[0], self._is_during_disturbance()
@@ -304,7 +305,7 @@
             self._place_second_order(disturbance)
 
     def _crash(self, version: str) -> None:
-        """The busiest upstream of a version ends; its requests break off."""
+        """Crash the busiest upstream of a version. Its requests fail."""
         ready = self.ready_upstreams(version)
         if not ready:
             return
@@ -322,7 +323,7 @@
         router.report = RolloutReport(self.order.order_id)
 
     def _place_second_order(self, disturbance: Disturbance) -> None:
-        """The operator repeats the order, or orders another version meanwhile; neither changes anything."""
+        """Place the same order again, or one for another version. Neither may change a running roll-out."""
         target = "v2" if disturbance is Disturbance.ORDER_REPEATED else "v3"
         must_change_nothing = self.rollout.is_running or target == "v2"
         second_order = Rollout(
--- a/packages/rollouts/tests/test_rollouts_canary.py
+++ b/packages/rollouts/tests/test_rollouts_canary.py
@@ -1,4 +1,4 @@
-"""The upstreams of the target that get requests while its share is small."""
+"""Tests of the selection of the target's upstreams that get requests while its weight is small."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
     ],
 )
 def test_number_of_canary_upstreams_by_weight(others_count: int, weight: float, count: int) -> None:
+    """Up to weight 0.08 each gets half as many requests as one of the others; from 0.16 to 0.5, as many."""
     assert len(canary_upstreams(TARGETS, others_count, weight)) == count
 
 
-def test_the_choice_is_the_same_in_every_process() -> None:
+def test_every_process_chooses_the_same_upstreams() -> None:
     assert sorted(canary_upstreams(TARGETS, 15, 0.08)) == GOLDEN
     assert canary_upstreams(TARGETS[::-1], 15, 0.08) == frozenset(GOLDEN)
 
@@ -47,7 +48,7 @@
 
 
 @given(st.sets(st.text(max_size=5), min_size=1, max_size=12), st.integers(0, 40), st.data())
-def test_when_an_upstream_goes_the_rest_stay(
+def test_when_an_upstream_disappears_the_rest_of_the_selection_stays(
     targets: set[str], others_count: int, data: st.DataObject
 ) -> None:
     gone = data.draw(st.sampled_from(sorted(targets)))
--- a/packages/rollouts/tests/test_rollouts_orders.py
+++ b/packages/rollouts/tests/test_rollouts_orders.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs: placed, repeated, in conflict; and their steps, also those of a stale primary."""
+"""Tests of roll-out orders (placed, repeated, conflicting) and of their steps, including those of a stale primary."""
 
 from __future__ import annotations
 
@@ -81,7 +81,9 @@
         (RUNNING, Advance("unknown", FIRST.order_id, ROLLED_BACK, 0.0)),
     ],
 )
-def test_a_step_that_does_not_fit_changes_nothing(state: RolloutState, change: Advance) -> None:
+def test_a_step_that_does_not_match_the_running_order_changes_nothing(
+    state: RolloutState, change: Advance
+) -> None:
     assert advance(rollouts_in_state(state), change) == rollouts_in_state(state)
 
 
@@ -110,7 +112,9 @@
         assert len({rollout.service for rollout in rollouts}) == len(rollouts)
         for rollout in rollouts:
             known = ended.get((rollout.service, rollout.order_id))
-            if known is not None and rollout.is_running:  # ordered again, at the very same time
+            if (
+                known is not None and rollout.is_running
+            ):  # ordered again with the same time, and so with the same order id
                 del ended[rollout.service, rollout.order_id]
             elif known is not None:
                 assert rollout == known
@@ -122,7 +126,7 @@
     first = Rollout("chat", "v2", 15.0, 0.0, RolloutState.ROLLED_BACK)
     second = place_order((first,), Rollout("chat", "v3", 15.0, 20_000.0))
     assert isinstance(second, tuple)
-    assert second[0].withdrawn_versions == ("v2",), "its upstreams may live on for some seconds"
+    assert second[0].withdrawn_versions == ("v2",), "its upstreams may keep running for some seconds"
     again = place_order(
         (msgspec.structs.replace(second[0], state=RolloutState.ROLLED_BACK),),
         Rollout("chat", "v2", 15.0, 60_000.0),
@@ -132,14 +136,17 @@
     completed = msgspec.structs.replace(second[0], state=RolloutState.COMPLETED)
     third = place_order((completed,), Rollout("chat", "v4", 15.0, 60_000.0))
     assert isinstance(third, tuple)
-    assert third[0].withdrawn_versions == (), "nothing but the completed version has been left since"
+    assert third[0].withdrawn_versions == (), "only the completed version is left after the completion"
 
 
 def test_the_versions_that_a_completion_replaced_are_withdrawn_with_the_next_order() -> None:
     running = msgspec.structs.replace(rollouts_in_state(RUNNING)[1], other_versions=("v0",))
     done = Advance("chat", FIRST.order_id, COMPLETED, 1.0, other_versions=("v1",))
     (_, completed) = advance((OTHER_SERVICE, running), done)
-    assert completed.other_versions == ("v0", "v1"), "of all that decided"
+    assert completed.other_versions == (
+        "v0",
+        "v1",
+    ), "versions reported by all controllers that decided a step"
     third = place_order((completed,), Rollout("chat", "v4", 15.0, 60_000.0))
     assert isinstance(third, tuple)
     assert third[0].withdrawn_versions == ("v0", "v1")
--- a/packages/rollouts/tests/test_rollouts_planted.py
+++ b/packages/rollouts/tests/test_rollouts_planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in the judge, the schedule and the pool: the simulated roll-outs must find each."""
+"""Plants faults in the roll-outs' modules and checks that the simulated roll-outs detect each of them."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     patch.setattr(
         verdict, "_test_slowness", lambda test, name, weight, counts: verdict._Finding(1.0, 0.0, "")
     )
-    patch.setattr(schedule, "MAX_IN_FLIGHT_FACTOR", math.inf)  # the other defence against slow versions
+    patch.setattr(schedule, "MAX_IN_FLIGHT_FACTOR", math.inf)  # the other protection against slow versions
 
 
 def failures_are_not_tested(patch: pytest.MonkeyPatch) -> None:
@@ -46,9 +46,9 @@
 
 
 def very_slow_answers_are_not_tested(patch: pytest.MonkeyPatch) -> None:
-    far = (verdict.VERY_SLOW_FACTOR, verdict.VERY_SLOW_COLD_CACHE_FACTOR)
-    near = tuple(test for test in verdict._SLOWNESS_TESTS if test.slow_factor not in far)
-    patch.setattr(verdict, "_SLOWNESS_TESTS", near)
+    very_slow = (verdict.VERY_SLOW_FACTOR, verdict.VERY_SLOW_COLD_CACHE_FACTOR)
+    remaining = tuple(test for test in verdict._SLOWNESS_TESTS if test.slow_factor not in very_slow)
+    patch.setattr(verdict, "_SLOWNESS_TESTS", remaining)
 
 
 def weight_grows_despite_doubt(patch: pytest.MonkeyPatch) -> None:
@@ -125,7 +125,7 @@
 
 
 def scenario_with(**changes: Any) -> ScenarioOfSeed:
-    """Scenarios of a version, with some disturbance."""
+    """Return a function from seed to scenario, with a given version and other fields replaced."""
     version = changes.pop("version", Version())
     return lambda seed: replace(draw_scenario(seed, version), **changes)
 
@@ -188,8 +188,8 @@
         try:
             check(scenario_of_seed(seed))
         except AssertionError as found:
-            print(f"{plant.__name__}: found by seed {seed}: {found}")
+            print(f"{plant.__name__}: detected with seed {seed}: {found}")
             monkeypatch.undo()
-            check(scenario_of_seed(seed))  # nothing is found without the fault
+            check(scenario_of_seed(seed))  # without the fault, the checks pass
             return
-    pytest.fail(f"{MAX_SEEDS} plays did not find it")
+    pytest.fail(f"{MAX_SEEDS} simulated roll-outs did not detect the fault")
--- a/packages/rollouts/tests/test_rollouts_pooling.py
+++ b/packages/rollouts/tests/test_rollouts_pooling.py
@@ -1,4 +1,4 @@
-"""Reports of many routers are joined whatever their order, loss and repetition."""
+"""Tests of the aggregation of many routers' reports, which may be reordered, lost or repeated."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def report(
     target: int, failed: int = 0, in_flight: int = 0, others: int = 0, order: str = ORDER
 ) -> RolloutReport:
-    """A report with so many answers on one route."""
+    """Return a report with the given numbers of answers on one route."""
     routes = {"ask": RouteSamples(target, failed, {3: target}, {5: target})}
     failures = {"v2-0": failed} if failed else {}
     other_routes = {"ask": RouteSamples(others, 0, {3: others}, {5: others})}
@@ -67,7 +67,7 @@
     pool = PooledSamples(ORDER)
     pool.record("router-1/a", report(50))
     pool.begin(ORDER)
-    assert count_answers(pool.totals().target) == 50, "the same order once more changes nothing"
+    assert count_answers(pool.totals().target) == 50, "beginning the same order again changes nothing"
     pool.begin("v3/2")
     assert pool.totals() == RolloutReport("v3/2")
     assert len(pool.windows()) == 1 and pool.router_count == 0
@@ -83,7 +83,7 @@
     totals = pool.totals()
     assert (totals.target.in_flight, totals.others.in_flight, count_answers(totals.target)) == (1, 1, 10)
     pool.record("router-1/a", report(5, in_flight=2))
-    assert pool.totals().target.in_flight == 3, "it is back"
+    assert pool.totals().target.in_flight == 3, "it has reconnected"
 
 
 def test_a_restarted_router_adds_to_its_former_counts_and_is_one_router() -> None:
--- a/packages/rollouts/tests/test_rollouts_readme.py
+++ b/packages/rollouts/tests/test_rollouts_readme.py
@@ -1,4 +1,4 @@
-"""The example of the package's README runs as printed."""
+"""Runs the example in the package's README."""
 
 from __future__ import annotations
 
--- a/packages/rollouts/tests/test_rollouts_samples.py
+++ b/packages/rollouts/tests/test_rollouts_samples.py
@@ -1,4 +1,4 @@
-"""Buckets of durations, and what travels between processes."""
+"""Tests of the buckets of durations, the encoding of reports, and the weight in each state of a roll-out."""
 
 from __future__ import annotations
 
--- a/packages/rollouts/tests/test_rollouts_schedule.py
+++ b/packages/rollouts/tests/test_rollouts_schedule.py
@@ -1,4 +1,4 @@
-"""When a target's share grows and shrinks, and how a roll-out ends."""
+"""Tests of the schedule: when a target's weight grows and shrinks, and how a roll-out ends."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def view(elapsed_s: float, weight: float = CANARY_WEIGHT, **changes: Any) -> View:
-    """Of a large service, 200 requests a second, with nothing wrong."""
+    """Return the view of a large service, 200 requests per second, without any obstacle."""
     rollout = msgspec.structs.replace(ROLLOUT, target_weight=weight)
     sent = 200.0 * elapsed_s
     seen = View(rollout, elapsed_s, CLEAN, totals(round(0.08 * sent), round(0.92 * sent)), 70, 70, True, 0)
@@ -146,20 +146,20 @@
     assert outcome(next_step(tiny)) == (RUNNING, MAX_CANARY_WEIGHT)
 
 
-def test_the_budget_is_a_tenth_of_the_traffic_and_fifty() -> None:
+def test_the_budget_is_a_tenth_of_the_traffic_plus_fifty_requests() -> None:
     budget = exposure_budget(totals(100, 880, target_in_flight=20), elapsed_s=5.0, duration_s=15.0)
     assert (budget.rate_per_s, budget.allowed, budget.spent) == (200.0, 350.0, 120.0)
     assert budget.weight_until(0.5, 5.0) == pytest.approx(55.0 / 1_000.0)
     assert budget.weight_until(0.2, 5.0) == 0.0
     assert budget.weight_until(1.0, 1.0) == 1.0
-    assert budget.weight_until(1.0, 0.0) == 1.0, "without traffic no weight spends it"
+    assert budget.weight_until(1.0, 0.0) == 1.0, "without requests no weight exhausts the budget"
 
 
-def test_the_weight_is_planned_within_the_bounds_of_the_deployment() -> None:
-    usual = view(5.0)
-    narrow = msgspec.structs.replace(usual, bounds=ExposureBounds(0.05, 0.0))
-    wide = msgspec.structs.replace(usual, bounds=ExposureBounds(0.5, 500.0))
-    weights = [planned_weight(next_step(one)) for one in (narrow, usual, wide)]
+def test_wider_exposure_bounds_give_a_larger_planned_weight() -> None:
+    default = view(5.0)
+    narrow = msgspec.structs.replace(default, bounds=ExposureBounds(0.05, 0.0))
+    wide = msgspec.structs.replace(default, bounds=ExposureBounds(0.5, 500.0))
+    weights = [planned_weight(next_step(one)) for one in (narrow, default, wide)]
     assert weights == sorted(set(weights))
 
 
--- a/packages/rollouts/tests/test_rollouts_simulation.py
+++ b/packages/rollouts/tests/test_rollouts_simulation.py
@@ -1,4 +1,7 @@
-"""Simulated roll-outs: good versions are completed in time, bad ones get few requests. ROLLOUT_SEEDS plays more."""
+"""Simulated roll-outs: good versions are completed in time, bad ones get few requests.
+
+The environment variable ROLLOUT_SEEDS sets the number of seeds.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 @pytest.mark.parametrize("disturbance", list(Disturbance))
-def test_a_good_version_is_completed_whatever_else_happens(disturbance: Disturbance) -> None:
+def test_a_good_version_is_completed_despite_any_disturbance(disturbance: Disturbance) -> None:
     check(replace(draw_scenario(1, GOOD), disturbance=disturbance))
 
 
@@ -33,7 +36,7 @@
 
 @pytest.mark.parametrize("version", [FAILING, SLOW, PARTLY_SLOW], ids=["failing", "slow", "partly slow"])
 @pytest.mark.parametrize("disturbance", list(Disturbance))
-def test_a_bad_version_is_rolled_back_whatever_else_happens(
+def test_a_bad_version_is_rolled_back_despite_any_disturbance(
     disturbance: Disturbance, version: Version
 ) -> None:
     check(replace(draw_scenario(2, version), disturbance=disturbance))
@@ -44,5 +47,5 @@
     check_both(draw_scenario(4, versions[0]), draw_scenario(5, versions[1]))
 
 
-def test_the_same_seed_plays_the_same() -> None:
+def test_the_same_seed_gives_the_same_result() -> None:
     assert check(draw_scenario(3)) == check(draw_scenario(3))
--- a/packages/rollouts/tests/test_rollouts_verdict.py
+++ b/packages/rollouts/tests/test_rollouts_verdict.py
@@ -1,4 +1,4 @@
-"""What condemns a version, what makes it a suspect, and what accuses nobody."""
+"""Tests of verdicts: which samples make a version bad or suspect, and which are no evidence against it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from larkweir_rollouts.verdict import Verdict, judge, window_weight
 
 ORDER = "v2/1"
-FAST, SLOW, VERY_SLOW = 10, 16, 19  # buckets: the control's, four times and seven times its duration
-FailureRow = tuple[int, int, int]  # router, upstream, failures there
+FAST, SLOW, VERY_SLOW = 10, 16, 19  # buckets: the duration of the control, about four and seven times as long
+FailureRow = tuple[int, int, int]  # router, upstream, number of failures
 
 
 def track(answers: int, failures: list[FailureRow], router: int, bucket: int = FAST) -> TrackSamples:
-    """What one of four routers has of a track's answers, evenly spread, and its failures."""
+    """Return one of four routers' samples of a track: a quarter of the good answers, and this router's failures."""
     here = [(upstream, count) for at, upstream, count in failures if at == router]
     good = answers // 4 + (router < answers % 4)
     samples = RouteSamples(good, sum(count for _, count in here), {bucket: good}, {bucket: good})
@@ -51,7 +51,7 @@
 
 
 def spread(failures: int) -> list[FailureRow]:
-    """Failures that routers and upstreams share."""
+    """Return failures that are spread evenly over routers and upstreams."""
     return [(number % 4, number // 4 % 4, 1) for number in range(failures)]
 
 
@@ -94,7 +94,7 @@
         "a little slower",
     ],
 )
-def test_a_verdict(result: Verdict, is_bad: bool, is_suspect: bool) -> None:
+def test_the_verdict_on_typical_samples(result: Verdict, is_bad: bool, is_suspect: bool) -> None:
     assert (result.is_bad, result.is_suspect) == (is_bad, is_suspect), result
     assert bool(result.reason) == result.is_doubtful
 
@@ -111,7 +111,7 @@
     pool = PooledSamples(ORDER)
     for router in range(4):
         target, others = track(10, [], router), track(40, [], router)
-        target.routes["ask"].first_byte = {SLOW + 1: 10}  # five times
+        target.routes["ask"].first_byte = {SLOW + 1: 10}  # about five times the control's duration
         pool.record(f"router-{router}/a", RolloutReport(ORDER, target, others))
     assert not judge(pool, 4).is_suspect
 
@@ -137,7 +137,7 @@
     assert judge(pool, 4).reason.startswith("ask: ")
 
 
-def test_the_weights_of_all_windows_add_up_to_one_at_most() -> None:
+def test_the_weights_of_all_windows_sum_to_at_most_one() -> None:
     assert 0.99 < sum(window_weight(index) for index in range(10_000)) <= 1.0
 
 
@@ -149,8 +149,11 @@
 
 @settings(max_examples=20)
 @given(st.floats(0.01, 0.5), st.integers(1, 40))
-def test_the_mean_of_the_evidence_is_one_at_most_under_the_hypothesis(null: float, trials: int) -> None:
-    """Exactly, by the binomial distribution; a martingale of mean 1 bounds every look by Ville's inequality."""
+def test_the_mean_of_the_evidence_is_at_most_one_under_the_hypothesis(null: float, trials: int) -> None:
+    """Calculates the exact mean from the binomial distribution.
+
+    By Ville's inequality, a martingale with mean 1 bounds the probability of a false alarm at any time.
+    """
     mean = sum(
         comb(trials, hits) * null**hits * (1.0 - null) ** (trials - hits) * e_value(hits, trials, null)
         for hits in range(trials + 1)
