--- a/packages/rollouts/src/larkweir_rollouts/schedule.py
+++ b/packages/rollouts/src/larkweir_rollouts/schedule.py
@@ -25,8 +25,9 @@
 
 # Before full weight, the exposure budget determines the target's weight.
 PLANNING_FRACTIONS = (0.1, 0.8)  # the weight is planned between these fractions of the time until full weight
-PLANNED_BUDGET_FRACTION = 0.75  # spent when full weight begins; the rest is for detecting a late fault
-PAUSED_BUDGET_FRACTION = 0.9  # spent by the deadline if the weight may not grow
+# Of the budget, spent when full weight begins; the rest is for detecting a late fault.
+PLANNED_BUDGET_FRACTION = 0.75
+PAUSED_BUDGET_FRACTION = 0.9  # of the budget, spent by the deadline if the weight may not grow
 MAX_CANARY_WEIGHT = 0.25
 MIN_PAUSED_WEIGHT = 0.02  # keeps answers coming, so that a suspect version can still be judged
 MIN_CHANGE_FACTOR = 1.2  # of the weight; smaller changes do not justify a change of the replicated state
--- a/packages/rollouts/tests/rollout_curves.py
+++ b/packages/rollouts/tests/rollout_curves.py
@@ -44,7 +44,7 @@
         result = Simulation(drawn).run()
         is_rolled_back = result.state is RolloutState.ROLLED_BACK
         rolled_back += is_rolled_back
-        within_limits += _keeps_exposure_limits(drawn, result)
+        within_limits += _is_exposure_allowed(drawn, result)
         bad_answers.append(result.bad_answers)
         sends.append(result.target_sends)
     count = len(sends)
@@ -54,7 +54,7 @@
     return f"| {name} | {count} | {shares} | {median_bad:.0f} | {median_sends:.0f} |"
 
 
-def _keeps_exposure_limits(drawn: Scenario, result: Result) -> bool:
+def _is_exposure_allowed(drawn: Scenario, result: Result) -> bool:
     try:
         check_bad(drawn, result)
     except AssertionError as error:
