--- a/larkweir/controller/committed_rollouts.py
+++ b/larkweir/controller/committed_rollouts.py
@@ -78,9 +78,9 @@
     def ages(self, now_ms: float) -> dict[str, RolloutAge]:
         """Of the running ones, by service, without those that are estimates."""
         return {
-            one.rollout.service: RolloutAge(one.rollout.order_id, max(0.0, now_ms - one.ordered_ms))
-            for one in self.running()
-            if not one.is_estimate
+            known.rollout.service: RolloutAge(known.rollout.order_id, max(0.0, now_ms - known.ordered_ms))
+            for known in self.running()
+            if not known.is_estimate
         }
 
     def adopt_ages(self, ages: Mapping[str, RolloutAge], now_ms: float) -> None:
@@ -104,7 +104,7 @@
 
     def running(self) -> list[CommittedRollout]:
         """Those that are neither completed nor rolled back."""
-        return [one for one in self._by_service.values() if one.rollout.is_running]
+        return [known for known in self._by_service.values() if known.rollout.is_running]
 
 
 def _age_ms(rollout: Rollout, unix_ms: float) -> float:
--- a/larkweir/controller/configuration_delivery.py
+++ b/larkweir/controller/configuration_delivery.py
@@ -29,7 +29,7 @@
         self._history = history
         self._compressed: dict[int, CompressedConfigUpdate] = {}  # by the sequence that it builds on
 
-    def pulled(self, subscriber: Subscriber, pull: Pull) -> None:
+    def record_encodings(self, subscriber: Subscriber, pull: Pull) -> None:
         """A router has pulled; where it was asked for its encodings, this pull names them."""
         if subscriber.encodings_requested and subscriber.encodings is None:
             subscriber.encodings = frozenset(pull.encodings)
--- a/larkweir/controller/controller_links.py
+++ b/larkweir/controller/controller_links.py
@@ -60,7 +60,7 @@
         """The controllers to which there is a connection."""
         return {node for node, link in self._links.items() if link.connection is not None}
 
-    def excuse_silence(self) -> None:
+    def reset_idle_timeouts(self) -> None:
         """This process was paused: what it did not read meanwhile is not the other side's silence."""
         for link in self._links.values():
             if link.connection is not None:
--- a/larkweir/controller/inspection.py
+++ b/larkweir/controller/inspection.py
@@ -91,7 +91,11 @@
 
     def _count_ready(self) -> int:
         upstreams = self._state.registry.upstreams.values()
-        return sum(1 for one in upstreams if one.state is UpstreamState.READY and not one.has_timed_out)
+        return sum(
+            1
+            for upstream in upstreams
+            if upstream.state is UpstreamState.READY and not upstream.has_timed_out
+        )
 
     def upstreams(self) -> list[UpstreamStatus]:
         """All that are known, by service and id; those that have gone stay in the list for a while."""
@@ -99,23 +103,23 @@
         upstreams = self._state.registry.upstreams.values()
         return [
             UpstreamStatus(
-                one.id,
-                one.service,
-                one.address,
-                one.zone,
-                one.state.name.lower(),
-                one.has_timed_out,
-                one.sequence,
-                waiting.get(one.id, 0),
+                upstream.id,
+                upstream.service,
+                upstream.address,
+                upstream.zone,
+                upstream.state.name.lower(),
+                upstream.has_timed_out,
+                upstream.sequence,
+                waiting.get(upstream.id, 0),
             )
-            for one in sorted(upstreams, key=lambda one: (one.service, one.id))
+            for upstream in sorted(upstreams, key=lambda upstream: (upstream.service, upstream.id))
         ]
 
     def metrics(self, linked: list[str]) -> Sequence[Metric]:
         """All gauges, in the order in which they are printed."""
         status = self.status(linked)
         lag = max((router.sequences_behind for router in status.routers), default=0)
-        timed_out = sum(one.has_timed_out for one in self._state.registry.upstreams.values())
+        timed_out = sum(upstream.has_timed_out for upstream in self._state.registry.upstreams.values())
         waiting = sum(self._state.prefill_load.tokens_by_engine.values())
         return (
             Metric("primary", "1 where this controller is the primary", status.primary == self._node),
--- a/larkweir/controller/listeners.py
+++ b/larkweir/controller/listeners.py
@@ -61,7 +61,11 @@
 
     def receiving_nodes(self) -> list[str]:
         """The processes of which a message is arriving that is not complete yet."""
-        return [one.node for one in self._accepted if isinstance(one, Connection) and one.is_receiving]
+        return [
+            connection.node
+            for connection in self._accepted
+            if isinstance(connection, Connection) and connection.is_receiving
+        ]
 
     def stop_accepting(self) -> None:
         """Closes the listening sockets."""
--- a/larkweir/controller/message_dispatch.py
+++ b/larkweir/controller/message_dispatch.py
@@ -53,7 +53,7 @@
         """One message, of whatever kind; kinds that only routers receive are ignored."""
         match message:
             case Hello():
-                self._introduced(connection, message)
+                self._register_peer(connection, message)
             case Pull():
                 self.pulls.pull(connection, message)
             case PrefillQueueUpdate():
@@ -79,7 +79,7 @@
             case PrimaryResponse():
                 self.primary.answered(message)
 
-    def _introduced(self, connection: Connection, hello: Hello) -> None:
+    def _register_peer(self, connection: Connection, hello: Hello) -> None:
         connection.node, connection.incarnation = hello.node, hello.incarnation
         self.pulls.connected(connection, hello.role)
         if hello.role is NodeRole.CONTROLLER:
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -234,7 +234,7 @@
         self._failure_detector.reset_observation(now_ms())
         self._placement.mark_outdated()
         self._state.rollouts.mark_outdated(now_ms())
-        self._links.excuse_silence()
+        self._links.reset_idle_timeouts()
 
     def _settings_changed(self, settings: Settings) -> None:
         self.settings = settings
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -115,7 +115,7 @@
         if pull.vector is not None:
             subscriber.vector = pull.vector
         subscriber.config_sequence = pull.config_sequence
-        self._delivery.pulled(subscriber, pull)
+        self._delivery.record_encodings(subscriber, pull)
         self._set_queued_prefill_tokens(subscriber, pull.queued_prefill_tokens)
         subscriber.outcome_counts = pull.outcomes
         if subscriber.is_router and self._subscriptions.is_newest(connection):
--- a/tests/controller/test_background_tasks.py
+++ b/tests/controller/test_background_tasks.py
@@ -12,7 +12,7 @@
 
 
 def test_a_task_without_another_reference_runs_to_its_end() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ended = asyncio.Event()
 
         async def work() -> None:
@@ -25,11 +25,11 @@
         async with asyncio.timeout(5.0):
             await ended.wait()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_the_close_cancels_what_has_not_ended() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         begun, cancelled = asyncio.Event(), asyncio.Event()
 
         async def work() -> None:
@@ -47,14 +47,14 @@
         async with asyncio.timeout(5.0):
             await cancelled.wait()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_task_that_fails_is_logged_and_takes_no_other_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
     logged: list[dict[str, object]] = []
     monkeypatch.setattr(log, "event", lambda name, **fields: logged.append({"event": name, **fields}))
 
-    async def scene() -> None:
+    async def scenario() -> None:
         ended = asyncio.Event()
 
         async def fail() -> None:
@@ -69,8 +69,8 @@
         tasks.start("work", work())
         async with asyncio.timeout(5.0):
             await ended.wait()
-        assert [(one["event"], one["task"], one["error"]) for one in logged] == [
+        assert [(entry["event"], entry["task"], entry["error"]) for entry in logged] == [
             ("task_failed", "fail", "ValueError('as planned')")
         ]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/controller/test_committed_rollouts.py
+++ b/tests/controller/test_committed_rollouts.py
@@ -15,9 +15,9 @@
 @pytest.fixture
 def known() -> CommittedRollouts:
     """Of a controller that has been in contact for long."""
-    made = CommittedRollouts()
-    made.update(document(), 1, SETTLED_MS - 2 * CATCH_UP_MS, ORDERED_UNIX_MS)
-    return made
+    known = CommittedRollouts()
+    known.update(document(), 1, SETTLED_MS - 2 * CATCH_UP_MS, ORDERED_UNIX_MS)
+    return known
 
 
 def only(known: CommittedRollouts) -> CommittedRollout:
--- a/tests/controller/test_configuration_delivery.py
+++ b/tests/controller/test_configuration_delivery.py
@@ -26,22 +26,22 @@
     return msgspec.json.encode({"generation": generation, "services": listed}).decode()
 
 
-class Scene:
+class DeliveryHarness:
     """A controller's history, and one router on one connection. To be made inside a loop."""
 
     def __init__(self, services: int = LARGE) -> None:
         self.history = ConfigurationHistory()
         self.history.add(1, value(1, services))
         self.delivery = ConfigurationDelivery(self.history)
-        self.router = self.reconnected()
+        self.router = self.new_subscriber()
 
     @staticmethod
-    def reconnected() -> Subscriber:
+    def new_subscriber() -> Subscriber:
         connection = Connection(lambda connection, message: None, lambda connection: None)
         return Subscriber(connection, NodeRole.ROUTER)
 
     def answer(self, pull: Pull) -> ConfigurationAnswer:
-        self.delivery.pulled(self.router, pull)
+        self.delivery.record_encodings(self.router, pull)
         return self.delivery.answer(self.router, pull)
 
 
@@ -52,40 +52,40 @@
 
 
 def test_a_router_is_asked_once_and_sent_large_updates_compressed_from_then_on() -> None:
-    async def scene() -> None:
-        made = Scene()
-        assert made.answer(Pull()) == ConfigurationAnswer(wants_encodings=True)
-        assert generation_of(made.answer(Pull(encodings=[DEFLATE]))) == 1
-        made.history.add(2, value(2, LARGE))
-        assert generation_of(made.answer(Pull(config_sequence=1))) == 2
-        assert generation_of(made.answer(Pull())) == 2
-        made.router = made.reconnected()
-        assert made.answer(Pull(config_sequence=1)) == ConfigurationAnswer(wants_encodings=True)
-        assert made.answer(Pull(config_sequence=2, encodings=[DEFLATE])) == ConfigurationAnswer()
+    async def scenario() -> None:
+        harness = DeliveryHarness()
+        assert harness.answer(Pull()) == ConfigurationAnswer(wants_encodings=True)
+        assert generation_of(harness.answer(Pull(encodings=[DEFLATE]))) == 1
+        harness.history.add(2, value(2, LARGE))
+        assert generation_of(harness.answer(Pull(config_sequence=1))) == 2
+        assert generation_of(harness.answer(Pull())) == 2
+        harness.router = harness.new_subscriber()
+        assert harness.answer(Pull(config_sequence=1)) == ConfigurationAnswer(wants_encodings=True)
+        assert harness.answer(Pull(config_sequence=2, encodings=[DEFLATE])) == ConfigurationAnswer()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("encodings", [[], ["of-a-later-version"]])
 def test_a_router_that_names_none_that_is_known_is_sent_the_plain_update(encodings: list[str]) -> None:
-    async def scene() -> None:
-        made = Scene()
-        assert made.answer(Pull()).wants_encodings
-        plain = made.answer(Pull(encodings=encodings))
-        assert plain.config == made.history.update_from(-1)
+    async def scenario() -> None:
+        harness = DeliveryHarness()
+        assert harness.answer(Pull()).wants_encodings
+        plain = harness.answer(Pull(encodings=encodings))
+        assert plain.config == harness.history.update_from(-1)
         assert plain.compressed_config is None
         assert not plain.wants_encodings
-        assert not made.answer(Pull()).wants_encodings
+        assert not harness.answer(Pull()).wants_encodings
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_small_update_is_sent_plain_and_unasked() -> None:
-    async def scene() -> None:
-        made = Scene(SMALL)
-        update = made.history.update_from(-1)
+    async def scenario() -> None:
+        harness = DeliveryHarness(SMALL)
+        update = harness.history.update_from(-1)
         assert update is not None
         assert len(bytes(update.body)) < MIN_COMPRESSED_BYTES
-        assert made.answer(Pull()) == ConfigurationAnswer(config=update)
+        assert harness.answer(Pull()) == ConfigurationAnswer(config=update)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/controller/test_configuration_history.py
+++ b/tests/controller/test_configuration_history.py
@@ -14,10 +14,10 @@
 
 @pytest.fixture
 def history() -> ConfigurationHistory:
-    made = ConfigurationHistory()
+    history = ConfigurationHistory()
     for number in (1, 2, 3):
-        made.add(number, version(number))
-    return made
+        history.add(number, version(number))
+    return history
 
 
 def test_without_a_configuration_there_is_no_update() -> None:
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -11,7 +11,7 @@
 from tests.controller.conftest import FakeLinks
 
 
-class RolloutsPart:
+class FakeRolloutsApi:
     """Each answer names the method that gave it."""
 
     async def list(self) -> Response:
@@ -27,7 +27,7 @@
         return Response(200, f"rollout abort {service}".encode())
 
 
-class Parts:
+class FakeApis:
     """Operators', instances' and inspection's part in one; each answer names the method that gave it."""
 
     async def get(self) -> Response:
@@ -83,7 +83,7 @@
     method: str, target: str, status: int, body: bytes, links: FakeLinks
 ) -> None:
     links.connected = {"e", "d"}
-    parts = Parts()
-    api = ControlApi(parts, parts, parts, links, RolloutsPart())  # type: ignore[arg-type]
+    apis = FakeApis()
+    api = ControlApi(apis, apis, apis, links, FakeRolloutsApi())  # type: ignore[arg-type]
     response = asyncio.run(api.handle(Request(method, target, {}, b"")))
     assert (response.status, response.body) == (status, body)
--- a/tests/controller/test_controller_links.py
+++ b/tests/controller/test_controller_links.py
@@ -37,9 +37,9 @@
 @pytest.fixture
 def links(monkeypatch: pytest.MonkeyPatch) -> ControllerLinks:
     monkeypatch.setattr(controller_links, "Link", FakeLink)
-    made = ControllerLinks(lambda: 7_500, lambda connection, message: None, lambda connection: None)
-    made.keep_alive(["d", "e"])
-    return made
+    links = ControllerLinks(lambda: 7_500, lambda connection, message: None, lambda connection: None)
+    links.keep_alive(["d", "e"])
+    return links
 
 
 def link(links: ControllerLinks, node: str) -> Any:
@@ -81,11 +81,11 @@
 
 @pytest.mark.parametrize("reason", ["referenced", "connected"])
 def test_a_node_that_is_referenced_or_connected_is_not_dropped(reason: str, links: ControllerLinks) -> None:
-    one = link(links, "d")
-    one.failures = FORGET_AFTER_FAILURES
-    one.connection = object() if reason == "connected" else None
+    kept = link(links, "d")
+    kept.failures = FORGET_AFTER_FAILURES
+    kept.connection = object() if reason == "connected" else None
     assert links.drop_unreachable({"d"} if reason == "referenced" else set()) == []
-    assert not one.is_closed
+    assert not kept.is_closed
 
 
 def test_the_close_ends_all_links(links: ControllerLinks) -> None:
--- a/tests/controller/test_delivery_confirmation.py
+++ b/tests/controller/test_delivery_confirmation.py
@@ -17,7 +17,7 @@
 NEVER_S = 1_000.0
 
 
-class Scene:
+class ConfirmationHarness:
     """A registry that has noted one upstream, and a router and a controller that lack it. Made inside a loop."""
 
     def __init__(self) -> None:
@@ -36,69 +36,69 @@
         assert subscriber is not None
         return subscriber
 
-    def has_it(self, subscriber: Subscriber) -> None:
+    def report_delivery(self, subscriber: Subscriber) -> None:
         subscriber.vector = dict(self.registry.vector)
         self.confirmation.check()
 
 
-Play = Callable[[Scene], Awaitable[None]]
+Scenario = Callable[[ConfirmationHarness], Awaitable[None]]
 
 
-def play(scene: Play) -> None:
+def run_scenario(scenario: Scenario) -> None:
     async def run() -> None:
-        await scene(Scene())
+        await scenario(ConfirmationHarness())
 
     asyncio.run(run())
 
 
 def test_it_waits_for_every_subscriber() -> None:
-    async def scene(made: Scene) -> None:
-        waiting = asyncio.ensure_future(made.confirmation.wait(NEVER_S))
+    async def scenario(harness: ConfirmationHarness) -> None:
+        waiting = asyncio.ensure_future(harness.confirmation.wait(NEVER_S))
         await asyncio.sleep(0)
-        made.has_it(made.controller)
+        harness.report_delivery(harness.controller)
         await asyncio.sleep(0)
         assert not waiting.done()
-        made.has_it(made.router)
+        harness.report_delivery(harness.router)
         assert await waiting == {"d"}
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_after_the_time_out_it_returns_the_controllers_that_have_it() -> None:
-    async def scene(made: Scene) -> None:
-        made.has_it(made.controller)
-        assert await made.confirmation.wait(0.01) == {"d"}
+    async def scenario(harness: ConfirmationHarness) -> None:
+        harness.report_delivery(harness.controller)
+        assert await harness.confirmation.wait(0.01) == {"d"}
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_router_that_has_it_is_no_controller_that_has_it() -> None:
-    async def scene(made: Scene) -> None:
-        made.has_it(made.router)
-        assert await made.confirmation.wait(0.01) == set()
+    async def scenario(harness: ConfirmationHarness) -> None:
+        harness.report_delivery(harness.router)
+        assert await harness.confirmation.wait(0.01) == set()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_it_does_not_wait_for_a_subscriber_that_was_removed() -> None:
-    async def scene(made: Scene) -> None:
-        made.subscriptions.remove(made.router.connection)
-        made.has_it(made.controller)
+    async def scenario(harness: ConfirmationHarness) -> None:
+        harness.subscriptions.remove(harness.router.connection)
+        harness.report_delivery(harness.controller)
         async with asyncio.timeout(5.0):
-            assert await made.confirmation.wait(NEVER_S) == {"d"}
+            assert await harness.confirmation.wait(NEVER_S) == {"d"}
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_cancelled_wait_is_forgotten() -> None:
-    async def scene(made: Scene) -> None:
-        waiting = asyncio.ensure_future(made.confirmation.wait(NEVER_S))
+    async def scenario(harness: ConfirmationHarness) -> None:
+        waiting = asyncio.ensure_future(harness.confirmation.wait(NEVER_S))
         await asyncio.sleep(0)
         waiting.cancel()
         with pytest.raises(asyncio.CancelledError):
             await waiting
-        made.has_it(made.controller)
-        made.has_it(made.router)
-        assert await made.confirmation.wait(NEVER_S) == {"d"}
+        harness.report_delivery(harness.controller)
+        harness.report_delivery(harness.router)
+        assert await harness.confirmation.wait(NEVER_S) == {"d"}
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/controller/test_disk_writer.py
+++ b/tests/controller/test_disk_writer.py
@@ -41,7 +41,7 @@
         self.contents[name] = self.contents.pop(new)
 
 
-class Scene:
+class WriterHarness:
     """A writer, and the notifications that it has sent."""
 
     def __init__(self) -> None:
@@ -52,20 +52,20 @@
         loop = asyncio.get_running_loop()
         self.writer = DiskWriter(self.journal, self.files, loop, self.persisted.append, self.failed.append)
 
-    async def until(self, found: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(10.0):
-            while not found():
+            while not condition():
                 await asyncio.sleep(0.001)
 
 
 @asynccontextmanager
-async def writing() -> AsyncIterator[Scene]:
-    scene = Scene()
+async def disk_writer_harness() -> AsyncIterator[WriterHarness]:
+    harness = WriterHarness()
     try:
-        yield scene
+        yield harness
     finally:
-        scene.files.may_write.set()
-        scene.writer.close()
+        harness.files.may_write.set()
+        harness.writer.close()
 
 
 def durable(number: int) -> DurableState:
@@ -73,86 +73,86 @@
 
 
 def test_the_newest_queued_record_supersedes_the_earlier_ones() -> None:
-    async def scene() -> None:
-        async with writing() as made:
-            made.writer.write_hint("a.hint", b"a")  # the thread waits in it
-            await made.until(made.files.is_writing.is_set)
+    async def scenario() -> None:
+        async with disk_writer_harness() as harness:
+            harness.writer.write_hint("a.hint", b"a")  # the thread waits in it
+            await harness.wait_until(harness.files.is_writing.is_set)
             for token in (1, 2, 3):
-                made.writer.write_record(token, durable(token))
-            made.files.may_write.set()
-            await made.until(lambda: made.persisted == [3])
-            assert made.journal.newest == durable(3)
+                harness.writer.write_record(token, durable(token))
+            harness.files.may_write.set()
+            await harness.wait_until(lambda: harness.persisted == [3])
+            assert harness.journal.newest == durable(3)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_hint_is_written_after_the_record_that_is_being_written() -> None:
-    async def scene() -> None:
-        async with writing() as made:
-            made.writer.write_record(1, durable(1))
-            await made.until(made.files.is_writing.is_set)
-            made.writer.write_hint("a.hint", b"a")
-            made.writer.write_record(2, durable(2))
-            made.files.may_write.set()
-            await made.until(lambda: made.persisted == [1, 2])
-            assert made.files.appended == ["replica.log", "a.hint.new", "replica.log"]
+    async def scenario() -> None:
+        async with disk_writer_harness() as harness:
+            harness.writer.write_record(1, durable(1))
+            await harness.wait_until(harness.files.is_writing.is_set)
+            harness.writer.write_hint("a.hint", b"a")
+            harness.writer.write_record(2, durable(2))
+            harness.files.may_write.set()
+            await harness.wait_until(lambda: harness.persisted == [1, 2])
+            assert harness.files.appended == ["replica.log", "a.hint.new", "replica.log"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_hint_replaces_its_file_and_is_read_again() -> None:
-    async def scene() -> None:
-        async with writing() as made:
-            made.files.may_write.set()
-            assert made.writer.read_hint("a.hint") is None
-            made.writer.write_hint("a.hint", b"1")
-            await made.until(lambda: made.writer.read_hint("a.hint") == b"1")
-            made.writer.write_hint("a.hint", b"2")
-            await made.until(lambda: made.writer.read_hint("a.hint") == b"2")
-            assert list(made.files.contents) == ["a.hint"]
+    async def scenario() -> None:
+        async with disk_writer_harness() as harness:
+            harness.files.may_write.set()
+            assert harness.writer.read_hint("a.hint") is None
+            harness.writer.write_hint("a.hint", b"1")
+            await harness.wait_until(lambda: harness.writer.read_hint("a.hint") == b"1")
+            harness.writer.write_hint("a.hint", b"2")
+            await harness.wait_until(lambda: harness.writer.read_hint("a.hint") == b"2")
+            assert list(harness.files.contents) == ["a.hint"]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_failed_record_is_notified_as_failed_and_the_thread_goes_on() -> None:
-    async def scene() -> None:
-        async with writing() as made:
-            made.files.may_write.set()
-            made.files.fails = True
-            made.writer.write_record(1, durable(1))
-            await made.until(lambda: made.failed == [1])
-            made.files.fails = False
-            made.writer.write_record(2, durable(2))
-            await made.until(lambda: made.persisted == [2])
+    async def scenario() -> None:
+        async with disk_writer_harness() as harness:
+            harness.files.may_write.set()
+            harness.files.fails = True
+            harness.writer.write_record(1, durable(1))
+            await harness.wait_until(lambda: harness.failed == [1])
+            harness.files.fails = False
+            harness.writer.write_record(2, durable(2))
+            await harness.wait_until(lambda: harness.persisted == [2])
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_failed_hint_is_lost_and_the_thread_goes_on() -> None:
-    async def scene() -> None:
-        async with writing() as made:
-            made.files.may_write.set()
-            made.files.fails = True
-            made.writer.write_hint("a.hint", b"1")
-            await made.until(lambda: made.files.appended == ["a.hint.new"])
-            made.files.fails = False
-            made.writer.write_record(1, durable(1))
-            await made.until(lambda: made.persisted == [1])
-            assert made.writer.read_hint("a.hint") is None
+    async def scenario() -> None:
+        async with disk_writer_harness() as harness:
+            harness.files.may_write.set()
+            harness.files.fails = True
+            harness.writer.write_hint("a.hint", b"1")
+            await harness.wait_until(lambda: harness.files.appended == ["a.hint.new"])
+            harness.files.fails = False
+            harness.writer.write_record(1, durable(1))
+            await harness.wait_until(lambda: harness.persisted == [1])
+            assert harness.writer.read_hint("a.hint") is None
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_what_is_queued_at_the_close_is_not_written() -> None:
-    async def scene() -> None:
-        async with writing() as made:
-            made.writer.write_hint("a.hint", b"a")
-            await made.until(made.files.is_writing.is_set)
-            made.writer.write_record(1, durable(1))
-            made.writer.close()
-            made.files.may_write.set()
-            made.writer._thread.join(10.0)
-            assert not made.writer._thread.is_alive()
-            assert list(made.files.contents) == ["a.hint"]
-
-    asyncio.run(scene())
+    async def scenario() -> None:
+        async with disk_writer_harness() as harness:
+            harness.writer.write_hint("a.hint", b"a")
+            await harness.wait_until(harness.files.is_writing.is_set)
+            harness.writer.write_record(1, durable(1))
+            harness.writer.close()
+            harness.files.may_write.set()
+            harness.writer._thread.join(10.0)
+            assert not harness.writer._thread.is_alive()
+            assert list(harness.files.contents) == ["a.hint"]
+
+    asyncio.run(scenario())
--- a/tests/controller/test_golden.py
+++ b/tests/controller/test_golden.py
@@ -88,17 +88,17 @@
 larkweir_quota_share 1.0
 """
 
-Scene = Callable[[Fleet], Awaitable[None]]
+Scenario = Callable[[Fleet], Awaitable[None]]
 
 
-def alone(folder: Path, scene: Scene, answer_timeout_s: float = PATIENCE_S) -> None:
+def run_with_one_controller(folder: Path, scenario: Scenario, answer_timeout_s: float = PATIENCE_S) -> None:
     """Plays the scene with one controller that is a majority by itself.
 
     A disk that is busy with others' files holds a change up, and 503 after 0.9 s is a right answer then: a scene that
     is about other answers has the controller wait for its disk.
     """
     with patch.object(operator_api, "ANSWER_TIMEOUT_S", answer_timeout_s):
-        play(folder, scene, controllers=1, routers=0, tolerance=0)
+        play(folder, scenario, controllers=1, routers=0, tolerance=0)
 
 
 def replica_folder(fleet: Fleet) -> Path:
@@ -109,29 +109,29 @@
     return fleet.control[0].partition(":")[0]
 
 
-def neutral(fleet: Fleet, data: bytes) -> bytes:
+def normalize(fleet: Fleet, data: bytes) -> bytes:
     """The same whatever address this run has, and whatever incarnation the controller."""
     data = data.replace(address_of(fleet).encode(), b"IP")
     return re.sub(rb"IP/[0-9a-f]{12}", b"IP/LIFE", data)
 
 
-async def answered(
+async def request(
     fleet: Fleet, method: str, target: str, body: bytes = b"", **headers: str
 ) -> tuple[int, bytes]:
     reply = await ask(fleet.control[0], method, target, body, **headers)
-    return reply.status, neutral(fleet, reply.body)
+    return reply.status, normalize(fleet, reply.body)
 
 
-async def leads(fleet: Fleet) -> None:
+async def wait_until_primary(fleet: Fleet) -> None:
     """Until the controller is the primary and its links count."""
 
     async def found() -> bool:
-        return (await answered(fleet, "GET", "/config"))[0] in (200, 404)
+        return (await request(fleet, "GET", "/config"))[0] in (200, 404)
 
     await fleet.until(found)
 
 
-async def hands_out_quotas(fleet: Fleet) -> None:
+async def wait_for_quota_share(fleet: Fleet) -> None:
     """Until the controller holds a share of all quotas."""
 
     async def found() -> bool:
@@ -141,7 +141,7 @@
     await fleet.until(found)
 
 
-async def until_file(path: Path, expected: bytes) -> None:
+async def wait_for_file(path: Path, expected: bytes) -> None:
     """Fails with what is there where the expected bytes do not come."""
     for _ in range(400):
         if path.exists() and path.read_bytes() == expected:
@@ -179,15 +179,15 @@
         async with asyncio.timeout(5.0):
             while not (line := await self.reader.readline()).startswith(b'{"type":"%s"' % kind):
                 assert line, "the connection ended"
-        return neutral(self.fleet, line)
+        return normalize(self.fleet, line)
 
 
-async def heartbeats(fleet: Fleet) -> None:
-    assert await answered(fleet, "PUT", "/instances/u1", FIRST_HEARTBEAT) == (200, b"{}")
-    assert await answered(fleet, "PUT", "/instances/u2", SECOND_HEARTBEAT) == (200, b"{}")
+async def send_heartbeats(fleet: Fleet) -> None:
+    assert await request(fleet, "PUT", "/instances/u1", FIRST_HEARTBEAT) == (200, b"{}")
+    assert await request(fleet, "PUT", "/instances/u2", SECOND_HEARTBEAT) == (200, b"{}")
 
 
-async def placements(router: Peer) -> list[bytes]:
+async def request_placements(router: Peer) -> list[bytes]:
     found = []
     for head in (b"h1", b"h2", b"h3", b"h3"):
         known = b',"known":"u2"' if head == b"h3" else b""
@@ -199,12 +199,12 @@
 
 
 def test_hint_files_and_placements(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await leads(fleet)
-        await heartbeats(fleet)
+    async def scenario(fleet: Fleet) -> None:
+        await wait_until_primary(fleet)
+        await send_heartbeats(fleet)
         async with Peer(fleet) as router:
             router.send(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
-            assert await placements(router) == [
+            assert await request_placements(router) == [
                 b'{"type":"placed","head":"h1","engine":"u1","kept":false}\n',
                 b'{"type":"placed","head":"h2","engine":"u2","kept":false}\n',
                 b'{"type":"placed","head":"h3","engine":"u2","kept":true}\n',
@@ -212,26 +212,26 @@
                 b'{"type":"placed","head":"h9","engine":null,"kept":false}\n',
             ]
         folder = replica_folder(fleet)
-        await until_file(folder / "upstreams.hint", UPSTREAMS_HINT)
-        await until_file(folder / "placements.hint", PLACEMENTS_HINT)
+        await wait_for_file(folder / "upstreams.hint", UPSTREAMS_HINT)
+        await wait_for_file(folder / "placements.hint", PLACEMENTS_HINT)
         assert sorted(path.name for path in folder.iterdir()) == [
             "placements.hint",
             "replica.log",
             "upstreams.hint",
         ]
 
-    alone(tmp_path, scene)
+    run_with_one_controller(tmp_path, scenario)
 
 
 def test_hint_files_of_an_earlier_start_are_read(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await leads(fleet)
+    async def scenario(fleet: Fleet) -> None:
+        await wait_until_primary(fleet)
         await fleet.kill(fleet.control[0])
         folder = replica_folder(fleet)
         (folder / "upstreams.hint").write_bytes(UPSTREAMS_HINT)
         (folder / "placements.hint").write_bytes(PLACEMENTS_HINT)
         fleet.start_controller(0)
-        await leads(fleet)
+        await wait_until_primary(fleet)
         async with Peer(fleet) as router:
             router.send(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
             router.send(b'{"type":"place","service":"s","head":"h3","tokens":5000.0}')
@@ -241,7 +241,7 @@
             delta = await router.receive(b"delta")
             assert delta == b'{"type":"delta",' + RECORDS + b',"controllers":["IP"],"grants_quotas":false}\n'
 
-    alone(tmp_path, scene)
+    run_with_one_controller(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -250,43 +250,43 @@
     ids=["upstreams", "placements"],
 )
 def test_a_damaged_hint_file_is_passed_over(name: str, data: bytes, tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await leads(fleet)
+    async def scenario(fleet: Fleet) -> None:
+        await wait_until_primary(fleet)
         await fleet.kill(fleet.control[0])
         (replica_folder(fleet) / name).write_bytes(data)
         fleet.start_controller(0)
-        await leads(fleet)
-        assert await answered(fleet, "GET", "/upstreams") == (200, b"[]")
-        await heartbeats(fleet)
+        await wait_until_primary(fleet)
+        assert await request(fleet, "GET", "/upstreams") == (200, b"[]")
+        await send_heartbeats(fleet)
         async with Peer(fleet) as router:
             router.send(b'{"type":"place","service":"s","head":"h3","tokens":5000.0}')
             placed = await router.receive(b"placed")
             assert placed == b'{"type":"placed","head":"h3","engine":"u1","kept":false}\n'
 
-    alone(tmp_path, scene)
+    run_with_one_controller(tmp_path, scenario)
 
 
 def test_answers_to_operators(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await leads(fleet)
-        assert await answered(fleet, "GET", "/config") == (404, b'{"error":"there is no configuration yet"}')
+    async def scenario(fleet: Fleet) -> None:
+        await wait_until_primary(fleet)
+        assert await request(fleet, "GET", "/config") == (404, b'{"error":"there is no configuration yet"}')
         unbased = b'{"error":"If-Match: the version that the change builds on is needed"}'
-        assert await answered(fleet, "PUT", "/config", CONFIGURATION) == (400, unbased)
-        assert await answered(fleet, "PUT", "/config", b"\xff", If_Match="0") == (
+        assert await request(fleet, "PUT", "/config", CONFIGURATION) == (400, unbased)
+        assert await request(fleet, "PUT", "/config", b"\xff", If_Match="0") == (
             400,
             b'{"error":"the body is no UTF-8"}',
         )
-        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match='"0"') == (200, b"{}")
-        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
-        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="7") == (
+        assert await request(fleet, "PUT", "/config", CONFIGURATION, If_Match='"0"') == (200, b"{}")
+        assert await request(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
+        assert await request(fleet, "PUT", "/config", CONFIGURATION, If_Match="7") == (
             412,
             b'{"error":"the version in place is 3, not 7"}',
         )
-        assert await answered(fleet, "PATCH", "/config", b"[]", If_Match="3") == (
+        assert await request(fleet, "PATCH", "/config", b"[]", If_Match="3") == (
             400,
             b'{"error":"the body is no object"}',
         )
-        assert await answered(fleet, "GET", "/config?x=1") == (200, CONFIGURATION)
+        assert await request(fleet, "GET", "/config?x=1") == (200, CONFIGURATION)
         for method, target, status in [
             ("DELETE", "/config", 405),
             ("POST", "/instances/u1", 405),
@@ -294,54 +294,54 @@
             ("PUT", "/status", 404),
             ("GET", "/nothing", 404),
         ]:
-            assert await answered(fleet, method, target) == (status, b"")
+            assert await request(fleet, method, target) == (status, b"")
 
-    alone(tmp_path, scene)
+    run_with_one_controller(tmp_path, scenario)
 
 
 def test_a_change_that_the_disk_holds_up_is_unknown_and_taken_once_when_it_is_repeated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    disk_answers = threading.Event()
-    disk_answers.set()
+    disk_released = threading.Event()
+    disk_released.set()
     append = FolderFiles.append
 
-    def append_held_up(self: FolderFiles, name: str, offset: int, data: bytes) -> None:
-        assert disk_answers.wait(PATIENCE_S)
+    def append_when_released(self: FolderFiles, name: str, offset: int, data: bytes) -> None:
+        assert disk_released.wait(PATIENCE_S)
         append(self, name, offset, data)
 
-    monkeypatch.setattr(FolderFiles, "append", append_held_up)
+    monkeypatch.setattr(FolderFiles, "append", append_when_released)
 
-    async def scene(fleet: Fleet) -> None:
-        await leads(fleet)
-        disk_answers.clear()
-        held_up = await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0")
-        disk_answers.set()
-        assert held_up == (503, b'{"error":"no primary answers"}')
+    async def scenario(fleet: Fleet) -> None:
+        await wait_until_primary(fleet)
+        disk_released.clear()
+        answer = await request(fleet, "PUT", "/config", CONFIGURATION, If_Match="0")
+        disk_released.set()
+        assert answer == (503, b'{"error":"no primary answers"}')
         with patch.object(operator_api, "ANSWER_TIMEOUT_S", PATIENCE_S):
-            assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
-            assert await answered(fleet, "GET", "/config") == (200, CONFIGURATION)
-        assert b'"sequence":1,' in (await answered(fleet, "GET", "/status"))[1]
+            assert await request(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
+            assert await request(fleet, "GET", "/config") == (200, CONFIGURATION)
+        assert b'"sequence":1,' in (await request(fleet, "GET", "/status"))[1]
 
-    alone(tmp_path, scene, answer_timeout_s=0.2)
+    run_with_one_controller(tmp_path, scenario, answer_timeout_s=0.2)
 
 
 def test_answers_to_upstreams_and_what_is_shown_of_them(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await leads(fleet)
-        await hands_out_quotas(fleet)
-        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
-        await heartbeats(fleet)
-        assert await answered(fleet, "GET", "/status") == (200, STATUS)
-        assert await answered(fleet, "PUT", "/instances/u1", DRAINING_HEARTBEAT) == (200, b"{}")
-        assert await answered(fleet, "DELETE", "/instances/u3") == (200, b"{}")
-        assert await answered(fleet, "PUT", "/instances/u2", b" " * 5_000) == (413, b"")
+    async def scenario(fleet: Fleet) -> None:
+        await wait_until_primary(fleet)
+        await wait_for_quota_share(fleet)
+        assert await request(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
+        await send_heartbeats(fleet)
+        assert await request(fleet, "GET", "/status") == (200, STATUS)
+        assert await request(fleet, "PUT", "/instances/u1", DRAINING_HEARTBEAT) == (200, b"{}")
+        assert await request(fleet, "DELETE", "/instances/u3") == (200, b"{}")
+        assert await request(fleet, "PUT", "/instances/u2", b" " * 5_000) == (413, b"")
         missing = b'{"error":"Object missing required field `backend`"}'
-        assert await answered(fleet, "PUT", "/instances/u2", b"{}") == (400, missing)
+        assert await request(fleet, "PUT", "/instances/u2", b"{}") == (400, missing)
         odd = SECOND_HEARTBEAT.replace(b"}", b',"state":"odd"}')
         unknown = b'{"error":"Invalid enum value \'odd\' - at `$.state`"}'
-        assert await answered(fleet, "PUT", "/instances/u2", odd) == (400, unknown)
-        assert await answered(fleet, "GET", "/upstreams") == (200, UPSTREAMS)
+        assert await request(fleet, "PUT", "/instances/u2", odd) == (400, unknown)
+        assert await request(fleet, "GET", "/upstreams") == (200, UPSTREAMS)
         reply = await ask(fleet.control[0], "GET", "/metrics")
         assert (reply.status, reply.body) == (200, METRICS)
         assert {name: reply.headers[name] for name in sorted(reply.headers)} == {
@@ -349,40 +349,40 @@
             "content-type": "text/plain; version=0.0.4",
         }
 
-    alone(tmp_path, scene)
+    run_with_one_controller(tmp_path, scenario)
 
 
 def test_answers_without_a_majority(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         for address in fleet.control[1:]:
             await fleet.kill(address)
 
         async def serves() -> bool:
-            return (await answered(fleet, "GET", "/status"))[0] == 200
+            return (await request(fleet, "GET", "/status"))[0] == 200
 
         await fleet.until(serves)
         no_majority = (503, b'{"error":"no majority of controllers is in reach"}')
-        assert await answered(fleet, "PUT", "/instances/u1", FIRST_HEARTBEAT) == no_majority
-        assert await answered(fleet, "PUT", "/instances/u1", DRAINING_HEARTBEAT) == no_majority
-        assert await answered(fleet, "DELETE", "/instances/u1") == no_majority
+        assert await request(fleet, "PUT", "/instances/u1", FIRST_HEARTBEAT) == no_majority
+        assert await request(fleet, "PUT", "/instances/u1", DRAINING_HEARTBEAT) == no_majority
+        assert await request(fleet, "DELETE", "/instances/u1") == no_majority
         no_primary = (503, b'{"error":"no primary answers"}')
-        assert await answered(fleet, "GET", "/config") == no_primary
-        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == no_primary
+        assert await request(fleet, "GET", "/config") == no_primary
+        assert await request(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == no_primary
         async with Peer(fleet) as controller:
             controller.send(b'{"type":"forward","ticket":7,"command":null}')
             assert await controller.receive(b"forwarded") == (
                 b'{"type":"forwarded","ticket":7,"status":0,"detail":"","value":""}\n'
             )
 
-    play(tmp_path, scene, controllers=3, routers=0)
+    play(tmp_path, scenario, controllers=3, routers=0)
 
 
 def test_lines_to_a_router(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await leads(fleet)
-        await hands_out_quotas(fleet)
-        assert await answered(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
-        await heartbeats(fleet)
+    async def scenario(fleet: Fleet) -> None:
+        await wait_until_primary(fleet)
+        await wait_for_quota_share(fleet)
+        assert await request(fleet, "PUT", "/config", CONFIGURATION, If_Match="0") == (200, b"{}")
+        await send_heartbeats(fleet)
         async with Peer(fleet) as router, Peer(fleet) as other:
             router.send(b'{"type":"hello","node":"r","kind":"router","life":"l"}')
             other.send(b'{"type":"hello","node":"o","kind":"router","life":"m"}')
@@ -401,7 +401,7 @@
                 + b'"grants_quotas":true}\n'
             )
             patch = b'{"generation":4,"upsert":{"services":[{"name":"s2"}]}}'
-            assert await answered(fleet, "PATCH", "/config", patch, If_Match="3") == (200, b"{}")
+            assert await request(fleet, "PATCH", "/config", patch, If_Match="3") == (200, b"{}")
             router.send(b'{"type":"pull","config":1}')
             assert await router.receive(b"delta") == (
                 b'{"type":"delta","config":{"sequence":2,"base":1,"body":{"upsert":{"services":[{"name":"s2"}]},'
@@ -415,13 +415,13 @@
             )
             assert await router.receive(b"ping") == b'{"type":"ping"}\n'
 
-    alone(tmp_path, scene)
+    run_with_one_controller(tmp_path, scenario)
 
 
 def test_lines_to_another_controller(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await leads(fleet)
-        await hands_out_quotas(fleet)
+    async def scenario(fleet: Fleet) -> None:
+        await wait_until_primary(fleet)
+        await wait_for_quota_share(fleet)
         async with Peer(fleet) as controller:
             controller.send(b'{"type":"hello","node":"IP2","kind":"controller","life":"l"}')
             controller.send(
@@ -456,4 +456,4 @@
             controller.send(b'{"type":"delta"}')
             assert await controller.receive(b"pull") == b'{"type":"pull",' + claim + b"}\n"
 
-    alone(tmp_path, scene)
+    run_with_one_controller(tmp_path, scenario)
--- a/tests/controller/test_heartbeat_monitor.py
+++ b/tests/controller/test_heartbeat_monitor.py
@@ -22,7 +22,7 @@
     was_connected = True
 
 
-class Scene:
+class MonitorHarness:
     """Two upstreams, heard once at the start, and a clock that the test sets."""
 
     def __init__(self, links: FakeLinks) -> None:
@@ -48,58 +48,58 @@
         self.updates += 1
 
     @property
-    def silent(self) -> list[str]:
-        return [one.id for one in self.registry.upstreams.values() if one.has_timed_out]
+    def timed_out(self) -> list[str]:
+        return [upstream.id for upstream in self.registry.upstreams.values() if upstream.has_timed_out]
 
 
 @pytest.fixture
-def scene(links: FakeLinks, monkeypatch: pytest.MonkeyPatch) -> Scene:
-    made = Scene(links)
-    monkeypatch.setattr(heartbeat_monitor, "now_ms", lambda: made.present_ms)
-    return made
+def harness(links: FakeLinks, monkeypatch: pytest.MonkeyPatch) -> MonitorHarness:
+    harness = MonitorHarness(links)
+    monkeypatch.setattr(heartbeat_monitor, "now_ms", lambda: harness.present_ms)
+    return harness
 
 
-def test_received_heartbeats_are_sent_to_the_others_once(scene: Scene, links: FakeLinks) -> None:
+def test_received_heartbeats_are_sent_to_the_others_once(harness: MonitorHarness, links: FakeLinks) -> None:
     links.connected = {"d", "e"}
-    scene.monitor.share()
-    scene.monitor.share()
+    harness.monitor.share()
+    harness.monitor.share()
     assert links.sent == [
         ("d", HeartbeatReport({"u": 7, "gone": 7})),
         ("e", HeartbeatReport({"u": 7, "gone": 7})),
     ]
 
 
-def test_an_upstream_whose_heartbeats_have_stopped_is_marked_once(scene: Scene) -> None:
-    scene.present_ms = scene.failure_detector.timeout_ms
-    scene.monitor.evaluate()
-    scene.monitor.evaluate()
-    assert scene.silent == ["u"]
-    assert scene.updates == 1
-
-
-def test_an_upstream_is_not_marked_before_its_time(scene: Scene) -> None:
-    scene.present_ms = scene.failure_detector.timeout_ms - 1.0
-    scene.monitor.evaluate()
-    assert scene.silent == []
-    assert scene.updates == 0
-
-
-def test_without_contact_and_for_a_while_after_it_silence_proves_nothing(scene: Scene) -> None:
-    scene.contact.was_connected = False
-    scene.present_ms = 2.0 * scene.failure_detector.timeout_ms
-    scene.monitor.evaluate()
-    scene.contact.was_connected = True
-    scene.present_ms = 3.0 * scene.failure_detector.timeout_ms - 1.0
-    scene.monitor.evaluate()
-    assert scene.silent == []
-    scene.present_ms = 3.0 * scene.failure_detector.timeout_ms
-    scene.monitor.evaluate()
-    assert scene.silent == ["u"]
-
-
-def test_an_offered_upstream_that_sends_no_heartbeat_is_marked(scene: Scene) -> None:
-    scene.unconfirmed.add([Upstream("old", "s", "127.0.0.1:1", "z", sequence=3)], 0.0)
-    scene.present_ms = scene.failure_detector.timeout_ms
-    scene.monitor.evaluate()
-    assert "old" in scene.silent
-    assert scene.updates >= 1
+def test_an_upstream_whose_heartbeats_have_stopped_is_marked_once(harness: MonitorHarness) -> None:
+    harness.present_ms = harness.failure_detector.timeout_ms
+    harness.monitor.evaluate()
+    harness.monitor.evaluate()
+    assert harness.timed_out == ["u"]
+    assert harness.updates == 1
+
+
+def test_an_upstream_is_not_marked_before_its_time(harness: MonitorHarness) -> None:
+    harness.present_ms = harness.failure_detector.timeout_ms - 1.0
+    harness.monitor.evaluate()
+    assert harness.timed_out == []
+    assert harness.updates == 0
+
+
+def test_without_contact_and_for_a_while_after_it_silence_proves_nothing(harness: MonitorHarness) -> None:
+    harness.contact.was_connected = False
+    harness.present_ms = 2.0 * harness.failure_detector.timeout_ms
+    harness.monitor.evaluate()
+    harness.contact.was_connected = True
+    harness.present_ms = 3.0 * harness.failure_detector.timeout_ms - 1.0
+    harness.monitor.evaluate()
+    assert harness.timed_out == []
+    harness.present_ms = 3.0 * harness.failure_detector.timeout_ms
+    harness.monitor.evaluate()
+    assert harness.timed_out == ["u"]
+
+
+def test_an_offered_upstream_that_sends_no_heartbeat_is_marked(harness: MonitorHarness) -> None:
+    harness.unconfirmed.add([Upstream("old", "s", "127.0.0.1:1", "z", sequence=3)], 0.0)
+    harness.present_ms = harness.failure_detector.timeout_ms
+    harness.monitor.evaluate()
+    assert "old" in harness.timed_out
+    assert harness.updates >= 1
