--- a/larkweir/controller/call_outcome.py
+++ b/larkweir/controller/call_outcome.py
@@ -1,4 +1,4 @@
-"""How a call of the primary ended: one type for each outcome, and its form on the wire."""
+"""Outcomes of a call to the primary: one type for each outcome, and its conversion to and from a message."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from larkweir.cluster.messages import PrimaryResponse
 
 STATUS_COMPLETED = 200
-STATUS_UNKNOWN = 0  # on the wire only
+STATUS_UNKNOWN = 0  # only in messages between controllers
 
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The command was carried out, or the read was confirmed. `value`: the configuration that was read, as JSON."""
+    """The command was executed or the read was confirmed. `value`: the configuration that was read, as JSON."""
 
     value: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The primary rejected the call. `status`: the HTTP status for the operator."""
+    """The primary rejected the call. `status`: the HTTP status that the operator receives."""
 
     status: int
     detail: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The call may or may not have taken effect; a retry with the same command shows which."""
+    """The call may or may not have taken effect; retrying the same command determines which."""
 
 
 CallOutcome = Completed | Rejected | Unknown
@@ -35,7 +35,7 @@
 
 
 def to_message(request_id: int, outcome: CallOutcome) -> PrimaryResponse:
-    """The answer to the controller that forwarded the call under this id."""
+    """Returns the response to the controller that forwarded the call with this request id."""
     match outcome:
         case Completed(value):
             return PrimaryResponse(request_id, STATUS_COMPLETED, value=value)
@@ -46,7 +46,7 @@
 
 
 def from_message(message: PrimaryResponse) -> CallOutcome:
-    """The outcome that a primary's answer states."""
+    """Returns the outcome that a response of the primary contains."""
     if message.status == STATUS_COMPLETED:
         return Completed(message.value)
     if message.status == STATUS_UNKNOWN:
--- a/larkweir/controller/clock.py
+++ b/larkweir/controller/clock.py
@@ -1,4 +1,4 @@
-"""The steady clock of the running event loop and the time of day, in milliseconds."""
+"""The monotonic clock of the running event loop and the wall clock, in milliseconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def now_ms() -> float:
-    """Milliseconds that only rise.
+    """Returns the monotonic time of the running event loop, in milliseconds.
 
     Raises:
         RuntimeError: no event loop is running.
@@ -16,5 +16,5 @@
 
 
 def unix_ms() -> float:
-    """The time of day: milliseconds since 1970. It may jump."""
+    """Returns the wall-clock time in milliseconds since the Unix epoch. It may jump in either direction."""
     return time.time() * 1000.0
--- a/larkweir/controller/committed_rollouts.py
+++ b/larkweir/controller/committed_rollouts.py
@@ -1,4 +1,4 @@
-"""The roll-outs of the newest committed configuration, since when each is as it is, and for how long each has run."""
+"""Rollouts of the newest committed configuration: when each entered its current state and how long it has run."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 from larkweir.cluster.configuration.rollouts import rollouts_of
 from larkweir.cluster.messages import RolloutAge
 
-CATCH_UP_MS = 1_000.0  # after the start and a loss of contact, until commits arrive as they are made
+CATCH_UP_MS = (
+    1_000.0  # commits received this soon after a start or a loss of contact may have been made earlier
+)
 
 
 @dataclass(frozen=True, slots=True)
 class CommittedRollout:
-    """One roll-out as it was committed.
+    """One committed rollout.
 
     Attributes:
-        rollout: its state.
-        sequence: of the first configuration that has it in this state.
-        ordered_ms: when it was ordered, by the steady clock of this process.
-        is_estimate: `ordered_ms` was told from the time of day.
-        is_learned_late: this process may not have known of the order when it was placed.
+        rollout: the committed state.
+        sequence: sequence number of the first configuration that contains the rollout in this state.
+        ordered_ms: when the rollout was ordered, by the monotonic clock of this process.
+        is_estimate: `ordered_ms` was computed from the wall clock.
+        is_learned_late: this process may have learned of the order some time after it was placed.
     """
 
     rollout: Rollout
@@ -34,30 +36,32 @@
     is_learned_late: bool
 
     def elapsed_s(self, now_ms: float) -> float:
-        """Since the order; never negative."""
+        """Returns the seconds since the order; never negative."""
         return max(0.0, now_ms - self.ordered_ms) / 1000.0
 
 
 class CommittedRollouts:
-    """What this controller knows as committed. Times are milliseconds that only rise, but for those of the day.
+    """The committed rollouts that this controller knows of, by service.
 
-    An order counts from the moment at which this process learned of it. Where that may have been late, at the start and
-    after a loss of contact, its age is that which other controllers tell, who have known it all along; until then, and
-    where there is none, it is told from the time of day, which may jump.
+    Times are milliseconds of the monotonic clock, except `unix_ms`, which is wall-clock time.
+
+    The age of an order counts from the moment at which this process learned of it. After a start or a loss of contact
+    that moment may be late. The age is then taken from other controllers that have known the order since it was placed.
+    Until one of them reports an age, the age is estimated from the wall clock, which may jump.
     """
 
     def __init__(self) -> None:
-        """No roll-out is known."""
+        """Starts without any rollouts."""
         self._by_service: dict[str, CommittedRollout] = {}
         self._outdated_until_ms = math.inf
 
     def mark_outdated(self, now_ms: float) -> None:
-        """This controller may miss what is committed at present: what it learns soon may be older."""
+        """Records that this controller may have missed commits: orders learned of within `CATCH_UP_MS` may be older."""
         if self._outdated_until_ms < math.inf:
             self._outdated_until_ms = now_ms + CATCH_UP_MS
 
     def update(self, document: Document, sequence: int, now_ms: float, unix_ms: float) -> None:
-        """A configuration was committed under that sequence number. `unix_ms`: the time of day."""
+        """Records the rollouts of a newly committed configuration. `unix_ms`: the wall-clock time."""
         is_late = now_ms < self._outdated_until_ms
         if self._outdated_until_ms == math.inf:
             self._outdated_until_ms = now_ms + CATCH_UP_MS
@@ -76,7 +80,7 @@
             )
 
     def ages(self, now_ms: float) -> dict[str, RolloutAge]:
-        """Of the running ones, by service, without those that are estimates."""
+        """Returns the ages of running rollouts by service, except those that are estimates."""
         return {
             known.rollout.service: RolloutAge(known.rollout.order_id, max(0.0, now_ms - known.ordered_ms))
             for known in self.running()
@@ -84,7 +88,10 @@
         }
 
     def adopt_ages(self, ages: Mapping[str, RolloutAge], now_ms: float) -> None:
-        """Another controller tells these: the oldest counts, as an order is learned of after it was placed."""
+        """Adopts ages that another controller reports.
+
+        The highest age is kept: a controller can only learn of an order after it was placed.
+        """
         for service, age in ages.items():
             known = self._by_service.get(service)
             if known is None or known.rollout.order_id != age.order_id:
@@ -94,19 +101,19 @@
                 self._by_service[service] = replace(known, ordered_ms=ordered_ms, is_estimate=False)
 
     def of(self, service: str) -> Rollout | None:
-        """The latest roll-out of a service; None where there was none."""
+        """Returns the latest rollout of a service; None if it has had none."""
         found = self._by_service.get(service)
         return found.rollout if found is not None else None
 
     def all(self) -> list[CommittedRollout]:
-        """The latest of each service that has had any."""
+        """Returns the latest rollout of each service that has had one."""
         return list(self._by_service.values())
 
     def running(self) -> list[CommittedRollout]:
-        """Those that are neither completed nor rolled back."""
+        """Returns the rollouts that are neither completed nor rolled back."""
         return [known for known in self._by_service.values() if known.rollout.is_running]
 
 
 def _age_ms(rollout: Rollout, unix_ms: float) -> float:
-    """Since the order, by the time of day."""
+    """Returns the time since the order by the wall clock, limited to the range from 0 to the rollout's duration."""
     return min(max(0.0, unix_ms - rollout.ordered_unix_ms), rollout.duration_s * 1000.0)
--- a/larkweir/controller/configuration_delivery.py
+++ b/larkweir/controller/configuration_delivery.py
@@ -1,4 +1,7 @@
-"""In what form a router is sent the newest configuration: every controller answers it, often over a slow link."""
+"""The encoding in which a router is sent the newest configuration.
+
+Every controller sends the configuration to every router, often over a slow link, so large updates are compressed.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from larkweir.controller.configuration_history import ConfigurationHistory
 from larkweir.controller.subscriptions import Subscriber
 
-MIN_COMPRESSED_BYTES = 4_096  # below it, asking for encodings would take longer than the bytes do
+MIN_COMPRESSED_BYTES = 4_096  # sending a smaller update takes less time than asking for encodings
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,20 +25,23 @@
 
 
 class ConfigurationDelivery:
-    """Sends large updates compressed to routers that can read that, which each is asked once a connection."""
+    """Compresses large updates for routers that support it; asks each router for its encodings once a connection."""
 
     def __init__(self, history: ConfigurationHistory) -> None:
-        """`history` gives the updates."""
+        """`history` provides the updates."""
         self._history = history
-        self._compressed: dict[int, CompressedConfigUpdate] = {}  # by the sequence that it builds on
+        self._compressed: dict[int, CompressedConfigUpdate] = {}  # by base sequence
 
     def record_encodings(self, subscriber: Subscriber, pull: Pull) -> None:
-        """A router has pulled; where it was asked for its encodings, this pull names them."""
+        """Stores the encodings that a router supports from the first pull after it was asked for them."""
         if subscriber.encodings_requested and subscriber.encodings is None:
             subscriber.encodings = frozenset(pull.encodings)
 
     def answer(self, subscriber: Subscriber, pull: Pull) -> ConfigurationAnswer:
-        """What a router lacks, in a form that it reads; the question first where that is not known."""
+        """Returns the update that a router needs, in an encoding that it supports.
+
+        If the update is large and the router's encodings are unknown, the answer asks for them instead.
+        """
         update = self._history.update_from(pull.config_sequence)
         if update is None or len(bytes(update.body)) < MIN_COMPRESSED_BYTES:
             return ConfigurationAnswer(config=update)
--- a/larkweir/controller/configuration_history.py
+++ b/larkweir/controller/configuration_history.py
@@ -1,4 +1,4 @@
-"""The latest committed configurations, and the update from an older one to the newest."""
+"""The latest committed configurations, and updates from an older configuration to the newest."""
 
 from __future__ import annotations
 
@@ -7,28 +7,31 @@
 from larkweir.cluster.configuration.documents import COLLECTIONS, Document, make_patch
 from larkweir.cluster.messages import ConfigUpdate
 
-MAX_VERSIONS = 32  # that a patch can build on; a process with an older one is sent the complete configuration
+MAX_VERSIONS = (
+    32  # kept as bases of patches; a process with an older version is sent the complete configuration
+)
 
 
 class ConfigurationHistory:
-    """Configurations by the sequence number under which they were committed."""
+    """Committed configurations, identified by the sequence number of their commit."""
 
     def __init__(self) -> None:
-        """No configuration is known."""
+        """Starts without any configurations."""
         self._versions: list[tuple[int, Document]] = []
         self._newest_json: bytes = b""
-        self._patches: dict[int, bytes] = {}  # to the newest, by the sequence that they build on
+        self._patches: dict[int, bytes] = {}  # to the newest version, by base sequence
 
     @property
     def sequence(self) -> int:
-        """Of the newest configuration; -1 for none."""
+        """The sequence number of the newest configuration; -1 for none."""
         return self._versions[-1][0] if self._versions else -1
 
     def add(self, sequence: int, value: str) -> Document | None:
-        """Adds a committed value. Returns its document if it is newer, None otherwise.
+        """Adds a committed value. Returns its document if the value is newer than all others, None otherwise.
 
-        A value that equals the one before is a version too: a change of the members commits it under a new sequence,
-        under which the controllers that join know it, and only what all call the same can be patched by all.
+        A value that equals the previous one is still a new version: a membership change commits the current value
+        under a new sequence number, and controllers that join then know the value only by that number. All controllers
+        must use the same number for a version, so that each of them can patch from it.
 
         Raises:
             msgspec.DecodeError: the value is not JSON.
@@ -45,7 +48,7 @@
         return document
 
     def update_from(self, known: int) -> ConfigUpdate | None:
-        """What turns the configuration of sequence `known` into the newest; None where it is the newest."""
+        """Returns the update from the version with sequence `known` to the newest; None if `known` is the newest."""
         if known >= self.sequence:
             return None
         if known not in self._patches:
@@ -57,7 +60,7 @@
 
 
 def _share_items(document: Document, before: Document) -> None:
-    """Replace items by equal ones of the version before: thousands of routes are held once, not once a version."""
+    """Replaces items with equal items of the previous version: thousands of unchanged routes are stored only once."""
     for key in COLLECTIONS:
         known = {item["name"]: item for item in before.get(key, [])}
         items = document.get(key, [])
--- a/larkweir/controller/control_api.py
+++ b/larkweir/controller/control_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface at the control address: which part answers which request."""
+"""The HTTP interface at the control address: dispatches requests to the parts of the controller."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ControlApi:
-    """Dispatches by path and method."""
+    """Dispatches requests by path and method."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         links: ControllerLinks,
         rollouts: RolloutsApi,
     ) -> None:
-        """All are the controller's own."""
+        """All arguments belong to the same controller."""
         self._operator = operator
         self._instances = instances
         self._inspection = inspection
@@ -37,7 +37,7 @@
         self._rollouts = rollouts
 
     async def handle(self, request: Request) -> Response:
-        """The answer of whichever part is responsible; 404 or 405 for none."""
+        """Returns the response of the responsible part; 404 for an unknown path, 405 for an unsupported method."""
         path = request.target.partition("?")[0]
         if path.startswith(INSTANCES_PREFIX) and len(path) > len(INSTANCES_PREFIX):
             return await self._handle_instance(request)
--- a/larkweir/controller/controller_links.py
+++ b/larkweir/controller/controller_links.py
@@ -1,4 +1,4 @@
-"""Connections that this controller dials to the other controllers."""
+"""Outgoing connections from this controller to the other controllers."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from larkweir.cluster.links import Connection, Link
 from larkweir.cluster.messages import Message
 
-FORGET_AFTER_FAILURES = 60  # dials in a row, about a minute
+FORGET_AFTER_FAILURES = 60  # consecutive failed connection attempts, about one minute
 
 
 class ControllerLinks:
-    """A link to each node that may be a controller, kept alive until it is forgotten."""
+    """Keeps a link to each node that may be a controller until the node is dropped."""
 
     def __init__(
         self,
@@ -20,9 +20,9 @@
         on_message: Callable[[Connection, Message], None],
         on_connected: Callable[[Connection], None],
     ) -> None:
-        """`port`: of all controllers, by the settings in force.
+        """`port` returns the port of all controllers according to the current settings.
 
-        `on_connected` sends the first messages of a connection.
+        `on_connected` sends the first messages on a new connection.
         """
         self._port = port
         self._on_message = on_message
@@ -30,7 +30,7 @@
         self._links: dict[str, Link] = {}
 
     def keep_alive(self, nodes: Iterable[str]) -> None:
-        """Dials nodes that have no link yet, and redials lost ones; to be called several times a second."""
+        """Connects to nodes that have no link yet and reconnects lost links. Must be called several times a second."""
         for node in nodes:
             if node not in self._links:
                 self._links[node] = self._new_link(node)
@@ -41,33 +41,33 @@
         return Link(node, self._port(), self._on_message, self._on_connected, _log_lost)
 
     def is_connected(self, node: str) -> bool:
-        """Whether there is a connection to that node."""
+        """Whether this controller is connected to the node."""
         link = self._links.get(node)
         return link is not None and link.connection is not None
 
     def send(self, node: str, message: Message) -> None:
-        """Sends it where there is a connection to that node; it is lost otherwise."""
+        """Sends a message to a node. The message is lost if the node is not connected."""
         link = self._links.get(node)
         if link is not None:
             link.send(message)
 
     def broadcast(self, message: Message) -> None:
-        """Sends it to every controller that is connected."""
+        """Sends a message to every connected controller."""
         for link in self._links.values():
             link.send(message)
 
     def connected_nodes(self) -> set[str]:
-        """The controllers to which there is a connection."""
+        """Returns the connected controllers."""
         return {node for node, link in self._links.items() if link.connection is not None}
 
     def reset_idle_timeouts(self) -> None:
-        """This process was paused: what it did not read meanwhile is not the other side's silence."""
+        """Restarts the idle time-out of each connection after a pause of this process, during which it read nothing."""
         for link in self._links.values():
             if link.connection is not None:
                 link.connection.reset_idle_timeout()
 
     def drop_unreachable(self, referenced: Collection[str]) -> list[str]:
-        """Forgets nodes that are not `referenced` and that no dial has reached for long; returns their names."""
+        """Drops and returns nodes that are not `referenced` and whose last `FORGET_AFTER_FAILURES` dials failed."""
         dropped = [
             node
             for node, link in self._links.items()
@@ -78,7 +78,7 @@
         return dropped
 
     def close(self) -> None:
-        """Ends all connections at once."""
+        """Closes all connections immediately."""
         for link in self._links.values():
             link.close()
 
--- a/larkweir/controller/delivery_confirmation.py
+++ b/larkweir/controller/delivery_confirmation.py
@@ -1,4 +1,4 @@
-"""Waiting until what the registry has noted has reached the processes that pull from it."""
+"""Waiting until the registry's latest records have reached the processes that pull from this controller."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
-    """Waits until all subscribers have this registry's records up to `counter`."""
+    """A call that waits until all subscribers have this registry's records up to `counter`."""
 
     counter: int
     delivered: asyncio.Future[None]
 
 
 class DeliveryConfirmation:
-    """Compares what subscribers report as seen with what this registry has noted."""
+    """Compares the version vectors that subscribers report with this registry's version vector."""
 
     def __init__(self, registry: Registry, subscriptions: Subscriptions) -> None:
-        """Both are the controller's own."""
+        """Both arguments belong to the same controller."""
         self._registry = registry
         self._subscriptions = subscriptions
         self._waiters: list[_Waiter] = []
 
     async def wait(self, timeout_s: float) -> set[str]:
-        """Waits, for that time at most, until every subscriber has what this registry noted last.
+        """Waits until every subscriber has the latest record of this registry, or until the time-out.
 
-        Returns the controllers that have it. Where this one and they are a majority, every router that is in contact
-        with a majority gets it.
+        Returns the other controllers that have the record. If they and this controller are a majority, the record
+        reaches every router that is in contact with a majority.
         """
         counter = self._registry.vector.get(self._registry.origin, 0)
         waiter = _Waiter(counter, asyncio.get_running_loop().create_future())
@@ -47,7 +47,7 @@
         return self._subscriptions.controllers_that_have(self._registry.origin, counter)
 
     def check(self) -> None:
-        """To be called when a subscriber has reported what it has seen."""
+        """Ends waits that are satisfied. Must be called when a subscriber has reported its version vector."""
         if not self._waiters:
             return
         delivered = self._subscriptions.lowest_counter(self._registry.origin)
--- a/larkweir/controller/disk_writer.py
+++ b/larkweir/controller/disk_writer.py
@@ -1,4 +1,4 @@
-"""The thread that waits for the disk, so that heartbeats do not."""
+"""A thread for disk writes, so that a slow disk does not delay the event loop and its heartbeats."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 from larkweir.cluster import log
 
-NEW_SUFFIX = ".new"  # of a file that is being written
+NEW_SUFFIX = ".new"  # of a hint file until it is complete
 
 
 @dataclass(frozen=True, slots=True)
 class _Record:
-    """A journal record to write."""
+    """A journal record to write, identified by its token."""
 
     token: int
     durable: DurableState
 
 
 class _Signal(Enum):
-    """What the queue holds beside records."""
+    """Queue entries other than records."""
 
-    HINTS_CHANGED = auto()  # there is a hint file to write
-    STOP = auto()  # the thread is to end; what is still queued is not written
+    HINTS_CHANGED = auto()  # a hint file is to be written
+    STOP = auto()  # the thread ends without writing the entries that are still queued
 
 
 class DiskWriter:
-    """Writes the newest of the records that are queued; it supersedes the earlier ones."""
+    """Writes journal records and hint files on a separate thread. Only the newest queued record is written."""
 
     def __init__(
         self,
@@ -45,35 +45,36 @@
         on_persisted: Callable[[int], None],
         on_failed: Callable[[int], None],
     ) -> None:
-        """Both callbacks are called on the loop with the token of a record."""
+        """Starts the thread. Both callbacks are called on `loop` with the token of a record."""
         self._journal = journal
         self._files = files
         self._loop = loop
         self._on_persisted = on_persisted
         self._on_failed = on_failed
         self._entries: queue.SimpleQueue[_Record | _Signal] = queue.SimpleQueue()
-        self._hints: dict[str, bytes] = {}  # by file; added by the loop's thread, removed by this one
+        # Hints by file name: the event loop's thread adds them, the disk thread removes them.
+        self._hints: dict[str, bytes] = {}
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self._thread.start()
 
     def write_record(self, token: int, durable: DurableState) -> None:
-        """Queues a journal record; one of the callbacks follows unless a newer record supersedes it."""
+        """Queues a journal record. One of the callbacks is called later, unless a newer record supersedes this one."""
         self._entries.put(_Record(token, durable))
 
     def write_hint(self, name: str, data: bytes) -> None:
-        """Replaces that file after the record that is being written. Errors are only logged."""
+        """Replaces a hint file once the record that is being written is done. Errors are only logged."""
         self._hints[name] = data
         self._entries.put(_Signal.HINTS_CHANGED)
 
     def read_hint(self, name: str) -> bytes | None:
-        """What `write_hint` left in an earlier incarnation, read at once; None where it can't be read."""
+        """Reads, in the calling thread, a hint file of an earlier incarnation; None if it can't be read."""
         try:
             return self._files.read(name)
         except OSError:
             return None
 
     def close(self) -> None:
-        """Ends the thread; does not wait for it."""
+        """Tells the thread to end and does not wait for it."""
         self._entries.put(_Signal.STOP)
 
     def _run(self) -> None:
@@ -87,7 +88,7 @@
             self._write_hints()
 
     def _take_queued(self) -> list[_Record | _Signal]:
-        """Waits for an entry, and takes it with all that are queued behind it."""
+        """Waits for an entry and returns it with all other queued entries."""
         entries = [self._entries.get()]
         while not self._entries.empty():
             entries.append(self._entries.get())
@@ -112,5 +113,5 @@
                 log.debug("hint_write_failed", error=problem.strerror)
 
     def _notify(self, callback: Callable[[int], None], token: int) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended
+        with contextlib.suppress(RuntimeError):  # the event loop is closed
             self._loop.call_soon_threadsafe(callback, token)
--- a/larkweir/controller/heartbeat_monitor.py
+++ b/larkweir/controller/heartbeat_monitor.py
@@ -1,4 +1,4 @@
-"""Whose heartbeats have stopped, by what all controllers receive."""
+"""Detection of upstreams whose heartbeats have stopped, from the heartbeats that all controllers receive."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class HeartbeatMonitor:
-    """Shares received heartbeats with the other controllers, and marks upstreams of which none receives any."""
+    """Shares received heartbeats with the other controllers and marks upstreams from which no controller gets any."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         contact: QuorumContact,
         on_update: Callable[[], None],
     ) -> None:
-        """`on_update` is called when an upstream has timed out, so that routers are informed."""
+        """`on_update` is called after an upstream has timed out, so that routers are informed."""
         self._registry = registry
         self._failure_detector = failure_detector
         self._unconfirmed = unconfirmed
@@ -38,13 +38,16 @@
         self._on_update = on_update
 
     def share(self) -> None:
-        """Sends the other controllers what was received here since the last call."""
+        """Sends the other controllers the heartbeats that this controller received since the last call."""
         sequences = self._failure_detector.take_report()
         if sequences:
             self._links.broadcast(HeartbeatReport(sequences))
 
     def evaluate(self) -> None:
-        """Marks upstreams that have timed out; without contact to a majority of controllers silence proves nothing."""
+        """Marks upstreams that have timed out.
+
+        Without contact to a majority of the controllers, missing heartbeats prove nothing and observation starts again.
+        """
         present_ms = now_ms()
         if not self._contact.was_connected:
             self._failure_detector.reset_observation(present_ms)
--- a/larkweir/controller/inspection.py
+++ b/larkweir/controller/inspection.py
@@ -1,4 +1,4 @@
-"""What a controller shows operators of itself: `/status`, `/upstreams`, `/metrics` of the control address."""
+"""The state that a controller shows operators: `/status`, `/upstreams` and `/metrics` at the control address."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
-    """A router that is connected, and how many sequence numbers its configuration is older than this controller's."""
+    """A connected router, and how many sequence numbers its configuration is behind this controller's."""
 
     node: str
     configuration_sequence: int = msgspec.field(name="configuration")
@@ -26,7 +26,7 @@
 
 
 class ControllerStatus(msgspec.Struct, frozen=True):
-    """The body of `GET /status`. `sequence`: of the last committed state; -1 for none."""
+    """The body of `GET /status`. `sequence`: sequence number of the last committed state; -1 for none."""
 
     node: str
     role: str
@@ -55,19 +55,19 @@
 
 
 class Inspection:
-    """Reads the parts of a controller; changes nothing."""
+    """Reads the state of a controller without changing it."""
 
     def __init__(
         self, node: str, replica: Replica, state: PublishedState, subscriptions: Subscriptions
     ) -> None:
-        """All are the controller's own."""
+        """All arguments belong to the same controller."""
         self._node = node
         self._replica = replica
         self._state = state
         self._subscriptions = subscriptions
 
     def status(self, linked: list[str]) -> ControllerStatus:
-        """`linked`: the controllers to which there is a connection."""
+        """Returns the controller's status. `linked`: the controllers that this one is connected to."""
         replica = self._replica
         accepted, committed = replica.accepted, replica.committed
         newest = self._state.configuration.sequence
@@ -98,7 +98,7 @@
         )
 
     def upstreams(self) -> list[UpstreamStatus]:
-        """All that are known, by service and id; those that have gone stay in the list for a while."""
+        """Returns known upstreams, sorted by service and id. Upstreams that are gone remain listed for a while."""
         waiting = self._state.prefill_load.tokens_by_engine
         upstreams = self._state.registry.upstreams.values()
         return [
@@ -116,7 +116,7 @@
         ]
 
     def metrics(self, linked: list[str]) -> Sequence[Metric]:
-        """All gauges, in the order in which they are printed."""
+        """Returns all gauges in the order of the output."""
         status = self.status(linked)
         lag = max((router.sequences_behind for router in status.routers), default=0)
         timed_out = sum(upstream.has_timed_out for upstream in self._state.registry.upstreams.values())
@@ -137,13 +137,13 @@
         )
 
     def answer_status(self, linked: list[str]) -> Response:
-        """For `GET /status`."""
+        """Returns the response to `GET /status`."""
         return Response(200, msgspec.json.encode(self.status(linked)))
 
     def answer_upstreams(self) -> Response:
-        """For `GET /upstreams`."""
+        """Returns the response to `GET /upstreams`."""
         return Response(200, msgspec.json.encode(self.upstreams()))
 
     def answer_metrics(self, linked: list[str]) -> Response:
-        """For `GET /metrics`, in the text format of Prometheus."""
+        """Returns the response to `GET /metrics`, in the Prometheus text format."""
         return Response(200, encode(self.metrics(linked)), METRICS_CONTENT_TYPE)
--- a/larkweir/controller/instances_api.py
+++ b/larkweir/controller/instances_api.py
@@ -1,4 +1,4 @@
-"""Heartbeats and departures of upstreams."""
+"""The HTTP interface through which upstreams report heartbeats and departures."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 PATH_PREFIX = "/instances/"
 MAX_HEARTBEAT_BYTES = 4_096
-CONFIRM_TIMEOUT_S = 0.4  # an upstream that leaves waits a second for its acknowledgement
+CONFIRM_TIMEOUT_S = 0.4  # a departing upstream waits one second for its acknowledgement
 MAX_ID_CHARS = 512
 MAX_VERSION_CHARS = 128
 ID_TOO_LONG = Response(400, b'{"error":"the id of the instance is too long"}')
@@ -28,14 +28,14 @@
 
 
 class ReportedState(StrEnum):
-    """What an upstream can report of itself."""
+    """The states that an upstream can report for itself."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The body of `PUT /instances/ID`. Unknown fields are ignored. `version`: of the upstream's software."""
+    """The body of `PUT /instances/ID`. Unknown fields are ignored. `version`: version of the upstream's software."""
 
     service: str = msgspec.field(name="backend")
     address: str
@@ -48,7 +48,7 @@
     )
 
     def upstream(self, id_: str) -> Upstream:
-        """The upstream of that id as it describes itself."""
+        """Returns a record of the upstream with this id from the heartbeat."""
         return Upstream(
             id=id_,
             service=self.service,
@@ -62,11 +62,10 @@
 
 
 class InstancesApi:
-    """`/instances/` of a controller.
+    """The `/instances/` paths of a controller.
 
-    What an upstream reports is noted in any case, but acknowledged only by a controller that is in contact with a
-    majority: an upstream that has its acknowledgement informs no other controller, so that the routers must get it from
-    this one.
+    Reports of upstreams are always recorded, but acknowledged only while this controller is in contact with a majority.
+    After an acknowledgement an upstream informs no other controller, so this one must get the report to the routers.
     """
 
     def __init__(
@@ -77,7 +76,7 @@
         confirmation: DeliveryConfirmation,
         contact: QuorumContact,
     ) -> None:
-        """All are the controller's own."""
+        """All arguments belong to the same controller."""
         self._registry = registry
         self._failure_detector = failure_detector
         self._pulls = pulls
@@ -85,13 +84,13 @@
         self._contact = contact
 
     async def put(self, request: Request) -> Response:
-        """A heartbeat. One of a draining upstream is acknowledged once the routers have it."""
+        """Records a heartbeat. The heartbeat of a draining upstream is acknowledged once the routers have it."""
         if len(request.body) > MAX_HEARTBEAT_BYTES:
             return Response(413)
         try:
             heartbeat: Heartbeat = msgspec.json.decode(request.body, type=Heartbeat)
             parse_address(heartbeat.address)
-        except (msgspec.DecodeError, SettingsError) as error:  # the message names the field
+        except (msgspec.DecodeError, SettingsError) as error:  # the error message names the field
             return Response(400, msgspec.json.encode({"error": str(error)}))
         upstream = heartbeat.upstream(request.target.removeprefix(PATH_PREFIX))
         if len(upstream.id) > MAX_ID_CHARS:
@@ -105,7 +104,7 @@
         return await self._acknowledge_departure()
 
     async def delete(self, request: Request) -> Response:
-        """The upstream has ended, or is about to."""
+        """Records that an upstream has ended or is about to end."""
         id_ = request.target.removeprefix(PATH_PREFIX)
         if len(id_) > MAX_ID_CHARS:
             return ID_TOO_LONG
@@ -120,7 +119,10 @@
         return await self._acknowledge_departure()
 
     async def _acknowledge_departure(self) -> Response:
-        """An upstream drains or has gone: `drain_ms` runs from the acknowledgement for all routers in contact."""
+        """Waits until the routers know that an upstream is draining or gone, and responds to the upstream.
+
+        `drain_ms` starts with the acknowledgement, for all routers that are in contact with a majority.
+        """
         self._pulls.wake()
         informed = await self._confirmation.wait(CONFIRM_TIMEOUT_S)
         return ACKNOWLEDGED if self._contact.is_quorum(informed) else NO_MAJORITY
--- a/larkweir/controller/known_controllers.py
+++ b/larkweir/controller/known_controllers.py
@@ -1,4 +1,4 @@
-"""The nodes that may be controllers, as far as this one knows."""
+"""The nodes that this controller knows as possible controllers."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 
 class KnownControllers:
-    """Members by the replicated state, seeds of the settings, and nodes that introduced themselves."""
+    """Members of the replicated state, seeds from the settings, and nodes that have sent a controller's `Hello`."""
 
     def __init__(self, settings: Settings, replica: Replica) -> None:
-        """`settings` may be replaced later (`update_settings`)."""
+        """Uses `settings` until `update_settings` replaces them."""
         self._settings = settings
         self._replica = replica
 
     @property
     def own_node(self) -> str:
-        """This controller."""
+        """The node of this controller."""
         return self._settings.ip
 
     def update_settings(self, settings: Settings) -> None:
-        """The settings file has changed: its seeds are known from now on."""
+        """Adopts changed settings and adds their seeds to the known nodes."""
         self._settings = settings
         self._replica.known_nodes.update(settings.seed_nodes)
 
     def add(self, node: str) -> None:
-        """A controller has introduced itself."""
+        """Adds the node of a controller that has sent its `Hello`."""
         self._replica.known_nodes.add(node)
 
     def nodes(self) -> list[str]:
-        """All of them, this one included, in order."""
+        """Returns all known controllers including this one, sorted."""
         accepted = self._replica.accepted
         members = accepted.members if accepted is not None else ()
         return sorted({*members, *self._replica.known_nodes, self.own_node})
 
     def others(self) -> list[str]:
-        """All but this one, in order."""
+        """Returns all known controllers except this one, sorted."""
         return [node for node in self.nodes() if node != self.own_node]
 
     def forget_unreachable(self, links: ControllerLinks) -> None:
-        """Forgets nodes that are neither members nor seeds and that can't be reached."""
+        """Drops nodes that are unreachable and are neither members nor seeds."""
         accepted = self._replica.accepted
         if accepted is None:
             return
--- a/larkweir/controller/listeners.py
+++ b/larkweir/controller/listeners.py
@@ -1,4 +1,4 @@
-"""The listening sockets of a controller, and the connections that were accepted there."""
+"""The listening sockets of a controller and the connections accepted on them."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Listeners:
-    """Accepts other processes of the fleet, and HTTP clients."""
+    """Accepts connections from other processes of the fleet and from HTTP clients."""
 
     def __init__(self) -> None:
-        """Nothing is open."""
+        """Starts without any open sockets."""
         self._servers: list[asyncio.Server] = []
         self._accepted: WeakSet[Connection | HttpServerConnection] = WeakSet()
 
@@ -28,10 +28,10 @@
         on_message: Callable[[Connection, Message], None],
         on_lost: Callable[[Connection], None],
     ) -> None:
-        """Accepts routers and other controllers.
+        """Accepts connections from routers and other controllers.
 
         Raises:
-            OSError: the address can't be listened to.
+            OSError: listening on the address failed.
         """
 
         def accept() -> Connection:
@@ -42,10 +42,10 @@
         await self._listen(accept, host, port)
 
     async def listen_to_http(self, host: str, port: int, handler: Handler, max_body_bytes: int) -> None:
-        """Accepts operators and upstreams.
+        """Accepts HTTP connections from operators and upstreams.
 
         Raises:
-            OSError: the address can't be listened to.
+            OSError: listening on the address failed.
         """
 
         def accept() -> HttpServerConnection:
@@ -60,7 +60,7 @@
         self._servers.append(await loop.create_server(accept, host, port, backlog=BACKLOG))
 
     def receiving_nodes(self) -> list[str]:
-        """The processes of which a message is arriving that is not complete yet."""
+        """Returns the nodes from which a message has arrived only in part so far."""
         return [
             connection.node
             for connection in self._accepted
@@ -73,6 +73,6 @@
             server.close()
 
     def close_connections(self) -> None:
-        """Ends all accepted connections at once."""
+        """Closes all accepted connections immediately."""
         for connection in list(self._accepted):
             connection.close()
--- a/larkweir/controller/message_dispatch.py
+++ b/larkweir/controller/message_dispatch.py
@@ -1,4 +1,4 @@
-"""Which part of a controller receives which message of another process."""
+"""Dispatch of messages from other processes to the parts of a controller."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageDispatch:
-    """The receivers of messages; all are the controller's own."""
+    """The parts that receive messages; all belong to the same controller."""
 
     known_controllers: KnownControllers
     pulls: PullService
@@ -50,7 +50,7 @@
     rollouts: CommittedRollouts
 
     def receive(self, connection: Connection, message: Message) -> None:
-        """One message, of whatever kind; kinds that only routers receive are ignored."""
+        """Handles a message of any type. Types that only routers receive are ignored."""
         match message:
             case Hello():
                 self._register_peer(connection, message)
--- a/larkweir/controller/metrics.py
+++ b/larkweir/controller/metrics.py
@@ -1,4 +1,4 @@
-"""Gauges in the text format of Prometheus."""
+"""Gauges in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """One value of a gauge; its name is prefixed with `larkweir_`. Those of one name have the same labels."""
+    """One value of a gauge. Values with the same name must have the same label names.
+
+    The output prefixes the name with `larkweir_`.
+    """
 
     name: str
     help: str
@@ -20,8 +23,8 @@
 
 
 def encode(metrics: Iterable[Metric]) -> bytes:
-    """All values, by gauge in the order in which each comes first."""
-    # Imported here: a controller that nobody monitors starts without it.
+    """Returns all values in the Prometheus text format, with gauges in the order of their first value."""
+    # Imported here so that a controller without monitoring does not load the library.
     from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
     collectors = CollectorRegistry()
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -1,4 +1,4 @@
-"""The composition root of a controller: makes its parts, connects them, and starts and ends them."""
+"""The composition root of a controller: creates, connects, starts and stops its parts."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     """One controller process."""
 
     def __init__(self, settings: Settings) -> None:
-        """Opens nothing yet but the data folder.
+        """Creates the parts and opens the data folder; sockets are opened by `run`.
 
         Raises:
             OSError: the data folder can't be read.
@@ -75,7 +75,7 @@
         self._make_published_state()
         self._make_replica()
         self._make_interfaces()
-        self._closers = contextlib.ExitStack()  # called in reverse order
+        self._closers = contextlib.ExitStack()  # callbacks run in reverse order
         self._closers.callback(self._driver.close)
         self._closers.callback(self._tasks.close)
         self._closers.callback(self._listeners.close_connections)
@@ -83,7 +83,7 @@
         self._closers.callback(self._listeners.stop_accepting)
 
     def _make_published_state(self) -> None:
-        """What routers and other controllers pull."""
+        """Creates the state that routers and other controllers pull."""
         settings = self.settings
         self._registry = Registry(f"{settings.ip}/{self._incarnation}")
         self._failure_detector = FailureDetector(settings.heartbeat_ms, now_ms())
@@ -105,7 +105,7 @@
         )
 
     def _make_quotas(self) -> None:
-        """What this controller hands out of tenants' quotas; it is asked once the replica is there."""
+        """Creates the parts that grant quotas to routers. They call the replica driver, which is created later."""
         bounds = self.settings.bounds
         allocator = QuotaAllocator(Tolerance(bounds.quota_window_s, bounds.quota_over, bounds.quota_slack))
         self._quotas = QuotaAccounting(allocator)
@@ -118,7 +118,7 @@
         self._quota_shares = QuotaShares(allocator, group, lambda: self._pulls.wake())
 
     def _make_replica(self) -> None:
-        """The replicated configuration, and what is recovered from disk beside it."""
+        """Creates the replicated configuration and restores the recovery hints from disk."""
         self._driver = ReplicaDriver(self.settings, self._send_replication, self._committed)
         self._quotas.is_first_start = self._driver.is_first_start
         self._known_controllers = KnownControllers(self.settings, self._driver.replica)
@@ -130,7 +130,7 @@
         self._pulls.requests_records = not (self._hints.has_upstreams or self._driver.is_first_start)
 
     def _make_interfaces(self) -> None:
-        """What answers other processes, operators and upstreams."""
+        """Creates the parts that serve other processes, operators and upstreams, and the rollout driver."""
         registry, failure_detector, state = self._registry, self._failure_detector, self._state
         wake = self._pulls.wake
         self._heartbeats = HeartbeatMonitor(
@@ -172,8 +172,8 @@
         """Serves until SIGTERM or SIGINT.
 
         Raises:
-            OSError: an address can't be listened to.
-            EssentialTaskError: the replica raised what nobody expected; its durable state is sound.
+            OSError: listening on an address failed.
+            EssentialTaskError: the replica raised an unexpected exception; its durable state is sound.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -198,11 +198,11 @@
             self.close()
 
     def close(self) -> None:
-        """Ends all at once, as a kill would; what was acknowledged is on disk."""
+        """Stops all parts immediately, like a kill. Everything that was acknowledged is already on disk."""
         self._closers.close()
 
     def _periodic_tasks(self) -> list[PeriodicTask]:
-        """In the order in which one tick runs them."""
+        """Returns the periodic tasks in the order in which a tick runs them."""
         load = self._state.prefill_load.tokens_by_engine
         return [
             PeriodicTask(
@@ -230,7 +230,7 @@
         ]
 
     def _process_paused(self) -> None:
-        """Missing heartbeats and messages during the pause prove nothing."""
+        """Discards observations after a pause: heartbeats and messages that were missed during it prove nothing."""
         self._failure_detector.reset_observation(now_ms())
         self._placement.mark_outdated()
         self._state.rollouts.mark_outdated(now_ms())
