--- a/larkweir/controller/configuration_delivery.py
+++ b/larkweir/controller/configuration_delivery.py
@@ -1,6 +1,6 @@
 """The encoding in which a router is sent the newest configuration.
 
-Every controller sends the configuration to every router, often over a slow link, so large updates are compressed.
+Every controller sends the newest configuration to routers, often over a slow link, so large updates are compressed.
 """
 
 from __future__ import annotations
--- a/larkweir/controller/control_api.py
+++ b/larkweir/controller/control_api.py
@@ -37,7 +37,7 @@
         self._rollouts = rollouts
 
     async def handle(self, request: Request) -> Response:
-        """Returns the response of the responsible part; 404 for an unknown path, 405 for an unsupported method."""
+        """Returns the response of the responsible part; 404 or 405 if no part handles the request."""
         path = request.target.partition("?")[0]
         if path.startswith(INSTANCES_PREFIX) and len(path) > len(INSTANCES_PREFIX):
             return await self._handle_instance(request)
--- a/tests/controller/conftest.py
+++ b/tests/controller/conftest.py
@@ -1,4 +1,4 @@
-"""Parts that tests of several modules make: a registry, a replica's member list, and links without sockets."""
+"""Fakes for the tests of several modules: a replica's member list, and links without sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class FakeReplica:
-    """The member list that a replica has accepted, and the nodes that it knows."""
+    """The member list that a replica has accepted and the nodes that it knows."""
 
     accepted: Snapshot | None = None
     known_nodes: set[str] = field(default_factory=set)
@@ -23,7 +23,7 @@
 
 @dataclass
 class FakeLinks:
-    """Which controllers are connected, and what was sent to them."""
+    """Links with a settable list of connected controllers; records the sent messages."""
 
     connected: set[str] = field(default_factory=set)
     unreachable: list[str] = field(default_factory=list)
--- a/tests/controller/test_background_tasks.py
+++ b/tests/controller/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks are kept until they end, and cancelled at the close."""
+"""Background tasks are kept alive until they end, and cancelled on close."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     asyncio.run(scenario())
 
 
-def test_the_close_cancels_what_has_not_ended() -> None:
+def test_close_cancels_tasks_that_have_not_ended() -> None:
     async def scenario() -> None:
         begun, cancelled = asyncio.Event(), asyncio.Event()
 
@@ -50,7 +50,7 @@
     asyncio.run(scenario())
 
 
-def test_a_task_that_fails_is_logged_and_takes_no_other_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failing_task_is_logged_and_does_not_affect_other_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
     logged: list[dict[str, object]] = []
     monkeypatch.setattr(log, "event", lambda name, **fields: logged.append({"event": name, **fields}))
 
--- a/tests/controller/test_call_outcome.py
+++ b/tests/controller/test_call_outcome.py
@@ -1,4 +1,4 @@
-"""How outcomes of calls are written on the wire and read again."""
+"""Encoding of call outcomes as messages, and decoding."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 @pytest.mark.parametrize(("outcome", "line"), OUTCOMES)
-def test_an_outcome_is_written_under_its_ticket(outcome: CallOutcome, line: bytes) -> None:
+def test_an_outcome_is_encoded_with_its_request_id(outcome: CallOutcome, line: bytes) -> None:
     assert msgspec.json.encode(to_message(3, outcome)) == line
 
 
 @pytest.mark.parametrize(("outcome", "line"), OUTCOMES)
-def test_an_outcome_is_read_from_its_message(outcome: CallOutcome, line: bytes) -> None:
+def test_an_outcome_is_decoded_from_its_message(outcome: CallOutcome, line: bytes) -> None:
     assert from_message(msgspec.json.decode(line, type=PrimaryResponse)) == outcome
--- a/tests/controller/test_committed_rollouts.py
+++ b/tests/controller/test_committed_rollouts.py
@@ -1,4 +1,4 @@
-"""Since when a roll-out is in its state, and since when it runs, whatever the time of day says."""
+"""The sequence number of a rollout's state, and a rollout's age independent of jumps of the wall clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def known() -> CommittedRollouts:
-    """Of a controller that has been in contact for long."""
+    """The rollouts of a controller whose catch-up period after the start is over."""
     known = CommittedRollouts()
     known.update(document(), 1, SETTLED_MS - 2 * CATCH_UP_MS, ORDERED_UNIX_MS)
     return known
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("skew_ms", [-6_000.0, 0.0, 6_000.0, 1e9])
-def test_an_order_counts_from_its_commit_whatever_the_time_of_day(
+def test_the_age_of_an_order_counts_from_its_commit_regardless_of_the_wall_clock(
     skew_ms: float, known: CommittedRollouts
 ) -> None:
     known.update(document(rollout()), 2, SETTLED_MS, ORDERED_UNIX_MS + skew_ms)
@@ -43,27 +43,29 @@
         (ORDERED_UNIX_MS + 99_000.0, 12.0),
     ],
 )
-def test_after_a_start_the_age_is_told_from_the_time_of_day(unix_ms: float, elapsed_s: float) -> None:
+def test_after_a_start_the_age_is_estimated_from_the_wall_clock(unix_ms: float, elapsed_s: float) -> None:
     known = CommittedRollouts()
     known.update(document(rollout()), 9, 500.0, unix_ms)
     assert only(known).elapsed_s(500.0) == elapsed_s
     assert only(known).elapsed_s(1_500.0) == elapsed_s + 1.0
 
 
-def test_after_a_loss_of_contact_too(known: CommittedRollouts) -> None:
+def test_after_a_loss_of_contact_the_age_is_estimated_from_the_wall_clock(known: CommittedRollouts) -> None:
     known.mark_outdated(SETTLED_MS)
     known.update(document(rollout()), 2, SETTLED_MS + 1.0, ORDERED_UNIX_MS + 4_000.0)
     assert only(known).elapsed_s(SETTLED_MS + 1.0) == 4.0
 
 
-def test_a_known_order_keeps_its_age_over_a_loss_of_contact(known: CommittedRollouts) -> None:
+def test_a_known_order_keeps_its_age_after_a_loss_of_contact(known: CommittedRollouts) -> None:
     known.update(document(rollout()), 2, SETTLED_MS, ORDERED_UNIX_MS)
     known.mark_outdated(SETTLED_MS + 1_000.0)
     known.update(document(rollout(target_weight=1.0)), 7, SETTLED_MS + 1_500.0, ORDERED_UNIX_MS + 99_000.0)
     assert only(known).elapsed_s(SETTLED_MS + 2_000.0) == 2.0
 
 
-def test_a_state_has_the_sequence_under_which_it_came(known: CommittedRollouts) -> None:
+def test_a_state_has_the_sequence_of_the_first_configuration_that_contains_it(
+    known: CommittedRollouts,
+) -> None:
     known.update(document(rollout()), 2, SETTLED_MS, ORDERED_UNIX_MS)
     known.update({**document(rollout()), "generation": 2}, 3, SETTLED_MS, ORDERED_UNIX_MS)
     assert only(known).sequence == 2
@@ -71,7 +73,7 @@
     assert only(known).sequence == 4
 
 
-def test_the_ones_that_have_ended_are_known_but_do_not_run(known: CommittedRollouts) -> None:
+def test_ended_rollouts_are_known_but_not_running(known: CommittedRollouts) -> None:
     ended = rollout(service="t", state=RolloutState.COMPLETED)
     known.update(document(rollout(), ended), 2, SETTLED_MS, ORDERED_UNIX_MS)
     assert [one.rollout for one in known.running()] == [rollout()]
@@ -89,15 +91,17 @@
     known.update(document(rollout()), 2, SETTLED_MS, ORDERED_UNIX_MS)
     started = CommittedRollouts()
     started.update(document(rollout()), 2, 500.0, ORDERED_UNIX_MS + 4_000.0 + step_ms)
-    assert started.ages(500.0) == {}, "an estimate is told to nobody"
+    assert started.ages(500.0) == {}, "an estimate is not reported to other controllers"
     started.adopt_ages(known.ages(SETTLED_MS + 4_000.0), 500.0)
     assert only(started).elapsed_s(500.0) == 4.0
-    assert started.ages(1_500.0) == known.ages(SETTLED_MS + 5_000.0), "it passes on what it was told"
+    assert started.ages(1_500.0) == known.ages(
+        SETTLED_MS + 5_000.0
+    ), "an adopted age is reported to other controllers"
     started.update(document(rollout(target_weight=1.0)), 3, 2_500.0, ORDERED_UNIX_MS)
     assert only(started).elapsed_s(2_500.0) == 6.0
 
 
-def test_the_oldest_age_counts_and_only_of_the_order_in_place(known: CommittedRollouts) -> None:
+def test_the_highest_age_is_adopted_and_only_for_the_current_order(known: CommittedRollouts) -> None:
     known.update(document(rollout()), 2, SETTLED_MS, ORDERED_UNIX_MS)
     for elapsed_ms, kept_s in ((3_000.0, 3.0), (1_000.0, 3.0), (3_500.0, 3.5)):
         known.adopt_ages({"s": RolloutAge(rollout().order_id, elapsed_ms)}, SETTLED_MS)
--- a/tests/controller/test_configuration_delivery.py
+++ b/tests/controller/test_configuration_delivery.py
@@ -1,4 +1,4 @@
-"""In what form a router is sent a configuration, by what it has named and by its size."""
+"""The encoding of configuration updates, depending on the router's encodings and the size of the update."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from larkweir.controller.configuration_history import ConfigurationHistory
 from larkweir.controller.subscriptions import Subscriber
 
-LARGE, SMALL = 200, 3  # services of a configuration
+LARGE, SMALL = 200, 3  # number of services in a configuration
 
 
 def value(generation: int, services: int) -> str:
@@ -27,7 +27,7 @@
 
 
 class DeliveryHarness:
-    """A controller's history, and one router on one connection. To be made inside a loop."""
+    """A controller's history and one connected router. Must be created inside an event loop."""
 
     def __init__(self, services: int = LARGE) -> None:
         self.history = ConfigurationHistory()
@@ -51,7 +51,7 @@
     return int(msgspec.json.decode(decompress(answer.compressed_config).body)["generation"])
 
 
-def test_a_router_is_asked_once_and_sent_large_updates_compressed_from_then_on() -> None:
+def test_a_router_is_asked_for_encodings_once_and_then_sent_large_updates_compressed() -> None:
     async def scenario() -> None:
         harness = DeliveryHarness()
         assert harness.answer(Pull()) == ConfigurationAnswer(wants_encodings=True)
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("encodings", [[], ["of-a-later-version"]])
-def test_a_router_that_names_none_that_is_known_is_sent_the_plain_update(encodings: list[str]) -> None:
+def test_a_router_without_a_supported_encoding_is_sent_the_uncompressed_update(encodings: list[str]) -> None:
     async def scenario() -> None:
         harness = DeliveryHarness()
         assert harness.answer(Pull()).wants_encodings
@@ -80,7 +80,7 @@
     asyncio.run(scenario())
 
 
-def test_a_small_update_is_sent_plain_and_unasked() -> None:
+def test_a_small_update_is_sent_uncompressed_without_asking_for_encodings() -> None:
     async def scenario() -> None:
         harness = DeliveryHarness(SMALL)
         update = harness.history.update_from(-1)
--- a/tests/controller/test_configuration_history.py
+++ b/tests/controller/test_configuration_history.py
@@ -1,4 +1,4 @@
-"""Which update a process is sent, by the configuration that it has."""
+"""The update that a process is sent, depending on the configuration that it has."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
     }
 
 
-def test_a_process_with_the_newest_configuration_is_sent_none(history: ConfigurationHistory) -> None:
+def test_a_process_with_the_newest_configuration_is_sent_no_update(history: ConfigurationHistory) -> None:
     assert history.update_from(3) is None
 
 
-def test_a_patch_is_to_the_newest_configuration_also_after_it_was_made_before(
+def test_a_cached_patch_is_replaced_when_a_newer_configuration_is_added(
     history: ConfigurationHistory,
 ) -> None:
     history.update_from(1)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(("sequence", "value"), [(4, ""), (3, version(9)), (2, version(9)), (3, version(3))])
-def test_what_is_empty_or_not_newer_is_not_taken(
+def test_a_value_that_is_empty_or_not_newer_is_ignored(
     sequence: int, value: str, history: ConfigurationHistory
 ) -> None:
     assert history.add(sequence, value) is None
@@ -76,7 +76,7 @@
     assert retained.base_sequence == 2
 
 
-def test_what_versions_have_in_common_is_held_once(history: ConfigurationHistory) -> None:
+def test_items_that_versions_have_in_common_are_stored_once(history: ConfigurationHistory) -> None:
     routes = [{"name": f"r{number}", "timeout_ms": number} for number in range(3)]
     first = history.add(4, msgspec.json.encode({"generation": 4, "routes": routes}).decode())
     routes[1] = {"name": "r1", "timeout_ms": 9}
@@ -90,10 +90,10 @@
     ]
 
 
-def test_a_change_of_the_members_alone_is_a_version_that_patches_go_from_and_to(
+def test_a_membership_change_without_a_new_value_is_a_version_that_patches_start_and_end_at(
     history: ConfigurationHistory,
 ) -> None:
-    """The group commits its present value under a new sequence, under which a controller that joins now knows it."""
+    """A membership change commits the current value under a new sequence; a joining controller knows only that one."""
     history.add(4, version(3))
     unchanged = history.update_from(3)
     assert unchanged is not None
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -1,4 +1,4 @@
-"""Which part answers which request."""
+"""Dispatch of HTTP requests to the parts of the controller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FakeRolloutsApi:
-    """Each answer names the method that gave it."""
+    """Each response names the method that returned it."""
 
     async def list(self) -> Response:
         return Response(200, b"rollouts list")
@@ -28,7 +28,7 @@
 
 
 class FakeApis:
-    """Operators', instances' and inspection's part in one; each answer names the method that gave it."""
+    """Replaces `OperatorApi`, `InstancesApi` and `Inspection`. Each response names the method that returned it."""
 
     async def get(self) -> Response:
         return Response(200, b"operator get")
@@ -79,7 +79,7 @@
         ("GET", "/", 404, b""),
     ],
 )
-def test_a_request_is_answered_by_its_part(
+def test_a_request_is_dispatched_by_path_and_method(
     method: str, target: str, status: int, body: bytes, links: FakeLinks
 ) -> None:
     links.connected = {"e", "d"}
--- a/tests/controller/test_controller_links.py
+++ b/tests/controller/test_controller_links.py
@@ -1,4 +1,4 @@
-"""Which controllers are dialled, sent to and forgotten."""
+"""Which controllers are connected to, sent messages and dropped."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     return links._links[node]
 
 
-def test_each_node_is_dialled_once_and_kept_alive_until_it_is_forgotten(links: ControllerLinks) -> None:
+def test_each_node_has_one_link_that_is_kept_alive_until_the_node_is_dropped(links: ControllerLinks) -> None:
     first = link(links, "d")
     links.keep_alive(["e"])
     assert link(links, "d") is first
@@ -54,7 +54,7 @@
     assert first.keep_alive_calls == 2
 
 
-def test_only_nodes_with_a_connection_are_connected(links: ControllerLinks) -> None:
+def test_only_nodes_whose_link_has_a_connection_are_connected(links: ControllerLinks) -> None:
     link(links, "d").connection = object()
     assert links.connected_nodes() == {"d"}
     assert links.is_connected("d")
@@ -88,7 +88,7 @@
     assert not kept.is_closed
 
 
-def test_the_close_ends_all_links(links: ControllerLinks) -> None:
+def test_close_closes_all_links(links: ControllerLinks) -> None:
     links.close()
     assert link(links, "d").is_closed
     assert link(links, "e").is_closed
--- a/tests/controller/test_delivery_confirmation.py
+++ b/tests/controller/test_delivery_confirmation.py
@@ -1,4 +1,4 @@
-"""Waiting until connected processes have what the registry has noted."""
+"""Waiting until connected processes have the latest records of the registry."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ConfirmationHarness:
-    """A registry that has noted one upstream, and a router and a controller that lack it. Made inside a loop."""
+    """A registry with one upstream, and a router and a controller that lack it. Must be created in an event loop."""
 
     def __init__(self) -> None:
         self.registry = Registry("c/1")
@@ -51,7 +51,7 @@
     asyncio.run(run())
 
 
-def test_it_waits_for_every_subscriber() -> None:
+def test_wait_ends_when_every_subscriber_has_the_record() -> None:
     async def scenario(harness: ConfirmationHarness) -> None:
         waiting = asyncio.ensure_future(harness.confirmation.wait(NEVER_S))
         await asyncio.sleep(0)
@@ -64,7 +64,7 @@
     run_scenario(scenario)
 
 
-def test_after_the_time_out_it_returns_the_controllers_that_have_it() -> None:
+def test_after_the_timeout_wait_returns_the_controllers_that_have_the_record() -> None:
     async def scenario(harness: ConfirmationHarness) -> None:
         harness.report_delivery(harness.controller)
         assert await harness.confirmation.wait(0.01) == {"d"}
@@ -72,7 +72,7 @@
     run_scenario(scenario)
 
 
-def test_a_router_that_has_it_is_no_controller_that_has_it() -> None:
+def test_a_router_that_has_the_record_is_not_returned() -> None:
     async def scenario(harness: ConfirmationHarness) -> None:
         harness.report_delivery(harness.router)
         assert await harness.confirmation.wait(0.01) == set()
@@ -80,7 +80,7 @@
     run_scenario(scenario)
 
 
-def test_it_does_not_wait_for_a_subscriber_that_was_removed() -> None:
+def test_a_removed_subscriber_is_not_waited_for() -> None:
     async def scenario(harness: ConfirmationHarness) -> None:
         harness.subscriptions.remove(harness.router.connection)
         harness.report_delivery(harness.controller)
@@ -90,7 +90,7 @@
     run_scenario(scenario)
 
 
-def test_a_cancelled_wait_is_forgotten() -> None:
+def test_a_cancelled_wait_does_not_affect_later_waits() -> None:
     async def scenario(harness: ConfirmationHarness) -> None:
         waiting = asyncio.ensure_future(harness.confirmation.wait(NEVER_S))
         await asyncio.sleep(0)
--- a/tests/controller/test_disk_writer.py
+++ b/tests/controller/test_disk_writer.py
@@ -1,4 +1,4 @@
-"""What the disk's thread writes, in which order, and whom it notifies."""
+"""What the disk thread writes, in which order, and which callbacks it calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MemoryFiles:
-    """Files that a test can make fail, and whose first write waits for the test."""
+    """Files in memory. Writes wait until the test sets `may_write`, and fail while `fails` is set."""
 
     def __init__(self) -> None:
         self.contents: dict[str, bytes] = {}
@@ -42,7 +42,7 @@
 
 
 class WriterHarness:
-    """A writer, and the notifications that it has sent."""
+    """A disk writer and the tokens that its callbacks received."""
 
     def __init__(self) -> None:
         self.files = MemoryFiles()
@@ -75,7 +75,7 @@
 def test_the_newest_queued_record_supersedes_the_earlier_ones() -> None:
     async def scenario() -> None:
         async with disk_writer_harness() as harness:
-            harness.writer.write_hint("a.hint", b"a")  # the thread waits in it
+            harness.writer.write_hint("a.hint", b"a")  # blocks the thread until `may_write` is set
             await harness.wait_until(harness.files.is_writing.is_set)
             for token in (1, 2, 3):
                 harness.writer.write_record(token, durable(token))
@@ -100,7 +100,7 @@
     asyncio.run(scenario())
 
 
-def test_a_hint_replaces_its_file_and_is_read_again() -> None:
+def test_a_hint_replaces_its_file_and_can_be_read() -> None:
     async def scenario() -> None:
         async with disk_writer_harness() as harness:
             harness.files.may_write.set()
@@ -114,7 +114,7 @@
     asyncio.run(scenario())
 
 
-def test_a_failed_record_is_notified_as_failed_and_the_thread_goes_on() -> None:
+def test_a_failed_record_write_is_reported_and_the_thread_continues() -> None:
     async def scenario() -> None:
         async with disk_writer_harness() as harness:
             harness.files.may_write.set()
@@ -128,7 +128,7 @@
     asyncio.run(scenario())
 
 
-def test_a_failed_hint_is_lost_and_the_thread_goes_on() -> None:
+def test_a_failed_hint_write_is_dropped_and_the_thread_continues() -> None:
     async def scenario() -> None:
         async with disk_writer_harness() as harness:
             harness.files.may_write.set()
@@ -143,7 +143,7 @@
     asyncio.run(scenario())
 
 
-def test_what_is_queued_at_the_close_is_not_written() -> None:
+def test_a_record_queued_before_close_is_not_written() -> None:
     async def scenario() -> None:
         async with disk_writer_harness() as harness:
             harness.writer.write_hint("a.hint", b"a")
--- a/tests/controller/test_golden.py
+++ b/tests/controller/test_golden.py
@@ -1,6 +1,6 @@
-"""Golden bytes of one controller: its hint files, its HTTP answers and its lines, as literal text.
+"""Golden bytes of one controller: its hint files, HTTP responses and messages, as literal text.
 
-Nodes have an address of their own in each run, and each start has an incarnation: both are replaced by `IP` and `LIFE`.
+The address differs in each run and the incarnation in each start, so they are replaced with `IP` and `LIFE`.
 """
 
 from __future__ import annotations
@@ -92,10 +92,10 @@
 
 
 def run_with_one_controller(folder: Path, scenario: Scenario, answer_timeout_s: float = PATIENCE_S) -> None:
-    """Plays the scene with one controller that is a majority by itself.
+    """Runs a scenario with one controller that is a majority by itself.
 
-    A disk that is busy with others' files holds a change up, and 503 after 0.9 s is a right answer then: a scene that
-    is about other answers has the controller wait for its disk.
+    While the disk is busy with other work, the controller may correctly answer a change with 503 after 0.9 s. Scenarios
+    that test other answers use a longer time-out, so that the controller waits for its disk.
     """
     with patch.object(operator_api, "ANSWER_TIMEOUT_S", answer_timeout_s):
         play(folder, scenario, controllers=1, routers=0, tolerance=0)
@@ -110,7 +110,7 @@
 
 
 def normalize(fleet: Fleet, data: bytes) -> bytes:
-    """The same whatever address this run has, and whatever incarnation the controller."""
+    """Replaces the address and the incarnation of the controller, which differ in each run."""
     data = data.replace(address_of(fleet).encode(), b"IP")
     return re.sub(rb"IP/[0-9a-f]{12}", b"IP/LIFE", data)
 
@@ -123,26 +123,26 @@
 
 
 async def wait_until_primary(fleet: Fleet) -> None:
-    """Until the controller is the primary and its links count."""
+    """Waits until the controller answers reads of the configuration as the primary."""
 
-    async def found() -> bool:
+    async def answers_reads() -> bool:
         return (await request(fleet, "GET", "/config"))[0] in (200, 404)
 
-    await fleet.until(found)
+    await fleet.until(answers_reads)
 
 
 async def wait_for_quota_share(fleet: Fleet) -> None:
-    """Until the controller holds a share of all quotas."""
+    """Waits until the controller holds the full share of all quotas."""
 
-    async def found() -> bool:
+    async def holds_share() -> bool:
         reply = await ask(fleet.control[0], "GET", "/metrics")
         return b"larkweir_quota_share 1.0" in reply.body
 
-    await fleet.until(found)
+    await fleet.until(holds_share)
 
 
 async def wait_for_file(path: Path, expected: bytes) -> None:
-    """Fails with what is there where the expected bytes do not come."""
+    """Waits until the file has the expected bytes; fails with the actual bytes after a time-out."""
     for _ in range(400):
         if path.exists() and path.read_bytes() == expected:
             return
@@ -151,7 +151,7 @@
 
 
 class Peer:
-    """A process that has dialled the controller; its lines are literal."""
+    """A process that connects to the controller and sends messages as literal lines."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -166,7 +166,7 @@
         self.writer.close()
 
     async def ping(self) -> None:
-        """Keeps the connection from its time-out however slow the test is."""
+        """Keeps the connection alive even if the test is slow."""
         while True:
             await asyncio.sleep(0.2)
             self.send(b'{"type":"ping"}')
@@ -175,7 +175,7 @@
         self.writer.write(line + b"\n")
 
     async def receive(self, kind: bytes) -> bytes:
-        """The next line of that type; pings and others are passed over."""
+        """Returns the next message of this type and skips all others."""
         async with asyncio.timeout(5.0):
             while not (line := await self.reader.readline()).startswith(b'{"type":"%s"' % kind):
                 assert line, "the connection ended"
@@ -223,7 +223,7 @@
     run_with_one_controller(tmp_path, scenario)
 
 
-def test_hint_files_of_an_earlier_start_are_read(tmp_path: Path) -> None:
+def test_hint_files_of_an_earlier_incarnation_are_read(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         await wait_until_primary(fleet)
         await fleet.kill(fleet.control[0])
@@ -249,7 +249,7 @@
     [("upstreams.hint", UPSTREAMS_HINT[:-1]), ("placements.hint", PLACEMENTS_HINT[:-1])],
     ids=["upstreams", "placements"],
 )
-def test_a_damaged_hint_file_is_passed_over(name: str, data: bytes, tmp_path: Path) -> None:
+def test_a_damaged_hint_file_is_ignored(name: str, data: bytes, tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         await wait_until_primary(fleet)
         await fleet.kill(fleet.control[0])
@@ -270,8 +270,8 @@
     async def scenario(fleet: Fleet) -> None:
         await wait_until_primary(fleet)
         assert await request(fleet, "GET", "/config") == (404, b'{"error":"there is no configuration yet"}')
-        unbased = b'{"error":"If-Match: the version that the change builds on is needed"}'
-        assert await request(fleet, "PUT", "/config", CONFIGURATION) == (400, unbased)
+        missing_base = b'{"error":"If-Match: the version that the change builds on is needed"}'
+        assert await request(fleet, "PUT", "/config", CONFIGURATION) == (400, missing_base)
         assert await request(fleet, "PUT", "/config", b"\xff", If_Match="0") == (
             400,
             b'{"error":"the body is no UTF-8"}',
@@ -299,7 +299,7 @@
     run_with_one_controller(tmp_path, scenario)
 
 
-def test_a_change_that_the_disk_holds_up_is_unknown_and_taken_once_when_it_is_repeated(
+def test_a_change_delayed_by_the_disk_has_an_unknown_outcome_and_a_retry_applies_it_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk_released = threading.Event()
@@ -326,7 +326,7 @@
     run_with_one_controller(tmp_path, scenario, answer_timeout_s=0.2)
 
 
-def test_answers_to_upstreams_and_what_is_shown_of_them(tmp_path: Path) -> None:
+def test_answers_to_upstreams_and_their_status(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         await wait_until_primary(fleet)
         await wait_for_quota_share(fleet)
@@ -377,7 +377,7 @@
     play(tmp_path, scenario, controllers=3, routers=0)
 
 
-def test_lines_to_a_router(tmp_path: Path) -> None:
+def test_messages_to_a_router(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         await wait_until_primary(fleet)
         await wait_for_quota_share(fleet)
@@ -390,7 +390,7 @@
             await other.receive(b"delta")
             other.send(b'{"type":"waiting","tokens":{"u1":9000,"u2":3999}}')
             other.send(b'{"type":"place","service":"s","head":"h1","tokens":5.0}')
-            await other.receive(b"placed")  # so that the line before it has been read
+            await other.receive(b"placed")  # after this answer the controller has read the line before
             router.send(b'{"type":"pull","vector":{},"usage":{"t":4.0},"sent_ms":5.0}')
             assert await router.receive(b"delta") == (
                 b'{"type":"delta","config":{"sequence":1,"base":-1,"body":'
@@ -418,7 +418,7 @@
     run_with_one_controller(tmp_path, scenario)
 
 
-def test_lines_to_another_controller(tmp_path: Path) -> None:
+def test_messages_to_another_controller(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         await wait_until_primary(fleet)
         await wait_for_quota_share(fleet)
--- a/tests/controller/test_heartbeat_monitor.py
+++ b/tests/controller/test_heartbeat_monitor.py
@@ -1,4 +1,4 @@
-"""Which upstreams are marked as silent, and what the other controllers are sent of heartbeats."""
+"""Which upstreams are marked as timed out, and which heartbeats are sent to the other controllers."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class FakeContact:
-    """Whether a majority was connected at the last update."""
+    """A contact whose `was_connected` the test sets."""
 
     was_connected = True
 
 
 class MonitorHarness:
-    """Two upstreams, heard once at the start, and a clock that the test sets."""
+    """Two upstreams that sent one heartbeat each at the start, and a clock that the test sets."""
 
     def __init__(self, links: FakeLinks) -> None:
         self.present_ms = 0.0
@@ -59,7 +59,9 @@
     return harness
 
 
-def test_received_heartbeats_are_sent_to_the_others_once(harness: MonitorHarness, links: FakeLinks) -> None:
+def test_received_heartbeats_are_sent_to_the_other_controllers_once(
+    harness: MonitorHarness, links: FakeLinks
+) -> None:
     links.connected = {"d", "e"}
     harness.monitor.share()
     harness.monitor.share()
@@ -77,14 +79,16 @@
     assert harness.updates == 1
 
 
-def test_an_upstream_is_not_marked_before_its_time(harness: MonitorHarness) -> None:
+def test_an_upstream_is_not_marked_before_the_timeout(harness: MonitorHarness) -> None:
     harness.present_ms = harness.failure_detector.timeout_ms - 1.0
     harness.monitor.evaluate()
     assert harness.timed_out == []
     assert harness.updates == 0
 
 
-def test_without_contact_and_for_a_while_after_it_silence_proves_nothing(harness: MonitorHarness) -> None:
+def test_no_upstream_is_marked_without_contact_or_within_the_timeout_after_it_is_regained(
+    harness: MonitorHarness,
+) -> None:
     harness.contact.was_connected = False
     harness.present_ms = 2.0 * harness.failure_detector.timeout_ms
     harness.monitor.evaluate()
--- a/tests/controller/test_instances_api.py
+++ b/tests/controller/test_instances_api.py
@@ -1,4 +1,4 @@
-"""What a heartbeat says of an upstream."""
+"""Decoding of heartbeats of upstreams."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     return found
 
 
-def test_the_version_of_the_software_is_noted() -> None:
+def test_the_software_version_is_recorded() -> None:
     assert decode(b',"generation":"v2"').upstream("u").version == "v2"
 
 
 @pytest.mark.parametrize("more", [b"", b',"generation":""'])
-def test_an_upstream_without_a_version_is_noted_as_before(more: bytes) -> None:
+def test_the_record_of_an_upstream_without_a_version_has_no_version_field(more: bytes) -> None:
     upstream = decode(more).upstream("u")
     assert upstream.version == ""
     assert b"version" not in msgspec.json.encode(upstream)
@@ -29,6 +29,6 @@
 @pytest.mark.parametrize(
     "more", [b',"generation":7', b',"generation":"%s"' % (b"v" * (MAX_VERSION_CHARS + 1))]
 )
-def test_a_version_that_is_no_short_text_is_refused(more: bytes) -> None:
+def test_a_version_that_is_not_a_string_or_too_long_is_rejected(more: bytes) -> None:
     with pytest.raises(msgspec.ValidationError, match="generation"):
         decode(more)
--- a/tests/controller/test_known_controllers.py
+++ b/tests/controller/test_known_controllers.py
@@ -1,4 +1,4 @@
-"""Who may be a controller, and who is forgotten."""
+"""Which nodes are known as controllers, and which are dropped."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return KnownControllers(settings_with("10.0.0.2"), replica)  # type: ignore[arg-type]
 
 
-def test_members_known_nodes_and_this_one_are_listed_in_order(
+def test_members_known_nodes_and_the_own_node_are_listed_sorted(
     known: KnownControllers, replica: FakeReplica
 ) -> None:
     replica.accept("10.0.0.3")
@@ -40,12 +40,12 @@
     assert known.others() == ["10.0.0.0", "10.0.0.2", "10.0.0.3"]
 
 
-def test_new_seeds_are_known(known: KnownControllers) -> None:
+def test_seeds_of_new_settings_are_known(known: KnownControllers) -> None:
     known.update_settings(settings_with("10.0.0.7"))
     assert known.nodes() == ["10.0.0.1", "10.0.0.2", "10.0.0.7"]
 
 
-def test_an_unreachable_node_is_forgotten_unless_it_is_a_member_or_a_seed(
+def test_an_unreachable_node_is_dropped_unless_it_is_a_member_or_a_seed(
     known: KnownControllers, replica: FakeReplica, links: FakeLinks
 ) -> None:
     replica.accept("10.0.0.3", previous=("10.0.0.4",))
@@ -55,7 +55,7 @@
     assert known.nodes() == ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"]
 
 
-def test_without_a_member_list_nobody_is_forgotten(
+def test_without_a_member_list_no_node_is_dropped(
     known: KnownControllers, replica: FakeReplica, links: FakeLinks
 ) -> None:
     replica.known_nodes.add("10.0.0.5")
--- a/tests/controller/test_message_dispatch.py
+++ b/tests/controller/test_message_dispatch.py
@@ -1,4 +1,4 @@
-"""What a controller does with the messages of other processes."""
+"""How a controller handles messages of other processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.controller.rollout_factories import ORDERED_UNIX_MS, document, rollout
 
 
-def test_the_age_of_an_order_is_taken_from_a_controller_that_knows_it(
+def test_the_age_of_an_order_is_adopted_from_another_controller(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(message_dispatch, "now_ms", lambda: 500.0)
