--- a/larkweir/controller/committed_rollouts.py
+++ b/larkweir/controller/committed_rollouts.py
@@ -12,9 +12,8 @@
 from larkweir.cluster.configuration.rollouts import rollouts_of
 from larkweir.cluster.messages import RolloutAge
 
-CATCH_UP_MS = (
-    1_000.0  # commits received this soon after a start or a loss of contact may have been made earlier
-)
+# Commits that arrive this soon after a start or a loss of contact may have been made earlier.
+CATCH_UP_MS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/larkweir/controller/configuration_history.py
+++ b/larkweir/controller/configuration_history.py
@@ -7,9 +7,8 @@
 from larkweir.cluster.configuration.documents import COLLECTIONS, Document, make_patch
 from larkweir.cluster.messages import ConfigUpdate
 
-MAX_VERSIONS = (
-    32  # kept as bases of patches; a process with an older version is sent the complete configuration
-)
+# Versions kept as bases of patches. A process with an older version is sent the complete configuration.
+MAX_VERSIONS = 32
 
 
 class ConfigurationHistory:
--- a/larkweir/controller/heartbeat_monitor.py
+++ b/larkweir/controller/heartbeat_monitor.py
@@ -46,7 +46,7 @@
     def evaluate(self) -> None:
         """Marks upstreams that have timed out.
 
-        Without contact to a majority of the controllers, missing heartbeats prove nothing and observation starts again.
+        Without contact with a majority of the controllers, missing heartbeats prove nothing and observation restarts.
         """
         present_ms = now_ms()
         if not self._contact.was_connected:
