--- a/larkweir/controller/message_dispatch.py
+++ b/larkweir/controller/message_dispatch.py
@@ -1,4 +1,4 @@
-"""Which part of a controller receives which message of another process."""
+"""Dispatch of messages from other processes to the parts of a controller."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageDispatch:
-    """The receivers of messages; all are the controller's own."""
+    """The parts that receive messages; all belong to the same controller."""
 
     known_controllers: KnownControllers
     pulls: PullService
@@ -50,10 +50,10 @@
     rollouts: CommittedRollouts
 
     def receive(self, connection: Connection, message: Message) -> None:
-        """One message, of whatever kind; kinds that only routers receive are ignored."""
+        """Handles a message of any type. Types that only routers receive are ignored."""
         match message:
             case Hello():
-                self._introduced(connection, message)
+                self._register_peer(connection, message)
             case Pull():
                 self.pulls.pull(connection, message)
             case PrefillQueueUpdate():
@@ -79,7 +79,7 @@
             case PrimaryResponse():
                 self.primary.answered(message)
 
-    def _introduced(self, connection: Connection, hello: Hello) -> None:
+    def _register_peer(self, connection: Connection, hello: Hello) -> None:
         connection.node, connection.incarnation = hello.node, hello.incarnation
         self.pulls.connected(connection, hello.role)
         if hello.role is NodeRole.CONTROLLER:
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -1,4 +1,4 @@
-"""Which part answers which request."""
+"""Dispatch of HTTP requests to the parts of the controller."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.controller.conftest import FakeLinks
 
 
-class RolloutsPart:
-    """Each answer names the method that gave it."""
+class FakeRolloutsApi:
+    """Each response names the method that returned it."""
 
     async def list(self) -> Response:
         return Response(200, b"rollouts list")
@@ -27,8 +27,8 @@
         return Response(200, f"rollout abort {service}".encode())
 
 
-class Parts:
-    """Operators', instances' and inspection's part in one; each answer names the method that gave it."""
+class FakeApis:
+    """Replaces `OperatorApi`, `InstancesApi` and `Inspection`. Each response names the method that returned it."""
 
     async def get(self) -> Response:
         return Response(200, b"operator get")
@@ -79,11 +79,11 @@
         ("GET", "/", 404, b""),
     ],
 )
-def test_a_request_is_answered_by_its_part(
+def test_a_request_is_dispatched_by_path_and_method(
     method: str, target: str, status: int, body: bytes, links: FakeLinks
 ) -> None:
     links.connected = {"e", "d"}
-    parts = Parts()
-    api = ControlApi(parts, parts, parts, links, RolloutsPart())  # type: ignore[arg-type]
+    apis = FakeApis()
+    api = ControlApi(apis, apis, apis, links, FakeRolloutsApi())  # type: ignore[arg-type]
     response = asyncio.run(api.handle(Request(method, target, {}, b"")))
     assert (response.status, response.body) == (status, body)
