--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -111,7 +111,7 @@
         self._quotas = QuotaAccounting(allocator)
         group = QuotaGroup(
             self.settings.ip,
-            term=lambda present_ms: self._driver.certain_term(present_ms),
+            term=lambda present_ms: self._driver.leased_term(present_ms),
             members=lambda: self._driver.members(),
             clients=lambda: self._subscriptions.router_count,
         )
@@ -206,7 +206,8 @@
         load = self._state.prefill_load.tokens_by_engine
         return [
             PeriodicTask(
-                "partial_messages", lambda: self._driver.receiving(self._listeners.receiving_nodes())
+                "partial_messages",
+                lambda: self._driver.on_partial_messages(self._listeners.receiving_nodes()),
             ),
             PeriodicTask("replica", self._driver.tick, is_essential=True),
             PeriodicTask("links", lambda: self._links.keep_alive(self._known_controllers.others())),
--- a/larkweir/controller/prefill_load.py
+++ b/larkweir/controller/prefill_load.py
@@ -32,7 +32,7 @@
                 total.pop(engine, None)
         self._busiest = None
 
-    def of_others(self, own: Mapping[str, int]) -> dict[str, int]:
+    def without_own(self, own: Mapping[str, int]) -> dict[str, int]:
         """The load of the busiest engines without what one router has reported itself (`own`)."""
         if self._busiest is None:
             busy = [one for one in self.tokens_by_engine.items() if one[1] >= MIN_REPORTED_TOKENS]
--- a/larkweir/controller/prefix_placement.py
+++ b/larkweir/controller/prefix_placement.py
@@ -70,7 +70,7 @@
         engine = self._engines.get(prefix)
         if prefix in self._outdated:
             self._outdated.discard(prefix)
-            engine = self._corrected(prefix, engine, known_engine, ready)
+            engine = self._correct_placement(prefix, engine, known_engine, ready)
         is_cached = engine is not None and engine in ready
         if engine is None or not is_cached:
             is_cached = known_engine in ready
@@ -89,7 +89,7 @@
             dropped, _ = self._engines.popitem(last=False)
             self._outdated.discard(dropped)
 
-    def _corrected(
+    def _correct_placement(
         self, prefix: str, engine: str | None, known_engine: str | None, ready: Sequence[str]
     ) -> str | None:
         """After an absence: where a router has sent the prefix meanwhile."""
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -190,7 +190,7 @@
             controllers=controllers if controllers != subscriber.sent_controllers else [],
             router_count=max(1, self._subscriptions.router_count),
             quotas=state.quotas.statuses(pull, present_ms) if is_router else {},
-            queued_prefill_tokens=state.prefill_load.of_others(subscriber.queued_prefill_tokens)
+            queued_prefill_tokens=state.prefill_load.without_own(subscriber.queued_prefill_tokens)
             if is_router
             else {},
             ejected=sorted(ejected) if has_new_ejected else None,
--- a/larkweir/controller/quota_shares.py
+++ b/larkweir/controller/quota_shares.py
@@ -53,7 +53,7 @@
             claim, node = self.claim(now_ms), self._group.node
             lease_table.record_claim(node, claim, now_ms)
             self.accept(lease_table.offer(node, claim, self._group.members(), now_ms), now_ms, now_ms)
-        self._note_granting(now_ms)
+        self._notify_granting_change(now_ms)
 
     def claim(self, now_ms: float) -> ShareClaim:
         """What this controller holds, for the other ones."""
@@ -63,7 +63,7 @@
         """The primary answered a claim that was sent at `claimed_ms`."""
         self._holder.accept(offer, claimed_ms)
         self._allocator.set_share(self._holder.share(now_ms), self._holder.expires_ms, now_ms)
-        self._note_granting(now_ms)
+        self._notify_granting_change(now_ms)
 
     def record_claim(self, node: str, claim: ShareClaim, now_ms: float) -> None:
         """Another controller tells what it holds; only the primary takes note."""
@@ -95,7 +95,7 @@
             self._on_change()
         return self._lease_table
 
-    def _note_granting(self, now_ms: float) -> None:
+    def _notify_granting_change(self, now_ms: float) -> None:
         is_granting = self._allocator.has_share(now_ms)
         if is_granting != self._was_granting:
             self._was_granting = is_granting
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -35,12 +35,12 @@
 from larkweir.controller.clock import now_ms
 from larkweir.controller.disk_writer import DiskWriter
 
-FOLDER = "replica"
-STATUS_TOO_OLD = 503
+REPLICA_FOLDER = "replica"
+COMMAND_TOO_OLD_STATUS = 503
 MAX_LEAVE_FRACTION = (
     0.75  # of the time until the platform kills this process: the rest is for its last messages
 )
-LEAVE_POLL_S = 0.04
+LEAVE_POLL_INTERVAL_S = 0.04
 
 
 class ReplicaDriver:
@@ -68,7 +68,7 @@
         self._tickets = itertools.count(1)
         self._calls: dict[int, asyncio.Future[CallOutcome]] = {}  # by ticket
         assert settings.data_dir is not None
-        files = FolderFiles(os.path.join(settings.data_dir, FOLDER))
+        files = FolderFiles(os.path.join(settings.data_dir, REPLICA_FOLDER))
         journal = Journal(files)
         self.is_first_start = settings.bootstrap and journal.is_blank
         self.replica = _create_replica(settings, journal, is_first_start=self.is_first_start)
@@ -78,27 +78,27 @@
         log.event(
             "replica_started",
             status=self._status,
-            sequence=_sequence(journal),
+            sequence=_newest_sequence(journal),
             dropped=journal.unreadable_bytes,
             damaged=journal.is_damaged,
         )
-        self._carry_out()
+        self._perform_effects()
 
     def tick(self) -> None:
         """To be called every few tens of milliseconds."""
         self.replica.tick(now_ms())
-        self._carry_out()
+        self._perform_effects()
 
     def receive(self, sender: str, message: Message) -> None:
         """A message from another controller."""
         self.replica.receive(sender, message, now_ms())
-        self._carry_out()
+        self._perform_effects()
 
     def is_primary(self) -> bool:
         """Whether this replica is the primary."""
         return self.replica.status is ReplicaStatus.PRIMARY
 
-    def certain_term(self, present_ms: float) -> tuple[int, str] | None:
+    def leased_term(self, present_ms: float) -> tuple[int, str] | None:
         """The epoch's number and node while no other replica can be the primary; None at all other times."""
         replica = self.replica
         if not (self.is_primary() and replica.is_lease_valid(present_ms)):
@@ -110,20 +110,20 @@
         accepted = self.replica.accepted
         return accepted.members if accepted is not None else ()
 
-    def receiving(self, senders: Iterable[str]) -> None:
+    def on_partial_messages(self, senders: Iterable[str]) -> None:
         """Large messages are arriving: heartbeats are queued behind them, and these senders are alive."""
         for sender in senders:
             self.replica.on_partial_message(sender, now_ms())
 
     def _persisted(self, token: int) -> None:
         self.replica.on_persisted(token, now_ms())
-        self._carry_out()
+        self._perform_effects()
 
     def _persist_failed(self, token: int) -> None:
         self.replica.on_persist_failed(token)
-        self._carry_out()
+        self._perform_effects()
 
-    def _carry_out(self) -> None:
+    def _perform_effects(self) -> None:
         """Performs the effects that the replica has requested."""
         for effect in self.replica.take_effects():
             match effect:
@@ -161,7 +161,7 @@
                 is_accepted = self.replica.submit(ticket, command, now_ms())
             else:
                 is_accepted = self.replica.read(ticket, now_ms())
-            self._carry_out()
+            self._perform_effects()
             return await call if is_accepted else UNKNOWN
         finally:
             self._calls.pop(ticket, None)
@@ -169,13 +169,13 @@
     async def leave(self) -> None:
         """Prepares a planned end: another replica becomes primary, and replaces this member if one stands by."""
         self.replica.leave(now_ms())
-        self._carry_out()
+        self._perform_effects()
         while (reason := self.replica.departure_reason(now_ms())) is None:
-            await asyncio.sleep(LEAVE_POLL_S)
+            await asyncio.sleep(LEAVE_POLL_INTERVAL_S)
         log.event("replica_left", reason=reason)
         self.replica.resign(now_ms())
-        self._carry_out()
-        await asyncio.sleep(LEAVE_POLL_S)  # so that the last messages are sent
+        self._perform_effects()
+        await asyncio.sleep(LEAVE_POLL_INTERVAL_S)  # so that the last messages are sent
 
     def close(self) -> None:
         """Ends the disk's thread."""
@@ -217,7 +217,7 @@
     return dataclasses.replace(timing, max_leave_ms=max_leave_ms)
 
 
-def _sequence(journal: Journal) -> int:
+def _newest_sequence(journal: Journal) -> int:
     return journal.newest.snapshot.sequence if journal.newest and journal.newest.snapshot else -1
 
 
@@ -232,4 +232,4 @@
             return UNKNOWN
         case CommandOutcome.TOO_OLD:
             detail = "it builds on a version too old to tell whether it was taken"
-            return Rejected(STATUS_TOO_OLD, detail)
+            return Rejected(COMMAND_TOO_OLD_STATUS, detail)
--- a/larkweir/controller/rollout_driver.py
+++ b/larkweir/controller/rollout_driver.py
@@ -29,9 +29,9 @@
 from larkweir.controller.rollout_tracks import Tracks, split_into_tracks
 from larkweir.controller.subscriptions import Subscriptions
 
-ROUTERS_RETURN_MS = 2_000.0  # in which routers and upstreams find a controller that has started
+WARM_UP_MS = 2_000.0  # in which routers and upstreams find a controller that has started
 FIRST_REPORTS_MS = 1_000.0  # in which most routers have pulled from it
-LOST_ROUTER_MS = 2_000.0  # for so long one that was connected may go on serving by what it had in force
+LOST_ROUTER_GRACE_MS = 2_000.0  # for so long one that was connected may go on serving by what it had in force
 ADVANCE_TIMEOUT_S = 2.0  # then the step is decided anew
 
 Submit = Callable[[Command], Awaitable[CallOutcome]]
@@ -66,7 +66,7 @@
     @property
     def is_warmed_up(self) -> bool:
         """A process that has just started knows few of the routers and upstreams that serve."""
-        return now_ms() >= self.known_since_ms + ROUTERS_RETURN_MS
+        return now_ms() >= self.known_since_ms + WARM_UP_MS
 
     @property
     def has_first_reports(self) -> bool:
@@ -106,16 +106,18 @@
             for key, one in (((one.rollout.service, one.rollout.order_id), one) for one in running)
         }
         if running:
-            self._note_routers()
+            self._record_routers()
         for committed in running:
             self._evaluate(committed)
 
-    def _note_routers(self) -> None:
+    def _record_routers(self) -> None:
         present_ms = now_ms()
         for node, sequence in self.inputs.subscriptions.router_sequences().items():
             self._routers[node] = _LastSeen(sequence, present_ms)
         self._routers = {
-            node: seen for node, seen in self._routers.items() if present_ms < seen.at_ms + LOST_ROUTER_MS
+            node: seen
+            for node, seen in self._routers.items()
+            if present_ms < seen.at_ms + LOST_ROUTER_GRACE_MS
         }
 
     def _evaluate(self, committed: CommittedRollout) -> None:
@@ -124,7 +126,7 @@
         tracks = split_into_tracks(rollout, registry.ready_ids(rollout.service), registry.upstreams)
         progress = self._progress[rollout.service, rollout.order_id]
         progress.most_target_ready = max(progress.most_target_ready, len(tracks.target))
-        self._note_versions(rollout, progress)
+        self._record_versions(rollout, progress)
         if pool is None or progress.is_advancing or not self.is_primary():
             return
         view = self._view(committed, pool, tracks, progress.most_target_ready)
@@ -140,18 +142,21 @@
 
         A process that learned of it late knows nothing of the upstreams before it, but what was committed with a step.
         """
-        tracks, committed_versions = self._known_tracks(committed.rollout), committed.rollout.other_versions
+        tracks, committed_versions = (
+            self._tracks_of_known_upstreams(committed.rollout),
+            committed.rollout.other_versions,
+        )
         if isinstance(committed_versions, msgspec.UnsetType):
             is_only_version = bool(tracks.target) and not tracks.others and not committed.is_learned_late
             return _Progress(now_ms(), set(), is_only_version, committed.is_learned_late)
         return _Progress(now_ms(), {*committed_versions}, not committed_versions, committed.is_learned_late)
 
-    def _note_versions(self, rollout: Rollout, progress: _Progress) -> None:
-        upstreams, others = self.inputs.registry.upstreams, self._known_tracks(rollout).others
+    def _record_versions(self, rollout: Rollout, progress: _Progress) -> None:
+        upstreams, others = self.inputs.registry.upstreams, self._tracks_of_known_upstreams(rollout).others
         progress.other_versions |= {upstreams[id_].version for id_ in others}
         progress.is_only_version &= not others
 
-    def _known_tracks(self, rollout: Rollout) -> Tracks:
+    def _tracks_of_known_upstreams(self, rollout: Rollout) -> Tracks:
         """The upstreams of its service, ready or not, as they are known here."""
         upstreams = self.inputs.registry.upstreams
         known = [
--- a/tests/controller/test_operator_api.py
+++ b/tests/controller/test_operator_api.py
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture(autouse=True)
-def little_patience(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "RETRY_PAUSE_S", 0.0)
     monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.2)
 
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("base", ["", "x", "-1", "\u0663", "9" * 17, "9" * 5_000])
-def test_a_version_that_none_can_be_is_refused(base: str) -> None:
+def test_an_invalid_base_version_is_rejected(base: str) -> None:
     primary = Primary(Completed())
     request = Request("PUT", "/config", {"if-match": base}, b"{}")
     response = asyncio.run(OperatorApi(primary.call).change(request))
--- a/tests/controller/test_placement_requests.py
+++ b/tests/controller/test_placement_requests.py
@@ -62,13 +62,13 @@
     assert {one.engine for one in found} == {"e1"}
 
 
-def test_where_all_are_ejected_none_is_left_out(registry: Registry, ejection: Ejection) -> None:
+def test_if_all_engines_are_ejected_all_stay_eligible(registry: Registry, ejection: Ejection) -> None:
     ejection.names = frozenset({"e0", "e1"})
     found = answers(registry, ejection, *(PlacementRequest("s", f"p{n}", 50_000.0) for n in range(8)))
     assert {one.engine for one in found} == {"e0", "e1"}
 
 
-def test_where_none_is_ready_there_is_no_engine(registry: Registry, ejection: Ejection) -> None:
+def test_without_a_ready_engine_the_response_names_none(registry: Registry, ejection: Ejection) -> None:
     assert answers(registry, ejection, PlacementRequest("unknown", "p", 1.0)) == [
         PlacementResponse("p", None)
     ]
--- a/tests/controller/test_prefill_load.py
+++ b/tests/controller/test_prefill_load.py
@@ -26,23 +26,23 @@
 
 def test_a_router_is_sent_the_load_without_its_own(load: PrefillLoad) -> None:
     load.replace({}, {"e": MIN_REPORTED_TOKENS, "f": MIN_REPORTED_TOKENS})
-    assert load.of_others({"e": 1_000, "f": MIN_REPORTED_TOKENS}) == {"e": MIN_REPORTED_TOKENS - 1_000}
+    assert load.without_own({"e": 1_000, "f": MIN_REPORTED_TOKENS}) == {"e": MIN_REPORTED_TOKENS - 1_000}
 
 
 def test_engines_with_little_load_are_left_out(load: PrefillLoad) -> None:
     load.replace({}, {"e": MIN_REPORTED_TOKENS - 1})
-    assert load.of_others({}) == {}
+    assert load.without_own({}) == {}
 
 
 def test_a_change_is_seen_by_the_next_answer(load: PrefillLoad) -> None:
     load.replace({}, {"e": MIN_REPORTED_TOKENS})
-    assert load.of_others({}) == {"e": MIN_REPORTED_TOKENS}
+    assert load.without_own({}) == {"e": MIN_REPORTED_TOKENS}
     load.replace({}, {"e": 5})
-    assert load.of_others({}) == {"e": MIN_REPORTED_TOKENS + 5}
+    assert load.without_own({}) == {"e": MIN_REPORTED_TOKENS + 5}
 
 
 def test_only_the_busiest_engines_are_reported(load: PrefillLoad) -> None:
     load.replace({}, {f"e{n}": MIN_REPORTED_TOKENS + n for n in range(MAX_REPORTED_ENGINES + 2)})
-    reported = load.of_others({})
+    reported = load.without_own({})
     assert len(reported) == MAX_REPORTED_ENGINES
     assert not {"e0", "e1"} & set(reported)
--- a/tests/controller/test_prefix_placement.py
+++ b/tests/controller/test_prefix_placement.py
@@ -22,14 +22,14 @@
     assert placement.place("h", 5_000.0, [], None, 3.0) is None
 
 
-def test_a_start_spreads_the_prefills() -> None:
+def test_a_cold_start_spreads_the_prefills() -> None:
     placement = PrefixPlacement()
     found = [placement.place(f"h{n}", 20_000.0, ENGINES, None, 0.0) for n in range(30)]
     engines = [one.engine for one in found if one is not None]
     assert {engines.count(one) for one in ENGINES} == {10}
 
 
-def test_under_low_load_the_order_of_the_prefix_alone_decides() -> None:
+def test_under_low_load_only_the_rendezvous_order_decides() -> None:
     one, other = PrefixPlacement(), PrefixPlacement()
     for n in range(30):
         now_ms = n * 2 * REPORT_DELAY_MS
@@ -39,7 +39,7 @@
         )
 
 
-def test_what_a_router_knows_and_what_was_left_on_disk_go_first() -> None:
+def test_a_known_engine_and_restored_placements_take_precedence() -> None:
     placement, later = PrefixPlacement(), PrefixPlacement()
     assert placement.place("h", 5_000.0, ENGINES, "e2", 0.0) == ("e2", True)
     assert later.restore(placement.encode())
@@ -47,7 +47,7 @@
     assert not later.restore(b'{"h": ')
 
 
-def test_after_an_absence_a_router_knows_better_which_engine_owns_a_prefix() -> None:
+def test_after_an_outage_the_engine_known_to_a_router_replaces_the_placement() -> None:
     engines = ["e0", "e1", "e2"]
     placement = PrefixPlacement()
     before = placement.place("h", 1_000.0, engines, None, 0.0)
--- a/tests/controller/test_primary_client.py
+++ b/tests/controller/test_primary_client.py
@@ -57,7 +57,7 @@
 
 
 def test_a_call_is_forwarded_and_its_answer_returned(client: PrimaryClient, links: FakeLinks) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         call = asyncio.ensure_future(client.call(COMMAND))
         await asyncio.sleep(0)
         assert links.sent == [("p", PrimaryRequest(1, COMMAND))]
@@ -66,11 +66,11 @@
         client.answered(PrimaryResponse(1, 200))
         assert await call == Rejected(412, "stale")
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("primary", [None, "q"])
-def test_without_a_primary_that_is_connected_the_outcome_is_unknown(
+def test_without_a_connected_primary_the_outcome_is_unknown(
     primary: str | None, client: PrimaryClient, driver: FakeDriver, links: FakeLinks
 ) -> None:
     driver.replica.primary = primary
@@ -81,9 +81,9 @@
 def test_without_an_answer_in_time_the_outcome_is_unknown(
     client: PrimaryClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         assert await client.call(COMMAND) is UNKNOWN
         client.answered(PrimaryResponse(1, 200))  # too late; it is ignored
 
     monkeypatch.setattr(primary_client, "FORWARD_TIMEOUT_S", 0.01)
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/controller/test_pull_service.py
+++ b/tests/controller/test_pull_service.py
@@ -34,7 +34,7 @@
 WAIT_S = 10.0  # for what comes within milliseconds
 
 
-class Recorded(Connection):
+class RecordingConnection(Connection):
     """A connection of which the test sees what is sent."""
 
     def __init__(self, node: str) -> None:
@@ -49,8 +49,8 @@
             self.has_answer.set()
 
 
-class Scene:
-    """A controller's pulls and some routers. To be made inside a loop."""
+class PullServiceHarness:
+    """A controller's pulls and some routers. To be made inside an event loop."""
 
     def __init__(self) -> None:
         self.allocator = QuotaAllocator()
@@ -71,7 +71,7 @@
         )
         confirmation = DeliveryConfirmation(self.registry, subscriptions)
         self.pulls = PullService(state, subscriptions, confirmation, lambda: ["c"])
-        self.routers = [Recorded(f"r{n}") for n in range(ROUTERS)]
+        self.routers = [RecordingConnection(f"r{n}") for n in range(ROUTERS)]
         for router in self.routers:
             self.pulls.connected(router, NodeRole.ROUTER)
 
@@ -80,7 +80,7 @@
             "c", term=lambda present_ms: self.term, members=lambda: ["c", "d"], clients=lambda: ROUTERS
         )
 
-    def answer(self, router: Recorded, pull: Pull) -> Delta:
+    def answer(self, router: RecordingConnection, pull: Pull) -> Delta:
         """What a pull is answered that lacks the list of upstreams."""
         self.registry.update(Upstream(f"u{random.random()}", "other", "127.0.0.1:1", "z"), 0.0)
         router.sent.clear()
@@ -89,175 +89,177 @@
 
 
 def test_prefill_load_is_summed_over_routers_and_sent_to_the_others_at_once() -> None:
-    async def scene() -> None:
-        made = Scene()
-        one, two, three = made.routers
-        made.pulls.report_prefill(one, {"e": MIN_REPORTED_TOKENS, "f": 10})
-        made.pulls.report_prefill(two, {"e": 500})
-        assert made.prefill_load.tokens_by_engine == {"e": MIN_REPORTED_TOKENS + 500, "f": 10}
-        assert made.answer(three, Pull(vector={})).queued_prefill_tokens == {"e": MIN_REPORTED_TOKENS + 500}
-        assert made.answer(
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        one, two, three = harness.routers
+        harness.pulls.report_prefill(one, {"e": MIN_REPORTED_TOKENS, "f": 10})
+        harness.pulls.report_prefill(two, {"e": 500})
+        assert harness.prefill_load.tokens_by_engine == {"e": MIN_REPORTED_TOKENS + 500, "f": 10}
+        assert harness.answer(three, Pull(vector={})).queued_prefill_tokens == {
+            "e": MIN_REPORTED_TOKENS + 500
+        }
+        assert harness.answer(
             one, Pull(vector={}, queued_prefill_tokens={"e": MIN_REPORTED_TOKENS})
         ).queued_prefill_tokens == {"e": 500}
-        made.pulls.report_prefill(one, {})
-        assert made.prefill_load.tokens_by_engine == {"e": 500}
-        assert made.answer(three, Pull(vector={})).queued_prefill_tokens == {}
+        harness.pulls.report_prefill(one, {})
+        assert harness.prefill_load.tokens_by_engine == {"e": 500}
+        assert harness.answer(three, Pull(vector={})).queued_prefill_tokens == {}
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_the_prefill_load_of_a_lost_router_counts_no_longer() -> None:
-    async def scene() -> None:
-        made = Scene()
-        made.pulls.report_prefill(made.routers[0], {"e": 9_000})
-        made.pulls.disconnected(made.routers[0])
-        assert made.prefill_load.tokens_by_engine == {}
-        made.pulls.report_prefill(made.routers[0], {"e": 9_000})
-        assert made.prefill_load.tokens_by_engine == {}
+def test_the_prefill_load_of_a_disconnected_router_is_removed() -> None:
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        harness.pulls.report_prefill(harness.routers[0], {"e": 9_000})
+        harness.pulls.disconnected(harness.routers[0])
+        assert harness.prefill_load.tokens_by_engine == {}
+        harness.pulls.report_prefill(harness.routers[0], {"e": 9_000})
+        assert harness.prefill_load.tokens_by_engine == {}
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_any_order_of_reports_leaves_the_sum_of_the_last_ones() -> None:
-    async def scene() -> None:
+def test_the_prefill_load_is_the_sum_of_the_latest_reports() -> None:
+    async def scenario() -> None:
         rng = random.Random(5)
-        made = Scene()
+        harness = PullServiceHarness()
         last: dict[str, dict[str, int]] = {}
         for _ in range(500):
-            router = rng.choice(made.routers)
+            router = rng.choice(harness.routers)
             reported = {engine: rng.randrange(1, 9_000) for engine in "efgh" if rng.random() < 0.5}
-            made.pulls.report_prefill(router, reported)
+            harness.pulls.report_prefill(router, reported)
             last[router.node] = reported
             total = {engine: sum(one.get(engine, 0) for one in last.values()) for engine in "efgh"}
-            assert made.prefill_load.tokens_by_engine == {
+            assert harness.prefill_load.tokens_by_engine == {
                 engine: tokens for engine, tokens in total.items() if tokens
             }
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_an_upstream_that_fails_calls_of_several_routers_is_ejected_for_all_routers() -> None:
-    async def scene() -> None:
-        made = Scene()
+    async def scenario() -> None:
+        harness = PullServiceHarness()
         for number in range(8):
-            made.registry.update(Upstream(f"s{number}", "s", f"127.0.0.1:{number}", "z"), 0.0)
-        made.registry.update(Upstream("bad", "s", "127.0.0.1:9", "z"), 0.0)
-        for router in made.routers:
-            made.answer(router, Pull(vector={}, outcomes={"bad": OutcomeCounts(0, MIN_FAILURES)}))
-        made.pulls.tick()
-        assert made.ejection.ejected == {"bad"}
-        assert made.answer(made.routers[0], Pull(vector={})).ejected == ["bad"]
-        assert made.answer(made.routers[0], Pull(vector={})).ejected is None, "told once"
-
-    asyncio.run(scene())
-
-
-def test_a_controller_without_history_asks_each_router_once_and_watches_what_it_is_offered() -> None:
-    async def scene() -> None:
-        made = Scene()
-        made.pulls.requests_records = True
-        first, second, _ = made.routers
-        assert made.answer(first, Pull(vector={})).wants_records
-        assert not made.answer(first, Pull(vector={})).wants_records
-        assert made.answer(second, Pull(vector={})).wants_records
-        known = set(made.registry.upstreams)
+            harness.registry.update(Upstream(f"s{number}", "s", f"127.0.0.1:{number}", "z"), 0.0)
+        harness.registry.update(Upstream("bad", "s", "127.0.0.1:9", "z"), 0.0)
+        for router in harness.routers:
+            harness.answer(router, Pull(vector={}, outcomes={"bad": OutcomeCounts(0, MIN_FAILURES)}))
+        harness.pulls.tick()
+        assert harness.ejection.ejected == {"bad"}
+        assert harness.answer(harness.routers[0], Pull(vector={})).ejected == ["bad"]
+        assert harness.answer(harness.routers[0], Pull(vector={})).ejected is None, "told once"
+
+    asyncio.run(scenario())
+
+
+def test_a_controller_without_stored_upstreams_requests_records_of_each_router_once() -> None:
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        harness.pulls.requests_records = True
+        first, second, _ = harness.routers
+        assert harness.answer(first, Pull(vector={})).wants_records
+        assert not harness.answer(first, Pull(vector={})).wants_records
+        assert harness.answer(second, Pull(vector={})).wants_records
+        known = set(harness.registry.upstreams)
         offered = [Record(Upstream("old", "s", "127.0.0.1:1", "z", sequence=3), "c/0", 1)]
-        made.pulls.pull(first, Pull(vector={}, records=offered))
-        assert set(made.registry.upstreams) == known, "other routers do not learn of it"
-        assert made.failure_detector.last_sequence("old") == 3
+        harness.pulls.pull(first, Pull(vector={}, records=offered))
+        assert set(harness.registry.upstreams) == known, "other routers do not learn of it"
+        assert harness.failure_detector.last_sequence("old") == 3
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_controller_with_history_asks_nobody() -> None:
-    async def scene() -> None:
-        made = Scene()
-        assert not made.answer(made.routers[0], Pull(vector={})).wants_records
+def test_a_controller_with_stored_upstreams_requests_no_records() -> None:
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        assert not harness.answer(harness.routers[0], Pull(vector={})).wants_records
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_reports_of_a_rollout_are_pooled_until_the_router_is_lost() -> None:
-    async def scene() -> None:
-        made = Scene()
+    async def scenario() -> None:
+        harness = PullServiceHarness()
         order = rollout()
-        made.pulls.publish(1, msgspec.json.encode(document(order)).decode())
-        pool = made.state.rollout_samples.pool("s")
+        harness.pulls.publish(1, msgspec.json.encode(document(order)).decode())
+        pool = harness.state.rollout_samples.pool("s")
         assert pool is not None
-        for router in made.routers:
-            made.pulls.pull(router, Pull(rollouts={"s": report(order, 5, others_in_flight=2)}))
-            made.pulls.pull(router, Pull())
+        for router in harness.routers:
+            harness.pulls.pull(router, Pull(rollouts={"s": report(order, 5, others_in_flight=2)}))
+            harness.pulls.pull(router, Pull())
         assert answered(pool.totals().target) == 15
         assert pool.totals().others.in_flight == 6
-        made.pulls.disconnected(made.routers[0])
+        harness.pulls.disconnected(harness.routers[0])
         assert answered(pool.totals().target) == 15
         assert pool.totals().others.in_flight == 4
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_router_that_is_back_before_its_old_connection_ends_keeps_its_report() -> None:
-    async def scene() -> None:
-        made = Scene()
+def test_a_router_that_reconnects_before_its_old_connection_ends_keeps_its_report() -> None:
+    async def scenario() -> None:
+        harness = PullServiceHarness()
         order, later = rollout(), rollout(target_version="v3")
-        made.pulls.publish(1, msgspec.json.encode(document(order)).decode())
-        old, new = made.routers[0], Recorded(made.routers[0].node)
-        made.pulls.pull(old, Pull(rollouts={"s": report(order, 5, others_in_flight=2)}))
-        made.pulls.connected(new, NodeRole.ROUTER)
-        made.pulls.pull(new, Pull(rollouts={"s": report(order, 5, others_in_flight=3)}))
-        made.pulls.pull(old, Pull(rollouts={"s": report(order, 5, others_in_flight=1)}))
-        pool = made.state.rollout_samples.pool("s")
+        harness.pulls.publish(1, msgspec.json.encode(document(order)).decode())
+        old, new = harness.routers[0], RecordingConnection(harness.routers[0].node)
+        harness.pulls.pull(old, Pull(rollouts={"s": report(order, 5, others_in_flight=2)}))
+        harness.pulls.connected(new, NodeRole.ROUTER)
+        harness.pulls.pull(new, Pull(rollouts={"s": report(order, 5, others_in_flight=3)}))
+        harness.pulls.pull(old, Pull(rollouts={"s": report(order, 5, others_in_flight=1)}))
+        pool = harness.state.rollout_samples.pool("s")
         assert pool is not None
         assert pool.totals().others.in_flight == 3, "what is read late of the old connection is older"
-        made.pulls.pull(new, Pull(rollouts={"s": report(later, 4, others_in_flight=3)}))
-        made.pulls.disconnected(old)
-        made.pulls.publish(2, msgspec.json.encode(document(later)).decode())
+        harness.pulls.pull(new, Pull(rollouts={"s": report(later, 4, others_in_flight=3)}))
+        harness.pulls.disconnected(old)
+        harness.pulls.publish(2, msgspec.json.encode(document(later)).decode())
         assert (answered(pool.totals().target), pool.totals().others.in_flight) == (4, 3)
-        made.pulls.disconnected(new)
+        harness.pulls.disconnected(new)
         assert pool.totals().others.in_flight == 0
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_what_is_under_way_stays_counted_when_the_former_connection_of_a_router_ends_late() -> None:
-    async def scene() -> None:
-        made = Scene()
+def test_in_flight_requests_stay_counted_when_the_old_connection_of_a_router_ends_late() -> None:
+    async def scenario() -> None:
+        harness = PullServiceHarness()
         order = rollout()
-        made.pulls.publish(1, msgspec.json.encode(document(order)).decode())
-        former = made.routers[0]
-        again = Recorded(former.node)
-        made.pulls.connected(again, NodeRole.ROUTER)
-        made.pulls.pull(again, Pull(rollouts={"s": report(order, 5, others_in_flight=2)}))
-        made.pulls.disconnected(former)
-        pool = made.state.rollout_samples.pool("s")
+        harness.pulls.publish(1, msgspec.json.encode(document(order)).decode())
+        former = harness.routers[0]
+        again = RecordingConnection(former.node)
+        harness.pulls.connected(again, NodeRole.ROUTER)
+        harness.pulls.pull(again, Pull(rollouts={"s": report(order, 5, others_in_flight=2)}))
+        harness.pulls.disconnected(former)
+        pool = harness.state.rollout_samples.pool("s")
         assert pool is not None
         assert pool.totals().others.in_flight == 2
-        made.pulls.disconnected(again)
+        harness.pulls.disconnected(again)
         assert pool.totals().others.in_flight == 0
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_controllers_are_told_the_ages_of_running_rollouts() -> None:
-    async def scene() -> None:
-        made = Scene()
-        made.pulls.publish(1, msgspec.json.encode(document()).decode())
-        made.state.rollouts.update(document(rollout()), 2, now_ms() + 2 * CATCH_UP_MS, ORDERED_UNIX_MS)
-        controller = Recorded("c2")
-        made.pulls.connected(controller, NodeRole.CONTROLLER)
-        assert made.answer(controller, Pull(vector={})).rollout_ages["s"].order_id == rollout().order_id
-        assert made.answer(made.routers[0], Pull(vector={})).rollout_ages == {}
+def test_controllers_are_sent_the_ages_of_running_rollouts() -> None:
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        harness.pulls.publish(1, msgspec.json.encode(document()).decode())
+        harness.state.rollouts.update(document(rollout()), 2, now_ms() + 2 * CATCH_UP_MS, ORDERED_UNIX_MS)
+        controller = RecordingConnection("c2")
+        harness.pulls.connected(controller, NodeRole.CONTROLLER)
+        assert harness.answer(controller, Pull(vector={})).rollout_ages["s"].order_id == rollout().order_id
+        assert harness.answer(harness.routers[0], Pull(vector={})).rollout_ages == {}
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_step_of_a_rollout_is_sent_as_a_patch_of_it_alone() -> None:
-    async def scene() -> None:
-        made = Scene()
-        made.pulls.publish(1, msgspec.json.encode(document(rollout())).decode())
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        harness.pulls.publish(1, msgspec.json.encode(document(rollout())).decode())
         advanced = document(rollout(target_weight=0.5))
-        made.pulls.publish(2, msgspec.json.encode(advanced).decode())
-        update = made.answer(made.routers[0], Pull(1, {})).config
+        harness.pulls.publish(2, msgspec.json.encode(advanced).decode())
+        update = harness.answer(harness.routers[0], Pull(1, {})).config
         assert update is not None
         assert msgspec.json.decode(update.body) == {
             "upsert": {},
@@ -265,79 +267,79 @@
             ROLLOUTS_KEY: msgspec.json.decode(msgspec.json.encode(advanced[ROLLOUTS_KEY])),
         }
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_routers_are_notified_at_once_that_a_controller_has_a_share_of_the_quotas() -> None:
-    async def scene() -> None:
-        made = Scene()
-        made.pulls.publish(1, '{"generation":1,"tenants":[{"name":"t","rate_per_s":1000}]}')
-        one, two, _ = made.routers
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        harness.pulls.publish(1, '{"generation":1,"tenants":[{"name":"t","rate_per_s":1000}]}')
+        one, two, _ = harness.routers
         for router in (one, two):
-            assert made.answer(router, Pull(1, {})).grants_quotas is False
+            assert harness.answer(router, Pull(1, {})).grants_quotas is False
             router.sent.clear()
             router.has_answer.clear()
-            made.pulls.pull(router, Pull(1, vector=made.registry.vector))
-        made.term = (1, "c")
-        made.pulls.connected(other := Recorded("d"), NodeRole.CONTROLLER)
+            harness.pulls.pull(router, Pull(1, vector=harness.registry.vector))
+        harness.term = (1, "c")
+        harness.pulls.connected(other := RecordingConnection("d"), NodeRole.CONTROLLER)
         for _ in range(2):
-            made.state.quota_shares.tick(now_ms())
-            claim = ShareClaim(made.term, 0, 0) if other.sent else ShareClaim()
-            made.pulls.pull(other, Pull(vector=made.registry.vector, quota_claim=claim))
-        made.state.quota_shares.tick(now_ms())
+            harness.state.quota_shares.tick(now_ms())
+            claim = ShareClaim(harness.term, 0, 0) if other.sent else ShareClaim()
+            harness.pulls.pull(other, Pull(vector=harness.registry.vector, quota_claim=claim))
+        harness.state.quota_shares.tick(now_ms())
         await asyncio.wait_for(two.has_answer.wait(), WAIT_S)
         assert two.sent[-1].grants_quotas is True
         assert not two.sent[-1].quotas_unknown
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_the_primary_answers_a_controller_without_a_share_at_once_and_others_do_not() -> None:
-    async def scene() -> None:
-        made = Scene()
-        made.pulls.connected(other := Recorded("d"), NodeRole.CONTROLLER)
-        made.pulls.pull(other, Pull(vector={}, quota_claim=ShareClaim(clients=2)))
+def test_only_the_primary_answers_a_controller_without_a_share_at_once() -> None:
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        harness.pulls.connected(other := RecordingConnection("d"), NodeRole.CONTROLLER)
+        harness.pulls.pull(other, Pull(vector={}, quota_claim=ShareClaim(clients=2)))
         assert other.sent == []
-        made.term = (1, "c")
-        made.state.quota_shares.tick(now_ms())
+        harness.term = (1, "c")
+        harness.state.quota_shares.tick(now_ms())
         await asyncio.wait_for(other.has_answer.wait(), WAIT_S)
         assert other.sent[-1].quota_offer == ShareOffer((1, "c"), 0), "the own claim is not confirmed yet"
-        made.state.quota_shares.tick(now_ms())
+        harness.state.quota_shares.tick(now_ms())
         other.sent.clear()
-        made.pulls.pull(other, Pull(quota_claim=ShareClaim((1, "c"), 0, 2)))
+        harness.pulls.pull(other, Pull(quota_claim=ShareClaim((1, "c"), 0, 2)))
         assert other.sent[-1].quota_offer == ShareOffer((1, "c"), TOTAL_SHARE * 2 // (2 + ROUTERS))
         assert other.sent[-1].grants_quotas is None
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_claim_on_an_older_connection_of_a_controller_is_not_believed() -> None:
-    async def scene() -> None:
-        made = Scene()
-        made.pulls.connected(older := Recorded("d"), NodeRole.CONTROLLER)
-        made.pulls.connected(newer := Recorded("d"), NodeRole.CONTROLLER)
-        made.term = (1, "c")
-        made.state.quota_shares.tick(now_ms())
+def test_a_claim_on_an_older_connection_of_a_controller_is_ignored() -> None:
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        harness.pulls.connected(older := RecordingConnection("d"), NodeRole.CONTROLLER)
+        harness.pulls.connected(newer := RecordingConnection("d"), NodeRole.CONTROLLER)
+        harness.term = (1, "c")
+        harness.state.quota_shares.tick(now_ms())
         leased = ShareClaim((1, "c"), TOTAL_SHARE // 2, ROUTERS)
-        made.answer(newer, Pull(vector={}, quota_claim=leased))
-        made.answer(older, Pull(vector={}, quota_claim=ShareClaim((1, "c"), 0, ROUTERS)))
+        harness.answer(newer, Pull(vector={}, quota_claim=leased))
+        harness.answer(older, Pull(vector={}, quota_claim=ShareClaim((1, "c"), 0, ROUTERS)))
         for _ in range(3):
-            made.state.quota_shares.tick(now_ms())
-        assert made.allocator.share(now_ms()) <= TOTAL_SHARE // 2, "the other half is leased"
+            harness.state.quota_shares.tick(now_ms())
+        assert harness.allocator.share(now_ms()) <= TOTAL_SHARE // 2, "the other half is leased"
         assert older.sent[-1].quota_offer is None
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_controller_without_a_share_reports_that_its_quotas_are_unknown() -> None:
-    async def scene() -> None:
-        made = Scene()
-        one, two, _ = made.routers
-        assert not made.answer(one, Pull(vector={})).quotas_unknown, "the router has no configuration"
-        assert made.answer(two, Pull(7, {})).quotas_unknown
-        made.pulls.publish(1, '{"generation":1}')
-        assert made.answer(two, Pull(7, {})).quotas_unknown
-        made.allocator.set_share(TOTAL_SHARE, now_ms() + LEASE_MS, now_ms())
-        assert not made.answer(two, Pull(7, {})).quotas_unknown
-
-    asyncio.run(scene())
+    async def scenario() -> None:
+        harness = PullServiceHarness()
+        one, two, _ = harness.routers
+        assert not harness.answer(one, Pull(vector={})).quotas_unknown, "the router has no configuration"
+        assert harness.answer(two, Pull(7, {})).quotas_unknown
+        harness.pulls.publish(1, '{"generation":1}')
+        assert harness.answer(two, Pull(7, {})).quotas_unknown
+        harness.allocator.set_share(TOTAL_SHARE, now_ms() + LEASE_MS, now_ms())
+        assert not harness.answer(two, Pull(7, {})).quotas_unknown
+
+    asyncio.run(scenario())
--- a/tests/controller/test_quorum_contact.py
+++ b/tests/controller/test_quorum_contact.py
@@ -20,7 +20,7 @@
     return (await ask(fleet.control[0], "PUT", f"/instances/{upstream.id}", body)).status
 
 
-async def leave_alone(fleet: Fleet) -> None:
+async def isolate_first_controller(fleet: Fleet) -> None:
     """Kills all controllers but the first, and waits until it has noticed."""
     for address in fleet.control[1:]:
         await fleet.kill(address)
@@ -31,11 +31,11 @@
     await fleet.until(noticed)
 
 
-def test_an_upstream_gets_no_acknowledgement_where_no_majority_is_informed(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_a_change_of_an_upstream_is_not_acknowledged_without_a_majority(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await serve(fleet, fine, fine, fine)
         first, second, third = fleet.upstreams
-        await leave_alone(fleet)
+        await isolate_first_controller(fleet)
         assert await send_heartbeat(fleet, first, "ready") == 503
         assert await send_heartbeat(fleet, second, "draining") == 503
         assert (await ask(fleet.control[0], "DELETE", f"/instances/{third.id}")).status == 503
@@ -54,11 +54,11 @@
 
         await fleet.until(is_ready_acknowledged)
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_an_acknowledged_departure_is_known_to_a_majority(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await serve(fleet, fine, fine)
         leaving = fleet.upstreams[0]
         assert await send_heartbeat(fleet, leaving, "draining") == 200
@@ -69,13 +69,13 @@
         ]
         assert len(knowing) >= 2
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_a_lone_controller_neither_reads_nor_takes_nor_refuses_a_change(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_an_isolated_controller_neither_reads_nor_accepts_nor_rejects_a_change(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await serve(fleet, fine)
-        await leave_alone(fleet)
+        await isolate_first_controller(fleet)
         stale = asyncio.ensure_future(
             ask(fleet.control[0], "PUT", "/config", msgspec.json.encode(configuration(2)), If_Match="0")
         )
@@ -85,16 +85,16 @@
         assert (await ask(fleet.control[0], "GET", "/config")).status == 503
         assert [(await one).status for one in (stale, fresh)] == [503, 503]
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-class Known:
+class FakeKnownControllers:
     """The part of the known controllers that names this one."""
 
     own_node = "c"
 
 
-class Regained:
+class CallbackCounter:
     """Counts how often contact was regained."""
 
     def __init__(self) -> None:
@@ -105,14 +105,14 @@
 
 
 @pytest.fixture
-def regained() -> Regained:
-    return Regained()
+def regained() -> CallbackCounter:
+    return CallbackCounter()
 
 
 @pytest.fixture
-def contact(replica: FakeReplica, links: FakeLinks, regained: Regained) -> QuorumContact:
+def contact(replica: FakeReplica, links: FakeLinks, regained: CallbackCounter) -> QuorumContact:
     replica.accept("c", "d", "e")
-    return QuorumContact(Known(), replica, links, regained)  # type: ignore[arg-type]
+    return QuorumContact(FakeKnownControllers(), replica, links, regained)  # type: ignore[arg-type]
 
 
 def test_a_majority_counts_this_controller(contact: QuorumContact, links: FakeLinks) -> None:
@@ -135,8 +135,8 @@
     assert not contact.is_quorum({"d", "e"})
 
 
-def test_contact_that_is_regained_is_notified_once(
-    contact: QuorumContact, links: FakeLinks, regained: Regained
+def test_regained_contact_is_notified_once(
+    contact: QuorumContact, links: FakeLinks, regained: CallbackCounter
 ) -> None:
     links.connected = {"d"}
     contact.update()
--- a/tests/controller/test_quota_accounting.py
+++ b/tests/controller/test_quota_accounting.py
@@ -17,7 +17,7 @@
 DOCUMENT = {"tenants": [{"name": "t", "rate_per_s": 10, "burst": 100}]}
 
 
-class RecordedAllocator(QuotaAllocator):
+class RecordingAllocator(QuotaAllocator):
     """An allocator of which the test sees what fraction of the rates it hands out."""
 
     def __init__(self) -> None:
@@ -30,14 +30,14 @@
 
 
 @pytest.fixture
-def allocator() -> RecordedAllocator:
-    made = RecordedAllocator()
+def allocator() -> RecordingAllocator:
+    made = RecordingAllocator()
     made.set_share(TOTAL_SHARE, 1e9, 0.0)
     return made
 
 
 @pytest.fixture
-def quotas(allocator: RecordedAllocator) -> QuotaAccounting:
+def quotas(allocator: RecordingAllocator) -> QuotaAccounting:
     return QuotaAccounting(allocator)
 
 
@@ -49,8 +49,8 @@
     }
 
 
-def test_a_disconnected_router_counts_as_away_for_a_while(
-    quotas: QuotaAccounting, allocator: RecordedAllocator
+def test_units_are_reserved_for_a_disconnected_router_for_a_while(
+    quotas: QuotaAccounting, allocator: RecordingAllocator
 ) -> None:
     quotas.router_disconnected("r1", 1_000.0)
     quotas.update_reserve({"r2", "r3", "c"}, 2, 1_000.0 + DISCONNECTED_ROUTER_MS - 1.0)
@@ -58,8 +58,8 @@
     assert allocator.fractions == [pytest.approx(1.0 - 0.5 / 3), 1.0]
 
 
-def test_a_router_that_is_connected_again_is_not_away(
-    quotas: QuotaAccounting, allocator: RecordedAllocator
+def test_nothing_is_reserved_for_a_reconnected_router(
+    quotas: QuotaAccounting, allocator: RecordingAllocator
 ) -> None:
     quotas.router_disconnected("r1", 0.0)
     quotas.connected("r1")
@@ -67,8 +67,8 @@
     assert allocator.fractions == [1.0]
 
 
-def test_a_router_with_a_second_connection_is_not_away(
-    quotas: QuotaAccounting, allocator: RecordedAllocator
+def test_nothing_is_reserved_for_a_router_with_a_second_connection(
+    quotas: QuotaAccounting, allocator: RecordingAllocator
 ) -> None:
     quotas.router_disconnected("r1", 0.0)
     quotas.update_reserve({"r1"}, 1, 1.0)
@@ -76,14 +76,14 @@
 
 
 def test_without_any_router_nothing_is_reserved(
-    quotas: QuotaAccounting, allocator: RecordedAllocator
+    quotas: QuotaAccounting, allocator: RecordingAllocator
 ) -> None:
     quotas.update_reserve(set(), 0, 0.0)
     assert allocator.fractions == [1.0]
 
 
-def test_routers_that_are_missing_after_a_start_count_as_away(
-    quotas: QuotaAccounting, allocator: RecordedAllocator
+def test_units_are_reserved_for_routers_that_are_missing_after_a_start(
+    quotas: QuotaAccounting, allocator: RecordingAllocator
 ) -> None:
     quotas.set_limits(DOCUMENT, 1, 1, 0.0)
     quotas.report("r1", "r1/a", Pull(quota_snapshot=QuotaSnapshot(process_count=4)), 0.0)
@@ -107,19 +107,19 @@
     assert outcome(quotas, 1.0) is QuotaOutcome.GRANTED
 
 
-def test_a_controller_that_starts_again_hands_out_no_burst(quotas: QuotaAccounting) -> None:
+def test_a_restarted_controller_grants_no_burst(quotas: QuotaAccounting) -> None:
     quotas.set_limits(DOCUMENT, 5, 1, 0.0)
     assert outcome(quotas, 1.0) is QuotaOutcome.REFUSED
 
 
-def test_what_is_executed_again_is_charged_and_not_answered(quotas: QuotaAccounting) -> None:
+def test_units_of_a_repeated_execution_are_charged_and_not_answered(quotas: QuotaAccounting) -> None:
     quotas.is_first_start = True
     quotas.set_limits(DOCUMENT, 1, 1, 0.0)
     assert quotas.answer(QuotaRequest(0, "t", 100.0, is_executed_again=True), 0.0) is None
     assert outcome(quotas, 1.0) is QuotaOutcome.REFUSED
 
 
-def test_what_was_not_used_is_handed_out_again(quotas: QuotaAccounting) -> None:
+def test_refunded_units_can_be_granted_again(quotas: QuotaAccounting) -> None:
     quotas.is_first_start = True
     quotas.set_limits(DOCUMENT, 1, 1, 0.0)
     assert outcome(quotas, 100.0) is QuotaOutcome.GRANTED
@@ -128,7 +128,7 @@
     assert outcome(quotas, 100.0) is QuotaOutcome.GRANTED
 
 
-def test_the_use_of_routers_without_share_leases_is_charged_from_their_second_report_on(
+def test_the_usage_of_routers_without_share_leases_is_charged_from_their_second_report_on(
     quotas: QuotaAccounting,
 ) -> None:
     quotas.is_first_start = True
@@ -139,7 +139,9 @@
     assert quotas.statuses(Pull(usage={"t": 130.0}), 0.0)["t"].level == 60.0
 
 
-def test_a_leaving_router_is_not_away(quotas: QuotaAccounting, allocator: RecordedAllocator) -> None:
+def test_nothing_is_reserved_for_a_leaving_router(
+    quotas: QuotaAccounting, allocator: RecordingAllocator
+) -> None:
     quotas.report("r1", "r1/a", Pull(is_leaving=True), 0.0)
     quotas.router_disconnected("r1", 0.0)
     quotas.update_reserve({"r2"}, 1, 1.0)
--- a/tests/controller/test_recovery_hints.py
+++ b/tests/controller/test_recovery_hints.py
@@ -66,7 +66,7 @@
     assert disk.written == [UPSTREAMS_FILE, PLACEMENTS_FILE]
 
 
-def test_a_later_incarnation_restores_what_was_written(disk: FakeDisk) -> None:
+def test_a_later_incarnation_restores_the_hints(disk: FakeDisk) -> None:
     first = Incarnation(disk)
     first.change()
     first.write()
@@ -75,7 +75,7 @@
     assert second.placement.place("p", 1_000.0, ["u", "v"], "v", 0.0) == ("u", True)
 
 
-def test_what_was_restored_is_not_written_again(disk: FakeDisk) -> None:
+def test_restored_hints_are_not_written_again(disk: FakeDisk) -> None:
     first = Incarnation(disk)
     first.change()
     first.write()
--- a/tests/controller/test_registry_sync.py
+++ b/tests/controller/test_registry_sync.py
@@ -21,7 +21,7 @@
 UPSTREAM = Upstream("u", "s", "127.0.0.1:1", "z", sequence=7)
 
 
-class Recorded(Connection):
+class RecordingConnection(Connection):
     """A connection of which the test sees what is sent."""
 
     def __init__(self) -> None:
@@ -32,14 +32,14 @@
         self.sent.append(message)
 
 
-class Scene:
-    """One registry that pulls on one connection. Made inside a loop."""
+class RegistrySyncHarness:
+    """One registry that pulls on one connection. To be made inside an event loop."""
 
     def __init__(self) -> None:
         self.updates = 0
         self.registry = Registry("c/1")
         self.failure_detector = FailureDetector(1_000.0, 0.0)
-        self.connection = Recorded()
+        self.connection = RecordingConnection()
         self.connection.node = "d"
         self.allocator = QuotaAllocator()
         group = QuotaGroup("c", term=lambda now_ms: None, members=lambda: ["c", "d"], clients=lambda: 3)
@@ -50,56 +50,58 @@
         self.updates += 1
 
 
-def play(scene: Callable[[Scene], None]) -> None:
+def run_scenario(scenario: Callable[[RegistrySyncHarness], None]) -> None:
     async def run() -> None:
-        scene(Scene())
+        scenario(RegistrySyncHarness())
 
     asyncio.run(run())
 
 
 def test_the_first_pull_has_the_vector() -> None:
-    def scene(made: Scene) -> None:
-        made.registry.update(UPSTREAM, 0.0)
-        made.sync.begin(made.connection)
-        assert made.connection.sent == [Pull(vector={"c/1": 1}, quota_claim=NO_CLAIM)]
+    def scenario(harness: RegistrySyncHarness) -> None:
+        harness.registry.update(UPSTREAM, 0.0)
+        harness.sync.begin(harness.connection)
+        assert harness.connection.sent == [Pull(vector={"c/1": 1}, quota_claim=NO_CLAIM)]
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_records_are_merged_and_the_next_pull_has_the_new_vector() -> None:
-    def scene(made: Scene) -> None:
-        made.sync.received(made.connection, Delta(records=[Record(UPSTREAM, "d/1", 4)], vector={"d/1": 4}))
-        assert made.registry.upstreams == {"u": UPSTREAM}
-        assert made.failure_detector.last_sequence("u") == 7
-        assert made.updates == 1
-        assert made.connection.sent == [Pull(vector={"d/1": 4}, quota_claim=NO_CLAIM)]
+    def scenario(harness: RegistrySyncHarness) -> None:
+        harness.sync.received(
+            harness.connection, Delta(records=[Record(UPSTREAM, "d/1", 4)], vector={"d/1": 4})
+        )
+        assert harness.registry.upstreams == {"u": UPSTREAM}
+        assert harness.failure_detector.last_sequence("u") == 7
+        assert harness.updates == 1
+        assert harness.connection.sent == [Pull(vector={"d/1": 4}, quota_claim=NO_CLAIM)]
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_without_an_update_the_next_pull_leaves_the_vector_out() -> None:
-    def scene(made: Scene) -> None:
-        made.sync.received(made.connection, Delta())
-        assert made.updates == 0
-        assert made.connection.sent == [Pull(quota_claim=NO_CLAIM)]
+    def scenario(harness: RegistrySyncHarness) -> None:
+        harness.sync.received(harness.connection, Delta())
+        assert harness.updates == 0
+        assert harness.connection.sent == [Pull(quota_claim=NO_CLAIM)]
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_an_offer_is_a_lease_and_the_next_pull_claims_it() -> None:
-    def scene(made: Scene) -> None:
-        made.sync.begin(made.connection)
-        made.sync.received(made.connection, Delta(quota_offer=ShareOffer((4, "d"), TOTAL_SHARE // 2)))
-        assert made.allocator.has_share(now_ms())
+    def scenario(harness: RegistrySyncHarness) -> None:
+        harness.sync.begin(harness.connection)
+        harness.sync.received(harness.connection, Delta(quota_offer=ShareOffer((4, "d"), TOTAL_SHARE // 2)))
+        assert harness.allocator.has_share(now_ms())
         claim = ShareClaim((4, "d"), TOTAL_SHARE // 2, 3)
-        assert made.connection.sent[1:] == [Pull(quota_claim=claim)]
+        assert harness.connection.sent[1:] == [Pull(quota_claim=claim)]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_offer_that_answers_no_pull_is_void() -> None:
-    def scene(made: Scene) -> None:
-        made.sync.received(made.connection, Delta(quota_offer=ShareOffer((4, "d"), TOTAL_SHARE // 2)))
-        assert not made.allocator.has_share(now_ms())
+def test_an_offer_that_answers_no_pull_is_ignored() -> None:
+    def scenario(harness: RegistrySyncHarness) -> None:
+        harness.sync.received(harness.connection, Delta(quota_offer=ShareOffer((4, "d"), TOTAL_SHARE // 2)))
+        assert not harness.allocator.has_share(now_ms())
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/controller/test_rollout_driver.py
+++ b/tests/controller/test_rollout_driver.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Scene:
+class RolloutDriverHarness:
     """A controller with a ready upstream of each version, and a router."""
 
     outcome: CallOutcome = field(default_factory=Completed)
@@ -87,306 +87,312 @@
         """The steps that one evaluation submits."""
         before = len(self.steps)
         self.driver.evaluate()
-        await turns()
+        await run_ready_tasks()
         return self.steps[before:]
 
 
-async def turns() -> None:
+async def run_ready_tasks() -> None:
     """Lets every task that can go on do so."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-def run(monkeypatch: pytest.MonkeyPatch, play: Callable[[Scene], Awaitable[None]], **versions: str) -> None:
-    async def whole() -> None:
-        scene = Scene(versions=versions) if versions else Scene()
-        monkeypatch.setattr(rollout_driver, "now_ms", lambda: scene.present_ms)
-        await play(scene)
-        scene.tasks.close()
+def run(
+    monkeypatch: pytest.MonkeyPatch,
+    scenario: Callable[[RolloutDriverHarness], Awaitable[None]],
+    **versions: str,
+) -> None:
+    async def run_scenario() -> None:
+        harness = RolloutDriverHarness(versions=versions) if versions else RolloutDriverHarness()
+        monkeypatch.setattr(rollout_driver, "now_ms", lambda: harness.present_ms)
+        await scenario(harness)
+        harness.tasks.close()
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
 def test_the_weight_grows_with_the_time_since_the_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(2, CANARY)
-        assert await scene.evaluate() == []
-        scene.present_ms += FULL_WEIGHT_DUE_MS
-        (step,) = await scene.evaluate()
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(2, CANARY)
+        assert await harness.evaluate() == []
+        harness.present_ms += FULL_WEIGHT_DUE_MS
+        (step,) = await harness.evaluate()
         assert (step.service, step.order_id) == ("s", CANARY.order_id)
         assert (step.state, step.target_weight) == (RolloutState.RUNNING, 1.0)
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
-def test_a_backup_submits_nothing_and_goes_on_once_it_leads(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.order(CANARY)
-        scene.is_primary = False
-        assert await scene.evaluate() == []
-        scene.is_primary = True
-        assert len(await scene.evaluate()) == 1
+def test_a_backup_submits_nothing_until_it_becomes_the_primary(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.order(CANARY)
+        harness.is_primary = False
+        assert await harness.evaluate() == []
+        harness.is_primary = True
+        assert len(await harness.evaluate()) == 1
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
 def test_one_step_of_a_service_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
         other = rollout(service="t", duration_s=600.0)
-        scene.order(CANARY, other)
-        scene.answers.clear()
-        assert [step.service for step in await scene.evaluate()] == ["s"], "t has no upstream of its target"
-        assert await scene.evaluate() == []
-        scene.answers.set()
-        await turns()
+        harness.order(CANARY, other)
+        harness.answers.clear()
+        assert [step.service for step in await harness.evaluate()] == ["s"], "t has no upstream of its target"
+        assert await harness.evaluate() == []
+        harness.answers.set()
+        await run_ready_tasks()
         assert (
-            len(await scene.evaluate()) == 1
-        ), "the step was not committed in this scene, and is decided anew"
+            len(await harness.evaluate()) == 1
+        ), "the step was not committed in this scenario, so it is submitted again"
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
 def test_a_step_without_an_outcome_is_decided_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.outcome = UNKNOWN
-        scene.order(CANARY)
-        first, second = await scene.evaluate() + await scene.evaluate()
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.outcome = UNKNOWN
+        harness.order(CANARY)
+        first, second = await harness.evaluate() + await harness.evaluate()
         assert first == second
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
-def test_a_step_that_does_not_end_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
+def test_a_step_that_does_not_finish_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
         monkeypatch.setattr(rollout_driver, "ADVANCE_TIMEOUT_S", 0.0)
-        scene.order(CANARY)
-        scene.answers.clear()
-        assert len(await scene.evaluate()) == 1
-        assert len(await scene.evaluate()) == 1
+        harness.order(CANARY)
+        harness.answers.clear()
+        assert len(await harness.evaluate()) == 1
+        assert len(await harness.evaluate()) == 1
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
 def test_a_version_that_fails_is_rolled_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(2, CANARY)
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(2, CANARY)
         for router in ("a/1", "b/1", "c/1"):
-            scene.samples.report(router, {"s": report(rollout(), 0, 40, others=400)})
-        (step,) = await scene.evaluate()
+            harness.samples.report(router, {"s": report(rollout(), 0, 40, others=400)})
+        (step,) = await harness.evaluate()
         assert (step.state, step.target_weight) == (RolloutState.ROLLED_BACK, 0.0)
         assert step.reason
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
-def test_a_rollout_is_completed_once_all_routers_act_by_its_full_weight(
+def test_a_rollout_is_completed_once_all_routers_have_its_full_weight_in_force(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(5, FULL)
-        assert await scene.evaluate() == []
-        scene.present_ms += COMPLETION_DUE_MS
-        scene.samples.report("a/1", {"s": report(FULL, 100, others=100)})
-        assert await scene.evaluate() == [], "there is no router"
-        scene.connect(5)
-        scene.connect(4)
-        assert await scene.evaluate() == [], "one is behind"
-        for subscriber in scene.subscriptions:
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(5, FULL)
+        assert await harness.evaluate() == []
+        harness.present_ms += COMPLETION_DUE_MS
+        harness.samples.report("a/1", {"s": report(FULL, 100, others=100)})
+        assert await harness.evaluate() == [], "there is no router"
+        harness.connect(5)
+        harness.connect(4)
+        assert await harness.evaluate() == [], "one is behind"
+        for subscriber in harness.subscriptions:
             subscriber.config_sequence = 5
-        (step,) = await scene.evaluate()
+        (step,) = await harness.evaluate()
         assert (step.state, step.target_weight) == (RolloutState.COMPLETED, 1.0)
         assert step.other_versions == ("v1",)
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
 def test_a_controller_that_has_just_started_completes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(5, FULL)
-        scene.present_ms += COMPLETION_DUE_MS
-        scene.connect(5)
-        scene.samples.report("a/1", {"s": report(FULL, 100, others=100)})
-        assert await scene.evaluate() == [], "most routers may still be on their way to it"
-        scene.present_ms += rollout_driver.ROUTERS_RETURN_MS
-        assert len(await scene.evaluate()) == 1
-
-    run(monkeypatch, play)
-
-
-def test_requests_under_way_at_the_others_are_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(5, FULL)
-        assert await scene.evaluate() == []
-        scene.present_ms += COMPLETION_DUE_MS
-        scene.connect(5)
-        scene.samples.report("a/1", {"s": report(FULL, 100, others=100, others_in_flight=3)})
-        assert await scene.evaluate() == []
-        scene.samples.report("a/1", {"s": report(FULL, 100, others=103)})
-        assert len(await scene.evaluate()) == 1
-
-    run(monkeypatch, play)
-
-
-def test_what_has_ended_gets_no_step(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(2, rollout(state=RolloutState.COMPLETED, target_weight=1.0))
-        assert await scene.evaluate() == []
-
-    run(monkeypatch, play)
-
-
-def test_an_order_for_the_only_version_is_completed_at_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(2, CANARY)
-        scene.samples.report("a/1", {"s": report(CANARY, 0, 40)})
-        assert await scene.evaluate() == [], "whatever its answers are, nothing else could serve"
-        scene.present_ms += FULL_WEIGHT_DUE_MS
-        (step,) = await scene.evaluate()
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(5, FULL)
+        harness.present_ms += COMPLETION_DUE_MS
+        harness.connect(5)
+        harness.samples.report("a/1", {"s": report(FULL, 100, others=100)})
+        assert await harness.evaluate() == [], "most routers may still be on their way to it"
+        harness.present_ms += rollout_driver.WARM_UP_MS
+        assert len(await harness.evaluate()) == 1
+
+    run(monkeypatch, scenario)
+
+
+def test_completion_waits_for_requests_in_flight_at_the_other_versions(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(5, FULL)
+        assert await harness.evaluate() == []
+        harness.present_ms += COMPLETION_DUE_MS
+        harness.connect(5)
+        harness.samples.report("a/1", {"s": report(FULL, 100, others=100, others_in_flight=3)})
+        assert await harness.evaluate() == []
+        harness.samples.report("a/1", {"s": report(FULL, 100, others=103)})
+        assert len(await harness.evaluate()) == 1
+
+    run(monkeypatch, scenario)
+
+
+def test_a_finished_rollout_gets_no_step(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(2, rollout(state=RolloutState.COMPLETED, target_weight=1.0))
+        assert await harness.evaluate() == []
+
+    run(monkeypatch, scenario)
+
+
+def test_an_order_for_the_only_version_is_completed_on_schedule(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(2, CANARY)
+        harness.samples.report("a/1", {"s": report(CANARY, 0, 40)})
+        assert await harness.evaluate() == [], "whatever its answers are, nothing else could serve"
+        harness.present_ms += FULL_WEIGHT_DUE_MS
+        (step,) = await harness.evaluate()
         assert (step.state, step.target_weight) == (RolloutState.RUNNING, 1.0)
-        scene.commit(3, FULL)
-        scene.present_ms += COMPLETION_DUE_MS - FULL_WEIGHT_DUE_MS
-        assert await scene.evaluate() == [], "no router has confirmed"
-        scene.connect(3)
-        (step,) = await scene.evaluate()
+        harness.commit(3, FULL)
+        harness.present_ms += COMPLETION_DUE_MS - FULL_WEIGHT_DUE_MS
+        assert await harness.evaluate() == [], "no router has confirmed"
+        harness.connect(3)
+        (step,) = await harness.evaluate()
         assert step.state is RolloutState.COMPLETED
 
-    run(monkeypatch, play, a="v2", b="v2")
+    run(monkeypatch, scenario, a="v2", b="v2")
 
 
-def test_another_version_that_comes_makes_it_a_roll_out_like_any_other(
+def test_the_target_can_be_rolled_back_once_another_version_appears(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(2, CANARY)
-        assert await scene.evaluate() == []
-        versioned(scene.registry, a="v1")
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(2, CANARY)
+        assert await harness.evaluate() == []
+        versioned(harness.registry, a="v1")
         for router in ("a/1", "b/1", "c/1"):
-            scene.samples.report(router, {"s": report(CANARY, 0, 40, others=400)})
-        (step,) = await scene.evaluate()
+            harness.samples.report(router, {"s": report(CANARY, 0, 40, others=400)})
+        (step,) = await harness.evaluate()
         assert step.state is RolloutState.ROLLED_BACK
 
-    run(monkeypatch, play, b="v2")
+    run(monkeypatch, scenario, b="v2")
 
 
-def test_a_controller_that_learned_of_the_order_late_takes_no_version_for_the_only_one(
+def test_a_controller_that_learned_of_the_order_late_does_not_assume_an_only_version(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play(scene: Scene) -> None:
-        scene.rollouts.mark_outdated(scene.present_ms)
-        scene.commit(2, CANARY)
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.rollouts.mark_outdated(harness.present_ms)
+        harness.commit(2, CANARY)
         for router in ("a/1", "b/1", "c/1"):
-            scene.samples.report(router, {"s": report(CANARY, 0, 40)})
-        (step,) = await scene.evaluate()
+            harness.samples.report(router, {"s": report(CANARY, 0, 40)})
+        (step,) = await harness.evaluate()
         assert step.state is RolloutState.ROLLED_BACK, "it has not heard of the others' upstreams yet"
 
-    run(monkeypatch, play, b="v2")
+    run(monkeypatch, scenario, b="v2")
 
 
 @pytest.mark.parametrize("weight", [CANARY_WEIGHT, 1.0])
 @pytest.mark.parametrize("versions", [{}, {"a": "v1"}, {"b": "v2"}], ids=["none", "old", "new"])
-def test_a_controller_that_has_just_started_rolls_back_nothing_for_want_of_time(
+def test_a_controller_that_has_just_started_rolls_back_nothing_for_lack_of_time(
     weight: float, versions: dict[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(scene: Scene) -> None:
-        for id_ in {*scene.registry.upstreams} - {*versions}:
-            del scene.registry.upstreams[id_]
-        scene.rollouts.mark_outdated(scene.present_ms)
-        scene.commit(5, rollout(target_weight=weight))
-        scene.present_ms += 12_000.0
-        assert await scene.evaluate() == [], "upstreams and routers are on their way to it"
-        scene.present_ms += rollout_driver.ROUTERS_RETURN_MS - 1.0
-        assert await scene.evaluate() == []
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        for id_ in {*harness.registry.upstreams} - {*versions}:
+            del harness.registry.upstreams[id_]
+        harness.rollouts.mark_outdated(harness.present_ms)
+        harness.commit(5, rollout(target_weight=weight))
+        harness.present_ms += 12_000.0
+        assert await harness.evaluate() == [], "upstreams and routers are on their way to it"
+        harness.present_ms += rollout_driver.WARM_UP_MS - 1.0
+        assert await harness.evaluate() == []
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
 @pytest.mark.parametrize("others", [(), ("v1",)])
-def test_what_the_last_primary_knew_of_versions_counts(
+def test_versions_committed_by_the_last_primary_count(
     others: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def play(scene: Scene) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
         known = rollout(target_weight=1.0, other_versions=others)
-        scene.rollouts.mark_outdated(scene.present_ms)
-        scene.commit(5, known)
-        scene.rollouts.adopt_ages({"s": RolloutAge(known.order_id, 0.0)}, scene.present_ms)
+        harness.rollouts.mark_outdated(harness.present_ms)
+        harness.commit(5, known)
+        harness.rollouts.adopt_ages({"s": RolloutAge(known.order_id, 0.0)}, harness.present_ms)
         for router in ("a/1", "b/1", "c/1"):
-            scene.samples.report(router, {"s": report(known, 0, 40, others=400)})
-        steps = await scene.evaluate()
+            harness.samples.report(router, {"s": report(known, 0, 40, others=400)})
+        steps = await harness.evaluate()
         assert [(one.state, one.other_versions) for one in steps] == (
             [(RolloutState.ROLLED_BACK, ("v1",))] if others else []
         ), "where there is no other version nothing else could serve"
 
-    run(monkeypatch, play, b="v2")
+    run(monkeypatch, scenario, b="v2")
 
 
-def test_an_age_that_another_controller_told_makes_no_upstreams_known(
+def test_an_age_adopted_from_another_controller_does_not_make_the_target_the_only_version(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play(scene: Scene) -> None:
-        scene.rollouts.mark_outdated(scene.present_ms)
-        scene.commit(2, CANARY)
-        scene.rollouts.adopt_ages({"s": RolloutAge(CANARY.order_id, 0.0)}, scene.present_ms)
-        assert await scene.evaluate() == []
-        scene.present_ms += rollout_driver.ROUTERS_RETURN_MS
-        (step,) = await scene.evaluate()
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.rollouts.mark_outdated(harness.present_ms)
+        harness.commit(2, CANARY)
+        harness.rollouts.adopt_ages({"s": RolloutAge(CANARY.order_id, 0.0)}, harness.present_ms)
+        assert await harness.evaluate() == []
+        harness.present_ms += rollout_driver.WARM_UP_MS
+        (step,) = await harness.evaluate()
         assert step.target_weight < 1.0, "the target is on trial, though no other version is known"
         assert step.other_versions is msgspec.UNSET
 
-    run(monkeypatch, play, b="v2")
-
-
-def test_a_router_that_was_lost_without_confirming_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(5, FULL)
-        scene.connect(5)
-        scene.connect(4)
-        scene.samples.report("a/1", {"s": report(FULL, 100, others=100)})
-        assert await scene.evaluate() == []
-        scene.present_ms += COMPLETION_DUE_MS - 1_000.0
-        assert await scene.evaluate() == []
-        (lost,) = [one for one in scene.subscriptions if one.config_sequence == 4]
-        scene.subscriptions.remove(lost.connection)
-        scene.present_ms += 1_000.0
-        assert await scene.evaluate() == [], "it may still send to the others"
-        scene.present_ms += rollout_driver.LOST_ROUTER_MS - 1_000.0
-        (step,) = await scene.evaluate()
+    run(monkeypatch, scenario, b="v2")
+
+
+def test_completion_waits_for_a_lost_router_that_has_not_confirmed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(5, FULL)
+        harness.connect(5)
+        harness.connect(4)
+        harness.samples.report("a/1", {"s": report(FULL, 100, others=100)})
+        assert await harness.evaluate() == []
+        harness.present_ms += COMPLETION_DUE_MS - 1_000.0
+        assert await harness.evaluate() == []
+        (lost,) = [one for one in harness.subscriptions if one.config_sequence == 4]
+        harness.subscriptions.remove(lost.connection)
+        harness.present_ms += 1_000.0
+        assert await harness.evaluate() == [], "it may still send to the others"
+        harness.present_ms += rollout_driver.LOST_ROUTER_GRACE_MS - 1_000.0
+        (step,) = await harness.evaluate()
         assert step.state is RolloutState.COMPLETED
 
-    run(monkeypatch, play)
-
-
-def test_a_lost_router_is_waited_for_only_as_long_as_there_is_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(scene: Scene) -> None:
-        scene.commit(5, FULL)
-        scene.connect(5)
-        scene.connect(4)
-        scene.samples.report("a/1", {"s": report(FULL, 100, others=100)})
-        assert await scene.evaluate() == []
-        scene.present_ms += COMPLETION_DUE_MS
-        assert await scene.evaluate() == []
-        (lost,) = [one for one in scene.subscriptions if one.config_sequence == 4]
-        scene.subscriptions.remove(lost.connection)
-        assert await scene.evaluate() == []
-        scene.present_ms += 600.0
-        (step,) = await scene.evaluate()
+    run(monkeypatch, scenario)
+
+
+def test_completion_waits_for_a_lost_router_only_while_there_is_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.commit(5, FULL)
+        harness.connect(5)
+        harness.connect(4)
+        harness.samples.report("a/1", {"s": report(FULL, 100, others=100)})
+        assert await harness.evaluate() == []
+        harness.present_ms += COMPLETION_DUE_MS
+        assert await harness.evaluate() == []
+        (lost,) = [one for one in harness.subscriptions if one.config_sequence == 4]
+        harness.subscriptions.remove(lost.connection)
+        assert await harness.evaluate() == []
+        harness.present_ms += 600.0
+        (step,) = await harness.evaluate()
         assert step.state is RolloutState.COMPLETED, "less than a second is left"
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
 
 
-def test_a_controller_that_learned_of_the_order_late_lets_no_weight_grow_on_the_reports_of_few_routers(
+def test_a_controller_that_learned_of_the_order_late_raises_no_weight_on_reports_of_few_routers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def play(scene: Scene) -> None:
-        scene.rollouts.mark_outdated(scene.present_ms)
-        scene.commit(2, CANARY)
-        assert await scene.evaluate() == []
+    async def scenario(harness: RolloutDriverHarness) -> None:
+        harness.rollouts.mark_outdated(harness.present_ms)
+        harness.commit(2, CANARY)
+        assert await harness.evaluate() == []
         age_ms = FULL_WEIGHT_DUE_MS - rollout_driver.FIRST_REPORTS_MS
-        scene.rollouts.adopt_ages({"s": RolloutAge(CANARY.order_id, age_ms)}, scene.present_ms)
-        scene.samples.report("a/1", {"s": report(CANARY, 100, others=1_000)})
-        assert await scene.evaluate() == []
-        scene.present_ms += rollout_driver.FIRST_REPORTS_MS
-        (step,) = await scene.evaluate()
+        harness.rollouts.adopt_ages({"s": RolloutAge(CANARY.order_id, age_ms)}, harness.present_ms)
+        harness.samples.report("a/1", {"s": report(CANARY, 100, others=1_000)})
+        assert await harness.evaluate() == []
+        harness.present_ms += rollout_driver.FIRST_REPORTS_MS
+        (step,) = await harness.evaluate()
         assert (step.state, step.target_weight) == (RolloutState.RUNNING, 1.0)
 
-    run(monkeypatch, play)
+    run(monkeypatch, scenario)
--- a/tests/controller/test_rollout_metrics.py
+++ b/tests/controller/test_rollout_metrics.py
@@ -16,11 +16,11 @@
     return [line for line in text.splitlines() if not line.startswith("#")]
 
 
-def test_a_fleet_that_never_had_one_has_no_metric_of_it() -> None:
+def test_a_fleet_without_rollouts_has_no_rollout_metrics() -> None:
     assert lines(CommittedRollouts(), RolloutSamples()) == []
 
 
-def test_each_running_one_has_its_weight_and_the_answers_of_its_tracks() -> None:
+def test_each_running_rollout_has_its_weight_and_the_answers_of_its_tracks() -> None:
     first, second = rollout(target_weight=0.25), rollout(service="t")
     rollouts, samples = CommittedRollouts(), RolloutSamples()
     ended = rollout(service="u", state=RolloutState.ROLLED_BACK)
--- a/tests/controller/test_rollout_samples.py
+++ b/tests/controller/test_rollout_samples.py
@@ -40,14 +40,16 @@
     assert answered(samples) == 4
 
 
-def test_a_router_that_has_gone_before_does_not(samples: RolloutSamples) -> None:
+def test_a_report_of_a_router_that_disconnected_before_the_order_does_not_count(
+    samples: RolloutSamples,
+) -> None:
     samples.report("a/1", {"s": report(LATER, 4)})
     samples.disconnected("a/1")
     samples.update([LATER])
     assert answered(samples) == 0
 
 
-def test_a_lost_router_has_nothing_under_way_but_its_answers_stay(samples: RolloutSamples) -> None:
+def test_a_lost_router_has_nothing_in_flight_but_its_answers_stay(samples: RolloutSamples) -> None:
     samples.report("a/1", {"s": report(ORDER, 3, others_in_flight=6)})
     samples.disconnected("a/1")
     pool = samples.pool("s")
@@ -62,7 +64,7 @@
     assert answered(samples) == 3
 
 
-def test_a_rollout_that_has_ended_has_none(samples: RolloutSamples) -> None:
+def test_a_finished_rollout_has_no_samples(samples: RolloutSamples) -> None:
     samples.update([rollout(state=RolloutState.COMPLETED)])
     assert samples.pool("s") is None
     samples.report("a/1", {"s": report(ORDER, 3)})
--- a/tests/controller/test_rollout_tracks.py
+++ b/tests/controller/test_rollout_tracks.py
@@ -40,11 +40,11 @@
     assert regular_upstreams(placed, ready, REGISTRY.upstreams) == regular
 
 
-def test_an_upstream_without_a_version_is_none_of_the_target() -> None:
+def test_an_upstream_without_a_version_is_not_on_the_target_track() -> None:
     assert split_into_tracks(CANARY, ALL, REGISTRY.upstreams) == (TARGET, OTHERS)
 
 
-def test_what_came_without_an_order_is_used_after_a_completion() -> None:
+def test_versions_that_appear_without_an_order_are_used_after_a_completion() -> None:
     upstreams = versioned(Registry("c/1"), a="v1", b="v2", c="v3", d="", e="v0").upstreams
     ended = msgspec.structs.replace(COMPLETED, other_versions=("v1",), withdrawn_versions=("v0",))
     assert regular_upstreams(ended, list("abcde"), upstreams) == list("bcd")
--- a/tests/controller/test_rollouts_api.py
+++ b/tests/controller/test_rollouts_api.py
@@ -24,7 +24,7 @@
 
 
 @pytest.fixture(autouse=True)
-def little_patience(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "RETRY_PAUSE_S", 0.0)
     monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.2)
     monkeypatch.setattr(rollouts_api, "READ_BACK_TIMEOUT_S", 0.2)
@@ -57,7 +57,7 @@
     return msgspec.json.decode(response.body)
 
 
-def test_an_order_begins_with_the_canarys_weight_and_is_answered_with_its_state() -> None:
+def test_an_order_starts_with_the_canary_weight_and_is_answered_with_its_state() -> None:
     primary = Primary(Completed(), holds=(CANARY,))
     response = order(primary)
     assert [command.text for command in primary.commands] == [encode(RolloutOrder(CANARY))]
--- a/tests/controller/test_subscriptions.py
+++ b/tests/controller/test_subscriptions.py
@@ -20,7 +20,7 @@
     return subscriber
 
 
-def in_a_loop(check: Callable[[Subscriptions], None]) -> None:
+def run_in_event_loop(check: Callable[[Subscriptions], None]) -> None:
     async def run() -> None:
         check(Subscriptions())
 
@@ -33,7 +33,7 @@
         assert subscriptions.router_count == 0
         assert subscriptions.nodes == set()
 
-    in_a_loop(check)
+    run_in_event_loop(check)
 
 
 def test_routers_are_counted_and_controllers_are_not() -> None:
@@ -44,7 +44,7 @@
         assert subscriptions.router_sequences() == {"r": 4}
         assert subscriptions.nodes == {"r", "c"}
 
-    in_a_loop(check)
+    run_in_event_loop(check)
 
 
 def test_the_lowest_counter_is_of_all_subscribers() -> None:
@@ -55,7 +55,7 @@
         subscriptions.remove(lagging.connection)
         assert subscriptions.lowest_counter("o") == 3
 
-    in_a_loop(check)
+    run_in_event_loop(check)
 
 
 def test_controllers_that_have_a_counter() -> None:
@@ -66,7 +66,7 @@
         assert subscriptions.controllers_that_have("o", 3) == {"c"}
         assert subscriptions.controllers_that_have("o", 2) == {"c", "d"}
 
-    in_a_loop(check)
+    run_in_event_loop(check)
 
 
 def test_subscribers_may_be_removed_while_they_are_iterated() -> None:
@@ -80,4 +80,4 @@
         assert visited == ["a", "b", "c"]
         assert subscriptions.router_count == 0
 
-    in_a_loop(check)
+    run_in_event_loop(check)
