--- a/larkweir/controller/operator_api.py
+++ b/larkweir/controller/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls: the configuration read, replaced and changed, by the primary wherever it is."""
+"""The operator's calls on `/config`: they read, replace or patch the configuration at the current primary."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from larkweir.cluster.http_server import Request, Response
 from larkweir.controller.call_outcome import UNKNOWN, CallOutcome, Completed, Rejected, Unknown
 
-ANSWER_TIMEOUT_S = 0.9  # the operator goes to another controller after a second without an answer
+ANSWER_TIMEOUT_S = 0.9  # operators try another controller after one second without an answer
 RETRY_PAUSE_S = 0.04
-MAX_VERSION_DIGITS = 16  # of the largest `generation` that is accepted
+MAX_VERSION_DIGITS = 16  # of the largest accepted `generation`
 NO_PRIMARY = "no primary answers"
 
 CallPrimary = Callable[[Command | None], Awaitable[CallOutcome]]
-"""One attempt of a command, or of a read where there is none, at the primary wherever it is."""
+"""Makes one attempt at the current primary to carry out a command, or to read the configuration if it is None."""
 
 
 class OperatorApi:
-    """`/config` of a controller."""
+    """Serves `/config` at a controller."""
 
     def __init__(self, call: CallPrimary) -> None:
         """`call` is retried while its outcome is unknown."""
         self._call = call
 
     async def get(self) -> Response:
-        """The newest configuration, confirmed by the primary."""
+        """Returns the newest configuration, confirmed by the primary."""
         outcome = await call_until_known(self._call, None)
         match outcome:
             case Completed(value) if value:
@@ -43,7 +43,7 @@
                 return error_response(503, NO_PRIMARY)
 
     async def change(self, request: Request) -> Response:
-        """PUT of a complete configuration or PATCH of named items."""
+        """Handles a PUT of a complete configuration or a PATCH of named items."""
         base = request.headers.get("if-match", "").strip().strip('"')
         if not (base.isascii() and base.isdigit() and len(base) <= MAX_VERSION_DIGITS):
             return error_response(400, "If-Match: the version that the change builds on is needed")
@@ -63,7 +63,10 @@
 
 
 async def call_until_known(call: CallPrimary, command: Command | None) -> CallOutcome:
-    """Retries while the outcome is unknown; a command that was carried out is recognised by its identity."""
+    """Retries the call while its outcome is unknown, for `ANSWER_TIMEOUT_S` at most.
+
+    Retries are safe: the primary recognises a command that it has already carried out by its identity.
+    """
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             while True:
@@ -76,5 +79,5 @@
 
 
 def error_response(status: int, detail: str) -> Response:
-    """The answer to a call that was not carried out."""
+    """Returns the response to a call that was not carried out."""
     return Response(status, msgspec.json.encode({"error": detail}))
--- a/larkweir/controller/placement_requests.py
+++ b/larkweir/controller/placement_requests.py
@@ -1,4 +1,4 @@
-"""Answers routers that ask which engine owns the prefix of a prompt."""
+"""Answers the requests of routers for the engine that owns a prompt prefix."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PlacementRequests:
-    """Places prefixes at engines that are ready, not ejected, and where regular requests go during a roll-out."""
+    """Places prefixes at engines that are ready and not ejected, and that get regular requests during a roll-out."""
 
     def __init__(
         self,
@@ -22,14 +22,14 @@
         placement: PrefixPlacement,
         rollouts: CommittedRollouts | None = None,
     ) -> None:
-        """All are the controller's own. `rollouts`: None where there are none."""
+        """All arguments belong to this controller. `rollouts`: None for no roll-outs."""
         self._registry = registry
         self._ejection = ejection
         self._placement = placement
         self._rollouts = rollouts or CommittedRollouts()
 
     def answer(self, request: PlacementRequest) -> PlacementResponse:
-        """The engine for the prefix; none where no engine of the service is ready."""
+        """Returns the engine for the prefix, or a response without an engine if none of the service is ready."""
         registry = self._registry
         regular = regular_upstreams(
             self._rollouts.of(request.service), registry.ready_ids(request.service), registry.upstreams
--- a/larkweir/controller/prefill_load.py
+++ b/larkweir/controller/prefill_load.py
@@ -1,25 +1,23 @@
-"""Prompt tokens that wait for prefill at each engine, as routers report them."""
+"""The prompt tokens that wait for prefill at each engine, as reported by the routers."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-MIN_REPORTED_TOKENS = 4_000  # waiting at an engine, from which other routers are informed of it
-MAX_REPORTED_ENGINES = 32  # the busiest ones
+MIN_REPORTED_TOKENS = 4_000  # routers are not informed of engines with fewer waiting tokens
+MAX_REPORTED_ENGINES = 32  # only the busiest engines are reported
 
 
 class PrefillLoad:
-    """The sum of the reports of all routers."""
+    """Sums the reports of all routers."""
 
     def __init__(self) -> None:
-        """No tokens are waiting."""
-        self.tokens_by_engine: dict[
-            str, int
-        ] = {}  # only engines where some wait; not to be changed by others
-        self._busiest: dict[str, int] | None = None  # None: to be computed again
+        """Starts without waiting tokens."""
+        self.tokens_by_engine: dict[str, int] = {}  # only engines with waiting tokens; read-only for callers
+        self._busiest: dict[str, int] | None = None  # None: must be recomputed
 
     def replace(self, before: Mapping[str, int], after: Mapping[str, int]) -> None:
-        """A router that had reported `before` reports `after`; both by engine, in tokens."""
+        """Replaces a router's previous report `before` by its new report `after`, both in tokens by engine."""
         if before == after:
             return
         total = self.tokens_by_engine
@@ -33,7 +31,7 @@
         self._busiest = None
 
     def without_own(self, own: Mapping[str, int]) -> dict[str, int]:
-        """The load of the busiest engines without what one router has reported itself (`own`)."""
+        """Returns the load of the busiest engines, minus the tokens in the receiving router's own report."""
         if self._busiest is None:
             busy = [one for one in self.tokens_by_engine.items() if one[1] >= MIN_REPORTED_TOKENS]
             self._busiest = dict(sorted(busy, key=lambda one: -one[1])[:MAX_REPORTED_ENGINES])
--- a/larkweir/controller/prefix_placement.py
+++ b/larkweir/controller/prefix_placement.py
@@ -1,8 +1,9 @@
-"""Which engine owns a prompt prefix that many requests share, so that its prefix cache is filled once.
+"""Assigns each prompt prefix that requests share to one engine, so that only one prefix cache has to be filled.
 
-Each prefix has one controller that places it (routers agree on it by the same hash), so that routers send it to one
-engine. A prefix goes to the first engine of its own order (highest random weight hashing) that is not much busier than
-the idlest one: under low load that order alone decides, and a start with empty engines spreads the prefills.
+Each prefix is placed by one controller, which routers select with a common hash, so that all routers send the prefix
+to the same engine. Rendezvous hashing (highest random weight) gives each prefix its own order of the engines. The
+prefix goes to the first engine in this order that is not much busier than the least loaded engine. Under low load the
+order alone decides. When all engines start with empty caches, the load limit spreads the prefills over them.
 """
 
 from __future__ import annotations
@@ -14,23 +15,23 @@
 import msgspec
 from larkweir_balancing.rendezvous import rendezvous_weight
 
-MAX_PREFIXES = 65_536  # the one that was requested least recently is dropped first
-REPORT_DELAY_MS = 400.0  # a prefix placed so recently is not in the reports of waiting prefill yet
-MAX_EXCESS_TOKENS = 12_000.0  # that an engine may have waiting above the idlest one and still be selected
+MAX_PREFIXES = 65_536  # the least recently requested prefix is dropped first
+REPORT_DELAY_MS = 400.0  # prefixes placed more recently are not yet in the routers' load reports
+MAX_EXCESS_TOKENS = 12_000.0  # of waiting prefill above the least loaded engine; more excludes an engine
 
 EngineByPrefix = dict[str, str]
 _decoder: msgspec.json.Decoder[EngineByPrefix] = msgspec.json.Decoder(EngineByPrefix)
 
 
 class Placement(NamedTuple):
-    """The engine that owns a prefix. `is_cached`: it was placed there before, so that it is in the prefix cache."""
+    """The engine that owns a prefix. `is_cached`: the prefix was placed there before, so it is in the prefix cache."""
 
     engine: str
     is_cached: bool
 
 
 class _RecentPlacement(NamedTuple):
-    """A prefill that the reports of waiting tokens do not include yet."""
+    """A prefill that the routers' load reports do not include yet."""
 
     placed_ms: float
     engine: str
@@ -38,34 +39,37 @@
 
 
 class PrefixPlacement:
-    """The prefixes that this controller has placed. Times are milliseconds that only rise."""
+    """The prefixes that this controller has placed. Times are in milliseconds of a monotonic clock."""
 
     def __init__(self) -> None:
-        """Nothing is placed yet."""
+        """Starts without placements."""
         self._engines: OrderedDict[str, str] = OrderedDict()  # by prefix, least recently requested first
         self._waiting_tokens: Mapping[str, int] = {}
         self._recent: list[_RecentPlacement] = []
-        self._outdated: set[str] = set()  # prefixes that routers may have placed elsewhere meanwhile
-        self.revision = 0  # rises with each change of a placement
+        self._outdated: set[str] = set()  # prefixes that routers may have sent elsewhere in the meantime
+        self.revision = 0  # incremented by each change of a placement
 
     def __len__(self) -> int:
-        """Prefixes that are placed."""
+        """The number of placed prefixes."""
         return len(self._engines)
 
     def update_load(self, waiting_tokens: Mapping[str, int]) -> None:
-        """By engine, the prompt tokens that wait for prefill there, over all routers."""
+        """Sets, by engine, the prompt tokens of all routers that wait for prefill there."""
         self._waiting_tokens = waiting_tokens
 
     def mark_outdated(self) -> None:
-        """Routers could not reach this controller: the next request for each prefix may correct its placement."""
+        """Marks all placements as outdated, after routers could not reach this controller.
+
+        The next request for each prefix may then correct its placement.
+        """
         self._outdated = set(self._engines)
 
     def place(
         self, prefix: str, prompt_tokens: float, ready: Sequence[str], known_engine: str | None, now_ms: float
     ) -> Placement | None:
-        """The engine that owns the prefix; None where none is ready.
+        """Returns the engine that owns the prefix; None if no engine is ready.
 
-        `ready`: engines of the service. `known_engine`: where the requesting router has sent the prefix before.
+        `ready`: the ready engines of the service. `known_engine`: where the requesting router last sent the prefix.
         """
         engine = self._engines.get(prefix)
         if prefix in self._outdated:
@@ -92,7 +96,7 @@
     def _correct_placement(
         self, prefix: str, engine: str | None, known_engine: str | None, ready: Sequence[str]
     ) -> str | None:
-        """After an absence: where a router has sent the prefix meanwhile."""
+        """Adopts the engine to which a router sent the prefix while this controller was unreachable."""
         if known_engine is None or known_engine == engine or known_engine not in ready:
             return engine
         self._engines[prefix] = known_engine
@@ -109,7 +113,7 @@
         )
 
     def _load(self, ready: Sequence[str], now_ms: float) -> dict[str, float]:
-        """By engine, the tokens that wait there, recent placements included."""
+        """Returns the waiting tokens by engine, including recent placements."""
         self._recent = [one for one in self._recent if one.placed_ms > now_ms - REPORT_DELAY_MS]
         load = {engine: float(self._waiting_tokens.get(engine, 0)) for engine in ready}
         for recent in self._recent:
@@ -118,11 +122,11 @@
         return load
 
     def encode(self) -> bytes:
-        """All placements, for a later incarnation."""
+        """Encodes all placements for a later incarnation of this controller."""
         return msgspec.json.encode(dict(self._engines))
 
     def restore(self, data: bytes) -> bool:
-        """Adds what `encode` returned; False if it can't be decoded."""
+        """Adds the placements that `encode` returned; returns False if they can't be decoded."""
         try:
             self._engines.update(_decoder.decode(data))
         except msgspec.DecodeError:
--- a/larkweir/controller/primary_client.py
+++ b/larkweir/controller/primary_client.py
@@ -1,4 +1,4 @@
-"""Operators' calls on their way to the primary, wherever it is, and the answers on their way back."""
+"""Forwards operators' calls to the current primary and returns its answers."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 from larkweir.controller.controller_links import ControllerLinks
 from larkweir.controller.replica_driver import ReplicaDriver
 
-FORWARD_TIMEOUT_S = 0.45  # then the call is retried, perhaps at another primary
+FORWARD_TIMEOUT_S = 0.45  # after it the caller may retry, perhaps at another primary
 
 
 class PrimaryClient:
-    """Calls the replica of this controller, or the one that it follows."""
+    """Calls the replica of this controller if it is the primary, else the primary that it follows."""
 
     def __init__(self, driver: ReplicaDriver, links: ControllerLinks) -> None:
-        """Both are the controller's own."""
+        """Both arguments belong to this controller."""
         self._driver = driver
         self._links = links
         self._request_ids = itertools.count(1)
         self._forwarded: dict[int, asyncio.Future[CallOutcome]] = {}  # by request id
 
     async def call(self, command: Command | None) -> CallOutcome:
-        """One attempt: a command, or a read where there is none. Unknown where no primary can be reached.
+        """Makes one attempt to carry out a command, or to read the configuration if `command` is None.
 
-        At another controller it takes `FORWARD_TIMEOUT_S` at most; at this one the caller bounds the time.
+        The outcome is unknown if no primary can be reached. A forwarded call takes `FORWARD_TIMEOUT_S` at most. A
+        call at this controller's own replica has no time-out: the caller must set one.
         """
         replica = self._driver.replica
         if replica.status is ReplicaStatus.PRIMARY:
@@ -50,12 +51,12 @@
             self._forwarded.pop(request_id, None)
 
     async def serve(self, connection: Connection, forward: PrimaryRequest) -> None:
-        """Carries out the call of a controller that sees this one as the primary, and answers it."""
+        """Carries out and answers a call that was forwarded by a controller that considers this one the primary."""
         outcome = await self._driver.call(forward.command)
         connection.send(to_message(forward.request_id, outcome))
 
     def answered(self, message: PrimaryResponse) -> None:
-        """The primary's answer to a forwarded call; one that comes after the time-out is ignored."""
+        """Accepts the primary's answer to a forwarded call. Answers after the time-out are ignored."""
         answer = self._forwarded.pop(message.request_id, None)
         if answer is not None and not answer.done():
             answer.set_result(from_message(message))
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -1,4 +1,4 @@
-"""Answers pulls of routers and other controllers as soon as there is something that the sender lacks (long polling)."""
+"""Answers the pulls of routers and other controllers as soon as there is an update for the sender (long polling)."""
 
 from __future__ import annotations
 
@@ -24,16 +24,15 @@
 from larkweir.controller.subscriptions import Subscriber, Subscriptions
 from larkweir.controller.upstream_ejection import UpstreamEjection
 
-MAX_PENDING_MS = 100.0  # a pull is answered after it, with or without an update
-MAX_PENDING_MS_PER_ROUTER = (
-    2.0  # where that is longer, so that a controller's work does not grow with the routers
-)
-BATCH_S = 0.005  # changes within that time are sent in one answer
+MAX_PENDING_MS = 100.0  # after this time a pull is answered even without an update
+# Applies where it gives a longer time, so that the pulls per second do not grow with the number of routers.
+MAX_PENDING_MS_PER_ROUTER = 2.0
+BATCH_S = 0.005  # changes within this time are sent in one answer
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedState:
-    """The owners of what an answer is made of."""
+    """The components from whose state answers to pulls are made."""
 
     registry: Registry
     configuration: ConfigurationHistory
@@ -47,7 +46,7 @@
 
 
 class PullService:
-    """Keeps each pull pending until there is an update, `MAX_PENDING_MS` at most."""
+    """Keeps each pull pending until there is an update or the maximum pending time has passed."""
 
     def __init__(
         self,
@@ -56,20 +55,19 @@
         confirmation: DeliveryConfirmation,
         controllers: Callable[[], list[str]],
     ) -> None:
-        """`controllers`: the nodes that pulls may go to at present."""
+        """`controllers`: returns the nodes that other processes may currently pull from."""
         self._state = state
         self._delivery = ConfigurationDelivery(state.configuration)
         self._subscriptions = subscriptions
         self._confirmation = confirmation
         self._controllers = controllers
-        self.requests_records = (
-            False  # routers, as this controller has lost its own; set before the first pull
-        )
+        # Whether to request the routers' records because this controller has lost its own. Set before the first pull.
+        self.requests_records = False
         self._loop = asyncio.get_running_loop()
         self._wake_timer: asyncio.TimerHandle | None = None
 
     def publish(self, sequence: int, value: str, controllers: int = 1) -> None:
-        """A configuration was committed. `controllers`: how many of them vote."""
+        """Publishes a committed configuration. `controllers`: the number of voting controllers."""
         state = self._state
         document = state.configuration.add(sequence, value)
         if document is not None:
@@ -79,12 +77,12 @@
             self.wake()
 
     def connected(self, connection: Connection, role: NodeRole) -> None:
-        """A process has introduced itself."""
+        """Subscribes a process that has sent its hello on a new connection."""
         self._subscriptions.add(connection, role)
         self._state.quotas.connected(connection.node)
 
     def disconnected(self, connection: Connection) -> None:
-        """A connection was lost."""
+        """Removes the subscriber of a lost connection."""
         is_newest = self._subscriptions.is_newest(connection)
         subscriber = self._subscriptions.remove(connection)
         if subscriber is None:
@@ -96,7 +94,7 @@
                 self._state.rollout_samples.disconnected(_router_name(connection))
 
     def report_prefill(self, connection: Connection, tokens: dict[str, int]) -> None:
-        """A router reports, between pulls, the prompt tokens of its calls that wait for prefill, by engine."""
+        """Records a router's report between pulls: by engine, the prompt tokens of its calls that wait for prefill."""
         subscriber = self._subscriptions.get(connection)
         if subscriber is not None:
             self._set_queued_prefill_tokens(subscriber, tokens)
@@ -106,7 +104,7 @@
         self._state.prefill_load.replace(before, tokens)
 
     def pull(self, connection: Connection, pull: Pull) -> None:
-        """A process reports its state and requests what it lacks."""
+        """Records the state that a process reports, and answers at once if there is an update for it."""
         subscriber = self._subscriptions.get(connection)
         if subscriber is None:
             return
@@ -133,7 +131,7 @@
             self._answer(subscriber, pull)
 
     def wake(self) -> None:
-        """Something has changed: within `BATCH_S` pending pulls of processes that lack it are answered."""
+        """Answers all pending pulls for which a change is an update, at the latest after `BATCH_S`."""
         if self._wake_timer is None:
             self._wake_timer = self._loop.call_later(BATCH_S, self._answer_updated)
 
@@ -145,7 +143,7 @@
                 self._answer(subscriber, pull)
 
     def tick(self) -> None:
-        """Answers pulls that have been pending for long enough; to be called several times a second."""
+        """Answers pulls that have reached the maximum pending time. Must be called several times a second."""
         present_ms = now_ms()
         routers = self._subscriptions.router_count
         max_pending_ms = max(MAX_PENDING_MS, MAX_PENDING_MS_PER_ROUTER * routers)
@@ -160,7 +158,7 @@
 
     def _has_update(self, subscriber: Subscriber, pull: Pull) -> bool:
         state, present_ms = self._state, now_ms()
-        if pull.quota_snapshot is not None:  # the first of a router, which may do little until it is answered
+        if pull.quota_snapshot is not None:  # a router's first pull: it can do little before the answer
             return True
         if subscriber.is_router and subscriber.sent_granting != state.quotas.is_granting(present_ms):
             return True
@@ -208,7 +206,10 @@
         subscriber.connection.send(delta)
 
     def _quota_claim(self, subscriber: Subscriber, pull: Pull) -> ShareClaim | None:
-        """What a controller holds; None of a router. A claim on an older connection may have been overtaken."""
+        """Returns the share that a controller claims; None for a router.
+
+        Claims on an older connection of a controller are ignored: a newer claim may have arrived already.
+        """
         if subscriber.is_router or not self._subscriptions.is_newest(subscriber.connection):
             return None
         return pull.quota_claim
@@ -227,5 +228,5 @@
 
 
 def _router_name(connection: Connection) -> str:
-    """Of one incarnation of a router, as its samples are counted."""
+    """Returns a router's name in `RolloutSamples`, which differs for each of its incarnations."""
     return f"{connection.node}/{connection.incarnation}"
--- a/larkweir/controller/quorum_contact.py
+++ b/larkweir/controller/quorum_contact.py
@@ -1,4 +1,4 @@
-"""Whether this controller is in contact with a majority of the controllers that vote."""
+"""Tracks whether this controller is connected to a majority of the voting controllers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class QuorumContact:
-    """Judges by the member list that this replica has accepted, and by its own links."""
+    """Compares this controller's links with the member list that its replica has accepted."""
 
     def __init__(
         self,
@@ -20,24 +20,24 @@
         links: ControllerLinks,
         on_regained: Callable[[], None],
     ) -> None:
-        """`on_regained` is called by `update` when contact was lost at the call before and is there again."""
+        """`update` calls `on_regained` if a majority is reachable again that was unreachable at the call before."""
         self._known = known
         self._replica = replica
         self._links = links
         self._on_regained = on_regained
-        self.was_connected = True  # at the last `update`
+        self.was_connected = True  # at the last call of `update`
 
     def is_quorum(self, others: set[str]) -> bool:
-        """Whether this controller and these other ones are a majority."""
+        """Returns whether this controller and the other given ones form a majority."""
         accepted = self._replica.accepted
         return accepted is not None and accepted.has_quorum(others | {self._known.own_node})
 
     def is_connected(self) -> bool:
-        """Whether this controller has links to a majority."""
+        """Returns whether this controller is connected to a majority."""
         return self.is_quorum(self._links.connected_nodes())
 
     def update(self) -> None:
-        """To be called several times a second."""
+        """Refreshes `was_connected` and reports regained contact. Must be called several times a second."""
         was_connected, self.was_connected = self.was_connected, self.is_connected()
         if self.was_connected and not was_connected:
             self._on_regained()
--- a/larkweir/controller/quota_metrics.py
+++ b/larkweir/controller/quota_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of quotas: this controller's share of them, and what it granted and refused of each tenant's."""
+"""Quota metrics: this controller's share of the quotas, and the units that it granted and refused by tenant."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def quota_metrics(quotas: QuotaAccounting, now_ms: float) -> Iterator[Metric]:
-    """The share, and by tenant the units since this process started; of those alone that have asked."""
+    """Yields the share and, for each tenant with requests since this process started, its granted and refused units."""
     share = "fraction of all quotas that this controller hands out"
     yield Metric("quota_share", share, quotas.share_fraction(now_ms))
     for tenant, units in quotas.granted_units().items():
--- a/larkweir/controller/quota_shares.py
+++ b/larkweir/controller/quota_shares.py
@@ -1,4 +1,4 @@
-"""This controller's share of all quotas, and, at the primary, the leases of all controllers' shares."""
+"""This controller's share of all quotas and, at the primary, the leases of all controllers' shares."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaGroup:
-    """What shares are leased by.
+    """The state of the controller group on which share leases depend.
 
     Attributes:
         node: this controller.
-        term: given the present, the term in which this controller is certainly the only primary; None if it is not.
-        members: the controllers that may hold shares.
-        clients: how many routers are connected here.
+        term: returns, for the current time, the term in which this controller is guaranteed to be the only primary;
+            None if there is no such guarantee.
+        members: returns the controllers that may hold shares.
+        clients: returns the number of routers that are connected to this controller.
     """
 
     node: str
@@ -29,15 +30,15 @@
 
 
 class QuotaShares:
-    """Owns the lease and the lease_table. Times are milliseconds of the controller's clock."""
+    """Owns this controller's lease and, at the primary, the lease table. Times are in ms of the controller's clock."""
 
     def __init__(self, allocator: QuotaAllocator, group: QuotaGroup, on_change: Callable[[], None]) -> None:
-        """Hold nothing yet.
+        """Starts without a share.
 
         Args:
-            allocator: is told of the share.
-            group: the controllers.
-            on_change: called when this controller begins or ceases to hold a share, or becomes the primary.
+            allocator: receives the share.
+            group: the state of the controller group.
+            on_change: called when this controller gains or loses its share, or becomes the primary.
         """
         self._allocator = allocator
         self._group = group
@@ -47,7 +48,7 @@
         self._was_granting = False
 
     def tick(self, now_ms: float) -> None:
-        """Renew the own lease at the primary, and notice the end of a lease; to be called several times a second."""
+        """Renews the primary's own lease, and detects the expiry of a lease. Must be called several times a second."""
         lease_table = self._current_table(now_ms)
         if lease_table is not None:
             claim, node = self.claim(now_ms), self._group.node
@@ -56,37 +57,37 @@
         self._notify_granting_change(now_ms)
 
     def claim(self, now_ms: float) -> ShareClaim:
-        """What this controller holds, for the other ones."""
+        """Returns the share that this controller holds, to be sent to the other controllers."""
         return self._holder.claim(self._group.clients(), now_ms)
 
     def accept(self, offer: ShareOffer, claimed_ms: float, now_ms: float) -> None:
-        """The primary answered a claim that was sent at `claimed_ms`."""
+        """Accepts the primary's offer in answer to a claim that was sent at `claimed_ms`."""
         self._holder.accept(offer, claimed_ms)
         self._allocator.set_share(self._holder.share(now_ms), self._holder.expires_ms, now_ms)
         self._notify_granting_change(now_ms)
 
     def record_claim(self, node: str, claim: ShareClaim, now_ms: float) -> None:
-        """Another controller tells what it holds; only the primary takes note."""
+        """Records the share that another controller holds. Has no effect where this controller is not the primary."""
         lease_table = self._current_table(now_ms)
         if lease_table is not None:
             lease_table.record_claim(node, claim, now_ms)
 
     def offer(self, node: str, claim: ShareClaim, now_ms: float) -> ShareOffer | None:
-        """The answer to a claim; None where this controller is not the primary."""
+        """Returns the answer to a claim; None if this controller is not the primary."""
         lease_table = self._current_table(now_ms)
         if lease_table is None:
             return None
         return lease_table.offer(node, claim, self._group.members(), now_ms)
 
     def is_urgent(self, node: str, claim: ShareClaim, now_ms: float) -> bool:
-        """Whether that claim is to be answered at once."""
+        """Returns whether a claim must be answered at once."""
         lease_table = self._current_table(now_ms)
         if lease_table is None:
             return False
         return lease_table.is_urgent(node, claim, self._group.members(), now_ms)
 
     def _current_table(self, now_ms: float) -> LeaseTable | None:
-        """Of this controller's term as the primary."""
+        """Returns the lease table of this controller's current term as the primary; None if it is not the primary."""
         term = self._group.term(now_ms)
         if term is None:
             return None
--- a/larkweir/controller/recovery_hints.py
+++ b/larkweir/controller/recovery_hints.py
@@ -1,4 +1,4 @@
-"""What a controller leaves on disk to recover sooner: upstreams and placed prefixes. Losing it breaks no guarantee."""
+"""Upstreams and prefix placements on disk, for a faster recovery of a controller. Losing them breaks no guarantee."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 UPSTREAMS_FILE = "upstreams.hint"
 PLACEMENTS_FILE = "placements.hint"
 PLACEMENTS_EVERY_TICKS = 25
-PLACEMENTS_PER_TICK = 100  # the file is written completely: the more placements, the less often
+PLACEMENTS_PER_TICK = 100  # each write is a complete file, so many placements are written less often
 
 
 class RecoveryHints:
-    """Reads what an earlier incarnation left, and writes what has changed since.
+    """Restores the hints of an earlier incarnation, and writes them again after changes.
 
     Attributes:
-        has_upstreams: an earlier incarnation left its upstreams; without them routers are asked for theirs.
+        has_upstreams: whether the upstreams of an earlier incarnation were restored; if not, the controller requests
+            the routers' records.
     """
 
     def __init__(self, disk: DiskWriter, registry: Registry, placement: PrefixPlacement) -> None:
-        """Restores the registry and the placement from disk; damaged files are ignored."""
+        """Restores the registry and the placements from disk. Damaged files are ignored."""
         self._disk = disk
         self._registry = registry
         self._placement = placement
@@ -36,17 +37,17 @@
         self._written_revision = placement.revision
 
     def write_upstreams(self) -> None:
-        """Queues the file of upstreams where any has changed."""
+        """Queues a write of the upstreams file if any upstream has changed."""
         if self._registry.vector != self._written_vector:
             self._written_vector = dict(self._registry.vector)
             self._disk.write_hint(UPSTREAMS_FILE, hint_file.encode(self._registry))
 
     def placements_period_ticks(self) -> int:
-        """Ticks from one call of `write_placements` to the next."""
+        """Returns the number of ticks between two calls of `write_placements`."""
         return max(PLACEMENTS_EVERY_TICKS, len(self._placement) // PLACEMENTS_PER_TICK)
 
     def write_placements(self) -> None:
-        """Queues the file of placements where any has changed."""
+        """Queues a write of the placements file if any placement has changed."""
         if self._placement.revision != self._written_revision:
             self._written_revision = self._placement.revision
             self._disk.write_hint(PLACEMENTS_FILE, self._placement.encode())
--- a/larkweir/controller/registry_sync.py
+++ b/larkweir/controller/registry_sync.py
@@ -1,4 +1,4 @@
-"""What a controller pulls from every other one: their upstreams, and from the primary its share of quotas."""
+"""Pulls upstream records from all other controllers, and this controller's quota share from the primary."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RegistrySync:
-    """The pulling side; `PullService` is the other one."""
+    """The client side of the pulls between controllers; `PullService` is the server side."""
 
     def __init__(
         self,
@@ -23,19 +23,19 @@
         quota_shares: QuotaShares,
         on_update: Callable[[], None],
     ) -> None:
-        """`on_update` is called when records were received, so that routers are informed."""
+        """`on_update` is called when records were received, to inform the routers."""
         self._registry = registry
         self._quota_shares = quota_shares
-        self._claimed_ms: dict[str, float] = {}  # by controller: when the last pull was sent
+        self._claimed_ms: dict[str, float] = {}  # by controller, when the last pull was sent
         self._failure_detector = failure_detector
         self._on_update = on_update
 
     def begin(self, connection: Connection) -> None:
-        """Sends the first pull of a connection that this controller has dialled."""
+        """Sends the first pull on a connection that this controller has opened."""
         self._pull(connection, has_new_vector=True)
 
     def received(self, connection: Connection, delta: Delta) -> None:
-        """Merges what this registry lacked, and pulls again."""
+        """Merges a delta into the registry, accepts an offered quota share, and sends the next pull."""
         present_ms = now_ms()
         for upstream in self._registry.merge(delta.records, delta.vector, present_ms):
             self._failure_detector.record_peer_heartbeats({upstream.id: upstream.sequence}, present_ms)
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -1,4 +1,4 @@
-"""Drives a replica: its messages over links, its records to the disk, its outcomes to those who wait."""
+"""Drives a replica: sends its messages, writes its records to disk, and completes the calls that wait for it."""
 
 from __future__ import annotations
 
@@ -37,9 +37,7 @@
 
 REPLICA_FOLDER = "replica"
 COMMAND_TOO_OLD_STATUS = 503
-MAX_LEAVE_FRACTION = (
-    0.75  # of the time until the platform kills this process: the rest is for its last messages
-)
+MAX_LEAVE_FRACTION = 0.75  # of the time until the platform kills this process; the rest is for last messages
 LEAVE_POLL_INTERVAL_S = 0.04
 
 
@@ -47,9 +45,9 @@
     """The replica of this controller.
 
     Attributes:
-        replica: the state machine that this drives.
-        disk: what writes its records.
-        is_first_start: the group begins with this start, so that nothing can have been lost before.
+        replica: the state machine that this driver runs.
+        disk: writes the replica's records.
+        is_first_start: whether this start creates the controller group, so that no earlier state can have been lost.
     """
 
     def __init__(
@@ -58,10 +56,10 @@
         send: Callable[[str, Message], None],
         on_committed: Callable[[Snapshot], None],
     ) -> None:
-        """Reads the journal. Both callbacks may be called before this returns.
+        """Reads the journal. Both callbacks may be called before the constructor returns.
 
         Raises:
-            OSError: the journal can't be read.
+            OSError: if the journal can't be read.
         """
         self._send = send
         self._on_committed = on_committed
@@ -85,33 +83,33 @@
         self._perform_effects()
 
     def tick(self) -> None:
-        """To be called every few tens of milliseconds."""
+        """Advances the replica's timers. Must be called every few tens of milliseconds."""
         self.replica.tick(now_ms())
         self._perform_effects()
 
     def receive(self, sender: str, message: Message) -> None:
-        """A message from another controller."""
+        """Passes a message from another controller to the replica."""
         self.replica.receive(sender, message, now_ms())
         self._perform_effects()
 
     def is_primary(self) -> bool:
-        """Whether this replica is the primary."""
+        """Returns whether this replica is the primary."""
         return self.replica.status is ReplicaStatus.PRIMARY
 
     def leased_term(self, present_ms: float) -> tuple[int, str] | None:
-        """The epoch's number and node while no other replica can be the primary; None at all other times."""
+        """Returns the epoch's number and node while the lease rules out any other primary, else None."""
         replica = self.replica
         if not (self.is_primary() and replica.is_lease_valid(present_ms)):
             return None
         return replica.promised.number, replica.promised.node
 
     def members(self) -> tuple[str, ...]:
-        """The controllers that vote, as far as this one knows."""
+        """Returns the voting controllers that this one knows."""
         accepted = self.replica.accepted
         return accepted.members if accepted is not None else ()
 
     def on_partial_messages(self, senders: Iterable[str]) -> None:
-        """Large messages are arriving: heartbeats are queued behind them, and these senders are alive."""
+        """Counts nodes as alive while large messages from them are arriving, as their heartbeats are queued behind."""
         for sender in senders:
             self.replica.on_partial_message(sender, now_ms())
 
@@ -124,7 +122,7 @@
         self._perform_effects()
 
     def _perform_effects(self) -> None:
-        """Performs the effects that the replica has requested."""
+        """Performs the effects that the replica has requested, and logs a change of its status."""
         for effect in self.replica.take_effects():
             match effect:
                 case Send(node, message):
@@ -149,9 +147,9 @@
             call.set_result(outcome)
 
     async def call(self, command: Command | None) -> CallOutcome:
-        """A command, or a read where there is none, at this replica as the primary; unknown where it is not.
+        """Carries out a command at this replica, or reads the configuration if `command` is None.
 
-        There is no time-out: the caller bounds the time.
+        The outcome is unknown if this replica is not the primary. There is no time-out: the caller must set one.
         """
         ticket = next(self._tickets)
         call: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
@@ -167,7 +165,10 @@
             self._calls.pop(ticket, None)
 
     async def leave(self) -> None:
-        """Prepares a planned end: another replica becomes primary, and replaces this member if one stands by."""
+        """Prepares a planned shutdown.
+
+        Another replica becomes the primary, and a standby, if there is one, replaces this replica as a member.
+        """
         self.replica.leave(now_ms())
         self._perform_effects()
         while (reason := self.replica.departure_reason(now_ms())) is None:
@@ -175,10 +176,10 @@
         log.event("replica_left", reason=reason)
         self.replica.resign(now_ms())
         self._perform_effects()
-        await asyncio.sleep(LEAVE_POLL_INTERVAL_S)  # so that the last messages are sent
+        await asyncio.sleep(LEAVE_POLL_INTERVAL_S)  # lets the last messages be sent
 
     def close(self) -> None:
-        """Ends the disk's thread."""
+        """Stops the disk thread."""
         self.disk.close()
 
 
@@ -211,7 +212,7 @@
 
 
 def _timing(grace_s: float) -> Timing:
-    """Durations of the group; a planned end is over before the platform kills the process after `grace_s` seconds."""
+    """Returns the default timing, with leaving limited to finish before the platform kills the process (`grace_s`)."""
     timing = Timing()
     max_leave_ms = min(timing.max_leave_ms, MAX_LEAVE_FRACTION * 1000.0 * grace_s)
     return dataclasses.replace(timing, max_leave_ms=max_leave_ms)
@@ -231,5 +232,5 @@
         case CommandOutcome.UNKNOWN:
             return UNKNOWN
         case CommandOutcome.TOO_OLD:
-            detail = "it builds on a version too old to tell whether it was taken"
+            detail = "the change builds on a version too old to tell whether it was already applied"
             return Rejected(COMMAND_TOO_OLD_STATUS, detail)
--- a/larkweir/controller/rollout_driver.py
+++ b/larkweir/controller/rollout_driver.py
@@ -1,4 +1,4 @@
-"""Advances running roll-outs at the primary: gathers what is known of each, and submits the next step as a command."""
+"""Advances running roll-outs at the primary: evaluates the state of each and submits its next step as a command."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 from larkweir.controller.rollout_tracks import Tracks, split_into_tracks
 from larkweir.controller.subscriptions import Subscriptions
 
-WARM_UP_MS = 2_000.0  # in which routers and upstreams find a controller that has started
-FIRST_REPORTS_MS = 1_000.0  # in which most routers have pulled from it
-LOST_ROUTER_GRACE_MS = 2_000.0  # for so long one that was connected may go on serving by what it had in force
-ADVANCE_TIMEOUT_S = 2.0  # then the step is decided anew
+WARM_UP_MS = 2_000.0  # by then, routers and upstreams have connected to a controller that has just started
+FIRST_REPORTS_MS = 1_000.0  # by then, most routers have sent a pull to it
+LOST_ROUTER_GRACE_MS = 2_000.0  # a lost router may serve with its last configuration for this long
+ADVANCE_TIMEOUT_S = 2.0  # after it the step is decided again
 
 Submit = Callable[[Command], Awaitable[CallOutcome]]
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutInputs:
-    """The owners of what a step is decided by."""
+    """The components from whose state steps are decided."""
 
     rollouts: CommittedRollouts
     samples: RolloutSamples
@@ -48,43 +48,43 @@
 
 
 class _LastSeen(NamedTuple):
-    sequence: int  # of the configuration that a router had in force
+    sequence: int  # of the configuration in force at a router
     at_ms: float
 
 
 @dataclass(slots=True)
 class _Progress:
-    """What is remembered of one running order."""
+    """What this process has observed of one running order."""
 
-    known_since_ms: float  # by this process
-    other_versions: set[str]  # that upstreams had since the order; no withdrawn ones
-    is_only_version: bool  # the target had all upstreams at the order, and has had them since
-    is_learned_late: bool  # the order, after a start or a cut
+    known_since_ms: float  # when this process learned of the order
+    other_versions: set[str]  # that upstreams have had since the order, without withdrawn versions
+    is_only_version: bool  # all upstreams have had the target version since the order
+    is_learned_late: bool  # the order may be older than `known_since_ms`, after a start or lost contact
     most_target_ready: int = 0
     is_advancing: bool = False
 
     @property
     def is_warmed_up(self) -> bool:
-        """A process that has just started knows few of the routers and upstreams that serve."""
+        """Whether enough time has passed to know most routers and upstreams, even if this process had just started."""
         return now_ms() >= self.known_since_ms + WARM_UP_MS
 
     @property
     def has_first_reports(self) -> bool:
-        """Whether most routers have reported by now what they have seen since the order."""
+        """Whether most routers have had the time to report their samples of the order."""
         return now_ms() >= self.known_since_ms + FIRST_REPORTS_MS
 
 
 @dataclass(slots=True)
 class RolloutDriver:
-    """Decides by the newest committed state alone, so that a new primary goes on where the last one was.
+    """Submits steps based on the newest committed state, so that a new primary continues where the last one stopped.
 
     Attributes:
-        inputs: the controller's own.
-        submit: carries out a command at this controller's replica.
-        is_primary: whether that replica is the primary.
-        is_in_contact: whether this controller has links to a majority.
-        tasks: the owner of the commands under way.
-        bounds: what a version on trial may get; None for the usual.
+        inputs: the components of this controller.
+        submit: submits a command to this controller's replica.
+        is_primary: returns whether that replica is the primary.
+        is_in_contact: returns whether this controller is connected to a majority.
+        tasks: runs the submissions in the background.
+        bounds: limits the requests that the target version may get; None for the default.
     """
 
     inputs: RolloutInputs
@@ -94,10 +94,10 @@
     tasks: BackgroundTasks
     bounds: ExposureBounds | None = None
     _progress: dict[tuple[str, str], _Progress] = field(default_factory=dict)  # by service and order
-    _routers: dict[str, _LastSeen] = field(default_factory=dict)  # connected ones and those lost just now
+    _routers: dict[str, _LastSeen] = field(default_factory=dict)  # connected or recently lost, by node
 
     def evaluate(self) -> None:
-        """Takes the next step of each running roll-out, one at a time; to be called several times a second."""
+        """Submits the next step of each running roll-out unless one is pending. Called several times a second."""
         if not self.is_in_contact():
             self.inputs.rollouts.mark_outdated(now_ms())
         running = self.inputs.rollouts.running()
@@ -138,9 +138,11 @@
             self.tasks.start("rollout_advance", self._advance(step, view, progress))
 
     def _begin(self, committed: CommittedRollout) -> _Progress:
-        """An order is known from now on.
+        """Starts to track an order that this process has learned of.
 
-        A process that learned of it late knows nothing of the upstreams before it, but what was committed with a step.
+        Versions that were committed with an earlier step are adopted. Without them, the target counts as the only
+        version if all known upstreams have it. This does not apply if the process may have learned of the order late:
+        it may then not know the upstreams that there were at the order.
         """
         tracks, committed_versions = (
             self._tracks_of_known_upstreams(committed.rollout),
@@ -157,7 +159,7 @@
         progress.is_only_version &= not others
 
     def _tracks_of_known_upstreams(self, rollout: Rollout) -> Tracks:
-        """The upstreams of its service, ready or not, as they are known here."""
+        """Returns the tracks of all known upstreams of the roll-out's service, ready or not."""
         upstreams = self.inputs.registry.upstreams
         known = [
             one.id
@@ -167,9 +169,10 @@
         return split_into_tracks(rollout, known, upstreams)
 
     def _next_step(self, view: View, progress: _Progress) -> Advance | None:
-        """Decide as the schedule does; a process that knows little yet rolls back only what is condemned.
+        """Returns the step that the schedule gives, or None where this process does not know enough for it yet.
 
-        One that learned of the order late has no reports of most routers: it lets no weight grow on those of a few.
+        Until it is warmed up, it takes no step for an only version, and rolls back only a target that the verdict calls
+        bad. If it also learned of the order late, it raises no weight before most routers have had time to report.
         """
         if progress.is_only_version:
             return next_step_of_only_version(view) if progress.is_warmed_up else None
@@ -198,9 +201,10 @@
         )
 
     def _are_routers_confirmed(self, committed: CommittedRollout) -> bool:
-        """Whether there are routers, and all that are connected have that configuration in force.
+        """Returns whether there are routers, and all connected ones have the roll-out's configuration in force.
 
-        As long as there is time, so must those that were lost just now: they may still send to the others.
+        While enough time is left, recently lost routers must have had it in force too: otherwise they may still send
+        requests to the other versions.
         """
         rollout, sequence = committed.rollout, committed.sequence
         if not self._progress[rollout.service, rollout.order_id].is_warmed_up:
--- a/larkweir/controller/rollout_metrics.py
+++ b/larkweir/controller/rollout_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of roll-outs; none where no service has had a roll-out."""
+"""Roll-out metrics; there are none while no service has had a roll-out."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def rollout_metrics(rollouts: CommittedRollouts, samples: RolloutSamples) -> Iterator[Metric]:
-    """The count of running ones, the weight of each, and what routers have seen of its two tracks since its order."""
+    """Yields the number of running roll-outs and, for each, its weight and the answers of its two tracks."""
     if not rollouts.all():
         return
     running = [one.rollout for one in rollouts.running()]
--- a/larkweir/controller/rollout_samples.py
+++ b/larkweir/controller/rollout_samples.py
@@ -1,4 +1,4 @@
-"""What the routers have seen of the running roll-outs: one pool of samples for each service."""
+"""The routers' reports on the running roll-outs, in one pool of samples for each service."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class RolloutSamples:
-    """Fed by the routers' pulls, read by `RolloutDriver`. A router is named by its node and incarnation."""
+    """Collects the reports of the routers' pulls for `RolloutDriver`. A router is named by its node and incarnation."""
 
     def __init__(self) -> None:
-        """No roll-out is running."""
+        """Starts without running roll-outs."""
         self._pools: dict[str, PooledSamples] = {}  # by service
-        self._reports: dict[str, dict[str, RolloutReport]] = {}  # by connected router and service: the latest
+        self._reports: dict[str, dict[str, RolloutReport]] = {}  # the latest, by connected router and service
 
     def update(self, rollouts: Iterable[Rollout]) -> None:
-        """A configuration with these roll-outs was committed: pools begin with an order and end with it.
+        """Updates the pools after a commit of a configuration with these roll-outs: each running order has one pool.
 
-        A router may have learned of an order from another controller and reported on it already. It does not repeat
-        what has not changed, so that its latest report is counted now.
+        A router may have learned of an order from another controller and reported on it already. Routers don't repeat
+        unchanged reports, so the latest report of each router is added to a new pool.
         """
         running = {one.service: one for one in rollouts if one.is_running}
         self._pools = {service: pool for service, pool in self._pools.items() if service in running}
@@ -35,7 +35,7 @@
                     pool.record(router, reports[service])
 
     def report(self, router: str, reports: Mapping[str, RolloutReport]) -> None:
-        """What a router's pull says, by service; a service that is left out is as in the pull before."""
+        """Records the reports in a router's pull, by service. Services without a report are unchanged."""
         if not reports:
             return
         self._reports.setdefault(router, {}).update(reports)
@@ -44,11 +44,11 @@
                 self._pools[service].record(router, report)
 
     def disconnected(self, router: str) -> None:
-        """Its connection was lost: what it has seen stays, what is under way there is not known."""
+        """Forgets the in-flight requests of a router whose connection was lost; its finished requests stay counted."""
         self._reports.pop(router, None)
         for pool in self._pools.values():
             pool.disconnected(router)
 
     def pool(self, service: str) -> PooledSamples | None:
-        """Of the running roll-out of the service; None where none is running."""
+        """Returns the pool of the service's running roll-out; None if none is running."""
         return self._pools.get(service)
--- a/larkweir/controller/rollout_tracks.py
+++ b/larkweir/controller/rollout_tracks.py
@@ -12,14 +12,14 @@
 
 
 class Tracks(NamedTuple):
-    """Ids of upstreams of one service."""
+    """The ids of the upstreams on the two tracks of one service."""
 
     target: list[str]
     others: list[str]
 
 
 def split_into_tracks(rollout: Rollout, ids: Sequence[str], upstreams: Mapping[str, Upstream]) -> Tracks:
-    """Split upstreams of the roll-out's service by their version. `upstreams`: all that are known, by id."""
+    """Splits upstreams of the roll-out's service by their version. `upstreams`: all known upstreams, by id."""
     target = [id_ for id_ in ids if rollout.is_target(upstreams[id_].version)]
     others = [id_ for id_ in ids if rollout.is_other(upstreams[id_].version)]
     return Tracks(target, others)
@@ -28,9 +28,10 @@
 def regular_upstreams(
     rollout: Rollout | None, ids: Sequence[str], upstreams: Mapping[str, Upstream]
 ) -> Sequence[str]:
-    """Return those of a service's upstreams that regular requests go to.
+    """Returns the upstreams of a service that get regular requests.
 
-    The canary's share of a running roll-out is none of them: a prefix that is placed there draws all of its requests.
+    Below full weight the target's upstreams are excluded: a prefix that is placed there would draw all of its requests,
+    beyond the canary's share.
     """
     if rollout is None:
         return ids
--- a/larkweir/controller/rollouts_api.py
+++ b/larkweir/controller/rollouts_api.py
@@ -1,4 +1,4 @@
-"""`/rollouts` of a controller: operators order, read and abort roll-outs, by the primary wherever it is."""
+"""`/rollouts` of a controller: operators order, read and abort roll-outs through the current primary."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 PATH = "/rollouts"
 MAX_BODY_BYTES = 16 * 1024
 MAX_NAME_CHARS = 256
-READ_BACK_TIMEOUT_S = 0.05  # within the second in which an operator waits for an acknowledgement
+READ_BACK_TIMEOUT_S = 0.05  # must fit in the second that operators wait for an acknowledgement
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 
@@ -51,19 +51,19 @@
 
 
 class RolloutsApi:
-    """Answers once the primary has committed an order, or confirmed a read."""
+    """Answers after the primary has committed a change or confirmed a read."""
 
     def __init__(self, call: CallPrimary) -> None:
         """`call` is retried while its outcome is unknown."""
         self._call = call
 
     async def order(self, request: Request) -> Response:
-        """`POST /rollouts`. The same order again is acknowledged again."""
+        """Handles `POST /rollouts`. A repeated order is acknowledged again."""
         if len(request.body) > MAX_BODY_BYTES:
             return error_response(413, "the body is too long")
         try:
             body: RolloutRequest = msgspec.json.decode(request.body, type=RolloutRequest)
-        except (msgspec.DecodeError, RecursionError) as error:  # the message names the field
+        except (msgspec.DecodeError, RecursionError) as error:  # the error message names the invalid field
             return error_response(400, str(error))
         rollout = Rollout(
             body.service, body.target_version, body.duration_s, unix_ms(), target_weight=CANARY_WEIGHT
@@ -79,14 +79,14 @@
         return response
 
     async def abort(self, service: str) -> Response:
-        """`DELETE /rollouts/SERVICE`: a running roll-out is rolled back."""
+        """Handles `DELETE /rollouts/SERVICE`: a running roll-out is rolled back."""
         response = await self._change(RolloutAbort(service), service)
         if response.status == 200:
             log.event("rollout_aborted", service=service)
         return response
 
     async def get(self, service: str) -> Response:
-        """`GET /rollouts/SERVICE`."""
+        """Handles `GET /rollouts/SERVICE`."""
         rollouts = await self._read()
         if isinstance(rollouts, Response):
             return rollouts
@@ -96,7 +96,7 @@
         return _answer(_status(rollout))
 
     async def list(self) -> Response:
-        """`GET /rollouts`: the latest of each service that has had any."""
+        """Handles `GET /rollouts`: the latest roll-out of each service that has had one."""
         rollouts = await self._read()
         if isinstance(rollouts, Response):
             return rollouts
@@ -113,7 +113,7 @@
                 return error_response(503, NO_PRIMARY)
 
     async def _read_back(self, service: str) -> Response:
-        """The state after a change, which is acknowledged also where the primary can't be read any more."""
+        """Returns the state after a change, or an empty object as acknowledgement if it can't be read in time."""
         try:
             async with asyncio.timeout(READ_BACK_TIMEOUT_S):
                 outcome = await self._call(None)
--- a/larkweir/controller/upstream_ejection.py
+++ b/larkweir/controller/upstream_ejection.py
@@ -1,4 +1,4 @@
-"""Upstreams that routers leave out because calls of many routers fail there (outlier ejection)."""
+"""Outlier ejection: excludes upstreams at which the calls of many routers fail."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class UpstreamEjection:
-    """Judges upstreams by the outcome counts that all connected routers have reported."""
+    """Ejects upstreams based on the outcome counts that all connected routers have reported."""
 
     def __init__(self, registry: Registry, subscriptions: Subscriptions) -> None:
-        """Both are the controller's own."""
+        """Both arguments belong to this controller."""
         self._registry = registry
         self._subscriptions = subscriptions
         self._ejections = FleetOutlierDetector()
 
     @property
     def ejected(self) -> frozenset[str]:
-        """Upstreams that routers leave out while others are left."""
+        """The ejected upstreams. Routers exclude them while other upstreams are left."""
         return self._ejections.ejected
 
     def evaluate(self, now_ms: float) -> bool:
-        """Ejects and reinstates upstreams; returns whether any has changed. To be called several times a second."""
+        """Ejects and reinstates upstreams; returns whether any has changed. Must be called several times a second."""
         outcome_counts = sum_outcomes(one.outcome_counts for one in self._subscriptions if one.outcome_counts)
         services = self._registry.ready_ids_by_service().values()
         has_changed = self._ejections.evaluate(services, outcome_counts, now_ms)
@@ -35,7 +35,7 @@
         return has_changed
 
     def without_ejected(self, upstreams: Sequence[str]) -> Sequence[str]:
-        """The upstreams that are not ejected; all of them where every one is."""
+        """Returns the upstreams that are not ejected, or all of them if all are ejected."""
         if not self.ejected:
             return upstreams
         return [id_ for id_ in upstreams if id_ not in self.ejected] or upstreams
--- a/tests/controller/rollout_factories.py
+++ b/tests/controller/rollout_factories.py
@@ -1,4 +1,4 @@
-"""Roll-outs, documents and reports for the tests."""
+"""Factories of roll-outs, documents and reports for tests."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def report(
     order: Rollout, answered: int, failed: int = 0, *, others: int = 0, others_in_flight: int = 0
 ) -> RolloutReport:
-    """Of a router with so many answers of the target, and so many good ones of the others."""
+    """A router's report with these counts for the target, and successful answers of the other versions."""
     return RolloutReport(
         order.order_id,
         TrackSamples(routes={"r": RouteSamples(answered, failed)}),
@@ -36,7 +36,7 @@
 
 
 def versioned(registry: Registry, **versions: str) -> Registry:
-    """Adds ready upstreams of service `s`: their ids and versions."""
+    """Adds ready upstreams of service `s`, given as version by id."""
     for id_, version in versions.items():
         found = version or msgspec.UNSET
         registry.update(Upstream(id_, "s", "127.0.0.1:1", "z", reported_version=found), 0.0)
--- a/tests/controller/test_operator_api.py
+++ b/tests/controller/test_operator_api.py
@@ -1,4 +1,4 @@
-"""When an operator's call is retried, and what the operator is answered."""
+"""Retries of operators' calls, and the responses to operators."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Primary:
-    """Gives one outcome after the other, the last one for ever."""
+    """Returns the given outcomes in order, and then repeats the last one."""
 
     def __init__(self, *outcomes: CallOutcome) -> None:
         self.outcomes = list(outcomes)
--- a/tests/controller/test_placement_requests.py
+++ b/tests/controller/test_placement_requests.py
@@ -1,4 +1,4 @@
-"""Among which engines a prefix is placed."""
+"""Selection of the engines that are eligible for a prefix."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Ejection(UpstreamEjection):
-    """Ejects what the test says."""
+    """Ejects the upstreams that the test sets."""
 
     names: frozenset[str] = frozenset()
 
@@ -81,7 +81,7 @@
 
 
 def engines(registry: Registry, ejection: Ejection, placed: Rollout) -> set[str | None]:
-    """Where eight prefixes are placed during a roll-out."""
+    """Returns the engines at which eight prefixes are placed during a roll-out."""
 
     async def run() -> set[str | None]:
         rollouts = CommittedRollouts()
--- a/tests/controller/test_prefill_load.py
+++ b/tests/controller/test_prefill_load.py
@@ -1,4 +1,4 @@
-"""The sum of the prefill load that routers report, and what each is sent of the others'."""
+"""Sums of the prefill load that routers report, and the part that each router is sent."""
 
 from __future__ import annotations
 
--- a/tests/controller/test_prefix_placement.py
+++ b/tests/controller/test_prefix_placement.py
@@ -1,4 +1,4 @@
-"""Which engine owns a prompt prefix."""
+"""Placement of prompt prefixes at engines."""
 
 from __future__ import annotations
 
@@ -54,9 +54,12 @@
     assert before is not None
     elsewhere = next(engine for engine in engines if engine != before.engine)
     placed = placement.place("h", 1_000.0, engines, elsewhere, 1.0)
-    assert placed == (before.engine, True), "what it placed itself goes first"
+    assert placed == (before.engine, True), "the own placement takes precedence"
     placement.mark_outdated()
     assert placement.place("h", 1_000.0, engines, elsewhere, 2.0) == (elsewhere, True)
     assert placement.place("h", 1_000.0, engines, before.engine, 3.0) == (elsewhere, True)
     placement.mark_outdated()
-    assert placement.place("h", 1_000.0, engines, None, 4.0) == (elsewhere, True), "nobody knows better"
+    assert placement.place("h", 1_000.0, engines, None, 4.0) == (
+        elsewhere,
+        True,
+    ), "no router knows better"
--- a/tests/controller/test_primary_client.py
+++ b/tests/controller/test_primary_client.py
@@ -1,4 +1,4 @@
-"""Calls that are forwarded to the primary, and their answers."""
+"""Forwarding of calls to the primary, and their answers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class FakeReplica:
-    """Who leads, as far as this replica knows."""
+    """A replica's status and the primary that it knows."""
 
     status: ReplicaStatus = ReplicaStatus.FOLLOWER
     primary: str | None = "p"
@@ -83,7 +83,7 @@
 ) -> None:
     async def scenario() -> None:
         assert await client.call(COMMAND) is UNKNOWN
-        client.answered(PrimaryResponse(1, 200))  # too late; it is ignored
+        client.answered(PrimaryResponse(1, 200))  # arrives after the time-out and is ignored
 
     monkeypatch.setattr(primary_client, "FORWARD_TIMEOUT_S", 0.01)
     asyncio.run(scenario())
--- a/tests/controller/test_pull_service.py
+++ b/tests/controller/test_pull_service.py
@@ -1,4 +1,4 @@
-"""What routers tell of prompts that wait at engines, and what a controller tells the others of it."""
+"""Pulls of routers and controllers: reported state, pending answers, and the contents of answers."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 from tests.controller.rollout_factories import ORDERED_UNIX_MS, document, report, rollout
 
 ROUTERS = 3
-WAIT_S = 10.0  # for what comes within milliseconds
+WAIT_S = 10.0  # time-out; the answer normally arrives within milliseconds
 
 
 class RecordingConnection(Connection):
-    """A connection of which the test sees what is sent."""
+    """A connection that records the sent deltas."""
 
     def __init__(self, node: str) -> None:
         super().__init__(lambda connection, message: None, lambda connection: None)
@@ -50,7 +50,7 @@
 
 
 class PullServiceHarness:
-    """A controller's pulls and some routers. To be made inside an event loop."""
+    """A controller's pull service and some routers. Must be created inside an event loop."""
 
     def __init__(self) -> None:
         self.allocator = QuotaAllocator()
@@ -81,7 +81,7 @@
         )
 
     def answer(self, router: RecordingConnection, pull: Pull) -> Delta:
-        """What a pull is answered that lacks the list of upstreams."""
+        """Returns the immediate answer to a pull: a new upstream ensures that there is an update."""
         self.registry.update(Upstream(f"u{random.random()}", "other", "127.0.0.1:1", "z"), 0.0)
         router.sent.clear()
         self.pulls.pull(router, pull)
@@ -149,7 +149,7 @@
         harness.pulls.tick()
         assert harness.ejection.ejected == {"bad"}
         assert harness.answer(harness.routers[0], Pull(vector={})).ejected == ["bad"]
-        assert harness.answer(harness.routers[0], Pull(vector={})).ejected is None, "told once"
+        assert harness.answer(harness.routers[0], Pull(vector={})).ejected is None, "sent only once"
 
     asyncio.run(scenario())
 
@@ -165,7 +165,7 @@
         known = set(harness.registry.upstreams)
         offered = [Record(Upstream("old", "s", "127.0.0.1:1", "z", sequence=3), "c/0", 1)]
         harness.pulls.pull(first, Pull(vector={}, records=offered))
-        assert set(harness.registry.upstreams) == known, "other routers do not learn of it"
+        assert set(harness.registry.upstreams) == known, "other routers are not informed of it"
         assert harness.failure_detector.last_sequence("old") == 3
 
     asyncio.run(scenario())
@@ -210,7 +210,7 @@
         harness.pulls.pull(old, Pull(rollouts={"s": report(order, 5, others_in_flight=1)}))
         pool = harness.state.rollout_samples.pool("s")
         assert pool is not None
-        assert pool.totals().others.in_flight == 3, "what is read late of the old connection is older"
+        assert pool.totals().others.in_flight == 3, "a late report on the old connection is older"
         harness.pulls.pull(new, Pull(rollouts={"s": report(later, 4, others_in_flight=3)}))
         harness.pulls.disconnected(old)
         harness.pulls.publish(2, msgspec.json.encode(document(later)).decode())
@@ -303,7 +303,7 @@
         harness.term = (1, "c")
         harness.state.quota_shares.tick(now_ms())
         await asyncio.wait_for(other.has_answer.wait(), WAIT_S)
-        assert other.sent[-1].quota_offer == ShareOffer((1, "c"), 0), "the own claim is not confirmed yet"
+        assert other.sent[-1].quota_offer == ShareOffer((1, "c"), 0), "the primary's claim is unconfirmed"
         harness.state.quota_shares.tick(now_ms())
         other.sent.clear()
         harness.pulls.pull(other, Pull(quota_claim=ShareClaim((1, "c"), 0, 2)))
--- a/tests/controller/test_quorum_contact.py
+++ b/tests/controller/test_quorum_contact.py
@@ -1,4 +1,4 @@
-"""Controllers that reach no majority: what they acknowledge, refuse and tell, and what holds once they are back."""
+"""Contact with a majority: what a controller does not acknowledge without it, and after it is regained."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 async def send_heartbeat(fleet: Fleet, upstream: Upstream, state: str) -> int:
-    """One heartbeat at the first controller; the status that it gives."""
+    """Sends one heartbeat to the first controller and returns the response status."""
     body = upstream.heartbeat("s", state)
     return (await ask(fleet.control[0], "PUT", f"/instances/{upstream.id}", body)).status
 
 
 async def isolate_first_controller(fleet: Fleet) -> None:
-    """Kills all controllers but the first, and waits until it has noticed."""
+    """Kills all controllers but the first, and waits until it has detected the loss."""
     for address in fleet.control[1:]:
         await fleet.kill(address)
 
@@ -40,7 +40,7 @@
         assert await send_heartbeat(fleet, second, "draining") == 503
         assert (await ask(fleet.control[0], "DELETE", f"/instances/{third.id}")).status == 503
         known = fleet.nodes[fleet.control[0]]._registry.upstreams
-        assert (known[second.id].state, known[third.id].state) == (1, 2), "noted all the same"
+        assert (known[second.id].state, known[third.id].state) == (1, 2), "recorded nevertheless"
         fleet.start_controller(1)
 
         async def acknowledged() -> bool:
@@ -89,13 +89,13 @@
 
 
 class FakeKnownControllers:
-    """The part of the known controllers that names this one."""
+    """Known controllers, reduced to the name of this one."""
 
     own_node = "c"
 
 
 class CallbackCounter:
-    """Counts how often contact was regained."""
+    """Counts its calls."""
 
     def __init__(self) -> None:
         self.count = 0
--- a/tests/controller/test_quota_accounting.py
+++ b/tests/controller/test_quota_accounting.py
@@ -1,4 +1,4 @@
-"""Limits, requests, reports and the reserve for disconnected routers."""
+"""Limits, requests, usage reports, and the reserve for disconnected routers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RecordingAllocator(QuotaAllocator):
-    """An allocator of which the test sees what fraction of the rates it hands out."""
+    """An allocator that records the rate fractions that are set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -148,4 +148,4 @@
     quotas.connected("r1")
     quotas.router_disconnected("r1", 2.0)
     quotas.update_reserve({"r2"}, 1, 3.0)
-    assert allocator.fractions == [1.0, 0.75], "its next process has not said so"
+    assert allocator.fractions == [1.0, 0.75], "its next process has not announced a shutdown"
--- a/tests/controller/test_recovery_hints.py
+++ b/tests/controller/test_recovery_hints.py
@@ -1,4 +1,4 @@
-"""Which hint files are written when, and what is restored from them."""
+"""When hint files are written, and what is restored from them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FakeDisk:
-    """Files of hints, and the order in which they were written."""
+    """Hint files in memory, and the order in which they were written."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -28,7 +28,7 @@
 
 
 class Incarnation:
-    """One start of a controller on that disk."""
+    """One incarnation of a controller on a disk."""
 
     def __init__(self, disk: FakeDisk, number: int = 1) -> None:
         self.registry = Registry(f"c/{number}")
--- a/tests/controller/test_registry_sync.py
+++ b/tests/controller/test_registry_sync.py
@@ -1,4 +1,4 @@
-"""What a controller pulls from another one, and what it does with the answer."""
+"""Pulls of a controller from another one, and how it processes the answers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecordingConnection(Connection):
-    """A connection of which the test sees what is sent."""
+    """A connection that records the sent messages."""
 
     def __init__(self) -> None:
         super().__init__(lambda connection, message: None, lambda connection: None)
@@ -33,7 +33,7 @@
 
 
 class RegistrySyncHarness:
-    """One registry that pulls on one connection. To be made inside an event loop."""
+    """One registry that pulls on one connection. Must be created inside an event loop."""
 
     def __init__(self) -> None:
         self.updates = 0
--- a/tests/controller/test_rollout_driver.py
+++ b/tests/controller/test_rollout_driver.py
@@ -1,4 +1,4 @@
-"""Which steps of a roll-out the primary submits."""
+"""The steps of roll-outs that the primary submits."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 CANARY = rollout(target_weight=CANARY_WEIGHT)
 FULL = rollout(target_weight=1.0)
 FULL_WEIGHT_DUE_MS = 9_000.0  # after the order of a roll-out of 12 s
-COMPLETION_DUE_MS = 10_500.0  # the same; the others' requests are waited for a little longer
+COMPLETION_DUE_MS = 10_500.0  # after the same order; includes the wait for requests at the other versions
 
 
 @dataclass
@@ -70,12 +70,12 @@
         self.samples.update(rollouts)
 
     def order(self, *rollouts: Rollout) -> None:
-        """Commits orders, and lets the time pass until the first one's full weight is due."""
+        """Commits orders, and advances the time until the full weight of the first is due."""
         self.commit(2, *rollouts)
         self.present_ms += FULL_WEIGHT_DUE_MS
 
     def connect(self, sequence: int) -> None:
-        """A router that has the configuration of that sequence in force."""
+        """Connects a router that has the configuration of this sequence number in force."""
         connection = Connection(lambda connection, message: None, lambda connection: None)
         connection.node = f"r{sequence}"
         self.subscriptions.add(connection, NodeRole.ROUTER)
@@ -84,7 +84,7 @@
         subscriber.pending_pull, subscriber.config_sequence = Pull(), sequence
 
     async def evaluate(self) -> list[Advance]:
-        """The steps that one evaluation submits."""
+        """Runs one evaluation and returns the steps that it submits."""
         before = len(self.steps)
         self.driver.evaluate()
         await run_ready_tasks()
@@ -92,7 +92,7 @@
 
 
 async def run_ready_tasks() -> None:
-    """Lets every task that can go on do so."""
+    """Lets every task that is ready run."""
     for _ in range(5):
         await asyncio.sleep(0)
 
@@ -194,7 +194,7 @@
         assert await harness.evaluate() == [], "there is no router"
         harness.connect(5)
         harness.connect(4)
-        assert await harness.evaluate() == [], "one is behind"
+        assert await harness.evaluate() == [], "one router has an older configuration"
         for subscriber in harness.subscriptions:
             subscriber.config_sequence = 5
         (step,) = await harness.evaluate()
@@ -210,7 +210,7 @@
         harness.present_ms += COMPLETION_DUE_MS
         harness.connect(5)
         harness.samples.report("a/1", {"s": report(FULL, 100, others=100)})
-        assert await harness.evaluate() == [], "most routers may still be on their way to it"
+        assert await harness.evaluate() == [], "most routers may not have connected to it yet"
         harness.present_ms += rollout_driver.WARM_UP_MS
         assert len(await harness.evaluate()) == 1
 
@@ -245,13 +245,13 @@
     async def scenario(harness: RolloutDriverHarness) -> None:
         harness.commit(2, CANARY)
         harness.samples.report("a/1", {"s": report(CANARY, 0, 40)})
-        assert await harness.evaluate() == [], "whatever its answers are, nothing else could serve"
+        assert await harness.evaluate() == [], "no other version could serve, even if it fails"
         harness.present_ms += FULL_WEIGHT_DUE_MS
         (step,) = await harness.evaluate()
         assert (step.state, step.target_weight) == (RolloutState.RUNNING, 1.0)
         harness.commit(3, FULL)
         harness.present_ms += COMPLETION_DUE_MS - FULL_WEIGHT_DUE_MS
-        assert await harness.evaluate() == [], "no router has confirmed"
+        assert await harness.evaluate() == [], "no router has confirmed the configuration"
         harness.connect(3)
         (step,) = await harness.evaluate()
         assert step.state is RolloutState.COMPLETED
@@ -283,7 +283,7 @@
         for router in ("a/1", "b/1", "c/1"):
             harness.samples.report(router, {"s": report(CANARY, 0, 40)})
         (step,) = await harness.evaluate()
-        assert step.state is RolloutState.ROLLED_BACK, "it has not heard of the others' upstreams yet"
+        assert step.state is RolloutState.ROLLED_BACK, "it may not know the upstreams of other versions yet"
 
     run(monkeypatch, scenario, b="v2")
 
@@ -299,7 +299,7 @@
         harness.rollouts.mark_outdated(harness.present_ms)
         harness.commit(5, rollout(target_weight=weight))
         harness.present_ms += 12_000.0
-        assert await harness.evaluate() == [], "upstreams and routers are on their way to it"
+        assert await harness.evaluate() == [], "upstreams and routers may not have connected to it yet"
         harness.present_ms += rollout_driver.WARM_UP_MS - 1.0
         assert await harness.evaluate() == []
 
@@ -320,7 +320,7 @@
         steps = await harness.evaluate()
         assert [(one.state, one.other_versions) for one in steps] == (
             [(RolloutState.ROLLED_BACK, ("v1",))] if others else []
-        ), "where there is no other version nothing else could serve"
+        ), "no rollback without another version"
 
     run(monkeypatch, scenario, b="v2")
 
@@ -335,7 +335,7 @@
         assert await harness.evaluate() == []
         harness.present_ms += rollout_driver.WARM_UP_MS
         (step,) = await harness.evaluate()
-        assert step.target_weight < 1.0, "the target is on trial, though no other version is known"
+        assert step.target_weight < 1.0, "it is still judged as a canary"
         assert step.other_versions is msgspec.UNSET
 
     run(monkeypatch, scenario, b="v2")
@@ -353,7 +353,7 @@
         (lost,) = [one for one in harness.subscriptions if one.config_sequence == 4]
         harness.subscriptions.remove(lost.connection)
         harness.present_ms += 1_000.0
-        assert await harness.evaluate() == [], "it may still send to the others"
+        assert await harness.evaluate() == [], "it may still send to the other versions"
         harness.present_ms += rollout_driver.LOST_ROUTER_GRACE_MS - 1_000.0
         (step,) = await harness.evaluate()
         assert step.state is RolloutState.COMPLETED
--- a/tests/controller/test_rollout_metrics.py
+++ b/tests/controller/test_rollout_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of roll-outs."""
+"""Roll-out metrics."""
 
 from __future__ import annotations
 
--- a/tests/controller/test_rollout_samples.py
+++ b/tests/controller/test_rollout_samples.py
@@ -1,4 +1,4 @@
-"""Which reports of routers are counted for a roll-out."""
+"""Reports of routers that count for a roll-out."""
 
 from __future__ import annotations
 
--- a/tests/controller/test_rollout_tracks.py
+++ b/tests/controller/test_rollout_tracks.py
@@ -1,4 +1,4 @@
-"""Which upstreams regular requests go to while a roll-out is in one state or another."""
+"""The upstreams that get regular requests, by the state of the roll-out."""
 
 from __future__ import annotations
 
--- a/tests/controller/test_rollouts_api.py
+++ b/tests/controller/test_rollouts_api.py
@@ -1,4 +1,4 @@
-"""What operators are answered who order, read and abort roll-outs, by how the primary's call ends."""
+"""Responses to operators who order, read and abort roll-outs, by the outcome of the call at the primary."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Primary:
-    """Gives commands one outcome after the other, the last one for ever, and reads what it holds."""
+    """Returns the given outcomes to commands in order, then repeats the last one. Answers reads with its roll-outs."""
 
     def __init__(
         self, *outcomes: CallOutcome, holds: tuple[Rollout, ...] = (), read: CallOutcome | None = None
@@ -82,7 +82,7 @@
     primary = Primary(UNKNOWN, UNKNOWN, Completed(), holds=(CANARY,))
     assert order(primary).status == 200
     assert len(primary.commands) == 3
-    assert len(set(primary.commands)) == 1, "the time of the order is that of the first attempt"
+    assert len(set(primary.commands)) == 1, "all attempts have the order time of the first"
 
 
 @pytest.mark.parametrize(
--- a/tests/controller/test_subscriptions.py
+++ b/tests/controller/test_subscriptions.py
@@ -1,4 +1,4 @@
-"""Who is subscribed, and what all subscribers have seen."""
+"""Subscribed processes, and the state that they have seen."""
 
 from __future__ import annotations
 
