--- a/larkweir/controller/prefill_load.py
+++ b/larkweir/controller/prefill_load.py
@@ -33,7 +33,7 @@
     def without_own(self, own: Mapping[str, int]) -> dict[str, int]:
         """Returns the load of the busiest engines, minus the tokens in the receiving router's own report."""
         if self._busiest is None:
-            busy = [one for one in self.tokens_by_engine.items() if one[1] >= MIN_REPORTED_TOKENS]
-            self._busiest = dict(sorted(busy, key=lambda one: -one[1])[:MAX_REPORTED_ENGINES])
+            busy = [item for item in self.tokens_by_engine.items() if item[1] >= MIN_REPORTED_TOKENS]
+            self._busiest = dict(sorted(busy, key=lambda item: -item[1])[:MAX_REPORTED_ENGINES])
         remaining = {engine: tokens - own.get(engine, 0) for engine, tokens in self._busiest.items()}
         return {engine: tokens for engine, tokens in remaining.items() if tokens > 0}
--- a/larkweir/controller/prefix_placement.py
+++ b/larkweir/controller/prefix_placement.py
@@ -109,12 +109,13 @@
         load = self._load(ready, now_ms)
         bound = min(load.values()) + MAX_EXCESS_TOKENS
         return min(
-            (one for one in ready if load[one] <= bound), key=lambda one: rendezvous_weight(prefix, one)
+            (engine for engine in ready if load[engine] <= bound),
+            key=lambda engine: rendezvous_weight(prefix, engine),
         )
 
     def _load(self, ready: Sequence[str], now_ms: float) -> dict[str, float]:
         """Returns the waiting tokens by engine, including recent placements."""
-        self._recent = [one for one in self._recent if one.placed_ms > now_ms - REPORT_DELAY_MS]
+        self._recent = [recent for recent in self._recent if recent.placed_ms > now_ms - REPORT_DELAY_MS]
         load = {engine: float(self._waiting_tokens.get(engine, 0)) for engine in ready}
         for recent in self._recent:
             if recent.engine in load:
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -73,7 +73,7 @@
         if document is not None:
             state.quotas.set_limits(document, sequence, max(1, controllers), now_ms())
             state.rollouts.update(document, sequence, now_ms(), unix_ms())
-            state.rollout_samples.update(one.rollout for one in state.rollouts.running())
+            state.rollout_samples.update(committed.rollout for committed in state.rollouts.running())
             self.wake()
 
     def connected(self, connection: Connection, role: NodeRole) -> None:
--- a/larkweir/controller/rollout_driver.py
+++ b/larkweir/controller/rollout_driver.py
@@ -102,8 +102,10 @@
             self.inputs.rollouts.mark_outdated(now_ms())
         running = self.inputs.rollouts.running()
         self._progress = {
-            key: self._progress.get(key) or self._begin(one)
-            for key, one in (((one.rollout.service, one.rollout.order_id), one) for one in running)
+            key: self._progress.get(key) or self._begin(committed)
+            for key, committed in (
+                ((committed.rollout.service, committed.rollout.order_id), committed) for committed in running
+            )
         }
         if running:
             self._record_routers()
@@ -162,9 +164,9 @@
         """Returns the tracks of all known upstreams of the roll-out's service, ready or not."""
         upstreams = self.inputs.registry.upstreams
         known = [
-            one.id
-            for one in upstreams.values()
-            if one.service == rollout.service and one.state is not UpstreamState.GONE
+            upstream.id
+            for upstream in upstreams.values()
+            if upstream.service == rollout.service and upstream.state is not UpstreamState.GONE
         ]
         return split_into_tracks(rollout, known, upstreams)
 
--- a/larkweir/controller/rollout_metrics.py
+++ b/larkweir/controller/rollout_metrics.py
@@ -16,7 +16,7 @@
     """Yields the number of running roll-outs and, for each, its weight and the answers of its two tracks."""
     if not rollouts.all():
         return
-    running = [one.rollout for one in rollouts.running()]
+    running = [committed.rollout for committed in rollouts.running()]
     yield Metric("rollouts_running", "roll-outs that are running", len(running))
     for rollout in running:
         yield Metric(
--- a/larkweir/controller/rollout_samples.py
+++ b/larkweir/controller/rollout_samples.py
@@ -23,7 +23,7 @@
         A router may have learned of an order from another controller and reported on it already. Routers don't repeat
         unchanged reports, so the latest report of each router is added to a new pool.
         """
-        running = {one.service: one for one in rollouts if one.is_running}
+        running = {rollout.service: rollout for rollout in rollouts if rollout.is_running}
         self._pools = {service: pool for service, pool in self._pools.items() if service in running}
         for service, rollout in running.items():
             pool = self._pools.setdefault(service, PooledSamples())
--- a/larkweir/controller/rollouts_api.py
+++ b/larkweir/controller/rollouts_api.py
@@ -100,7 +100,7 @@
         rollouts = await self._read()
         if isinstance(rollouts, Response):
             return rollouts
-        return _answer([_status(one) for one in rollouts])
+        return _answer([_status(rollout) for rollout in rollouts])
 
     async def _change(self, command: RolloutCommand, service: str) -> Response:
         outcome = await call_until_known(self._call, replicated_command(command))
--- a/larkweir/controller/subscriptions.py
+++ b/larkweir/controller/subscriptions.py
@@ -68,27 +68,31 @@
     @property
     def router_count(self) -> int:
         """The number of subscribers that are routers."""
-        return sum(1 for one in self._by_connection.values() if one.is_router)
+        return sum(1 for subscriber in self._by_connection.values() if subscriber.is_router)
 
     @property
     def nodes(self) -> set[str]:
         """The nodes of all connected routers and controllers."""
-        return {one.connection.node for one in self._by_connection.values()}
+        return {subscriber.connection.node for subscriber in self._by_connection.values()}
 
     def router_sequences(self) -> dict[str, int]:
         """Returns, by router, the sequence number of the configuration in force there at its last pull."""
         return {
-            one.connection.node: one.config_sequence for one in self._by_connection.values() if one.is_router
+            subscriber.connection.node: subscriber.config_sequence
+            for subscriber in self._by_connection.values()
+            if subscriber.is_router
         }
 
     def controllers_that_have(self, origin: str, counter: int) -> set[str]:
         """Returns the controllers that have seen the origin's records up to a counter."""
         return {
-            one.connection.node
-            for one in self._by_connection.values()
-            if one.role is NodeRole.CONTROLLER and one.vector.get(origin, 0) >= counter
+            subscriber.connection.node
+            for subscriber in self._by_connection.values()
+            if subscriber.role is NodeRole.CONTROLLER and subscriber.vector.get(origin, 0) >= counter
         }
 
     def lowest_counter(self, origin: str) -> int:
         """Returns the counter up to which all subscribers have seen the origin's records; 0 without subscribers."""
-        return min((one.vector.get(origin, 0) for one in self._by_connection.values()), default=0)
+        return min(
+            (subscriber.vector.get(origin, 0) for subscriber in self._by_connection.values()), default=0
+        )
--- a/larkweir/controller/upstream_ejection.py
+++ b/larkweir/controller/upstream_ejection.py
@@ -27,7 +27,9 @@
 
     def evaluate(self, now_ms: float) -> bool:
         """Ejects and reinstates upstreams; returns whether any has changed. Must be called several times a second."""
-        outcome_counts = sum_outcomes(one.outcome_counts for one in self._subscriptions if one.outcome_counts)
+        outcome_counts = sum_outcomes(
+            subscriber.outcome_counts for subscriber in self._subscriptions if subscriber.outcome_counts
+        )
         services = self._registry.ready_ids_by_service().values()
         has_changed = self._ejections.evaluate(services, outcome_counts, now_ms)
         if has_changed:
--- a/tests/controller/test_prefix_placement.py
+++ b/tests/controller/test_prefix_placement.py
@@ -59,7 +59,4 @@
     assert placement.place("h", 1_000.0, engines, elsewhere, 2.0) == (elsewhere, True)
     assert placement.place("h", 1_000.0, engines, before.engine, 3.0) == (elsewhere, True)
     placement.mark_outdated()
-    assert placement.place("h", 1_000.0, engines, None, 4.0) == (
-        elsewhere,
-        True,
-    ), "no router knows better"
+    assert placement.place("h", 1_000.0, engines, None, 4.0) == (elsewhere, True), "no router knows better"
