--- a/larkweir/controller/operator_api.py
+++ b/larkweir/controller/operator_api.py
@@ -19,7 +19,7 @@
 NO_PRIMARY = "no primary answers"
 
 CallPrimary = Callable[[Command | None], Awaitable[CallOutcome]]
-"""Makes one attempt at the current primary to carry out a command, or to read the configuration if it is None."""
+"""Makes one attempt at the current primary to carry out a command, or a read if there is no command."""
 
 
 class OperatorApi:
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -55,7 +55,7 @@
         confirmation: DeliveryConfirmation,
         controllers: Callable[[], list[str]],
     ) -> None:
-        """`controllers`: returns the nodes that other processes may currently pull from."""
+        """`controllers`: returns the nodes of all known controllers."""
         self._state = state
         self._delivery = ConfigurationDelivery(state.configuration)
         self._subscriptions = subscriptions
--- a/larkweir/controller/quorum_contact.py
+++ b/larkweir/controller/quorum_contact.py
@@ -20,7 +20,7 @@
         links: ControllerLinks,
         on_regained: Callable[[], None],
     ) -> None:
-        """`update` calls `on_regained` if a majority is reachable again that was unreachable at the call before."""
+        """`update` calls `on_regained` when a majority that was unreachable at its last call is reachable again."""
         self._known = known
         self._replica = replica
         self._links = links
--- a/larkweir/controller/quota_accounting.py
+++ b/larkweir/controller/quota_accounting.py
@@ -12,7 +12,7 @@
 from larkweir.cluster.configuration.documents import Document
 from larkweir.cluster.messages import Pull, QuotaRefund, QuotaRequest, QuotaResponse
 
-DISCONNECTED_ROUTER_MS = 600_000.0  # for this long a router may be partitioned from here and still serve
+DISCONNECTED_ROUTER_MS = 600_000.0  # a router may serve requests for this long while partitioned from here
 MAX_TRACKED_INCARNATIONS = 4_096  # of routers that report their usage; the oldest is dropped first
 
 
--- a/larkweir/controller/recovery_hints.py
+++ b/larkweir/controller/recovery_hints.py
@@ -12,7 +12,7 @@
 UPSTREAMS_FILE = "upstreams.hint"
 PLACEMENTS_FILE = "placements.hint"
 PLACEMENTS_EVERY_TICKS = 25
-PLACEMENTS_PER_TICK = 100  # each write is a complete file, so many placements are written less often
+PLACEMENTS_PER_TICK = 100  # each write is a complete file, so the period grows with the placements
 
 
 class RecoveryHints:
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -165,7 +165,7 @@
             self._calls.pop(ticket, None)
 
     async def leave(self) -> None:
-        """Prepares a planned shutdown.
+        """Prepares a planned shutdown; returns when this process may end.
 
         Another replica becomes the primary, and a standby, if there is one, replaces this replica as a member.
         """
--- a/larkweir/controller/rollout_driver.py
+++ b/larkweir/controller/rollout_driver.py
@@ -30,7 +30,7 @@
 from larkweir.controller.subscriptions import Subscriptions
 
 WARM_UP_MS = 2_000.0  # by then, routers and upstreams have connected to a controller that has just started
-FIRST_REPORTS_MS = 1_000.0  # by then, most routers have sent a pull to it
+FIRST_REPORTS_MS = 1_000.0  # by then, most routers have sent a pull to such a controller
 LOST_ROUTER_GRACE_MS = 2_000.0  # a lost router may serve with its last configuration for this long
 ADVANCE_TIMEOUT_S = 2.0  # after it the step is decided again
 
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class RolloutDriver:
-    """Submits steps based on the newest committed state, so that a new primary continues where the last one stopped.
+    """Decides steps from the newest committed state alone, so that a new primary continues where the last one stopped.
 
     Attributes:
         inputs: the components of this controller.
@@ -146,21 +146,18 @@
         version if all known upstreams have it. This does not apply if the process may have learned of the order late:
         it may then not know the upstreams that there were at the order.
         """
-        tracks, committed_versions = (
-            self._tracks_of_known_upstreams(committed.rollout),
-            committed.rollout.other_versions,
-        )
+        tracks, committed_versions = self._all_tracks(committed.rollout), committed.rollout.other_versions
         if isinstance(committed_versions, msgspec.UnsetType):
             is_only_version = bool(tracks.target) and not tracks.others and not committed.is_learned_late
             return _Progress(now_ms(), set(), is_only_version, committed.is_learned_late)
         return _Progress(now_ms(), {*committed_versions}, not committed_versions, committed.is_learned_late)
 
     def _record_versions(self, rollout: Rollout, progress: _Progress) -> None:
-        upstreams, others = self.inputs.registry.upstreams, self._tracks_of_known_upstreams(rollout).others
+        upstreams, others = self.inputs.registry.upstreams, self._all_tracks(rollout).others
         progress.other_versions |= {upstreams[id_].version for id_ in others}
         progress.is_only_version &= not others
 
-    def _tracks_of_known_upstreams(self, rollout: Rollout) -> Tracks:
+    def _all_tracks(self, rollout: Rollout) -> Tracks:
         """Returns the tracks of all known upstreams of the roll-out's service, ready or not."""
         upstreams = self.inputs.registry.upstreams
         known = [
--- a/tests/controller/test_prefix_placement.py
+++ b/tests/controller/test_prefix_placement.py
@@ -54,7 +54,7 @@
     assert before is not None
     elsewhere = next(engine for engine in engines if engine != before.engine)
     placed = placement.place("h", 1_000.0, engines, elsewhere, 1.0)
-    assert placed == (before.engine, True), "the own placement takes precedence"
+    assert placed == (before.engine, True), "its own placement takes precedence"
     placement.mark_outdated()
     assert placement.place("h", 1_000.0, engines, elsewhere, 2.0) == (elsewhere, True)
     assert placement.place("h", 1_000.0, engines, before.engine, 3.0) == (elsewhere, True)
--- a/tests/controller/test_quorum_contact.py
+++ b/tests/controller/test_quorum_contact.py
@@ -1,4 +1,4 @@
-"""Contact with a majority: what a controller does not acknowledge without it, and after it is regained."""
+"""Contact with a majority: what a controller refuses without it, and what happens after it is regained."""
 
 from __future__ import annotations
 
