--- a/tests/controller/test_operator_api.py
+++ b/tests/controller/test_operator_api.py
@@ -1,4 +1,4 @@
-"""When an operator's call is retried, and what the operator is answered."""
+"""Retries of operators' calls, and the responses to operators."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 @pytest.fixture(autouse=True)
-def little_patience(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "RETRY_PAUSE_S", 0.0)
     monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.2)
 
 
 class Primary:
-    """Gives one outcome after the other, the last one for ever."""
+    """Returns the given outcomes in order, and then repeats the last one."""
 
     def __init__(self, *outcomes: CallOutcome) -> None:
         self.outcomes = list(outcomes)
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("base", ["", "x", "-1", "\u0663", "9" * 17, "9" * 5_000])
-def test_a_version_that_none_can_be_is_refused(base: str) -> None:
+def test_an_invalid_base_version_is_rejected(base: str) -> None:
     primary = Primary(Completed())
     request = Request("PUT", "/config", {"if-match": base}, b"{}")
     response = asyncio.run(OperatorApi(primary.call).change(request))
--- a/tests/controller/test_recovery_hints.py
+++ b/tests/controller/test_recovery_hints.py
@@ -1,4 +1,4 @@
-"""Which hint files are written when, and what is restored from them."""
+"""When hint files are written, and what is restored from them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FakeDisk:
-    """Files of hints, and the order in which they were written."""
+    """Hint files in memory, and the order in which they were written."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -28,7 +28,7 @@
 
 
 class Incarnation:
-    """One start of a controller on that disk."""
+    """One incarnation of a controller on a disk."""
 
     def __init__(self, disk: FakeDisk, number: int = 1) -> None:
         self.registry = Registry(f"c/{number}")
@@ -66,7 +66,7 @@
     assert disk.written == [UPSTREAMS_FILE, PLACEMENTS_FILE]
 
 
-def test_a_later_incarnation_restores_what_was_written(disk: FakeDisk) -> None:
+def test_a_later_incarnation_restores_the_hints(disk: FakeDisk) -> None:
     first = Incarnation(disk)
     first.change()
     first.write()
@@ -75,7 +75,7 @@
     assert second.placement.place("p", 1_000.0, ["u", "v"], "v", 0.0) == ("u", True)
 
 
-def test_what_was_restored_is_not_written_again(disk: FakeDisk) -> None:
+def test_restored_hints_are_not_written_again(disk: FakeDisk) -> None:
     first = Incarnation(disk)
     first.change()
     first.write()
--- a/tests/controller/test_rollouts_api.py
+++ b/tests/controller/test_rollouts_api.py
@@ -1,4 +1,4 @@
-"""What operators are answered who order, read and abort roll-outs, by how the primary's call ends."""
+"""Responses to operators who order, read and abort roll-outs, by the outcome of the call at the primary."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.fixture(autouse=True)
-def little_patience(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(operator_api, "RETRY_PAUSE_S", 0.0)
     monkeypatch.setattr(operator_api, "ANSWER_TIMEOUT_S", 0.2)
     monkeypatch.setattr(rollouts_api, "READ_BACK_TIMEOUT_S", 0.2)
@@ -32,7 +32,7 @@
 
 
 class Primary:
-    """Gives commands one outcome after the other, the last one for ever, and reads what it holds."""
+    """Returns the given outcomes to commands in order, then repeats the last one. Answers reads with its roll-outs."""
 
     def __init__(
         self, *outcomes: CallOutcome, holds: tuple[Rollout, ...] = (), read: CallOutcome | None = None
@@ -57,7 +57,7 @@
     return msgspec.json.decode(response.body)
 
 
-def test_an_order_begins_with_the_canarys_weight_and_is_answered_with_its_state() -> None:
+def test_an_order_starts_with_the_canary_weight_and_is_answered_with_its_state() -> None:
     primary = Primary(Completed(), holds=(CANARY,))
     response = order(primary)
     assert [command.text for command in primary.commands] == [encode(RolloutOrder(CANARY))]
@@ -82,7 +82,7 @@
     primary = Primary(UNKNOWN, UNKNOWN, Completed(), holds=(CANARY,))
     assert order(primary).status == 200
     assert len(primary.commands) == 3
-    assert len(set(primary.commands)) == 1, "the time of the order is that of the first attempt"
+    assert len(set(primary.commands)) == 1, "all attempts have the order time of the first"
 
 
 @pytest.mark.parametrize(
