--- a/benchmarks/captures.py
+++ b/benchmarks/captures.py
@@ -106,7 +106,7 @@
 
 def scale(count: int, seed: int) -> None:
     """What is told in 60 s where 20 kinds of request have other loads every 10 s."""
-    net = Network(seed, delay_ms=(1.0, 10.0), lost=0.02)
+    net = Network(seed, delay_ms=(1.0, 10.0), loss_rate=0.02)
     names = [f"10.{n // 250}.{n % 250}.1:7946" for n in range(count)]
     mails = {name: _Counted(net, name, names) for name in names}
     nodes = {name: Node(name, Options(), mails[name]) for name in names}
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -59,11 +59,11 @@
 def stop(seed: int) -> float:
     """Effects of an old term that were taken."""
     fleet, owner = settled(seed)
-    fleet.network.stop(owner.name)
+    fleet.network.pause(owner.name)
     fleet.run(3 * fleet.times.lease_ms)
     if fleet.checker.last[KEY].term < 2:
         raise BrokenError("nobody took the term of a stopped owner")
-    fleet.network.go_on(owner.name)
+    fleet.network.resume(owner.name)
     fleet.run(600.0)
     return fleet.checker.old_taken
 
@@ -84,15 +84,15 @@
     fleet, owner = settled(seed)
     for _ in range(2):
         name = owner.name
-        fleet.network.stop(name)
+        fleet.network.pause(name)
         fleet.run(3 * fleet.times.lease_ms)
-        fleet.network.go_on(name)
+        fleet.network.resume(name)
         fleet.run(600.0)
         found = fleet.owner(KEY)
         if found is None or found.name == name:
             raise BrokenError("nobody took the term of a stopped owner")
         owner = found
-    fleet.network.stop(owner.name)
+    fleet.network.pause(owner.name)
     return new_term(fleet, 12_000.0) / fleet.times.lease_ms
 
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -50,7 +50,7 @@
     """One run, to the byte by its seed. Of `slow` processes each datagram waits for 600 ms, and none crashes; of others
     so many at once.
     """
-    net = Network(seed, lost=lost)
+    net = Network(seed, loss_rate=lost)
     names = [f"127.0.{n // 250}.{n % 250 + 1}:7946" for n in range(number)]
     well = set(names[slow:])
     fleet: dict[str, PeerProtocol] = {}
--- a/packages/captures/tests/captures_rig.py
+++ b/packages/captures/tests/captures_rig.py
@@ -102,7 +102,7 @@
         trouble: float = 0.005,
         alone: str = "",
     ) -> None:
-        self.net = Network(seed, delay_ms=(1.0, 10.0), lost=0.02)
+        self.net = Network(seed, delay_ms=(1.0, 10.0), loss_rate=0.02)
         self.rng = self.net.rng
         self.seed = seed
         self.options = options
--- a/packages/edits/tests/edits_space.py
+++ b/packages/edits/tests/edits_space.py
@@ -125,7 +125,7 @@
         doubled: float = 0.02,
         checks: bool = True,
     ) -> None:
-        self.network = Network(seed, lost=lost, doubled=doubled)
+        self.network = Network(seed, loss_rate=lost, duplicate_rate=doubled)
         self.base, self.away_ms = base, away_ms
         self.check = check if checks else None
         self.names = [f"10.3.0.{n}:7946" for n in range(1, nodes + 1)]
--- a/packages/owners/tests/fleet_owners.py
+++ b/packages/owners/tests/fleet_owners.py
@@ -315,7 +315,7 @@
         self.run(rest_ms)
         if sum(self.checker.effects.values()) <= before:
             raise BrokenError("once all is well, duties go on")
-        self.network.lost = 0.0
+        self.network.loss_rate = 0.0
         self.run(100.0)
         self.calm()
 
@@ -330,9 +330,9 @@
 
     def mend(self) -> None:
         self.network.heal()
-        self.network.lost, self.network.doubled, self.network.delay_ms = 0.02, 0.02, (1.0, 10.0)
+        self.network.loss_rate, self.network.duplicate_rate, self.network.delay_ms = 0.02, 0.02, (1.0, 10.0)
         for name, process in self.processes.items():
-            self.network.go_on(name)
+            self.network.resume(name)
             if process.owners is not None and (
                 process.owners.is_draining
                 or (process.owners.acceptor and process.owners.acceptor.mode == "failed")
@@ -402,11 +402,11 @@
         live = [n for n in self.names if self.processes[n].owners is not None]
         match fault:
             case "stop owner" if owner is not None:
-                network.stop(owner.name)
-                network.after(3 * lease * rng.uniform(0.5, 1.1), lambda: network.go_on(owner.name))
+                network.pause(owner.name)
+                network.after(3 * lease * rng.uniform(0.5, 1.1), lambda: network.resume(owner.name))
             case "stop":
-                network.stop(name)
-                network.after(rng.uniform(0.1, 3.0) * lease, lambda: network.go_on(name))
+                network.pause(name)
+                network.after(rng.uniform(0.1, 3.0) * lease, lambda: network.resume(name))
             case "kill owner" if owner is not None:
                 self.kill(owner.name)
                 network.after(rng.uniform(0.01, 3.0) * lease, lambda: self.start(owner.name))
@@ -455,8 +455,8 @@
                 if process.owners is not None:
                     process.owners.on_flush_failed()
             case "loss":
-                network.lost = rng.choice([0.0, 0.02, 0.2])
-                network.doubled = rng.choice([0.0, 0.02, 0.3])
+                network.loss_rate = rng.choice([0.0, 0.02, 0.2])
+                network.duplicate_rate = rng.choice([0.0, 0.02, 0.3])
                 network.delay_ms = rng.choice([(1.0, 10.0), (0.1, 1.0), (5.0, 300.0)])
 
 
--- a/packages/owners/tests/test_owners_seeds.py
+++ b/packages/owners/tests/test_owners_seeds.py
@@ -40,12 +40,12 @@
     fleet = settled(seed)
     old = fleet.owner("duty0")
     assert old is not None and old.owners is not None
-    fleet.network.stop(old.name)
+    fleet.network.pause(old.name)
     fleet.run(3 * fleet.times.lease_ms)
     new = fleet.owner("duty0")
     assert new is not None and new is not old
     assert old.owners.leaderships["duty0"].phase is not Phase.WATCHING  # it still believes that it owns
-    fleet.network.go_on(old.name)
+    fleet.network.resume(old.name)
     fleet.run(1000.0)
     assert old.owners.leaderships["duty0"].phase is Phase.WATCHING
     assert fleet.checker.old_taken == 0
@@ -74,9 +74,9 @@
         fleet = settled(seed)
         old = fleet.owner("duty0")
         assert old is not None
-        fleet.network.stop(old.name)
+        fleet.network.pause(old.name)
         assert fleet.run_until(lambda old=old, fleet=fleet: fleet.owner("duty0") not in (None, old), 8000.0)
-        fleet.network.go_on(old.name)
+        fleet.network.resume(old.name)
         fleet.run(2 * fleet.times.lease_ms)
         new = fleet.owner("duty0")
         assert new is not None and new is not old and new.owners is not None
@@ -95,12 +95,12 @@
     for _ in range(3):
         old = fleet.owner("duty0")
         assert old is not None
-        fleet.network.stop(old.name)
+        fleet.network.pause(old.name)
         began = fleet.network.now_ms
         assert fleet.run_until(lambda old=old, fleet=fleet: fleet.owner("duty0") not in (None, old), 8000.0)
         spent = fleet.network.now_ms - began
         fleet.run(1.5 * fleet.times.lease_ms)
-        fleet.network.go_on(old.name)
+        fleet.network.resume(old.name)
         fleet.run(600.0)
     assert spent < 2.2 * fleet.times.lease_ms
 
@@ -116,12 +116,12 @@
         proposer = process.owners.proposer
         read = proposer.read
         proposer.read = lambda key, then, read=read: (reads.append(key), read(key, then))  # type: ignore[method-assign]
-    fleet.network.lost = 0.0
+    fleet.network.loss_rate = 0.0
     fleet.run(2 * fleet.times.lease_ms)
     reads.clear()
     fleet.run(6 * fleet.times.lease_ms)
     assert len(reads) <= 2  # it was two candidates, six times a lease
-    fleet.network.stop(owner.name)
+    fleet.network.pause(owner.name)
     fleet.run(fleet.times.lease_ms)
     assert reads
 
@@ -199,7 +199,7 @@
 def test_without_a_majority_nobody_owns_and_status_says_so() -> None:
     fleet = settled(3)
     for name in fleet.members[:2]:
-        fleet.network.stop(name)
+        fleet.network.pause(name)
     fleet.run(8 * fleet.times.lease_ms)
     effects = fleet.checker.effects["duty0"]
     fleet.run(3000.0)
@@ -211,7 +211,7 @@
         assert status.has_majority is False
         assert status.duties["duty0"].phase in ("watching", "rests")
     for name in fleet.members[:2]:
-        fleet.network.go_on(name)
+        fleet.network.resume(name)
     assert fleet.run_until(lambda: fleet.checker.effects["duty0"] > effects, 8000.0)
 
 
--- a/packages/peers/tests/fleet_peers.py
+++ b/packages/peers/tests/fleet_peers.py
@@ -25,7 +25,7 @@
     """The protocol of each process, its datagrams and its timer on the network, and its events."""
 
     def __init__(self, seed: int, lost: float = 0.0, doubled: float = 0.0, names: list[str] = NAMES) -> None:
-        self.net = Network(seed, delay_ms=RTT, lost=lost, doubled=doubled)
+        self.net = Network(seed, delay_ms=RTT, loss_rate=lost, duplicate_rate=doubled)
         self.names = names
         self.processes: dict[str, PeerProtocol] = {}
         self.events: list[tuple[str, MemberEvent]] = []  # observer, event
--- a/packages/peers/tests/test_peers_fleet.py
+++ b/packages/peers/tests/test_peers_fleet.py
@@ -45,10 +45,10 @@
     for length in (700.0, 2_500.0, 30_000.0):
         fleet.run(10_000.0)
         for name in stopped:
-            fleet.net.stop(name)
+            fleet.net.pause(name)
         fleet.run(length)
         for name in stopped:
-            fleet.net.go_on(name)
+            fleet.net.resume(name)
         fleet.run(15_000.0)
         assert fleet.has_one_view()
     assert not fleet.wrong_reports(MemberState.DEAD, stopped) and not fleet.wrong_reports(
--- a/packages/registry/tests/registry_fleet.py
+++ b/packages/registry/tests/registry_fleet.py
@@ -17,7 +17,7 @@
 PAUSE_MS = 9_000.0  # an upstream that is paused, and resumes
 PAUSE_CHANCE = 0.01  # of each heartbeat
 LATE_CHANCE = 0.1
-CONTACT_MS = 2_000.0  # after a fault, until a router is expected to know what the others do
+CATCH_UP_MS = 2_000.0  # after a fault, until a router is expected to know what the others do
 
 
 @dataclass
@@ -36,16 +36,16 @@
 
     def start(self, now_ms: float, *, loses_hints: bool = False) -> None:
         """Start a new incarnation, with the hint file that the one before wrote unless that is lost."""
-        left = hint_file.encode(self.registry) if self.incarnation and not loses_hints else None
+        saved_hints = hint_file.encode(self.registry) if self.incarnation and not loses_hints else None
         self.incarnation += 1
         self.up = True
         self.registry = Registry(f"{self.name}/{self.incarnation}")
         self.detector = FailureDetector(HEARTBEAT_MS, now_ms)
         self.unconfirmed = UnconfirmedUpstreams(self.registry, self.detector)
-        self.has_history = left is not None
+        self.has_history = saved_hints is not None
         self.offered_by: set[int] = set()  # routers that have offered their records to this incarnation
-        if left is not None:
-            hint_file.restore(self.registry, left, now_ms)
+        if saved_hints is not None:
+            hint_file.restore(self.registry, saved_hints, now_ms)
 
     @property
     def is_running(self) -> bool:
@@ -63,7 +63,7 @@
     next_ms: float = 0.0
     gone_acknowledged_ms: float | None = None
     dead_ms: float | None = None
-    late: list[tuple[float, Upstream]] = field(default_factory=list)  # heartbeats that are still in transit
+    late_heartbeats: list[tuple[float, Upstream]] = field(default_factory=list)  # still in transit
 
 
 class Fleet:
@@ -78,11 +78,11 @@
         self.routers = [Registry("") for _ in range(4)]
         self.cut: set[tuple[str, str]] = set()
         self.in_contact_since_ms: dict[int, float] = dict.fromkeys(range(4), 0.0)
-        self.servers = [self._server(number) for number in range(6)]
-        self.served = len(self.servers)
-        self.calm = False  # whether upstreams neither pause nor send late heartbeats
+        self.servers = [self._new_server(number) for number in range(6)]
+        self.servers_started = len(self.servers)
+        self.has_prompt_heartbeats = False  # whether upstreams neither pause nor send late heartbeats
 
-    def _server(self, number: int) -> Server:
+    def _new_server(self, number: int) -> Server:
         lifetime_ms = self.rng.uniform(5_000.0, 60_000.0)
         return Server(f"u{number}", self.now_ms + lifetime_ms, self.rng.random() < 0.4, next_ms=self.now_ms)
 
@@ -127,7 +127,7 @@
         self._deliver_late_heartbeats(server)
         if server.dead_ms is not None or self.now_ms < server.next_ms:
             return
-        if not self.calm and self.rng.random() < PAUSE_CHANCE:
+        if not self.has_prompt_heartbeats and self.rng.random() < PAUSE_CHANCE:
             server.next_ms = self.now_ms + PAUSE_MS
             return
         server.next_ms = self.now_ms + HEARTBEAT_MS * self.rng.uniform(0.9, 1.1)
@@ -138,8 +138,8 @@
             return
         state = UpstreamState.DRAINING if leaving else UpstreamState.READY
         reported = Upstream(server.id, "s", f"a-{server.id}", "z", 1, server.sequence, state)
-        if not leaving and not self.calm and self.rng.random() < LATE_CHANCE:
-            server.late.append((self.now_ms + self.rng.uniform(500.0, 3_000.0), reported))
+        if not leaving and not self.has_prompt_heartbeats and self.rng.random() < LATE_CHANCE:
+            server.late_heartbeats.append((self.now_ms + self.rng.uniform(500.0, 3_000.0), reported))
         for controller in self.rng.sample(self.controllers, 3):
             if controller.is_running and self._report(controller, reported):
                 if leaving:
@@ -148,9 +148,9 @@
 
     def _deliver_late_heartbeats(self, server: Server) -> None:
         """Deliver a copy of an earlier heartbeat at any controller: it must undo nothing that was reported since."""
-        for when_ms, reported in list(server.late):
+        for when_ms, reported in list(server.late_heartbeats):
             if self.now_ms >= when_ms:
-                server.late.remove((when_ms, reported))
+                server.late_heartbeats.remove((when_ms, reported))
                 controller = self.rng.choice(self.controllers)
                 if controller.is_running:
                     controller.registry.update(reported, self.now_ms)
@@ -197,7 +197,7 @@
     def check(self) -> None:
         """No router in contact selects an upstream whose departure was acknowledged."""
         for number, router in enumerate(self.routers):
-            if self.now_ms < self.in_contact_since_ms[number] + CONTACT_MS:
+            if self.now_ms < self.in_contact_since_ms[number] + CATCH_UP_MS:
                 continue
             ready = router.ready_ids("s")
             for server in self.servers:
@@ -253,8 +253,8 @@
         fleet.in_contact_since_ms = dict.fromkeys(fleet.in_contact_since_ms, fleet.now_ms)
 
 
-def run(fleet: Fleet, for_ms: float) -> None:
-    end_ms = fleet.now_ms + for_ms
+def run(fleet: Fleet, duration_ms: float) -> None:
+    end_ms = fleet.now_ms + duration_ms
     while fleet.now_ms < end_ms:
         fleet.tick()
         fleet.check()
--- a/packages/registry/tests/test_registry_fleet.py
+++ b/packages/registry/tests/test_registry_fleet.py
@@ -17,23 +17,23 @@
     injector = FaultInjector(fleet)
     for _ in range(4):
         run(fleet, fleet.rng.uniform(500.0, 6_000.0))
-        for_ms = injector.inject()
-        run(fleet, for_ms)
+        duration_ms = injector.inject()
+        run(fleet, duration_ms)
         injector.clear()
-        fleet.servers.append(fleet._server(fleet.served))
-        fleet.served += 1
-    fleet.calm = True
+        fleet.servers.append(fleet._new_server(fleet.servers_started))
+        fleet.servers_started += 1
+    fleet.has_prompt_heartbeats = True
     run(fleet, 16_000.0)
     for router in fleet.routers:
         ready = set(router.ready_ids("s"))
         living = {one.id for one in fleet.servers if one.dead_ms is None}
-        fresh = {
+        recently_dead = {
             one.id
             for one in fleet.servers
             if one.dead_ms is not None and fleet.now_ms < one.dead_ms + 6_000.0
         }
-        assert living <= ready | fresh, f"{living - ready} beat and are passed over"
-        assert ready <= living | fresh, f"{ready - living} are dead and drawn"
+        assert living <= ready | recently_dead, f"{living - ready} beat and are passed over"
+        assert ready <= living | recently_dead, f"{ready - living} are dead and drawn"
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
@@ -41,13 +41,13 @@
     fleet = Fleet(seed)
     for server in fleet.servers:
         server.ends_ms = float("inf")
-    fleet.calm = True
+    fleet.has_prompt_heartbeats = True
     run(fleet, 3_000.0)
-    away = fleet.rng.choice(fleet.controllers)
+    absent = fleet.rng.choice(fleet.controllers)
     if seed % 2:
-        away.frozen = True
+        absent.frozen = True
     else:
-        fleet.cut = {(away.name, one.name) for one in fleet.controllers if one is not away}
+        fleet.cut = {(absent.name, one.name) for one in fleet.controllers if one is not absent}
     run(fleet, 20_000.0)
     FaultInjector(fleet).clear()
     for _ in range(200):
@@ -57,12 +57,12 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_an_upstream_that_dies_while_all_controllers_lose_their_records(seed: int) -> None:
+def test_an_upstream_that_dies_while_all_controllers_lose_their_records_times_out(seed: int) -> None:
     """Its address may never refuse, so nobody but the controllers can tell the routers."""
     fleet = Fleet(seed)
     for server in fleet.servers:
         server.ends_ms = float("inf")
-    fleet.calm = True
+    fleet.has_prompt_heartbeats = True
     run(fleet, 3_000.0)
     dead = fleet.rng.choice(fleet.servers)
     dead.dead_ms = fleet.now_ms
@@ -79,7 +79,7 @@
     fleet = Fleet(seed)
     for server in fleet.servers:
         server.ends_ms = float("inf")
-    fleet.calm = True
+    fleet.has_prompt_heartbeats = True
     run(fleet, 3_000.0)
     fleet.cut = {("r0", one.name) for one in fleet.controllers}
     fleet.in_contact_since_ms[0] = float("inf")
--- a/packages/registry/tests/test_registry_planted.py
+++ b/packages/registry/tests/test_registry_planted.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 import registry_fleet
-import test_registry_fleet as plays
+import test_registry_fleet as fleet_tests
 from larkweir_registry import registry
 from larkweir_registry.failure_detector import FailureDetector
 from larkweir_registry.records import Upstream, UpstreamState, join
@@ -64,11 +64,11 @@
     patch.setattr(registry, "join", stay_timed_out)
 
 
-def readers_offer_nothing(patch: pytest.MonkeyPatch) -> None:
+def offered_records_are_ignored(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(UnconfirmedUpstreams, "add", lambda self, offered, now_ms: False)
 
 
-def what_readers_offer_is_passed_on(patch: pytest.MonkeyPatch) -> None:
+def offered_records_are_passed_on(patch: pytest.MonkeyPatch) -> None:
     def add(self: UnconfirmedUpstreams, offered: Iterable[Upstream], now_ms: float) -> bool:
         for upstream in offered:
             self._registry.update(upstream, now_ms)
@@ -77,34 +77,34 @@
     patch.setattr(UnconfirmedUpstreams, "add", add)
 
 
-def play_lost_records(seed: int) -> None:
-    plays.test_a_reader_that_was_away_brings_no_departed_upstream_back(seed)
+def run_with_lost_records(seed: int) -> None:
+    fleet_tests.test_a_reader_that_was_away_brings_no_departed_upstream_back(seed)
 
 
-def play_returns(seed: int) -> None:
-    plays.test_returning_controllers_undo_no_departure_and_lose_no_upstream(seed)
+def run_with_returning_controllers(seed: int) -> None:
+    fleet_tests.test_returning_controllers_undo_no_departure_and_lose_no_upstream(seed)
 
 
 FAULTS: list[tuple[Patch, Callable[[int], None]]] = [
-    (departures_are_acknowledged_alone, play_returns),
-    (the_newest_heartbeat_wins, play_returns),
-    (time_outs_are_never_detected, play_returns),
-    (merged_records_are_not_forwarded, play_returns),
-    (a_time_out_is_never_undone, play_returns),
-    (readers_offer_nothing, play_returns),
-    (what_readers_offer_is_passed_on, play_lost_records),
+    (departures_are_acknowledged_alone, run_with_returning_controllers),
+    (the_newest_heartbeat_wins, run_with_returning_controllers),
+    (time_outs_are_never_detected, run_with_returning_controllers),
+    (merged_records_are_not_forwarded, run_with_returning_controllers),
+    (a_time_out_is_never_undone, run_with_returning_controllers),
+    (offered_records_are_ignored, run_with_returning_controllers),
+    (offered_records_are_passed_on, run_with_lost_records),
 ]
 
 
-@pytest.mark.parametrize(("plant", "find"), FAULTS, ids=lambda one: one.__name__)
-def test_the_plays_find_it(
-    plant: Patch, find: Callable[[int], None], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("plant_fault", "run_test"), FAULTS, ids=lambda one: one.__name__)
+def test_the_fleet_tests_detect_it(
+    plant_fault: Patch, run_test: Callable[[int], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    plant(monkeypatch)
+    plant_fault(monkeypatch)
     for seed in range(MAX_SEEDS):
         try:
-            find(seed)
+            run_test(seed)
         except AssertionError:
-            print(f"{plant.__name__}: found by seed {seed}")
+            print(f"{plant_fault.__name__}: found by seed {seed}")
             return
     pytest.fail(f"{MAX_SEEDS} plays did not find it")
--- a/packages/replication/tests/replication_faults.py
+++ b/packages/replication/tests/replication_faults.py
@@ -108,11 +108,11 @@
     def _freeze(self, machine: Machine, for_ms: float) -> None:
         if machine.replica is None or machine.name in self.cluster.frozen:
             return
-        self.cluster.network.stop(machine.name)
+        self.cluster.network.pause(machine.name)
         self.cluster.frozen.add(machine.name)
 
         def thaw() -> None:
-            self.cluster.network.go_on(machine.name)
+            self.cluster.network.resume(machine.name)
             self.cluster.frozen.discard(machine.name)
 
         self.cluster.network.after(for_ms, thaw)
@@ -196,12 +196,12 @@
     def repair_all(self) -> None:
         """Repairs all links, disks and machines."""
         self.cluster.network.heal()
-        self.cluster.network.lost = 0.0
+        self.cluster.network.loss_rate = 0.0
         for machine in list(self.cluster.machines.values()):
             machine.disk.full = False
             machine.disk.sync_ms = self.cluster.sync_ms
             machine.disk.go_on()
-            self.cluster.network.go_on(machine.name)
+            self.cluster.network.resume(machine.name)
             machine.start()
         self.cluster.frozen.clear()
 
@@ -254,7 +254,7 @@
 def run_trial(trial: Trial) -> Cluster:
     """Runs it and checks the guarantees throughout, and the service whenever no fault is injected for a while."""
     cluster = Cluster(trial.seed, trial.size, trial.tolerance, trial.first)
-    cluster.network.lost = cluster.rng.choice([0.0, 0.0, 0.02, 0.1])
+    cluster.network.loss_rate = cluster.rng.choice([0.0, 0.0, 0.02, 0.1])
     cluster.sync_ms = trial.sync_ms
     for machine in cluster.machines.values():
         machine.disk.sync_ms = trial.sync_ms
--- a/packages/simulated/src/larkweir_simulated/__init__.py
+++ b/packages/simulated/src/larkweir_simulated/__init__.py
@@ -1,5 +1,5 @@
 """A simulated network and clock for tests; see `network`."""
 
-from larkweir_simulated.network import Due, Network
+from larkweir_simulated.network import Event, Network
 
-__all__ = ["Due", "Network"]
+__all__ = ["Event", "Network"]
--- a/standins/duties.py
+++ b/standins/duties.py
@@ -15,7 +15,7 @@
 from larkweir_peers.protocol_config import ProtocolConfig
 from larkweir_peers.rate_limiter import TokenBucket
 from larkweir_peers.sender import DatagramSender
-from larkweir_simulated import Due, Network
+from larkweir_simulated import Event, Network
 
 from larkweir.config.options import Route
 from larkweir.coordination.duties.messages import decode_report, encode_report
@@ -42,7 +42,7 @@
         self.lines: list[str] = []
         self.refused = 0
         self.sent = 0  # datagrams
-        self._timer: Due | None = None
+        self._timer: Event | None = None
 
     def start(self) -> None:
         fleet, network = self.fleet, self.fleet.network
