--- a/packages/registry/src/larkweir_registry/hint_file.py
+++ b/packages/registry/src/larkweir_registry/hint_file.py
@@ -1,6 +1,7 @@
-"""The hint file: the upstreams that a registry knew, so that a fleet that restarts as a whole need not wait for them.
+"""The hint file stores the upstreams that a registry knows.
 
-The file is a hint. Heartbeats override it, upstreams that were lost meanwhile time out, and losing it loses nothing.
+With it, a fleet in which all processes restart can use its upstreams before their first heartbeats. The contents are
+only a hint: heartbeats override them, and upstreams that have disappeared time out. The file may be lost without harm.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 def encode(registry: Registry) -> bytes:
-    """Return all upstreams of the registry as JSON, behind a CRC-32 of it in eight hexadecimal digits and a space."""
+    """Return the CRC-32 of the body as eight hexadecimal digits, a space, and the body: all upstreams as JSON."""
     body = msgspec.json.encode(list(registry.upstreams.values()))
     return b"%08x %s" % (zlib.crc32(body), body)
 
@@ -25,7 +26,7 @@
     """Add the upstreams of a hint file to the registry.
 
     Returns:
-        Whether the file was intact. The registry is left as it is where it was not.
+        Whether the file was intact. If it was not, the registry is unchanged.
     """
     checksum, _, body = data.partition(b" ")
     if checksum != b"%08x" % zlib.crc32(body):
--- a/packages/registry/src/larkweir_registry/records.py
+++ b/packages/registry/src/larkweir_registry/records.py
@@ -1,7 +1,7 @@
 """The record of one upstream, and the join of two versions of it.
 
-The records are a state-based CRDT: `join` is the least upper bound, so replicas converge whatever the order in which
-versions reach them (Shapiro, Preguiça, Baquero, Zawirski: Conflict-free Replicated Data Types, 2011).
+The records are a state-based CRDT: `join` is the least upper bound, so replicas converge in whatever order they receive
+the versions (Shapiro, Preguiça, Baquero, Zawirski: Conflict-free Replicated Data Types, 2011).
 """
 
 from __future__ import annotations
@@ -11,9 +11,7 @@
 
 import msgspec
 
-MAX_COUNTER = (
-    2**53 - 1
-)  # the largest whole number that every reader of JSON keeps exact (RFC 8259, section 6)
+MAX_COUNTER = 2**53 - 1  # the largest integer that every JSON parser keeps exact (RFC 8259, section 6)
 MAX_SLOTS = 1_000_000
 
 Counter = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNTER)]
@@ -21,7 +19,7 @@
 
 
 class UpstreamState(IntEnum):
-    """The state that an upstream reports of itself. It only ever rises."""
+    """The state that an upstream reports about itself. It only ever increases."""
 
     READY = 0
     DRAINING = 1
@@ -32,15 +30,15 @@
     """One incarnation of an upstream, as its heartbeats describe it.
 
     Attributes:
-        id: unique to this incarnation.
-        service: the service that it belongs to.
-        address: `IP:PORT` on which it takes requests.
+        id: the identifier, unique to this incarnation.
+        service: the service that the upstream belongs to.
+        address: the `IP:PORT` on which it accepts requests.
         zone: its failure domain.
-        slots: requests that it serves at once.
-        sequence: counts its heartbeats.
-        state: what its heartbeats, or its departure, reported.
-        timed_out_sequence: `sequence` of its last heartbeat when it was last found to have timed out; -1 for never.
-        reported_version: that of its software; unset where it reports none.
+        slots: the number of requests that it serves concurrently.
+        sequence: the number of its latest heartbeat.
+        state: the state that its heartbeats or its departure message reported.
+        timed_out_sequence: the sequence of its last heartbeat when it last timed out; -1 if it never did.
+        reported_version: the version of its software; unset if it reports none.
     """
 
     id: str
@@ -57,17 +55,17 @@
 
     @property
     def version(self) -> str:
-        """The version of its software; empty where it reports none."""
+        """The version of the upstream's software; empty if it reports none."""
         return self.reported_version if isinstance(self.reported_version, str) else ""
 
     @property
     def has_timed_out(self) -> bool:
-        """Whether no heartbeat has arrived since it was last found to have timed out."""
+        """Whether the upstream timed out and no heartbeat has arrived since."""
         return self.timed_out_sequence >= self.sequence
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One version of an upstream: the `counter`-th that the registry `origin` made."""
+    """One version of an upstream: the `counter`-th version that the registry `origin` created."""
 
     upstream: Upstream
     origin: str
@@ -75,14 +73,14 @@
 
 
 VersionVector = dict[str, Counter]
-"""For each origin, one incarnation of a registry, the highest counter that has been seen."""
+"""The highest counter seen from each origin, where an origin is one incarnation of a registry."""
 
 
 def join(one: Upstream, other: Upstream) -> Upstream:
     """Return the least upper bound of two versions of the same upstream.
 
-    The join is commutative, associative and idempotent. The higher sequence decides the description; the state and the
-    time-out are the higher of both.
+    The join is commutative, associative and idempotent. The description (all fields except state and time-out) is
+    that of the version with the higher sequence. The state and the time-out are the higher of both.
     """
     newer = max(one, other, key=_recency)
     state = max(one.state, other.state)
@@ -93,5 +91,8 @@
 
 
 def _recency(upstream: Upstream) -> tuple[int, str, str, str]:
-    """The version decides last: one that a process of an earlier release passed on has none."""
+    """Return the sort key of a description.
+
+    The software version comes last because processes of earlier releases pass records on without it.
+    """
     return (upstream.sequence, upstream.address, upstream.zone, upstream.version)
--- a/packages/registry/src/larkweir_registry/registry.py
+++ b/packages/registry/src/larkweir_registry/registry.py
@@ -1,4 +1,4 @@
-"""The upstreams that one process knows, their versions, and the delta that another process lacks."""
+"""The upstreams that one process knows, their versions, and the deltas for processes that lack some of them."""
 
 from __future__ import annotations
 
@@ -8,58 +8,58 @@
 
 from larkweir_registry.records import Record, Upstream, UpstreamState, VersionVector, join
 
-TOMBSTONE_RETENTION_MS = 300_000.0  # how long a GONE record is retained; no message is that late
+TOMBSTONE_RETENTION_MS = 300_000.0  # how long GONE records are kept; no message arrives later than that
 
 
 class Registry:
-    """A replica of the set of upstreams, which converges with the others by deltas in any order.
+    """A replica of the set of upstreams. Replicas converge by exchanging deltas, in any order.
 
     Attributes:
         origin: the name of this replica in version vectors.
         vector: the versions that this replica has seen.
-        upstreams: all that are known, by id, those that have gone for `TOMBSTONE_RETENTION_MS`.
+        upstreams: all known upstreams by id; those that have gone are kept for `TOMBSTONE_RETENTION_MS`.
     """
 
     def __init__(self, origin: str) -> None:
         """Create an empty replica.
 
         Args:
-            origin: a name that no other registry, and no earlier incarnation of this one, has used. A reader, which
-                only merges, may use the empty name.
+            origin: a name that no other registry and no earlier incarnation of this one has used. A reader only merges
+                deltas and may use the empty name.
         """
         self.origin = origin
         self.vector: VersionVector = {}
         self.upstreams: dict[str, Upstream] = {}
         self._versions: dict[
             str, tuple[str, int]
-        ] = {}  # by upstream: origin and counter of its newest version
+        ] = {}  # by upstream: origin and counter of its latest version
         self._ids_by_version: dict[str, SortedDict[int, str]] = {}  # by origin and counter
         self._tombstoned_ms: dict[str, float] = {}
-        self._ready_ids: dict[str, list[str]] | None = None  # by service; None: to be computed
+        self._ready_ids: dict[str, list[str]] | None = None  # by service; None until it is computed
 
     def update(self, upstream: Upstream, now_ms: float) -> bool:
-        """Join what a heartbeat, a departure or the failure detector reports of one upstream.
+        """Join a report on one upstream, from a heartbeat, a departure message or the failure detector.
 
         Returns:
-            Whether that made a new version, which the other replicas lack.
+            Whether the join created a new version, which the other replicas lack.
         """
         known = self.upstreams.get(upstream.id)
         joined = upstream if known is None else join(known, upstream)
         if known is not None and not _must_propagate(known, joined):
             self.upstreams[upstream.id] = (
-                joined  # only the sequence is new, which the failure detector propagates
+                joined  # only the sequence is new; the failure detector propagates it
             )
             return False
         self._store_new_version(joined, now_ms)
         return True
 
     def merge(self, records: Iterable[Record], vector: VersionVector, now_ms: float) -> list[Upstream]:
-        """Join a delta of another replica.
+        """Join a delta from another replica.
 
         Args:
-            records: what the other replica returned for the vector of this one.
-            vector: the vector of the other replica when it did.
-            now_ms: the present.
+            records: the records that `delta` of the other replica returned for the vector of this one.
+            vector: the vector of the other replica at that time.
+            now_ms: the current time.
 
         Returns:
             The upstreams that changed here.
@@ -74,7 +74,7 @@
             changed.append(joined)
             if joined == record.upstream:
                 self._store(joined, record.origin, record.counter, now_ms)
-            else:  # neither version included the other: their join is a version of its own
+            else:  # neither version includes the other, so their join is a new version
                 self._store_new_version(joined, now_ms)
         for origin, counter in vector.items():
             if counter > self.vector.get(origin, 0):
@@ -82,7 +82,7 @@
         return changed
 
     def delta(self, vector: VersionVector) -> list[Record]:
-        """Return the records that a replica lacks that has seen `vector`."""
+        """Return the records that a replica with the vector `vector` lacks."""
         records = []
         for origin, ids in self._ids_by_version.items():
             seen = vector.get(origin, 0)
@@ -92,11 +92,11 @@
         return records
 
     def ready_ids(self, service: str) -> list[str]:
-        """Return the ids of the upstreams of a service that are ready and have not timed out; not to be modified."""
+        """Return the ids of a service's upstreams that are ready and have not timed out; do not modify the list."""
         return self.ready_ids_by_service().get(service, [])
 
     def ready_ids_by_service(self) -> dict[str, list[str]]:
-        """Return the same for all services that have any; not to be modified."""
+        """Return `ready_ids` of every service that has any; do not modify the result."""
         if self._ready_ids is None:
             self._ready_ids = {}
             for upstream in self.upstreams.values():
@@ -147,7 +147,10 @@
 
 
 def _must_propagate(known: Upstream, joined: Upstream) -> bool:
-    """Whether the other replicas need the new version: of a higher sequence alone only where it ends a time-out."""
+    """Whether the other replicas need the new version.
+
+    A higher sequence alone is propagated only if it ends a time-out.
+    """
     return (
         known.state is not joined.state
         or known.has_timed_out is not joined.has_timed_out
--- a/packages/registry/src/larkweir_registry/unconfirmed.py
+++ b/packages/registry/src/larkweir_registry/unconfirmed.py
@@ -1,10 +1,10 @@
-"""Upstreams that readers know and a registry without history does not.
+"""Upstreams that are known to readers but not to a registry that lost its records.
 
-A registry that lost its records learns of every living upstream by its next heartbeat. An upstream that died meanwhile
-sends none, and readers would keep it for ever: they offer their records, and the registry watches those that it does
-not know. A reader's record vouches for an upstream for one time-out of the failure detector, and only with that reader:
-the registry never passes it on as ready, as the upstream may have left while the reader was away. What is final, that
-an upstream drains, has gone or has timed out, is taken over at once.
+Such a registry learns of each live upstream from its next heartbeat. An upstream that died in the meantime sends no
+heartbeat, so readers would keep it forever. Readers therefore offer their records to the registry, which watches the
+upstreams that it does not know. An offered upstream without a heartbeat for one time-out of the failure detector has
+timed out. The registry never passes an offered upstream on to other readers as ready, because it may have left while
+the reader that offered it was cut off. Final states (draining, gone, timed out) are merged at once.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 
 class UnconfirmedUpstreams:
-    """What readers offered, until a heartbeat confirms it or the time-out is over."""
+    """The upstreams that readers offered and that neither a heartbeat has confirmed nor a time-out has removed."""
 
     def __init__(self, registry: Registry, failure_detector: FailureDetector) -> None:
-        """Both are changed by what is offered."""
+        """Create an empty set; `add` updates `registry` and `failure_detector`."""
         self._registry = registry
         self._failure_detector = failure_detector
         self._upstreams: dict[str, Upstream] = {}
 
     def add(self, offered: Iterable[Upstream], now_ms: float) -> bool:
-        """Take in the records of one reader.
+        """Add the records that one reader offers.
 
         Returns:
-            Whether the registry has changed, so that other readers are to be informed.
+            Whether the registry changed, so that the other readers must be informed.
         """
         has_changed = False
         for upstream in offered:
@@ -42,7 +42,10 @@
         return has_changed
 
     def take_timed_out(self, now_ms: float) -> list[Upstream]:
-        """Return, once, those of which no heartbeat arrived since they were offered; drop those that are known now."""
+        """Return and drop the upstreams that have timed out since they were offered.
+
+        Upstreams that the registry knows by now are dropped without being returned.
+        """
         for id_ in [id_ for id_ in self._upstreams if id_ in self._registry.upstreams]:
             del self._upstreams[id_]
         silent = self._failure_detector.timed_out(list(self._upstreams), now_ms)
--- a/packages/registry/tests/registry_factories.py
+++ b/packages/registry/tests/registry_factories.py
@@ -1,4 +1,4 @@
-"""Records for the tests."""
+"""Factory of upstream records for the tests."""
 
 from __future__ import annotations
 
--- a/packages/registry/tests/registry_fleet.py
+++ b/packages/registry/tests/registry_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in memory: registries of controllers, routers that read them, upstreams, and faults of all of them."""
+"""An in-memory fleet with faults: controllers with registries, routers that read from them, and upstreams."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 TICK_MS = 50.0
 HEARTBEAT_MS = 1_000.0
-PAUSE_MS = 9_000.0  # an upstream that is paused, and resumes
-PAUSE_CHANCE = 0.01  # of each heartbeat
-LATE_CHANCE = 0.1
-CATCH_UP_MS = 2_000.0  # after a fault, until a router is expected to know what the others do
+PAUSE_MS = 9_000.0  # the time for which a paused upstream sends no heartbeat
+PAUSE_CHANCE = 0.01  # the probability that an upstream pauses instead of sending a heartbeat
+LATE_CHANCE = 0.1  # the probability that a copy of a heartbeat arrives late
+CATCH_UP_MS = 2_000.0  # after a fault, until a router must know what the others know
 
 
 @dataclass
 class Controller:
-    """A registry and its failure detector."""
+    """A controller: a registry, its failure detector, and the unconfirmed upstreams that routers offered."""
 
     name: str
     incarnation: int = 0
@@ -35,7 +35,7 @@
     offered_by: set[int] = field(init=False)
 
     def start(self, now_ms: float, *, loses_hints: bool = False) -> None:
-        """Start a new incarnation, with the hint file that the one before wrote unless that is lost."""
+        """Start a new incarnation with the hint file of the previous one, unless that file is lost."""
         saved_hints = hint_file.encode(self.registry) if self.incarnation and not loses_hints else None
         self.incarnation += 1
         self.up = True
@@ -54,7 +54,7 @@
 
 @dataclass
 class Server:
-    """An upstream: its heartbeats so far, and when it is to end."""
+    """An upstream that sends heartbeats until `ends_ms`, and then crashes or leaves."""
 
     id: str
     ends_ms: float
@@ -67,7 +67,7 @@
 
 
 class Fleet:
-    """Three controllers, some routers that each pull from all they reach, and upstreams that start and end."""
+    """Three controllers, four routers that pull from every controller they reach, and upstreams that start and end."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -80,7 +80,7 @@
         self.in_contact_since_ms: dict[int, float] = dict.fromkeys(range(4), 0.0)
         self.servers = [self._new_server(number) for number in range(6)]
         self.servers_started = len(self.servers)
-        self.has_prompt_heartbeats = False  # whether upstreams neither pause nor send late heartbeats
+        self.has_prompt_heartbeats = False  # if true, upstreams neither pause nor send late copies
 
     def _new_server(self, number: int) -> Server:
         lifetime_ms = self.rng.uniform(5_000.0, 60_000.0)
@@ -147,7 +147,7 @@
                 return
 
     def _deliver_late_heartbeats(self, server: Server) -> None:
-        """Deliver a copy of an earlier heartbeat at any controller: it must undo nothing that was reported since."""
+        """Deliver late copies of earlier heartbeats to random controllers; they must not undo any later report."""
         for when_ms, reported in list(server.late_heartbeats):
             if self.now_ms >= when_ms:
                 server.late_heartbeats.remove((when_ms, reported))
@@ -156,7 +156,10 @@
                     controller.registry.update(reported, self.now_ms)
 
     def _report(self, controller: Controller, reported: Upstream) -> bool:
-        """Whether it is acknowledged: a departure only once a majority of controllers has it."""
+        """Report a heartbeat to a controller and return whether it is acknowledged.
+
+        A departure is acknowledged only once a majority of the controllers has recorded it.
+        """
         controller.detector.record_heartbeat(reported.id, reported.sequence, self.now_ms)
         controller.registry.update(reported, self.now_ms)
         if reported.state is UpstreamState.READY:
@@ -195,7 +198,7 @@
                         controller.unconfirmed.add(offered, self.now_ms)
 
     def check(self) -> None:
-        """No router in contact selects an upstream whose departure was acknowledged."""
+        """Check that no router in contact with the controllers selects an upstream whose departure was acknowledged."""
         for number, router in enumerate(self.routers):
             if self.now_ms < self.in_contact_since_ms[number] + CATCH_UP_MS:
                 continue
@@ -203,11 +206,11 @@
             for server in self.servers:
                 acknowledged_ms = server.gone_acknowledged_ms
                 if acknowledged_ms is not None and self.now_ms >= acknowledged_ms + 4 * TICK_MS:
-                    assert server.id not in ready, f"{server.id} is drawn after it was let go"
+                    assert server.id not in ready, f"{server.id} is selected after it left"
 
 
 class FaultInjector:
-    """Draws faults of controllers and links, each of which is cleared a while later."""
+    """Injects random faults of controllers and links; `inject` returns how long a fault lasts until `clear`."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
--- a/packages/registry/tests/test_registry.py
+++ b/packages/registry/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Registries that merge deltas of each other in any order."""
+"""Registries that merge each other's deltas in any order."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class Registries(RuleBasedStateMachine):
-    """Three registries that receive different heartbeats and pull from each other, and a reader of all."""
+    """Three registries that receive different reports and pull from each other, and a reader that pulls from all."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/packages/registry/tests/test_registry_fleet.py
+++ b/packages/registry/tests/test_registry_fleet.py
@@ -1,4 +1,4 @@
-"""Registries in a fleet with faults: departures are not undone, and live upstreams not lost."""
+"""Registries in a fleet with faults: no departure is undone, and no live upstream is lost."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
             for one in fleet.servers
             if one.dead_ms is not None and fleet.now_ms < one.dead_ms + 6_000.0
         }
-        assert living <= ready | recently_dead, f"{living - ready} beat and are passed over"
-        assert ready <= living | recently_dead, f"{ready - living} are dead and drawn"
+        assert living <= ready | recently_dead, f"{living - ready} send heartbeats but are not selected"
+        assert ready <= living | recently_dead, f"{ready - living} are dead but selected"
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_an_upstream_that_dies_while_all_controllers_lose_their_records_times_out(seed: int) -> None:
-    """Its address may never refuse, so nobody but the controllers can tell the routers."""
+    """Its address may never refuse a connection, so routers can learn of its death only from the controllers."""
     fleet = Fleet(seed)
     for server in fleet.servers:
         server.ends_ms = float("inf")
--- a/packages/registry/tests/test_registry_golden.py
+++ b/packages/registry/tests/test_registry_golden.py
@@ -1,6 +1,6 @@
-"""Bytes as version 0.2 of the fleet wrote them: the hint file of a controller, and records in messages.
+"""The hint file of a controller and the records in messages, byte for byte as version 0.2 of the fleet wrote them.
 
-The fleet is updated one process at a time, so each of these is read and written the same by every later version.
+The fleet is updated one process at a time, so every later version must read and write the same bytes.
 """
 
 from __future__ import annotations
--- a/packages/registry/tests/test_registry_planted.py
+++ b/packages/registry/tests/test_registry_planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in registries: the runs of `test_registry_fleet` must find each."""
+"""Faults planted in registries: the tests of `test_registry_fleet` must detect each of them."""
 
 from __future__ import annotations
 
@@ -105,6 +105,6 @@
         try:
             run_test(seed)
         except AssertionError:
-            print(f"{plant_fault.__name__}: found by seed {seed}")
+            print(f"{plant_fault.__name__}: detected with seed {seed}")
             return
-    pytest.fail(f"{MAX_SEEDS} plays did not find it")
+    pytest.fail(f"not detected with {MAX_SEEDS} seeds")
--- a/packages/registry/tests/test_registry_readme.py
+++ b/packages/registry/tests/test_registry_readme.py
@@ -1,4 +1,4 @@
-"""The example of the package's README runs as printed."""
+"""The example in the package's README runs as printed."""
 
 from __future__ import annotations
 
--- a/packages/registry/tests/test_registry_records.py
+++ b/packages/registry/tests/test_registry_records.py
@@ -1,4 +1,4 @@
-"""Joins of records, and their encoding."""
+"""Joins and encoding of records."""
 
 from __future__ import annotations
 
--- a/packages/registry/tests/test_registry_unconfirmed.py
+++ b/packages/registry/tests/test_registry_unconfirmed.py
@@ -1,4 +1,4 @@
-"""What a registry without history makes of the records that readers offer."""
+"""How a registry that lost its records handles the records that readers offer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     assert fixture.unconfirmed.take_timed_out(100.0) == []
     late_ms = 100.0 + fixture.detector.timeout_ms
     assert [one.id for one in fixture.unconfirmed.take_timed_out(late_ms)] == ["u"]
-    assert fixture.unconfirmed.take_timed_out(late_ms) == [], "once"
+    assert fixture.unconfirmed.take_timed_out(late_ms) == [], "returned only once"
 
 
 def test_a_heartbeat_confirms_an_offered_upstream() -> None:
@@ -35,7 +35,7 @@
     fixture.detector.record_heartbeat("u", 8, 2_000.0)
     fixture.registry.update(upstream("u", sequence=8), 2_000.0)
     assert fixture.unconfirmed.take_timed_out(100.0 + fixture.detector.timeout_ms) == []
-    assert fixture.unconfirmed.take_timed_out(1e9) == [], "from now on the registry's own watch counts"
+    assert fixture.unconfirmed.take_timed_out(1e9) == [], "the registry's own failure detection applies now"
 
 
 def test_a_repeated_offer_does_not_extend_the_time_out() -> None:
