--- a/packages/simulated/src/larkweir_simulated/network.py
+++ b/packages/simulated/src/larkweir_simulated/network.py
@@ -1,4 +1,4 @@
-"""A network and a clock reckoned from one seed; nothing real is touched."""
+"""A simulated network and clock, determined by one seed; no real socket, timer or clock is used."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from random import Random
 
 Handler = Callable[[str, bytes], object]
-"""What a listener is called with: who sent it, and the bytes."""
+"""Called with the name of the sender and the data of a datagram."""
 
 
 class Event:
-    """Something that is to happen: a call (`fn`), or `data` from `source` that reaches `owner`."""
+    """A scheduled event: a call of `fn` or, if that is None, the arrival of `data` from `source` at `owner`."""
 
     __slots__ = ("data", "fn", "incarnation", "owner", "source")
 
@@ -30,16 +30,17 @@
         self.data = data
 
     def cancel(self) -> None:
-        """It does not happen any more. Nothing if it has happened already."""
+        """Cancel the event; has no effect if it has already happened."""
         self.incarnation = -1
 
 
 class Network:
-    """Processes by name, the datagrams between them, and their timers, in one order that the seed settles.
+    """Named processes, their timers and the datagrams between them; the seed determines the order of all events.
 
-    Each datagram is late by `delay_ms` (least, most; drawn evenly, so that later ones overtake), is lost with the
-    chance `lost`, and comes a second time, with a delay of its own, with the chance `doubled`. All three may be
-    changed while it runs. What is due at the same time happens in the order in which it was asked for.
+    Each datagram has a delay drawn uniformly from `delay_ms` (minimum, maximum), so datagrams may be reordered. It is
+    lost with the probability `loss_rate`. With the probability `duplicate_rate` it arrives a second time, with a delay
+    drawn separately. All three may be changed during a run. Events due at the same time happen in the order in which
+    they were scheduled.
     """
 
     def __init__(
@@ -54,42 +55,42 @@
         self.delay_ms = delay_ms
         self.loss_rate = loss_rate
         self.duplicate_rate = duplicate_rate
-        self.sent = 0  # datagrams handed to `send`, and their bytes
+        self.sent = 0  # datagrams passed to `send`, lost ones included; `sent_bytes` is their total size
         self.sent_bytes = 0
-        self.delivered = 0  # datagrams that reached a listener, copies too
+        self.delivered = 0  # datagrams that reached a listener, duplicates included
         self._heap: list[tuple[float, int, Event]] = []
         self._scheduled_count = 0
         self._running = False
         self._handlers: dict[str, Handler] = {}
         self._incarnations: dict[str, int] = {}
-        self._pending: dict[str, list[Event]] = {}  # of those that are stopped, in the order it became due
+        self._pending: dict[str, list[Event]] = {}  # by paused process, in the order they became due
         self._cuts: set[tuple[str, str]] = set()
         self._groups: dict[str, int] | None = None
 
     # Time
 
     def at(self, when_ms: float, fn: Callable[[], object], owner: str = "") -> Event:
-        """Calls `fn` at that time, or as soon as can be if it is past.
+        """Schedule a call of `fn` at `when_ms`, or immediately if that time is past.
 
-        A timer of an `owner` waits while that one is stopped and goes with it when it is killed; the one without an
-        owner is the test's own.
+        If `owner` names a process, the call waits while that process is paused and is dropped when it is killed. A call
+        without an owner belongs to the test.
         """
         event = Event(owner, self._incarnations.get(owner, 0), fn)
         self._schedule(max(when_ms, self.now_ms), event)
         return event
 
     def after(self, ms: float, fn: Callable[[], object], owner: str = "") -> Event:
-        """As `at`, so many milliseconds from now."""
+        """Schedule a call of `fn` in `ms` milliseconds; see `at`."""
         return self.at(self.now_ms + ms, fn, owner)
 
     def run(self, until_ms: float, max_events: int = 10_000_000) -> int:
-        """Lets all happen that is due up to and with that time; then it is that time. Gives how much happened.
+        """Run all events due up to and including `until_ms`, set the clock to that time and return the event count.
 
-        Raises RuntimeError past `max_events` (two that call each other without time going by never end), and when
-        called by what it runs itself. What a handler raises passes through; the run can be gone on with.
+        Raises RuntimeError if more than `max_events` events are due, as happens when events without delay schedule each
+        other forever, and if called by an event. Exceptions of handlers are passed on; `run` can then be called again.
         """
         if self._running:
-            raise RuntimeError("run() was called by something that it runs")
+            raise RuntimeError("run() was called by an event that it is running")
         heap, incarnations, pending, handlers = self._heap, self._incarnations, self._pending, self._handlers
         event_count = 0
         self._running = True
@@ -99,7 +100,7 @@
                 self.now_ms = when_ms
                 owner = event.owner
                 if event.incarnation != incarnations.get(owner, 0):
-                    continue  # cancelled, or of a life that is over
+                    continue  # cancelled, or belongs to an earlier incarnation
                 if event.fn is None and (self._cuts or self._groups) and self._is_cut(event.source, owner):
                     continue
                 if owner in pending:
@@ -107,7 +108,7 @@
                     continue
                 if event_count >= max_events:
                     heappush(heap, (when_ms, -1, event))
-                    raise RuntimeError(f"more than {max_events} things happened up to {when_ms} ms")
+                    raise RuntimeError(f"more than {max_events} events by {when_ms} ms")
                 event_count += 1
                 if event.fn is not None:
                     event.fn()
@@ -122,13 +123,13 @@
     # Datagrams
 
     def listen(self, name: str, handler: Handler) -> None:
-        """What is sent to `name` reaches `handler(source, data)`. Raises ValueError if somebody listens there."""
+        """Deliver datagrams for `name` to `handler(source, data)`. Raises ValueError if `name` already listens."""
         if name in self._handlers:
-            raise ValueError(f"{name} is listening already; kill() ends a life")
+            raise ValueError(f"{name} is already listening; kill() ends an incarnation")
         self._handlers[name] = handler
 
     def send(self, source: str, to: str, data: bytes) -> None:
-        """Sends a datagram; whether it comes, nobody is told. To oneself too it takes its time."""
+        """Send a datagram, without confirmation of delivery. Datagrams to the sender itself are delayed too."""
         self.sent += 1
         self.sent_bytes += len(data)
         if (self._cuts or self._groups) and self._is_cut(source, to):
@@ -149,33 +150,34 @@
     # Faults
 
     def cut(self, a: str, b: str, both: bool = True) -> None:
-        """Nothing passes from `a` to `b`, and back if `both`: neither what is sent now nor what arrives meanwhile."""
+        """Cut the link from `a` to `b`, and back if `both`: drops datagrams sent or due to arrive during the cut."""
         self._cuts.add((a, b))
         if both:
             self._cuts.add((b, a))
 
     def split(self, groups: Iterable[Iterable[str]]) -> None:
-        """Nothing passes from one group to another; names in none make up one more. Takes the former split's place."""
+        """Cut all links between groups; names in no group form one more group. Replaces any earlier split."""
         self._groups = {name: number for number, group in enumerate(groups, 1) for name in group}
 
     def heal(self) -> None:
-        """All cuts and the split are over."""
+        """Remove all cuts and the split."""
         self._cuts.clear()
         self._groups = None
 
     def pause(self, name: str) -> None:
-        """As SIGSTOP: what is due at `name` or reaches it waits."""
+        """Pause a process as SIGSTOP does: its timers and the datagrams that reach it wait."""
         self._pending.setdefault(name, [])
 
     def resume(self, name: str) -> None:
-        """As SIGCONT: what waited happens now, in the order in which it became due."""
+        """Resume a process as SIGCONT does: waiting events happen now, in the order in which they became due."""
         for event in self._pending.pop(name, ()):
             self._schedule(self.now_ms, event)
 
     def kill(self, name: str) -> None:
-        """As SIGKILL: its timers and what is on its way to it are gone; what it sent still comes.
+        """Kill a process as SIGKILL does.
 
-        A `listen` later is a new incarnation, which gets what is sent to the name from now on.
+        Its timers and the datagrams in flight to it are dropped; those that it sent still arrive. A later `listen`
+        starts a new incarnation, which receives the datagrams sent to the name from now on.
         """
         self._incarnations[name] = self._incarnations.get(name, 0) + 1
         self._handlers.pop(name, None)
--- a/packages/simulated/tests/test_simulated_network.py
+++ b/packages/simulated/tests/test_simulated_network.py
@@ -1,4 +1,4 @@
-"""The simulated network: the same run from a seed, and each fault as it is promised."""
+"""The simulated network: a seed gives the same run each time, and each fault has the documented effect."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def record_datagrams(net: Network, *names: str) -> list[tuple[float, str, bytes]]:
-    """Those names listen; gives when each datagram came, at whom, and what it said."""
+    """Listen at `names`; return a list that receives the time, the receiver and the data of each datagram."""
     received: list[tuple[float, str, bytes]] = []
     for name in names:
         net.listen(name, lambda source, data, name=name: received.append((net.now_ms, name, data)))
@@ -145,8 +145,8 @@
     net = Network(1, (5.0, 5.0))
     received = record_datagrams(net, "a", "b")
     ticks: list[str] = []
-    net.at(20, lambda: ticks.append("of the first life"), "a")
-    net.at(20, lambda: ticks.append("of the test"))
+    net.at(20, lambda: ticks.append("timer of the killed process"), "a")
+    net.at(20, lambda: ticks.append("timer of the test"))
     net.send("b", "a", b"held, then lost")
     net.pause("a")
     net.at(8, lambda: (net.send("a", "b", b"last words"), net.send("b", "a", b"on its way")))
@@ -159,7 +159,11 @@
     net.listen("a", lambda source, data: received_later.append(data))
     net.send("b", "a", b"hello")
     net.run(30)
-    assert (received, received_later, ticks) == ([(13.0, "b", b"last words")], [b"hello"], ["of the test"])
+    assert (received, received_later, ticks) == (
+        [(13.0, "b", b"last words")],
+        [b"hello"],
+        ["timer of the test"],
+    )
 
 
 def test_a_datagram_sent_after_a_kill_reaches_the_next_incarnation() -> None:
@@ -175,17 +179,17 @@
 def test_misuse_raises_an_error() -> None:
     net = Network(1)
     record_datagrams(net, "a")
-    with pytest.raises(ValueError, match="a is listening already"):
+    with pytest.raises(ValueError, match="a is already listening"):
         net.listen("a", lambda source, data: None)
     net.after(1, lambda: net.run(5))
-    with pytest.raises(RuntimeError, match="called by something that it runs"):
+    with pytest.raises(RuntimeError, match="called by an event that it is running"):
         net.run(5)
 
     def endless() -> None:
         net.at(0, endless)
 
     endless()
-    with pytest.raises(RuntimeError, match="more than 100 things"):
+    with pytest.raises(RuntimeError, match="more than 100 events by"):
         net.run(9, max_events=100)
     assert net.now_ms == 1.0
 
