--- a/packages/registry/src/larkweir_registry/unconfirmed.py
+++ b/packages/registry/src/larkweir_registry/unconfirmed.py
@@ -2,9 +2,10 @@
 
 Such a registry learns of each live upstream from its next heartbeat. An upstream that died in the meantime sends no
 heartbeat, so readers would keep it forever. Readers therefore offer their records to the registry, which watches the
-upstreams that it does not know. An offered upstream without a heartbeat for one time-out of the failure detector has
-timed out. The registry never passes an offered upstream on to other readers as ready, because it may have left while
-the reader that offered it was cut off. Final states (draining, gone, timed out) are merged at once.
+upstreams that it does not know. The reader may keep using an offered upstream for one time-out of the failure detector;
+if no heartbeat arrives by then, the upstream has timed out. The registry never passes an offered upstream on to other
+readers as ready, because it may have left while the reader that offered it was cut off. Final states (draining, gone,
+timed out) are merged at once.
 """
 
 from __future__ import annotations
