--- a/packages/replication/src/larkweir_replication/leadership.py
+++ b/packages/replication/src/larkweir_replication/leadership.py
@@ -113,7 +113,7 @@
     def _on_heartbeat_ack(self, node: str, ack: HeartbeatAck, now_ms: float) -> None:
         self._lease.acknowledge(node, ack.round)
         if ack.accepts_deltas:
-            self._replicator.accept_deltas(node)
+            self._replicator.enable_deltas(node)
         self.on_accepted(node, ack.accepted, ack.sequence, now_ms)
         self._renew_lease()
 
--- a/packages/replication/src/larkweir_replication/membership.py
+++ b/packages/replication/src/larkweir_replication/membership.py
@@ -37,26 +37,26 @@
         return Step(current.members)
     newcomers = [node for node in candidates.standby if node not in current.members]
     if len(current.members) < target_count:
-        return _changed(current, leaving=None, newcomer=newcomers[0]) if newcomers else None
+        return _joint_step(current, leaving=None, newcomer=newcomers[0]) if newcomers else None
     if len(current.members) > target_count:
-        return _changed(current, leaving=_superfluous(current, primary, candidates), newcomer=None)
+        return _joint_step(current, leaving=_surplus_member(current, primary, candidates), newcomer=None)
     leaving = _first_member(current, [*candidates.leaving, *candidates.replaceable])
     if leaving is None or not newcomers:
         return None
-    return _changed(current, leaving, newcomers[0])
+    return _joint_step(current, leaving, newcomers[0])
 
 
 def _first_member(current: Snapshot, nodes: Sequence[str]) -> str | None:
     return next((node for node in nodes if node in current.members), None)
 
 
-def _superfluous(current: Snapshot, primary: str, candidates: Candidates) -> str:
+def _surplus_member(current: Snapshot, primary: str, candidates: Candidates) -> str:
     """A member that leaves or is silent, else the last by name that is not the primary."""
     named = _first_member(current, [*candidates.leaving, *candidates.removable])
     return named or max(node for node in current.members if node != primary)
 
 
-def _changed(current: Snapshot, leaving: str | None, newcomer: str | None) -> Step:
+def _joint_step(current: Snapshot, leaving: str | None, newcomer: str | None) -> Step:
     members = {*current.members} - {leaving}
     if newcomer is not None:
         members.add(newcomer)
--- a/packages/replication/src/larkweir_replication/state_replicator.py
+++ b/packages/replication/src/larkweir_replication/state_replicator.py
@@ -57,7 +57,7 @@
     def _has_base(self, node: str, delta: SnapshotDelta) -> bool:
         return node in self._accepts_deltas and self._durable_ranks.get(node) == delta.base_rank
 
-    def accept_deltas(self, node: str) -> None:
+    def enable_deltas(self, node: str) -> None:
         """That node has said that it accepts deltas."""
         self._accepts_deltas.add(node)
 
--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -81,7 +81,7 @@
         self._incarnation = 0
 
     @property
-    def running(self) -> Replica:
+    def running_replica(self) -> Replica:
         assert self.replica is not None
         return self.replica
 
@@ -158,18 +158,18 @@
             self.replica.receive(source, message, self.cluster.network.now_ms)
             self._run_effects(self.replica.take_effects())
 
-    def call(self, ticket: int, order: Command | None) -> None:
+    def call(self, ticket: int, requested: Command | None) -> None:
         """Takes an operator's call: submits it, or forwards it to the primary that this machine knows."""
         if self.replica is None or self.name in self.cluster.frozen:
             return
         if self.replica.status is ReplicaStatus.PRIMARY:
-            self._handle_call(self.name, Call(ticket, order))
+            self._handle_call(self.name, Call(ticket, requested))
         elif self.replica.primary is not None:
-            self._send(self.replica.primary, Call(ticket, order))
+            self._send(self.replica.primary, Call(ticket, requested))
 
     def _handle_call(self, source: str, call: Call) -> None:
         """Submits a call, as the primary or as a machine that another one believes to be it."""
-        replica, now_ms = self.running, self.cluster.network.now_ms
+        replica, now_ms = self.running_replica, self.cluster.network.now_ms
         self.cluster.requesters[call.ticket] = (source, self.name)
         if call.command is None:
             replica.read(call.ticket, now_ms)
@@ -220,7 +220,7 @@
         self.cluster.network.after(self.disk.sync_ms, lambda: self.disk.when_responsive(synced), self.name)
 
     def _synced(self, token: int, durable: DurableState) -> None:
-        replica = self.running
+        replica = self.running_replica
         self._writing = None
         if self.disk.full:
             replica.on_persist_failed(token)
@@ -235,14 +235,14 @@
 class Cluster:
     """Machines, operators' calls and the guarantees: call `check` at the end."""
 
-    def __init__(self, seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> None:
-        """`first`: so many machines form the first group, the others join it."""
+    def __init__(self, seed: int, size: int = 3, tolerance: int = 1, initial_member_count: int = 3) -> None:
+        """`initial_member_count`: so many machines form the first group, the others join it."""
         self.rng = Random(seed)
         self.network = Network(seed, delay_ms=(0.2, 4.0))
         self.sync_ms = 2.0  # of disks that are well
         names = [f"m{n}" for n in range(size)]
         self.seeds = tuple(names[:3])
-        self.first_members = tuple(names[:first])
+        self.first_members = tuple(names[:initial_member_count])
         self.target_member_count = 2 * tolerance + 1
         self.machines = {name: Machine(self, name, bootstrap=True) for name in names}
         self.frozen: set[str] = set()
@@ -340,7 +340,7 @@
         """What the primary knows to be committed; there must be one."""
         name = self.primary()
         assert name is not None, "no primary"
-        committed = self.machines[name].running.committed
+        committed = self.machines[name].running_replica.committed
         assert committed is not None
         return committed
 
@@ -348,8 +348,8 @@
         """The newest value that any machine has published."""
         return self.history[max(self.history)] if self.history else ""
 
-    def run(self, for_ms: float) -> None:
-        self.network.run(self.network.now_ms + for_ms)
+    def run(self, duration_ms: float) -> None:
+        self.network.run(self.network.now_ms + duration_ms)
 
     def assert_serves(self, within_ms: float = 4_000.0) -> None:
         """Sends a valid command as operators do, and asserts that it is acknowledged in time."""
--- a/packages/replication/tests/replication_disk.py
+++ b/packages/replication/tests/replication_disk.py
@@ -74,16 +74,16 @@
             cut = self.rng.randrange(prefix_bytes, len(intact))
             self.files.files = {**before, JOURNAL_FILE: intact[:cut]}
 
-    def when_responsive(self, then: Callable[[], None]) -> None:
-        """Calls `then` at once, or once the disk no longer stalls."""
+    def when_responsive(self, callback: Callable[[], None]) -> None:
+        """Calls `callback` at once, or once the disk no longer stalls."""
         if self.stalled:
-            self._stalled_writes.append(then)
+            self._stalled_writes.append(callback)
         else:
-            then()
+            callback()
 
-    def go_on(self) -> None:
+    def end_stall(self) -> None:
         """Ends the stall."""
         self.stalled = False
         waiting, self._stalled_writes = self._stalled_writes, []
-        for then in waiting:
-            then()
+        for callback in waiting:
+            callback()
--- a/packages/replication/tests/replication_faults.py
+++ b/packages/replication/tests/replication_faults.py
@@ -18,7 +18,7 @@
 class FaultInjector:
     """Injects faults that the group tolerates, or that only interrupt service; never loses too many disks."""
 
-    DISK_FAULTS = ("wipe", "flip", "replace_crashed")
+    DISK_FAULTS = ("wipe", "flip_bit", "replace_crashed")
     MACHINE_FAULTS = (
         "kill",
         "freeze",
@@ -30,12 +30,19 @@
         "stall",
         "full",
     )
-    CLUSTER_FAULTS = ("kill_all", "power_all", "halves", "planned", "planned", "new_seeds")
+    CLUSTER_FAULTS = (
+        "kill_all",
+        "power_loss_all",
+        "split_halves",
+        "planned_replacement",
+        "planned_replacement",
+        "new_seeds",
+    )
 
-    def __init__(self, cluster: Cluster, tolerance: int, only: tuple[str, ...] = ()) -> None:
-        """`only`: the kinds of faults to draw from; all where none is named."""
+    def __init__(self, cluster: Cluster, tolerance: int, fault_kinds: tuple[str, ...] = ()) -> None:
+        """`fault_kinds`: the kinds of faults to draw from; all where none is named."""
         self.cluster = cluster
-        self.only = only
+        self.fault_kinds = fault_kinds
         self.rng: Random = cluster.rng
         self.tolerance = tolerance
         # By machine that lost its disk: until when it counts as lost, so that it can catch up.
@@ -51,12 +58,12 @@
         kinds = [*self.MACHINE_FAULTS, *self.CLUSTER_FAULTS]
         if len(self._lost_disk_until_ms) < self.tolerance:
             kinds += self.DISK_FAULTS * 2
-        if self.only:
-            kinds = [kind for kind in kinds if kind in self.only] or kinds
+        if self.fault_kinds:
+            kinds = [kind for kind in kinds if kind in self.fault_kinds] or kinds
         kind = self.rng.choice(kinds)
         self.injected.append(f"{self.cluster.network.now_ms:.0f} {kind} {name}")
-        for_ms = self.rng.uniform(50.0, 3_000.0)
-        getattr(self, f"_{kind}")(self.cluster.machines[name], for_ms)
+        duration_ms = self.rng.uniform(50.0, 3_000.0)
+        getattr(self, f"_{kind}")(self.cluster.machines[name], duration_ms)
 
     def _update_lost_disks(self) -> None:
         """A machine that lost its disk counts as lost until it has recovered, and a while longer."""
@@ -70,7 +77,7 @@
                 del self._lost_disk_until_ms[name]
 
     def _is_member(self, machine: Machine) -> bool:
-        replica = machine.running
+        replica = machine.running_replica
         return (
             replica.status is not ReplicaStatus.RECOVERING
             and replica.is_member
@@ -80,32 +87,32 @@
     def _lose_disk(self, name: str) -> None:
         self._lost_disk_until_ms[name] = self.cluster.network.now_ms + RECOVERY_MS
 
-    def _start_later(self, machine: Machine, for_ms: float) -> None:
+    def _start_later(self, machine: Machine, duration_ms: float) -> None:
         def start() -> None:
             if self.cluster.machines.get(machine.name) is machine:
                 machine.start()
 
-        self.cluster.network.after(for_ms, start)
+        self.cluster.network.after(duration_ms, start)
 
     # Of one machine
 
-    def _kill(self, machine: Machine, for_ms: float) -> None:
+    def _kill(self, machine: Machine, duration_ms: float) -> None:
         machine.stop()
-        self._start_later(machine, for_ms)
+        self._start_later(machine, duration_ms)
 
-    def _wipe(self, machine: Machine, for_ms: float) -> None:
+    def _wipe(self, machine: Machine, duration_ms: float) -> None:
         machine.stop()
         machine.disk.wipe()
         self._lose_disk(machine.name)
-        self._start_later(machine, for_ms)
+        self._start_later(machine, duration_ms)
 
-    def _flip(self, machine: Machine, for_ms: float) -> None:
+    def _flip_bit(self, machine: Machine, duration_ms: float) -> None:
         machine.stop()
         if machine.disk.flip_bit():
             self._lose_disk(machine.name)
-        self._start_later(machine, for_ms)
+        self._start_later(machine, duration_ms)
 
-    def _freeze(self, machine: Machine, for_ms: float) -> None:
+    def _freeze(self, machine: Machine, duration_ms: float) -> None:
         if machine.replica is None or machine.name in self.cluster.frozen:
             return
         self.cluster.network.stop(machine.name)
@@ -115,69 +122,71 @@
             self.cluster.network.go_on(machine.name)
             self.cluster.frozen.discard(machine.name)
 
-        self.cluster.network.after(for_ms, thaw)
+        self.cluster.network.after(duration_ms, thaw)
 
-    def _cut(self, machine: Machine, for_ms: float) -> None:
+    def _cut(self, machine: Machine, duration_ms: float) -> None:
         isolate(self.cluster, machine.name)
-        self.cluster.network.after(for_ms, self.cluster.network.heal)
+        self.cluster.network.after(duration_ms, self.cluster.network.heal)
 
-    def _long_cut(self, machine: Machine, for_ms: float) -> None:
+    def _long_cut(self, machine: Machine, duration_ms: float) -> None:
         self._cut(machine, LONG_PARTITION_MS)
 
-    def _receive_nothing(self, machine: Machine, for_ms: float) -> None:
+    def _receive_nothing(self, machine: Machine, duration_ms: float) -> None:
         isolate(self.cluster, machine.name, outwards=False)
-        self.cluster.network.after(for_ms, self.cluster.network.heal)
+        self.cluster.network.after(duration_ms, self.cluster.network.heal)
 
-    def _reach_nobody(self, machine: Machine, for_ms: float) -> None:
+    def _reach_nobody(self, machine: Machine, duration_ms: float) -> None:
         isolate(self.cluster, machine.name, inwards=False)
-        self.cluster.network.after(for_ms, self.cluster.network.heal)
+        self.cluster.network.after(duration_ms, self.cluster.network.heal)
 
-    def _slow(self, machine: Machine, for_ms: float) -> None:
+    def _slow(self, machine: Machine, duration_ms: float) -> None:
         machine.disk.sync_ms = self.rng.choice([60.0, 600.0, 3_000.0])
-        self.cluster.network.after(for_ms, lambda: setattr(machine.disk, "sync_ms", self.cluster.sync_ms))
+        self.cluster.network.after(
+            duration_ms, lambda: setattr(machine.disk, "sync_ms", self.cluster.sync_ms)
+        )
 
-    def _stall(self, machine: Machine, for_ms: float) -> None:
+    def _stall(self, machine: Machine, duration_ms: float) -> None:
         machine.disk.stalled = True
-        self.cluster.network.after(for_ms, machine.disk.go_on)
+        self.cluster.network.after(duration_ms, machine.disk.end_stall)
 
-    def _full(self, machine: Machine, for_ms: float) -> None:
+    def _full(self, machine: Machine, duration_ms: float) -> None:
         machine.disk.full = True
-        self.cluster.network.after(for_ms, lambda: setattr(machine.disk, "full", False))
+        self.cluster.network.after(duration_ms, lambda: setattr(machine.disk, "full", False))
 
     # Of the whole
 
-    def _kill_all(self, _: Machine, for_ms: float) -> None:
+    def _kill_all(self, _: Machine, duration_ms: float) -> None:
         for machine in self.cluster.machines.values():
             if machine.replica is not None:
                 machine.stop()
-                self._start_later(machine, self.rng.uniform(0.2, 1.0) * for_ms)
+                self._start_later(machine, self.rng.uniform(0.2, 1.0) * duration_ms)
 
-    def _power_all(self, _: Machine, for_ms: float) -> None:
+    def _power_loss_all(self, _: Machine, duration_ms: float) -> None:
         """All running machines lose power; they restart one after the other."""
-        self._kill_all(_, 3.0 * for_ms)
+        self._kill_all(_, 3.0 * duration_ms)
 
-    def _halves(self, _: Machine, for_ms: float) -> None:
+    def _split_halves(self, _: Machine, duration_ms: float) -> None:
         names = sorted(self.cluster.machines)
         self.rng.shuffle(names)
         half = len(names) // 2
         self.cluster.network.split([names[:half], names[half:]])
-        self.cluster.network.after(for_ms, self.cluster.network.heal)
+        self.cluster.network.after(duration_ms, self.cluster.network.heal)
 
-    def _new_seeds(self, _: Machine, for_ms: float) -> None:
+    def _new_seeds(self, _: Machine, duration_ms: float) -> None:
         """Machines that start later have other seeds."""
         names = sorted(self.cluster.machines)
         self.cluster.seeds = tuple(self.rng.sample(names, min(3, len(names))))
 
-    def _replace_crashed(self, machine: Machine, for_ms: float) -> None:
+    def _replace_crashed(self, machine: Machine, duration_ms: float) -> None:
         """Removes the machine for good; an empty one starts later."""
         if len(self.cluster.machines) <= self.cluster.target_member_count - 1:
             return
         self.cluster.remove_machine(machine.name)
         newcomer = self.cluster.add_machine()
         self._lose_disk(newcomer.name)
-        self._start_later(newcomer, for_ms)
+        self._start_later(newcomer, duration_ms)
 
-    def _planned(self, machine: Machine, for_ms: float) -> None:
+    def _planned_replacement(self, machine: Machine, duration_ms: float) -> None:
         """An empty machine starts, then another is asked to leave."""
         if self._lost_disk_until_ms or machine.replica is None:
             return
@@ -200,7 +209,7 @@
         for machine in list(self.cluster.machines.values()):
             machine.disk.full = False
             machine.disk.sync_ms = self.cluster.sync_ms
-            machine.disk.go_on()
+            machine.disk.end_stall()
             self.cluster.network.go_on(machine.name)
             machine.start()
         self.cluster.frozen.clear()
@@ -215,20 +224,20 @@
         self.cluster = cluster
         self.name = name
         self.count = 0
-        self.open: str | None = None
+        self.open_command: str | None = None
         self.sent: list[str] = []
 
     def act(self) -> None:
         """Sends its open command, perhaps an old one too, and reads."""
         cluster = self.cluster
-        if self.open in cluster.acknowledged or self.open in cluster.rejected:
-            self.open = None
-        if self.open is None:
+        if self.open_command in cluster.acknowledged or self.open_command in cluster.rejected:
+            self.open_command = None
+        if self.open_command is None:
             self.count += 1
-            self.open = f"{len(changes_in(cluster.newest()))}:{self.name}{self.count}"
-            self.sent.append(self.open)
+            self.open_command = f"{len(changes_in(cluster.newest()))}:{self.name}{self.count}"
+            self.sent.append(self.open_command)
         for name in cluster.rng.sample(sorted(cluster.machines), len(cluster.machines)):
-            cluster.submit(name, self.open)
+            cluster.submit(name, self.open_command)
             if cluster.rng.random() < 0.7:
                 break
         if cluster.rng.random() < self.REPEAT_CHANCE:
@@ -243,22 +252,22 @@
     seed: int
     size: int = 3
     tolerance: int = 1
-    first: int = 3
+    initial_member_count: int = 3
     steps: int = 60
     is_dense: bool = False  # orders every few milliseconds, hundreds in all
-    only: tuple[str, ...] = ()  # kinds of trouble to draw from
+    fault_kinds: tuple[str, ...] = ()  # kinds of trouble to draw from
     fault_probability: float = 0.2  # at each step
     sync_ms: float = 2.0  # of all disks that are well
 
 
 def run_trial(trial: Trial) -> Cluster:
     """Runs it and checks the guarantees throughout, and the service whenever no fault is injected for a while."""
-    cluster = Cluster(trial.seed, trial.size, trial.tolerance, trial.first)
+    cluster = Cluster(trial.seed, trial.size, trial.tolerance, trial.initial_member_count)
     cluster.network.lost = cluster.rng.choice([0.0, 0.0, 0.02, 0.1])
     cluster.sync_ms = trial.sync_ms
     for machine in cluster.machines.values():
         machine.disk.sync_ms = trial.sync_ms
-    injector = FaultInjector(cluster, trial.tolerance, trial.only)
+    injector = FaultInjector(cluster, trial.tolerance, trial.fault_kinds)
     operators = [Operator(cluster, name) for name in ("a", "b")]
     cluster.run(3_000.0)
     for step in range(trial.steps):
--- a/packages/replication/tests/replication_scenarios.py
+++ b/packages/replication/tests/replication_scenarios.py
@@ -38,8 +38,8 @@
     return primary, backup, third
 
 
-def stable_cluster(seed: int, size: int = 3, tolerance: int = 1, first: int = 3) -> Cluster:
+def stable_cluster(seed: int, size: int = 3, tolerance: int = 1, initial_member_count: int = 3) -> Cluster:
     """A cluster that has found its primary."""
-    cluster = Cluster(seed, size, tolerance, first)
+    cluster = Cluster(seed, size, tolerance, initial_member_count)
     cluster.run(3_000.0)
     return cluster
--- a/packages/replication/tests/test_replication_acceptor.py
+++ b/packages/replication/tests/test_replication_acceptor.py
@@ -105,7 +105,7 @@
     return msgspec.structs.replace(base, sequence=sequence, value=value)
 
 
-def test_a_delta_is_accepted_on_its_base_alone(state: ReplicaState) -> None:
+def test_a_delta_is_accepted_only_on_its_base(state: ReplicaState) -> None:
     base, later = changed(snapshot(3), 3, "{a}{b}"), changed(snapshot(3), 4, "{a}{c}")
     delta = make_delta(base, later)
     assert delta is not None
--- a/packages/replication/tests/test_replication_cluster_leadership.py
+++ b/packages/replication/tests/test_replication_cluster_leadership.py
@@ -8,7 +8,7 @@
 from replication_scenarios import isolate, primary_of, stable_cluster
 
 
-def test_a_calm_cluster_acknowledges_and_reads_back() -> None:
+def test_a_cluster_without_faults_acknowledges_commands_and_reads_them() -> None:
     cluster = stable_cluster(1)
     primary = primary_of(cluster)
     cluster.submit(primary, "0:x")
@@ -52,21 +52,21 @@
     cluster = stable_cluster(6)
     primary = primary_of(cluster)
     others = sorted(set(cluster.machines) - {primary})
-    epoch = cluster.machines[primary].running.promised
+    epoch = cluster.machines[primary].running_replica.promised
     cluster.submit(primary, f"0:{'x' * 4_000_000}")
     for name in others:
         cluster.network.cut(primary, name)
     for _ in range(50):
         cluster.run(20.0)
         for name in others:
-            cluster.machines[name].running.on_partial_message(primary, cluster.network.now_ms)
+            cluster.machines[name].running_replica.on_partial_message(primary, cluster.network.now_ms)
     cluster.network.heal()
     for name in others:
-        cluster.machines[primary].running.on_reconnected(name)
+        cluster.machines[primary].running_replica.on_reconnected(name)
     cluster.run(100.0)
     assert cluster.acknowledged, "the first transfer was enough"
     assert cluster.primary() == primary
-    assert cluster.machines[primary].running.promised == epoch
+    assert cluster.machines[primary].running_replica.promised == epoch
     cluster.run(2_000.0)
     for name in others:
         cluster.network.cut(primary, name)
@@ -74,7 +74,7 @@
     assert cluster.primary() in others, "one that sends nothing is replaced all the same"
 
 
-def test_an_order_of_long_ago_is_acknowledged_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_old_command_is_acknowledged_again(monkeypatch: pytest.MonkeyPatch) -> None:
     cluster = stable_cluster(7)
     primary = primary_of(cluster)
     for number in range(1_500):
@@ -87,7 +87,9 @@
     assert "0:x0" in cluster.acknowledged
 
 
-def test_an_order_older_than_memory_gets_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_command_older_than_the_remembered_ones_has_an_unknown_outcome(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(commands, "MAX_APPLIED_COMMANDS", 10)
     cluster = stable_cluster(8)
     primary = primary_of(cluster)
@@ -105,7 +107,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_controller_cut_off_for_twenty_seconds(seed: int) -> None:
+def test_a_machine_isolated_for_twenty_seconds_confirms_nothing_and_catches_up(seed: int) -> None:
     """It neither confirms nor refuses, nor reads, and follows at once when it is back, hundreds of changes behind."""
     cluster = stable_cluster(seed)
     away = primary_of(cluster) if seed % 2 else sorted(cluster.machines)[0]
@@ -123,6 +125,6 @@
         cluster.run(20.0)
     cluster.network.heal()
     cluster.run(2_000.0)
-    assert cluster.machines[away].running.committed == cluster.committed()
+    assert cluster.machines[away].running_replica.committed == cluster.committed()
     assert len(changes_in(cluster.newest())) >= 50
     cluster.check()
--- a/packages/replication/tests/test_replication_cluster_membership.py
+++ b/packages/replication/tests/test_replication_cluster_membership.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_after_a_planned_replacement_one_more_may_stop_at_once(seed: int) -> None:
+def test_another_machine_may_stop_right_after_a_planned_replacement(seed: int) -> None:
     """The newcomer first, then SIGTERM; the moment the old machine has ended, another stops."""
     cluster = stable_cluster(seed)
     cluster.submit(primary_of(cluster), "0:x")
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_machine_that_leaves_may_have_the_only_other_replica(seed: int) -> None:
+def test_a_leaving_machine_may_hold_the_only_other_copy_of_a_change(seed: int) -> None:
     """A change is on two disks of three; one of the two leaves, the other loses its disk behind it."""
     cluster = stable_cluster(seed)
     primary, backup, third = roles_of(cluster)
@@ -47,7 +47,7 @@
     cluster.machines[backup].leave()
     run_until(cluster, lambda one: one.machines[backup].replica is None, within_ms=2_000.0)
     cluster.remove_machine(backup)
-    cluster.machines[third].disk.go_on()
+    cluster.machines[third].disk.end_stall()
     cluster.run(4_000.0)
     cluster.machines[primary].stop()
     cluster.machines[primary].disk.wipe()
@@ -82,7 +82,7 @@
     cluster.check()
 
 
-def test_two_replacements_in_a_row() -> None:
+def test_all_members_are_replaced_one_after_another() -> None:
     for seed in range(10):
         cluster = stable_cluster(seed)
         for leaving in ("m0", "m1", "m2"):
@@ -95,7 +95,7 @@
         assert cluster.committed().members == ("m3", "m4", "m5")
 
 
-def test_a_plain_restart_remains_a_member() -> None:
+def test_a_restarted_machine_remains_a_member() -> None:
     cluster = stable_cluster(5)
     for name in ("m0", "m1", "m2"):
         cluster.machines[name].leave()
@@ -107,7 +107,7 @@
     assert cluster.committed().members == ("m0", "m1", "m2")
 
 
-def test_machines_that_all_receive_a_stop_serve_until_they_end() -> None:
+def test_machines_that_are_all_stopped_serve_until_they_exit() -> None:
     for seed in range(10):
         cluster = stable_cluster(seed)
         for machine in cluster.machines.values():
@@ -128,7 +128,7 @@
     members = cluster.committed().members
     assert len(members) == 3
     assert cut_off not in members
-    replica = cluster.machines[cut_off].running
+    replica = cluster.machines[cut_off].running_replica
     assert replica.status is ReplicaStatus.FOLLOWER
     cluster.assert_serves()
     cluster.run(300.0)
@@ -155,7 +155,7 @@
     cluster.machines[first].start()
     run_until(cluster, lambda one: one.primary() is not None)
     while cluster.primary() != newcomer.name:
-        cluster.machines[primary_of(cluster)].running.resign(cluster.network.now_ms)
+        cluster.machines[primary_of(cluster)].running_replica.resign(cluster.network.now_ms)
         cluster.run(1_000.0)
     cluster.network.heal()
     cluster.run(4_000.0)
@@ -167,7 +167,7 @@
 def test_losses_after_a_newcomer_took_the_place_of_a_partitioned_member(seed: int, tolerance: int) -> None:
     """Nobody stands by for the member that leaves by plan; then the group loses as many as it tolerates, for good."""
     size = 2 * tolerance + 1
-    cluster = stable_cluster(seed, size, tolerance, first=size)
+    cluster = stable_cluster(seed, size, tolerance, initial_member_count=size)
     names = sorted(cluster.machines)
     leaving, partitioned, *others = cluster.rng.sample(names, size)
     isolate(cluster, partitioned)
--- a/packages/replication/tests/test_replication_cluster_recovery.py
+++ b/packages/replication/tests/test_replication_cluster_recovery.py
@@ -11,7 +11,7 @@
     cluster = stable_cluster(7)
     primary, backup, third = roles_of(cluster)
     cluster.machines[backup].disk.stalled = True
-    replica = cluster.machines[backup].running
+    replica = cluster.machines[backup].running_replica
     epoch_before = replica.promised
     cluster.machines[third].stop()
     cluster.submit(primary, "0:x")
@@ -22,7 +22,7 @@
     cluster.run(1_500.0)
     assert replica.promised > epoch_before, "it has been asked"
     assert cluster.primary() is None, "the promise is on no disk yet"
-    cluster.machines[backup].disk.go_on()
+    cluster.machines[backup].disk.end_stall()
     cluster.assert_serves()
 
 
@@ -112,7 +112,7 @@
         assert machine.disk.flip_bit()
     machine.start()
     cluster.run(2_000.0)
-    assert machine.running.committed == cluster.committed()
+    assert machine.running_replica.committed == cluster.committed()
     for name in cluster.machines:
         if name != late and name == primary_of(cluster):
             cluster.machines[name].stop()
--- a/packages/replication/tests/test_replication_confirmation.py
+++ b/packages/replication/tests/test_replication_confirmation.py
@@ -24,5 +24,5 @@
     assert confirmations.confirm(9, snapshot(3)) == []
 
 
-def test_at_the_end_of_the_term_nothing_is_known() -> None:
+def test_abandoned_answers_have_an_unknown_outcome() -> None:
     assert queue().abandon() == [ReadFinished(6, None), CommandFinished(7, CommandOutcome.UNKNOWN)]
--- a/packages/replication/tests/test_replication_departure.py
+++ b/packages/replication/tests/test_replication_departure.py
@@ -19,7 +19,7 @@
     return departure
 
 
-def test_a_node_that_does_not_leave_goes_on() -> None:
+def test_a_node_that_does_not_leave_has_no_departure_reason() -> None:
     departure = Departure(state_of(), TIMING)
     assert departure.reason((), 1e9) is None
     assert not departure.is_begun
@@ -32,25 +32,25 @@
     assert departure.reason(None, 1.0) is DepartureReason.REPLACED
 
 
-def test_a_restart_ends_once_a_newcomer_had_time_to_take_the_place() -> None:
+def test_a_restarting_node_ends_after_the_minimum_wait_for_a_newcomer() -> None:
     departure = leaving(state_of())
     assert departure.reason((), 999.0) is None
     assert departure.reason((), 1_000.0) is DepartureReason.OTHERS_REACHABLE
 
 
-def test_the_only_member_ends_without_a_primary() -> None:
+def test_a_sole_member_ends_without_a_primary() -> None:
     departure = leaving(state_of(accepted=snapshot(members=("a",))))
     assert departure.reason(None, 1_000.0) is DepartureReason.OTHERS_REACHABLE
 
 
 @pytest.mark.parametrize("unreachable", [None, ("b",)])
-def test_it_goes_on_while_the_others_are_not_all_there(unreachable: tuple[str, ...] | None) -> None:
+def test_a_leaving_node_stays_while_others_are_unreachable(unreachable: tuple[str, ...] | None) -> None:
     departure = leaving(state_of())
     assert departure.reason(unreachable, 4_999.0) is None
     assert departure.reason(unreachable, 5_000.0) is DepartureReason.TIMED_OUT
 
 
-def test_it_goes_on_after_a_newcomer_took_the_place_of_another_one() -> None:
+def test_a_leaving_node_stays_after_a_newcomer_replaced_another_member() -> None:
     state = state_of()
     departure = Departure(state, TIMING)
     departure.observe_members(0.0)
@@ -61,7 +61,7 @@
     assert departure.reason((), 10_500.0) is DepartureReason.OTHERS_REACHABLE
 
 
-def test_it_goes_on_during_a_change_of_members() -> None:
+def test_a_leaving_node_stays_during_a_change_of_members() -> None:
     state = state_of()
     departure = leaving(state)
     current = snapshot(1)
@@ -69,7 +69,7 @@
     assert departure.reason((), 1_000.0) is None
 
 
-def test_the_first_call_counts() -> None:
+def test_only_the_first_call_of_begin_counts() -> None:
     departure = leaving(state_of())
     departure.begin(4_000.0)
     assert departure.reason(None, 5_000.0) is DepartureReason.TIMED_OUT
--- a/packages/replication/tests/test_replication_election.py
+++ b/packages/replication/tests/test_replication_election.py
@@ -26,7 +26,7 @@
     assert not election.is_current_round(1)
 
 
-def test_grants_of_nodes_that_are_no_members_are_no_votes(election: Election) -> None:
+def test_grants_of_non_members_are_not_votes(election: Election) -> None:
     election.begin_pre_vote()
     assert not election.add_grant("d")
 
@@ -51,7 +51,7 @@
     assert election._state.accepted == snapshot(4, epoch=Epoch(2, "a"))
 
 
-def test_members_that_only_a_newer_state_names_receive_requests_too(election: Election) -> None:
+def test_members_named_only_in_a_newer_state_receive_requests_too(election: Election) -> None:
     election.prepare(0.0)
     election.add_promise("a", snapshot(3))
     election._state.take_effects()
--- a/packages/replication/tests/test_replication_golden_bytes.py
+++ b/packages/replication/tests/test_replication_golden_bytes.py
@@ -134,12 +134,12 @@
 
 
 @pytest.mark.parametrize(("message", "written"), MESSAGES, ids=lambda one: type(one).__name__)
-def test_a_message_is_these_bytes(message: Message, written: bytes) -> None:
+def test_a_message_encodes_to_the_golden_bytes(message: Message, written: bytes) -> None:
     assert msgspec.json.encode(message) == written
     assert msgspec.json.decode(written, type=Message) == message
 
 
-def test_every_message_is_among_them() -> None:
+def test_every_message_type_has_golden_bytes() -> None:
     assert {type(message) for message, _ in MESSAGES} == set(typing.get_args(Message))
 
 
@@ -148,7 +148,7 @@
     assert msgspec.json.decode(written, type=Message) == PreVoteReply(7, False, NO_EPOCH)
 
 
-def test_a_command_is_these_bytes() -> None:
+def test_a_command_encodes_to_the_golden_bytes() -> None:
     command, written = Command("sha-c", 8, "{}"), b'{"identity":"sha-c","base":8,"text":"{}"}'
     assert msgspec.json.encode(command) == written
     assert msgspec.json.decode(written, type=Command) == command
@@ -167,7 +167,7 @@
     return {file.name: file.read_bytes() for file in folder.iterdir()}
 
 
-def test_a_file_is_these_lines(tmp_path: Path) -> None:
+def test_a_journal_file_has_the_golden_lines(tmp_path: Path) -> None:
     folder = tmp_path / "replica"
     journal = Journal(FolderFiles(str(folder)))
     for record in (FIRST_RECORD, PROMISE_RECORD, STANDBY_RECORD):
@@ -222,7 +222,7 @@
     assert found(tmp_path) == {"replica.log": PROMISE_LINE, "replica.log.damaged": damaged}
 
 
-def test_a_folder_with_the_damaged_file_alone_has_lost_its_memory(tmp_path: Path) -> None:
+def test_a_folder_with_only_a_damaged_file_must_recover(tmp_path: Path) -> None:
     (tmp_path / "replica.log.damaged").write_bytes(INTACT_FILE)
     journal = Journal(FolderFiles(str(tmp_path)))
     assert (journal.newest, journal.is_damaged, journal.last_known_members) == (None, True, ())
--- a/packages/replication/tests/test_replication_journal.py
+++ b/packages/replication/tests/test_replication_journal.py
@@ -117,7 +117,7 @@
     return files, starts
 
 
-def test_a_bit_flipped_before_the_last_record_loses_the_memory() -> None:
+def test_a_bit_flipped_before_the_last_record_marks_the_journal_damaged() -> None:
     """Whichever bit it is: no older record is taken for the newest."""
     files, starts = written(4)
     intact = files.files[JOURNAL_FILE]
@@ -143,7 +143,7 @@
         assert Journal(files).newest == durable(3)
 
 
-def test_a_block_lost_in_the_middle_loses_the_memory() -> None:
+def test_a_block_lost_in_the_middle_marks_the_journal_damaged() -> None:
     files, starts = written(6)
     intact = files.files[JOURNAL_FILE]
     for start in range(0, starts[-1] - 40, 7):
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("steps", range(4))
-def test_a_crash_at_each_step_of_beginning_anew(steps: int) -> None:
+def test_a_crash_at_each_step_of_starting_a_new_file(steps: int) -> None:
     files, starts = written(4)
     damaged = bytearray(files.files[JOURNAL_FILE])
     damaged[starts[2] + 20] ^= 1
@@ -190,7 +190,7 @@
     assert Journal(files).newest == durable(11)
 
 
-def test_a_record_of_another_format_is_no_record() -> None:
+def test_a_record_of_another_format_is_ignored() -> None:
     files, _ = written(1)
     body = b'2 {"neither": 1}'
     files.files[JOURNAL_FILE] += b"%08x %s\n" % (zlib.crc32(body), body)
--- a/packages/replication/tests/test_replication_leader_lease.py
+++ b/packages/replication/tests/test_replication_leader_lease.py
@@ -19,7 +19,7 @@
     return lease
 
 
-def test_a_majority_renews_it_from_when_the_round_was_sent(lease: LeaderLease) -> None:
+def test_a_majority_renews_the_lease_from_the_time_the_round_was_sent(lease: LeaderLease) -> None:
     assert lease.renew(snapshot()) is None
     assert not lease.is_valid(1_000.0)
     lease.acknowledge("b", 1)
@@ -36,7 +36,7 @@
     assert lease.renew(changing) == 1
 
 
-def test_a_late_acknowledgement_of_an_old_round_takes_nothing_back(lease: LeaderLease) -> None:
+def test_a_late_acknowledgement_of_an_old_round_does_not_shorten_the_lease(lease: LeaderLease) -> None:
     lease.acknowledge("a", lease.begin_round(1_100.0))
     lease.acknowledge("b", 2)
     lease.acknowledge("b", 1)
--- a/packages/replication/tests/test_replication_membership.py
+++ b/packages/replication/tests/test_replication_membership.py
@@ -39,7 +39,7 @@
     assert step == (None if following is None else Step(tuple(following), tuple(members)))
 
 
-def test_the_primary_is_not_the_superfluous_one() -> None:
+def test_the_primary_is_not_dropped_as_surplus() -> None:
     step = next_step(snapshot(members=("a", "b", "c", "d")), TARGET, "d", candidates())
     assert step == Step(("a", "b", "d"), ("a", "b", "c", "d"))
 
--- a/packages/replication/tests/test_replication_planted.py
+++ b/packages/replication/tests/test_replication_planted.py
@@ -44,7 +44,7 @@
 MAX_TRIALS = 150
 ANY_TRIAL = Trial(0)
 POWER_LOST_ON_SLOW_DISKS = Trial(
-    0, only=("kill", "power_all", "kill_all"), sync_ms=60.0, fault_probability=0.3
+    0, fault_kinds=("kill", "power_loss_all", "kill_all"), sync_ms=60.0, fault_probability=0.3
 )
 Patch = Callable[[pytest.MonkeyPatch], None]
 
@@ -73,14 +73,14 @@
 
     patch.setattr(Snapshot, "has_quorum", has_quorum)
     # One step less: the next members alone decide on their own coming.
-    patch.setattr(member_tracker, "next_step", _several_at_once)
+    patch.setattr(member_tracker, "next_step", _change_several_members)
 
 
-def _several_at_once(current: Snapshot, wanted: int, primary: str, candidates: Any) -> Any:
+def _change_several_members(current: Snapshot, target_count: int, primary: str, candidates: Any) -> Any:
     newcomers = [node for node in candidates.standby if node not in current.members]
     members = sorted(
         {primary, *newcomers, *current.members} - {*candidates.replaceable, *candidates.leaving}
-    )[:wanted]
+    )[:target_count]
     if not newcomers or primary not in members or tuple(members) == current.members:
         return None
     return Step(tuple(members))
@@ -149,7 +149,7 @@
     patch.setattr(Leadership, "read", read)
 
 
-def refusals_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
+def rejections_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
     original = Leadership._start_command
 
     def start_command(self: Leadership, pending: PendingCommand, now_ms: float) -> bool:
@@ -161,11 +161,11 @@
     patch.setattr(Leadership, "_start_command", start_command)
 
 
-def one_answer_recovers_a_memory(patch: pytest.MonkeyPatch) -> None:
+def one_reply_is_enough_to_recover(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Recovery, "_has_enough_replies", lambda self, group: bool(self._replies))
 
 
-def damage_is_taken_for_a_torn_tail(patch: pytest.MonkeyPatch) -> None:
+def damage_is_treated_as_a_torn_tail(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Journal, "_discard_untrusted", lambda self: None)
 
 
@@ -180,7 +180,7 @@
     )
 
 
-def what_is_forgotten_is_refused(patch: pytest.MonkeyPatch) -> None:
+def forgotten_commands_are_rejected(patch: pytest.MonkeyPatch) -> None:
     original = commands.with_command_applied
     patch.setattr(commands, "MAX_APPLIED_COMMANDS", 10)
     patch.setattr(
@@ -215,7 +215,7 @@
     patch.setattr(Replica, "_become", become)
 
 
-def a_wiped_disk_votes(patch: pytest.MonkeyPatch) -> None:
+def a_replica_with_a_wiped_disk_votes(patch: pytest.MonkeyPatch) -> None:
     def start(self: Replica, stored: Any, first_members: Any, now_ms: float) -> None:
         if stored is None and first_members is None:
             first_members = tuple(sorted(self.known_nodes))[:3]
@@ -236,7 +236,7 @@
     patch.setattr(ReplicaState, "persist_if_missing", persist_if_missing)
 
 
-def a_leaving_node_takes_each_end_for_a_restart(patch: pytest.MonkeyPatch) -> None:
+def a_leaving_node_does_not_check_the_others(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Departure, "_are_others_stable", lambda self, unreachable, now_ms: True)
 
 
@@ -253,7 +253,7 @@
 FAULTS = [
     PlantedFault("half is a majority", half_is_a_majority),
     PlantedFault(
-        "the group before a change is not asked",
+        "the previous members have no vote",
         the_previous_members_have_no_vote,
         scenario=lambda: membership_scenarios.test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(
             0
@@ -270,21 +270,21 @@
         POWER_LOST_ON_SLOW_DISKS,
     ),
     PlantedFault("lower epochs are served", lower_epochs_are_served),
-    PlantedFault("a candidate keeps its own state", a_candidate_ignores_newer_states),
+    PlantedFault("a candidate ignores newer states", a_candidate_ignores_newer_states),
     PlantedFault("reads are not confirmed", reads_are_not_confirmed),
-    PlantedFault("refusals are not confirmed", refusals_are_not_confirmed),
-    PlantedFault("one answer recovers a memory", one_answer_recovers_a_memory),
-    PlantedFault("damage is taken for a torn tail", damage_is_taken_for_a_torn_tail),
+    PlantedFault("rejections are not confirmed", rejections_are_not_confirmed),
+    PlantedFault("one reply is enough to recover", one_reply_is_enough_to_recover),
+    PlantedFault("damage is treated as a torn tail", damage_is_treated_as_a_torn_tail),
     PlantedFault("commands are not remembered", commands_are_not_remembered),
-    PlantedFault("what is forgotten is refused", what_is_forgotten_is_refused),
+    PlantedFault("forgotten commands are rejected", forgotten_commands_are_rejected),
     PlantedFault("committed without a majority", committed_without_a_majority),
     PlantedFault("an epoch is used twice", an_epoch_is_used_twice),
-    PlantedFault("a wiped disk votes", a_wiped_disk_votes),
-    PlantedFault("the own disk is not asked again", the_primary_does_not_retry_its_own_write),
+    PlantedFault("a replica with a wiped disk votes", a_replica_with_a_wiped_disk_votes),
+    PlantedFault("the primary does not retry its own write", the_primary_does_not_retry_its_own_write),
     PlantedFault("deltas are applied to any base", deltas_are_applied_to_any_base),
     PlantedFault(
-        "each planned end is taken for a restart",
-        a_leaving_node_takes_each_end_for_a_restart,
+        "a leaving node does not check the others",
+        a_leaving_node_does_not_check_the_others,
         scenario=lambda: (
             membership_scenarios.test_losses_after_a_newcomer_took_the_place_of_a_partitioned_member(0, 1)
         ),
@@ -293,7 +293,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_seeded_trials_find_it(fault: PlantedFault, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_seeded_trials_find_the_fault(fault: PlantedFault, monkeypatch: pytest.MonkeyPatch) -> None:
     fault.plant(monkeypatch)
     if fault.scenario is not None:
         with pytest.raises(AssertionError):
--- a/packages/replication/tests/test_replication_recovery.py
+++ b/packages/replication/tests/test_replication_recovery.py
@@ -35,7 +35,7 @@
     assert state.durability.has_pending_writes
 
 
-def test_one_that_was_no_member_needs_a_majority(state: ReplicaState) -> None:
+def test_a_node_that_was_not_a_member_needs_a_majority(state: ReplicaState) -> None:
     recovery = Recovery(state, Random(1))
     nonce = request(recovery, state)
     others = snapshot(4, members=("b", "c", "d"))
@@ -53,7 +53,7 @@
     assert state.accepted is None
 
 
-def test_answers_behind_the_first_that_was_enough_are_ignored(state: ReplicaState) -> None:
+def test_answers_after_a_successful_recovery_are_ignored(state: ReplicaState) -> None:
     recovery = Recovery(state, Random(1))
     nonce = request(recovery, state)
     recovery.on_reply("b", RecoverReply(nonce, Epoch(1, "a"), snapshot(4)))
--- a/packages/replication/tests/test_replication_snapshot_delta.py
+++ b/packages/replication/tests/test_replication_snapshot_delta.py
@@ -30,7 +30,7 @@
     assert make_edits("", "") == ()
 
 
-def test_what_stands_several_times_in_the_old_text_is_copied_in_runs() -> None:
+def test_repeated_pieces_of_the_old_text_are_copied_in_runs() -> None:
     old = "{x}{x}{x}{y}{x}{x}"
     assert make_edits(old, old + "{new}") == (TextEdit(0, len(old), "{new}"),)
 
@@ -49,7 +49,7 @@
         assert apply_delta(before, msgspec.json.decode(msgspec.json.encode(delta), type=type(delta))) == after
 
 
-def test_a_change_of_members_is_a_delta_too() -> None:
+def test_a_change_of_members_can_be_sent_as_a_delta() -> None:
     before = msgspec.structs.replace(snapshot(3), value="{a}")
     after = msgspec.structs.replace(before, sequence=4, members=("a", "d"), previous_members=before.members)
     delta = make_delta(before, after)
@@ -57,7 +57,7 @@
     assert apply_delta(before, delta) == after
 
 
-def test_another_base_is_refused() -> None:
+def test_a_delta_for_another_base_is_refused() -> None:
     before, after = snapshot(3), msgspec.structs.replace(snapshot(3), sequence=4, value="x")
     delta = make_delta(before, after)
     assert delta is not None
@@ -74,7 +74,7 @@
         apply_delta(msgspec.structs.replace(before, value="y"), msgspec.structs.replace(delta, edits=()))
 
 
-def test_there_is_no_delta_between_states_that_do_not_follow_each_other() -> None:
+def test_unrelated_states_have_no_delta() -> None:
     before = other = snapshot(3)
     for base in range(3):
         before = with_command_applied(before, "x", Command(f"one-{base}", base, ""))
--- a/packages/replication/tests/test_replication_state_replicator.py
+++ b/packages/replication/tests/test_replication_state_replicator.py
@@ -35,7 +35,7 @@
     assert replicator.proposal is None
 
 
-def test_what_is_not_acknowledged_is_sent_again(state: ReplicaState, replicator: StateReplicator) -> None:
+def test_an_unacknowledged_state_is_sent_again(state: ReplicaState, replicator: StateReplicator) -> None:
     replicator.propose(snapshot(4), None, 0.0)
     replicator.on_accepted("b", EPOCH, 4, 1.0)
     state.take_effects()
@@ -45,7 +45,7 @@
     assert sent(state.take_effects()) == [("c", Replicate(snapshot(4), -1))]
 
 
-def test_a_large_state_has_longer(state: ReplicaState, replicator: StateReplicator) -> None:
+def test_a_large_state_has_a_longer_resend_interval(state: ReplicaState, replicator: StateReplicator) -> None:
     large = msgspec.structs.replace(snapshot(4), value="x" * TRANSFER_BYTES_PER_MS * 100)
     replicator.propose(large, None, 0.0)
     state.take_effects()
@@ -71,9 +71,7 @@
     assert state.take_effects() == []
 
 
-def test_the_own_write_that_was_refused_is_begun_again(
-    state: ReplicaState, replicator: StateReplicator
-) -> None:
+def test_a_failed_local_write_is_retried(state: ReplicaState, replicator: StateReplicator) -> None:
     replicator.propose(snapshot(4), None, 0.0)
     state.take_effects()
     state.durability.fail_write(1)
@@ -91,7 +89,7 @@
     delta = make_delta(snapshot(3), later)
     assert delta is not None
     for node in ("b", "c"):
-        replicator.accept_deltas(node)
+        replicator.enable_deltas(node)
     replicator.on_accepted("b", EPOCH, 3, 0.0)
     replicator.propose(later, None, 1.0)
     assert sent(state.take_effects()) == [("b", ReplicateDelta(delta, -1)), ("c", Replicate(later, -1))]
@@ -99,17 +97,17 @@
     assert sent(state.take_effects()) == [(node, Replicate(later, -1)) for node in ("b", "c")]
 
 
-def test_a_node_that_does_not_know_deltas_is_sent_none(
+def test_a_node_that_does_not_accept_deltas_is_sent_the_whole_state(
     state: ReplicaState, replicator: StateReplicator
 ) -> None:
-    replicator.accept_deltas("c")
+    replicator.enable_deltas("c")
     replicator.on_accepted("b", EPOCH, 3, 0.0)
     replicator.propose(snapshot(4), None, 1.0)
     assert sent(state.take_effects()) == [(node, Replicate(snapshot(4), -1)) for node in ("b", "c")]
 
 
 def test_a_delta_is_not_sent_on_a_new_connection(state: ReplicaState, replicator: StateReplicator) -> None:
-    replicator.accept_deltas("b")
+    replicator.enable_deltas("b")
     replicator.on_accepted("b", EPOCH, 3, 0.0)
     replicator.on_reconnected("b")
     replicator.propose(snapshot(4), None, 1.0)
