--- a/packages/replication/src/larkweir_replication/__init__.py
+++ b/packages/replication/src/larkweir_replication/__init__.py
@@ -1,1 +1,1 @@
-"""One value that a few machines replicate: a primary, backups, and epochs that fence old primaries."""
+"""Replicates one value on a few machines, with a primary, backups, and epochs that fence old primaries."""
--- a/packages/replication/src/larkweir_replication/acceptor.py
+++ b/packages/replication/src/larkweir_replication/acceptor.py
@@ -1,6 +1,6 @@
-"""What a replica answers to primaries, candidates and recovering replicas: the acceptor of Paxos (Lamport 2001).
+"""The replies of a replica to primaries, candidates and recovering replicas: the acceptor of Paxos (Lamport 2001).
 
-A promise and an acceptance are sent only once they are durable.
+A replica sends a promise or an acceptance only once it is durable.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
 
 
 class Acceptor:
-    """Accepts states and gives promises. The caller has refused messages of stale epochs before."""
+    """Accepts states and gives promises. The caller has already rejected messages of stale epochs."""
 
     def __init__(self, state: ReplicaState) -> None:
-        """`state`: of the replica that answers."""
+        """`state`: the state of the replica that replies."""
         self._state = state
 
     def reject_stale(self, sender: str) -> None:
-        """Names the promised epoch to a sender of a lower one."""
+        """Sends the promised epoch to a sender whose epoch is lower."""
         self._state.send(sender, StaleEpoch(self._state.promised))
 
     def on_pre_vote(self, sender: str, message: PreVote, *, is_granted: bool) -> None:
-        """Reports whether a candidacy of the sender would have this vote, and the members that it may not know."""
+        """Reports whether this replica would vote for the sender, and the members, which the sender may not know."""
         state = self._state
         members = state.accepted.members if state.accepted is not None else ()
         state.send(sender, PreVoteReply(message.round, is_granted, state.promised, members))
 
     def on_heartbeat(self, sender: str, message: Heartbeat) -> None:
-        """Learns what is committed, and reports what is durable here."""
+        """Commits the accepted state if the primary has committed it, and reports the durable state of this replica."""
         state = self._state
         accepted = state.accepted
         if (
@@ -60,7 +60,7 @@
         state.send(sender, HeartbeatAck(message.epoch, message.round, epoch, sequence, accepts_deltas=True))
 
     def on_replicate(self, sender: str, message: Replicate | ReplicateDelta) -> None:
-        """Accepts the state unless a newer one is accepted already; asks for all of it where a delta does not fit."""
+        """Accepts the state unless a newer one is accepted; requests the whole state if a delta does not apply."""
         state = self._state
         snapshot = message.snapshot if isinstance(message, Replicate) else self._apply_delta(message.delta)
         if snapshot is None:
@@ -78,19 +78,19 @@
             state.commit(snapshot)
 
     def _apply_delta(self, delta: SnapshotDelta) -> Snapshot | None:
-        """The state that it makes; None where its base is not the state that is accepted here."""
+        """Returns the state that results from the delta, or None if its base is not the accepted state."""
         accepted = self._state.accepted
         if accepted is None:
             return None
         if accepted.rank >= delta.rank:
-            return accepted  # it has arrived before, or a later one has
+            return accepted  # this state or a later one has already arrived
         try:
             return apply_delta(accepted, delta)
         except DeltaMismatchError:
             return None
 
     def on_prepare(self, sender: str, epoch: Epoch) -> None:
-        """Gives the promise that the state has noted, now or once it is durable."""
+        """Sends the promise that is already recorded in the state: now if it is durable, otherwise once it is."""
         state = self._state
         if state.durability.durable.promised >= epoch:
             state.send(sender, Promise(epoch, state.accepted))
@@ -98,19 +98,19 @@
             state.persist()
 
     def on_promise_durable(self, epoch: Epoch) -> None:
-        """Sends the promise to the candidate, unless it has become the primary meanwhile."""
+        """Sends the promise to the candidate, unless the candidate has become the primary meanwhile."""
         state = self._state
         if state.accepted is None or state.accepted.epoch != epoch:
             state.send(epoch.node, Promise(epoch, state.accepted))
 
     def on_snapshot_durable(self, snapshot: Snapshot) -> None:
-        """Confirms the state to the primary of its epoch, unless that epoch is over."""
+        """Tells the primary of its epoch that the state is durable, unless that epoch has been superseded."""
         state = self._state
         if state.accepted is not None and snapshot.epoch == state.promised and snapshot.epoch.number:
             state.send(snapshot.epoch.node, Accepted(snapshot.epoch, snapshot.sequence))
 
     def on_recover(self, sender: str, message: Recover) -> None:
-        """Reports the promised epoch and the newest state, also those still on their way to the disk."""
+        """Reports the promised epoch and the newest state, even if their write is not complete yet."""
         state = self._state
         if state.accepted is not None:
             state.send(sender, RecoverReply(message.nonce, state.promised, state.accepted))
--- a/packages/replication/src/larkweir_replication/commands.py
+++ b/packages/replication/src/larkweir_replication/commands.py
@@ -1,7 +1,7 @@
-"""What a command does to the newest state: pure logic.
+"""Applies a command to the newest state. Pure logic.
 
-Each state remembers the identities of the latest commands that were applied, so that a command which is sent again is
-acknowledged again by whichever replica is the primary (idempotent retries).
+Each state contains the identities of the commands that were applied last, so that any primary can acknowledge a
+command again when it is retried (idempotent retries).
 """
 
 from __future__ import annotations
@@ -16,23 +16,24 @@
 from larkweir_replication.messages import AppliedCommand, Command, Snapshot
 
 ApplyChange = Callable[[str, str], Result[str, object]]
-"""Called with the value and a change: the next value, or the reason why the change is rejected."""
+"""Takes the value and a change; returns the next value, or the reason why the change is rejected."""
 
-MAX_APPLIED_COMMANDS = 8_192  # remembered identities: more than a day has
+MAX_APPLIED_COMMANDS = 8_192  # more commands than there are in a day
 
 
 @dataclass(frozen=True, slots=True)
 class PendingCommand:
-    """A command that waits for its turn; `ticket` names the caller's question."""
+    """A queued command; `ticket` identifies the call that submitted it."""
 
     ticket: int
     command: Command
 
 
 def evaluate(current: Snapshot, pending: PendingCommand, apply: ApplyChange) -> Snapshot | CommandFinished:
-    """The next state, or the end of a command that changes nothing.
+    """Returns the next state, or the outcome of a command that changes nothing.
 
-    A rejection holds only for a confirmed primary: a newer one may have applied the command.
+    A rejection is valid only once this replica is confirmed as the primary: a newer primary may have applied the
+    command.
     """
     ticket, command = pending.ticket, pending.command
     if AppliedCommand(command.base, command.identity) in current.applied_commands:
@@ -46,7 +47,7 @@
 
 
 def with_command_applied(current: Snapshot, value: str, command: Command) -> Snapshot:
-    """The next state: that value, and the command among those that were applied, if it has an identity."""
+    """Returns the next state, with the new value; records the command as applied if it has an identity."""
     if not command.identity:
         return msgspec.structs.replace(current, sequence=current.sequence + 1, value=value)
     applied = (*current.applied_commands, AppliedCommand(command.base, command.identity))
--- a/packages/replication/src/larkweir_replication/confirmation.py
+++ b/packages/replication/src/larkweir_replication/confirmation.py
@@ -1,4 +1,7 @@
-"""Answers that hold only if this was still the primary after they were requested: reads and rejections."""
+"""Holds back the results of reads and rejections until this replica is confirmed as the primary.
+
+Such a result is valid only if this replica was still the primary after the call arrived.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _AwaitingConfirmation:
-    """`round`: the heartbeat round that confirms it. Exactly one of the other two is given."""
+    """`round`: the heartbeat round that confirms the result. Exactly one of the other two fields is set."""
 
     round: int
     finished: CommandFinished | None
@@ -19,22 +22,22 @@
 
 
 class ConfirmationQueue:
-    """Keeps answers until a majority has acknowledged the heartbeat round that was sent after the question."""
+    """Keeps results until a majority has acknowledged a heartbeat round that was sent after the call."""
 
     def __init__(self) -> None:
-        """Nothing waits to be confirmed."""
+        """Creates an empty queue."""
         self._queue: deque[_AwaitingConfirmation] = deque()
 
     def add_rejection(self, number: int, finished: CommandFinished) -> None:
-        """A command's end, to be announced once that round is confirmed."""
+        """Queues a rejected command, whose caller is notified once that round is confirmed."""
         self._queue.append(_AwaitingConfirmation(number, finished, None))
 
     def add_read(self, number: int, ticket: int) -> None:
-        """A read, to be answered with what is committed once that round is confirmed."""
+        """Queues a read, which returns the committed state once that round is confirmed."""
         self._queue.append(_AwaitingConfirmation(number, None, ticket))
 
     def confirm(self, number: int, committed: Snapshot | None) -> list[Effect]:
-        """The answers that a majority's acknowledgement of that round confirms, in order."""
+        """Returns the results that are valid now that a majority has acknowledged that round, in order."""
         effects: list[Effect] = []
         while self._queue and self._queue[0].round <= number:
             answer = self._queue.popleft()
@@ -45,7 +48,7 @@
         return effects
 
     def abandon(self) -> list[Effect]:
-        """The answers of a primary that is none any more: nothing is known."""
+        """Returns the results at the end of the term: the outcome of each queued command or read is unknown."""
         effects: list[Effect] = []
         for answer in self._queue:
             if answer.finished is not None:
--- a/packages/replication/src/larkweir_replication/departure.py
+++ b/packages/replication/src/larkweir_replication/departure.py
@@ -1,4 +1,4 @@
-"""When a node that is about to stop may end: pure logic on what it knows of the group."""
+"""Decides when a node that is about to stop may exit, by what it knows of the group. Pure logic."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 
 
 class DepartureReason(StrEnum):
-    """Why a leaving node may end."""
+    """Why a leaving node may exit."""
 
-    REPLACED = "replaced"  # another node has taken its place: its end is no loss
+    REPLACED = "replaced"  # another node has taken its place, so that the group loses nothing
     OTHERS_REACHABLE = (
-        "others_reachable"  # nobody stands by, and the others are a stable group: a plain restart
+        "others_reachable"  # no node stands by, and the other members are a stable group: a plain restart
     )
-    TIMED_OUT = "timed_out"  # the group may be left without a majority by the next loss
+    TIMED_OUT = "timed_out"  # the wait is over; the next failure may leave the group without a majority
 
 
 class Departure:
-    """The planned end of one node.
+    """The planned exit of one node.
 
-    Two things look alike at first: a restart, for which nobody stands by, and a replacement whose newcomer has
-    taken the place of a member that fell silent meanwhile. In the second case a group that loses this node has a dead
-    member that nobody can replace; the next loss, borne otherwise, would leave it without a majority for ever. So
-    this node remains a member until the silent one is back and stands by, or until its time is over.
+    Two cases look alike at first: a restart, for which no node stands by, and a replacement whose new node has
+    already taken the place of a member that failed meanwhile. In the second case, if this node exits, the group has a
+    dead member that no node can replace; the next failure, which the group would otherwise tolerate, would leave it
+    without a majority for ever. So this node remains a member until the failed member is back and stands by, or until
+    `Timing.max_leave_ms` is over.
     """
 
     def __init__(self, state: ReplicaState, timing: Timing) -> None:
-        """`state`: of the replica that may leave."""
+        """`state`: the state of the replica that may leave."""
         self._state = state
         self._timing = timing
         self._members: tuple[str, ...] | None = None
@@ -42,12 +43,12 @@
         return self._begun_ms is not None
 
     def begin(self, now_ms: float) -> None:
-        """This node is about to stop. Only the first call counts."""
+        """Records that this node is about to stop. Only the first call counts."""
         if self._begun_ms is None:
             self._begun_ms = now_ms
 
     def observe_members(self, now_ms: float) -> None:
-        """Notes when the members change, from this process' first member list on."""
+        """Records when the members change. The first member list that this process sees is not a change."""
         accepted = self._state.accepted
         if accepted is None or accepted.members == self._members:
             return
@@ -56,9 +57,9 @@
         self._members = accepted.members
 
     def reason(self, unreachable: Sequence[str] | None, now_ms: float) -> DepartureReason | None:
-        """Why this node may end now; None where it is to go on as a member.
+        """Returns why this node may exit now, or None while it must remain a member.
 
-        `unreachable`: members that a present primary has not heard lately, None where no primary is present.
+        `unreachable`: members that the primary has not heard from recently; None if there is no primary.
         """
         if self._begun_ms is None:
             return None
--- a/packages/replication/src/larkweir_replication/durability.py
+++ b/packages/replication/src/larkweir_replication/durability.py
@@ -1,4 +1,4 @@
-"""Which record the disk of a replica holds, and which are on their way to it."""
+"""Tracks which record is on the disk of a replica, and which writes are pending."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 
 class Durability:
-    """Tracks the writes of one replica by their tokens, which grow by one; the disk completes them in that order."""
+    """Tracks the writes of one replica by consecutively numbered tokens; the disk completes them in that order."""
 
     def __init__(self, stored_state: DurableState | None = None) -> None:
-        """`stored_state`: what the disk holds at the start."""
+        """`stored_state`: the record that is on the disk at the start."""
         self.durable = stored_state or DurableState(NO_EPOCH, None)
         self._pending: dict[int, DurableState] = {}
         self._last_token = 0
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether the disk has not yet answered for every record."""
+        """Whether some writes have neither completed nor failed yet."""
         return bool(self._pending)
 
     def begin_write(self, record: DurableState) -> Persist:
-        """The effect that makes the record durable."""
+        """Returns the effect that makes the record durable."""
         self._last_token += 1
         self._pending[self._last_token] = record
         return Persist(self._last_token, record)
 
     def complete_write(self, token: int) -> DurableState | None:
-        """Notes that the record of `token` and all earlier ones are durable.
+        """Marks the record of `token` and all earlier ones as durable.
 
-        Returns the record, None where it is no longer pending.
+        Returns the record, or None if it is no longer pending.
         """
         record = self._pending.pop(token, None)
         if record is None:
@@ -39,11 +39,11 @@
         return record
 
     def fail_write(self, token: int) -> None:
-        """Notes that the disk refused the record of `token` and all earlier ones."""
+        """Drops the record of `token` and all earlier ones, whose writes failed."""
         self._drop_pending(token)
 
     def is_durable_or_pending(self, snapshot: Snapshot) -> bool:
-        """Whether that state is on the disk or on its way there."""
+        """Whether that state is on the disk or in a pending write."""
         if self.durable.snapshot == snapshot:
             return True
         return any(record.snapshot == snapshot for record in self._pending.values())
--- a/packages/replication/src/larkweir_replication/effects.py
+++ b/packages/replication/src/larkweir_replication/effects.py
@@ -1,4 +1,4 @@
-"""What a replica asks of its caller: messages to send, records to make durable, and answers to operators' calls."""
+"""Effects that a replica asks its caller to carry out: send messages, write records, answer operators' calls."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 class CommandOutcome(Enum):
     """How a command ended."""
 
-    COMMITTED = "committed"  # durable on a majority, now or earlier
+    COMMITTED = "committed"  # durable on a majority, by this call or an earlier one
     REJECTED = "rejected"  # by the rules of the value, at a confirmed primary
-    UNKNOWN = "unknown"  # leadership was lost: it may or may not be applied
-    TOO_OLD = "too_old"  # it builds on a version so old that no replica knows whether it was applied
+    UNKNOWN = "unknown"  # leadership was lost: the command may or may not be applied
+    TOO_OLD = "too_old"  # based on a version so old that no replica knows whether the command was applied
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """`message` to `node`; it may be lost."""
+    """Send `message` to `node`; the message may be lost."""
 
     node: str
     message: Message
@@ -29,7 +29,7 @@
 class Persist:
     """Make the record durable, then call `Replica.on_persisted(token)`, or `on_persist_failed(token)`.
 
-    Of several that wait, the newest covers the others.
+    If several are pending, writing the newest one completes the others too.
     """
 
     token: int
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandFinished:
-    """The outcome of the command that was submitted under `ticket`; `reason`: what the rules of the value returned."""
+    """The outcome of the command submitted with `ticket`; `reason`: the error that `ApplyChange` returned."""
 
     ticket: int
     outcome: CommandOutcome
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadFinished:
-    """The result of the read under `ticket`; None where leadership was lost before it was confirmed."""
+    """The result of the read with `ticket`; None if leadership was lost before the read was confirmed."""
 
     ticket: int
     snapshot: Snapshot | None
--- a/packages/replication/src/larkweir_replication/election.py
+++ b/packages/replication/src/larkweir_replication/election.py
@@ -1,4 +1,4 @@
-"""One candidacy: a pre-vote, which changes nothing at those asked, then the promises of a majority.
+"""The election of a candidate: a pre-vote, which changes nothing at the receivers, then the promises of a majority.
 
 Pre-vote: Ongaro's dissertation 2014, section 9.6. Prepare and promise: phase 1 of Paxos (Lamport 2001).
 """
@@ -13,10 +13,10 @@
 
 
 class Election:
-    """Asks for votes and counts them. Requests are repeated: a connection may not be open yet."""
+    """Requests votes and counts them. Requests are repeated, because a connection may not be open yet."""
 
     def __init__(self, state: ReplicaState, timing: Timing, now_ms: float) -> None:
-        """`state`: of the replica that is a candidate."""
+        """`state`: the state of the replica that is a candidate."""
         self._state = state
         self._timing = timing
         self._round = 0
@@ -25,49 +25,50 @@
         self._last_request_ms = now_ms
 
     def is_request_due(self, now_ms: float) -> bool:
-        """Whether those that have not answered are to be asked again."""
+        """Whether it is time to repeat the request to nodes that have not replied."""
         return now_ms >= self._last_request_ms + self._timing.heartbeat_interval_ms
 
     def begin_pre_vote(self) -> None:
-        """Starts a round; answers to earlier ones no longer count."""
+        """Starts a round; replies to earlier rounds no longer count."""
         self._round += 1
         self._grants = {self._state.node}
 
     def request_pre_votes(self, now_ms: float) -> None:
-        """Asks members, and known nodes that are no members: one of them may be the primary."""
+        """Sends the request to members and to known nodes that are not members: one of those may be the primary."""
         self._last_request_ms = now_ms
         state = self._state
         for node in sorted({*state.other_members(), *state.known_nodes} - self._grants - {state.node}):
             state.send(node, PreVote(self._round))
 
     def is_current_round(self, number: int) -> bool:
-        """Whether a pre-vote reply belongs to the present round."""
+        """Whether `number` is the current round of pre-votes."""
         return number == self._round
 
     def add_grant(self, node: str) -> bool:
-        """Counts a grant; whether a candidacy would find a majority."""
+        """Counts a grant; returns whether a majority would vote for this candidate."""
         self._grants.add(node)
         return self._state.newest().has_quorum(self._grants)
 
     def prepare(self, now_ms: float) -> None:
-        """Promises itself an epoch above all that are known, and asks the members to promise it too."""
+        """Promises itself an epoch above all known ones, and requests the same promise from the members."""
         self._promises = {}
         self._state.promised = Epoch(self._state.promised.number + 1, self._state.node)
         self._state.persist()
         self.request_promises(now_ms)
 
     def request_promises(self, now_ms: float) -> None:
-        """Asks the members that have not promised yet."""
+        """Sends the request to the members that have not promised yet."""
         self._last_request_ms = now_ms
         for node in self._state.other_members():
             if node not in self._promises:
                 self._state.send(node, Prepare(self._state.promised))
 
     def add_promise(self, node: str, snapshot: Snapshot | None) -> bool:
-        """Counts a promise with the newest state that its sender had accepted; whether the election is won.
+        """Counts a promise, with the newest state that its sender has accepted; returns whether the election is won.
 
-        It is won once a majority of the members of the newest of all these states has promised. That state is then
-        taken over under the new epoch. Members that only that state names are asked as well.
+        The newest of all reported states decides who the members are. The election is won once a majority of them has
+        promised; the candidate then takes that state over under the new epoch. Members that appear only in that state
+        are sent the request as well.
         """
         state = self._state
         self._promises[node] = snapshot
--- a/packages/replication/src/larkweir_replication/journal.py
+++ b/packages/replication/src/larkweir_replication/journal.py
@@ -1,9 +1,9 @@
-"""The journal of a replica: an append-only file of checksummed records, rewritten when it grows long.
+"""The journal of a replica: an append-only file of checksummed records, rewritten when it grows too large.
 
-Each record is synced before the next one is written, so that a crash leaves at most one torn line, at the end; nobody
-was notified of what it held. Damage anywhere else means that the file may have lost what its replica promised: then
-nothing in it is trusted, and it is retained for the analysis of the cause. The system calls come in as
-`JournalFiles`, so that a test can stop at every one of them without a disk.
+Each record is synced before the next one is written, so a crash leaves at most one torn line, at the end, and no other
+replica has been sent anything that depends on it. Damage anywhere else means that a promise of this replica may be
+lost: then no record is trusted, and the file is kept to analyze the cause. The system calls are passed in as
+`JournalFiles`, so that a test can stop at each of them without a disk.
 """
 
 from __future__ import annotations
@@ -15,37 +15,35 @@
 JOURNAL_FILE = "replica.log"
 NEW_JOURNAL_FILE = "replica.log.new"
 DAMAGED_JOURNAL_FILE = "replica.log.damaged"
-# The file is rewritten once it exceeds both the minimum and this multiple of the record that is written. With records
-# of 4 MB the file, a damaged one beside it and the new one stay under 70 MB, about half of a machine's disk.
+# The file is rewritten once it exceeds both the minimum and this multiple of the record to write. With records of 4 MB,
+# the file, a damaged file beside it and the new file stay under 70 MB together, about half of a machine's disk.
 MIN_REWRITE_BYTES = 2 * 1024 * 1024
 REWRITE_SIZE_FACTOR = 8
 
 
 class Journal:
-    """The newest `DurableState` of a replica on disk. Used by one thread at a time; it blocks while the disk syncs."""
+    """Stores the newest `DurableState` of a replica on disk. Not thread-safe; calls block while the disk syncs."""
 
     def __init__(self, files: JournalFiles) -> None:
-        """Reads what is there. Raises OSError where a file exists that can't be read."""
+        """Reads the existing files. Raises OSError if a file exists but can't be read."""
         self._files = files
-        self.newest: DurableState | None = None  # None where there is no intact record
-        self.size_bytes = 0  # of the part that is known to be intact
-        self.unreadable_bytes = 0  # behind it
-        self.is_damaged = False  # records were lost: what was read may be older than what was promised
-        self.last_known_members: tuple[
-            str, ...
-        ] = ()  # by what can be read of a damaged file: nodes to recover from
+        self.newest: DurableState | None = None  # None if there is no trusted record
+        self.size_bytes = 0  # of the intact records at the start of the file
+        self.unreadable_bytes = 0  # after the intact records
+        self.is_damaged = False  # records were lost: those that remain may be older than a promise
+        self.last_known_members: tuple[str, ...] = ()  # read from a damaged file: nodes to recover from
         self._serial = 0
         self._load()
 
     @property
     def is_blank(self) -> bool:
-        """Whether there has never been a record here, as far as the disk shows."""
+        """Whether no record was ever written, as far as the files show."""
         return self.newest is None and not self.is_damaged
 
     def write(self, record: DurableState) -> None:
-        """Returns once the record will be found after a loss of power.
+        """Writes the record durably: when this returns, the record survives a loss of power.
 
-        Raises OSError: then the record may or may not be found, and what was written before it still is.
+        Raises OSError: then the record may or may not be durable, and earlier records still are.
         """
         line = encode_record(self._serial + 1, record)
         if self.is_damaged:
@@ -80,7 +78,7 @@
             return None
 
     def _discard_untrusted(self) -> None:
-        """An intact record stands behind unreadable bytes: records were lost that had been synced."""
+        """Trusts no record: an intact record after unreadable bytes shows that synced records were lost."""
         if self.newest is not None and self.newest.snapshot is not None:
             self.last_known_members = self.newest.snapshot.members
         self.is_damaged, self.newest = True, None
@@ -91,7 +89,7 @@
         self.size_bytes = 0
 
     def _start_new_file(self, line: bytes) -> None:
-        """Keeps the damaged file under another name. A crash between the two renames leaves the folder damaged."""
+        """Keeps the damaged file under another name. A crash between the two renames leaves the journal damaged."""
         self._files.append(NEW_JOURNAL_FILE, 0, line)
         if self._read(JOURNAL_FILE) is not None:
             self._files.replace(JOURNAL_FILE, DAMAGED_JOURNAL_FILE)
--- a/packages/replication/src/larkweir_replication/journal_files.py
+++ b/packages/replication/src/larkweir_replication/journal_files.py
@@ -1,4 +1,4 @@
-"""The files of a replica's folder: written and renamed so that a loss of power can't undo what has returned."""
+"""The files in a replica's folder, written and renamed so that completed calls survive a loss of power."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 
 class JournalFiles(Protocol):
-    """Files of one folder. All methods raise OSError where the system refuses the call."""
+    """Files in one folder. All methods raise OSError if the system call fails."""
 
     def read(self, name: str) -> bytes:
-        """The complete file. Raises FileNotFoundError where there is none."""
+        """Returns the complete file. Raises FileNotFoundError if there is none."""
 
     def append(self, name: str, offset: int, data: bytes) -> None:
-        """Truncates the file to `offset` bytes, writes `data` behind them and syncs the file."""
+        """Truncates the file to `offset` bytes, writes `data` after them and syncs the file."""
 
     def replace(self, new_name: str, name: str) -> None:
         """Renames the synced file `new_name` to `name`, and syncs the folder."""
 
 
 class FolderFiles:
-    """`JournalFiles` of a folder on disk. Blocks while the disk syncs."""
+    """`JournalFiles` in a folder on disk. Calls block while the disk syncs."""
 
     def __init__(self, folder: str) -> None:
-        """`folder`: its path; the first write creates it."""
+        """`folder`: the path of the folder; the first write creates it."""
         self._folder = folder
 
     def read(self, name: str) -> bytes:
-        """The complete file. Raises FileNotFoundError where there is none, OSError where it can't be read."""
+        """Returns the complete file. Raises FileNotFoundError if there is none, OSError if it can't be read."""
         with open(os.path.join(self._folder, name), "rb") as file:
             return file.read()
 
     def append(self, name: str, offset: int, data: bytes) -> None:
-        """Truncates, writes and syncs; a new file's name is synced with the folder. Raises OSError."""
+        """Truncates, writes and syncs the file; syncs the folder too if the file may be new. Raises OSError."""
         self._make_folder()
         path = os.path.join(self._folder, name)
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
@@ -60,7 +60,7 @@
 
     @staticmethod
     def _sync(folder: str) -> None:
-        """Makes names that were created, renamed or removed in the folder durable."""
+        """Makes the creation, renaming and removal of files in the folder durable."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
--- a/packages/replication/src/larkweir_replication/journal_records.py
+++ b/packages/replication/src/larkweir_replication/journal_records.py
@@ -1,4 +1,4 @@
-"""The lines of a replica's file: a CRC-32 as eight hex digits, a serial number, and the record as JSON. No I/O."""
+"""The line format of the journal: a CRC-32 as eight hex digits, a serial number, and the record as JSON. No I/O."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 
 def encode_record(serial: int, record: DurableState) -> bytes:
-    """The line of a record, its newline included."""
+    """Returns the line of a record, including its newline."""
     body = b"%d %s" % (serial, msgspec.json.encode(record))
     return b"%08x %s\n" % (zlib.crc32(body), body)
 
 
 def decode_record(line: bytes, expected_serial: int | None) -> tuple[int, DurableState] | None:
-    """Serial number and record of a line without its newline.
+    """Returns the serial number and the record of a line, which is given without its newline.
 
-    None where the line is torn or damaged, or is not the one with `expected_serial`; None for it accepts any number.
+    Returns None if the line is torn or damaged, or if it has another serial number than `expected_serial`. If
+    `expected_serial` is None, any serial number is valid.
     """
     if line[8:9] != b" ":
         return None
@@ -38,7 +39,7 @@
 
 
 def contains_record(rest: bytes) -> bool:
-    """Whether an intact record stands anywhere behind the first byte; the start of its line may be lost."""
+    """Whether an intact record starts anywhere after the first byte, even if the bytes before it are damaged."""
     for start in _RECORD_START.finditer(rest, 1):
         end = rest.find(b"\n", start.start())
         if end >= 0 and decode_record(rest[start.start() : end], None) is not None:
--- a/packages/replication/src/larkweir_replication/leader_lease.py
+++ b/packages/replication/src/larkweir_replication/leader_lease.py
@@ -1,7 +1,7 @@
-"""The primary's lease: rounds of heartbeats, and the newest round that a majority has acknowledged.
+"""The primary's lease, which depends on the newest round of heartbeats that a majority has acknowledged.
 
-A round that a majority acknowledges shows that the primary was still the primary when the round was sent (read index:
-Ongaro's dissertation 2014, section 6.4), and grants a lease from that time on (leases: Gray and Cheriton 1989).
+A round that a majority has acknowledged proves that this replica was still the primary when it sent the round (read
+index: Ongaro's dissertation 2014, section 6.4), and grants a lease from that time on (leases: Gray and Cheriton 1989).
 """
 
 from __future__ import annotations
@@ -9,27 +9,27 @@
 from larkweir_replication.messages import Snapshot
 from larkweir_replication.timing import Timing
 
-MAX_OPEN_ROUNDS = 64  # rounds whose sending time is retained
+MAX_OPEN_ROUNDS = 64  # number of rounds whose send time is kept
 
 
 class LeaderLease:
-    """Numbers the rounds of one term, and counts their acknowledgements."""
+    """Numbers the heartbeat rounds of one term and tracks their acknowledgements."""
 
     def __init__(self, timing: Timing, now_ms: float) -> None:
-        """A term begins without a lease, and with a heartbeat that is due."""
+        """Starts without a lease, and with the first heartbeat due at once."""
         self._timing = timing
-        self.round = 0  # the last one that was sent
+        self.round = 0  # the number of the last round that was sent
         self.granted_from_ms = now_ms - timing.lease_duration_ms
         self._sent_ms: dict[int, float] = {}  # by round
-        self._acknowledged_rounds: dict[str, int] = {}  # by node, the newest
+        self._acknowledged_rounds: dict[str, int] = {}  # by node, the newest acknowledged round
         self._next_heartbeat_ms = now_ms
 
     def is_heartbeat_due(self, now_ms: float) -> bool:
-        """Whether the next round is to be sent."""
+        """Whether it is time to send the next round."""
         return now_ms >= self._next_heartbeat_ms
 
     def begin_round(self, now_ms: float) -> int:
-        """The number of the round that is sent now."""
+        """Starts the next round, which is sent now, and returns its number."""
         self.round += 1
         self._sent_ms[self.round] = now_ms
         for old in [one for one in self._sent_ms if one < self.round - MAX_OPEN_ROUNDS]:
@@ -38,13 +38,13 @@
         return self.round
 
     def acknowledge(self, node: str, number: int) -> None:
-        """That member, or this node itself, grants the lease from when that round was sent."""
+        """Records that `node`, possibly this node itself, grants the lease from the time when the round was sent."""
         self._acknowledged_rounds[node] = max(number, self._acknowledged_rounds.get(node, 0))
 
     def renew(self, snapshot: Snapshot) -> int | None:
-        """Renews the lease by the newest round that a majority of the state's members has acknowledged.
+        """Extends the lease based on the newest round that a majority of the state's members has acknowledged.
 
-        Returns the number of that round, None where there is none.
+        Returns the number of that round, or None if there is none.
         """
         for number in sorted(set(self._acknowledged_rounds.values()), reverse=True):
             nodes = {node for node, newest in self._acknowledged_rounds.items() if newest >= number}
@@ -55,5 +55,5 @@
         return None
 
     def is_valid(self, now_ms: float) -> bool:
-        """Whether no other primary can have been elected: the majority's lease, less a margin for clocks' rates."""
+        """Whether no other primary can have been elected. A margin allows for clocks that run at different rates."""
         return now_ms < self.granted_from_ms + self._timing.lease_duration_ms - self._timing.lease_margin_ms
--- a/packages/replication/src/larkweir_replication/leadership.py
+++ b/packages/replication/src/larkweir_replication/leadership.py
@@ -1,4 +1,4 @@
-"""The term of a primary: it orders commands, one at a time, and renews its lease by heartbeats."""
+"""One term of a primary, which orders commands, one at a time, and renews its lease by heartbeats."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 from larkweir_replication.state_replicator import StateReplicator
 from larkweir_replication.timing import Timing
 
-MAX_LEASES_WITHOUT_QUORUM = 3.0  # durations of a lease without a quorum after which a term ends
-MAX_GROWTH_WAIT_MS = 4_000.0  # the longest wait of commands for a group of the target size
+MAX_LEASES_WITHOUT_QUORUM = 3.0  # the term ends after this many lease durations without a quorum
+MAX_GROWTH_WAIT_MS = 4_000.0  # how long commands wait for the group to reach its target size
 
 PrimaryMessage = HeartbeatAck | Accepted | Join | Leave | SnapshotRequest
 
 
 class Leadership:
-    """One term as primary. It begins by replicating the state that it took over under its own epoch."""
+    """One term as primary. It starts by replicating the state that it took over, under its own epoch."""
 
     def __init__(
         self, state: ReplicaState, timing: Timing, apply: ApplyChange, target_member_count: int, now_ms: float
     ) -> None:
-        """`state` holds the state taken over as the accepted one, and its write has begun."""
+        """`state`: its accepted state is the one taken over, and the write of that state has begun."""
         self._state = state
         self._timing = timing
         self._apply = apply
@@ -56,7 +56,7 @@
     # Time
 
     def tick(self, now_ms: float) -> bool:
-        """Whether the term goes on: a majority has answered recently, and this node is still a member."""
+        """Returns whether the term continues: a majority has replied recently, and this node is still a member."""
         if self._lease.is_heartbeat_due(now_ms):
             self._send_heartbeats(now_ms)
         self._replicator.resend(now_ms)
@@ -88,13 +88,13 @@
                 self._state.emit(effect)
 
     def unreachable_members(self, now_ms: float) -> tuple[str, ...]:
-        """Members that have not answered lately, sorted by name."""
+        """Members that have not been heard from recently, sorted by name."""
         return self._members.unreachable_members(now_ms)
 
     # Messages
 
     def receive(self, sender: str, message: PrimaryMessage, now_ms: float) -> None:
-        """Takes a message to the primary; an acknowledgement of another epoch changes nothing."""
+        """Handles a message to the primary; acknowledgements of another epoch are ignored."""
         match message:
             case HeartbeatAck():
                 if message.epoch == self._state.promised:
@@ -118,7 +118,7 @@
         self._renew_lease()
 
     def on_accepted(self, node: str, epoch: Epoch, sequence: int, now_ms: float) -> None:
-        """That state is durable at that node, which may be this one."""
+        """Handles the news that a state is durable at `node`, which may be this node."""
         self._members.on_contact(node, now_ms)
         proposal = self._replicator.on_accepted(node, epoch, sequence, now_ms)
         if proposal is None:
@@ -131,36 +131,36 @@
         self._process_queue(now_ms)
 
     def on_leave(self, node: str, now_ms: float) -> None:
-        """That node, which may be this one, is about to stop."""
+        """Handles the request to leave of `node`, which may be this node."""
         self._members.on_leave(node, now_ms)
         self._change_members(now_ms)
 
     def on_reconnected(self, node: str) -> None:
-        """There is a new connection to that node."""
+        """Handles a new connection to `node`."""
         self._replicator.on_reconnected(node)
 
     def send_newest_state(self, node: str, now_ms: float) -> None:
-        """Sends the newest state to a node that was removed while it was away, so that it asks to join."""
+        """Sends the newest state to a node that was removed while it was unreachable, so that it requests to join."""
         self._replicator.send_newest(node, now_ms)
 
     # Commands and reads
 
     def submit(self, ticket: int, command: Command, now_ms: float) -> None:
-        """Queues a command behind the earlier ones."""
+        """Queues a command after the earlier ones."""
         self._queue.append(PendingCommand(ticket, command))
         self._process_queue(now_ms)
 
     def read(self, ticket: int, now_ms: float) -> None:
-        """Answers with the newest value once a majority confirms that this is still the primary."""
+        """Returns the newest committed state through `ReadFinished` once a majority confirms this primary."""
         committed = self._state.committed
         if committed is None or committed.epoch != self._epoch:
-            self._state.emit(ReadFinished(ticket, None))  # the state taken over is not committed yet
+            self._state.emit(ReadFinished(ticket, None))  # the state that was taken over is not committed yet
             return
         self._confirmations.add_read(self._lease.round + 1, ticket)
         self._send_heartbeats(now_ms)
 
     def _process_queue(self, now_ms: float) -> None:
-        """Takes up waiting commands while no state is on its way."""
+        """Starts queued commands while no proposal is pending."""
         has_rejected = False
         while self._queue and self._replicator.proposal is None and self._can_accept_changes(now_ms):
             has_rejected |= self._start_command(self._queue.popleft(), now_ms)
@@ -168,7 +168,7 @@
             self._send_heartbeats(now_ms)
 
     def _start_command(self, pending: PendingCommand, now_ms: float) -> bool:
-        """Whether it is rejected, which is announced once a majority has confirmed the primary."""
+        """Starts a command; returns whether it was rejected. The caller is notified once the primary is confirmed."""
         result = evaluate(self._state.newest(), pending, self._apply)
         if isinstance(result, Snapshot):
             self._replicator.propose(result, pending.ticket, now_ms)
@@ -180,12 +180,12 @@
         return False
 
     def _can_accept_changes(self, now_ms: float) -> bool:
-        """Whether the group has its target size, or has been waited for."""
+        """Whether the group has its target size, or has had enough time to reach it."""
         has_waited = now_ms >= self._begun_ms + MAX_GROWTH_WAIT_MS
         return len(self._state.newest().members) >= self._target_member_count or has_waited
 
     def abandon(self) -> None:
-        """Ends the term: the outcome of everything that waits is unknown."""
+        """Ends the term: the outcome of all pending commands and reads is unknown."""
         state, proposal = self._state, self._replicator.proposal
         if proposal is not None and proposal.ticket is not None:
             state.emit(CommandFinished(proposal.ticket, CommandOutcome.UNKNOWN))
@@ -197,7 +197,7 @@
     # Members
 
     def _change_members(self, now_ms: float) -> None:
-        """Takes one step of a change of members; each is committed before the next."""
+        """Proposes the next step of a change of members; each step is committed before the next one."""
         self._members.drop_expired_requests(now_ms)
         if self._replicator.proposal is not None:
             return
--- a/packages/replication/src/larkweir_replication/member_tracker.py
+++ b/packages/replication/src/larkweir_replication/member_tracker.py
@@ -1,4 +1,4 @@
-"""What the primary knows of machines that come and go: requests to join or leave, and silent members."""
+"""Tracks requests to join or leave, and silent members, for the primary."""
 
 from __future__ import annotations
 
@@ -6,41 +6,43 @@
 from larkweir_replication.state import ReplicaState
 from larkweir_replication.timing import Timing
 
-REQUEST_EXPIRY_INTERVALS = 3.0  # intervals after which a node that has not repeated its request is forgotten
+REQUEST_EXPIRY_INTERVALS = 3.0  # a request expires if it is not repeated within this many intervals
 
 
 class MemberTracker:
-    """The requests and the silences of one term."""
+    """The membership requests and the last contact with each member during one term."""
 
     def __init__(self, state: ReplicaState, timing: Timing, now_ms: float) -> None:
-        """`now_ms`: when the term begins; silence is counted from then on at the earliest."""
+        """`now_ms`: when the term begins. A member counts as silent from then on, not from an earlier time."""
         self._state = state
         self._timing = timing
         self._begun_ms = now_ms
         self._last_contact_ms: dict[str, float] = {}
-        self._join_requests_ms: dict[str, float] = {}  # of nodes that are no members, by their latest time
-        self._leave_requests_ms: dict[str, float] = {}  # of nodes that are about to stop
+        self._join_requests_ms: dict[
+            str, float
+        ] = {}  # by node that is not a member, the time of the latest request
+        self._leave_requests_ms: dict[str, float] = {}  # by node that is about to stop, likewise
 
     def on_contact(self, node: str, now_ms: float) -> None:
-        """A message of that node has arrived."""
+        """Records that a message from `node` has arrived."""
         self._last_contact_ms[node] = now_ms
 
     def on_join(self, node: str, now_ms: float) -> None:
-        """A replica that is no member stands by."""
+        """Records that `node`, which is not a member, stands by to become one."""
         self._join_requests_ms[node] = now_ms
 
     def on_leave(self, node: str, now_ms: float) -> None:
-        """A node is about to stop."""
+        """Records that `node` is about to stop."""
         self._leave_requests_ms[node] = now_ms
 
     def recipients(self) -> list[str]:
-        """All that are to have the newest state: members, and nodes that stand by or wait to be replaced."""
+        """Returns all nodes that need the newest state: members, and nodes that stand by or wait to be replaced."""
         state = self._state
         nodes = {*state.other_members(), *self._join_requests_ms, *self._leave_requests_ms}
         return sorted(nodes - {state.node})
 
     def drop_expired_requests(self, now_ms: float) -> None:
-        """Forgets requests that were not repeated, and newcomers that have become members."""
+        """Drops requests that were not repeated, and join requests of nodes that have become members."""
         members = self._state.newest().members
         max_join_age_ms = REQUEST_EXPIRY_INTERVALS * self._timing.join_interval_ms
         max_leave_age_ms = REQUEST_EXPIRY_INTERVALS * self._timing.leave_interval_ms
@@ -52,7 +54,7 @@
                 del self._leave_requests_ms[node]
 
     def next_step(self, target_member_count: int, now_ms: float) -> Step | None:
-        """The next change of members; None where they are to stay."""
+        """Returns the next change of members, or None if no change is needed."""
         candidates = Candidates(
             standby=list(self._join_requests_ms),
             leaving=list(self._leave_requests_ms),
@@ -62,11 +64,11 @@
         return next_step(self._state.newest(), target_member_count, self._state.node, candidates)
 
     def unreachable_members(self, now_ms: float) -> tuple[str, ...]:
-        """Members that have not answered lately, sorted by name."""
+        """Members that have not been heard from recently, sorted by name."""
         return tuple(sorted(self._silent_members(self._timing.unreachable_after_silence_ms, now_ms)))
 
     def _silent_members(self, silence_ms: float, now_ms: float) -> list[str]:
-        """Members that have been silent for `silence_ms` or longer, the longest first."""
+        """Members that have been silent for at least `silence_ms`, the longest silence first."""
         members = self._state.newest().members
         contacts_ms = {node: self._last_contact_ms.get(node, self._begun_ms) for node in members}
         contacts_ms.pop(self._state.node, None)
--- a/packages/replication/src/larkweir_replication/membership.py
+++ b/packages/replication/src/larkweir_replication/membership.py
@@ -1,8 +1,8 @@
-"""Which members the group is to have next: pure logic on what the primary knows, one step at a time.
+"""Chooses the next members of the group, one step at a time, from what the primary knows. Pure logic.
 
-A group has its target size, which tolerates the failures that are to be tolerated. Further machines stand by: they hold
-the state and take the place of a member that leaves or fails, in one step that needs a majority of the members before
-and of those after it (joint consensus: Ongaro and Ousterhout 2014, section 6).
+The target size of the group follows from the number of failures to tolerate. Further machines stand by: they hold the
+state, and each can replace a member that leaves or fails. A replacement is one step, which needs a majority of the
+previous members and of the next members (joint consensus: Ongaro and Ousterhout 2014, section 6).
 """
 
 from __future__ import annotations
@@ -15,24 +15,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidates:
-    """Machines that may join or go, each list in the order in which they are to be chosen."""
+    """Machines that may join or be removed; each list is in order of preference."""
 
     standby: Sequence[str]
     leaving: Sequence[str]
-    replaceable: Sequence[str]  # silent beyond `replace_after_silence_ms`: a standby node replaces them
-    removable: Sequence[str]  # silent beyond `remove_after_silence_ms`: a group above its target drops them
+    replaceable: Sequence[str]  # silent for `replace_after_silence_ms`: a standby node replaces them
+    removable: Sequence[
+        str
+    ]  # silent for `remove_after_silence_ms`: removed if the group is above its target size
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """The next members, and the previous ones, whose majority is needed too."""
+    """The next members, and the previous ones, of which a majority is needed as well; empty at the end of a change."""
 
     members: tuple[str, ...]
     previous_members: tuple[str, ...] = ()
 
 
 def next_step(current: Snapshot, target_count: int, primary: str, candidates: Candidates) -> Step | None:
-    """The next step from a committed state; None where the members are to stay."""
+    """Returns the next step from a committed state, or None if no change is needed."""
     if current.previous_members:
         return Step(current.members)
     newcomers = [node for node in candidates.standby if node not in current.members]
@@ -51,7 +53,7 @@
 
 
 def _surplus_member(current: Snapshot, primary: str, candidates: Candidates) -> str:
-    """A member that leaves or is silent, else the last by name that is not the primary."""
+    """Returns a member that is leaving or silent, else the last one by name that is not the primary."""
     named = _first_member(current, [*candidates.leaving, *candidates.removable])
     return named or max(node for node in current.members if node != primary)
 
--- a/packages/replication/src/larkweir_replication/messages.py
+++ b/packages/replication/src/larkweir_replication/messages.py
@@ -1,6 +1,7 @@
-"""The messages between replicas, and what they keep on disk. All are immutable; `msgspec` encodes and validates them.
+"""The messages between replicas and the records on disk. All are immutable; `msgspec` encodes and validates them.
 
-Tags and field names are a wire and file format: where a class or a field has another name, the old one is given.
+Tags and field names are part of the wire and file formats. Where a class or attribute has another name in Python, its
+outer name is set by `tag` or `name`.
 """
 
 from __future__ import annotations
@@ -11,30 +12,28 @@
 
 from larkweir_replication.text_delta import TextEdit
 
-MAX_COUNTER = (
-    2**53 - 1
-)  # the largest whole number that every reader of JSON keeps exact (RFC 8259, section 6)
+MAX_COUNTER = 2**53 - 1  # the largest integer that every JSON parser represents exactly (RFC 8259, section 6)
 Counter = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNTER)]
-Sequence = Annotated[int, msgspec.Meta(ge=-1, le=MAX_COUNTER)]  # -1: of no state
+Sequence = Annotated[int, msgspec.Meta(ge=-1, le=MAX_COUNTER)]  # -1: no state
 
 
 class Epoch(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """The number of one primary's term (a ballot of Paxos), unique by the node's name; higher ones fence lower ones."""
+    """Identifies one primary's term (a ballot of Paxos). The node makes it unique; higher epochs fence lower ones."""
 
     number: Counter
     node: str
 
 
-APPLIED_COMMAND_BYTES = 32  # approximate size of one `AppliedCommand` in a message
+APPLIED_COMMAND_BYTES = 32  # approximate encoded size of one `AppliedCommand`
 NO_EPOCH = Epoch(0, "")
 
 
 class Command(msgspec.Struct, frozen=True):
-    """A change as its sender submitted it. `base`: the version of the value that it builds on.
+    """A change as its sender submitted it. `base`: the version of the value that the change is based on.
 
-    `identity` is an idempotency key: the same whenever and wherever the change is sent again, and another one for
-    another change. It is empty where the value itself shows that a change was applied before: such a command may be
-    applied several times, is not remembered, and is never too old.
+    `identity` is an idempotency key: each retry of a change has the same one, to whichever node it is sent, and each
+    change has its own. It is empty if the value itself shows whether the change was already applied: such a command
+    may be applied several times, is not recorded in `Snapshot.applied_commands`, and is never too old.
     """
 
     identity: str
@@ -43,7 +42,7 @@
 
 
 class AppliedCommand(msgspec.Struct, frozen=True, array_like=True):
-    """The identity of a command that was applied; there is one for each base."""
+    """The identity of a command that was applied; there is one per base."""
 
     base: Counter
     identity: str
@@ -52,9 +51,9 @@
 class Snapshot(msgspec.Struct, frozen=True):
     """The complete replicated state at one sequence number.
 
-    `members` vote on the next state. While the members change, `previous_members` are those before the change, and a
-    majority of each is needed. `applied_commands` has the latest commands that were applied, oldest first; nothing is
-    known of a command whose base is `latest_forgotten_base` or less.
+    `members` vote on the next state. During a change of members, `previous_members` are those before the change, and a
+    majority of both groups is needed. `applied_commands` lists the commands that were applied last, oldest first. It
+    no longer shows whether a command whose base is `latest_forgotten_base` or less was applied.
     """
 
     epoch: Epoch
@@ -67,7 +66,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """The approximate size of its message."""
+        """The approximate size of the encoded snapshot."""
         return len(self.value) + APPLIED_COMMAND_BYTES * len(self.applied_commands)
 
     @property
@@ -76,7 +75,7 @@
         return (self.epoch, self.sequence)
 
     def has_member(self, node: str) -> bool:
-        """Whether the node is a member, or was one before a change that is under way."""
+        """Whether the node is a member, or was one before a change that is still in progress."""
         return node in self.members or node in self.previous_members
 
     def has_quorum(self, nodes: set[str]) -> bool:
@@ -86,9 +85,9 @@
 
 
 class SnapshotDelta(msgspec.Struct, frozen=True):
-    """How a state differs from its base.
+    """The difference between a state and its base.
 
-    `dropped` of the base's applied commands, the oldest, are forgotten, and `added` are appended.
+    `dropped` is how many of the oldest applied commands of the base are removed; `added` are appended.
     """
 
     epoch: Epoch
@@ -105,32 +104,32 @@
 
     @property
     def rank(self) -> tuple[Epoch, int]:
-        """That of the state that it makes."""
+        """The rank of the resulting state."""
         return (self.epoch, self.sequence)
 
     @property
     def base_rank(self) -> tuple[Epoch, int]:
-        """That of the state that it needs."""
+        """The rank of the base that the delta applies to."""
         return (self.base_epoch, self.base_sequence)
 
 
 class DurableState(msgspec.Struct, frozen=True):
-    """What a replica must find again after a crash: the highest promised epoch and the newest accepted state."""
+    """What must survive a crash of a replica: the highest promised epoch and the newest accepted state."""
 
     promised: Epoch
     snapshot: Snapshot | None
 
 
 class PreVote(msgspec.Struct, frozen=True, tag="canvass"):
-    """Asks whether a candidacy would find a majority; changes nothing at the receiver."""
+    """Asks whether the receiver would vote for the sender; changes nothing at the receiver."""
 
     round: Counter
 
 
 class PreVoteReply(msgspec.Struct, frozen=True, tag="canvass_reply"):
-    """The answer. `promised`: the highest epoch that its sender knows, so that a candidate chooses a higher one.
+    """Replies to `PreVote`. `promised`: the highest epoch known to the sender, so that a candidate picks a higher one.
 
-    `members` as its sender knows them: the candidate may have been replaced by nodes that it does not know.
+    `members`: the members that the sender knows. The candidate may have been replaced by nodes that it does not know.
     """
 
     round: Counter
@@ -140,20 +139,20 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
-    """A candidate asks for the promise that no lower epoch will be served."""
+    """A candidate requests the promise that the receiver rejects lower epochs from now on."""
 
     epoch: Epoch
 
 
 class Promise(msgspec.Struct, frozen=True, tag="promise"):
-    """Sent once the promise is durable; `snapshot` is the newest state that its sender has accepted."""
+    """Sent once the promise is durable; `snapshot` is the newest state that the sender has accepted."""
 
     epoch: Epoch
     snapshot: Snapshot | None
 
 
 class Replicate(msgspec.Struct, frozen=True, tag="replicate"):
-    """The primary's newest state, to be made durable."""
+    """Carries the primary's newest state, which the receiver makes durable."""
 
     snapshot: Snapshot
     committed: Sequence
@@ -165,9 +164,9 @@
 
 
 class ReplicateDelta(msgspec.Struct, frozen=True, tag="replicate_delta"):
-    """The primary's newest state for a node that has its base on disk, to be made durable.
+    """Carries the primary's newest state as a delta, for a node whose disk has the base.
 
-    Sent to those alone that have said that they accept deltas (`HeartbeatAck.accepts_deltas`).
+    Sent only to nodes that have announced that they accept deltas (`HeartbeatAck.accepts_deltas`).
     """
 
     delta: SnapshotDelta
@@ -180,28 +179,28 @@
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, tag="request_snapshot"):
-    """A delta did not fit: its sender needs the state of that epoch as a whole."""
+    """A delta could not be applied: the sender needs the whole state of that epoch."""
 
     epoch: Epoch
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """That state is durable at its sender."""
+    """Reports that a state is durable at the sender."""
 
     epoch: Epoch
     sequence: Sequence
 
 
 class StaleEpoch(msgspec.Struct, frozen=True, tag="refused"):
-    """The message had a lower epoch than its receiver has promised."""
+    """Rejects a message whose epoch is lower than the promised one."""
 
     promised: Epoch
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat", omit_defaults=True):
-    """The primary is alive. `committed`: the newest sequence on a majority of disks; `round`: its number.
+    """The primary is alive. `committed`: the newest sequence on a majority of disks; `round`: the heartbeat's number.
 
-    `unreachable`: members that the primary has not heard lately; left out of the message where there are none.
+    `unreachable`: members that the primary has not heard from recently; omitted from the message if empty.
     """
 
     epoch: Epoch
@@ -211,9 +210,9 @@
 
 
 class HeartbeatAck(msgspec.Struct, frozen=True, tag="heartbeat_ack", omit_defaults=True):
-    """Grants the lease from when `round` was sent on, and reports which state is durable at its sender.
+    """Grants the lease from the time when `round` was sent, and reports which state is durable at the sender.
 
-    `accepts_deltas`: its sender knows `ReplicateDelta`, which processes of earlier versions do not.
+    `accepts_deltas`: whether the sender supports `ReplicateDelta`; processes of earlier versions do not.
     """
 
     epoch: Epoch
@@ -224,19 +223,19 @@
 
 
 class Resign(msgspec.Struct, frozen=True, tag="resign"):
-    """The primary gives its lease back: another may be elected at once."""
+    """The primary gives up its lease, so that another node can be elected at once."""
 
     epoch: Epoch
 
 
 class Recover(msgspec.Struct, frozen=True, tag="recover"):
-    """A replica whose disk holds no usable state asks what it may have promised. `nonce` names the request."""
+    """A replica whose disk holds no usable state asks what it may have promised. `nonce` identifies the request."""
 
     nonce: Counter
 
 
 class RecoverReply(msgspec.Struct, frozen=True, tag="recover_reply"):
-    """The highest epoch and the newest state that its sender knows, also those still on their way to its disk."""
+    """The highest epoch and the newest state that the sender knows, even if they are not yet on its disk."""
 
     nonce: Counter
     promised: Epoch
@@ -244,11 +243,11 @@
 
 
 class Join(msgspec.Struct, frozen=True, tag="join"):
-    """Its sender asks to become a member, and stands by until one is needed."""
+    """The sender asks to become a member, and stands by until a member is needed."""
 
 
 class Leave(msgspec.Struct, frozen=True, tag="leave"):
-    """Its sender is about to stop, and asks to be replaced first where another node stands by."""
+    """The sender is about to stop, and asks to be replaced first if another node stands by."""
 
 
 Message = (
--- a/packages/replication/src/larkweir_replication/recovery.py
+++ b/packages/replication/src/larkweir_replication/recovery.py
@@ -1,7 +1,7 @@
-"""How a replica whose disk holds no usable state learns from the others what it may have promised.
+"""Lets a replica whose disk holds no usable state learn from the others what it may have promised.
 
-The recovery protocol of Viewstamped Replication Revisited (Liskov and Cowling 2012, section 4.3): a nonce keeps
-answers to earlier requests apart. A replica that has not recovered has no vote, and answers nobody.
+The recovery protocol of Viewstamped Replication Revisited (Liskov and Cowling 2012, section 4.3): a nonce
+distinguishes replies from those to earlier requests. A replica that has not recovered does not vote or reply.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 
 
 class Recovery:
-    """The answers to one request at a time."""
+    """Sends requests and counts the replies to the latest one."""
 
     def __init__(self, state: ReplicaState, rng: Random) -> None:
-        """`state`: of the replica whose memory is lost."""
+        """`state`: the state of the replica that must recover."""
         self._state = state
         self._rng = rng
         self._nonce = -1
         self._replies: dict[str, RecoverReply] = {}
 
     def request(self) -> None:
-        """Asks all known nodes; answers to earlier requests, of earlier processes too, no longer count."""
+        """Sends a request to all known nodes. Replies to earlier requests, also of earlier processes, are ignored."""
         self._nonce = self._rng.getrandbits(NONCE_BITS)
         self._replies = {}
         for node in sorted(self._state.known_nodes - {self._state.node}):
             self._state.send(node, Recover(self._nonce))
 
     def on_reply(self, sender: str, reply: RecoverReply) -> bool:
-        """Counts an answer.
+        """Counts a reply.
 
-        Once enough have answered, takes over the highest promise and the newest state, begins to make them durable
-        and returns True. Until they are durable, further answers are ignored.
+        Once enough nodes have replied, takes over the highest promise and the newest state, starts to write them and
+        returns True. Until the write completes, further replies are ignored.
         """
         state = self._state
         state.known_nodes.update(reply.snapshot.members)
@@ -52,7 +52,7 @@
         return True
 
     def _has_enough_replies(self, group: tuple[str, ...]) -> bool:
-        """Whether every majority that the forgotten vote was part of has another member among the replies."""
+        """Whether each majority that this replica may have been part of has another member that has replied."""
         majority = len(group) // 2 + 1
         replied = len(set(group).intersection(self._replies) - {self._state.node})
         return replied >= (len(group) - majority + 1 if self._state.node in group else majority)
--- a/packages/replication/src/larkweir_replication/replica.py
+++ b/packages/replication/src/larkweir_replication/replica.py
@@ -1,8 +1,8 @@
-"""One replica of the value: it dispatches messages, time and the disk's answers to the roles, and changes its status.
+"""One replica of the value: dispatches messages, ticks and disk completions to the roles, and changes its status.
 
-Safety rests on epochs alone. A primary has the promise of a majority for its epoch; a state is committed once a
-majority has it on disk under that epoch; any two majorities share a member (Paxos, Lamport 2001). The lease only keeps
-elections away from a primary that lives.
+Safety depends on epochs alone. A primary has the promise of a majority for its epoch; a state is committed once a
+majority has it on disk under that epoch; any two majorities share a member (Paxos, Lamport 2001). The lease only
+prevents elections while a primary is alive.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class Replica:
-    """Messages, time and the disk's answers in; `take_effects` gives what is to be done. Not thread-safe."""
+    """Takes messages, ticks and disk completions; `take_effects` returns what the caller must do. Not thread-safe."""
 
     def __init__(
         self,
@@ -65,12 +65,12 @@
         timing: Timing | None = None,
         process_start_ms: float | None = None,
     ) -> None:
-        """Starts from what the disk holds. Times are milliseconds of one steady clock.
+        """Starts from the state on disk. Times are milliseconds of one monotonic clock.
 
-        `stored_state`: the newest durable state, None where the disk has none. `first_members`: the group at the very
-        first start, else None. `known_nodes`: nodes to ask while there is no member list. `target_member_count`:
-        changes wait until the group has so many members. `process_start_ms`: when this process began, where that is
-        known to be before `now_ms`.
+        `stored_state`: the newest durable state, None if the disk has none. `first_members`: the members of a new group
+        at its very first start, else None. `known_nodes`: nodes to contact while there is no member list.
+        `target_member_count`: commands wait until the group has this many members. `process_start_ms`: when this
+        process began, if that is known to be before `now_ms`.
         """
         started_ms = now_ms if process_start_ms is None else process_start_ms
         self.status = ReplicaStatus.RECOVERING
@@ -110,17 +110,17 @@
 
     @property
     def primary(self) -> str | None:
-        """The node that this replica follows, itself included; None where it knows none."""
+        """The node that this replica follows, possibly itself; None if it knows no primary."""
         return self._contact.primary
 
     @property
     def promised(self) -> Epoch:
-        """The highest epoch that this replica has promised to serve, or has heard of as a candidate."""
+        """The highest epoch that this replica has promised, or has learned of during a pre-vote."""
         return self._state.promised
 
     @property
     def accepted(self) -> Snapshot | None:
-        """The newest state, committed or not; None before a lost memory is recovered."""
+        """The newest state, committed or not; None before the replica has recovered."""
         return self._state.accepted
 
     @property
@@ -130,22 +130,22 @@
 
     @property
     def known_nodes(self) -> set[str]:
-        """Nodes to ask for a group or a primary. The caller may add and remove others."""
+        """Nodes to contact to find the group or its primary. The caller may add and remove nodes."""
         return self._state.known_nodes
 
     @property
     def is_member(self) -> bool:
-        """Whether its vote counts, as far as it knows."""
+        """Whether the vote of this replica counts, as far as it knows."""
         return self._state.is_member
 
     def take_effects(self) -> list[Effect]:
-        """What is to be done since the last call, in order."""
+        """Returns the effects since the last call, in order."""
         return self._state.take_effects()
 
     # Time and the disk
 
     def tick(self, now_ms: float) -> None:
-        """To be called every few tens of milliseconds."""
+        """Handles the passing of time. The caller must call this every few tens of milliseconds."""
         self._departure.observe_members(now_ms)
         if self._departure.is_begun and self._membership.is_leave_due(now_ms):
             if self._leadership is not None:
@@ -163,7 +163,7 @@
                 self._campaign(now_ms)
 
     def on_persisted(self, token: int, now_ms: float) -> None:
-        """The record of that `Persist`, and all before it, will be found after a loss of power."""
+        """Handles the completion of a `Persist`: its record and all before it survive a loss of power."""
         before = self._state.durability.durable
         durable = self._state.durability.complete_write(token)
         if durable is None:
@@ -177,7 +177,7 @@
             self._on_snapshot_durable(durable.snapshot, now_ms)
 
     def on_persist_failed(self, token: int) -> None:
-        """The disk refused the record, and all before it: what waited for them stays unanswered until asked again."""
+        """Handles a failed write of a record and all before it: requests that need it get no reply until repeated."""
         self._state.durability.fail_write(token)
 
     def _on_promise_durable(self, epoch: Epoch, now_ms: float) -> None:
@@ -197,7 +197,7 @@
     # Status
 
     def _become(self, status: ReplicaStatus, now_ms: float) -> None:
-        """The one change of status: what the new status needs is set up here."""
+        """Changes the status and sets up what the new status needs. All changes of status happen here."""
         if self._leadership is not None and status is not ReplicaStatus.PRIMARY:
             self._leadership.abandon()
             self._leadership = None
@@ -222,45 +222,45 @@
                 self._timer.restart(now_ms, 0.0)
 
     def step_down(self, now_ms: float) -> None:
-        """Ends a term or a candidacy; the same node may be elected again."""
+        """Ends a term or a candidacy. The same node may be elected again."""
         if self.status in (ReplicaStatus.PRIMARY, ReplicaStatus.CANDIDATE, ReplicaStatus.PRE_CANDIDATE):
             self._become(ReplicaStatus.FOLLOWER, now_ms)
 
     def resign(self, now_ms: float) -> None:
-        """Gives the lease back, so that another node is elected at once."""
+        """Gives up the lease, so that another node can be elected at once."""
         if self._leadership is not None:
             for node in self._state.other_members():
                 self._state.send(node, Resign(self.promised))
             self.step_down(now_ms)
 
     def leave(self, now_ms: float) -> None:
-        """Prepares a planned end: the node goes on as a member until `departure_reason` gives one."""
+        """Prepares a planned exit: the node remains a member until `departure_reason` returns a reason."""
         self._departure.begin(now_ms)
         self.resign(now_ms)
 
     def departure_reason(self, now_ms: float) -> DepartureReason | None:
-        """Why a node that was told to leave may end now; None where it is to go on as a member."""
+        """Returns why a node may exit now after `leave`, or None while it must remain a member."""
         observer = self._leadership or self._contact
         return self._departure.reason(observer.unreachable_members(now_ms), now_ms)
 
     def on_partial_message(self, node: str, now_ms: float) -> None:
-        """A message of that node is arriving, too large to be complete yet: its heartbeats are behind it."""
+        """Handles the arrival of part of a large message from `node`, whose heartbeats are queued behind it."""
         if node == self.primary and self.status is ReplicaStatus.FOLLOWER:
             self._contact.renew(now_ms)
             self._timer.extend(now_ms, self._timer.draw_election_timeout_ms(self._departure.is_begun))
 
     def on_reconnected(self, node: str) -> None:
-        """There is a new connection to that node."""
+        """Handles a new connection to `node`."""
         if self._leadership is not None:
             self._leadership.on_reconnected(node)
 
     # Messages
 
     def receive(self, sender: str, message: Message, now_ms: float) -> None:
-        """Takes one message; those of an earlier process or epoch change nothing."""
+        """Handles one message. Messages of an earlier process or epoch have no effect."""
         if self.status is ReplicaStatus.RECOVERING:
             if isinstance(message, RecoverReply) and self._recovery.on_reply(sender, message):
-                self._contact.renew(now_ms)  # it may have granted a lease before
+                self._contact.renew(now_ms)  # it may have granted a lease before it lost its state
             return
         match message:
             case HeartbeatAck() | Accepted() | Join() | Leave() | SnapshotRequest():
@@ -289,7 +289,7 @@
             case Recover():
                 self._acceptor.on_recover(sender, message)
             case RecoverReply():
-                pass  # late: the memory has been recovered
+                pass  # late: this replica has already recovered
 
     # Following
 
@@ -302,13 +302,13 @@
             self._membership.request_join_if_due(now_ms)
 
     def _raise_promise(self, epoch: Epoch, now_ms: float) -> None:
-        """Serves no lower epoch from now on."""
+        """Rejects lower epochs from now on."""
         if epoch > self.promised:
             self._state.promised = epoch
             self.step_down(now_ms)
 
     def _follow_sender(self, sender: str, epoch: Epoch, now_ms: float) -> bool:
-        """Follows the primary of that epoch; False where the epoch is stale."""
+        """Follows `sender` as the primary of that epoch; returns False if the epoch is stale."""
         if epoch < self.promised:
             self._acceptor.reject_stale(sender)
             return False
@@ -330,13 +330,13 @@
     # Elections
 
     def is_lease_valid(self, now_ms: float) -> bool:
-        """Whether the lease runs in which no other primary than the known one can be elected."""
+        """Whether the lease is valid, so that no primary other than the known one can be elected."""
         if self._leadership is not None:
             return self._leadership.is_lease_valid(now_ms)
         return self._contact.is_lease_valid(now_ms)
 
     def _campaign(self, now_ms: float) -> None:
-        """Asks again those that have not answered, until the candidacy is over."""
+        """Repeats the request to nodes that have not replied, until the candidacy ends."""
         if self._timer.is_due(now_ms):
             self._become(ReplicaStatus.FOLLOWER, now_ms)
         elif not self._election.is_request_due(now_ms):
@@ -383,17 +383,17 @@
             self._timer.restart(now_ms, self._timing.recover_interval_ms)
             self._recovery.request()
 
-    # The primary's calls, refused elsewhere
+    # Calls that only the primary accepts
 
     def submit(self, ticket: int, command: Command, now_ms: float) -> bool:
-        """Queues a command; False where this is not the primary. It ends with a `CommandFinished`."""
+        """Queues a command, whose outcome is a `CommandFinished`; returns False if this is not the primary."""
         if self._leadership is None:
             return False
         self._leadership.submit(ticket, command, now_ms)
         return True
 
     def read(self, ticket: int, now_ms: float) -> bool:
-        """Begins a read of the newest value; False where this is not the primary. It ends with a `ReadFinished`."""
+        """Starts a read, whose result is a `ReadFinished`; returns False if this is not the primary."""
         if self._leadership is None:
             return False
         self._leadership.read(ticket, now_ms)
--- a/packages/replication/src/larkweir_replication/snapshot_delta.py
+++ b/packages/replication/src/larkweir_replication/snapshot_delta.py
@@ -1,7 +1,7 @@
-"""What a replica lacks that has the state before: a delta in place of the whole state. Pure logic.
+"""Deltas between consecutive states, which are sent instead of the whole state. Pure logic.
 
-A delta holds for one base alone, which its epoch and sequence name: two replicas that accepted a state under the same
-epoch and sequence have the same state. A checksum of the result guards against a fault of this module.
+A delta applies to one base only, identified by its epoch and sequence: two replicas that accepted a state under the
+same epoch and sequence have the same state. A checksum of the result guards against a bug in this module.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def make_delta(base: Snapshot, target: Snapshot) -> SnapshotDelta | None:
-    """The delta between two states; None where the later one does not continue the earlier one's commands."""
+    """Returns the delta between two states, or None if the commands of `target` do not continue those of `base`."""
     added_count = target.sequence - base.sequence
     dropped = _dropped_count(base.applied_commands, target.applied_commands, added_count)
     if dropped is None:
@@ -35,16 +35,16 @@
 
 
 def apply_delta(base: Snapshot, delta: SnapshotDelta) -> Snapshot:
-    """The state that the delta makes of its base.
+    """Returns the state that results from applying the delta to its base.
 
     Raises:
-        DeltaMismatchError: it needs another base, or does not make the state that it was made for.
+        DeltaMismatchError: the delta needs another base, or the result does not match its checksum.
     """
     if base.rank != delta.base_rank:
-        raise DeltaMismatchError(f"the delta needs {delta.base_rank}, this is {base.rank}")
+        raise DeltaMismatchError(f"the delta needs the base {delta.base_rank}, but this state is {base.rank}")
     value = apply_edits(base.value, delta.edits)
     if _checksum(value) != delta.checksum:
-        raise DeltaMismatchError("the result has another checksum")
+        raise DeltaMismatchError("the checksum of the result does not match the delta")
     return Snapshot(
         epoch=delta.epoch,
         sequence=delta.sequence,
@@ -59,7 +59,7 @@
 def _dropped_count(
     before: tuple[AppliedCommand, ...], after: tuple[AppliedCommand, ...], max_added: int
 ) -> int | None:
-    """How many of the oldest commands `after` lacks; None where it is no continuation of `before`."""
+    """Returns how many of the oldest commands `after` lacks, or None if it does not continue `before`."""
     for added in range(max_added + 1):
         dropped = len(before) + added - len(after)
         if 0 <= dropped <= len(before) and before[dropped:] == after[: len(before) - dropped]:
--- a/packages/replication/src/larkweir_replication/state.py
+++ b/packages/replication/src/larkweir_replication/state.py
@@ -11,10 +11,10 @@
 
 
 class ReplicaState:
-    """Epoch and states of one replica, what its disk holds, and the effects that its caller has not taken yet."""
+    """The epoch and states of one replica, the state of its disk, and the effects that its caller has not taken yet."""
 
     def __init__(self, node: str, known_nodes: Iterable[str]) -> None:
-        """`known_nodes`: nodes to ask while there is no member list."""
+        """`known_nodes`: nodes to contact while there is no member list."""
         self.node = node
         self.known_nodes = set(known_nodes) | {node}
         self.promised: Epoch = NO_EPOCH
@@ -24,14 +24,14 @@
         self._effects: list[Effect] = []
 
     def restore(self, stored: DurableState) -> None:
-        """Takes over what the disk holds."""
+        """Takes over the state on disk."""
         self.durability = Durability(stored)
         self.promised, self.accepted = stored.promised, stored.snapshot
         if stored.snapshot is not None:
             self.known_nodes.update(stored.snapshot.members)
 
     def bootstrap(self, first_members: tuple[str, ...]) -> None:
-        """Begins as a member of the first group, whose value is empty."""
+        """Starts as a member of a new group, whose value is empty."""
         self.accepted = Snapshot(NO_EPOCH, 0, first_members)
         self.persist()
 
@@ -48,13 +48,13 @@
         return self.committed is not None and not self.committed.has_member(self.node)
 
     def other_members(self) -> list[str]:
-        """All members but this node, sorted; during a change also the previous ones."""
+        """Returns all members except this node, sorted; during a change of members also the previous ones."""
         if self.accepted is None:
             return []
         return sorted({*self.accepted.members, *self.accepted.previous_members} - {self.node})
 
     def newest(self) -> Snapshot:
-        """The accepted state. Raises NotRecoveredError where there is none."""
+        """Returns the accepted state. Raises NotRecoveredError if there is none."""
         if self.accepted is None:
             raise NotRecoveredError(self.node)
         return self.accepted
@@ -62,7 +62,7 @@
     # States
 
     def commit(self, snapshot: Snapshot) -> None:
-        """Notes that a majority has the state on disk; announces each sequence once, and never an earlier one."""
+        """Records that a majority has the state on disk; emits `Committed` once per sequence, in increasing order."""
         before = self.committed
         if before is None or snapshot.rank > before.rank:
             self.committed = snapshot
@@ -71,29 +71,29 @@
 
     @property
     def committed_sequence(self) -> int:
-        """Sequence of the newest committed state, -1 where none is known."""
+        """The sequence of the newest committed state, -1 if none is known."""
         return -1 if self.committed is None else self.committed.sequence
 
     def persist(self) -> None:
-        """Begins to make the promised epoch and the accepted state durable."""
+        """Starts a write of the promised epoch and the accepted state."""
         self.emit(self.durability.begin_write(DurableState(self.promised, self.accepted)))
 
     def persist_if_missing(self, snapshot: Snapshot) -> None:
-        """Begins a write where that state is neither on the disk nor on its way there."""
+        """Starts a write if that state is neither on the disk nor in a pending write."""
         if not self.durability.is_durable_or_pending(snapshot):
             self.persist()
 
     # Effects
 
     def send(self, node: str, message: Message) -> None:
-        """Queues a message to that node."""
+        """Queues a message to `node`."""
         self.emit(Send(node, message))
 
     def emit(self, effect: Effect) -> None:
-        """Queues an effect behind the earlier ones."""
+        """Queues an effect after the earlier ones."""
         self._effects.append(effect)
 
     def take_effects(self) -> list[Effect]:
-        """The effects since the last call, in order."""
+        """Returns the effects since the last call, in order."""
         taken, self._effects = self._effects, []
         return taken
--- a/packages/replication/src/larkweir_replication/state_replicator.py
+++ b/packages/replication/src/larkweir_replication/state_replicator.py
@@ -1,7 +1,7 @@
-"""The primary's newest state on its way to a majority of disks, one state at a time.
+"""Replicates the primary's newest state to a majority of disks, one state at a time.
 
-Phase 2 of Paxos (Lamport 2001), for the state as a whole: there is no log of commands. A node whose disk has the state
-before is sent what has changed; whatever is sent a second time is sent whole.
+This is phase 2 of Paxos (Lamport 2001) for the state as a whole: there is no log of commands. A node whose disk has the
+previous state is sent a delta; a repeated transmission always carries the whole state.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from larkweir_replication.snapshot_delta import make_delta
 from larkweir_replication.state import ReplicaState
 
-RESEND_INTERVAL_MS = 300.0  # a state that is not acknowledged is sent again
-TRANSFER_BYTES_PER_MS = 2_000  # of a slow link and disk: a large state has so much more time
+RESEND_INTERVAL_MS = 300.0  # an unacknowledged state is sent again after this long
+TRANSFER_BYTES_PER_MS = 2_000  # assumed throughput of a slow link and disk; large states get more time
 
 
 @dataclass(slots=True)
 class Proposal:
-    """A state that is not committed yet; `ticket` is that of the command that made it, if one did."""
+    """A state that is not committed yet; `ticket` identifies the command that led to it, None if no command did."""
 
     snapshot: Snapshot
     ticket: int | None
@@ -27,20 +27,20 @@
 
 
 class StateReplicator:
-    """Sends states until a majority has them on disk."""
+    """Sends a state until a majority has it on disk."""
 
     def __init__(self, state: ReplicaState, members: MemberTracker) -> None:
-        """`members`: who is to have the states."""
+        """`members`: determines which nodes the states are sent to."""
         self._state = state
         self._members = members
         self._sent_ms: dict[str, float] = {}  # by node
-        self._durable_ranks: dict[str, tuple[Epoch, int]] = {}  # by node, as last reported
+        self._durable_ranks: dict[str, tuple[Epoch, int]] = {}  # by node, as it last reported
         self._accepts_deltas: set[str] = set()
-        self._delta: SnapshotDelta | None = None  # from the state before to the newest one
+        self._delta: SnapshotDelta | None = None  # from the previous state to the newest one
         self.proposal: Proposal | None = None
 
     def propose(self, snapshot: Snapshot, ticket: int | None, now_ms: float, *, persist: bool = True) -> None:
-        """Accepts the state here and sends it to all. `persist`: whether it is not yet on its way to the own disk."""
+        """Accepts the state here and sends it to all recipients. `persist`: False if the local write has begun."""
         base = self._state.newest()
         self._delta = make_delta(base, snapshot) if self._accepts_deltas and base is not snapshot else None
         self._state.accepted = snapshot
@@ -58,15 +58,15 @@
         return node in self._accepts_deltas and self._durable_ranks.get(node) == delta.base_rank
 
     def enable_deltas(self, node: str) -> None:
-        """That node has said that it accepts deltas."""
+        """Records that `node` accepts deltas."""
         self._accepts_deltas.add(node)
 
     def send_newest(self, node: str, now_ms: float) -> None:
-        """Sends the newest state to a node, whether it has it or not."""
+        """Sends the newest state to a node, even if the node already has it."""
         self._replicate(node, self._state.newest(), now_ms)
 
     def resend(self, now_ms: float) -> None:
-        """Repeats what has not been acknowledged in time, and the own write where the disk has refused it."""
+        """Repeats the proposal to nodes that have not acknowledged it in time, and the local write if it failed."""
         if self.proposal is None:
             return
         self._state.persist_if_missing(self.proposal.snapshot)
@@ -75,14 +75,14 @@
                 self._replicate(node, self.proposal.snapshot, now_ms)
 
     def on_reconnected(self, node: str) -> None:
-        """A new connection to that node: what was sent on the previous one may not have arrived."""
+        """Handles a new connection to `node`: messages on the previous one may have been lost."""
         self._sent_ms.pop(node, None)
         self._durable_ranks.pop(node, None)
 
     def on_accepted(self, node: str, epoch: Epoch, sequence: int, now_ms: float) -> Proposal | None:
-        """Counts a state that is durable at that node; sends the newest to a node that is behind.
+        """Counts a state that is durable at `node`; sends the newest state to a node that is behind.
 
-        Returns the proposal that a majority has now.
+        Returns the proposal if a majority has it now, else None.
         """
         self._durable_ranks[node] = (epoch, sequence)
         newest = self._state.newest()
@@ -101,7 +101,7 @@
         return proposal
 
     def transfer_ms(self) -> float:
-        """How long a state under way may hold up the heartbeats behind it."""
+        """How long the transfer of a pending proposal may delay the heartbeats queued behind it."""
         return 0.0 if self.proposal is None else self.proposal.snapshot.size_bytes / TRANSFER_BYTES_PER_MS
 
     def _can_resend(self, node: str, now_ms: float) -> bool:
--- a/packages/replication/src/larkweir_replication/status.py
+++ b/packages/replication/src/larkweir_replication/status.py
@@ -6,10 +6,10 @@
 
 
 class ReplicaStatus(Enum):
-    """What a replica is doing. The values are shown to operators (`/status`, event `replica_status`) and stay."""
+    """What a replica is doing. Operators see the values in `/status` and event `replica_status`: don't change them."""
 
-    RECOVERING = "recovering"  # the disk holds no usable state: no vote yet
+    RECOVERING = "recovering"  # the disk holds no usable state, so the replica has no vote yet
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "canvassing"  # asks whether a candidacy would find a majority
+    PRE_CANDIDATE = "canvassing"  # asks whether a majority would vote for it
     CANDIDATE = "candidate"
     PRIMARY = "primary"
--- a/packages/replication/src/larkweir_replication/text_delta.py
+++ b/packages/replication/src/larkweir_replication/text_delta.py
@@ -1,7 +1,7 @@
-"""The difference of two texts as copies and insertions: pure logic, fast on texts of megabytes.
+"""Represents the difference between two texts as copies and insertions. Pure logic; fast on texts of megabytes.
 
-Both texts are cut behind each closing brace, so that the items of a JSON document are pieces. Runs of pieces that the
-old text has too are copied, the others are sent (as rsync does with blocks: Tridgell and Mackerras 1996).
+Both texts are split after each closing brace, so that the items of a JSON document are pieces. Runs of pieces that the
+old text contains too are copied, the others are sent (as rsync does with blocks: Tridgell and Mackerras 1996).
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class TextEdit(msgspec.Struct, frozen=True, array_like=True):
-    """A part of the new text: a copy of `length` characters of the old one from `start` on, then `inserted`."""
+    """A part of the new text: `length` characters of the old text from `start` on, followed by `inserted`."""
 
     start: Position
     length: Position
@@ -26,7 +26,7 @@
 
 
 def make_edits(old: str, new: str) -> tuple[TextEdit, ...]:
-    """The edits that make the new text of the old one."""
+    """Returns the edits that turn the old text into the new one."""
     start_by_piece: dict[str, int] = {}
     position = 0
     for piece in _pieces(old):
@@ -37,7 +37,7 @@
     inserted: list[str] = []
     for piece in _pieces(new):
         if not inserted and old.startswith(piece, start + length):
-            length += len(piece)  # the run goes on, also over pieces that the old text has several times
+            length += len(piece)  # extends the run, even over pieces that the old text has several times
             continue
         found = start_by_piece.get(piece)
         if found is None:
@@ -50,7 +50,7 @@
 
 
 def apply_edits(old: str, edits: Iterable[TextEdit]) -> str:
-    """The new text; of another old text than that of `make_edits` it is some other text."""
+    """Returns the new text. `old` must be the text that `make_edits` was given, else the result is another text."""
     parts: list[str] = []
     for edit in edits:
         parts.append(old[edit.start : edit.start + edit.length])
