--- a/packages/replication/src/larkweir_replication/primary_contact.py
+++ b/packages/replication/src/larkweir_replication/primary_contact.py
@@ -13,7 +13,7 @@
     """
 
     def __init__(self, timing: Timing, started_ms: float) -> None:
-        """`started_ms`: when the process began. This counts as a contact: an earlier process may have granted a lease."""
+        """`started_ms`: when the process began, counted as a contact: an earlier process may have granted a lease."""
         self._timing = timing
         self._last_contact_ms = started_ms
         self.primary: str | None = None  # the node that this replica follows, possibly itself
--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of replicas in memory: machines with journals, a faulty network, operators' calls, and what must hold."""
+"""A cluster of replicas in memory: machines with journals, a faulty network, operators' calls, and the invariants."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class Call(msgspec.Struct, frozen=True, tag="call"):
-    """An operator's call on its way to the primary; a read where there is no command."""
+    """An operator's call to the primary; without a command it is a read."""
 
     ticket: int
     command: Command | None
 
 
 class Answer(msgspec.Struct, frozen=True, tag="answer"):
-    """How the call ended; `outcome` is None for a read."""
+    """The result of a call; `outcome` is None for a read."""
 
     ticket: int
     outcome: str | None
@@ -46,12 +46,12 @@
 
 
 def changes_in(value: str) -> list[str]:
-    """The changes that made a value, in order."""
+    """Returns the changes that a value consists of, in order."""
     return value.split(",") if value else []
 
 
 def append_change(value: str, text: str) -> Result[str, object]:
-    """The rules of the tests' value: `BASE:NAME` appends NAME where BASE is the number of names so far."""
+    """Applies a change to the tests' value: `BASE:NAME` appends NAME if BASE is the number of names so far."""
     base, _, name = text.partition(":")
     names = changes_in(value)
     if int(base) != len(names):
@@ -64,7 +64,7 @@
 
 
 class Machine:
-    """One machine of the group: its disk outlives its process."""
+    """One machine of the group. Its disk outlives its process."""
 
     def __init__(self, cluster: Cluster, name: str, bootstrap: bool) -> None:
         self.cluster = cluster
@@ -72,8 +72,8 @@
         self.disk = Disk(cluster.rng, cluster.sync_ms)
         self.bootstrap = bootstrap
         self.replica: Replica | None = None
-        self.is_retired = False  # it leaves for good: once it has ended, the platform does not start it again
-        self.published_value = ""  # the newest value of this life
+        self.is_retired = False  # leaves permanently: the platform does not start it again
+        self.published_value = ""  # the newest value that the current process has published
         self.seeds: Iterable[str] = cluster.seeds
         self._journal = Journal(self.disk.files)
         self._writing: DurableState | None = None
@@ -86,7 +86,7 @@
         return self.replica
 
     def start(self) -> None:
-        """Starts the process; no effect where it is running, or retired."""
+        """Starts the process. Has no effect if it is running or the machine is retired."""
         if self.replica is not None or self.is_retired:
             return
         cluster = self.cluster
@@ -111,7 +111,7 @@
         self.bootstrap = False
 
     def stop(self) -> None:
-        """Kills the process; what was not synced may be gone, there or torn."""
+        """Kills the process. A write that was not synced may be missing, complete or torn."""
         if self.replica is None:
             return
         self.replica = None
@@ -122,7 +122,7 @@
             self._writing = None
 
     def leave(self) -> None:
-        """Stops the machine for good as planned, as the program does."""
+        """Starts a planned, permanent exit of the machine, as the program does."""
         if self.replica is None:
             return
         self.replica.leave(self.cluster.network.now_ms)
@@ -159,7 +159,7 @@
             self._run_effects(self.replica.take_effects())
 
     def call(self, ticket: int, requested: Command | None) -> None:
-        """Takes an operator's call: submits it, or forwards it to the primary that this machine knows."""
+        """Handles an operator's call: submits it, or forwards it to the primary that this machine knows."""
         if self.replica is None or self.name in self.cluster.frozen:
             return
         if self.replica.status is ReplicaStatus.PRIMARY:
@@ -168,7 +168,7 @@
             self._send(self.replica.primary, Call(ticket, requested))
 
     def _handle_call(self, source: str, call: Call) -> None:
-        """Submits a call, as the primary or as a machine that another one believes to be it."""
+        """Submits a call to this machine's replica. The sender believes that this machine is the primary."""
         replica, now_ms = self.running_replica, self.cluster.network.now_ms
         self.cluster.requesters[call.ticket] = (source, self.name)
         if call.command is None:
@@ -202,7 +202,7 @@
                     self._answer(Answer(ticket, None, None if found is None else found.value))
 
     def _write(self, token: int, durable: DurableState) -> None:
-        """Writes one record at a time; the newest pending one covers the earlier ones, as in the program."""
+        """Writes one record at a time. Only the newest pending record is written, as in the program."""
         self._waiting = (token, durable)
         if self._writing is None:
             self._begin_write()
@@ -233,26 +233,30 @@
 
 
 class Cluster:
-    """Machines, operators' calls and the guarantees: call `check` at the end."""
+    """The machines, the operators' calls and the invariants. Tests call `check` at the end."""
 
     def __init__(self, seed: int, size: int = 3, tolerance: int = 1, initial_member_count: int = 3) -> None:
-        """`initial_member_count`: so many machines form the first group, the others join it."""
+        """`initial_member_count`: the number of machines that form the first group; the others join it."""
         self.rng = Random(seed)
         self.network = Network(seed, delay_ms=(0.2, 4.0))
-        self.sync_ms = 2.0  # of disks that are well
+        self.sync_ms = 2.0  # of disks without faults
         names = [f"m{n}" for n in range(size)]
         self.seeds = tuple(names[:3])
         self.first_members = tuple(names[:initial_member_count])
         self.target_member_count = 2 * tolerance + 1
         self.machines = {name: Machine(self, name, bootstrap=True) for name in names}
         self.frozen: set[str] = set()
-        self.requesters: dict[int, tuple[str, str]] = {}  # by ticket: who asked, and who answers
+        self.requesters: dict[
+            int, tuple[str, str]
+        ] = {}  # by ticket: the machine that sent the call, and the one that handles it
         self.commands: dict[int, str] = {}  # by ticket
-        self.acknowledged: dict[str, float] = {}  # commands, by when that was first said
+        self.acknowledged: dict[str, float] = {}  # by command, when it was first acknowledged
         self.rejected: set[str] = set()
         self.unknown_count = 0
-        self.history: dict[int, str] = {}  # by sequence, what was ever published under it
-        self.reads: dict[int, list[str]] = {}  # by ticket, what was acknowledged before it began
+        self.history: dict[int, str] = {}  # by sequence, the value that was published under it
+        self.reads: dict[
+            int, list[str]
+        ] = {}  # by ticket, the commands that were acknowledged before the read started
         self.reads_done = 0
         self.repeats_refused = 0
         self._tickets = 0
@@ -263,14 +267,14 @@
     # Machines
 
     def add_machine(self) -> Machine:
-        """Adds a machine with an empty disk and a name that was never used. It is not started."""
+        """Adds a machine with an empty disk and a name that was never used, without starting it."""
         name = f"m{self._next_number}"
         self._next_number += 1
         machine = self.machines[name] = Machine(self, name, bootstrap=False)
         return machine
 
     def remove_machine(self, name: str) -> None:
-        """Removes the machine for good."""
+        """Removes the machine permanently."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             machine.stop()
@@ -278,31 +282,31 @@
     # Operators' calls
 
     def submit(self, name: str, text: str) -> int:
-        """Sends a command to that machine; returns its ticket."""
+        """Sends a command to a machine; returns the ticket."""
         self._tickets += 1
         self.commands[self._tickets] = text
         self.machines[name].call(self._tickets, command(text))
         return self._tickets
 
     def read(self, name: str) -> int:
-        """Reads at that machine: the result must contain all that was acknowledged before. Returns the ticket."""
+        """Reads at a machine; the result must contain all commands acknowledged before. Returns the ticket."""
         self._tickets += 1
         self.reads[self._tickets] = list(self.acknowledged)
         self.machines[name].call(self._tickets, None)
         return self._tickets
 
     def on_answer(self, answer: Answer) -> None:
-        """Takes the outcome of a call, as its caller receives it."""
+        """Checks and records the outcome of a call when its caller receives it."""
         if answer.ticket in self.reads:
             self._read_done(answer.ticket, answer.value)
             return
         text = self.commands[answer.ticket]
         match CommandOutcome(answer.outcome):
             case CommandOutcome.COMMITTED:
-                assert text not in self.rejected, f"{text} was refused, then acknowledged"
+                assert text not in self.rejected, f"{text} was rejected, then acknowledged"
                 self.acknowledged.setdefault(text, self.network.now_ms)
             case CommandOutcome.REJECTED:
-                assert text not in self.acknowledged, f"{text} was acknowledged, then refused"
+                assert text not in self.acknowledged, f"{text} was acknowledged, then rejected"
                 self.rejected.add(text)
             case _:
                 self.unknown_count += 1
@@ -314,19 +318,21 @@
         names = changes_in(value)
         for text in self.reads[ticket]:
             base, _, name = text.partition(":")
-            assert names[int(base) : int(base) + 1] == [name], f"a read without {text}: {value}"
+            assert names[int(base) : int(base) + 1] == [name], f"a read did not contain {text}: {value}"
 
     def on_committed(self, machine: Machine, snapshot: Snapshot) -> None:
         known = self.history.setdefault(snapshot.sequence, snapshot.value)
-        assert known == snapshot.value, f"two values under {snapshot.sequence}: {known!r}, {snapshot.value!r}"
+        assert (
+            known == snapshot.value
+        ), f"two values for sequence {snapshot.sequence}: {known!r}, {snapshot.value!r}"
         before = changes_in(machine.published_value)
-        assert changes_in(snapshot.value)[: len(before)] == before, f"{machine.name} went back"
+        assert changes_in(snapshot.value)[: len(before)] == before, f"{machine.name} published an older value"
         machine.published_value = snapshot.value
 
-    # What is seen from outside
+    # State as seen from outside
 
     def primary(self) -> str | None:
-        """The running primary of the highest epoch, if there is one."""
+        """Returns the running primary of the highest epoch, or None."""
         found = [
             (machine.replica.promised, name)
             for name, machine in self.machines.items()
@@ -337,7 +343,7 @@
         return max(found)[1] if found else None
 
     def committed(self) -> Snapshot:
-        """What the primary knows to be committed; there must be one."""
+        """Returns the state that the primary has committed; asserts that there is a primary."""
         name = self.primary()
         assert name is not None, "no primary"
         committed = self.machines[name].running_replica.committed
@@ -345,14 +351,14 @@
         return committed
 
     def newest(self) -> str:
-        """The newest value that any machine has published."""
+        """Returns the newest value that any machine has published."""
         return self.history[max(self.history)] if self.history else ""
 
     def run(self, duration_ms: float) -> None:
         self.network.run(self.network.now_ms + duration_ms)
 
     def assert_serves(self, within_ms: float = 4_000.0) -> None:
-        """Sends a valid command as operators do, and asserts that it is acknowledged in time."""
+        """Sends a valid command repeatedly, as operators do, and asserts that it is acknowledged in time."""
         end_ms = self.network.now_ms + within_ms
         text = ""
         while not text or text not in self.acknowledged:
@@ -363,13 +369,13 @@
             self.run(100.0)
 
     def check(self) -> None:
-        """Asserts that the newest value has all acknowledged changes, in one history, and no rejected one."""
+        """Asserts that the newest value has all acknowledged changes, no rejected ones, and extends earlier ones."""
         names = changes_in(self.committed().value)
         for text in self.acknowledged:
             base, _, name = text.partition(":")
-            assert names[int(base) : int(base) + 1] == [name], f"{text} is lost: {names}"
+            assert names[int(base) : int(base) + 1] == [name], f"{text} was acknowledged but is lost: {names}"
         for text in self.rejected:
             base, _, name = text.partition(":")
-            assert names[int(base) : int(base) + 1] != [name], f"{text} was refused and carried out"
+            assert names[int(base) : int(base) + 1] != [name], f"{text} was rejected but applied"
         for _, value in sorted(self.history.items()):
             assert names[: len(changes_in(value))] == changes_in(value)
--- a/packages/replication/tests/replication_disk.py
+++ b/packages/replication/tests/replication_disk.py
@@ -1,4 +1,4 @@
-"""A machine's disk in memory: syncs that take time, writes torn by a crash, damage, and a journal on top of it."""
+"""A simulated disk of a machine, in memory: slow syncs, writes torn by a crash, and damaged data."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MemoryFiles:
-    """`JournalFiles` in memory; whatever was written is on the disk."""
+    """`JournalFiles` in memory; every write is durable at once."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -28,7 +28,7 @@
 
 
 class Disk:
-    """The disk of a machine, which outlives its processes, and its present faults."""
+    """The disk of a machine and its current faults. It outlives the processes of the machine."""
 
     def __init__(self, rng: Random, sync_ms: float) -> None:
         self.rng = rng
@@ -43,11 +43,11 @@
         return not self.files.files
 
     def wipe(self) -> None:
-        """Loses all files."""
+        """Deletes all files."""
         self.files = MemoryFiles()
 
     def flip_bit(self) -> bool:
-        """Damages a record that is not the last one; False where there is none."""
+        """Damages a record that is not the last one; returns False if there is no such record."""
         data = self.files.files.get(JOURNAL_FILE, b"")
         last = data.rfind(b"\n", 0, len(data) - 1) + 1
         if last <= 0:
@@ -58,7 +58,7 @@
         return True
 
     def crash_during(self, journal: Journal, durable: DurableState) -> None:
-        """The process or the power fails while this record is written: it is complete, torn, or missing."""
+        """Simulates a crash or a loss of power during a write: the record is complete, torn, or missing."""
         if self.full or self.stalled:
             return
         before = dict(self.files.files)
@@ -75,14 +75,14 @@
             self.files.files = {**before, JOURNAL_FILE: intact[:cut]}
 
     def when_responsive(self, callback: Callable[[], None]) -> None:
-        """Calls `callback` at once, or once the disk no longer stalls."""
+        """Calls `callback` at once, or when the current stall ends."""
         if self.stalled:
             self._stalled_writes.append(callback)
         else:
             callback()
 
     def end_stall(self) -> None:
-        """Ends the stall."""
+        """Ends the stall and completes the delayed writes."""
         self.stalled = False
         waiting, self._stalled_writes = self._stalled_writes, []
         for callback in waiting:
--- a/packages/replication/tests/replication_factories.py
+++ b/packages/replication/tests/replication_factories.py
@@ -1,4 +1,4 @@
-"""States and parts of a replica for the tests of single modules."""
+"""Factories and helpers for the unit tests of single modules."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def state_of(
     node: str = "a", accepted: Snapshot | None = None, known: tuple[str, ...] = MEMBERS
 ) -> ReplicaState:
-    """The state of a replica that has promised the epoch of what it has accepted."""
+    """Returns the state of a replica that has promised the epoch of its accepted snapshot."""
     state = ReplicaState(node, known)
     state.accepted = accepted or snapshot()
     state.promised = state.accepted.epoch
@@ -25,12 +25,12 @@
 
 
 def sent(effects: list[Effect]) -> list[tuple[str, Message]]:
-    """The messages among the effects, with their receivers."""
+    """Returns the messages among the effects, with their receivers."""
     return [(effect.node, effect.message) for effect in effects if isinstance(effect, Send)]
 
 
 def write_all(state: ReplicaState) -> list[Effect]:
-    """Lets the disk complete the records among the effects; returns the other effects."""
+    """Completes the writes among the pending effects; returns the other effects."""
     effects = state.take_effects()
     for effect in effects:
         if isinstance(effect, Persist):
--- a/packages/replication/tests/replication_faults.py
+++ b/packages/replication/tests/replication_faults.py
@@ -1,4 +1,4 @@
-"""Seeded trials of a cluster: faults of machines, disks and links, and two operators who keep sending commands."""
+"""Seeded trials of a cluster, with faults of machines, disks and links, while two operators send commands."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 RECOVERY_MS = 4_000.0
 LONG_PARTITION_MS = 20_000.0
-GRACE_MS = 8_000.0  # from SIGTERM until the platform kills a process: the default of `grace_s`
+GRACE_MS = 8_000.0  # from SIGTERM until the platform kills the process; the default of `grace_s`
 STABLE_MS = 4_000.0
 
 
 class FaultInjector:
-    """Injects faults that the group tolerates, or that only interrupt service; never loses too many disks."""
+    """Injects faults that the group tolerates or that only interrupt service; never loses more disks than tolerated."""
 
     DISK_FAULTS = ("wipe", "flip_bit", "replace_crashed")
     MACHINE_FAULTS = (
@@ -40,17 +40,17 @@
     )
 
     def __init__(self, cluster: Cluster, tolerance: int, fault_kinds: tuple[str, ...] = ()) -> None:
-        """`fault_kinds`: the kinds of faults to draw from; all where none is named."""
+        """`fault_kinds`: the kinds of faults to draw from; all kinds if empty."""
         self.cluster = cluster
         self.fault_kinds = fault_kinds
         self.rng: Random = cluster.rng
         self.tolerance = tolerance
-        # By machine that lost its disk: until when it counts as lost, so that it can catch up.
+        # By machine that lost its disk: until when the disk counts as lost, so that the machine can catch up.
         self._lost_disk_until_ms: dict[str, float] = {}
         self.injected: list[str] = []
 
     def inject(self) -> None:
-        """Injects one random fault at a random machine, often the primary."""
+        """Injects a random fault at a random machine, often the primary."""
         self._update_lost_disks()
         names = sorted(self.cluster.machines)
         primary = self.cluster.primary()
@@ -66,7 +66,7 @@
         getattr(self, f"_{kind}")(self.cluster.machines[name], duration_ms)
 
     def _update_lost_disks(self) -> None:
-        """A machine that lost its disk counts as lost until it has recovered, and a while longer."""
+        """Counts a disk as lost until its machine has recovered, and for `RECOVERY_MS` longer."""
         now_ms = self.cluster.network.now_ms
         for name, until_ms in list(self._lost_disk_until_ms.items()):
             machine = self.cluster.machines.get(name)
@@ -94,7 +94,7 @@
 
         self.cluster.network.after(duration_ms, start)
 
-    # Of one machine
+    # Faults of one machine
 
     def _kill(self, machine: Machine, duration_ms: float) -> None:
         machine.stop()
@@ -153,7 +153,7 @@
         machine.disk.full = True
         self.cluster.network.after(duration_ms, lambda: setattr(machine.disk, "full", False))
 
-    # Of the whole
+    # Faults of the whole cluster
 
     def _kill_all(self, _: Machine, duration_ms: float) -> None:
         for machine in self.cluster.machines.values():
@@ -162,7 +162,7 @@
                 self._start_later(machine, self.rng.uniform(0.2, 1.0) * duration_ms)
 
     def _power_loss_all(self, _: Machine, duration_ms: float) -> None:
-        """All running machines lose power; they restart one after the other."""
+        """Cuts the power of all running machines; they restart one after another."""
         self._kill_all(_, 3.0 * duration_ms)
 
     def _split_halves(self, _: Machine, duration_ms: float) -> None:
@@ -173,12 +173,12 @@
         self.cluster.network.after(duration_ms, self.cluster.network.heal)
 
     def _new_seeds(self, _: Machine, duration_ms: float) -> None:
-        """Machines that start later have other seeds."""
+        """Changes the seeds of machines that start later."""
         names = sorted(self.cluster.machines)
         self.cluster.seeds = tuple(self.rng.sample(names, min(3, len(names))))
 
     def _replace_crashed(self, machine: Machine, duration_ms: float) -> None:
-        """Removes the machine for good; an empty one starts later."""
+        """Removes the machine permanently; a machine with an empty disk starts later."""
         if len(self.cluster.machines) <= self.cluster.target_member_count - 1:
             return
         self.cluster.remove_machine(machine.name)
@@ -187,7 +187,7 @@
         self._start_later(newcomer, duration_ms)
 
     def _planned_replacement(self, machine: Machine, duration_ms: float) -> None:
-        """An empty machine starts, then another is asked to leave."""
+        """Starts a machine with an empty disk, then makes `machine` leave."""
         if self._lost_disk_until_ms or machine.replica is None:
             return
         newcomer = self.cluster.add_machine()
@@ -216,9 +216,9 @@
 
 
 class Operator:
-    """Sends a command based on the value that it knows to random machines, until it has an outcome."""
+    """Sends a command, based on the newest published value, to random machines until the command has an outcome."""
 
-    REPEAT_CHANCE = 0.15  # of an old order sent again
+    REPEAT_CHANCE = 0.15  # probability per step of sending an earlier command again
 
     def __init__(self, cluster: Cluster, name: str) -> None:
         self.cluster = cluster
@@ -228,7 +228,7 @@
         self.sent: list[str] = []
 
     def act(self) -> None:
-        """Sends its open command, perhaps an old one too, and reads."""
+        """Sends the command that has no outcome yet, sometimes an earlier one too, and starts a read."""
         cluster = self.cluster
         if self.open_command in cluster.acknowledged or self.open_command in cluster.rejected:
             self.open_command = None
@@ -254,14 +254,14 @@
     tolerance: int = 1
     initial_member_count: int = 3
     steps: int = 60
-    is_dense: bool = False  # orders every few milliseconds, hundreds in all
-    fault_kinds: tuple[str, ...] = ()  # kinds of trouble to draw from
+    is_dense: bool = False  # short steps, for hundreds of commands in all
+    fault_kinds: tuple[str, ...] = ()  # kinds of faults to draw from; all if empty
     fault_probability: float = 0.2  # at each step
-    sync_ms: float = 2.0  # of all disks that are well
+    sync_ms: float = 2.0  # of all disks without faults
 
 
 def run_trial(trial: Trial) -> Cluster:
-    """Runs it and checks the guarantees throughout, and the service whenever no fault is injected for a while."""
+    """Runs a trial; checks the invariants throughout, and the service after each period without faults."""
     cluster = Cluster(trial.seed, trial.size, trial.tolerance, trial.initial_member_count)
     cluster.network.lost = cluster.rng.choice([0.0, 0.0, 0.02, 0.1])
     cluster.sync_ms = trial.sync_ms
@@ -285,9 +285,9 @@
 
 
 def _run_without_faults(cluster: Cluster, injector: FaultInjector) -> None:
-    """Repairs everything for so long that a valid command must be acknowledged."""
+    """Repairs everything and waits until a valid command must be acknowledged."""
     injector.repair_all()
     cluster.run(STABLE_MS)
-    injector.repair_all()  # what was drawn before may have begun or ended meanwhile
+    injector.repair_all()  # scheduled faults may have begun or ended meanwhile
     cluster.run(STABLE_MS)
     cluster.assert_serves()
--- a/packages/replication/tests/replication_scenarios.py
+++ b/packages/replication/tests/replication_scenarios.py
@@ -1,4 +1,4 @@
-"""Steps that scenarios of clusters in memory share."""
+"""Shared steps for scenarios with clusters in memory."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 def run_until(cluster: Cluster, when: Callable[[Cluster], bool], within_ms: float = 5_000.0) -> None:
-    """Lets time pass until the condition holds."""
+    """Advances time until the condition holds."""
     end_ms = cluster.network.now_ms + within_ms
     while not when(cluster):
-        assert cluster.network.now_ms < end_ms, "the condition never held"
+        assert cluster.network.now_ms < end_ms, "the condition did not hold in time"
         cluster.run(TICK_MS)
 
 
@@ -32,14 +32,14 @@
 
 
 def roles_of(cluster: Cluster) -> tuple[str, str, str]:
-    """The primary and the two backups of a cluster of three."""
+    """Returns the primary and the two backups of a cluster of three."""
     primary = primary_of(cluster)
     backup, third = sorted(set(cluster.machines) - {primary})
     return primary, backup, third
 
 
 def stable_cluster(seed: int, size: int = 3, tolerance: int = 1, initial_member_count: int = 3) -> Cluster:
-    """A cluster that has found its primary."""
+    """Returns a cluster that has had time to elect its primary."""
     cluster = Cluster(seed, size, tolerance, initial_member_count)
     cluster.run(3_000.0)
     return cluster
--- a/packages/replication/tests/test_replication_acceptor.py
+++ b/packages/replication/tests/test_replication_acceptor.py
@@ -1,4 +1,4 @@
-"""What a replica answers, and that nothing is promised or accepted before it is durable."""
+"""The acceptor's replies, and that it sends no promise or acceptance before it is durable."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def state() -> ReplicaState:
-    """Of a backup that has the state 3 of the primary `a` on disk."""
+    """The state of a backup that has snapshot 3 of the primary `a` on disk."""
     state = state_of("b", snapshot(3))
     state.persist()
     write_all(state)
--- a/packages/replication/tests/test_replication_cluster_leadership.py
+++ b/packages/replication/tests/test_replication_cluster_leadership.py
@@ -1,4 +1,4 @@
-"""Clusters in memory: what a primary acknowledges, rejects and reads, and when it is replaced."""
+"""Clusters in memory: which commands a primary acknowledges or rejects, its reads, and when it is replaced."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def test_a_primary_whose_large_state_is_arriving_is_not_replaced() -> None:
-    """Its heartbeats are held up for a second; the machines that receive from it say so."""
+    """A large state delays the heartbeats by a second; the receivers report partial messages meanwhile."""
     cluster = stable_cluster(6)
     primary = primary_of(cluster)
     others = sorted(set(cluster.machines) - {primary})
@@ -64,14 +64,14 @@
     for name in others:
         cluster.machines[primary].running_replica.on_reconnected(name)
     cluster.run(100.0)
-    assert cluster.acknowledged, "the first transfer was enough"
+    assert cluster.acknowledged, "the first transfer was not enough"
     assert cluster.primary() == primary
     assert cluster.machines[primary].running_replica.promised == epoch
     cluster.run(2_000.0)
     for name in others:
         cluster.network.cut(primary, name)
     cluster.run(3_000.0)
-    assert cluster.primary() in others, "one that sends nothing is replaced all the same"
+    assert cluster.primary() in others, "a primary that sends nothing must still be replaced"
 
 
 def test_an_old_command_is_acknowledged_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -100,15 +100,15 @@
     for text in ("3:x3", "3:other"):
         cluster.submit(primary, text)
     cluster.run(50.0)
-    assert cluster.unknown_count == 2, "it may have been carried out: neither is refused"
+    assert cluster.unknown_count == 2, "both may have been applied, so neither may be rejected"
     cluster.submit(primary, "25:other")
     cluster.run(50.0)
-    assert cluster.rejected == {"25:other"}, "another one was carried out on that version"
+    assert cluster.rejected == {"25:other"}, "another command was applied to that version"
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_machine_isolated_for_twenty_seconds_confirms_nothing_and_catches_up(seed: int) -> None:
-    """It neither confirms nor refuses, nor reads, and follows at once when it is back, hundreds of changes behind."""
+    """Without a majority it must not acknowledge, reject or read; once reconnected it catches up at once."""
     cluster = stable_cluster(seed)
     away = primary_of(cluster) if seed % 2 else sorted(cluster.machines)[0]
     isolate(cluster, away)
--- a/packages/replication/tests/test_replication_cluster_membership.py
+++ b/packages/replication/tests/test_replication_cluster_membership.py
@@ -1,4 +1,4 @@
-"""Clusters in memory whose members are replaced, leave and come back."""
+"""Clusters in memory whose members are replaced, leave and rejoin."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_another_machine_may_stop_right_after_a_planned_replacement(seed: int) -> None:
-    """The newcomer first, then SIGTERM; the moment the old machine has ended, another stops."""
+    """A newcomer starts, an old machine receives SIGTERM, and once it has exited another one stops immediately."""
     cluster = stable_cluster(seed)
     cluster.submit(primary_of(cluster), "0:x")
     newcomer = cluster.add_machine()
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_leaving_machine_may_hold_the_only_other_copy_of_a_change(seed: int) -> None:
-    """A change is on two disks of three; one of the two leaves, the other loses its disk behind it."""
+    """A change is on two of three disks; one of these machines leaves, then the other loses its disk."""
     cluster = stable_cluster(seed)
     primary, backup, third = roles_of(cluster)
     cluster.add_machine().start()
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_primary_and_a_newcomer_do_not_decide_without_the_old_group(seed: int) -> None:
-    """One member is about to count as lost when the primary and the newcomer are cut off from the other one."""
+    """A partition isolates the primary and a newcomer just before a stopped member may be replaced."""
     cluster = stable_cluster(seed)
     primary, other, lost = roles_of(cluster)
     newcomer = cluster.add_machine()
@@ -132,14 +132,14 @@
     assert replica.status is ReplicaStatus.FOLLOWER
     cluster.assert_serves()
     cluster.run(300.0)
-    assert replica.committed == cluster.committed(), "it has the state, and sends calls on"
+    assert replica.committed == cluster.committed(), "a standby must have the newest state, and forward calls"
     cluster.machines[newcomer.name].stop()
     cluster.run(3_000.0)
     assert cut_off in cluster.committed().members
 
 
 def test_a_replaced_member_finds_a_primary_that_it_does_not_know() -> None:
-    """It comes back when the machine that took its place leads, and another of its old group has ended for good."""
+    """It reconnects after its replacement has become the primary and another machine of its old group has left."""
     cluster = stable_cluster(6)
     first, cut_off, leaving = roles_of(cluster)
     isolate(cluster, cut_off)
@@ -165,7 +165,7 @@
 @pytest.mark.parametrize("tolerance", [1, 2, 3])
 @pytest.mark.parametrize("seed", range(5))
 def test_losses_after_a_newcomer_took_the_place_of_a_partitioned_member(seed: int, tolerance: int) -> None:
-    """Nobody stands by for the member that leaves by plan; then the group loses as many as it tolerates, for good."""
+    """A member leaves without a standby; then the group permanently loses as many machines as it tolerates."""
     size = 2 * tolerance + 1
     cluster = stable_cluster(seed, size, tolerance, initial_member_count=size)
     names = sorted(cluster.machines)
--- a/packages/replication/tests/test_replication_cluster_recovery.py
+++ b/packages/replication/tests/test_replication_cluster_recovery.py
@@ -1,4 +1,4 @@
-"""Clusters in memory whose machines have lost disks, refused writes, or been away."""
+"""Clusters in memory whose machines lost their disks, failed to write, or were unreachable."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def test_nothing_is_confirmed_before_it_is_durable() -> None:
-    """A promise and an acceptance wait for the disk, however long it takes."""
+    """Promises and acceptances must wait for the disk, however slow it is."""
     cluster = stable_cluster(7)
     primary, backup, third = roles_of(cluster)
     cluster.machines[backup].disk.stalled = True
@@ -16,12 +16,12 @@
     cluster.machines[third].stop()
     cluster.submit(primary, "0:x")
     cluster.run(100.0)
-    assert not cluster.acknowledged, "the other copy is on no disk yet"
+    assert not cluster.acknowledged, "the second copy is not durable yet"
     cluster.machines[primary].stop()
     cluster.machines[third].start()
     cluster.run(1_500.0)
-    assert replica.promised > epoch_before, "it has been asked"
-    assert cluster.primary() is None, "the promise is on no disk yet"
+    assert replica.promised > epoch_before, "the backup has not received a request for a promise"
+    assert cluster.primary() is None, "the promise is not durable yet"
     cluster.machines[backup].disk.end_stall()
     cluster.assert_serves()
 
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_damaged_file_gives_its_machine_no_vote(seed: int) -> None:
-    """Two of three have a change; the disk of one of them is damaged, the other is away: nobody leads without it."""
+    """Two of three machines have the changes; one of them is damaged, the other stopped: no primary may be elected."""
     cluster = stable_cluster(seed)
     primary, backup, third = roles_of(cluster)
     isolate(cluster, third)
@@ -83,7 +83,7 @@
 
 
 def test_a_primary_whose_own_disk_was_full_writes_again() -> None:
-    """One of three is gone for good, so that the primary's own disk is needed, and was full at the wrong moment."""
+    """One of three machines is removed, so the primary's own write is needed for a majority, but its disk was full."""
     cluster = stable_cluster(6)
     primary, backup, third = roles_of(cluster)
     cluster.remove_machine(third)
--- a/packages/replication/tests/test_replication_commands.py
+++ b/packages/replication/tests/test_replication_commands.py
@@ -1,4 +1,4 @@
-"""What a command does to a state, and for how long it is remembered."""
+"""How a command changes the state, and how long it is remembered."""
 
 from __future__ import annotations
 
--- a/packages/replication/tests/test_replication_confirmation.py
+++ b/packages/replication/tests/test_replication_confirmation.py
@@ -1,4 +1,4 @@
-"""Answers wait for the round that confirms them, in order."""
+"""Results are held back until the round that confirms them, and returned in order."""
 
 from __future__ import annotations
 
--- a/packages/replication/tests/test_replication_departure.py
+++ b/packages/replication/tests/test_replication_departure.py
@@ -1,4 +1,4 @@
-"""When a node that was told to leave may end."""
+"""When a leaving node may exit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def leaving(state: ReplicaState) -> Departure:
-    """A departure that begins at 0, after the members were seen."""
+    """Returns a departure that begins at 0 ms, after the members were observed."""
     departure = Departure(state, TIMING)
     departure.observe_members(0.0)
     departure.begin(0.0)
@@ -57,7 +57,7 @@
     state.accepted = snapshot(1, members=("a", "b", "d"))
     departure.observe_members(500.0)
     departure.begin(9_000.0)
-    assert departure.reason((), 10_499.0) is None, "the newcomer may have been meant for this node"
+    assert departure.reason((), 10_499.0) is None, "the newcomer may have been meant to replace this node"
     assert departure.reason((), 10_500.0) is DepartureReason.OTHERS_REACHABLE
 
 
--- a/packages/replication/tests/test_replication_durability.py
+++ b/packages/replication/tests/test_replication_durability.py
@@ -1,4 +1,4 @@
-"""Which records count as durable, in whichever way the disk answers."""
+"""Which records count as durable after completed and failed writes."""
 
 from __future__ import annotations
 
--- a/packages/replication/tests/test_replication_election.py
+++ b/packages/replication/tests/test_replication_election.py
@@ -1,4 +1,4 @@
-"""Who is asked in a candidacy, and when it is won."""
+"""Which nodes a candidate sends requests to, and when it wins."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def election() -> Election:
-    """Of the node `a`, which knows of `d`, no member."""
+    """The election of node `a`, which knows `d`, a node that is not a member."""
     return Election(state_of("a", snapshot(3), known=(*MEMBERS, "d")), Timing(), 0.0)
 
 
--- a/packages/replication/tests/test_replication_election_timer.py
+++ b/packages/replication/tests/test_replication_election_timer.py
@@ -1,4 +1,4 @@
-"""The waits of a replica, and the bounds of their random parts."""
+"""The deadlines of a replica, and the bounds of their random parts."""
 
 from __future__ import annotations
 
--- a/packages/replication/tests/test_replication_golden_bytes.py
+++ b/packages/replication/tests/test_replication_golden_bytes.py
@@ -1,7 +1,7 @@
-"""The bytes of every message and of every kind of replica file, as they were when these were written down.
+"""The exact bytes of every message and of every kind of replica file.
 
-Machines of two releases talk to each other, and a release reads the file that the one before it left: a change here
-is a change of a format, never of a name.
+Machines of two releases exchange messages, and a release reads the files of the previous one. So a change to these
+bytes is a change of format; renaming something in Python must not change them.
 """
 
 from __future__ import annotations
--- a/packages/replication/tests/test_replication_journal.py
+++ b/packages/replication/tests/test_replication_journal.py
@@ -1,4 +1,4 @@
-"""Every crash point of the replica's file: short writes, torn and flipped records, full disks, lost names."""
+"""Crashes at every point of a journal write: short writes, torn records, bit flips, full disks, lost renames."""
 
 from __future__ import annotations
 
@@ -25,18 +25,20 @@
 
 
 class PowerCutError(Exception):
-    """The process ends here."""
+    """Simulates the end of the process by a loss of power."""
 
 
 class FaultyFiles(MemoryFiles):
-    """Files whose writes may fail or be cut short; `lasting` is what a loss of power leaves."""
+    """Files whose writes may fail or be cut short; `lasting` is what survives a loss of power."""
 
     def __init__(self) -> None:
         super().__init__()
         self.lasting: dict[str, bytes] = {}
-        self.fail_at: int | None = None  # bytes of the next append that are written before the power goes
+        self.fail_at: int | None = (
+            None  # number of bytes of the next append that are written before the power fails
+        )
         self.full = False
-        self.calls_left: int | None = None  # writes and renames until the power goes
+        self.calls_left: int | None = None  # number of writes and renames until the power fails
 
     def _count_call(self) -> None:
         if self.calls_left is not None:
@@ -107,7 +109,7 @@
 
 
 def written(count: int) -> tuple[FaultyFiles, list[int]]:
-    """A file of so many records, and where each begins."""
+    """Returns files with a journal of `count` records, and the offset of each record."""
     files = FaultyFiles()
     journal = Journal(files)
     starts = []
@@ -118,7 +120,7 @@
 
 
 def test_a_bit_flipped_before_the_last_record_marks_the_journal_damaged() -> None:
-    """Whichever bit it is: no older record is taken for the newest."""
+    """Whichever bit is flipped, no older record may be returned as the newest."""
     files, starts = written(4)
     intact = files.files[JOURNAL_FILE]
     for at in range(starts[-1]):
--- a/packages/replication/tests/test_replication_leader_lease.py
+++ b/packages/replication/tests/test_replication_leader_lease.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def lease() -> LeaderLease:
-    """Of a term that began at 1,000 ms, with its first round sent at once."""
+    """The lease of a term that began at 1,000 ms and sent its first round at once."""
     lease = LeaderLease(TIMING, 1_000.0)
     lease.acknowledge("a", lease.begin_round(1_000.0))
     return lease
--- a/packages/replication/tests/test_replication_member_tracker.py
+++ b/packages/replication/tests/test_replication_member_tracker.py
@@ -1,4 +1,4 @@
-"""What a primary remembers of requests and silences, and for how long."""
+"""How long requests are kept, and when silent members are replaced."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def tracker() -> MemberTracker:
-    """Of the node `a`, whose term began at 0 ms."""
+    """The tracker of node `a`, whose term began at 0 ms."""
     return MemberTracker(state_of("a"), TIMING, 0.0)
 
 
--- a/packages/replication/tests/test_replication_membership.py
+++ b/packages/replication/tests/test_replication_membership.py
@@ -1,4 +1,4 @@
-"""The next members, by what the primary knows."""
+"""Which members the next step chooses, from what the primary knows."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def candidates(
     *, standby: str = "", leaving: str = "", replaceable: str = "", removable: str = ""
 ) -> Candidates:
-    """One letter a node."""
+    """Builds candidates from strings with one letter per node."""
     return Candidates(list(standby), list(leaving), list(replaceable), list(removable))
 
 
--- a/packages/replication/tests/test_replication_planted.py
+++ b/packages/replication/tests/test_replication_planted.py
@@ -1,6 +1,6 @@
-"""Faults planted in the code: seeded trials must find each of them, or the trials prove nothing.
+"""Faults planted in the code, each of which the seeded trials must find; otherwise the trials prove nothing.
 
-`python -m pytest packages/replication/tests/test_replication_planted.py -rP` prints in which trial each was found.
+`python -m pytest packages/replication/tests/test_replication_planted.py -rP` prints the trial that found each fault.
 """
 
 from __future__ import annotations
@@ -51,12 +51,12 @@
 
 @dataclass(frozen=True)
 class PlantedFault:
-    """What is wrong in the code, and the trials that are to find it."""
+    """A fault in the code, and the trials that must find it."""
 
     name: str
     plant: Patch
     trial: Trial = ANY_TRIAL
-    scenario: Callable[[], None] | None = None  # for what only a rare order of events brings about
+    scenario: Callable[[], None] | None = None  # for faults that only a rare order of events reveals
 
 
 def half_is_a_majority(patch: pytest.MonkeyPatch) -> None:
@@ -72,7 +72,7 @@
         return 2 * len(nodes.intersection(self.members)) > len(self.members)
 
     patch.setattr(Snapshot, "has_quorum", has_quorum)
-    # One step less: the next members alone decide on their own coming.
+    # Without the joint step, the next members alone decide on becoming members.
     patch.setattr(member_tracker, "next_step", _change_several_members)
 
 
@@ -302,7 +302,7 @@
     for count in range(1, MAX_TRIALS + 1):
         try:
             run_trial(replace(fault.trial, seed=count))
-        except Exception as found:  # whatever breaks: an assertion of the model, or of the rules themselves
+        except Exception as found:  # any failure counts: an assertion of the tests or of the code itself
             print(f"{fault.name}: found in trial {count}: {found!r:.100}")
             return
     pytest.fail(f"{MAX_TRIALS} trials did not find it")
--- a/packages/replication/tests/test_replication_primary_contact.py
+++ b/packages/replication/tests/test_replication_primary_contact.py
@@ -1,4 +1,4 @@
-"""For how long a follower helps to elect nobody else."""
+"""How long a follower considers the primary's lease valid."""
 
 from __future__ import annotations
 
--- a/packages/replication/tests/test_replication_readme.py
+++ b/packages/replication/tests/test_replication_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README runs as it stands there."""
+"""The README's example runs unchanged."""
 
 from __future__ import annotations
 
--- a/packages/replication/tests/test_replication_recovery.py
+++ b/packages/replication/tests/test_replication_recovery.py
@@ -1,4 +1,4 @@
-"""From how many answers a replica without memory learns what it may have promised."""
+"""How many replies a replica without a usable state needs to recover."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def request(recovery: Recovery, state: ReplicaState) -> int:
-    """The nonce of a new request."""
+    """Sends a new request and returns its nonce."""
     recovery.request()
     messages = sent(state.take_effects())
     assert [node for node, _ in messages] == ["b", "c"]
--- a/packages/replication/tests/test_replication_snapshot_delta.py
+++ b/packages/replication/tests/test_replication_snapshot_delta.py
@@ -1,4 +1,4 @@
-"""Deltas of states and texts: they make the later one of the earlier one, and are small where little has changed."""
+"""Deltas of states and texts: applied to the old one they yield the new one, and small changes give small deltas."""
 
 from __future__ import annotations
 
@@ -84,14 +84,14 @@
 
 @dataclass(frozen=True)
 class Size:
-    """A configuration, and the bytes of one change of it."""
+    """The size of a configuration, and the largest allowed size of a delta as a fraction of the state."""
 
     routes: int
     max_fraction: float
 
 
 def document(routes: int, generation: int) -> str:
-    """A configuration whose middle route, and one behind it, differ by the generation."""
+    """Returns a configuration in which two routes, one in the middle and one near the end, depend on `generation`."""
     listed = [
         {
             "name": f"route-{number}",
@@ -117,7 +117,7 @@
     assert apply_delta(state, delta) == later
     snapshot_bytes = len(msgspec.json.encode(later))
     delta_bytes = len(msgspec.json.encode(ReplicateDelta(delta, 3)))
-    print(f"{size.routes} routes: {snapshot_bytes} bytes whole, {delta_bytes} as a delta")
+    print(f"{size.routes} routes: {snapshot_bytes} bytes as a snapshot, {delta_bytes} as a delta")
     assert delta_bytes < size.max_fraction * snapshot_bytes
 
 
--- a/packages/replication/tests/test_replication_state.py
+++ b/packages/replication/tests/test_replication_state.py
@@ -1,4 +1,4 @@
-"""What the roles of a replica share."""
+"""The state that the roles of a replica share."""
 
 from __future__ import annotations
 
--- a/packages/replication/tests/test_replication_state_replicator.py
+++ b/packages/replication/tests/test_replication_state_replicator.py
@@ -1,4 +1,4 @@
-"""How a state comes to a majority of disks."""
+"""How a state is replicated to a majority of disks."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def replicator(state: ReplicaState) -> StateReplicator:
-    """Of the primary `a`, at 0 ms; what it took over has been committed."""
+    """The replicator of primary `a` at 0 ms, without a pending proposal."""
     return StateReplicator(state, MemberTracker(state, Timing(), 0.0))
 
 
--- a/packages/replication/tests/test_replication_trials.py
+++ b/packages/replication/tests/test_replication_trials.py
@@ -1,4 +1,4 @@
-"""Seeded trials of clusters in memory: faults, replacements, and two operators meanwhile."""
+"""Seeded trials of clusters in memory, with faults and replacements while two operators send commands."""
 
 from __future__ import annotations
 
