--- a/packages/replication/tests/test_replication_cluster_membership.py
+++ b/packages/replication/tests/test_replication_cluster_membership.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_leaving_machine_may_hold_the_only_other_copy_of_a_change(seed: int) -> None:
+def test_a_leaving_machine_may_have_one_of_two_replicas_of_a_change(seed: int) -> None:
     """A change is on two of three disks; one of these machines leaves, then the other loses its disk."""
     cluster = stable_cluster(seed)
     primary, backup, third = roles_of(cluster)
--- a/packages/replication/tests/test_replication_state_replicator.py
+++ b/packages/replication/tests/test_replication_state_replicator.py
@@ -97,7 +97,7 @@
     assert sent(state.take_effects()) == [(node, Replicate(later, -1)) for node in ("b", "c")]
 
 
-def test_a_node_that_does_not_accept_deltas_is_sent_the_whole_state(
+def test_a_node_that_does_not_accept_deltas_is_sent_the_full_state(
     state: ReplicaState, replicator: StateReplicator
 ) -> None:
     replicator.enable_deltas("c")
