--- a/packages/replication/src/larkweir_replication/leadership.py
+++ b/packages/replication/src/larkweir_replication/leadership.py
@@ -140,7 +140,7 @@
         self._replicator.on_reconnected(node)
 
     def send_newest_state(self, node: str, now_ms: float) -> None:
-        """Sends the newest state to a node that was removed while it was unreachable, so that it requests to join."""
+        """Sends the newest state to a node that was removed while unreachable, so that the node requests to join."""
         self._replicator.send_newest(node, now_ms)
 
     # Commands and reads
--- a/packages/replication/src/larkweir_replication/member_tracker.py
+++ b/packages/replication/src/larkweir_replication/member_tracker.py
@@ -13,15 +13,13 @@
     """The membership requests and the last contact with each member during one term."""
 
     def __init__(self, state: ReplicaState, timing: Timing, now_ms: float) -> None:
-        """`now_ms`: when the term begins. A member counts as silent from then on, not from an earlier time."""
+        """`now_ms`: when the term begins; silence before that is not counted."""
         self._state = state
         self._timing = timing
         self._begun_ms = now_ms
         self._last_contact_ms: dict[str, float] = {}
-        self._join_requests_ms: dict[
-            str, float
-        ] = {}  # by node that is not a member, the time of the latest request
-        self._leave_requests_ms: dict[str, float] = {}  # by node that is about to stop, likewise
+        self._join_requests_ms: dict[str, float] = {}  # by non-member, the time of its latest request
+        self._leave_requests_ms: dict[str, float] = {}  # the same, by node that is about to stop
 
     def on_contact(self, node: str, now_ms: float) -> None:
         """Records that a message from `node` has arrived."""
--- a/packages/replication/src/larkweir_replication/membership.py
+++ b/packages/replication/src/larkweir_replication/membership.py
@@ -20,14 +20,12 @@
     standby: Sequence[str]
     leaving: Sequence[str]
     replaceable: Sequence[str]  # silent for `replace_after_silence_ms`: a standby node replaces them
-    removable: Sequence[
-        str
-    ]  # silent for `remove_after_silence_ms`: removed if the group is above its target size
+    removable: Sequence[str]  # silent for `remove_after_silence_ms`: a group above its target drops them
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """The next members, and the previous ones, of which a majority is needed as well; empty at the end of a change."""
+    """The next members. While `previous_members` is not empty, a majority of them is needed as well."""
 
     members: tuple[str, ...]
     previous_members: tuple[str, ...] = ()
--- a/packages/replication/src/larkweir_replication/timing.py
+++ b/packages/replication/src/larkweir_replication/timing.py
@@ -10,9 +10,7 @@
     """Durations in milliseconds of the monotonic clock."""
 
     heartbeat_interval_ms: float = 80.0
-    lease_duration_ms: float = (
-        320.0  # from a heartbeat on; its receiver grants no other node a vote meanwhile
-    )
+    lease_duration_ms: float = 320.0  # from a heartbeat on; its receiver votes for no other node meanwhile
     lease_margin_ms: float = 40.0  # the holder stops relying on the lease this long before its end
     election_timeout_ms: float = 350.0  # without a message from the primary, before a candidacy
     election_timeout_spread_ms: float = 250.0  # upper bound of the random part of the election timeout
--- a/packages/replication/tests/replication_cluster.py
+++ b/packages/replication/tests/replication_cluster.py
@@ -122,7 +122,7 @@
             self._writing = None
 
     def leave(self) -> None:
-        """Starts a planned, permanent exit of the machine, as the program does."""
+        """Starts a planned exit of the process, as the program does."""
         if self.replica is None:
             return
         self.replica.leave(self.cluster.network.now_ms)
--- a/packages/replication/tests/test_replication_cluster_leadership.py
+++ b/packages/replication/tests/test_replication_cluster_leadership.py
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_machine_isolated_for_twenty_seconds_confirms_nothing_and_catches_up(seed: int) -> None:
-    """Without a majority it must not acknowledge, reject or read; once reconnected it catches up at once."""
+    """Without a majority, the machine must not acknowledge, reject or read; once reconnected, it catches up at once."""
     cluster = stable_cluster(seed)
     away = primary_of(cluster) if seed % 2 else sorted(cluster.machines)[0]
     isolate(cluster, away)
--- a/packages/replication/tests/test_replication_cluster_membership.py
+++ b/packages/replication/tests/test_replication_cluster_membership.py
@@ -139,7 +139,7 @@
 
 
 def test_a_replaced_member_finds_a_primary_that_it_does_not_know() -> None:
-    """It reconnects after its replacement has become the primary and another machine of its old group has left."""
+    """The replaced member reconnects after its successor became primary and another old member left for good."""
     cluster = stable_cluster(6)
     first, cut_off, leaving = roles_of(cluster)
     isolate(cluster, cut_off)
