--- a/packages/replication/tests/test_replication_journal.py
+++ b/packages/replication/tests/test_replication_journal.py
@@ -1,4 +1,4 @@
-"""Every crash point of the replica's file: short writes, torn and flipped records, full disks, lost names."""
+"""Crashes at every point of a journal write: short writes, torn records, bit flips, full disks, lost renames."""
 
 from __future__ import annotations
 
@@ -25,18 +25,20 @@
 
 
 class PowerCutError(Exception):
-    """The process ends here."""
+    """Simulates the end of the process by a loss of power."""
 
 
 class FaultyFiles(MemoryFiles):
-    """Files whose writes may fail or be cut short; `lasting` is what a loss of power leaves."""
+    """Files whose writes may fail or be cut short; `lasting` is what survives a loss of power."""
 
     def __init__(self) -> None:
         super().__init__()
         self.lasting: dict[str, bytes] = {}
-        self.fail_at: int | None = None  # bytes of the next append that are written before the power goes
+        self.fail_at: int | None = (
+            None  # number of bytes of the next append that are written before the power fails
+        )
         self.full = False
-        self.calls_left: int | None = None  # writes and renames until the power goes
+        self.calls_left: int | None = None  # number of writes and renames until the power fails
 
     def _count_call(self) -> None:
         if self.calls_left is not None:
@@ -107,7 +109,7 @@
 
 
 def written(count: int) -> tuple[FaultyFiles, list[int]]:
-    """A file of so many records, and where each begins."""
+    """Returns files with a journal of `count` records, and the offset of each record."""
     files = FaultyFiles()
     journal = Journal(files)
     starts = []
@@ -117,8 +119,8 @@
     return files, starts
 
 
-def test_a_bit_flipped_before_the_last_record_loses_the_memory() -> None:
-    """Whichever bit it is: no older record is taken for the newest."""
+def test_a_bit_flipped_before_the_last_record_marks_the_journal_damaged() -> None:
+    """Whichever bit is flipped, no older record may be returned as the newest."""
     files, starts = written(4)
     intact = files.files[JOURNAL_FILE]
     for at in range(starts[-1]):
@@ -143,7 +145,7 @@
         assert Journal(files).newest == durable(3)
 
 
-def test_a_block_lost_in_the_middle_loses_the_memory() -> None:
+def test_a_block_lost_in_the_middle_marks_the_journal_damaged() -> None:
     files, starts = written(6)
     intact = files.files[JOURNAL_FILE]
     for start in range(0, starts[-1] - 40, 7):
@@ -170,7 +172,7 @@
 
 
 @pytest.mark.parametrize("steps", range(4))
-def test_a_crash_at_each_step_of_beginning_anew(steps: int) -> None:
+def test_a_crash_at_each_step_of_starting_a_new_file(steps: int) -> None:
     files, starts = written(4)
     damaged = bytearray(files.files[JOURNAL_FILE])
     damaged[starts[2] + 20] ^= 1
@@ -190,7 +192,7 @@
     assert Journal(files).newest == durable(11)
 
 
-def test_a_record_of_another_format_is_no_record() -> None:
+def test_a_record_of_another_format_is_ignored() -> None:
     files, _ = written(1)
     body = b'2 {"neither": 1}'
     files.files[JOURNAL_FILE] += b"%08x %s\n" % (zlib.crc32(body), body)
--- a/packages/replication/tests/test_replication_leader_lease.py
+++ b/packages/replication/tests/test_replication_leader_lease.py
@@ -13,13 +13,13 @@
 
 @pytest.fixture
 def lease() -> LeaderLease:
-    """Of a term that began at 1,000 ms, with its first round sent at once."""
+    """The lease of a term that began at 1,000 ms and sent its first round at once."""
     lease = LeaderLease(TIMING, 1_000.0)
     lease.acknowledge("a", lease.begin_round(1_000.0))
     return lease
 
 
-def test_a_majority_renews_it_from_when_the_round_was_sent(lease: LeaderLease) -> None:
+def test_a_majority_renews_the_lease_from_the_time_the_round_was_sent(lease: LeaderLease) -> None:
     assert lease.renew(snapshot()) is None
     assert not lease.is_valid(1_000.0)
     lease.acknowledge("b", 1)
@@ -36,7 +36,7 @@
     assert lease.renew(changing) == 1
 
 
-def test_a_late_acknowledgement_of_an_old_round_takes_nothing_back(lease: LeaderLease) -> None:
+def test_a_late_acknowledgement_of_an_old_round_does_not_shorten_the_lease(lease: LeaderLease) -> None:
     lease.acknowledge("a", lease.begin_round(1_100.0))
     lease.acknowledge("b", 2)
     lease.acknowledge("b", 1)
--- a/packages/replication/tests/test_replication_membership.py
+++ b/packages/replication/tests/test_replication_membership.py
@@ -1,4 +1,4 @@
-"""The next members, by what the primary knows."""
+"""Which members the next step chooses, from what the primary knows."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def candidates(
     *, standby: str = "", leaving: str = "", replaceable: str = "", removable: str = ""
 ) -> Candidates:
-    """One letter a node."""
+    """Builds candidates from strings with one letter per node."""
     return Candidates(list(standby), list(leaving), list(replaceable), list(removable))
 
 
@@ -39,7 +39,7 @@
     assert step == (None if following is None else Step(tuple(following), tuple(members)))
 
 
-def test_the_primary_is_not_the_superfluous_one() -> None:
+def test_the_primary_is_not_dropped_as_surplus() -> None:
     step = next_step(snapshot(members=("a", "b", "c", "d")), TARGET, "d", candidates())
     assert step == Step(("a", "b", "d"), ("a", "b", "c", "d"))
 
