--- a/benchmarks/bad_bytes.py
+++ b/benchmarks/bad_bytes.py
@@ -114,7 +114,7 @@
         self.folder = folder
         self.rng = rng
         self.report = Report()
-        self._peers = [f"{control.partition(':')[0]}:{demo.peer_port}" for control in demo.controls]
+        self._peers = [f"{control.partition(':')[0]}:{demo.peer_port}" for control in demo.control_addresses]
 
     async def run(self, exchanges: int) -> Report:
         """Batches of exchanges, each followed by a proper request."""
@@ -148,13 +148,15 @@
         data = http_request(self.rng, FRONT_TARGETS, self.rng.randbytes(self.rng.choice((0, 3, 5_000))))
         if self.rng.random() < 0.5:
             data = data.replace(b"\r\n", f"\r\nX-Api-Key: {KEY}\r\n".encode(), 1)
-        return self.rng.choice(self.demo.fronts), data
+        return self.rng.choice(self.demo.front_addresses), data
 
     def _api(self) -> tuple[str, bytes]:
         proper = self.rng.choice((HEARTBEAT, CONFIGURATION, {"generation": 2, "upsert": {"routes": []}}))
         # A change of the version in place would be a proper one: no drawn document names that version.
         data = http_request(self.rng, API_TARGETS, json_document(self.rng, proper))
-        return self.rng.choice(self.demo.controls), data.replace(b"If-Match: 1\r\n", b"If-Match: 0\r\n")
+        return self.rng.choice(self.demo.control_addresses), data.replace(
+            b"If-Match: 1\r\n", b"If-Match: 0\r\n"
+        )
 
     def _protocol(self) -> tuple[str, bytes]:
         lines = [json.dumps(LINES[0]).encode()]
@@ -167,7 +169,7 @@
 
     async def check_service(self) -> None:
         """A proper request is served by each router, and no process has ended."""
-        for front in self.demo.fronts:
+        for front in self.demo.front_addresses:
             answer = await answer_to_proper_request(front)
             if not is_whole_answer(answer):
                 self.report.problems.append(f"{front} answers a proper request with {answer[:200]!r}")
--- a/larkweir/cluster/configuration/schema.py
+++ b/larkweir/cluster/configuration/schema.py
@@ -63,7 +63,7 @@
         return [] if self.backend is None else [self.backend]
 
     @model_validator(mode="after")
-    def _goes_somewhere(self) -> Route:
+    def _check_backends(self) -> Route:
         if self.traffic_split is not None and sum(part.weight for part in self.traffic_split) <= 0:
             raise ValueError(f"route {self.name}: its weights sum to 0")
         if not self.backends:
@@ -110,7 +110,7 @@
     tenants: list[Tenant] = []
 
     @model_validator(mode="after")
-    def _fits_together(self) -> Configuration:
+    def _check_names(self) -> Configuration:
         services = _unique([service.name for service in self.services], "service")
         _unique([route.name for route in self.routes], "route")
         _unique([f"{route.host} {route.path_prefix}" for route in self.routes], "host and prefix")
--- a/larkweir/system/cli.py
+++ b/larkweir/system/cli.py
@@ -62,9 +62,9 @@
 @main.command()
 def demo() -> None:
     """Starts a small fleet on this machine and prints what to try."""
-    from larkweir.system.demo import play
+    from larkweir.system.demo import run_demo
 
-    asyncio.run(play())
+    asyncio.run(run_demo())
 
 
 def _run(serve: Callable[[Settings], Awaitable[None]], *, debug: bool = False) -> None:
--- a/larkweir/system/demo.py
+++ b/larkweir/system/demo.py
@@ -132,9 +132,9 @@
         self._folder = folder
         self._subnet = subnet
         self.peer_port = port
-        self.controls = [f"{self._ip(n + 1)}:{port + 1}" for n in range(CONTROLLERS)]
-        self.fronts = [f"{self._ip(100 + n)}:{port + 2}" for n in range(ROUTERS)]
-        self._readies = [f"{self._ip(100 + n)}:{port + 3}" for n in range(ROUTERS)]
+        self.control_addresses = [f"{self._ip(n + 1)}:{port + 1}" for n in range(CONTROLLERS)]
+        self.front_addresses = [f"{self._ip(100 + n)}:{port + 2}" for n in range(ROUTERS)]
+        self._ready_addresses = [f"{self._ip(100 + n)}:{port + 3}" for n in range(ROUTERS)]
         self._engines = [Engine(f"engine-{n}", f"{self._ip(200 + n)}:{port + 3}") for n in range(ENGINES)]
         self.processes: list[asyncio.subprocess.Process] = []
 
@@ -143,15 +143,15 @@
 
     async def start(self) -> None:
         """Start all processes, configure the fleet, and return once all routers are ready."""
-        for address in self.controls:
+        for address in self.control_addresses:
             await self._spawn("controller", address, {"control": address})
-        for address, ready in zip(self.fronts, self._readies, strict=True):
+        for address, ready in zip(self.front_addresses, self._ready_addresses, strict=True):
             await self._spawn("router", address, {"front": address, "ready": ready})
         for engine in self._engines:
             await engine.start()
         await asyncio.to_thread(self._configure)
         await self._send_heartbeats()
-        for address in self._readies:
+        for address in self._ready_addresses:
             await asyncio.to_thread(call_controllers, [address], "GET", "/ready")
 
     async def _spawn(self, role: str, address: str, listen: dict[str, str]) -> None:
@@ -161,7 +161,7 @@
             "ip": ip,
             "zone": "demo",
             "port_range": [self.peer_port, self.peer_port],
-            "seeds": self.controls,
+            "seeds": self.control_addresses,
             "listen": listen,
             "bootstrap": True,
             "counts_for_quorum": role == "controller",
@@ -182,14 +182,18 @@
         self.processes.append(process)
 
     def _configure(self) -> None:
-        answer = call_controllers(self.controls, "PUT", "/config", msgspec.json.encode(CONFIGURATION), base=0)
+        answer = call_controllers(
+            self.control_addresses, "PUT", "/config", msgspec.json.encode(CONFIGURATION), base=0
+        )
         if answer.status != 200:
             raise ControllersUnreachableError(f"{answer.status} {answer.body.decode(errors='replace')}")
 
     async def _send_heartbeats(self) -> None:
         for engine in self._engines:
             body = engine.heartbeat()
-            await asyncio.to_thread(call_controllers, self.controls, "PUT", f"/instances/{engine.id}", body)
+            await asyncio.to_thread(
+                call_controllers, self.control_addresses, "PUT", f"/instances/{engine.id}", body
+            )
 
     async def run(self) -> None:
         """Send heartbeats until it is cancelled."""
@@ -206,15 +210,15 @@
 
     def introduction(self) -> str:
         """Return the text that tells a user what to try."""
-        at = ",".join(self.controls)
+        addresses = ",".join(self.control_addresses)
         return "\n".join(
             (
                 f"{CONTROLLERS} controllers, {ROUTERS} routers and {ENGINES} engines run; logs: {self._folder}",
                 "a request:",
-                f"  curl -N http://{self.fronts[0]}/answers/x -H 'Host: {HOST}' -H 'X-Api-Key: {KEY}' \\",
+                f"  curl -N http://{self.front_addresses[0]}/answers/x -H 'Host: {HOST}' -H 'X-Api-Key: {KEY}' \\",
                 "    -H 'X-Request-Id: 1' -H 'X-Token-Usage: 4000,80' -d 'a question'",
                 "a look and a change:",
-                f"  export LARKWEIR_CONTROLLERS={at}",
+                f"  export LARKWEIR_CONTROLLERS={addresses}",
                 "  python -m larkweir.system status",
                 '  echo \'{"generation": 2, "remove": {"routes": ["answers"]}}\' > change.json',
                 "  python -m larkweir.system config patch --base 1 change.json",
@@ -223,7 +227,7 @@
         )
 
 
-async def play() -> None:
+async def run_demo() -> None:
     """Run the demonstration until SIGINT or SIGTERM."""
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
--- a/larkweir/system/operator_calls.py
+++ b/larkweir/system/operator_calls.py
@@ -19,7 +19,7 @@
 EXIT_UNREACHABLE = 3
 EXIT_DAMAGED = 4
 
-at = click.option(
+controllers_option = click.option(
     "--at",
     "controllers",
     envvar=CONTROLLERS_VARIABLE,
@@ -27,7 +27,7 @@
     metavar="HOST:PORT,...",
     help=f"control addresses of controllers; also from {CONTROLLERS_VARIABLE}",
 )
-as_json = click.option("--json", "raw", is_flag=True, help="print JSON")
+json_option = click.option("--json", "raw", is_flag=True, help="print JSON")
 
 
 def call(
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -18,10 +18,10 @@
 from larkweir.system.operator_calls import (
     EXIT_DAMAGED,
     EXIT_REJECTED,
-    as_json,
-    at,
     call,
+    controllers_option,
     decode_accepted,
+    json_option,
     print_json,
 )
 from larkweir.system.rollout_commands import rollouts
@@ -45,14 +45,14 @@
 
 
 @config.command("get")
-@at
+@controllers_option
 def config_get(controllers: str) -> None:
     """Prints the newest configuration."""
     print_json(decode_accepted(call(controllers, "GET", "/config")))
 
 
 @config.command("put")
-@at
+@controllers_option
 @click.option("--base", type=int, required=True, help="the version it builds on; 0 for the first")
 @click.argument("file", type=click.Path(dir_okay=False))
 def config_put(controllers: str, base: int, file: str) -> None:
@@ -61,7 +61,7 @@
 
 
 @config.command("patch")
-@at
+@controllers_option
 @click.option("--base", type=int, required=True, help="the version it builds on")
 @click.argument("file", type=click.Path(dir_okay=False))
 def config_patch(controllers: str, base: int, file: str) -> None:
@@ -95,8 +95,8 @@
 
 
 @click.command()
-@at
-@as_json
+@controllers_option
+@json_option
 def status(controllers: str, raw: bool) -> None:
     """Who leads, in which epoch, and how far routers are behind, as each controller sees it."""
     found = [decode_accepted(call(one, "GET", "/status")) for one in controllers.split(",")]
@@ -113,8 +113,8 @@
 
 
 @click.command()
-@at
-@as_json
+@controllers_option
+@json_option
 def members(controllers: str, raw: bool) -> None:
     """The controllers that vote."""
     found = decode_accepted(call(controllers, "GET", "/status"))
@@ -126,8 +126,8 @@
 
 
 @click.command()
-@at
-@as_json
+@controllers_option
+@json_option
 def upstreams(controllers: str, raw: bool) -> None:
     """All upstreams that a controller knows."""
     found = decode_accepted(call(controllers, "GET", "/upstreams"))
@@ -141,7 +141,7 @@
 
 @click.command()
 @click.argument("folder", type=click.Path(file_okay=False, exists=True))
-@as_json
+@json_option
 def state(folder: str, raw: bool) -> None:
     """What the data FOLDER of a controller holds, and whether it is whole. Reads only."""
     journal = Journal(FolderFiles(os.path.join(folder, "replica")))
--- a/larkweir/system/rollout_commands.py
+++ b/larkweir/system/rollout_commands.py
@@ -10,7 +10,14 @@
 import click
 import msgspec
 
-from larkweir.system.operator_calls import EXIT_REJECTED, as_json, at, call, decode_accepted, print_json
+from larkweir.system.operator_calls import (
+    EXIT_REJECTED,
+    call,
+    controllers_option,
+    decode_accepted,
+    json_option,
+    print_json,
+)
 
 WATCH_INTERVAL_S = 0.5
 RUNNING, ROLLED_BACK = "running", "rolled_back"
@@ -22,8 +29,8 @@
 
 
 @rollouts.command("start")
-@at
-@as_json
+@controllers_option
+@json_option
 @click.option("--duration-s", type=float, required=True, help="seconds until it must be completed")
 @click.argument("service")
 @click.argument("version")
@@ -38,8 +45,8 @@
 
 
 @rollouts.command("status")
-@at
-@as_json
+@controllers_option
+@json_option
 @click.argument("service")
 def rollouts_status(controllers: str, raw: bool, service: str) -> None:
     """Prints the latest roll-out of SERVICE."""
@@ -47,8 +54,8 @@
 
 
 @rollouts.command("list")
-@at
-@as_json
+@controllers_option
+@json_option
 def rollouts_list(controllers: str, raw: bool) -> None:
     """Prints the latest roll-out of each service that has had any."""
     found = decode_accepted(call(controllers, "GET", "/rollouts"))
@@ -60,8 +67,8 @@
 
 
 @rollouts.command("watch")
-@at
-@as_json
+@controllers_option
+@json_option
 @click.argument("service")
 def rollouts_watch(controllers: str, raw: bool, service: str) -> None:
     """Prints each change of the roll-out of SERVICE until it has ended; exits with 1 where it was rolled back."""
@@ -77,8 +84,8 @@
 
 
 @rollouts.command("abort")
-@at
-@as_json
+@controllers_option
+@json_option
 @click.argument("service")
 def rollouts_abort(controllers: str, raw: bool, service: str) -> None:
     """Rolls back the running roll-out of SERVICE."""
--- a/tests/cluster/test_configuration_changes.py
+++ b/tests/cluster/test_configuration_changes.py
@@ -72,7 +72,7 @@
     )
 
 
-def test_equal_changes_have_equal_identities_and_others_have_not() -> None:
+def test_only_equal_changes_have_equal_identities() -> None:
     assert put(VALID, 0).identity == put(VALID, 0).identity
     assert (
         len(
@@ -105,7 +105,7 @@
         {"tenants": None, "remove": {"tenants": ["x"]}},
     ],
 )
-def test_a_patch_of_a_collection_that_is_none_is_invalid(patch: dict[str, Any]) -> None:
+def test_a_patch_with_a_malformed_collection_is_invalid(patch: dict[str, Any]) -> None:
     value = apply("", put(VALID, 0)).ok()
     body = msgspec.json.encode({"generation": 4, **patch}).decode()
     assert rejection_reason(value, ConfigurationChange(True, 3, body)) is RejectionReason.INVALID
--- a/tests/cluster/test_configuration_compression.py
+++ b/tests/cluster/test_configuration_compression.py
@@ -14,7 +14,7 @@
 UPDATE = ConfigUpdate(7, 5, msgspec.Raw(BODY))
 
 
-def test_what_is_decompressed_is_what_was_compressed() -> None:
+def test_decompression_restores_the_update() -> None:
     compressed = compress(UPDATE)
     assert len(compressed.body) < len(BODY) / 4
     back = decompress(compressed)
@@ -32,6 +32,6 @@
     ],
     ids=["empty", "other bytes", "cut short", "wrong checksum", "too large"],
 )
-def test_a_damaged_body_is_refused(body: bytes) -> None:
+def test_a_damaged_body_is_rejected(body: bytes) -> None:
     with pytest.raises(CompressionError):
         decompress(CompressedConfigUpdate(7, 5, body))
--- a/tests/cluster/test_configuration_documents.py
+++ b/tests/cluster/test_configuration_documents.py
@@ -23,7 +23,7 @@
         {"remove": 3},
     ],
 )
-def test_patches_of_another_form_are_rejected(patch: dict[str, Any]) -> None:
+def test_malformed_patches_are_rejected(patch: dict[str, Any]) -> None:
     with pytest.raises(PatchError):
         apply_patch(VALID, patch)
 
@@ -41,9 +41,7 @@
 
 
 @given(documents, documents)
-def test_the_patch_between_two_documents_makes_one_of_the_other(
-    old: dict[str, Any], new: dict[str, Any]
-) -> None:
+def test_a_made_patch_turns_the_old_document_into_the_new(old: dict[str, Any], new: dict[str, Any]) -> None:
     made = apply_patch(old, make_patch(old, new))
     for key in ("routes", "tenants"):
         assert sorted(made[key], key=str) == sorted(new[key], key=str)
--- a/tests/cluster/test_configuration_schema.py
+++ b/tests/cluster/test_configuration_schema.py
@@ -23,12 +23,12 @@
 from tests.cluster.configurations import INVALID, VALID, changed, route
 
 
-def test_a_valid_configuration_has_no_fault() -> None:
+def test_a_valid_configuration_has_no_problem() -> None:
     assert first_problem(VALID) is None
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_the_fault_of_an_invalid_one_is_named(name: str) -> None:
+def test_the_problem_of_an_invalid_configuration_is_one_line(name: str) -> None:
     problem = first_problem(INVALID[name])
     assert problem
     assert "\n" not in problem
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("place", NUMBERS)
-def test_every_number_has_a_maximum_and_its_fault_names_the_field(place: str) -> None:
+def test_every_number_has_a_maximum_and_the_error_names_the_field(place: str) -> None:
     assert first_problem(with_number(place, NUMBERS[place])) is None
     for value in (NUMBERS[place] + 1, 12345678901234567890123, -MAX_UNITS, "7", float("inf")):
         problem = first_problem(with_number(place, value))
@@ -110,7 +110,7 @@
         changed(tenants=[{"name": "x", "api_keys": ["k"], "plain_tokens": "1"}]),
     ],
 )
-def test_what_a_router_could_not_read_is_refused(document: dict[str, Any]) -> None:
+def test_values_that_a_router_cannot_decode_are_rejected(document: dict[str, Any]) -> None:
     assert first_problem(document) is not None
     store = ConfigurationStore()
     with pytest.raises(msgspec.ValidationError):
--- a/tests/cluster/test_controller_client.py
+++ b/tests/cluster/test_controller_client.py
@@ -60,7 +60,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _short_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def _short_retry_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(controller_client, "RETRY_DELAY_S", 0.001)
 
 
--- a/tests/cluster/test_http_server.py
+++ b/tests/cluster/test_http_server.py
@@ -20,7 +20,7 @@
 def exchange(sent: bytes, until: bytes = b"") -> bytes:
     """Return what the server sends, up to these last bytes or to the end of the connection."""
 
-    async def scene() -> bytes:
+    async def scenario() -> bytes:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: HttpServerConnection(echo, MAX_BODY_BYTES), "127.0.0.1", 0)
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
@@ -36,7 +36,7 @@
         server.close()
         return received
 
-    return asyncio.run(scene())
+    return asyncio.run(scenario())
 
 
 def test_requests_on_one_connection_are_answered_in_order() -> None:
@@ -58,7 +58,7 @@
         (b"GET /fault HTTP/1.1\r\nHost: h\r\n\r\n", b"500"),
     ],
 )
-def test_what_is_too_long_invalid_or_fails_ends_the_connection(sent: bytes, status: bytes) -> None:
+def test_too_long_invalid_or_failing_requests_end_the_connection(sent: bytes, status: bytes) -> None:
     received = exchange(sent)
     assert received.startswith(b"HTTP/1.1 " + status)
 
--- a/tests/cluster/test_links.py
+++ b/tests/cluster/test_links.py
@@ -14,19 +14,19 @@
 LOOP_ITERATIONS = 20  # after the pause: by then an attempt that was cancelled has ended
 
 
-def test_a_link_made_while_its_process_is_paused_is_usable_or_connected_again() -> None:
+def test_a_link_made_while_its_process_is_paused_is_usable_or_reconnected() -> None:
     """The event loop is blocked from the moment a connection is made until its time-out is over.
 
     The attempt may be cancelled then, though it has succeeded. Whatever happens to that connection, the link does not
     keep a dead one: `keep_alive` and `send` go on working, and what is sent later arrives.
     """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         arrived: list[Message] = []
         made: list[Connection] = []
 
-        def block_at_the_first(connection: Connection) -> None:
+        def block_on_first_connection(connection: Connection) -> None:
             made.append(connection)
             end_s = time.monotonic() + CONNECT_TIMEOUT_MS / 1000.0
             while len(made) == 1 and time.monotonic() < end_s:
@@ -36,7 +36,7 @@
             lambda: Connection(lambda _, message: arrived.append(message), lambda _: None), NODE, 0
         )
         port = server.sockets[0].getsockname()[1]
-        link = Link(NODE, port, lambda _, message: None, block_at_the_first, lambda _: None)
+        link = Link(NODE, port, lambda _, message: None, block_on_first_connection, lambda _: None)
         sent: list[Message] = []
         async with asyncio.timeout(10.0):
             while not set(arrived) & set(sent[LOOP_ITERATIONS:]):
@@ -49,4 +49,4 @@
         server.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
-        runner.run(scene())
+        runner.run(scenario())
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -36,11 +36,11 @@
         ('{"type":"replication","message":{"type":"accepted","epoch":[1,"a"],"sequence":N}}', "sequence"),
     ],
 )
-def test_a_number_out_of_its_bounds_is_no_message(text: str, place: str) -> None:
+def test_an_out_of_range_number_is_rejected(text: str, place: str) -> None:
     text = text.replace("UPSTREAM", UPSTREAM)
     msgspec.json.decode(text.replace("N", "1"), type=Message)
     for number in (TOO_LARGE, "-2", "1e400"):
-        with pytest.raises(msgspec.DecodeError) as refused:
+        with pytest.raises(msgspec.DecodeError) as caught:
             msgspec.json.decode(text.replace("N", number), type=Message)
-        if isinstance(refused.value, msgspec.ValidationError):
-            assert place in str(refused.value)
+        if isinstance(caught.value, msgspec.ValidationError):
+            assert place in str(caught.value)
--- a/tests/cluster/test_messages_golden.py
+++ b/tests/cluster/test_messages_golden.py
@@ -122,13 +122,13 @@
     assert msgspec.json.encode(message) == line
 
 
-def test_every_kind_has_its_line() -> None:
+def test_every_message_type_has_a_golden_line() -> None:
     assert {type(message) for message in MESSAGES} | {Replication} == set(get_args(Message))
     carried = {type(msgspec.json.decode(line, type=Replication).message) for line in REPLICATION}
     assert carried == set(get_args(ReplicationMessage))
 
 
-def test_fields_that_an_older_or_newer_process_leaves_out_or_adds() -> None:
+def test_missing_and_unknown_fields_are_accepted() -> None:
     assert msgspec.json.decode(
         b'{"type":"forwarded","ticket":1,"status":200}', type=Message
     ) == PrimaryResponse(1, 200)
@@ -149,7 +149,7 @@
     assert ConfigurationChange(False, 0, "{}").identity == "8b690a83cd7ce51a4c90196e"
 
 
-def test_the_value_that_a_change_makes() -> None:
+def test_the_document_after_a_change() -> None:
     complete = '{"generation":4,"routes":[],"services":[{"name":"s","max_conns":3,"kept":{"as":"it is"}}]}'
     first = apply_change("", ConfigurationChange(False, 0, complete).encode()).unwrap()
     assert first == complete
--- a/tests/cluster/test_periodic_tasks.py
+++ b/tests/cluster/test_periodic_tasks.py
@@ -93,7 +93,7 @@
     assert str(logged[0]["at"]).startswith("test_periodic_tasks.py")
 
 
-def test_a_task_that_fails_for_ever_is_tried_every_few_seconds(
+def test_the_retry_delay_of_a_failing_task_is_capped(
     monkeypatch: pytest.MonkeyPatch, logged: list[dict[str, object]]
 ) -> None:
     def fail() -> None:
@@ -114,7 +114,7 @@
     assert recorder.calls == []
 
 
-def test_a_pause_handler_that_raises_stops_nothing(
+def test_tasks_run_after_a_pause_handler_raises(
     monkeypatch: pytest.MonkeyPatch, logged: list[dict[str, object]]
 ) -> None:
     def fail() -> None:
--- a/tests/cluster/test_rollout_commands.py
+++ b/tests/cluster/test_rollout_commands.py
@@ -54,7 +54,7 @@
     return RolloutAdvance(Advance(order.service, order.order_id, state, weight, "because"))
 
 
-def test_an_order_is_part_of_the_document_and_leaves_its_version() -> None:
+def test_an_order_is_stored_without_changing_the_version() -> None:
     value = apply(CONFIGURED, RolloutOrder(ORDER))
     document = msgspec.json.decode(value)
     assert document.pop(ROLLOUTS_KEY) == [msgspec.json.decode(msgspec.json.encode(ORDER))]
@@ -84,7 +84,7 @@
     assert rejection(CONFIGURED, text) is RejectionReason.UNAVAILABLE
 
 
-def test_a_step_applies_to_its_running_order_alone() -> None:
+def test_a_step_applies_only_to_its_running_order() -> None:
     value = apply(CONFIGURED, RolloutOrder(ORDER), RolloutOrder(OTHER), step(RolloutState.RUNNING, 0.25))
     assert [one.target_weight for one in rollouts(value)] == [0.25, 0.0]
     earlier = msgspec.structs.replace(ORDER, ordered_unix_ms=1.0)
@@ -95,7 +95,7 @@
     assert apply(CONFIGURED, step(RolloutState.RUNNING, 0.5)) == CONFIGURED, "nothing was ordered"
 
 
-def test_an_abort_rolls_a_running_one_back() -> None:
+def test_an_abort_rolls_back_a_running_rollout() -> None:
     value = apply(CONFIGURED, RolloutOrder(ORDER), step(RolloutState.RUNNING, 0.25), RolloutAbort("s"))
     (found,) = rollouts(value)
     assert (found.state, found.target_weight, found.reason) == (RolloutState.ROLLED_BACK, 0.0, ABORTED)
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("state", [RolloutState.COMPLETED, RolloutState.ROLLED_BACK])
-def test_what_has_ended_otherwise_is_not_aborted(state: RolloutState) -> None:
+def test_a_rollout_that_has_ended_cannot_be_aborted(state: RolloutState) -> None:
     value = apply(CONFIGURED, RolloutOrder(ORDER), step(state, 1.0))
     assert rejection(value, encode(RolloutAbort("s"))) is RejectionReason.CONFLICT
 
@@ -138,7 +138,7 @@
     assert rollouts(value) == (ORDER,)
 
 
-def test_the_last_rollout_that_goes_leaves_an_empty_list_for_routers() -> None:
+def test_dropping_the_last_rollout_leaves_an_empty_list_for_routers() -> None:
     value = apply(CONFIGURED, RolloutOrder(OTHER), step(RolloutState.COMPLETED, 1.0, OTHER))
     before: Document = msgspec.json.decode(value)
     value = apply_command(value, change(changed(generation=4, services=[{"name": "s"}]), 3)).unwrap()
--- a/tests/cluster/test_rollout_commands_random.py
+++ b/tests/cluster/test_rollout_commands_random.py
@@ -54,7 +54,7 @@
 
 
 @given(st.lists(st.one_of(rollout_commands, bodies), max_size=30))
-def test_configurations_and_rollouts_leave_each_other_alone(commands: list[Any]) -> None:
+def test_configurations_and_rollouts_change_independently(commands: list[Any]) -> None:
     value = alone = msgspec.json.encode(VALID).decode()
     for command in commands:
         before = rollouts_of(msgspec.json.decode(value))
--- a/tests/cluster/test_settings.py
+++ b/tests/cluster/test_settings.py
@@ -17,7 +17,7 @@
 """
 
 
-def test_settings_ignore_what_they_do_not_know() -> None:
+def test_unknown_settings_are_ignored() -> None:
     settings = parse(SETTINGS)
     assert settings.seed_nodes == ("10.0.0.1", "10.0.0.2")
     assert settings.peer_port == 7500
@@ -35,14 +35,16 @@
         ("node: n", "node: 5", "node"),
     ],
 )
-def test_a_bad_settings_file_is_one_line_that_names_the_key(before: str, after: str, named: str) -> None:
+def test_an_invalid_settings_file_raises_one_line_that_names_the_key(
+    before: str, after: str, named: str
+) -> None:
     with pytest.raises(SettingsError) as caught:
         parse(SETTINGS.replace(before, after))
     assert named in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
-def test_what_a_version_on_trial_may_get_is_of_the_settings() -> None:
+def test_the_exposure_limits_of_a_rollout_are_settings() -> None:
     assert parse(SETTINGS).bounds.expose_share == 0.1
     named = parse(SETTINGS + "bounds: {expose_share: 0.05, expose_slack: 20}\n").bounds
     assert (named.expose_share, named.expose_slack) == (0.05, 20.0)
--- a/tests/cluster/test_tasks.py
+++ b/tests/cluster/test_tasks.py
@@ -41,12 +41,12 @@
 def test_the_exception_of_a_task_is_logged_with_its_name(logged: list[dict[str, object]]) -> None:
     failures: list[str] = []
 
-    async def scene() -> None:
+    async def scenario() -> None:
         task = start_task("odd", fail(), lambda: failures.append("told"))
         await asyncio.wait((task,))
         await asyncio.sleep(0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert failures == ["told"]
     (line,) = logged
     assert (line["event"], line["task"], line["error"]) == ("task_failed", "odd", "ValueError('as planned')")
@@ -54,18 +54,18 @@
 
 
 def test_a_task_that_ends_or_is_cancelled_is_not_logged(logged: list[dict[str, object]]) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         ended, cancelled = start_task("a", asyncio.sleep(0)), start_task("b", wait())
         await ended
         cancelled.cancel()
         await asyncio.wait((cancelled,))
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert logged == []
 
 
 def test_a_process_waits_for_its_end_while_its_essential_task_runs(logged: list[dict[str, object]]) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         event = asyncio.Event()
         task = start_task("ticks", wait())
         asyncio.get_running_loop().call_soon(event.set)
@@ -74,12 +74,12 @@
         with pytest.raises(EssentialTaskError, match="ticks"):
             await wait_unless_failed(asyncio.Event(), start_task("ticks", fail()))
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert [line["task"] for line in logged] == ["ticks"]
 
 
 def test_an_exception_of_a_callback_is_one_line(logged: list[dict[str, object]]) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(log_callback_failure)
         loop.call_soon(lambda: 1 // 0)
@@ -87,7 +87,7 @@
         await asyncio.sleep(0.0)
         await asyncio.sleep(0.0)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert [(line["event"], line.get("error")) for line in logged] == [
         ("callback_failed", None),
         ("callback_failed", "ZeroDivisionError('integer division or modulo by zero')"),
--- a/tests/controller/test_golden.py
+++ b/tests/controller/test_golden.py
@@ -17,7 +17,7 @@
 
 from larkweir.controller import operator_api
 from standins.peers import PATIENCE_S
-from tests.system.loopback import Fleet, ask, play
+from tests.system.loopback import Fleet, ask, run_scenario
 
 FIRST_HEARTBEAT = (
     b'{"backend":"s","address":"10.0.0.9:80","zone":"z1","sequence":5,"state":"ready","slots":4,"new":1}'
@@ -98,7 +98,7 @@
     is about other answers has the controller wait for its disk.
     """
     with patch.object(operator_api, "ANSWER_TIMEOUT_S", answer_timeout_s):
-        play(folder, scene, controllers=1, routers=0, tolerance=0)
+        run_scenario(folder, scene, controllers=1, routers=0, tolerance=0)
 
 
 def replica_folder(fleet: Fleet) -> Path:
@@ -374,7 +374,7 @@
                 b'{"type":"forwarded","ticket":7,"status":0,"detail":"","value":""}\n'
             )
 
-    play(tmp_path, scene, controllers=3, routers=0)
+    run_scenario(tmp_path, scene, controllers=3, routers=0)
 
 
 def test_lines_to_a_router(tmp_path: Path) -> None:
--- a/tests/controller/test_quorum_contact.py
+++ b/tests/controller/test_quorum_contact.py
@@ -10,8 +10,8 @@
 
 from larkweir.controller.quorum_contact import QuorumContact
 from tests.controller.conftest import FakeLinks, FakeReplica
-from tests.system.loopback import Fleet, Upstream, ask, play
-from tests.system.test_fleet import configuration, fine, serve
+from tests.system.loopback import Fleet, Upstream, ask, run_scenario
+from tests.system.test_fleet import configuration, respond_ok, serve
 
 
 async def send_heartbeat(fleet: Fleet, upstream: Upstream, state: str) -> int:
@@ -33,7 +33,7 @@
 
 def test_an_upstream_gets_no_acknowledgement_where_no_majority_is_informed(tmp_path: Path) -> None:
     async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, fine, fine)
+        await serve(fleet, respond_ok, respond_ok, respond_ok)
         first, second, third = fleet.upstreams
         await leave_alone(fleet)
         assert await send_heartbeat(fleet, first, "ready") == 503
@@ -54,12 +54,12 @@
 
         await fleet.until(is_ready_acknowledged)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_an_acknowledged_departure_is_known_to_a_majority(tmp_path: Path) -> None:
     async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, fine)
+        await serve(fleet, respond_ok, respond_ok)
         leaving = fleet.upstreams[0]
         assert await send_heartbeat(fleet, leaving, "draining") == 200
         knowing = [
@@ -69,12 +69,12 @@
         ]
         assert len(knowing) >= 2
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 def test_a_lone_controller_neither_reads_nor_takes_nor_refuses_a_change(tmp_path: Path) -> None:
     async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+        await serve(fleet, respond_ok)
         await leave_alone(fleet)
         stale = asyncio.ensure_future(
             ask(fleet.control[0], "PUT", "/config", msgspec.json.encode(configuration(2)), If_Match="0")
@@ -85,7 +85,7 @@
         assert (await ask(fleet.control[0], "GET", "/config")).status == 503
         assert [(await one).status for one in (stale, fresh)] == [503, 503]
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scene)
 
 
 class Known:
--- a/tests/router/test_fleet_sync_golden.py
+++ b/tests/router/test_fleet_sync_golden.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from tests.router.scripted_controller import ScriptedController, running_router
-from tests.system.loopback import Client, Seen, Upstream, answer, ask
+from tests.system.loopback import Client, ReceivedRequest, Upstream, answer, ask
 
 EXPECTED_LINES = [
     '{"type":"hello","node":"NODE","kind":"router","life":"LIFE"}',
@@ -54,10 +54,10 @@
     port = server.sockets[0].getsockname()[1]
     arrived = asyncio.Event()
 
-    def resets(seen: Seen) -> tuple[bytes, bool]:
+    def resets(request: ReceivedRequest) -> tuple[bytes, bool]:
         return b"", True
 
-    def hold(seen: Seen) -> tuple[bytes, bool]:
+    def hold(request: ReceivedRequest) -> tuple[bytes, bool]:
         arrived.set()
         return b"", False
 
@@ -89,7 +89,7 @@
             controller.send({"type": "delta", "vector": {"c/1": 3}})
             await controller.wait_for_lines(6)
             await arrived.wait()
-            engine.writers[-1].write(answer(engine.seen[-1]))
+            engine.writers[-1].write(answer(engine.requests[-1]))
             assert (await pending).status == 200
             failed = await ask(f"{ip}.2:{port}", "POST", "/s/x", b"p", X_Request_Id="2", X_Api_Key="key")
             assert failed.status == 502
--- a/tests/router/test_rollout_reports_golden.py
+++ b/tests/router/test_rollout_reports_golden.py
@@ -13,7 +13,7 @@
 from larkweir.cluster import log
 from larkweir.cluster.messages import Message
 from tests.router.scripted_controller import ScriptedController, running_router
-from tests.system.loopback import Seen, Upstream, answer, ask
+from tests.system.loopback import ReceivedRequest, Upstream, answer, ask
 
 ORDER = '"s":{"order":"v2/1000"'
 EXPECTED_LINES = [
@@ -87,14 +87,14 @@
     records = [record("s1", "v1", old.address, 1), record("s2", "v2", new.address, 2)]
     await answer_pull(controller, 3, config={"sequence": 3, "base": -1, "body": DOCUMENT}, records=records)
     await answer_pull(controller, 4)
-    arrived = new.behave = HeldRequest()
+    arrived = new.respond = HeldRequest()
     pending = asyncio.get_running_loop().create_task(ask(front, "POST", "/x", b"p", X_Request_Id="1"))
     await arrived.event.wait()
     await answer_pull(controller, 5)
-    new.writers[-1].write(answer(new.seen[-1]))
+    new.writers[-1].write(answer(new.requests[-1]))
     assert (await pending).status == 200
     await answer_pull(controller, 6)
-    new.behave = resets
+    new.respond = resets
     assert (await ask(front, "POST", "/x", b"p", X_Request_Id="2")).status == 502
     await answer_pull(controller, 7)
     await answer_pull(controller, 8)
@@ -110,12 +110,12 @@
     def __init__(self) -> None:
         self.event = asyncio.Event()
 
-    def __call__(self, seen: Seen) -> tuple[bytes, bool]:
+    def __call__(self, request: ReceivedRequest) -> tuple[bytes, bool]:
         self.event.set()
         return b"", False
 
 
-def resets(seen: Seen) -> tuple[bytes, bool]:
+def resets(request: ReceivedRequest) -> tuple[bytes, bool]:
     return b"", True
 
 
--- a/tests/system/loopback.py
+++ b/tests/system/loopback.py
@@ -29,7 +29,7 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool = True
+    is_complete: bool = True
 
 
 class Client:
@@ -57,7 +57,7 @@
 
     async def _reply(self) -> Reply:
         assert self.reader is not None
-        reply = Reply(0, {}, b"", whole=False)
+        reply = Reply(0, {}, b"", is_complete=False)
         while True:
             try:
                 event = self.connection.next_event()
@@ -72,7 +72,7 @@
             elif isinstance(event, h11.Data):
                 reply.body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                reply.whole = True
+                reply.is_complete = True
                 if self.connection.our_state is h11.DONE and self.connection.their_state is h11.DONE:
                     self.connection.start_next_cycle()
                 else:
@@ -94,13 +94,13 @@
     try:
         return await client.request(method, target, body, **headers)
     except OSError:
-        return Reply(0, {}, b"", whole=False)
+        return Reply(0, {}, b"", is_complete=False)
     finally:
         client.close()
 
 
 @dataclass
-class Seen:
+class ReceivedRequest:
     """A request as an upstream got it."""
 
     method: str
@@ -115,8 +115,8 @@
 
     id: str
     address: str
-    behave: Callable[[Seen], tuple[bytes, bool]]
-    seen: list[Seen] = field(default_factory=list)
+    respond: Callable[[ReceivedRequest], tuple[bytes, bool]]
+    requests: list[ReceivedRequest] = field(default_factory=list)
     server: asyncio.Server | None = None
     sequence: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
@@ -144,9 +144,9 @@
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
                 headers = {name.decode(): value.decode() for name, value in head.headers}
-                seen = Seen(head.method.decode(), head.target.decode(), headers, body)
-                self.seen.append(seen)
-                out, close = self.behave(seen)
+                request = ReceivedRequest(head.method.decode(), head.target.decode(), headers, body)
+                self.requests.append(request)
+                out, close = self.respond(request)
                 writer.write(out)
                 if close:
                     break
@@ -179,22 +179,22 @@
             self.server.close()
 
 
-def answer(seen: Seen, status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
+def answer(request: ReceivedRequest, status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
     """A whole answer that echoes the request's id."""
-    named = {"X-Request-Id": seen.headers.get("x-request-id", ""), "X-Server-Signature": "sig", **headers}
+    named = {"X-Request-Id": request.headers.get("x-request-id", ""), "X-Server-Signature": "sig", **headers}
     lines = [f"HTTP/1.1 {status} X", *(f"{name.replace('_', '-')}: {value}" for name, value in named.items())]
     return ("\r\n".join(lines) + f"\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
 
 
-def events(seen: Seen, ids: range, whole: bool = True, signature: str = "sig") -> bytes:
+def events(request: ReceivedRequest, ids: range, is_complete: bool = True, signature: str = "sig") -> bytes:
     """A stream of events, in chunks; without its end where it is not whole."""
     head = (
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
-        f"X-Request-Id: {seen.headers.get('x-request-id', '')}\r\nX-Server-Signature: {signature}\r\n\r\n"
+        f"X-Request-Id: {request.headers.get('x-request-id', '')}\r\nX-Server-Signature: {signature}\r\n\r\n"
     )
     pieces = [f"id: {n}\ndata: piece {n}\n\n".encode() for n in ids]
     chunks = b"".join(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
-    return head.encode() + chunks + (b"0\r\n\r\n" if whole else b"")
+    return head.encode() + chunks + (b"0\r\n\r\n" if is_complete else b"")
 
 
 class Fleet:
@@ -288,14 +288,14 @@
     async def upstream(
         self,
         service: str,
-        behave: Callable[[Seen], tuple[bytes, bool]],
+        respond: Callable[[ReceivedRequest], tuple[bytes, bool]],
         id_: str | None = None,
         version: str = "",
     ) -> Upstream:
         """One that is started and registered."""
         number = len(self.upstreams)
         made = Upstream(
-            id_ or f"i-{number}", f"{self._ip(200 + number)}:{self.port + 4}", behave, version=version
+            id_ or f"i-{number}", f"{self._ip(200 + number)}:{self.port + 4}", respond, version=version
         )
         await made.start()
         self.upstreams.append(made)
@@ -326,16 +326,16 @@
         return int(sock.getsockname()[1]) // 8 * 8
 
 
-def play(folder: Path, scene: Callable[[Fleet], Awaitable[None]], **sizes: int) -> None:
+def run_scenario(folder: Path, scenario: Callable[[Fleet], Awaitable[None]], **sizes: int) -> None:
     """Runs a scene with a fleet that is started before it and stopped behind it."""
 
-    async def whole() -> None:
+    async def run() -> None:
         fleet = Fleet(folder, **sizes)
         await fleet.start()
         try:
-            await scene(fleet)
+            await scenario(fleet)
         finally:
             await fleet.stop()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
-        runner.run(whole())
+        runner.run(run())
--- a/tests/system/test_demo.py
+++ b/tests/system/test_demo.py
@@ -29,11 +29,11 @@
         X_Request_Id="3",
         X_Token_Usage="100,80",
     )
-    assert later.whole
+    assert later.is_complete
 
 
 def test_the_demonstration_serves_the_request_that_it_prints() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -62,7 +62,7 @@
                     X_Request_Id="1",
                     X_Token_Usage="100,80",
                 )
-                assert (reply.status, reply.whole) == (200, True)
+                assert (reply.status, reply.is_complete) == (200, True)
                 assert reply.body.count(b"data: word") == 8
                 await leave_a_stream(found[1])
                 process.send_signal(signal.SIGINT)
@@ -76,4 +76,4 @@
                 process.kill()
                 await process.wait()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/system/test_fleet.py
+++ b/tests/system/test_fleet.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from tests.system.loopback import Client, Fleet, Seen, answer, ask, events, play
+from tests.system.loopback import Client, Fleet, ReceivedRequest, answer, ask, events, run_scenario
 
 
 def configuration(generation: int = 1, **fields: Any) -> dict[str, Any]:
@@ -39,21 +39,21 @@
     }
 
 
-def fine(seen: Seen) -> tuple[bytes, bool]:
-    return answer(seen), False
+def respond_ok(request: ReceivedRequest) -> tuple[bytes, bool]:
+    return answer(request), False
 
 
 async def serve(fleet: Fleet, *behaviours: Any, **fields: Any) -> None:
     """Configures the fleet and registers an upstream of each behaviour."""
     assert (await fleet.put(configuration(**fields), 0)).status == 200
-    for behave in behaviours:
-        await fleet.upstream("s", behave)
+    for respond in behaviours:
+        await fleet.upstream("s", respond)
     await fleet.until_ready()
 
 
 def test_a_request_goes_through_with_tenant_deadline_and_instance(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         client = Client(fleet.fronts[0])
         for number in range(3):
             reply = await client.request(
@@ -66,25 +66,25 @@
             )
             assert (reply.status, reply.body) == (200, b"ok")
             assert reply.headers["x-server-signature"] == "sig"
-        seen = fleet.upstreams[0].seen[0]
-        assert (seen.method, seen.target, seen.body) == ("POST", "/plain/x?y=1", b"body")
-        assert seen.headers["x-tenant"] == "t"
-        assert seen.headers["x-target-instance"] == "i-0"
-        assert seen.headers["priority"] == "2"
-        assert 0 < int(seen.headers["x-deadline-ms"]) <= 900
-        assert "x-api-key" not in seen.headers
+        request = fleet.upstreams[0].requests[0]
+        assert (request.method, request.target, request.body) == ("POST", "/plain/x?y=1", b"body")
+        assert request.headers["x-tenant"] == "t"
+        assert request.headers["x-target-instance"] == "i-0"
+        assert request.headers["priority"] == "2"
+        assert 0 < int(request.headers["x-deadline-ms"]) <= 900
+        assert "x-api-key" not in request.headers
         assert (await client.request("POST", "/plain/x", X_Request_Id="r", X_Api_Key="no")).status == 401
         assert (await client.request("POST", "/nowhere/", X_Request_Id="r", X_Api_Key="key")).status == 404
         reply = await client.request("POST", "/public/x", X_Request_Id="r", X_Tenant="forged")
         assert reply.status == 200
-        assert "x-tenant" not in fleet.upstreams[0].seen[-1].headers
+        assert "x-tenant" not in fleet.upstreams[0].requests[-1].headers
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_changes_of_the_configuration(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         patch = {"generation": 4, "remove": {"routes": ["plain"]}}
         assert (await fleet.put(patch, 1, "PATCH")).status == 200
         assert (await fleet.put(patch, 1, "PATCH")).status == 200, "the same order again is acknowledged"
@@ -104,12 +104,12 @@
 
         await fleet.until(in_force)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_controller_that_dies_and_comes_back(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+def test_any_one_controller_may_be_killed_and_restarted(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         for generation, number in enumerate((0, 1, 2), start=2):
             await fleet.kill(fleet.control[number])
             assert (await fleet.put(configuration(generation), generation - 1)).status == 200
@@ -117,12 +117,12 @@
             assert reply.status == 200
             fleet.start_controller(number)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_what_was_acknowledged_is_there_after_all_were_killed(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+def test_an_acknowledged_configuration_survives_a_kill_of_all_processes(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         for address in [*fleet.control, *fleet.fronts]:
             await fleet.kill(address)
         for number in range(3):
@@ -133,85 +133,85 @@
         reply = await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r", X_Api_Key="key")
         assert reply.status == 200
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_draining_reaches_routers_before_it_is_acknowledged(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok, respond_ok)
         first, second = fleet.upstreams
         await fleet.register(first, "s", "draining")
-        before = len(first.seen)
+        before = len(first.requests)
         for number in range(20):
             await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id=f"r{number}", X_Api_Key="key")
-        assert len(first.seen) == before
-        assert len(second.seen) >= 20
+        assert len(first.requests) == before
+        assert len(second.requests) >= 20
         reply = await ask(fleet.control[1], "DELETE", f"/instances/{second.id}")
         assert reply.status == 200
         reply = await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r", X_Api_Key="key")
         assert (reply.status, reply.headers["retry-after"]) == (503, "0.800")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_streams_pass_and_a_break_shows_as_a_break(tmp_path: Path) -> None:
-    def half(seen: Seen) -> tuple[bytes, bool]:
-        if seen.target.startswith("/stream/whole"):
-            return events(seen, range(1, 4)), False
-        return events(seen, range(1, 3), whole=False), True
+def test_complete_and_broken_streams_are_forwarded_as_such(tmp_path: Path) -> None:
+    def half(request: ReceivedRequest) -> tuple[bytes, bool]:
+        if request.target.startswith("/stream/whole"):
+            return events(request, range(1, 4)), False
+        return events(request, range(1, 3), is_complete=False), True
 
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await serve(fleet, half)
         reply = await ask(fleet.fronts[0], "POST", "/stream/whole", X_Request_Id="r", X_Api_Key="key")
-        assert (reply.status, reply.whole, reply.body.count(b"data:")) == (200, True, 3)
+        assert (reply.status, reply.is_complete, reply.body.count(b"data:")) == (200, True, 3)
         reply = await ask(fleet.fronts[0], "POST", "/stream/broken", X_Request_Id="r2", X_Api_Key="key")
-        assert (reply.status, reply.whole) == (200, False)
+        assert (reply.status, reply.is_complete) == (200, False)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_resumable_stream_goes_on_elsewhere_in_the_same_answer(tmp_path: Path) -> None:
-    def behave(seen: Seen) -> tuple[bytes, bool]:
-        last = int(seen.headers.get("last-event-id", "0"))
+def test_a_broken_resumable_stream_continues_in_the_same_response(tmp_path: Path) -> None:
+    def respond(request: ReceivedRequest) -> tuple[bytes, bool]:
+        last = int(request.headers.get("last-event-id", "0"))
         if last:
-            return events(seen, range(last + 1, 6), signature="second"), False
-        torn = events(seen, range(1, 3), whole=False, signature="first") + b"30\r\nid: 3\ndata: torn"
+            return events(request, range(last + 1, 6), signature="second"), False
+        torn = events(request, range(1, 3), is_complete=False, signature="first") + b"30\r\nid: 3\ndata: torn"
         return torn, True
 
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, behave, behave)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond, respond)
         reply = await ask(fleet.fronts[0], "POST", "/resumable/x", X_Request_Id="r", X_Api_Key="key")
-        assert reply.whole
+        assert reply.is_complete
         assert [line for line in reply.body.splitlines() if line.startswith(b"id")] == [
             b"id: %d" % n for n in range(1, 6)
         ]
         assert reply.headers["x-server-signature"] == "first"
         assert b"torn" not in reply.body
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_what_may_have_run_is_not_sent_again_and_what_has_not_is_promised(tmp_path: Path) -> None:
-    def dies(seen: Seen) -> tuple[bytes, bool]:
-        if seen.target == "/safe/refused":
-            return answer(seen, 503, X_Not_Executed="1"), False
-        if seen.target == "/plain/refused":
-            return answer(seen, 503, X_Not_Executed="1"), False
-        if seen.target == "/plain/odd":
-            return answer(seen, 503), False
-        if seen.target == "/plain/error":
-            return answer(seen, 500), False
+def test_attempts_and_statuses_of_failed_requests(tmp_path: Path) -> None:
+    def dies(request: ReceivedRequest) -> tuple[bytes, bool]:
+        if request.target == "/safe/refused":
+            return answer(request, 503, X_Not_Executed="1"), False
+        if request.target == "/plain/refused":
+            return answer(request, 503, X_Not_Executed="1"), False
+        if request.target == "/plain/odd":
+            return answer(request, 503), False
+        if request.target == "/plain/error":
+            return answer(request, 500), False
         return b"", True
 
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await serve(fleet, dies, dies)
-        seen = [upstream.seen for upstream in fleet.upstreams]
+        received = [upstream.requests for upstream in fleet.upstreams]
 
         async def outcome(target: str) -> tuple[int, int, str | None]:
-            before = sum(map(len, seen))
+            before = sum(map(len, received))
             reply = await ask(fleet.fronts[0], "POST", target, X_Request_Id=target, X_Api_Key="key")
             stamp = reply.headers.get("x-server-signature")
-            return reply.status, sum(map(len, seen)) - before, stamp
+            return reply.status, sum(map(len, received)) - before, stamp
 
         assert await outcome("/plain/dies") == (502, 1, None)
         assert await outcome("/safe/dies") == (502, 2, None)
@@ -220,21 +220,21 @@
         assert await outcome("/plain/odd") == (502, 1, None)
         assert await outcome("/plain/error") == (500, 1, "sig")
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_late_answer_of_an_earlier_request_is_not_taken_for_this_ones(tmp_path: Path) -> None:
+def test_a_late_response_is_not_matched_to_the_next_request(tmp_path: Path) -> None:
     late: list[bytes] = []
 
-    def behave(seen: Seen) -> tuple[bytes, bool]:
-        if seen.headers["x-request-id"] == "r1":
-            late.append(answer(seen, body=b"late"))
-        if seen.headers["x-request-id"] == "r2":
-            return late.pop() + answer(seen, body=b"second"), False
-        return answer(seen, body=b"first"), False
+    def respond(request: ReceivedRequest) -> tuple[bytes, bool]:
+        if request.headers["x-request-id"] == "r1":
+            late.append(answer(request, body=b"late"))
+        if request.headers["x-request-id"] == "r2":
+            return late.pop() + answer(request, body=b"second"), False
+        return answer(request, body=b"first"), False
 
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, behave)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond)
         client = Client(fleet.fronts[0])
         bodies = [
             (await client.request("POST", "/plain/x", b"b", X_Request_Id=id_, X_Api_Key="key")).body
@@ -242,27 +242,27 @@
         ]
         assert bodies == [b"first", b"second", b"first"]
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_another_server_at_the_address_is_not_asked_twice(tmp_path: Path) -> None:
-    def misdirected(seen: Seen) -> tuple[bytes, bool]:
+def test_a_misdirected_request_is_not_retried_at_the_same_address(tmp_path: Path) -> None:
+    def misdirected(request: ReceivedRequest) -> tuple[bytes, bool]:
         return b"HTTP/1.1 421 X\r\nX-Instance-Id: other\r\nContent-Length: 0\r\n\r\n", False
 
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await serve(fleet, misdirected)
         reply = await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r", X_Api_Key="key")
         assert reply.status == 503
-        assert len(fleet.upstreams[0].seen) == 1
+        assert len(fleet.upstreams[0].requests) == 1
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_quota_is_kept_and_told_to_come_back(tmp_path: Path) -> None:
+def test_a_quota_is_enforced_with_retry_after(tmp_path: Path) -> None:
     tenants = [{"name": "t", "api_keys": ["key"], "rate_per_s": 1, "burst": 3}]
 
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, tenants=tenants)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok, tenants=tenants)
         replies = [
             await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id=f"r{n}", X_Api_Key="key")
             for n in range(12)
@@ -271,7 +271,7 @@
         assert replies[-1].status == 429
         assert 0.0 < float(replies[-1].headers["retry-after"]) <= 5.0
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -283,9 +283,9 @@
         (b"\x00\xff\xfe\r\n\r\n", b"400"),
     ],
 )
-def test_what_is_no_request_is_answered_and_ends(tmp_path: Path, raw: bytes, status: bytes) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+def test_malformed_requests_are_answered_with_an_error(tmp_path: Path, raw: bytes, status: bytes) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         client = Client(fleet.fronts[0])
         await client.request("POST", "/plain/x", X_Request_Id="r", X_Api_Key="key")
         assert client.writer is not None
@@ -296,7 +296,7 @@
         reply = await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r", X_Api_Key="key")
         assert reply.status == 200
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 HEARTBEAT = b'{"backend":"s","address":"%s","zone":"z","sequence":%s,"slots":%s}'
@@ -327,46 +327,46 @@
         ("GET", "/nothing", b"", 404),
     ],
 )
-def test_bad_calls_at_a_controller(
+def test_invalid_calls_to_a_controller(
     tmp_path: Path, method: str, target: str, body: bytes, status: int
 ) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         reply = await ask(fleet.control[0], method, target, body, If_Match="1")
         assert reply.status == status
         assert (await ask(fleet.control[0], "GET", "/config")).status == 200
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(("controllers", "tolerance"), [(1, 0), (5, 2)])
 def test_fleets_of_other_sizes(tmp_path: Path, controllers: int, tolerance: int) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         for generation, address in enumerate(fleet.control[:tolerance], start=2):
             await fleet.kill(address)
             assert (await fleet.put(configuration(generation), generation - 1)).status == 200
         reply = await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r", X_Api_Key="key")
         assert reply.status == 200
 
-    play(tmp_path, scene, controllers=controllers, tolerance=tolerance)
+    run_scenario(tmp_path, scenario, controllers=controllers, tolerance=tolerance)
 
 
 def test_a_configuration_without_tenants_asks_for_no_key(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, tenants=[])
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok, tenants=[])
         reply = await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r")
         assert reply.status == 200
-        assert "x-tenant" not in fleet.upstreams[0].seen[0].headers
+        assert "x-tenant" not in fleet.upstreams[0].requests[0].headers
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_client_that_goes_ends_its_call_and_one_deadline_is_kept(tmp_path: Path) -> None:
-    def mute(seen: Seen) -> tuple[bytes, bool]:
+def test_deadlines_are_enforced_and_disconnected_clients_free_resources(tmp_path: Path) -> None:
+    def mute(request: ReceivedRequest) -> tuple[bytes, bool]:
         return b"", False
 
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await serve(fleet, mute)
         reply = await ask(
             fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r", X_Api_Key="key", X_Deadline_Ms="150"
@@ -378,7 +378,7 @@
 
         async def sent() -> bool:
             await ask(fleet.ready[0], "GET", "/ready")
-            return len(fleet.upstreams[0].seen) == 2
+            return len(fleet.upstreams[0].requests) == 2
 
         await fleet.until(sent)
         client.close()
@@ -390,16 +390,16 @@
 
         await fleet.until(freed)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_router_that_is_told_to_stop_answers_what_it_has_taken(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        held: list[Seen] = []
+def test_a_stopping_router_completes_accepted_requests(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        held: list[ReceivedRequest] = []
 
-        def slow(seen: Seen) -> tuple[bytes, bool]:
-            held.append(seen)
-            return events(seen, range(1, 3), whole=False), False
+        def slow(request: ReceivedRequest) -> tuple[bytes, bool]:
+            held.append(request)
+            return events(request, range(1, 3), is_complete=False), False
 
         await serve(fleet, slow)
         upstream = fleet.upstreams[0]
@@ -429,7 +429,7 @@
         assert not call.done(), "what was taken before goes on"
         upstream.writers[-1].write(b"d\r\nid: 3\ndata: c\r\n4\r\n\n\n\n\n\r\n0\r\n\r\n")
         reply = await call
-        assert reply.whole
+        assert reply.is_complete
         assert reply.body.count(b"data:") == 3
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
--- a/tests/system/test_large_change.py
+++ b/tests/system/test_large_change.py
@@ -11,7 +11,7 @@
 import pytest
 
 from larkweir.cluster.links import Connection
-from tests.system.loopback import Fleet, ask, play
+from tests.system.loopback import Fleet, ask, run_scenario
 from tests.system.test_fleet import configuration
 
 CONTROLLERS = 5
@@ -58,10 +58,8 @@
     return counts
 
 
-def test_a_change_of_many_routes_is_not_sent_over_a_small_link_by_every_controller_whole(
-    tmp_path: Path, received: Counter[Connection]
-) -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_a_change_of_many_routes_fits_a_slow_link(tmp_path: Path, received: Counter[Connection]) -> None:
+    async def scenario(fleet: Fleet) -> None:
         front = fleet.fronts[0]
 
         async def is_in_force_everywhere() -> bool:
@@ -94,4 +92,4 @@
         size = len(msgspec.json.encode(patch))
         assert at_router / LINK_BYTES_PER_S < MAX_TRANSFER_S, f"{at_router} bytes for a change of {size}"
 
-    play(tmp_path, scene, controllers=CONTROLLERS, routers=1, tolerance=2)
+    run_scenario(tmp_path, scenario, controllers=CONTROLLERS, routers=1, tolerance=2)
--- a/tests/system/test_large_configuration.py
+++ b/tests/system/test_large_configuration.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from tests.system.loopback import Fleet, ask, play
+from tests.system.loopback import Fleet, ask, run_scenario
 from tests.system.test_fleet import configuration
 
 ROUTES = 13_000  # of some 330 bytes each
@@ -23,8 +23,8 @@
     return document
 
 
-def test_four_megabytes_are_taken_changed_and_caught_up_with(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_a_large_configuration_is_committed_patched_and_caught_up_with(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
         document = large(1)
         size = len(msgspec.json.encode(document))
         assert 4_000_000 < size < 8_000_000
@@ -46,4 +46,4 @@
         patch = {"generation": 5, "upsert": {"services": [{"name": "s5"}]}}
         assert (await fleet.put(patch, 4, "PATCH")).status == 200
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
--- a/tests/system/test_measurements.py
+++ b/tests/system/test_measurements.py
@@ -110,7 +110,7 @@
     assert cause_of(one, LINE) is cause
 
 
-def test_heads_that_are_read_again_are_found_and_drawn() -> None:
+def test_repeated_prefills_of_a_prefix_are_found_and_drawn() -> None:
     def at(time_s: float, upstream: str) -> str:
         return f"  {time_s} front-1 " + json.dumps(
             logged({"upstream": upstream, "tokens": 80_000}), separators=(",", ":")
@@ -132,7 +132,7 @@
 )
 
 
-def test_other_deployments_differ_in_what_they_are_named_for_alone(tmp_path: Path) -> None:
+def test_each_deployment_variant_changes_only_what_its_name_says(tmp_path: Path) -> None:
     kit = tmp_path / "kit"
     kit.mkdir()
     (kit / "one.toml").write_text(SITE)
--- a/tests/system/test_mixed_versions.py
+++ b/tests/system/test_mixed_versions.py
@@ -15,17 +15,17 @@
 import msgspec
 import pytest
 
-from tests.system.loopback import Client, Fleet, Reply, Seen, Upstream, answer, ask, events
-from tests.system.test_fleet import configuration, fine
+from tests.system.loopback import Client, Fleet, ReceivedRequest, Reply, Upstream, answer, ask, events
+from tests.system.test_fleet import configuration, respond_ok
 
 ROOT = Path(__file__).parent.parent.parent
 EARLIER_COMMIT = (
     "4a677a78961aecde9dd15f9abe2cbd93d0d4822a"  # before the words of the fleet's text were changed
 )
-SCENE_S = 90.0
+SCENARIO_TIMEOUT_S = 90.0
 OLD, NEW = "old", "new"
-HEAD = "a-shared-head"
-FEW = 40  # requests, of a tenant with a small quota
+PREFIX = "a-shared-head"
+SMALL_BURST = 40  # requests, of a tenant with a small quota
 
 
 @pytest.fixture(scope="module")
@@ -62,7 +62,7 @@
     def __init__(self, folder: Path, earlier: Path, controllers: list[str], routers: list[str]) -> None:
         super().__init__(folder, len(controllers), len(routers), tolerance=len(controllers) // 2)
         self._roots = {OLD: earlier, NEW: ROOT}
-        self.texts = dict(zip([*self.control, *self.fronts], [*controllers, *routers], strict=True))
+        self.versions = dict(zip([*self.control, *self.fronts], [*controllers, *routers], strict=True))
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def start_controller(self, number: int, bootstrap: bool = False) -> None:
@@ -74,7 +74,7 @@
 
     def _spawn(self, role: str, address: str, listen: dict[str, str], bootstrap: bool) -> None:
         ip = address.partition(":")[0]
-        root = self._roots[self.texts[address]]
+        root = self._roots[self.versions[address]]
         settings = self.folder / f"{ip}.yaml"
         settings.write_bytes(self._settings_text(ip, listen, bootstrap))  # JSON is YAML
         with self._log(address).open("ab") as log:
@@ -100,11 +100,11 @@
         for upstream in self.upstreams:
             upstream.close()
 
-    def ends_of_logs(self) -> str:
+    def log_tails(self) -> str:
         """For whoever reads of a failure."""
         return "\n".join(
-            f"{self.texts[address]} {address}: {self._log(address).read_text()[-2_000:]}"
-            for address in self.texts
+            f"{self.versions[address]} {address}: {self._log(address).read_text()[-2_000:]}"
+            for address in self.versions
         )
 
     async def until_ready(self, number: int = 0) -> None:
@@ -113,7 +113,7 @@
 
         await self.until(ready)
 
-    async def beat(self, service: str) -> None:
+    async def send_heartbeats(self, service: str) -> None:
         """One heartbeat of each upstream: none is silent for long."""
         for upstream in self.upstreams:
             await self.register(upstream, service)
@@ -132,11 +132,11 @@
         """What a controller tells of itself, as soon as it does."""
         replies: list[Reply] = []
 
-        async def told() -> bool:
+        async def is_answered() -> bool:
             replies.append(await ask(self.control[number], "GET", target))
             return replies[-1].status == 200
 
-        await self.until(told)
+        await self.until(is_answered)
         return msgspec.json.decode(replies[-1].body)
 
     async def post(self, router: int, target: str, **headers: str) -> Reply:
@@ -145,23 +145,23 @@
         return await ask(self.fronts[router], "POST", target, b"a question", **named)
 
 
-def play(fleet: MixedFleet, scene: Callable[[], Awaitable[None]]) -> None:
+def run_scenario(fleet: MixedFleet, scenario: Callable[[], Awaitable[None]]) -> None:
     """Runs a scene, and ends all processes behind it."""
 
-    async def whole() -> None:
+    async def run() -> None:
         try:
-            async with asyncio.timeout(SCENE_S):
-                await scene()
+            async with asyncio.timeout(SCENARIO_TIMEOUT_S):
+                await scenario()
         except BaseException as problem:
-            problem.add_note(fleet.ends_of_logs())
+            problem.add_note(fleet.log_tails())
             raise
         finally:
             await fleet.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-def test_each_text_is_run_from_its_own_folder(earlier: Path) -> None:
+def test_each_version_runs_from_its_own_folder(earlier: Path) -> None:
     script = (
         "import larkweir.system.cli, larkweir_quotas, larkweir_registry, larkweir_replication as last, sys;"
         "print(*{m.__file__ for n, m in sys.modules.items() if n.startswith(('larkweir', 'mulleinhitch'))}, sep='\\n')"
@@ -176,16 +176,16 @@
         assert not any("site-packages" in file.parts for file in files), files
 
 
-def behave(seen: Seen) -> tuple[bytes, bool]:
+def respond(request: ReceivedRequest) -> tuple[bytes, bool]:
     """Plain answers, or none; a stream that breaks off, and goes on where its second event was the last."""
-    if seen.target == "/plain/unanswered":
+    if request.target == "/plain/unanswered":
         return b"", False
-    if not seen.target.startswith("/resumable/"):
-        return answer(seen), False
-    last = int(seen.headers.get("last-event-id", "0"))
+    if not request.target.startswith("/resumable/"):
+        return answer(request), False
+    last = int(request.headers.get("last-event-id", "0"))
     if last:
-        return events(seen, range(last + 1, 6)), False
-    return events(seen, range(1, 3), whole=False), True
+        return events(request, range(last + 1, 6)), False
+    return events(request, range(1, 3), is_complete=False), True
 
 
 def with_engines(generation: int, **fields: Any) -> dict[str, Any]:
@@ -195,7 +195,7 @@
         services=[{"name": "s", "max_conns": 10, "engine": {"slots": 4}}],
         tenants=[
             {"name": "t", "api_keys": ["key"], "priority": 2, "rate_per_s": 1_000, "burst": 2_000_000},
-            {"name": "few", "api_keys": ["few"], "rate_per_s": 0.001, "burst": FEW},
+            {"name": "few", "api_keys": ["few"], "rate_per_s": 0.001, "burst": SMALL_BURST},
         ],
         **fields,
     )
@@ -205,19 +205,27 @@
     """A request, a stream that breaks and goes on, prompts and their places, through one router."""
     reply = await fleet.post(router, "/plain/x")
     assert (reply.status, reply.body) == (200, b"ok")
-    seen = next(one.seen[-1] for one in fleet.upstreams if one.seen and one.seen[-1].target == "/plain/x")
-    assert (seen.body, seen.headers["x-tenant"], seen.headers["priority"]) == (b"a question", "t", "2")
-    await check_places(fleet, router)
-    await check_waiting(fleet, router)
+    request = next(
+        one.requests[-1] for one in fleet.upstreams if one.requests and one.requests[-1].target == "/plain/x"
+    )
+    assert (request.body, request.headers["x-tenant"], request.headers["priority"]) == (
+        b"a question",
+        "t",
+        "2",
+    )
+    await check_placements(fleet, router)
+    await check_waiting_prompts(fleet, router)
     reply = await fleet.post(router, "/resumable/x")
-    assert (reply.status, reply.whole) == (200, True)
+    assert (reply.status, reply.is_complete) == (200, True)
     ids = [line for line in reply.body.splitlines() if line.startswith(b"id")]
     assert ids == [b"id: %d" % number for number in range(1, 6)]
 
 
-async def place(fleet: Fleet, number: int, head: str, known: str | None = None) -> tuple[str | None, bool]:
+async def request_placement(
+    fleet: Fleet, number: int, prefix_name: str, known: str | None = None
+) -> tuple[str | None, bool]:
     """Where a controller says that the head of a prompt is kept, and whether it was placed there before."""
-    question = {"type": "place", "service": "s", "head": head, "tokens": 5_000.0, "known": known}
+    question = {"type": "place", "service": "s", "head": prefix_name, "tokens": 5_000.0, "known": known}
     reader, writer = await asyncio.open_connection(fleet.control[number].partition(":")[0], fleet.port)
     writer.write(msgspec.json.encode(question) + b"\n")
     while True:
@@ -227,27 +235,27 @@
             return message["engine"], message.get("kept", False)
 
 
-async def check_places(fleet: MixedFleet, router: int) -> None:
+async def check_placements(fleet: MixedFleet, router: int) -> None:
     """Prompts go where the controllers keep their heads, be it against the heads' own order."""
     for number, upstream in enumerate(fleet.upstreams * 2):
-        head = f"{HEAD}-{router}-{number}"
+        prefix_name = f"{PREFIX}-{router}-{number}"
         for controller in range(len(fleet.control)):
-            assert await place(fleet, controller, head, upstream.id) == (upstream.id, True)
-        await until_goes_to(fleet, router, head, upstream)
+            assert await request_placement(fleet, controller, prefix_name, upstream.id) == (upstream.id, True)
+        await until_routed_to(fleet, router, prefix_name, upstream)
 
 
-async def until_goes_to(fleet: MixedFleet, router: int, head: str, upstream: Upstream) -> None:
-    prefix = f"{head}:5000,own:1000"
+async def until_routed_to(fleet: MixedFleet, router: int, prefix_name: str, upstream: Upstream) -> None:
+    prefix = f"{prefix_name}:5000,own:1000"
 
-    async def went_there() -> bool:
-        before = len(upstream.seen)
+    async def is_routed_there() -> bool:
+        before = len(upstream.requests)
         reply = await fleet.post(router, "/plain/x", X_Token_Usage="6000,10", X_Prompt_Prefix=prefix)
-        return reply.status == 200 and len(upstream.seen) > before
+        return reply.status == 200 and len(upstream.requests) > before
 
-    await fleet.until(went_there)
+    await fleet.until(is_routed_there)
 
 
-async def check_waiting(fleet: MixedFleet, router: int) -> None:
+async def check_waiting_prompts(fleet: MixedFleet, router: int) -> None:
     """A long prompt that an engine has not answered is known to every controller, until it is over."""
     client = Client(fleet.fronts[router])
     call = asyncio.ensure_future(
@@ -280,7 +288,7 @@
         reply = await fleet.post(0, "/plain/x", X_Api_Key="few")
         assert reply.status in (200, 429)
         admitted += reply.status == 200
-        return admitted > FEW / 4 + 1
+        return admitted > SMALL_BURST / 4 + 1
 
     await fleet.until(more_than_alone)
 
@@ -298,16 +306,16 @@
     for router in range(len(fleet.fronts)):
         await until_in_force(fleet, router, path)
     first, second = fleet.upstreams
-    await fleet.beat("s")
+    await fleet.send_heartbeats("s")
     await fleet.register(first, "s", "draining")
-    before = len(first.seen), len(second.seen)
+    before = len(first.requests), len(second.requests)
     for router in range(len(fleet.fronts)):
         for _ in range(5):
             assert (await fleet.post(router, "/plain/x")).status == 200
-    assert (len(first.seen) - before[0], len(second.seen) - before[1]) == (0, 5 * len(fleet.fronts))
+    assert (len(first.requests) - before[0], len(second.requests) - before[1]) == (0, 5 * len(fleet.fronts))
 
 
-async def change_without(fleet: MixedFleet, number: int, document: dict[str, Any]) -> None:
+async def change_while_down(fleet: MixedFleet, number: int, document: dict[str, Any]) -> None:
     """One controller is killed, and comes back behind a change; both others know it, the primary or not."""
     await fleet.kill(fleet.control[number])
     path = f"/later-{number}/"
@@ -315,7 +323,7 @@
     assert (await fleet.put(changed, document["generation"] - 1)).status == 200
     for other in {0, 1, 2} - {number}:
         assert (await fleet.read(other, "/config"))["generation"] == document["generation"]
-    await fleet.beat("s")
+    await fleet.send_heartbeats("s")
     for router in range(len(fleet.fronts)):
         await until_in_force(fleet, router, path + "x")
     fleet.start_controller(number)
@@ -347,38 +355,38 @@
 ) -> None:
     fleet = MixedFleet(tmp_path, earlier, controllers, routers)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         await fleet.start()
         first = with_engines(1)
         assert (await fleet.put(first, 0)).status == 200
         for _ in range(2):
-            await fleet.upstream("s", behave)
+            await fleet.upstream("s", respond)
         await fleet.until_known()
         for router in range(len(routers)):
             await fleet.until_ready(router)
-            await fleet.beat("s")
+            await fleet.send_heartbeats("s")
             await check_service(fleet, router)
         await check_quota(fleet)
         # Routers have told of usage and of broken calls by now: it is taken, or the change would not come through.
         second = {**first, "generation": 2, "routes": [*first["routes"], route_to("/later/")]}
         await change_and_drain(fleet, second, "/later/x")
-        await fleet.beat("s")
+        await fleet.send_heartbeats("s")
         for number in range(len(controllers) if len(controllers) > 1 else 0):
-            await change_without(fleet, number, {**first, "generation": 3 + number})
+            await change_while_down(fleet, number, {**first, "generation": 3 + number})
 
-    play(fleet, scene)
+    run_scenario(fleet, scenario)
 
 
 @pytest.mark.parametrize(("writer", "reader"), [(OLD, NEW), (NEW, OLD)])
-def test_a_data_folder_is_read_by_the_other_text_and_by_its_own_again(
+def test_a_data_folder_is_read_by_the_other_version_and_then_by_its_own(
     tmp_path: Path, earlier: Path, writer: str, reader: str
 ) -> None:
     fleet = MixedFleet(tmp_path, earlier, [writer], [])
     files = tmp_path / fleet.control[0].partition(":")[0] / "replica"
 
-    async def replace(text: str) -> None:
+    async def replace(version: str) -> None:
         await fleet.kill(fleet.control[0])
-        fleet.texts[fleet.control[0]] = text
+        fleet.versions[fleet.control[0]] = version
         fleet.start_controller(0)
 
     async def written() -> bool:
@@ -387,20 +395,20 @@
         if not all(hint.exists() for hint in hints):
             return False
         upstreams, placements = (hint.read_bytes() for hint in hints)
-        return all(one.id.encode() in upstreams for one in fleet.upstreams) and HEAD.encode() in placements
+        return all(one.id.encode() in upstreams for one in fleet.upstreams) and PREFIX.encode() in placements
 
     async def upstreams_known() -> list[tuple[str, str, str, int]]:
         known = await fleet.read(0, "/upstreams")
         return [(one["id"], one["service"], one["address"], one["sequence"]) for one in known]
 
-    async def scene() -> None:
+    async def scenario() -> None:
         fleet.start_controller(0, bootstrap=True)
         assert (await fleet.put(with_engines(1), 0)).status == 200
         change = {"generation": 2, "routes": [route_to("/later/")]}
         assert (await fleet.put(change, 1, "PATCH")).status == 200
-        fleet.upstreams = [Upstream(f"i-{n}", f"127.0.0.1:{n + 1}", fine) for n in range(3)]
-        await fleet.beat("s")
-        engine, kept = await place(fleet, 0, HEAD)
+        fleet.upstreams = [Upstream(f"i-{n}", f"127.0.0.1:{n + 1}", respond_ok) for n in range(3)]
+        await fleet.send_heartbeats("s")
+        engine, kept = await request_placement(fleet, 0, PREFIX)
         assert engine in ("i-0", "i-1", "i-2")
         assert not kept
         await fleet.until(written)
@@ -409,7 +417,11 @@
         assert [one[0] for one in left[1]] == ["i-0", "i-1", "i-2"]
         sequence = (await fleet.read(0, "/status"))["sequence"]
         await replace(reader)
-        assert (await fleet.read(0, "/config"), await upstreams_known(), await place(fleet, 0, HEAD)) == left
+        assert (
+            await fleet.read(0, "/config"),
+            await upstreams_known(),
+            await request_placement(fleet, 0, PREFIX),
+        ) == left
         assert (await fleet.read(0, "/status"))["sequence"] >= sequence
         assert (await fleet.put(change, 1, "PATCH")).status == 200, "sent again, it is known as carried out"
         assert await fleet.read(0, "/config") == left[0]
@@ -418,6 +430,6 @@
         await replace(writer)
         assert await fleet.read(0, "/config") == third
         assert (await fleet.put(third, 2)).status == 200, "sent again, it is known as carried out"
-        assert (await upstreams_known(), await place(fleet, 0, HEAD)) == left[1:]
+        assert (await upstreams_known(), await request_placement(fleet, 0, PREFIX)) == left[1:]
 
-    play(fleet, scene)
+    run_scenario(fleet, scenario)
--- a/tests/system/test_operator_commands.py
+++ b/tests/system/test_operator_commands.py
@@ -11,8 +11,8 @@
 
 from larkweir.system.cli import main
 from larkweir.system.operator_calls import EXIT_DAMAGED, EXIT_REJECTED, EXIT_UNREACHABLE
-from tests.system.loopback import Fleet, ask, play
-from tests.system.test_fleet import configuration, fine, serve
+from tests.system.loopback import Fleet, ask, run_scenario
+from tests.system.test_fleet import configuration, respond_ok, serve
 
 
 async def command(*arguments: str) -> Result:
@@ -25,9 +25,9 @@
     return str(path)
 
 
-def test_the_configuration_is_read_changed_and_refused(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+def test_the_configuration_is_read_and_changed_and_a_stale_change_is_rejected(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         at = ("--at", ",".join(fleet.control))
         patch = file(tmp_path, "patch.json", {"generation": 5, "remove": {"routes": ["plain"]}})
         done = await command("config", "patch", *at, "--base", "1", patch)
@@ -39,12 +39,12 @@
         assert done.exit_code == EXIT_REJECTED
         assert "412 the version in place is 5, not 1" in done.output
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_status_members_upstreams_and_state(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         at = ("--at", ",".join(fleet.control))
 
         async def settled() -> bool:
@@ -70,7 +70,7 @@
         metrics = (await ask(fleet.control[0], "GET", "/metrics")).body.decode()
         assert "larkweir_upstreams_ready 1.0" in metrics
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def run(*arguments: str) -> Result:
@@ -95,14 +95,14 @@
     }
 
 
-def test_nobody_answers(tmp_path: Path, monkeypatch: Any) -> None:
+def test_unreachable_controllers(tmp_path: Path, monkeypatch: Any) -> None:
     monkeypatch.setattr("larkweir.cluster.controller_client.TOTAL_TIMEOUT_S", 0.0)
     done = run("status", "--at", "127.0.0.1:1")
     assert done.exit_code == EXIT_UNREACHABLE
     assert "127.0.0.1:1" in done.output
 
 
-def test_a_folder_without_a_whole_record(tmp_path: Path) -> None:
+def test_a_folder_without_an_intact_record(tmp_path: Path) -> None:
     assert run("state", str(tmp_path)).exit_code == EXIT_DAMAGED
     assert list(tmp_path.iterdir()) == []
 
--- a/tests/system/test_own_days.py
+++ b/tests/system/test_own_days.py
@@ -29,12 +29,12 @@
     ]
 
 
-def test_every_kind_of_trouble_is_in_a_day() -> None:
+def test_every_kind_of_fault_is_in_a_day() -> None:
     drawn = {entry["kind"] for day in _days() for entry in [*day.get("plan", []), *day.get("faults", [])]}
     assert sorted(set(KINDS) - drawn) == []
 
 
-def test_a_day_is_called_as_its_file() -> None:
+def test_a_day_has_the_name_of_its_file() -> None:
     for file in Path(DAYS).rglob("*.toml"):
         assert [day["name"] for day in tomllib.loads(file.read_text())["day"]] == [file.stem]
 
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests.system.loopback import Client, Fleet, ask, play
-from tests.system.test_fleet import fine, serve
+from tests.system.loopback import Client, Fleet, ask, run_scenario
+from tests.system.test_fleet import respond_ok, serve
 
 BURST = 60
 SLOW_TENANT: list[dict[str, Any]] = [{"name": "t", "api_keys": ["key"], "rate_per_s": 0.001, "burst": BURST}]
@@ -44,19 +44,19 @@
 
 
 def test_the_routers_of_a_fleet_admit_one_burst_together(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, tenants=SLOW_TENANT)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok, tenants=SLOW_TENANT)
         for number in range(len(fleet.fronts)):
             await fleet.until_ready(number)
         await until_total_share(fleet, [0, 1, 2], 0.99)
         assert 0.9 * BURST <= await admitted(fleet, 3 * BURST) <= BURST
 
-    play(tmp_path, scene, routers=3)
+    run_scenario(tmp_path, scenario, routers=3)
 
 
-def test_controllers_that_were_all_killed_hand_out_no_second_burst(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, tenants=SLOW_TENANT)
+def test_restarting_all_controllers_grants_no_second_burst(tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok, tenants=SLOW_TENANT)
         await until_total_share(fleet, [0, 1, 2], 0.99)
         before = await admitted(fleet, BURST // 2)
         for address in fleet.control:
@@ -66,12 +66,12 @@
         await until_total_share(fleet, [0, 1, 2], 0.99)
         assert before + await admitted(fleet, 2 * BURST) <= BURST
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_the_share_of_a_killed_controller_goes_to_the_others_until_it_returns(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, tenants=FAST_TENANT)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok, tenants=FAST_TENANT)
         await until_total_share(fleet, [0, 1, 2], 0.99)
         primary = next(
             n for n, address in enumerate(fleet.control) if fleet.nodes[address]._driver.is_primary()
@@ -88,12 +88,12 @@
         await fleet.until(is_back)
         assert await total_share(fleet, [0, 1, 2]) <= 1.0
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_controller_without_a_majority_hands_out_nothing(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine, tenants=FAST_TENANT)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok, tenants=FAST_TENANT)
         await until_total_share(fleet, [0, 1, 2], 0.99)
         for number in (1, 2):
             await fleet.kill(fleet.control[number])
@@ -104,4 +104,4 @@
         await fleet.until(is_without)
         assert await admitted(fleet, 20) <= 2, "its lease has ended, and the router's reserve is small"
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
--- a/tests/system/test_rollout_commands.py
+++ b/tests/system/test_rollout_commands.py
@@ -9,16 +9,16 @@
 
 from larkweir.system import rollout_commands
 from larkweir.system.operator_calls import EXIT_REJECTED
-from tests.system.loopback import Fleet, play
-from tests.system.test_fleet import fine, serve
+from tests.system.loopback import Fleet, run_scenario
+from tests.system.test_fleet import respond_ok, serve
 from tests.system.test_operator_commands import command
 
 START = ("rollouts", "start", "--duration-s", "600")
 
 
 def test_a_rollout_is_started_read_and_aborted(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         at = ("--at", ",".join(fleet.control))
         done = await command("rollouts", "status", *at, "s")
         assert done.exit_code == EXIT_REJECTED
@@ -38,14 +38,14 @@
         (found,) = msgspec.json.decode((await command("rollouts", "list", *at, "--json")).output)
         assert found["state"] == "rolled_back"
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_rollout_is_watched_to_its_end(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(rollout_commands, "WATCH_INTERVAL_S", 0.0)
 
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         at = ("--at", ",".join(fleet.control))
         done = await command("rollouts", "start", "--duration-s", "0.8", *at, "--json", "s", "v2")
         assert msgspec.json.decode(done.output)["state"] == "running"
@@ -54,4 +54,4 @@
         assert done.output.startswith("s to v2: running, weight 0.08\n")
         assert "s to v2: rolled_back (no time left" in done.output
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
--- a/tests/system/test_rollouts.py
+++ b/tests/system/test_rollouts.py
@@ -11,9 +11,9 @@
 import pytest
 from larkweir_rollouts.schedule import CANARY_WEIGHT
 
-from tests.system.loopback import Fleet, Reply, ask, play
+from tests.system.loopback import Fleet, Reply, ask, run_scenario
 from tests.system.reporting_router import ReportingRouter
-from tests.system.test_fleet import configuration, fine, serve
+from tests.system.test_fleet import configuration, respond_ok, serve
 
 LONG_S = 600.0  # no test lasts as long
 ELECTION_RESERVE_S = 8.0  # of a roll-out whose full weight may come two seconds late, as after an election
@@ -60,8 +60,8 @@
 
 
 def test_an_order_at_any_controller_is_read_at_every_other(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         assert (await ask(fleet.control[0], "GET", "/rollouts/s")).status == 404
         backup = next(address for address in fleet.control if address != primary(fleet))
         reply = await ask(backup, "POST", "/rollouts", order())
@@ -78,12 +78,12 @@
             configured = msgspec.json.decode((await ask(address, "GET", "/config")).body)
             assert configured == configuration()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_repeated_order_is_acknowledged_and_another_is_in_conflict(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         for address in fleet.control:
             assert (await ask(address, "POST", "/rollouts", order())).status == 200
         assert (await place(fleet, version="v3")).status == 409
@@ -96,7 +96,7 @@
         assert (await clear_answer(fleet, "DELETE", "/rollouts/nobody")).status == 404
         assert (await place(fleet, version="v3")).status == 200
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -117,17 +117,17 @@
         b'{"backend":"s","target_version":"v2","duration_s":12,"odd":%s}' % (b"[" * 5_000),
     ],
 )
-def test_a_bad_order_is_refused(body: bytes, tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_an_invalid_order_is_rejected(body: bytes, tmp_path: Path) -> None:
+    async def scenario(fleet: Fleet) -> None:
         reply = await clear_answer(fleet, "POST", "/rollouts", body)
         assert reply.status == 400
         assert msgspec.json.decode(reply.body)["error"]
 
-    play(tmp_path, scene, controllers=1, routers=0, tolerance=0)
+    run_scenario(tmp_path, scenario, controllers=1, routers=0, tolerance=0)
 
 
 def test_without_a_configuration_there_is_nothing_to_roll_out(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         async def answered() -> bool:
             reply = await ask(fleet.control[0], "POST", "/rollouts", order())
             assert reply.status in (0, 503)
@@ -135,24 +135,24 @@
 
         await fleet.until(answered)
 
-    play(tmp_path, scene, controllers=1, routers=0, tolerance=0)
+    run_scenario(tmp_path, scenario, controllers=1, routers=0, tolerance=0)
 
 
 def test_changes_of_the_configuration_keep_a_rollout(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         assert (await place(fleet)).status == 200
         assert (await fleet.put(configuration(2), 1)).status == 200, "an order is no version"
         assert (await fleet.put({"generation": 3, "remove": {"routes": ["plain"]}}, 2, "PATCH")).status == 200
         assert (await fleet.put(configuration(4, larkweir_rollouts=[]), 3)).status == 400
         assert (await state_of(fleet))["state"] == "running"
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_an_acknowledged_rollout_is_there_after_all_were_killed(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         assert (await place(fleet)).status == 200
         for address in fleet.control:
             await fleet.kill(address)
@@ -160,30 +160,30 @@
             fleet.start_controller(number)
         assert (await state_of(fleet))["target_version"] == "v2"
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_new_primary_goes_on_with_a_rollout(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
-        await fleet.upstream("s", fine, version="v2")
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
+        await fleet.upstream("s", respond_ok, version="v2")
         assert (await place(fleet, duration_s=6.0)).status == 200
         await fleet.kill(primary(fleet))
         assert (await state_of(fleet))["state"] == "running"
         assert "no time left" in (await until_state(fleet, "rolled_back"))["reason"]
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_version_without_upstreams_is_rolled_back_by_its_deadline(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
-        await serve(fleet, fine)
+    async def scenario(fleet: Fleet) -> None:
+        await serve(fleet, respond_ok)
         assert (await place(fleet, duration_s=0.8)).status == 200
         found = await until_state(fleet, "rolled_back")
         assert found["target_weight"] == 0.0
         assert "no time left" in found["reason"]
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 async def reported(
@@ -192,7 +192,7 @@
     """How a roll-out ends whose answers that router reports, while upstreams send heartbeats."""
     assert (await fleet.put(configuration(), 0)).status == 200
     for version in ("v1", "v2"):
-        await fleet.upstream("s", fine, version=version)
+        await fleet.upstream("s", respond_ok, version=version)
     router.start()
     assert (await place(fleet, duration_s=ELECTION_RESERVE_S)).status == 200
     if during is not None:
@@ -211,28 +211,28 @@
 
 
 def test_a_good_version_is_completed(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         found = await reported(fleet, ReportingRouter(fleet))
         assert (found["state"], found["target_weight"]) == ("completed", 1.0), found
 
-    play(tmp_path, scene, routers=0)
+    run_scenario(tmp_path, scenario, routers=0)
 
 
 def test_a_bad_version_is_rolled_back(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         found = await reported(fleet, ReportingRouter(fleet, target_fails=True))
         assert (found["state"], found["target_weight"]) == ("rolled_back", 0.0)
         assert "answers failed" in found["reason"]
 
-    play(tmp_path, scene, routers=0)
+    run_scenario(tmp_path, scenario, routers=0)
 
 
 def test_a_good_version_is_completed_by_the_next_primary(tmp_path: Path) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         async def lose_primary() -> None:
             await fleet.kill(primary(fleet))
 
         found = await reported(fleet, ReportingRouter(fleet), lose_primary)
         assert (found["state"], found["reason"]) == ("completed", ""), found
 
-    play(tmp_path, scene, routers=0)
+    run_scenario(tmp_path, scenario, routers=0)
--- a/tests/system/test_unexpected_exceptions.py
+++ b/tests/system/test_unexpected_exceptions.py
@@ -13,7 +13,7 @@
 from larkweir.controller.node import Controller
 from larkweir.router.upstream_pool import UpstreamPool
 from larkweir.system import cli
-from tests.system.loopback import Fleet, answer, ask, play
+from tests.system.loopback import Fleet, answer, ask, run_scenario
 from tests.system.test_fleet import configuration
 
 
@@ -28,10 +28,10 @@
     raise ValueError("as planned")
 
 
-def test_a_controller_without_its_replica_ends_and_the_others_serve(
+def test_a_controller_whose_replica_fails_exits_and_the_others_serve(
     tmp_path: Path, logged: list[str]
 ) -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         assert (await fleet.put(configuration(), 0)).status == 200
         address = fleet.control[0]
         node = fleet.nodes[address]
@@ -44,27 +44,29 @@
         assert (await ask(address, "GET", "/config")).status == 0, "it has closed its sockets"
         assert (await fleet.put(configuration(generation=2), 1)).status == 200
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_router_goes_on_where_a_periodic_task_raises(
+def test_a_router_keeps_serving_when_a_periodic_task_raises(
     tmp_path: Path, logged: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(UpstreamPool, "expire", lambda self: fail())
 
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         assert (await fleet.put(configuration(), 0)).status == 200
-        await fleet.upstream("s", lambda seen: (answer(seen), False))
+        await fleet.upstream("s", lambda request: (answer(request), False))
         await fleet.until_ready()
         await fleet.until(lambda: asyncio.sleep(0, "periodic_task_failed idle_connections" in logged))
         reply = await ask(fleet.fronts[0], "GET", "/plain/x", X_Api_Key="key", X_Request_Id="1")
         assert reply.status == 200
         assert not fleet.tasks[fleet.fronts[0]].done()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_process_ends_with_a_code_of_its_own(monkeypatch: pytest.MonkeyPatch, logged: list[str]) -> None:
+def test_an_essential_task_error_has_its_own_exit_code(
+    monkeypatch: pytest.MonkeyPatch, logged: list[str]
+) -> None:
     class Broken:
         def __init__(self, settings: object) -> None:
             pass
