--- a/larkweir/cluster/__init__.py
+++ b/larkweir/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What routers and controllers share: their wire protocol, connections, settings, log and configuration documents."""
+"""Code shared by routers and controllers: wire protocol, connections, settings, log, configuration documents."""
--- a/larkweir/cluster/configuration/__init__.py
+++ b/larkweir/cluster/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration: what is valid, how a change applies, what differs between two."""
+"""The operators' configuration: validation, changes and patches."""
--- a/larkweir/cluster/configuration/changes.py
+++ b/larkweir/cluster/configuration/changes.py
@@ -1,6 +1,6 @@
-"""Operators' changes of the configuration: their identity, and what each does to the committed document.
+"""Operators' changes of the configuration: their identity, and how they apply to the committed document.
 
-The replicas carry out `apply_change` through `commands.apply_command`.
+The replicas call `apply_change` through `commands.apply_command`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RejectionReason(IntEnum):
-    """Why a change is rejected, as the HTTP status of the answer to the operator."""
+    """Why a change is rejected; the value is the HTTP status of the response to the operator."""
 
     INVALID = 400
     NOT_FOUND = 404
@@ -28,7 +28,7 @@
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """A change was rejected; `detail` tells why, in one line."""
+    """A change was rejected; `detail` states the reason in one line."""
 
     reason: RejectionReason
     detail: str
@@ -38,8 +38,8 @@
     """A change of the configuration.
 
     Attributes:
-        patch: whether `body` is a patch; else it is a complete configuration.
-        base: the version that the change builds on; 0 for the first.
+        patch: whether `body` is a patch; otherwise it is a complete configuration.
+        base: the configuration version that the change builds on; 0 if there is no configuration yet.
         body: JSON, as the operator sent it.
     """
 
@@ -49,25 +49,25 @@
 
     @property
     def identity(self) -> str:
-        """An idempotency key: equal for equal changes, so that a repeated one is recognised."""
+        """An idempotency key: equal changes have equal keys, so that a repeated change is recognised."""
         text = f"{self.patch} {self.base} {self.body}"
         return sha256(text.encode()).hexdigest()[:IDENTITY_LENGTH]
 
     def encode(self) -> str:
-        """Return it as text, for `apply_change`."""
+        """Return the change as text, for `apply_change`."""
         return msgspec.json.encode(self).decode()
 
 
 def configuration_version(value: str) -> int:
-    """Return the version of a configuration; 0 where there is none yet."""
+    """Return the version of a configuration; 0 if there is none yet."""
     return int(msgspec.json.decode(value)["generation"]) if value else 0
 
 
 def apply_change(value: str, change: str) -> Result[str, object]:
-    """Return the next document as text, or a `Rejection`. Whatever an operator sends, nothing is raised.
+    """Return the next document as text, or a `Rejection`. Does not raise, whatever an operator sends.
 
     Args:
-        value: the present document as text; empty where there is none yet.
+        value: the current document as text; empty if there is none yet.
         change: an encoded `ConfigurationChange`.
     """
     parsed: ConfigurationChange = msgspec.json.decode(change, type=ConfigurationChange)
@@ -85,7 +85,7 @@
     try:
         body = msgspec.json.decode(change.body)
     except msgspec.DecodeError as error:
-        return _invalid(f"the body is no JSON: {error}")
+        return _invalid(f"the body is not valid JSON: {error}")
     if not isinstance(body, dict):
         return _invalid("the body is no object")
     generation = body.get("generation")
@@ -99,8 +99,10 @@
         except PatchError as error:
             return _invalid(str(error))
     if ROLLOUTS_KEY in body:
-        return _invalid(f"{ROLLOUTS_KEY}: roll-outs are no part of a configuration")
-    from larkweir.cluster.configuration.schema import first_problem  # its library takes long to import
+        return _invalid(f"{ROLLOUTS_KEY}: a configuration must not contain roll-outs")
+    from larkweir.cluster.configuration.schema import (
+        first_problem,
+    )  # imported late, as pydantic is slow to import
 
     wrong = first_problem(body)
     if wrong is not None:
--- a/larkweir/cluster/configuration/commands.py
+++ b/larkweir/cluster/configuration/commands.py
@@ -1,4 +1,4 @@
-"""The state machine that the replicas carry out (`larkweir_replication`): which command does what to the value."""
+"""The replicated state machine (see `larkweir_replication`): how each command changes the replicated value."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _Kind(msgspec.Struct):
-    """The tag of a command; a change of the configuration has none, as it is older than the other commands."""
+    """The tag of a command. A `ConfigurationChange` has none, as it existed before the other commands."""
 
     type: str | None = None
 
@@ -19,7 +19,7 @@
     """Return the next value, or a `changes.Rejection`.
 
     Args:
-        value: the committed document as text; empty where there is none yet.
+        value: the committed document as text; empty if there is none yet.
         text: an encoded `ConfigurationChange` or `RolloutCommand`.
     """
     kind: _Kind = msgspec.json.decode(text, type=_Kind)
--- a/larkweir/cluster/configuration/compression.py
+++ b/larkweir/cluster/configuration/compression.py
@@ -1,4 +1,4 @@
-"""Large configuration updates, compressed for routers on slow links: routes resemble each other, and shrink tenfold."""
+"""Compression of large configuration updates for routers on slow links. Similar routes compress about tenfold."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from larkweir.cluster.errors import LarkweirError
 from larkweir.cluster.messages import MAX_LINE_BYTES, CompressedConfigUpdate, ConfigUpdate
 
-DEFLATE = "deflate"  # zlib's format (RFC 1950), as the name stands for in HTTP
-LEVEL = zlib.Z_BEST_SPEED  # the event loop waits for it, and a list of routes shrinks hardly less
+DEFLATE = "deflate"  # the zlib format (RFC 1950), which has this name in HTTP
+LEVEL = zlib.Z_BEST_SPEED  # it blocks the event loop, and higher levels shrink a list of routes hardly more
 
 
 class CompressionError(LarkweirError, ValueError):
@@ -18,16 +18,16 @@
 
 
 def compress(update: ConfigUpdate) -> CompressedConfigUpdate:
-    """Return an update with its body compressed."""
+    """Return the update with its body compressed."""
     body = zlib.compress(bytes(update.body), LEVEL)
     return CompressedConfigUpdate(update.sequence, update.base_sequence, body)
 
 
 def decompress(update: CompressedConfigUpdate) -> ConfigUpdate:
-    """Return the update that was compressed.
+    """Return the update with its body decompressed.
 
     Raises:
-        CompressionError: its body is damaged, incomplete, or larger than a message may be.
+        CompressionError: the body is corrupt, incomplete, or larger than a message may be.
     """
     stream = zlib.decompressobj()
     try:
--- a/larkweir/cluster/configuration/documents.py
+++ b/larkweir/cluster/configuration/documents.py
@@ -1,6 +1,6 @@
-"""Configurations as JSON documents: applying a patch, and making one from two documents.
+"""Configurations as JSON documents: applying a patch, and computing the patch between two documents.
 
-The items of `COLLECTIONS` are known by name. A patch has the form
+The items of the lists in `COLLECTIONS` are identified by name. A patch has the form
 `{"upsert": {"routes": [...]}, "remove": {"routes": ["name"]}, "other key": value}`.
 """
 
@@ -13,22 +13,22 @@
 Document = dict[str, Any]
 
 COLLECTIONS = ("routes", "services", "tenants")
-ROLLOUTS_KEY = "larkweir_rollouts"  # of a committed document: not the operators', and not shown to them
+ROLLOUTS_KEY = "larkweir_rollouts"  # in committed documents only; operators neither write nor see it
 
 
 class PatchError(LarkweirError, ValueError):
-    """A patch does not have the form of one; the message names the key."""
+    """A patch is malformed; the message names the key."""
 
 
 def apply_patch(document: Document, patch: Document) -> Document:
-    """Return `document` with the items of a patch added, replaced and removed; what is unchanged is shared.
+    """Return `document` with the patch applied; unchanged parts are shared, not copied.
 
     Raises:
-        PatchError: the patch does not have the form of one.
+        PatchError: the patch is malformed.
     """
     upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
-        raise PatchError("upsert and remove are objects of lists")
+        raise PatchError("upsert and remove must be objects of lists")
     result = {**document, **{key: value for key, value in patch.items() if key not in ("upsert", "remove")}}
     for key in {*upsert, *remove}:
         if key in COLLECTIONS:
@@ -36,19 +36,19 @@
         elif key in upsert:
             result[key] = upsert[key]
         else:
-            raise PatchError(f"remove: {key} is no list of named items")
+            raise PatchError(f"remove: {key} is not a list of named items")
     return result
 
 
 def _apply_to_items(items: object, upsert: object, remove: object, key: str) -> list[Any]:
     if not isinstance(remove, list):
-        raise PatchError(f"{key}: a list is needed")
+        raise PatchError(f"{key}: must be a list")
     before = _named_items(items, key)
     added = {item["name"]: item for item in _named_items(upsert, key)}
     removed = set()
     for name in remove:
         if not isinstance(name, str):
-            raise PatchError(f"{key}: what is removed is named by text")
+            raise PatchError(f"{key}: names of removed items must be strings")
         removed.add(name)
     remaining = [added.pop(item["name"], item) for item in before if item["name"] not in removed]
     return remaining + list(added.values())
@@ -56,15 +56,15 @@
 
 def _named_items(items: object, key: str) -> list[dict[str, Any]]:
     if not isinstance(items, list):
-        raise PatchError(f"{key}: a list is needed")
+        raise PatchError(f"{key}: must be a list")
     for item in items:
         if not isinstance(item, dict) or not isinstance(item.get("name"), str):
-            raise PatchError(f"{key}: each item is an object with a name")
+            raise PatchError(f"{key}: each item must be an object with a name")
     return items
 
 
 def make_patch(old: Document, new: Document) -> Document:
-    """Return a patch that turns `old` into `new`, up to the order of items."""
+    """Return a patch that turns `old` into `new`, except for the order of items."""
     patch: Document = {"upsert": {}, "remove": {}}
     for key in {*old, *new}:
         if key in COLLECTIONS:
--- a/larkweir/cluster/configuration/rollout_commands.py
+++ b/larkweir/cluster/configuration/rollout_commands.py
@@ -1,7 +1,7 @@
-"""Commands that place, advance and abort roll-outs of services, and what each does to the committed document.
+"""Commands that order, advance and abort roll-outs of services, and how they change the committed document.
 
-Their encoded form begins with a tag, which a `ConfigurationChange` does not have. A command that is repeated is
-recognised by the roll-out that it finds, so that the replicas need not remember it.
+Their encoded form has a tag, unlike that of a `ConfigurationChange`. A repeated command is recognised by the state of
+the roll-out in the document, so the replicas need not remember the commands that they have applied.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 
 class RolloutOrder(msgspec.Struct, frozen=True, tag="rollout_order"):
-    """An operator's order. `rollout`: as it begins."""
+    """An operator orders a roll-out. `rollout` is its initial state."""
 
     rollout: Rollout
 
 
 class RolloutAdvance(msgspec.Struct, frozen=True, tag="rollout_advance"):
-    """The primary's next step; it does nothing where its order is not in place and running any more."""
+    """The primary advances a roll-out by a step. It has no effect if that roll-out is no longer in place or running."""
 
     step: Advance
 
 
 class RolloutAbort(msgspec.Struct, frozen=True, tag="rollout_abort"):
-    """An operator ends the running roll-out of a service: it is rolled back. One that was aborted stays so."""
+    """An operator aborts the running roll-out of a service, which rolls it back. Repeating it has no effect."""
 
     service: str
 
@@ -41,12 +41,12 @@
 
 
 def encode(command: RolloutCommand) -> str:
-    """Return it as text, for `commands.apply_command`."""
+    """Return the command as text, for `commands.apply_command`."""
     return msgspec.json.encode(command).decode()
 
 
 def replicated_command(command: RolloutCommand) -> Command:
-    """Return it for the replicas. It builds on no version of the configuration, and has no identity to remember."""
+    """Return the command as the replicas store it: without a base version, and without an identity to remember."""
     return Command(identity="", base=0, text=encode(command))
 
 
@@ -54,12 +54,12 @@
     """Return the next committed document as text, or a `Rejection`.
 
     Args:
-        value: the present document as text; empty where there is none yet.
+        value: the current document as text; empty if there is none yet.
         text: an encoded `RolloutCommand`.
     """
     try:
         command: RolloutCommand = msgspec.json.decode(text, type=RolloutCommand)
-    except msgspec.ValidationError as error:  # of a controller of a later release
+    except msgspec.ValidationError as error:  # sent by a controller of a later release
         return Err(Rejection(RejectionReason.UNAVAILABLE, f"this primary does not know the command: {error}"))
     if not value:
         return Err(Rejection(RejectionReason.UNAVAILABLE, "there is no configuration yet"))
--- a/larkweir/cluster/configuration/rollouts.py
+++ b/larkweir/cluster/configuration/rollouts.py
@@ -1,4 +1,4 @@
-"""The roll-outs within a committed document, beside the operators' part of it."""
+"""Roll-outs in a committed document, which stores them next to the operators' configuration."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 def rollouts_of(document: Document) -> Rollouts:
-    """Return the roll-outs of a committed document, one for each service at most."""
+    """Return the roll-outs of a committed document, at most one per service."""
     return msgspec.convert(document.get(ROLLOUTS_KEY, ()), Rollouts)
 
 
 def with_rollouts(document: Document, rollouts: Rollouts) -> Document:
-    """Return a committed document with these roll-outs in the place of its own."""
+    """Return a committed document with its roll-outs replaced."""
     return {**document, ROLLOUTS_KEY: [msgspec.to_builtins(one) for one in rollouts]}
 
 
 def operators_part(document: Document) -> Document:
-    """Return what operators wrote of a committed document, and what they read."""
+    """Return the part of a committed document that operators read and write."""
     return {key: value for key, value in document.items() if key != ROLLOUTS_KEY}
 
 
 def operators_text(value: str) -> str:
-    """Return a committed document as the text that operators read."""
+    """Return the operators' part of a committed document as text."""
     if ROLLOUTS_KEY not in value:
         return value
     return msgspec.json.encode(operators_part(msgspec.json.decode(value))).decode()
@@ -38,9 +38,9 @@
 
 
 def carry_over(current: Document, body: Document) -> Document:
-    """Return a new configuration with the roll-outs that are in place.
+    """Return a new configuration with the roll-outs of the current document.
 
-    One of a service that the configuration no longer has is dropped, unless it is running: it is kept until its end.
+    A roll-out of a service that the new configuration no longer has is dropped, unless it is still running.
     """
     if ROLLOUTS_KEY not in current:
         return body
--- a/larkweir/cluster/configuration/schema.py
+++ b/larkweir/cluster/configuration/schema.py
@@ -1,7 +1,7 @@
-"""Validation of configurations. Fields that are not named here are allowed, and not changed.
+"""Validation of configurations. Fields that are not defined here are allowed, and kept unchanged.
 
-Every field that a router reads is named here: what a router could not read would be acknowledged and never in force.
-Every number has a maximum.
+Every field that a router reads is defined here. Otherwise a configuration could be acknowledged that routers can't
+decode, and that never comes into force. Every number has a maximum.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 MAX_GENERATION = (
     2**53 - 1
-)  # the largest whole number that every reader of JSON keeps exact (RFC 8259, section 6)
+)  # the largest integer that every JSON parser represents exactly (RFC 8259, section 6)
 MAX_DURATION_MS = 86_400_000.0  # a day
 MAX_WEIGHT = 1e9
 MAX_ATTEMPTS = 1_000
 MAX_CONNECTIONS = 1_000_000
-MAX_UNITS = 1e12  # tokens or requests, of a rate or a burst
+MAX_UNITS = 1e12  # tokens or requests, for rates and bursts
 MAX_BYTES = 2**30
-MAX_PRIORITY = 1_000  # routers pass on 0 to 9: a number beyond counts as the nearest
-# What a header field can carry (RFC 9110, section 5.5): no control character, no space at an end.
+MAX_PRIORITY = 1_000  # routers clamp priorities to 0 to 9
+# A valid header value (RFC 9110, section 5.5): no control characters, no leading or trailing whitespace.
 HEADER_VALUE = r"^([^\s\x00-\x1f\x7f]([^\x00-\x1f\x7f]*[^\s\x00-\x1f\x7f])?)?$"
 
 DurationMs = Annotated[float, Field(gt=0, le=MAX_DURATION_MS)]
@@ -40,7 +40,7 @@
 
 
 class Route(_Item):
-    """Which requests are sent to which service, and their deadline."""
+    """Matches requests by host and path prefix, and sets their services and deadline."""
 
     name: str
     host: str
@@ -57,7 +57,7 @@
 
     @property
     def backends(self) -> list[str]:
-        """The names of its services."""
+        """The names of the services to which the route sends requests."""
         if self.traffic_split is not None:
             return [part.backend for part in self.traffic_split]
         return [] if self.backend is None else [self.backend]
@@ -65,9 +65,9 @@
     @model_validator(mode="after")
     def _check_backends(self) -> Route:
         if self.traffic_split is not None and sum(part.weight for part in self.traffic_split) <= 0:
-            raise ValueError(f"route {self.name}: its weights sum to 0")
+            raise ValueError(f"route {self.name}: the weights of traffic_split sum to 0")
         if not self.backends:
-            raise ValueError(f"route {self.name}: it names no service")
+            raise ValueError(f"route {self.name}: no service is given")
         return self
 
 
@@ -92,7 +92,7 @@
 
 
 class Limits(_Item):
-    """Limits on what a client sends, and time-outs while it does."""
+    """Limits on the size of clients' requests, and timeouts while receiving them."""
 
     max_header_bytes: int = Field(default=16_384, ge=1, le=MAX_BYTES)
     max_body_bytes: int = Field(default=4_194_304, ge=0, le=MAX_BYTES)
@@ -127,13 +127,13 @@
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            raise ValueError(f"two of one {what}: {name}")
+            raise ValueError(f"duplicate {what}: {name}")
         seen.add(name)
     return seen
 
 
 def first_problem(document: object) -> str | None:
-    """Return the first fault of a document, as a line that names the field; None where it is a valid configuration."""
+    """Return the first error in a document, in one line that names the field; None for a valid configuration."""
     try:
         Configuration.model_validate(document)
     except ValidationError as error:
--- a/larkweir/cluster/controller_client.py
+++ b/larkweir/cluster/controller_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls from an operator's command to any controller that answers."""
+"""HTTP calls from an operator's command, retried at each controller in turn until one responds."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerResponse:
-    """A definite answer: one with a status below 500.
+    """A definite answer, that is a response with a status below 500.
 
     Attributes:
-        controller: the control address of the controller that gave it.
+        controller: the control address of the controller that sent it.
         status: the HTTP status.
         body: the body, as received.
     """
@@ -38,21 +38,21 @@
 def call_controllers(
     controllers: Sequence[str], method: str, path: str, body: bytes | None = None, base: int | None = None
 ) -> ControllerResponse:
-    """Call the controllers in turn, over and over, until one gives a definite answer.
+    """Call the controllers in turn, repeatedly, until one gives a definite answer.
 
     Args:
         controllers: their control addresses, `HOST:PORT`.
         method: the HTTP method.
-        path: the target.
+        path: the request target.
         body: the body of the request.
-        base: the version that a change builds on; sent as `If-Match`.
+        base: the configuration version that a change builds on; sent as `If-Match`.
 
     Raises:
-        ControllersUnreachableError: no controller did within `TOTAL_TIMEOUT_S`.
+        ControllersUnreachableError: no controller gave a definite answer within `TOTAL_TIMEOUT_S`.
     """
     headers = {} if base is None else {"If-Match": str(base)}
     deadline_s = time.monotonic() + TOTAL_TIMEOUT_S
-    reason = "no controller is named"
+    reason = "no controller address is given"
     for address in itertools.cycle(controllers):
         try:
             response = _call(address, method, path, body, headers)
--- a/larkweir/cluster/errors.py
+++ b/larkweir/cluster/errors.py
@@ -1,7 +1,7 @@
-"""The root of larkweir's exceptions. Each module defines its own beside the code that raises them."""
+"""The base class of larkweir's exceptions. Each module defines its own exceptions next to the code that raises them."""
 
 from __future__ import annotations
 
 
 class LarkweirError(Exception):
-    """A fault that larkweir found and names: the message is one line, for an operator."""
+    """An error that larkweir detected itself. Its message is a single line for operators."""
--- a/larkweir/cluster/http_server.py
+++ b/larkweir/cluster/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server over h11 for control interfaces: complete requests in, complete responses out."""
+"""A small HTTP/1.1 server for control interfaces, built on h11. It handles only complete requests and responses."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A complete response. `close`: the connection ends after it."""
+    """A complete response. `close`: whether to close the connection after it."""
 
     status: int
     body: bytes = b""
@@ -41,14 +41,14 @@
 
 
 class HttpServerConnection(asyncio.Protocol):
-    """One client's connection; requests on it are answered one after another."""
+    """A connection of one client. Its requests are answered one at a time, in order."""
 
     def __init__(self, handler: Handler, max_body_bytes: int) -> None:
         """Create the protocol of one connection.
 
         Args:
-            handler: answers requests; an exception is logged and answered with 500.
-            max_body_bytes: a larger body is answered with 413.
+            handler: answers requests. If it raises, the exception is logged and the client gets a 500.
+            max_body_bytes: the largest request body; a larger one is answered with 413.
         """
         self._handler = handler
         self._max_body_bytes = max_body_bytes
@@ -61,12 +61,14 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Configure the socket; called by the event loop."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
+        transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports do not subclass asyncio.Transport
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes of requests; called by the event loop."""
+        """Parse received bytes; called by the event loop."""
         self._h11.receive_data(data)
         self._advance()
 
@@ -81,12 +83,12 @@
             self._task.cancel()
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately, without sending what is buffered."""
         if self._transport is not None:
             self._transport.abort()
 
     def _advance(self) -> None:
-        """Parse what has arrived, until a request is complete or more bytes are needed."""
+        """Parse received bytes until a request is complete or more bytes are needed."""
         while self._task is None and self._transport is not None:
             try:
                 event = self._h11.next_event()
@@ -122,7 +124,7 @@
     async def _handle(self, request: Request) -> None:
         try:
             response = await self._handler(request)
-        except Exception as error:  # a fault of the handler must not leave the client without a response
+        except Exception as error:  # the client gets a response even if the handler fails
             log.event("handler_failed", target=request.target, error=repr(error))
             response = Response(500, close=True)
         self._task = None
--- a/larkweir/cluster/links.py
+++ b/larkweir/cluster/links.py
@@ -1,4 +1,4 @@
-"""Connections between processes of the fleet: messages as JSON lines over TCP, with an idle time-out and reconnects."""
+"""TCP connections between processes of the fleet. They carry JSON lines, have an idle timeout, and reconnect."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from larkweir.cluster.tcp_options import set_tcp_options
 
 PING_INTERVAL_MS = 250.0
-IDLE_TIMEOUT_MS = 1_000.0  # a partition may drop packets without any reset
-CONNECT_TIMEOUT_MS = 200.0  # short: a machine that did not answer may be back soon
+IDLE_TIMEOUT_MS = 1_000.0  # a network partition may drop packets without resetting the connection
+CONNECT_TIMEOUT_MS = 200.0  # short, since a machine that did not answer may be reachable again soon
 MIN_RECONNECT_DELAY_MS = 120.0
 MAX_RECONNECT_DELAY_MS = 500.0
-MAX_UNSENT_BYTES = 16 * 1024 * 1024  # a peer that does not read more than this is disconnected
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # a peer with more unread data than this is disconnected
 
 _encoder = msgspec.json.Encoder()
 _decoder: msgspec.json.Decoder[Message] = msgspec.json.Decoder(Message)
 
 
 class Connection(asyncio.Protocol):
-    """One connection, at either end.
+    """The protocol of one connection, used by the connecting and by the accepting process.
 
     Attributes:
-        node: the IP address of the other side; empty until it is known.
-        incarnation: of the process at the other side; empty until it is known.
-        received_ms: when bytes last arrived, by the loop's clock.
-        sent_ms: when a message was last sent.
+        node: the IP address of the peer; empty until it is known.
+        incarnation: the incarnation of the peer's process; empty until it is known.
+        received_ms: when bytes last arrived, by the event loop's clock.
+        sent_ms: when a message was last sent, by the same clock.
     """
 
     def __init__(
@@ -39,12 +39,12 @@
         on_lost: Callable[[Connection], None],
         on_made: Callable[[Connection], None] | None = None,
     ) -> None:
-        """Create the protocol of a connection that is about to be made.
+        """Create the protocol of a connection that is not yet established.
 
         Args:
-            on_message: called with each message but `Ping`. One that can't be decoded ends the connection.
-            on_lost: called once it has ended.
-            on_made: called once it has been made.
+            on_message: called with each message except `Ping`. A line that can't be decoded closes the connection.
+            on_lost: called when the connection has ended.
+            on_made: called when the connection has been established.
         """
         self._on_message = on_message
         self._on_lost = on_lost
@@ -61,15 +61,17 @@
         return self._loop.time() * 1000.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notify `on_made`; called by the event loop."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's are none by type
+        """Configure the socket and call `on_made`; called by the event loop."""
+        transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports do not subclass asyncio.Transport
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=IDLE_TIMEOUT_MS)
         if self._on_made is not None:
             self._on_made(self)
 
     def data_received(self, data: bytes) -> None:
-        """Notify `on_message` of each complete line; called by the event loop."""
+        """Call `on_message` for each complete line; called by the event loop."""
         self.received_ms = self._now_ms()
         if b"\n" not in data:
             self._buffer(data)
@@ -94,17 +96,17 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notify `on_lost`; called by the event loop."""
+        """Call `on_lost`; called by the event loop."""
         self._transport = None
         self._on_lost(self)
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a message has arrived in part."""
+        """Whether a message has arrived only in part."""
         return self._buffered_bytes > 0
 
     def send(self, message: Message) -> None:
-        """Queue one message; it is lost where the connection has ended, or ends before it is sent."""
+        """Queue one message. It is lost if the connection has ended or ends before the message is sent."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -114,7 +116,10 @@
         self._transport.write(_encoder.encode(message) + b"\n")
 
     def keep_alive(self) -> None:
-        """Ping, or end a connection that has been idle for too long; to be called several times a second."""
+        """Send a ping if one is due, or close the connection if it has been idle too long.
+
+        To be called several times a second.
+        """
         now_ms = self._now_ms()
         if now_ms >= self.received_ms + IDLE_TIMEOUT_MS:
             self.close()
@@ -122,22 +127,22 @@
             self.send(Ping())
 
     def reset_idle_timeout(self) -> None:
-        """Restart the idle time-out, after this process was paused: it did not read what arrived in that time."""
+        """Restart the idle timeout after a pause of this process, during which it did not read what arrived."""
         self.received_ms = self._now_ms()
 
     def close(self) -> None:
-        """End the connection at once; what was not sent is lost."""
+        """Close the connection immediately; unsent messages are lost."""
         if self._transport is not None:
             self._transport.abort()
 
 
 class Link:
-    """A connection that this process opens, and opens again when it ends.
+    """An outgoing connection that is reopened whenever it ends.
 
     Attributes:
-        node: the IP address of the other side.
-        connection: the connection; None while there is none.
-        failures: attempts in a row that made no connection.
+        node: the IP address of the peer.
+        connection: the current connection; None while disconnected.
+        failures: the number of consecutive failed attempts to connect.
     """
 
     def __init__(
@@ -154,8 +159,8 @@
             node: the IP address to connect to.
             port: the port to connect to.
             on_message: called with each message.
-            on_made: called with each new connection; it sends the first message.
-            on_lost: called with the node when a connection has ended.
+            on_made: called with each new connection, to send the first message.
+            on_lost: called with `node` when a connection has ended.
         """
         self.node = node
         self._port = port
@@ -170,21 +175,21 @@
         self.failures = 0
 
     def keep_alive(self) -> None:
-        """Keep the connection alive, or connect when that is due; to be called several times a second."""
+        """Keep the connection alive, or reconnect if an attempt is due; to be called several times a second."""
         if self.connection is not None:
             self.connection.keep_alive()
         elif self._connecting is None and self._loop.time() * 1000.0 >= self._next_attempt_ms:
             self._connecting = start_task("connect_to_node", self._connect())
 
     def send(self, message: Message) -> bool:
-        """Send a message; return whether there was a connection to send it on."""
+        """Send a message. Return False if there is no connection."""
         if self.connection is None:
             return False
         self.connection.send(message)
         return True
 
     def close(self) -> None:
-        """End the connection for good."""
+        """Close the connection and stop connecting."""
         if self._connecting is not None:
             self._connecting.cancel()
         if self.connection is not None:
@@ -198,8 +203,8 @@
         except (OSError, TimeoutError):
             self.failures += 1
             if self.connection is not None:
-                # The attempt was cancelled in the loop iteration in which it succeeded. uvloop closes the transport
-                # then without a call of connection_lost, and the link would keep a dead connection.
+                # The attempt was cancelled in the same loop iteration in which it succeeded. In this case uvloop closes
+                # the transport without calling connection_lost, and the link would keep a dead connection.
                 self.connection.connection_lost(None)
             else:
                 self._retry_later()
--- a/larkweir/cluster/log.py
+++ b/larkweir/cluster/log.py
@@ -1,4 +1,7 @@
-"""Structured logs of the fleet: one JSON object a line on standard error. `docs/operators/fleet-logs.md` lists them."""
+"""Structured logs of the fleet: one JSON object per line on standard error.
+
+`docs/operators/fleet-logs.md` lists the events.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,11 @@
 
 
 def configure(node: str, *, debug: bool = False) -> None:
-    """Start to log; to be called once, before the first event.
+    """Set up logging; to be called once, before the first event.
 
     Args:
-        node: the name that each line carries.
-        debug: also write events of `debug`.
+        node: the name of this process, written in each line.
+        debug: also write the events logged by `debug`.
     """
     _common["node"] = node
     handler = picologging.StreamHandler(sys.stderr)
@@ -29,17 +32,17 @@
 
 
 def event(name: str, **fields: Any) -> None:
-    """Log a change of state or a fault."""
+    """Log a state change or an error."""
     _logger.info(_line(name, fields))
 
 
 def is_debug_enabled() -> bool:
-    """Return whether events of `debug` are written."""
+    """Return whether the events logged by `debug` are written."""
     return bool(_logger.isEnabledFor(picologging.DEBUG))
 
 
 def debug(name: str, **fields: Any) -> None:
-    """Log an event that only helps to find a fault; nothing unless `is_debug_enabled`."""
+    """Log an event that is only useful for debugging; does nothing unless `is_debug_enabled`."""
     if is_debug_enabled():
         _logger.debug(_line(name, fields))
 
--- a/larkweir/cluster/messages.py
+++ b/larkweir/cluster/messages.py
@@ -1,7 +1,7 @@
-"""The wire protocol between routers and controllers: one JSON object a line, tagged by its field `type`.
+"""The wire protocol between routers and controllers: one JSON object per line, tagged by its field `type`.
 
-A router or controller opens a connection to each controller, and sends `Hello` first. The names on the wire are older
-than those of the attributes, and stay: processes of different versions form one fleet.
+Each router and controller opens a connection to each controller, and sends `Hello` first. Some fields have an older
+name on the wire than in the code. These names must not change, as processes of different versions form one fleet.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from larkweir_rollouts.samples import RolloutReport
 
 MAX_LINE_BYTES = 32 * 1024 * 1024
-MAX_TOKENS = 10**12  # that wait at one engine, of all routers
-MAX_COUNT = 10**9  # of requests that ended within a few seconds
+MAX_TOKENS = 10**12  # prompt tokens of all routers that wait at one engine
+MAX_COUNT = 10**9  # requests that ended within a few seconds
 MAX_ROUTERS = 1_000_000
-MAX_STATUS = 599  # of HTTP
-MAX_CLOCK_MS = 1e15  # of a monotonic clock
-MAX_AGE_MS = 1e12  # of an order
+MAX_STATUS = 599  # the highest HTTP status
+MAX_CLOCK_MS = 1e15  # the highest reading of a monotonic clock
+MAX_AGE_MS = 1e12  # the highest age of a roll-out order
 MAX_RETRY_AFTER_S = 3_600.0
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
@@ -45,8 +45,8 @@
 
     Attributes:
         node: the IP address of the sender.
-        role: its role.
-        incarnation: differs at every start of the process.
+        role: the role of the sender.
+        incarnation: an identifier that is new at every start of the sender's process.
     """
 
     node: str
@@ -55,27 +55,30 @@
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """Keeps an idle connection alive: one without any message counts as dead (`links.IDLE_TIMEOUT_MS`)."""
+    """Keeps an idle connection alive: without any message it is closed after `links.IDLE_TIMEOUT_MS`."""
 
 
 class Pull(msgspec.Struct, frozen=True, tag="pull", omit_defaults=True):
-    """A long poll for what its sender lacks: answered by a `Delta` at once, or as soon as there is something, or late.
+    """A long poll for updates. The receiver answers with a `Delta` as soon as it has news, or empty after a while.
 
     Attributes:
-        config_sequence: of the configuration in force at the sender; -1 for none.
-        vector: of the sender's upstreams; None where it is as in the last pull on this connection.
-        usage: by tenant, units that the sender has admitted since it started; to controllers without share leases.
-        sent_ms: when it was sent, by the sender's monotonic clock.
-        queued_prefill_tokens: by engine, prompt tokens of the sender's calls that wait for prefill there.
-        outcomes: by upstream with recent failures, how many of the sender's calls
-            succeeded and failed there within the window.
-        records: all that the sender knows of upstreams, where the last delta on this connection asked for them.
-        rollouts: by service with a running roll-out, what the sender has seen of it;
-            a service is left out where nothing has changed since the last pull on this connection.
-        encodings: those that the sender reads large configurations in; where the last delta on this connection asked.
-        quota_snapshot: what the sender knows of the fleet, in the first pull on a connection.
-        quota_claim: the share of all quotas that the sender holds; only controllers have one.
-        is_leaving: the sender is a router that will end soon: nothing is to be reserved for it then.
+        config_sequence: the sequence of the configuration in force at the sender; -1 for none.
+        vector: the version vector of the sender's upstream records; None if unchanged since the last pull on this
+            connection.
+        usage: by tenant, the units that the sender has admitted since it started. Only sent to controllers without
+            share leases.
+        sent_ms: when the pull was sent, by the sender's monotonic clock.
+        queued_prefill_tokens: by engine, the prompt tokens of the sender's calls that wait for prefill there.
+        outcomes: by upstream with recent failures, how many of the sender's calls succeeded and failed there within
+            the window.
+        records: all upstream records of the sender. Only sent if the last delta on this connection asked for them.
+        rollouts: by service with a running roll-out, the sender's samples of it. Services without a change since the
+            last pull on this connection are left out.
+        encodings: the encodings in which the sender accepts large configurations. Only sent if the last delta on this
+            connection asked for them.
+        quota_snapshot: what the sender knows about the fleet; sent in the first pull on a connection.
+        quota_claim: the share of all quotas that the sender holds; only controllers hold one.
+        is_leaving: the sender is a router that is shutting down, so nothing is to be reserved for it.
     """
 
     config_sequence: Sequence = msgspec.field(default=-1, name="config")
@@ -93,7 +96,7 @@
 
 
 class PrefillQueueUpdate(msgspec.Struct, frozen=True, tag="waiting"):
-    """`Pull.queued_prefill_tokens` ahead of the next pull, from a router that has just sent a long prompt."""
+    """Updates `Pull.queued_prefill_tokens` before the next pull; sent by a router that has just sent a long prompt."""
 
     tokens: dict[str, Tokens]
 
@@ -102,9 +105,10 @@
     """A committed configuration.
 
     Attributes:
-        sequence: of this configuration.
-        base_sequence: of the configuration that `body` is a patch to; -1 where `body` is a complete configuration.
-        body: the patch or the configuration.
+        sequence: the sequence of this configuration.
+        base_sequence: the sequence of the configuration to which `body` is a patch; -1 if `body` is a complete
+            configuration.
+        body: the patch or the complete configuration.
     """
 
     sequence: Counter
@@ -121,11 +125,11 @@
 
 
 class RolloutAge(msgspec.Struct, frozen=True, array_like=True):
-    """How long ago a running roll-out was ordered, by the steady clock of a process that has known it all along.
+    """How long ago a running roll-out was ordered, by the monotonic clock of a process that has known it since then.
 
     Attributes:
-        order_id: of the roll-out (`Rollout.order_id`).
-        elapsed_ms: since the order.
+        order_id: identifies the roll-out (`Rollout.order_id`).
+        elapsed_ms: the time since the order.
     """
 
     order_id: str
@@ -136,22 +140,23 @@
     """The answer to a `Pull`.
 
     Attributes:
-        config: a newer configuration; None for no change. Only routers are sent one.
-        records: versions of upstreams that the receiver lacks.
-        vector: what the receiver has seen once it has merged them.
-        controllers: the nodes of all known controllers; empty where they are as in the last delta on this connection.
-        router_count: routers that are connected to the sender.
+        config: a newer configuration; None for no change. Only sent to routers.
+        records: upstream records that the receiver lacks.
+        vector: the version vector of the receiver after it has merged `records`.
+        controllers: the nodes of all known controllers; empty if unchanged since the last delta on this connection.
+        router_count: the number of routers that are connected to the sender.
         quotas: the status of the tenants in `Pull.usage`.
-        queued_prefill_tokens: by engine, of the busiest engines, prompt tokens of all other routers that wait there.
-        ejected: upstreams that are to be left out; None where they are as in the last delta on this connection.
-        wants_records: the sender has lost its records of upstreams: the next pull is to offer those of the receiver.
-        compressed_config: in place of `config`, to a receiver that has named its encodings.
-        wants_encodings: a large configuration waits: the next pull is to name the encodings that the receiver reads.
-        quotas_unknown: the sender holds no share, or has no configuration: `quotas` says nothing of any tenant.
-        rollout_ages: by service with a running roll-out. Only controllers are sent any.
-        grants_quotas: whether the sender holds a share of all quotas, so that the receiver may ask it for units;
-            None: the sender's version has no share leases.
-        quota_offer: a lease, from the primary to another controller.
+        queued_prefill_tokens: for the busiest engines, the prompt tokens of all other routers that wait there.
+        ejected: upstreams that outlier ejection excludes; None if unchanged since the last delta on this connection.
+        wants_records: the sender has lost its upstream records, so the next pull should carry those of the receiver.
+        compressed_config: sent in place of `config` to a receiver that has named its encodings.
+        wants_encodings: a large configuration is ready to be sent, so the next pull should name the encodings that the
+            receiver accepts.
+        quotas_unknown: the sender holds no share or has no configuration, so `quotas` has no information on any tenant.
+        rollout_ages: the age of each running roll-out, by service. Only sent to controllers.
+        grants_quotas: whether the sender holds a share of all quotas, so that the receiver may request units from it;
+            None if the sender's version has no share leases.
+        quota_offer: a share lease that the primary offers to another controller.
     """
 
     config: ConfigUpdate | None = None
@@ -180,26 +185,26 @@
 
 
 class HeartbeatReport(msgspec.Struct, frozen=True, tag="heard"):
-    """Heartbeats of upstreams that arrived at this controller since its last report: the highest sequence by id."""
+    """The upstream heartbeats that arrived at the sender since its last report: the highest sequence by upstream id."""
 
     sequences: dict[str, Counter]
 
 
 class PrimaryRequest(msgspec.Struct, frozen=True, tag="forward"):
-    """An operator's call, forwarded to the primary: a command, or a read of the configuration where there is none."""
+    """An operator's call, forwarded to the primary. Without a `command` it reads the configuration."""
 
     request_id: Counter = msgspec.field(name="ticket")
     command: Command | None
 
 
 class PrimaryResponse(msgspec.Struct, frozen=True, tag="forwarded"):
-    """How a forwarded call ended.
+    """The outcome of a forwarded call.
 
     Attributes:
-        request_id: of the `PrimaryRequest`.
-        status: an HTTP status; 0 where the outcome is unknown, which the same command, submitted again, finds out.
+        request_id: as in the `PrimaryRequest`.
+        status: an HTTP status; 0 if the outcome is unknown. Submitting the same command again then reveals it.
         detail: why the call was rejected, in one line.
-        value: the configuration as text, where it was read; empty where there is none yet.
+        value: for a read, the configuration as text; empty if there is none yet.
     """
 
     request_id: Counter = msgspec.field(name="ticket")
@@ -209,13 +214,13 @@
 
 
 class PlacementRequest(msgspec.Struct, frozen=True, tag="place"):
-    """Asks which engine of a service is the owner of a prompt prefix.
+    """Asks which engine of a service owns a prompt prefix.
 
     Attributes:
-        service: whose engines are meant.
+        service: the service to whose engines the prefix may be assigned.
         prefix: the name of the prefix.
-        prompt_tokens: length of the prompt.
-        known_engine: where the router has sent the prefix before; None for nowhere.
+        prompt_tokens: the length of the prompt.
+        known_engine: the engine to which the router has sent the prefix before; None if it has not.
     """
 
     service: str
@@ -229,8 +234,8 @@
 
     Attributes:
         prefix: as in the request.
-        engine: the owner; None where no engine is ready.
-        is_cached: the prefix was placed there before, so its prefix cache may hold it.
+        engine: the owner; None if no engine is ready.
+        is_cached: whether the prefix was placed there before, so that the engine's prefix cache may contain it.
     """
 
     prefix: str = msgspec.field(name="head")
@@ -239,14 +244,15 @@
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, tag="quota_request", omit_defaults=True):
-    """Asks a controller for units of a tenant's quota; only sent where `Delta.grants_quotas` has said that it may be.
+    """Requests units of a tenant's quota from a controller; only sent if its last `Delta.grants_quotas` was true.
 
     Attributes:
-        request_id: chosen by the sender, for the answer.
-        tenant: who uses them.
-        units: that a request uses.
-        config_sequence: of the configuration in force at the sender.
-        is_executed_again: the units are used already, by another execution of a request: there is no answer.
+        request_id: chosen by the sender; repeated in the response.
+        tenant: the tenant to charge.
+        units: the units that a client's request uses.
+        config_sequence: the sequence of the configuration in force at the sender.
+        is_executed_again: the units were already used by another execution of a client's request. They are charged
+            without a response.
     """
 
     request_id: Counter
@@ -261,8 +267,8 @@
 
     Attributes:
         request_id: as in the request.
-        outcome: whether the units were withdrawn.
-        retry_after_s: after which they may be there, where they were refused.
+        outcome: whether the units were granted.
+        retry_after_s: if the units were refused, when they may be available.
     """
 
     request_id: Counter
@@ -271,7 +277,7 @@
 
 
 class QuotaRefund(msgspec.Struct, frozen=True, tag="quota_refund"):
-    """Units that the receiver granted on this connection were not used."""
+    """Returns units that the receiver granted on this connection and that were not used."""
 
     tenant: str
     units: Units
@@ -293,4 +299,4 @@
     | QuotaResponse
     | QuotaRefund
 )
-"""All messages; `type` tells them apart."""
+"""All messages, distinguished by their field `type`."""
--- a/larkweir/cluster/periodic_tasks.py
+++ b/larkweir/cluster/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""What a process does periodically: the one loop that runs it, and what becomes of a task that raises."""
+"""Periodic tasks of a process: the loop that runs them, and the handling of tasks that raise."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from larkweir.cluster import log
 from larkweir.cluster.tasks import log_failure
 
-PAUSE_MS = 700.0  # a tick that comes so late means that this process did not run
-MIN_RETRY_MS = 1_000.0  # until a task that raised runs again; doubled each time it raises once more
+PAUSE_MS = 700.0  # a tick that is this late means that the process was paused
+MIN_RETRY_MS = 1_000.0  # delay after a failure; doubled after each further failure in a row
 MAX_RETRY_MS = 8_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class PeriodicTask:
-    """`run` is called at every tick whose number is a multiple of the period, which may vary.
+    """A task whose `run` is called at every tick number that is a multiple of its period, which may vary.
 
-    An essential task can't be tried again after an unexpected exception, as its state may be half changed: such an
-    exception ends the loop. Any other task is called again after a while.
+    An exception of an essential task ends the loop, as the task's state may be inconsistent and it can't be retried.
+    Any other task is retried after a delay.
     """
 
     name: str
@@ -29,13 +29,13 @@
     is_essential: bool = False
 
     def is_due(self, tick: int) -> bool:
-        """Whether it runs at the tick of that number."""
+        """Return whether the task runs at the tick with this number."""
         period = self.period_ticks if isinstance(self.period_ticks, int) else self.period_ticks()
         return tick % period == 0
 
 
 class _TaskRunner:
-    """One task, and its failures in a row."""
+    """Runs one task and counts its consecutive failures."""
 
     def __init__(self, task: PeriodicTask) -> None:
         self._task = task
@@ -50,7 +50,7 @@
             if task.is_due(tick):
                 task.run()
                 self._failures = 0
-        except Exception as error:  # of whatever kind: the other tasks go on
+        except Exception as error:  # any exception: the other tasks must keep running
             if task.is_essential:
                 raise
             retry_ms = min(MAX_RETRY_MS, MIN_RETRY_MS * 2.0**self._failures)
@@ -60,7 +60,7 @@
 
 
 class TickLoop:
-    """Runs tasks in their order, and notices when the process was paused."""
+    """Runs tasks in a fixed order at each tick, and detects pauses of the process."""
 
     def __init__(
         self,
@@ -69,13 +69,13 @@
         interval_s: float,
         now_ms: Callable[[], float],
     ) -> None:
-        """Nothing runs before `run`.
+        """Create a loop; it starts with `run`.
 
         Args:
-            tasks: in the order in which one tick runs them.
-            on_paused: called before the tasks of a tick that comes `PAUSE_MS` late.
-            interval_s: between two ticks, in seconds.
-            now_ms: the steady clock.
+            tasks: the tasks, in the order in which they run in a tick.
+            on_paused: called before the tasks of a tick that comes `PAUSE_MS` or more after the last one.
+            interval_s: the time between two ticks, in seconds.
+            now_ms: returns the time of a monotonic clock.
         """
         self._runners = [_TaskRunner(task) for task in tasks]
         self._on_paused = _TaskRunner(PeriodicTask("on_paused", on_paused))
@@ -86,7 +86,7 @@
         """Run until cancelled.
 
         Raises:
-            Exception: what an essential task has raised.
+            Exception: the exception that an essential task raised.
         """
         last_ms = self._now_ms()
         for tick in itertools.count():
--- a/larkweir/cluster/process_start.py
+++ b/larkweir/cluster/process_start.py
@@ -1,4 +1,4 @@
-"""The time at which this process started, as near as its code can tell: the program imports this module first."""
+"""The approximate time at which this process started. The program imports this module first, to measure it early."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def process_started_ms(now_ms: float) -> float:
-    """Return the start in milliseconds of the clock on which `now_ms` is the present."""
+    """Return when the process started, in milliseconds on the clock whose present reading is `now_ms`."""
     return now_ms - (time.monotonic() - _STARTED_S) * 1000.0
--- a/larkweir/cluster/settings.py
+++ b/larkweir/cluster/settings.py
@@ -19,12 +19,12 @@
 
 
 class Listen(msgspec.Struct, frozen=True):
-    """Addresses (`IP:PORT`) to listen on; None for what this role does not serve.
+    """Addresses (`IP:PORT`) to listen on; None for interfaces that this role does not serve.
 
     Attributes:
-        front: for clients' requests, at a router.
-        ready: for readiness checks of the platform, at a router.
-        control: for operators, upstreams and readiness checks, at a controller.
+        front: at a router, for requests of clients.
+        ready: at a router, for readiness checks of the platform.
+        control: at a controller, for operators, upstreams and readiness checks.
     """
 
     front: str | None = None
@@ -33,31 +33,31 @@
 
 
 class FaultTolerance(msgspec.Struct, frozen=True):
-    """The faults that the fleet is to survive.
+    """The faults that the fleet must survive.
 
     Attributes:
-        machines: controllers that may be lost at once.
+        machines: how many controllers may fail at the same time.
     """
 
     machines: int = 1
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Service levels that the deployment promises; the defaults are cautious.
+    """Service levels that the deployment guarantees; the defaults are conservative.
 
     Attributes:
-        drain_ms: from the acknowledgement that an upstream drains until no router sends it new requests.
-        grace_s: from SIGTERM until the platform kills a process.
-        config_ms: from the acknowledgement of a configuration until all routers use it.
-        retry_budget_ratio: attempts beyond the first for each request, within `budget_window_s`.
+        drain_ms: the time from the acknowledgement that an upstream drains until no router sends it new requests.
+        grace_s: the time from SIGTERM until the platform kills a process.
+        config_ms: the time from the acknowledgement of a configuration until all routers use it.
+        retry_budget_ratio: attempts beyond the first that are allowed per request within `budget_window_s`.
         budget_window_s: the window of the retry budget.
-        retry_budget_slack: attempts beyond the first that are allowed on top of the ratio.
+        retry_budget_slack: attempts beyond the first that are allowed in the window on top of the ratio.
         quota_window_s: the window in which a tenant's quota is measured.
-        quota_over: the fraction by which a quota may be exceeded in it.
-        quota_slack: units by which it may be exceeded in it beyond that.
-        expose_share: the share of a service's requests that a version on trial may get.
-        expose_slack: requests that it may get beyond that.
-        recover_s: from the end of a fault until the fleet serves as before.
+        quota_over: the fraction by which a quota may be exceeded in the window.
+        quota_slack: the units by which it may be exceeded beyond that fraction.
+        expose_share: the share of a service's requests that a version under trial may receive in a roll-out.
+        expose_slack: the requests that it may receive beyond that share.
+        recover_s: the time from the end of a fault until the fleet serves as before.
     """
 
     drain_ms: float = 2_000.0
@@ -92,19 +92,19 @@
     """The settings of one process. Unknown keys are ignored.
 
     Attributes:
-        node: its name, for logs.
-        ip: its IP address, by which the other processes know it.
+        node: the name of the process, for logs.
+        ip: its IP address, under which the other processes know it.
         zone: its failure domain.
-        port_range: the first and last port that it may use.
+        port_range: the first and last port that the process may use.
         seeds: control addresses (`HOST:PORT`) of controllers.
         listen: addresses to serve on.
         bootstrap: whether the seeds may form the first membership.
-        counts_for_quorum: whether the machine was counted on for a majority.
-        data_dir: the folder of a controller's durable state.
+        counts_for_quorum: whether the platform counts the machine towards a majority. No code reads it.
+        data_dir: the folder for a controller's durable state.
         heartbeat_ms: the interval of upstreams' heartbeats.
-        fault_tolerance: the faults to survive.
-        bounds: service levels.
-        limits: resources.
+        fault_tolerance: the faults that the fleet must survive.
+        bounds: the service levels of the deployment.
+        limits: the resources of the process.
     """
 
     node: str
@@ -123,7 +123,7 @@
 
     @property
     def peer_port(self) -> int:
-        """The port on which controllers accept connections of other processes of the fleet."""
+        """The port on which controllers accept connections from other processes of the fleet."""
         return self.port_range[0]
 
     @property
@@ -139,7 +139,7 @@
     """Split `HOST:PORT`.
 
     Raises:
-        SettingsError: it is no such address.
+        SettingsError: `address` does not have this form.
     """
     host, _, port = address.rpartition(":")
     is_number = port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
@@ -152,12 +152,12 @@
     """Parse the text of a settings file.
 
     Raises:
-        SettingsError: it is no YAML, or a value is missing or invalid.
+        SettingsError: the text is not valid YAML, or a value is missing or invalid.
     """
     try:
         raw: Any = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except yaml.YAMLError as error:
-        raise SettingsError("the file is no YAML: " + " ".join(str(error).split())) from None
+        raise SettingsError("the file is not valid YAML: " + " ".join(str(error).split())) from None
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
@@ -166,7 +166,9 @@
         if address is not None:
             parse_address(address)
     if settings.port_range[0] > settings.port_range[1]:
-        raise SettingsError(f"port_range: {settings.port_range[0]} is above {settings.port_range[1]}")
+        raise SettingsError(
+            f"port_range: the first port {settings.port_range[0]} is above the last port {settings.port_range[1]}"
+        )
     return settings
 
 
@@ -179,10 +181,10 @@
     """Read and parse the settings file.
 
     Args:
-        where: its path; None for `path()`.
+        where: the path of the file; None for `path()`.
 
     Raises:
-        SettingsError: it can't be read, or its content is invalid.
+        SettingsError: the file can't be read, or its content is invalid.
     """
     name = path() if where is None else where
     try:
--- a/larkweir/cluster/settings_watcher.py
+++ b/larkweir/cluster/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Reloads the settings file when it has changed, with or without a signal."""
+"""Reloads the settings file when it has changed, by polling it or on request."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class SettingsWatcher:
-    """The settings in force, compared with the file from time to time."""
+    """Holds the settings in force and polls the file for changes."""
 
     def __init__(self, settings: Settings, on_changed: Callable[[Settings], None]) -> None:
-        """Start from settings that were just loaded; `on_changed` is called with new ones that differ."""
+        """Start with settings that were just loaded; `on_changed` is called with each new version that differs."""
         self._settings = settings
         self._on_changed = on_changed
         self._checked_ms = 0.0
         self._file_version = _file_version()
 
     def tick(self, now_ms: float) -> None:
-        """Reload the file if it has changed; checks every `CHECK_INTERVAL_MS`, however often it is called."""
+        """Reload the file if it has changed. Calls within `CHECK_INTERVAL_MS` of the last check do nothing."""
         if now_ms < self._checked_ms + CHECK_INTERVAL_MS:
             return
         self._checked_ms = now_ms
@@ -32,7 +32,7 @@
             self.reload()
 
     def reload(self) -> None:
-        """Load the file; an invalid one is logged, and the settings stay as they are."""
+        """Load the file. If it is invalid, log the error and keep the present settings."""
         try:
             settings = load()
         except SettingsError as error:
--- a/larkweir/cluster/tasks.py
+++ b/larkweir/cluster/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of a process: each has an owner that keeps and cancels it, and no exception of one is lost."""
+"""Asyncio tasks of a process. Each has an owner that keeps and cancels it, and its exceptions are always logged."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class EssentialTaskError(LarkweirError):
-    """A task that the process can't do without has ended; the process ends too, and is to be started anew."""
+    """A task without which the process can't run has ended. The process exits and needs to be restarted."""
 
 
 def location_of(error: BaseException) -> str:
-    """Where an exception was raised: file, line and function of its innermost frame."""
+    """Return where an exception was raised: the file, line and function of its innermost frame."""
     frames = traceback.extract_tb(error.__traceback__)
     if not frames:
         return ""
@@ -29,11 +29,11 @@
 def start_task(
     name: str, coroutine: Coroutine[None, None, None], on_failure: Callable[[], None] | None = None
 ) -> asyncio.Task[None]:
-    """Start a task of the running loop. The caller owns it: it keeps the task, and cancels it when it closes.
+    """Start a task in the running event loop. The caller owns it: it keeps the task, and cancels it when closing.
 
     Args:
         name: what the task does, for the log.
-        coroutine: what it runs. An exception that leaves it is logged as `task_failed`.
+        coroutine: the coroutine to run. An exception that it raises is logged as `task_failed`.
         on_failure: called after such an exception.
     """
     task = asyncio.get_running_loop().create_task(coroutine, name=name)
@@ -52,12 +52,12 @@
 
 
 def log_failure(event: str, error: BaseException, **fields: str | float) -> None:
-    """Log an exception that nobody expected, in one line. `fields`: what failed."""
+    """Log an unexpected exception in one line. `fields` describe what failed."""
     log.event(event, **fields, error=repr(error)[:MAX_LOGGED_ERROR_CHARS], at=location_of(error))
 
 
 def log_callback_failure(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Handle an exception that left a callback of the event loop, with the loop's `context` of it."""
+    """Log an exception raised by an event loop callback; `context` is that of `loop.call_exception_handler`."""
     error = context.get("exception")
     if isinstance(error, BaseException):
         log_failure("callback_failed", error, message=str(context.get("message", "")))
@@ -66,10 +66,10 @@
 
 
 async def wait_unless_failed(event: asyncio.Event, essential: asyncio.Task[None]) -> None:
-    """Wait for an event as long as a task that the process can't do without goes on.
+    """Wait for an event while a task runs without which the process can't run.
 
     Raises:
-        EssentialTaskError: the task ended first.
+        EssentialTaskError: the task ended before the event was set.
     """
     waiting = asyncio.create_task(event.wait())
     try:
--- a/larkweir/cluster/tcp_options.py
+++ b/larkweir/cluster/tcp_options.py
@@ -5,18 +5,18 @@
 import asyncio
 import socket
 
-TCP_KEEPALIVE_S = 1  # a whole number of seconds by tcp(7)
+TCP_KEEPALIVE_S = 1  # tcp(7) only accepts whole seconds
 
 
 def set_tcp_options(
     transport: asyncio.BaseTransport, user_timeout_ms: float, *, keepalive: bool = False
 ) -> None:
-    """Disable Nagle's algorithm and bound the time to notice that the other side is gone.
+    """Disable Nagle's algorithm and limit the time until a lost peer is detected.
 
     Args:
-        transport: of the connection; one without a socket is left as it is.
-        user_timeout_ms: the connection ends when bytes stay unacknowledged for this long (TCP_USER_TIMEOUT).
-        keepalive: probe the other side after a second without traffic (SO_KEEPALIVE).
+        transport: the transport of the connection; nothing is done if it has no socket.
+        user_timeout_ms: the connection ends if sent bytes stay unacknowledged for this long (TCP_USER_TIMEOUT).
+        keepalive: whether to probe the peer after a second without traffic (SO_KEEPALIVE).
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
@@ -29,4 +29,4 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, TCP_KEEPALIVE_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, TCP_KEEPALIVE_S)
     except OSError:
-        pass  # the connection has ended, of which its protocol is notified
+        pass  # the connection has ended; the event loop notifies its protocol
--- a/larkweir/system/__init__.py
+++ b/larkweir/system/__init__.py
@@ -1,1 +1,1 @@
-"""The router fleet: routers carry requests to model upstreams, controllers keep what routers must know."""
+"""The router fleet: routers forward requests to model upstreams; controllers keep the state that routers need."""
--- a/larkweir/system/__main__.py
+++ b/larkweir/system/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m larkweir.system`: one program, its role as a subcommand."""
+"""`python -m larkweir.system`: one program for all roles; the subcommand selects the role."""
 
 from __future__ import annotations
 
 import signal
 import sys
 
-# Until there are handlers, the default of these would end a process that is still coming up.
+# The default actions of these signals would end a process that has not yet installed its handlers.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
--- a/larkweir/system/cli.py
+++ b/larkweir/system/cli.py
@@ -17,14 +17,14 @@
 
 
 class _LazyGroup(click.Group):
-    """Imports operators' commands only when one is called, so that a daemon starts without them."""
+    """Imports the operators' commands only when needed, so that a daemon starts without them."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands, sorted."""
         return sorted([*super().list_commands(ctx), *(str(one.name) for one in _operator_commands())])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the command of that name; None for none."""
+        """Return the command with this name; None if there is none."""
         found = super().get_command(ctx, cmd_name)
         if found is not None:
             return found
@@ -45,7 +45,7 @@
 @main.command()
 @click.option("--debug", is_flag=True, help="Write a line for every request to the log.")
 def router(*, debug: bool) -> None:
-    """Takes clients' requests and passes them to upstreams."""
+    """Runs a router, which forwards clients' requests to upstreams."""
     from larkweir.router.node import Router
 
     _run(lambda settings: Router(settings).run(), debug=debug)
@@ -53,7 +53,7 @@
 
 @main.command()
 def controller() -> None:
-    """Keeps the configuration and the list of upstreams, and tells routers."""
+    """Runs a controller, which keeps the configuration and the list of upstreams for routers."""
     from larkweir.controller.node import Controller
 
     _run(lambda settings: Controller(settings).run())
@@ -61,14 +61,14 @@
 
 @main.command()
 def demo() -> None:
-    """Starts a small fleet on this machine and prints what to try."""
+    """Starts a small fleet on this machine and prints commands to try."""
     from larkweir.system.demo import run_demo
 
     asyncio.run(run_demo())
 
 
 def _run(serve: Callable[[Settings], Awaitable[None]], *, debug: bool = False) -> None:
-    """Read the settings and serve until SIGTERM; an invalid file is reported in one line, with exit code 2."""
+    """Read the settings and serve until SIGTERM. An invalid file is reported in one line, with exit code 2."""
     import uvloop
 
     from larkweir.cluster import log
--- a/larkweir/system/demo.py
+++ b/larkweir/system/demo.py
@@ -1,4 +1,4 @@
-"""A small fleet on this machine's loopback addresses: three controllers, two routers, a few emulated engines."""
+"""A demonstration fleet on loopback addresses: three controllers, two routers and three emulated engines."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class Engine:
-    """An emulated engine: prefills a prompt at a fixed rate, then sends events at fixed intervals."""
+    """An emulated engine that prefills prompts at a fixed rate, then sends events at fixed intervals."""
 
     def __init__(self, id_: str, address: str) -> None:
         """Create an engine that will listen on `address` (HOST:PORT)."""
@@ -59,7 +59,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
@@ -67,7 +67,7 @@
         try:
             await self._answer_requests(reader, writer)
         except (OSError, h11.ProtocolError):
-            pass  # a router closes the connection of a stream that its client has left
+            pass  # a router closes the connection of a stream whose client has disconnected
         finally:
             writer.close()
 
@@ -125,10 +125,10 @@
 
 
 class Demo:
-    """The processes and engines of one demonstration, with their files in one folder."""
+    """The processes and engines of a demonstration, with their files in one folder."""
 
     def __init__(self, folder: Path, subnet: int, port: int) -> None:
-        """Create a demonstration on the addresses 127.78.SUBNET.*, with four ports from `port` on."""
+        """Create a demonstration on the addresses 127.78.SUBNET.*, using the four ports from `port`."""
         self._folder = folder
         self._subnet = subnet
         self.peer_port = port
@@ -176,7 +176,7 @@
             "larkweir.system",
             role,
             env={**os.environ, ENVIRONMENT_VARIABLE: str(path)},
-            stdout=asyncio.subprocess.DEVNULL,  # so that a reader of the demonstration's output sees its end
+            stdout=asyncio.subprocess.DEVNULL,  # so that the demonstration's own output ends with it
             stderr=log,
         )
         self.processes.append(process)
@@ -196,7 +196,7 @@
             )
 
     async def run(self) -> None:
-        """Send heartbeats until it is cancelled."""
+        """Send the engines' heartbeats until cancelled."""
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             await self._send_heartbeats()
@@ -209,20 +209,20 @@
             await process.wait()
 
     def introduction(self) -> str:
-        """Return the text that tells a user what to try."""
+        """Return the text that shows a user what to try."""
         addresses = ",".join(self.control_addresses)
         return "\n".join(
             (
-                f"{CONTROLLERS} controllers, {ROUTERS} routers and {ENGINES} engines run; logs: {self._folder}",
-                "a request:",
+                f"{CONTROLLERS} controllers, {ROUTERS} routers and {ENGINES} engines are running; logs: {self._folder}",
+                "Send a request:",
                 f"  curl -N http://{self.front_addresses[0]}/answers/x -H 'Host: {HOST}' -H 'X-Api-Key: {KEY}' \\",
                 "    -H 'X-Request-Id: 1' -H 'X-Token-Usage: 4000,80' -d 'a question'",
-                "a look and a change:",
+                "Show the status and change the configuration:",
                 f"  export LARKWEIR_CONTROLLERS={addresses}",
                 "  python -m larkweir.system status",
                 '  echo \'{"generation": 2, "remove": {"routes": ["answers"]}}\' > change.json',
                 "  python -m larkweir.system config patch --base 1 change.json",
-                "Ctrl-C ends it.",
+                "Press Ctrl-C to stop.",
             )
         )
 
--- a/larkweir/system/operator_calls.py
+++ b/larkweir/system/operator_calls.py
@@ -1,4 +1,4 @@
-"""What operators' commands have in common: the call of a controller, its answer, and the exit codes."""
+"""Shared code of the operators' commands: calls of controllers, their responses, and exit codes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     envvar=CONTROLLERS_VARIABLE,
     required=True,
     metavar="HOST:PORT,...",
-    help=f"control addresses of controllers; also from {CONTROLLERS_VARIABLE}",
+    help=f"control addresses of controllers; default: ${CONTROLLERS_VARIABLE}",
 )
 json_option = click.option("--json", "raw", is_flag=True, help="print JSON")
 
@@ -33,24 +33,24 @@
 def call(
     controllers: str, method: str, path: str, body: bytes | None = None, base: int | None = None
 ) -> ControllerResponse:
-    """Call the controllers in turn; exit the command where none gives a clear answer."""
+    """Call the controllers in turn; exit the command if none gives a definite answer."""
     try:
         return call_controllers([one.strip() for one in controllers.split(",")], method, path, body, base)
     except ControllersUnreachableError as error:
-        click.echo(f"no answer: {error}", err=True)
+        click.echo(f"no controller answered: {error}", err=True)
         sys.exit(EXIT_UNREACHABLE)
 
 
 def decode_accepted(response: ControllerResponse) -> Any:
-    """Return the response's JSON; exit the command where the call was rejected."""
+    """Return the decoded JSON body of a response; exit the command if the call was rejected."""
     found = msgspec.json.decode(response.body) if response.body else {}
     if response.status >= 300:
         detail = found.get("error", "") if isinstance(found, dict) else ""
-        click.echo(f"{response.controller} refused it: {response.status} {detail}".rstrip(), err=True)
+        click.echo(f"{response.controller} rejected the call: {response.status} {detail}".rstrip(), err=True)
         sys.exit(EXIT_REJECTED)
     return found
 
 
 def print_json(found: object) -> None:
-    """Print it, indented."""
+    """Print a value as indented JSON."""
     click.echo(msgspec.json.format(msgspec.json.encode(found), indent=2).decode())
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands for operators: the configuration, the members and upstreams, and the content of a data folder."""
+"""Operators' commands for the configuration, the members, the upstreams, and the data folder of a controller."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
         click.echo(f"{path}: {error}", err=True)
         sys.exit(EXIT_REJECTED)
     if not isinstance(document, dict):
-        click.echo(f"{path}: no object", err=True)
+        click.echo(f"{path}: not a JSON object", err=True)
         sys.exit(EXIT_REJECTED)
     return document
 
 
 @click.group()
 def config() -> None:
-    """The configuration in force."""
+    """Reads, changes and checks the configuration."""
 
 
 @config.command("get")
@@ -53,19 +53,21 @@
 
 @config.command("put")
 @controllers_option
-@click.option("--base", type=int, required=True, help="the version it builds on; 0 for the first")
+@click.option(
+    "--base", type=int, required=True, help="the version that FILE builds on; 0 if there is none yet"
+)
 @click.argument("file", type=click.Path(dir_okay=False))
 def config_put(controllers: str, base: int, file: str) -> None:
-    """Replaces the whole configuration by FILE."""
+    """Replaces the configuration with FILE."""
     _change(controllers, "PUT", base, file)
 
 
 @config.command("patch")
 @controllers_option
-@click.option("--base", type=int, required=True, help="the version it builds on")
+@click.option("--base", type=int, required=True, help="the version that FILE builds on")
 @click.argument("file", type=click.Path(dir_okay=False))
 def config_patch(controllers: str, base: int, file: str) -> None:
-    """Changes the items that FILE names."""
+    """Applies the patch in FILE to the configuration."""
     _change(controllers, "PATCH", base, file)
 
 
@@ -78,7 +80,7 @@
 @config.command("check")
 @click.argument("file", type=click.Path(dir_okay=False))
 def config_check(file: str) -> None:
-    """Whether FILE is a valid configuration; names the first fault."""
+    """Checks whether FILE is a valid configuration; prints the first error."""
     problem = first_problem(_read_document(file))
     if problem is not None:
         click.echo(f"{file}: {problem}", err=True)
@@ -90,7 +92,7 @@
 @click.argument("old", type=click.Path(dir_okay=False))
 @click.argument("new", type=click.Path(dir_okay=False))
 def config_diff(old: str, new: str) -> None:
-    """Prints the patch that makes NEW of OLD."""
+    """Prints the patch that turns OLD into NEW."""
     print_json(make_patch(_read_document(old), _read_document(new)))
 
 
@@ -98,7 +100,7 @@
 @controllers_option
 @json_option
 def status(controllers: str, raw: bool) -> None:
-    """Who leads, in which epoch, and how far routers are behind, as each controller sees it."""
+    """Prints the primary, the epoch and the lag of routers, as seen by each controller."""
     found = [decode_accepted(call(one, "GET", "/status")) for one in controllers.split(",")]
     if raw:
         print_json(found)
@@ -116,7 +118,7 @@
 @controllers_option
 @json_option
 def members(controllers: str, raw: bool) -> None:
-    """The controllers that vote."""
+    """Prints the voting controllers."""
     found = decode_accepted(call(controllers, "GET", "/status"))
     if raw:
         print_json(found["members"])
@@ -129,7 +131,7 @@
 @controllers_option
 @json_option
 def upstreams(controllers: str, raw: bool) -> None:
-    """All upstreams that a controller knows."""
+    """Prints all upstreams that a controller knows."""
     found = decode_accepted(call(controllers, "GET", "/upstreams"))
     if raw:
         print_json(found)
@@ -143,11 +145,11 @@
 @click.argument("folder", type=click.Path(file_okay=False, exists=True))
 @json_option
 def state(folder: str, raw: bool) -> None:
-    """What the data FOLDER of a controller holds, and whether it is whole. Reads only."""
+    """Prints a summary of a controller's data FOLDER and checks that it is intact. Changes nothing."""
     journal = Journal(FolderFiles(os.path.join(folder, "replica")))
     newest = journal.newest
     if newest is None or newest.snapshot is None:
-        found_instead = "its memory is damaged" if journal.is_damaged else "nothing whole is there"
+        found_instead = "the journal is damaged" if journal.is_damaged else "there is no intact record"
         click.echo(f"{folder}: {found_instead}, {journal.unreadable_bytes} bytes can't be read", err=True)
         sys.exit(EXIT_DAMAGED)
     found = {
--- a/larkweir/system/rollout_commands.py
+++ b/larkweir/system/rollout_commands.py
@@ -1,4 +1,4 @@
-"""Commands for operators that order, watch and abort roll-outs of services."""
+"""Operators' commands to order, watch and abort roll-outs of services."""
 
 from __future__ import annotations
 
@@ -25,17 +25,19 @@
 
 @click.group()
 def rollouts() -> None:
-    """Roll-outs of versions of services."""
+    """Orders, shows and aborts roll-outs of new versions of services."""
 
 
 @rollouts.command("start")
 @controllers_option
 @json_option
-@click.option("--duration-s", type=float, required=True, help="seconds until it must be completed")
+@click.option(
+    "--duration-s", type=float, required=True, help="seconds within which the roll-out must complete"
+)
 @click.argument("service")
 @click.argument("version")
 def rollouts_start(controllers: str, raw: bool, duration_s: float, service: str, version: str) -> None:
-    """Moves the traffic of SERVICE to its upstreams of VERSION."""
+    """Moves the traffic of SERVICE to its upstreams with VERSION."""
     order = {"backend": service, "target_version": version, "duration_s": duration_s}
     found = decode_accepted(call(controllers, "POST", "/rollouts", msgspec.json.encode(order)))
     if raw:
@@ -57,7 +59,7 @@
 @controllers_option
 @json_option
 def rollouts_list(controllers: str, raw: bool) -> None:
-    """Prints the latest roll-out of each service that has had any."""
+    """Prints the latest roll-out of each service that has had one."""
     found = decode_accepted(call(controllers, "GET", "/rollouts"))
     if raw:
         print_json(found)
@@ -71,7 +73,7 @@
 @json_option
 @click.argument("service")
 def rollouts_watch(controllers: str, raw: bool, service: str) -> None:
-    """Prints each change of the roll-out of SERVICE until it has ended; exits with 1 where it was rolled back."""
+    """Prints each change of the roll-out of SERVICE until it ends; exits with 1 if it was rolled back."""
     printed: dict[str, Any] = {}
     while True:
         found = _read(controllers, service)
