--- a/tests/cluster/configurations.py
+++ b/tests/cluster/configurations.py
@@ -1,4 +1,4 @@
-"""A valid configuration, and some that are not."""
+"""A valid configuration and several invalid ones, shared by tests."""
 
 from __future__ import annotations
 
@@ -39,12 +39,14 @@
     "unknown service in a split": changed(
         routes=[route("r1", "/one/", backend=None, traffic_split=[{"backend": "nobody", "weight": 1}])]
     ),
-    "same place": changed(routes=[route("r1", "/one/"), route("r2", "/one/")]),
-    "no weight": changed(routes=[route("r1", "/", traffic_split=[{"backend": "s", "weight": 0}])]),
+    "duplicate host and path prefix": changed(routes=[route("r1", "/one/"), route("r2", "/one/")]),
+    "weights sum to 0": changed(routes=[route("r1", "/", traffic_split=[{"backend": "s", "weight": 0}])]),
     "no timeout": changed(routes=[route("r1", "/one/", timeout_ms=0)]),
     "no generation": {key: value for key, value in VALID.items() if key != "generation"},
-    "shared key": changed(tenants=[{"name": "x", "api_keys": ["k"]}, {"name": "y", "api_keys": ["k"]}]),
-    "two of a name": changed(services=[{"name": "s"}, {"name": "s"}]),
-    "no list": changed(routes={}),
+    "duplicate API key": changed(
+        tenants=[{"name": "x", "api_keys": ["k"]}, {"name": "y", "api_keys": ["k"]}]
+    ),
+    "duplicate service": changed(services=[{"name": "s"}, {"name": "s"}]),
+    "routes not a list": changed(routes={}),
     "no service": changed(routes=[route("r1", "/one/", backend=None)]),
 }
--- a/tests/cluster/test_configuration_changes.py
+++ b/tests/cluster/test_configuration_changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes: versions, patches and identities."""
+"""Changes of the configuration by operators: versions, patches and identities."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_configuration_compression.py
+++ b/tests/cluster/test_configuration_compression.py
@@ -1,4 +1,4 @@
-"""Compressed updates of the configuration: what comes back, and what is damaged."""
+"""Compressed configuration updates, intact and damaged."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_configuration_documents.py
+++ b/tests/cluster/test_configuration_documents.py
@@ -1,4 +1,4 @@
-"""Patches of documents."""
+"""Applying and computing patches of JSON documents."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_configuration_schema.py
+++ b/tests/cluster/test_configuration_schema.py
@@ -55,7 +55,7 @@
 
 
 def with_number(place: str, value: object) -> dict[str, Any]:
-    """The valid configuration with another value of one field."""
+    """Return the valid configuration with one field set to `value`."""
     owner, _, field = place.rpartition(".")
     if owner == "routes.0":
         return changed(routes=[route("r1", "/one/", **{field: value})])
--- a/tests/cluster/test_controller_client.py
+++ b/tests/cluster/test_controller_client.py
@@ -1,4 +1,4 @@
-"""Calls from an operator's command to controllers of which some do not answer."""
+"""Calls from an operator's command when some controllers do not answer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Controller:
-    """A controller that answers every call with one status."""
+    """An HTTP server that answers every call with the same status."""
 
     def __init__(self, status: int) -> None:
         self.calls: list[tuple[str, str, bytes, str | None]] = []
--- a/tests/cluster/test_http_server.py
+++ b/tests/cluster/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of control interfaces, over a socket."""
+"""The HTTP server of control interfaces, called over a socket."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 async def echo(request: Request) -> Response:
     if request.target == "/fault":
-        raise RuntimeError("a fault of the handler")
+        raise RuntimeError("the handler fails")
     return Response(200, request.method.encode() + b" " + request.body, close=request.target == "/last")
 
 
 def exchange(sent: bytes, until: bytes = b"") -> bytes:
-    """Return what the server sends, up to these last bytes or to the end of the connection."""
+    """Send bytes and return the server's, up to the bytes `until` or else to the end of the connection."""
 
     async def scenario() -> bytes:
         loop = asyncio.get_running_loop()
--- a/tests/cluster/test_links.py
+++ b/tests/cluster/test_links.py
@@ -1,4 +1,4 @@
-"""A link whose process is paused while it connects."""
+"""A link whose process is paused while the connection is established."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from larkweir.cluster.messages import Hello, Message, NodeRole
 
 NODE = "127.0.0.1"
-LOOP_ITERATIONS = 20  # after the pause: by then an attempt that was cancelled has ended
+LOOP_ITERATIONS = 20  # after the pause; a cancelled attempt has ended by then
 
 
 def test_a_link_made_while_its_process_is_paused_is_usable_or_reconnected() -> None:
-    """The event loop is blocked from the moment a connection is made until its time-out is over.
+    """The event loop is blocked from the establishment of a connection until its timeout has passed.
 
-    The attempt may be cancelled then, though it has succeeded. Whatever happens to that connection, the link does not
-    keep a dead one: `keep_alive` and `send` go on working, and what is sent later arrives.
+    The attempt may then be cancelled although it has succeeded. In any case the link must not keep a dead connection:
+    `keep_alive` and `send` must keep working, and messages sent later must arrive.
     """
 
     async def scenario() -> None:
@@ -48,5 +48,5 @@
         link.close()
         server.close()
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as in the program itself
         runner.run(scenario())
--- a/tests/cluster/test_log.py
+++ b/tests/cluster/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines, and their fields."""
+"""Log lines and their fields."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -1,4 +1,4 @@
-"""Numbers in messages of other processes are bounded; the fault names the field."""
+"""Numbers in received messages must be within bounds; the decoding error names the field."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_messages_golden.py
+++ b/tests/cluster/test_messages_golden.py
@@ -1,7 +1,7 @@
-"""Lines as version 0.2 of the fleet wrote them: one of every kind that its processes send each other.
+"""Golden lines of the wire protocol, as written by version 0.2 of the fleet, with at least one of every message type.
 
-The fleet is updated one process at a time, so each of these is read and written the same by every later version.
-`tests/cluster/golden_messages.jsonl` holds the lines; the messages are given here, in the same order.
+Processes are updated one at a time, so every later version must read and write these lines in the same way. The lines
+are in `tests/cluster/golden_messages.jsonl`; this file defines the messages in the same order.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
     PlacementRequest("chat", "6f1d", 5_000.5, "e-1"),
     PlacementResponse("6f1d", None),
     PlacementResponse("6f1d", "e-1", True),
-    # Of later versions, which leave these fields out where the other process need not read them.
+    # Added by later versions, which omit these fields unless the receiver needs them.
     Pull(vector={}, records=[Record(UPSTREAM, "10.0.0.2/0f", 8)]),
     Delta(wants_records=True),
     Delta(records=[Record(VERSIONED_UPSTREAM, "10.0.0.2/0f", 9)]),
--- a/tests/cluster/test_periodic_tasks.py
+++ b/tests/cluster/test_periodic_tasks.py
@@ -1,4 +1,4 @@
-"""When periodic tasks run, and how a pause of the process is noticed."""
+"""When periodic tasks run, and how a pause of the process is detected."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class EnoughError(Exception):
-    """The test has seen enough ticks."""
+    """Ends the loop after the last tick of a test."""
 
 
 class Recorder:
-    """Runs a loop whose clock and sleep are the test's; each tick comes after the next of `gaps_ms`."""
+    """Runs a loop with a simulated clock and sleep; `gaps_ms` are the times between ticks."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, gaps_ms: list[float]) -> None:
         self.calls: list[str] = []
@@ -83,7 +83,7 @@
             raise ValueError("as planned")
 
     calls = recorder.run(PeriodicTask("odd", run), recorder.task("-"))
-    # Again after 1 s, then after 2 s, then at each tick; the other task goes on meanwhile.
+    # It is retried after 1 s, then after 2 s, then runs at each tick. The other task runs at every tick.
     assert calls == ["tried", "-", "-", "tried", "-", "-", "-", "-", "tried", "-", "tried", "-"]
     assert [(line["event"], line["task"], line["retry_s"]) for line in logged] == [
         ("periodic_task_failed", "odd", 1.0),
--- a/tests/cluster/test_rollout_commands.py
+++ b/tests/cluster/test_rollout_commands.py
@@ -1,4 +1,4 @@
-"""What orders, steps and aborts of roll-outs do to the committed document, and what configurations leave of them."""
+"""How roll-out commands change the committed document, and how configuration changes affect roll-outs."""
 
 from __future__ import annotations
 
@@ -91,15 +91,15 @@
     assert apply(value, step(RolloutState.COMPLETED, 1.0, earlier)) == value
     done = apply(value, step(RolloutState.COMPLETED, 1.0))
     assert rollouts(done)[0].state is RolloutState.COMPLETED
-    assert apply(done, step(RolloutState.ROLLED_BACK, 0.0)) == done, "it has ended"
-    assert apply(CONFIGURED, step(RolloutState.RUNNING, 0.5)) == CONFIGURED, "nothing was ordered"
+    assert apply(done, step(RolloutState.ROLLED_BACK, 0.0)) == done, "the roll-out has ended"
+    assert apply(CONFIGURED, step(RolloutState.RUNNING, 0.5)) == CONFIGURED, "no roll-out was ordered"
 
 
 def test_an_abort_rolls_back_a_running_rollout() -> None:
     value = apply(CONFIGURED, RolloutOrder(ORDER), step(RolloutState.RUNNING, 0.25), RolloutAbort("s"))
     (found,) = rollouts(value)
     assert (found.state, found.target_weight, found.reason) == (RolloutState.ROLLED_BACK, 0.0, ABORTED)
-    assert apply(value, RolloutAbort("s")) == value, "it is acknowledged again"
+    assert apply(value, RolloutAbort("s")) == value, "a repeated abort is acknowledged"
     assert rejection(value, encode(RolloutAbort("t"))) is RejectionReason.NOT_FOUND
 
 
--- a/tests/cluster/test_rollout_commands_random.py
+++ b/tests/cluster/test_rollout_commands_random.py
@@ -1,4 +1,4 @@
-"""Any sequence of changes, orders, steps and aborts: configurations and roll-outs leave each other alone."""
+"""Random sequences of changes and roll-out commands: configurations and roll-outs change independently."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def change(value: str, is_patch: bool, body: dict[str, Any]) -> str:
-    """A change on top of the version in place."""
+    """Return a change that builds on the current version."""
     base = msgspec.json.decode(value)["generation"]
     return ConfigurationChange(
         is_patch, base, msgspec.json.encode({**body, "generation": base + 1}).decode()
--- a/tests/cluster/test_settings_watcher.py
+++ b/tests/cluster/test_settings_watcher.py
@@ -1,4 +1,4 @@
-"""Settings that are loaded again while a process runs."""
+"""Reloading the settings file while a process runs."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_tasks.py
+++ b/tests/cluster/test_tasks.py
@@ -1,4 +1,4 @@
-"""Owners of tasks: no exception is lost, and no task is without an owner."""
+"""Every task has an owner, and every exception of a task is logged."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
     failures: list[str] = []
 
     async def scenario() -> None:
-        task = start_task("odd", fail(), lambda: failures.append("told"))
+        task = start_task("odd", fail(), lambda: failures.append("called"))
         await asyncio.wait((task,))
         await asyncio.sleep(0)
 
     asyncio.run(scenario())
-    assert failures == ["told"]
+    assert failures == ["called"]
     (line,) = logged
     assert (line["event"], line["task"], line["error"]) == ("task_failed", "odd", "ValueError('as planned')")
     assert str(line["at"]).startswith("test_tasks.py:")
@@ -113,7 +113,7 @@
 
 
 def test_no_task_is_started_without_an_owner() -> None:
-    """A task whose result is dropped may be collected while it runs, and nobody learns of its exception."""
+    """A task without a reference may be garbage-collected while it runs, and its exception is not noticed."""
     dropped = [
         f"{path}:{node.lineno}"
         for path, tree in sources()
@@ -124,7 +124,7 @@
 
 
 def test_in_the_fleet_every_task_logs_its_exception() -> None:
-    """`tasks.start_task` alone creates tasks there."""
+    """Only `tasks.start_task` creates tasks in the fleet's code."""
     direct = [
         f"{path}:{node.lineno}"
         for path, tree in sources()
--- a/tests/system/loopback.py
+++ b/tests/system/loopback.py
@@ -1,4 +1,4 @@
-"""A whole fleet on loopback in one event loop: real controllers and routers, our own upstreams and clients."""
+"""A complete fleet on loopback in one event loop: real controllers and routers, emulated upstreams and clients."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class Reply:
-    """What a client got: `whole` is False where the answer broke off."""
+    """The response that a client received; `is_complete` is False if it broke off."""
 
     status: int
     headers: dict[str, str]
@@ -33,7 +33,7 @@
 
 
 class Client:
-    """One connection of a client, over h11."""
+    """A client with one connection, over h11."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -43,7 +43,7 @@
         self.connection = h11.Connection(h11.CLIENT)
 
     async def request(self, method: str, target: str, body: bytes = b"", **headers: str) -> Reply:
-        """One request on this connection; opens it where it is not open."""
+        """Send one request on the connection, which is opened if necessary, and return the response."""
         if self.writer is None:
             self.reader, self.writer = await asyncio.open_connection(self.host, self.port)
             self.connection = h11.Connection(h11.CLIENT)
@@ -89,7 +89,7 @@
 
 
 async def ask(address: str, method: str, target: str, body: bytes = b"", **headers: str) -> Reply:
-    """One request on a connection of its own; status 0 where there is none."""
+    """Send one request on a new connection; the status is 0 if the connection fails."""
     client = Client(address)
     try:
         return await client.request(method, target, body, **headers)
@@ -101,7 +101,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as an upstream got it."""
+    """A request as received by an upstream."""
 
     method: str
     target: str
@@ -111,7 +111,7 @@
 
 @dataclass
 class Upstream:
-    """An upstream whose answers a test writes: `behave` gives the bytes, and whether to close behind them."""
+    """An emulated upstream. `respond` returns the bytes of a response and whether to close the connection after it."""
 
     id: str
     address: str
@@ -159,7 +159,7 @@
         writer.close()
 
     def heartbeat(self, service: str, state: str = "ready") -> bytes:
-        """The next one."""
+        """Return the body of the next heartbeat."""
         self.sequence += 1
         software = {"generation": self.version} if self.version else {}
         return msgspec.json.encode(
@@ -180,14 +180,14 @@
 
 
 def answer(request: ReceivedRequest, status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
-    """A whole answer that echoes the request's id."""
+    """Return a complete response that echoes the request's id."""
     named = {"X-Request-Id": request.headers.get("x-request-id", ""), "X-Server-Signature": "sig", **headers}
     lines = [f"HTTP/1.1 {status} X", *(f"{name.replace('_', '-')}: {value}" for name, value in named.items())]
     return ("\r\n".join(lines) + f"\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
 
 
 def events(request: ReceivedRequest, ids: range, is_complete: bool = True, signature: str = "sig") -> bytes:
-    """A stream of events, in chunks; without its end where it is not whole."""
+    """Return a chunked stream of events; without its last chunk unless `is_complete`."""
     head = (
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
         f"X-Request-Id: {request.headers.get('x-request-id', '')}\r\nX-Server-Signature: {signature}\r\n\r\n"
@@ -198,7 +198,7 @@
 
 
 class Fleet:
-    """Controllers and routers, each with an address of its own."""
+    """Controllers and routers, each with its own address."""
 
     def __init__(self, folder: Path, controllers: int = 3, routers: int = 1, tolerance: int = 1) -> None:
         self.folder = folder
@@ -257,7 +257,7 @@
         self.tasks[address] = asyncio.get_running_loop().create_task(node.run())
 
     async def kill(self, address: str) -> None:
-        """Ends a process' tasks and sockets without its consent."""
+        """Abort the tasks of a process and close its sockets, without a graceful shutdown."""
         self.nodes.pop(address).close()
         task = self.tasks.pop(address)
         task.cancel()
@@ -270,7 +270,7 @@
             upstream.close()
 
     async def put(self, document: dict[str, Any], base: int, method: str = "PUT") -> Reply:
-        """A change, sent to one controller after the other until it has an answer that is clear."""
+        """Send a change to the controllers in turn until one gives a definite answer (a status below 500)."""
         body = msgspec.json.encode(document)
         for address in itertools.cycle(self.control):
             reply = await ask(address, method, "/config", body, If_Match=str(base))
@@ -279,7 +279,7 @@
         raise AssertionError
 
     async def register(self, upstream: Upstream, service: str, state: str = "ready") -> None:
-        """One heartbeat, at whatever controller takes it."""
+        """Send one heartbeat of an upstream, to the controllers in turn until one accepts it."""
         for address in itertools.cycle(self.control):
             reply = await ask(address, "PUT", f"/instances/{upstream.id}", upstream.heartbeat(service, state))
             if reply.status == 200:
@@ -292,7 +292,7 @@
         id_: str | None = None,
         version: str = "",
     ) -> Upstream:
-        """One that is started and registered."""
+        """Start an upstream, register it and return it."""
         number = len(self.upstreams)
         made = Upstream(
             id_ or f"i-{number}", f"{self._ip(200 + number)}:{self.port + 4}", respond, version=version
@@ -303,13 +303,13 @@
         return made
 
     async def until(self, found: Callable[[], Awaitable[bool]]) -> None:
-        """Asks again and again; each time costs a request, which is what time passes with."""
+        """Call `found` until it returns True. It must await something, such as a request, so that the fleet can run."""
         async with asyncio.timeout(20.0):
             while not await found():
                 pass
 
     async def until_ready(self, number: int = 0) -> None:
-        """The router says that it is, and knows every upstream that was registered."""
+        """Wait until the router reports to be ready and knows every registered upstream."""
         known = self.nodes[self.fronts[number]]._plane.upstreams
 
         async def ready() -> bool:
@@ -320,14 +320,14 @@
 
 
 def _free_port(ip: str) -> int:
-    """The first of a few ports that nobody else on this machine is likely to use."""
+    """Return the first of eight ports that other programs on this machine are unlikely to use."""
     with socket.socket() as sock:
         sock.bind((ip, 0))
         return int(sock.getsockname()[1]) // 8 * 8
 
 
 def run_scenario(folder: Path, scenario: Callable[[Fleet], Awaitable[None]], **sizes: int) -> None:
-    """Runs a scene with a fleet that is started before it and stopped behind it."""
+    """Run a scenario with a fleet that is started before it and stopped after it."""
 
     async def run() -> None:
         fleet = Fleet(folder, **sizes)
@@ -337,5 +337,5 @@
         finally:
             await fleet.stop()
 
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the program itself
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as in the program itself
         runner.run(run())
--- a/tests/system/reporting_router.py
+++ b/tests/system/reporting_router.py
@@ -1,4 +1,4 @@
-"""A router's side of the wire alone: it pulls from every controller, and reports the answers that a test decides on."""
+"""The control-plane side of a router: it pulls from every controller and reports outcomes that the test chooses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class ReportingRouter:
-    """Its counts rise with every pull: good answers of the others, and answers of the target that may be failures."""
+    """Adds samples at every pull: successes of the other versions, and successes or failures of the target."""
 
     fleet: Fleet
     target_fails: bool = False
@@ -32,18 +32,18 @@
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def start(self) -> None:
-        """Connects to all controllers."""
+        """Connect to all controllers."""
         for address in self.fleet.control:
             self.tasks.append(asyncio.create_task(self._stay_connected(address)))
 
     async def stop(self) -> None:
-        """Ends its connections."""
+        """Close all connections."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def _stay_connected(self, address: str) -> None:
-        """Connects again whenever a controller that was not killed ends the connection, as it does after a stall."""
+        """Reconnect whenever a controller that was not killed closes the connection, as it does after a stall."""
         while address in self.fleet.nodes:
             with contextlib.suppress(OSError):
                 await self._pull_from(address.partition(":")[0])
--- a/tests/system/test_bad_bytes.py
+++ b/tests/system/test_bad_bytes.py
@@ -1,4 +1,4 @@
-"""Hostile input at real processes: a short run of `benchmarks.bad_bytes`, and what its grammar draws."""
+"""Hostile input to real processes: a short run of `benchmarks.bad_bytes`, and its input generators."""
 
 from __future__ import annotations
 
--- a/tests/system/test_build.py
+++ b/tests/system/test_build.py
@@ -1,4 +1,4 @@
-"""The build of the router fleet: edits anywhere in what it installs are seen, and nothing is installed twice."""
+"""The build of the router fleet: it reinstalls after any edit of its sources, and only then."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-# Stands in for pip: notes that it was called, and makes the folder that it was given.
+# A fake interpreter in place of `python3 -m pip`: records its calls and creates the target folder.
 FAKE_PYTHON = """#!/bin/sh
 echo "$@" >> "$CALLS"
 mkdir -p ../deps
@@ -21,7 +21,7 @@
 
 
 class Checkout:
-    """A copy of what the build reads, with an interpreter that installs nothing."""
+    """A copy of the files that the build reads, with an interpreter that installs nothing."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -43,7 +43,7 @@
         (programs / "python3").chmod(0o755)
 
     def build(self) -> int:
-        """Builds as the platform does; how often something was installed so far."""
+        """Run the build as the platform does; return the number of installations so far."""
         command = tomllib.loads((self.folder / "deploy/system.toml").read_text())["build"]
         path = f"{self.folder / 'programs'}:{os.environ['PATH']}"
         subprocess.run(
@@ -85,7 +85,7 @@
     edited.write_text(edited.read_text() + "\n# edited\n")
     os.utime(
         edited, ns=(before.st_atime_ns, before.st_mtime_ns - 10**12)
-    )  # as if it had been checked out long ago
+    )  # a modification time far in the past, as after a checkout
     assert checkout.build() == 2
     assert checkout.build() == 2
 
@@ -104,7 +104,7 @@
     assert after - before == {checkout.calls}
 
 
-# Which Debian package brings each program that the build or a role calls; `sh` and builtins of it are dash's.
+# The Debian package of each program that the build or a role calls; `sh` and its builtins are part of dash.
 PACKAGE_BY_PROGRAM = {
     "sh": "dash",
     "python3": "python3",
@@ -116,11 +116,11 @@
 SHELL_WORDS = frozenset(
     ("set", "if", "then", "fi", "for", "do", "done", "exit", "cd", "[", "printf", "export", "in")
 )
-CERTIFICATES = "ca-certificates"  # pip verifies the registry by them
+CERTIFICATES = "ca-certificates"  # pip needs them to verify the registry
 
 
 def programs_called(script: str) -> set[str]:
-    """The words of a shell script that stand where a program is named."""
+    """Return the words in command position in a shell script."""
     text = re.sub(r"'[^']*'", "''", "\n".join(line.partition("#")[0] for line in script.splitlines()))
     found = set()
     for command in re.split(r"\$\(|&&|\|\||[;|&(){}\n]|\bdo\b|\bthen\b", text):
@@ -137,7 +137,7 @@
     called = {program for command in commands for program in programs_called(command)}
     called |= programs_called((ROOT / "deploy/build_system.sh").read_text())
     assert {"sh", "python3", "python3 -m pip", "find", "sha256sum", "sort", "sed"} <= called
-    assert called <= set(PACKAGE_BY_PROGRAM), "which package brings it?"
+    assert called <= set(PACKAGE_BY_PROGRAM), "a program is missing in PACKAGE_BY_PROGRAM"
     needed = {PACKAGE_BY_PROGRAM[program] for program in called} | {CERTIFICATES}
     assert set(deployment["packages"]) == needed
 
--- a/tests/system/test_demo.py
+++ b/tests/system/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration starts, its request is answered, and it ends by a signal."""
+"""The demonstration starts, answers the request that it prints, and ends on a signal."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def leave_a_stream(front: str) -> None:
-    """A client that goes after the first event; returns once its engine has ended the connection too."""
+    """Disconnect a client after the first event of its stream, then check that another request is answered."""
     host, _, port = front.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     head = "POST /answers/x HTTP/1.1\r\nHost: demo.example\r\nX-Api-Key: demo-key\r\nX-Request-Id: 2\r\n"
@@ -49,7 +49,7 @@
                 text = ""
                 while "Ctrl-C" not in text:
                     line = (await process.stdout.readline()).decode()
-                    assert line, "it ended before it was ready"
+                    assert line, "the demonstration ended before it was ready"
                     text += line
                 found = re.search(r"http://([\d.:]+)/answers/x", text)
                 assert found is not None
--- a/tests/system/test_fleet.py
+++ b/tests/system/test_fleet.py
@@ -1,4 +1,4 @@
-"""The whole path on loopback: a configuration is taken, upstreams register, requests and streams go through."""
+"""A complete fleet on loopback: configuration changes, registration of upstreams, requests and streams."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 async def serve(fleet: Fleet, *behaviours: Any, **fields: Any) -> None:
-    """Configures the fleet and registers an upstream of each behaviour."""
+    """Configure the fleet and register an upstream for each behaviour."""
     assert (await fleet.put(configuration(**fields), 0)).status == 200
     for respond in behaviours:
         await fleet.upstream("s", respond)
@@ -87,7 +87,7 @@
         await serve(fleet, respond_ok)
         patch = {"generation": 4, "remove": {"routes": ["plain"]}}
         assert (await fleet.put(patch, 1, "PATCH")).status == 200
-        assert (await fleet.put(patch, 1, "PATCH")).status == 200, "the same order again is acknowledged"
+        assert (await fleet.put(patch, 1, "PATCH")).status == 200, "a repeated change is acknowledged"
         assert (await fleet.put(configuration(2), 1)).status == 412
         assert (await fleet.put(configuration(4), 4)).status == 400
         assert (await fleet.put(configuration(9, services=[]), 4)).status == 400
@@ -420,13 +420,13 @@
         await fleet.until(not_ready)
         assert (
             await ask(fleet.fronts[0], "POST", "/nowhere/", X_Request_Id="r")
-        ).status == 404, "still taken"
+        ).status == 404, "requests are still accepted"
 
         async def refused() -> bool:
             return (await ask(fleet.fronts[0], "POST", "/nowhere/", X_Request_Id="r")).status == 0
 
         await fleet.until(refused)
-        assert not call.done(), "what was taken before goes on"
+        assert not call.done(), "the accepted request continues"
         upstream.writers[-1].write(b"d\r\nid: 3\ndata: c\r\n4\r\n\n\n\n\n\r\n0\r\n\r\n")
         reply = await call
         assert reply.is_complete
--- a/tests/system/test_large_change.py
+++ b/tests/system/test_large_change.py
@@ -1,4 +1,4 @@
-"""A change of many routes reaches a router over a small link while it still serves requests over the same link."""
+"""A change of many routes reaches a router over a slow link that also carries its requests."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tests.system.test_fleet import configuration
 
 CONTROLLERS = 5
-ROUTES = 1_400  # that one change adds
+ROUTES = 1_400  # added by one change
 LINK_BYTES_PER_S = 5_000_000 / 8
-MAX_TRANSFER_S = 1.25  # half of the time in which a change is to be in force: requests use the link too
+MAX_TRANSFER_S = 1.25  # half of the time until a change must be in force, as requests use the link too
 
 
 def routes(count: int) -> list[dict[str, Any]]:
-    """Routes with the fields of an operator's, named and placed by chance."""
+    """Return routes with the usual fields, and with random names and path prefixes."""
     rng = random.Random(69)
     names = rng.sample(range(36**5, 36**6), count)
     return [
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def received(monkeypatch: pytest.MonkeyPatch) -> Counter[Connection]:
-    """Bytes by connection between processes of the fleet, at the receiving end."""
+    """Count the received bytes of each connection between processes of the fleet."""
     counts: Counter[Connection] = Counter()
     data_received = Connection.data_received
 
@@ -63,7 +63,7 @@
         front = fleet.fronts[0]
 
         async def is_in_force_everywhere() -> bool:
-            """At the router, by what it tells each controller."""
+            """Return whether the router has reported the newest sequence to each controller."""
             await ask(fleet.control[0], "GET", "/status")
             controllers = [fleet.nodes[address] for address in fleet.control]
             newest = max(one._state.configuration.sequence for one in controllers)
--- a/tests/system/test_large_configuration.py
+++ b/tests/system/test_large_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration of four megabytes: taken, changed, and caught up with by a controller that was away."""
+"""A configuration of four megabytes is committed and patched, and a restarted controller catches up with it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.system.loopback import Fleet, ask, run_scenario
 from tests.system.test_fleet import configuration
 
-ROUTES = 13_000  # of some 330 bytes each
+ROUTES = 13_000  # about 330 bytes each
 
 
 def large(generation: int) -> dict[str, Any]:
--- a/tests/system/test_measurements.py
+++ b/tests/system/test_measurements.py
@@ -1,4 +1,7 @@
-"""What the commands that compare copies and look for losses make of the bench's reports and the routers' logs."""
+"""How the benchmark commands evaluate reports of the bench and logs of routers.
+
+They compare copies of the code, and find the causes of late requests.
+"""
 
 from __future__ import annotations
 
--- a/tests/system/test_mixed_versions.py
+++ b/tests/system/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""Processes of this text beside those of an earlier one: they serve together, and read each other's data folders."""
+"""Processes of this and of an earlier version of the code form one fleet and read each other's data folders."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 ROOT = Path(__file__).parent.parent.parent
 EARLIER_COMMIT = (
-    "4a677a78961aecde9dd15f9abe2cbd93d0d4822a"  # before the words of the fleet's text were changed
+    "4a677a78961aecde9dd15f9abe2cbd93d0d4822a"  # before the wording of the fleet's code was changed
 )
 SCENARIO_TIMEOUT_S = 90.0
 OLD, NEW = "old", "new"
 PREFIX = "a-shared-head"
-SMALL_BURST = 40  # requests, of a tenant with a small quota
+SMALL_BURST = 40  # requests; the burst of a tenant with a small quota
 
 
 @pytest.fixture(scope="module")
 def earlier(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The root of the earlier text."""
+    """Return the root folder of the earlier version's code."""
     if not (ROOT / ".git").exists() or shutil.which("git") is None:
         pytest.skip(f"no git clone here that could have {EARLIER_COMMIT[:7]}")
     found = _git("rev-parse", "--verify", "--quiet", EARLIER_COMMIT + "^{commit}")
@@ -51,13 +51,13 @@
 
 
 def _environment(root: Path) -> dict[str, str]:
-    """In which Python finds that text before any that is installed."""
+    """Return an environment in which Python imports the code in `root` before any installed package."""
     sources = [root, *sorted(root.glob("packages/*/src"))]
     return {**os.environ, "PYTHONPATH": os.pathsep.join(map(str, sources))}
 
 
 class MixedFleet(Fleet):
-    """A fleet of real processes, each of the old or the new text."""
+    """A fleet of real processes, each of the old or the new version."""
 
     def __init__(self, folder: Path, earlier: Path, controllers: list[str], routers: list[str]) -> None:
         super().__init__(folder, len(controllers), len(routers), tolerance=len(controllers) // 2)
@@ -101,7 +101,7 @@
             upstream.close()
 
     def log_tails(self) -> str:
-        """For whoever reads of a failure."""
+        """Return the ends of all logs, to be shown with a test failure."""
         return "\n".join(
             f"{self.versions[address]} {address}: {self._log(address).read_text()[-2_000:]}"
             for address in self.versions
@@ -114,12 +114,12 @@
         await self.until(ready)
 
     async def send_heartbeats(self, service: str) -> None:
-        """One heartbeat of each upstream: none is silent for long."""
+        """Send one heartbeat of each upstream, so that none is considered silent."""
         for upstream in self.upstreams:
             await self.register(upstream, service)
 
     async def until_known(self) -> None:
-        """Every controller knows every upstream that was registered."""
+        """Wait until every controller knows every registered upstream."""
         ids = {upstream.id for upstream in self.upstreams}
 
         async def known() -> bool:
@@ -129,7 +129,7 @@
         await self.until(known)
 
     async def read(self, number: int, target: str) -> Any:
-        """What a controller tells of itself, as soon as it does."""
+        """Return the decoded response of a controller to a GET, repeated until it succeeds."""
         replies: list[Reply] = []
 
         async def is_answered() -> bool:
@@ -140,13 +140,13 @@
         return msgspec.json.decode(replies[-1].body)
 
     async def post(self, router: int, target: str, **headers: str) -> Reply:
-        """A request of the tenant that the configuration names."""
+        """Send a request of the configured tenant."""
         named = {"X_Request_Id": "r", "X_Api_Key": "key", **headers}
         return await ask(self.fronts[router], "POST", target, b"a question", **named)
 
 
 def run_scenario(fleet: MixedFleet, scenario: Callable[[], Awaitable[None]]) -> None:
-    """Runs a scene, and ends all processes behind it."""
+    """Run a scenario and kill all processes after it."""
 
     async def run() -> None:
         try:
@@ -177,7 +177,7 @@
 
 
 def respond(request: ReceivedRequest) -> tuple[bytes, bool]:
-    """Plain answers, or none; a stream that breaks off, and goes on where its second event was the last."""
+    """Return a plain response, none, or a stream that breaks off after its second event and can be resumed."""
     if request.target == "/plain/unanswered":
         return b"", False
     if not request.target.startswith("/resumable/"):
@@ -189,7 +189,7 @@
 
 
 def with_engines(generation: int, **fields: Any) -> dict[str, Any]:
-    """The usual configuration, where its upstreams are engines, and its tenant has a quota."""
+    """Return the usual configuration with engines as upstreams, and with tenants that have quotas."""
     return configuration(
         generation,
         services=[{"name": "s", "max_conns": 10, "engine": {"slots": 4}}],
@@ -202,7 +202,7 @@
 
 
 async def check_service(fleet: MixedFleet, router: int) -> None:
-    """A request, a stream that breaks and goes on, prompts and their places, through one router."""
+    """Check a request, a resumed stream, and the placement and prefill queues of prompts through one router."""
     reply = await fleet.post(router, "/plain/x")
     assert (reply.status, reply.body) == (200, b"ok")
     request = next(
@@ -224,7 +224,7 @@
 async def request_placement(
     fleet: Fleet, number: int, prefix_name: str, known: str | None = None
 ) -> tuple[str | None, bool]:
-    """Where a controller says that the head of a prompt is kept, and whether it was placed there before."""
+    """Return the engine that a controller assigns to a prompt prefix, and whether the prefix was placed before."""
     question = {"type": "place", "service": "s", "head": prefix_name, "tokens": 5_000.0, "known": known}
     reader, writer = await asyncio.open_connection(fleet.control[number].partition(":")[0], fleet.port)
     writer.write(msgspec.json.encode(question) + b"\n")
@@ -236,7 +236,7 @@
 
 
 async def check_placements(fleet: MixedFleet, router: int) -> None:
-    """Prompts go where the controllers keep their heads, be it against the heads' own order."""
+    """Check that prompts go to the engine that the controllers assigned, even if hashing would choose another one."""
     for number, upstream in enumerate(fleet.upstreams * 2):
         prefix_name = f"{PREFIX}-{router}-{number}"
         for controller in range(len(fleet.control)):
@@ -256,7 +256,7 @@
 
 
 async def check_waiting_prompts(fleet: MixedFleet, router: int) -> None:
-    """A long prompt that an engine has not answered is known to every controller, until it is over."""
+    """Check that every controller counts an unanswered long prompt as waiting until its client disconnects."""
     client = Client(fleet.fronts[router])
     call = asyncio.ensure_future(
         client.request(
@@ -280,7 +280,10 @@
 
 
 async def check_quota(fleet: MixedFleet) -> None:
-    """One of two routers may admit half of a burst where a controller counts for both, and a quarter by itself."""
+    """Check that the router gets quota from a controller.
+
+    One of two routers may admit half of a burst if a controller coordinates both, but only a quarter on its own.
+    """
     admitted = 0
 
     async def more_than_alone() -> bool:
@@ -301,7 +304,7 @@
 
 
 async def change_and_drain(fleet: MixedFleet, document: dict[str, Any], path: str) -> None:
-    """A change that adds a path comes into force, and an upstream that leaves gets nothing more, at every router."""
+    """Check that a new path comes into force, and that a draining upstream gets no more requests, at every router."""
     assert (await fleet.put(document, document["generation"] - 1)).status == 200
     for router in range(len(fleet.fronts)):
         await until_in_force(fleet, router, path)
@@ -316,7 +319,7 @@
 
 
 async def change_while_down(fleet: MixedFleet, number: int, document: dict[str, Any]) -> None:
-    """One controller is killed, and comes back behind a change; both others know it, the primary or not."""
+    """Kill a controller, commit a change without it, and restart it. It may be the primary or a backup."""
     await fleet.kill(fleet.control[number])
     path = f"/later-{number}/"
     changed = {**document, "routes": [*document["routes"], route_to(path)]}
@@ -367,7 +370,8 @@
             await fleet.send_heartbeats("s")
             await check_service(fleet, router)
         await check_quota(fleet)
-        # Routers have told of usage and of broken calls by now: it is taken, or the change would not come through.
+        # By now the routers have reported usage and failed calls. If a controller could not read these reports, the
+        # change would not reach the routers.
         second = {**first, "generation": 2, "routes": [*first["routes"], route_to("/later/")]}
         await change_and_drain(fleet, second, "/later/x")
         await fleet.send_heartbeats("s")
@@ -423,13 +427,15 @@
             await request_placement(fleet, 0, PREFIX),
         ) == left
         assert (await fleet.read(0, "/status"))["sequence"] >= sequence
-        assert (await fleet.put(change, 1, "PATCH")).status == 200, "sent again, it is known as carried out"
+        assert (
+            await fleet.put(change, 1, "PATCH")
+        ).status == 200, "a repeated change is recognised as applied"
         assert await fleet.read(0, "/config") == left[0]
         third = {**left[0], "generation": 3}
         assert (await fleet.put(third, 2)).status == 200
         await replace(writer)
         assert await fleet.read(0, "/config") == third
-        assert (await fleet.put(third, 2)).status == 200, "sent again, it is known as carried out"
+        assert (await fleet.put(third, 2)).status == 200, "a repeated change is recognised as applied"
         assert (await upstreams_known(), await request_placement(fleet, 0, PREFIX)) == left[1:]
 
     run_scenario(fleet, scenario)
--- a/tests/system/test_operator_commands.py
+++ b/tests/system/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands against a fleet on loopback, and on files."""
+"""Operators' commands, run against a fleet on loopback and on files."""
 
 from __future__ import annotations
 
--- a/tests/system/test_own_days.py
+++ b/tests/system/test_own_days.py
@@ -1,4 +1,4 @@
-"""The project's own days for the bench: every kind of trouble is in one of them, and reports are read rightly."""
+"""The project's own days for the bench: every kind of fault occurs in one of them, and reports are parsed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from benchmarks.fleet_days import DAYS, Played, read
 
-# As the platform's bench lists them.
+# The kinds of faults, as listed by the platform's bench.
 KINDS = """
 burst hot_key hot_tenant srv_crash release answer_lost garble node_kill roll_term herd_kill replace_core seed_turnover
 after_ack_wipe disk_slow disk_full clock_step core_cut node_cut config_change config_storm config_race bad_config
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas over real sockets: losses of controllers, and fleets in which some have no share."""
+"""Quotas over real sockets, also after losses of controllers and without a majority of them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def admitted(fleet: Fleet, tries: int) -> int:
-    """How many of so many requests, spread over all routers, are admitted."""
+    """Send `tries` requests, spread over all routers; return how many are admitted."""
     clients = [Client(front) for front in fleet.fronts]
     found = 0
     for number in range(tries):
@@ -27,7 +27,7 @@
 
 
 async def total_share(fleet: Fleet, numbers: list[int]) -> float:
-    """The sum of the shares that these controllers report."""
+    """Return the sum of the quota shares that these controllers report."""
     total = 0.0
     for number in numbers:
         reply = await ask(fleet.control[number], "GET", "/metrics")
@@ -102,6 +102,8 @@
             return await total_share(fleet, [0]) == 0.0
 
         await fleet.until(is_without)
-        assert await admitted(fleet, 20) <= 2, "its lease has ended, and the router's reserve is small"
+        assert (
+            await admitted(fleet, 20) <= 2
+        ), "the controller's lease has ended, and the router's reserve is small"
 
     run_scenario(tmp_path, scenario)
--- a/tests/system/test_rollout_commands.py
+++ b/tests/system/test_rollout_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands of roll-outs against a fleet on loopback."""
+"""Operators' roll-out commands, run against a fleet on loopback."""
 
 from __future__ import annotations
 
--- a/tests/system/test_rollouts.py
+++ b/tests/system/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs ordered, read, aborted and kept by a fleet on loopback."""
+"""Roll-outs on a fleet on loopback: they are ordered, read, aborted, completed, and survive restarts."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.system.reporting_router import ReportingRouter
 from tests.system.test_fleet import configuration, respond_ok, serve
 
-LONG_S = 600.0  # no test lasts as long
-ELECTION_RESERVE_S = 8.0  # of a roll-out whose full weight may come two seconds late, as after an election
+LONG_S = 600.0  # longer than any test
+ELECTION_RESERVE_S = 8.0  # a roll-out of this duration tolerates full weight 2 s late, as after an election
 
 
 def order(version: str = "v2", duration_s: float = LONG_S, service: str = "s") -> bytes:
@@ -24,7 +24,7 @@
 
 
 async def clear_answer(fleet: Fleet, method: str, target: str, body: bytes = b"") -> Reply:
-    """Of one controller after the other, until one gives an answer that is clear."""
+    """Call the controllers in turn until one gives a definite answer (a status below 500)."""
     for address in itertools.cycle(fleet.control):
         reply = await ask(address, method, target, body)
         if 0 < reply.status < 500:
@@ -51,7 +51,7 @@
 
 
 def primary(fleet: Fleet) -> str:
-    """The control address of the controller that leads."""
+    """Return the control address of the primary."""
     return next(address for address in fleet.control if _leads(fleet.nodes.get(address)))
 
 
@@ -92,7 +92,9 @@
         reply = await clear_answer(fleet, "DELETE", "/rollouts/s")
         assert msgspec.json.decode(reply.body)["state"] == "rolled_back"
         assert (await state_of(fleet))["reason"] == "aborted by the operator"
-        assert (await clear_answer(fleet, "DELETE", "/rollouts/s")).status == 200, "acknowledged again"
+        assert (
+            await clear_answer(fleet, "DELETE", "/rollouts/s")
+        ).status == 200, "a repeated abort is acknowledged"
         assert (await clear_answer(fleet, "DELETE", "/rollouts/nobody")).status == 404
         assert (await place(fleet, version="v3")).status == 200
 
@@ -142,7 +144,7 @@
     async def scenario(fleet: Fleet) -> None:
         await serve(fleet, respond_ok)
         assert (await place(fleet)).status == 200
-        assert (await fleet.put(configuration(2), 1)).status == 200, "an order is no version"
+        assert (await fleet.put(configuration(2), 1)).status == 200, "an order does not change the version"
         assert (await fleet.put({"generation": 3, "remove": {"routes": ["plain"]}}, 2, "PATCH")).status == 200
         assert (await fleet.put(configuration(4, larkweir_rollouts=[]), 3)).status == 400
         assert (await state_of(fleet))["state"] == "running"
@@ -189,7 +191,7 @@
 async def reported(
     fleet: Fleet, router: ReportingRouter, during: Callable[[], Awaitable[None]] | None = None
 ) -> dict[str, Any]:
-    """How a roll-out ends whose answers that router reports, while upstreams send heartbeats."""
+    """Run a roll-out for which `router` reports samples, while upstreams send heartbeats; return its final state."""
     assert (await fleet.put(configuration(), 0)).status == 200
     for version in ("v1", "v2"):
         await fleet.upstream("s", respond_ok, version=version)
--- a/tests/system/test_unexpected_exceptions.py
+++ b/tests/system/test_unexpected_exceptions.py
@@ -1,4 +1,4 @@
-"""An exception that nobody expected: a periodic task runs again, a process without its replica ends with a code."""
+"""Unexpected exceptions: a periodic task is retried; a process whose replica fails exits with its own code."""
 
 from __future__ import annotations
 
@@ -41,7 +41,9 @@
             async with asyncio.timeout(20.0):
                 await fleet.tasks[address]
         assert "task_failed ticks" in logged
-        assert (await ask(address, "GET", "/config")).status == 0, "it has closed its sockets"
+        assert (
+            await ask(address, "GET", "/config")
+        ).status == 0, "the failed controller has closed its sockets"
         assert (await fleet.put(configuration(generation=2), 1)).status == 200
 
     run_scenario(tmp_path, scenario)
