--- a/tests/system/loopback.py
+++ b/tests/system/loopback.py
@@ -47,9 +47,9 @@
         if self.writer is None:
             self.reader, self.writer = await asyncio.open_connection(self.host, self.port)
             self.connection = h11.Connection(h11.CLIENT)
-        named = [("Host", headers.pop("Host", "a.example")), ("Content-Length", str(len(body)))]
-        named += [(name.replace("_", "-"), value) for name, value in headers.items()]
-        out = self.connection.send(h11.Request(method=method, target=target, headers=named)) or b""
+        all_headers = [("Host", headers.pop("Host", "a.example")), ("Content-Length", str(len(body)))]
+        all_headers += [(name.replace("_", "-"), value) for name, value in headers.items()]
+        out = self.connection.send(h11.Request(method=method, target=target, headers=all_headers)) or b""
         out += self.connection.send(h11.Data(data=body)) or b""
         out += self.connection.send(h11.EndOfMessage()) or b""
         self.writer.write(out)
@@ -150,10 +150,10 @@
                 writer.write(out)
                 if close:
                     break
-                left = connection.trailing_data[0]
+                unread = connection.trailing_data[0]
                 connection = h11.Connection(h11.SERVER)
-                if left:
-                    connection.receive_data(left)
+                if unread:
+                    connection.receive_data(unread)
             else:
                 break
         writer.close()
@@ -181,8 +181,15 @@
 
 def answer(request: ReceivedRequest, status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
     """Return a complete response that echoes the request's id."""
-    named = {"X-Request-Id": request.headers.get("x-request-id", ""), "X-Server-Signature": "sig", **headers}
-    lines = [f"HTTP/1.1 {status} X", *(f"{name.replace('_', '-')}: {value}" for name, value in named.items())]
+    all_headers = {
+        "X-Request-Id": request.headers.get("x-request-id", ""),
+        "X-Server-Signature": "sig",
+        **headers,
+    }
+    lines = [
+        f"HTTP/1.1 {status} X",
+        *(f"{name.replace('_', '-')}: {value}" for name, value in all_headers.items()),
+    ]
     return ("\r\n".join(lines) + f"\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
 
 
@@ -294,13 +301,13 @@
     ) -> Upstream:
         """Start an upstream, register it and return it."""
         number = len(self.upstreams)
-        made = Upstream(
+        upstream = Upstream(
             id_ or f"i-{number}", f"{self._ip(200 + number)}:{self.port + 4}", respond, version=version
         )
-        await made.start()
-        self.upstreams.append(made)
-        await self.register(made, service)
-        return made
+        await upstream.start()
+        self.upstreams.append(upstream)
+        await self.register(upstream, service)
+        return upstream
 
     async def until(self, found: Callable[[], Awaitable[bool]]) -> None:
         """Call `found` until it returns True. It must await something, such as a request, so that the fleet can run."""
--- a/tests/system/test_build.py
+++ b/tests/system/test_build.py
@@ -113,7 +113,7 @@
     "find": "findutils",
     **dict.fromkeys(("cat", "cp", "dirname", "mkdir", "rm", "sha256sum", "sort"), "coreutils"),
 }
-SHELL_WORDS = frozenset(
+SHELL_KEYWORDS = frozenset(
     ("set", "if", "then", "fi", "for", "do", "done", "exit", "cd", "[", "printf", "export", "in")
 )
 CERTIFICATES = "ca-certificates"  # pip needs them to verify the registry
@@ -126,7 +126,7 @@
     for command in re.split(r"\$\(|&&|\|\||[;|&(){}\n]|\bdo\b|\bthen\b", text):
         words = [word for word in command.split() if not re.fullmatch(r"[A-Z_a-z]+=\S*", word)]
         name = words[0].strip('"') if words else ""
-        if re.fullmatch(r"[a-z][a-z0-9_.-]*", name) and name not in SHELL_WORDS:
+        if re.fullmatch(r"[a-z][a-z0-9_.-]*", name) and name not in SHELL_KEYWORDS:
             found.add("python3 -m pip" if words[:3] == ["python3", "-m", "pip"] else name)
     return found
 
--- a/tests/system/test_fleet.py
+++ b/tests/system/test_fleet.py
@@ -155,13 +155,13 @@
 
 
 def test_complete_and_broken_streams_are_forwarded_as_such(tmp_path: Path) -> None:
-    def half(request: ReceivedRequest) -> tuple[bytes, bool]:
+    def respond_by_target(request: ReceivedRequest) -> tuple[bytes, bool]:
         if request.target.startswith("/stream/whole"):
             return events(request, range(1, 4)), False
         return events(request, range(1, 3), is_complete=False), True
 
     async def scenario(fleet: Fleet) -> None:
-        await serve(fleet, half)
+        await serve(fleet, respond_by_target)
         reply = await ask(fleet.fronts[0], "POST", "/stream/whole", X_Request_Id="r", X_Api_Key="key")
         assert (reply.status, reply.is_complete, reply.body.count(b"data:")) == (200, True, 3)
         reply = await ask(fleet.fronts[0], "POST", "/stream/broken", X_Request_Id="r2", X_Api_Key="key")
@@ -175,8 +175,10 @@
         last = int(request.headers.get("last-event-id", "0"))
         if last:
             return events(request, range(last + 1, 6), signature="second"), False
-        torn = events(request, range(1, 3), is_complete=False, signature="first") + b"30\r\nid: 3\ndata: torn"
-        return torn, True
+        truncated = (
+            events(request, range(1, 3), is_complete=False, signature="first") + b"30\r\nid: 3\ndata: torn"
+        )
+        return truncated, True
 
     async def scenario(fleet: Fleet) -> None:
         await serve(fleet, respond, respond)
@@ -192,7 +194,7 @@
 
 
 def test_attempts_and_statuses_of_failed_requests(tmp_path: Path) -> None:
-    def dies(request: ReceivedRequest) -> tuple[bytes, bool]:
+    def fail_by_target(request: ReceivedRequest) -> tuple[bytes, bool]:
         if request.target == "/safe/refused":
             return answer(request, 503, X_Not_Executed="1"), False
         if request.target == "/plain/refused":
@@ -204,14 +206,14 @@
         return b"", True
 
     async def scenario(fleet: Fleet) -> None:
-        await serve(fleet, dies, dies)
+        await serve(fleet, fail_by_target, fail_by_target)
         received = [upstream.requests for upstream in fleet.upstreams]
 
         async def outcome(target: str) -> tuple[int, int, str | None]:
             before = sum(map(len, received))
             reply = await ask(fleet.fronts[0], "POST", target, X_Request_Id=target, X_Api_Key="key")
-            stamp = reply.headers.get("x-server-signature")
-            return reply.status, sum(map(len, received)) - before, stamp
+            signature = reply.headers.get("x-server-signature")
+            return reply.status, sum(map(len, received)) - before, signature
 
         assert await outcome("/plain/dies") == (502, 1, None)
         assert await outcome("/safe/dies") == (502, 2, None)
@@ -246,11 +248,11 @@
 
 
 def test_a_misdirected_request_is_not_retried_at_the_same_address(tmp_path: Path) -> None:
-    def misdirected(request: ReceivedRequest) -> tuple[bytes, bool]:
+    def respond_misdirected(request: ReceivedRequest) -> tuple[bytes, bool]:
         return b"HTTP/1.1 421 X\r\nX-Instance-Id: other\r\nContent-Length: 0\r\n\r\n", False
 
     async def scenario(fleet: Fleet) -> None:
-        await serve(fleet, misdirected)
+        await serve(fleet, respond_misdirected)
         reply = await ask(fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r", X_Api_Key="key")
         assert reply.status == 503
         assert len(fleet.upstreams[0].requests) == 1
@@ -363,11 +365,11 @@
 
 
 def test_deadlines_are_enforced_and_disconnected_clients_free_resources(tmp_path: Path) -> None:
-    def mute(request: ReceivedRequest) -> tuple[bytes, bool]:
+    def never_respond(request: ReceivedRequest) -> tuple[bytes, bool]:
         return b"", False
 
     async def scenario(fleet: Fleet) -> None:
-        await serve(fleet, mute)
+        await serve(fleet, never_respond)
         reply = await ask(
             fleet.fronts[0], "POST", "/plain/x", X_Request_Id="r", X_Api_Key="key", X_Deadline_Ms="150"
         )
--- a/tests/system/test_large_change.py
+++ b/tests/system/test_large_change.py
@@ -83,13 +83,15 @@
         assert table.version == 2
         for route in added:
             assert table.find_route("a.example", route["path_prefix"] + "x").name == route["name"]
-        at_router = sum(
+        router_bytes = sum(
             count
             for connection, count in received.items()
             if any(link.connection is connection for link in router._sync._links._links.values())
         )
-        assert at_router > 0
+        assert router_bytes > 0
         size = len(msgspec.json.encode(patch))
-        assert at_router / LINK_BYTES_PER_S < MAX_TRANSFER_S, f"{at_router} bytes for a change of {size}"
+        assert (
+            router_bytes / LINK_BYTES_PER_S < MAX_TRANSFER_S
+        ), f"{router_bytes} bytes for a change of {size}"
 
     run_scenario(tmp_path, scenario, controllers=CONTROLLERS, routers=1, tolerance=2)
--- a/tests/system/test_measurements.py
+++ b/tests/system/test_measurements.py
@@ -70,12 +70,19 @@
         switched_off(SWITCHES.read_text(), "sorcery")
 
 
-def logged(
+def request_line(
     attempt: dict[str, Any], head: str = "h", first_ms: int | None = 900, placed_ms: int = 5
 ) -> dict[str, Any]:
-    whole = {"upstream": "e1", "reason": "keeper", "chosen_ms": 5, "written_ms": 5, "status": 200, **attempt}
+    attempt_fields = {
+        "upstream": "e1",
+        "reason": "keeper",
+        "chosen_ms": 5,
+        "written_ms": 5,
+        "status": 200,
+        **attempt,
+    }
     if first_ms is not None:
-        whole["first_ms"] = first_ms
+        attempt_fields["first_ms"] = first_ms
     return {
         "event": "request",
         "id": "1",
@@ -86,7 +93,7 @@
         "placed_ms": placed_ms,
         "first_ms": first_ms,
         "total_ms": 1_000,
-        "attempts": [whole],
+        "attempts": [attempt_fields],
     }
 
 
@@ -96,15 +103,15 @@
 @pytest.mark.parametrize(
     ("line", "cause"),
     [
-        (logged({"tokens": 80_000}), Cause.LONG_PROMPT),
-        (logged({"tokens": 1_000}), Cause.QUEUE),
-        (logged({"chosen_ms": 700, "written_ms": 700}), Cause.OTHER_TRIES),
-        (logged({"chosen_ms": 5, "written_ms": 800}), Cause.CONNECTION),
-        (logged({"chosen_ms": 600, "written_ms": 600}, placed_ms=600), Cause.PLACEMENT),
-        (logged({}, head=""), Cause.UPSTREAM),
-        (logged({"status": 503}), Cause.NOT_SERVED),
-        (logged({"ending": "RESET"}), Cause.NOT_SERVED),
-        (logged({}, first_ms=None), Cause.NOT_SERVED),
+        (request_line({"tokens": 80_000}), Cause.LONG_PROMPT),
+        (request_line({"tokens": 1_000}), Cause.QUEUE),
+        (request_line({"chosen_ms": 700, "written_ms": 700}), Cause.OTHER_TRIES),
+        (request_line({"chosen_ms": 5, "written_ms": 800}), Cause.CONNECTION),
+        (request_line({"chosen_ms": 600, "written_ms": 600}, placed_ms=600), Cause.PLACEMENT),
+        (request_line({}, head=""), Cause.UPSTREAM),
+        (request_line({"status": 503}), Cause.NOT_SERVED),
+        (request_line({"ending": "RESET"}), Cause.NOT_SERVED),
+        (request_line({}, first_ms=None), Cause.NOT_SERVED),
     ],
 )
 def test_the_cause_of_a_late_request_is_its_longest_step(line: dict[str, Any], cause: Cause) -> None:
@@ -116,7 +123,7 @@
 def test_repeated_prefills_of_a_prefix_are_found_and_drawn() -> None:
     def at(time_s: float, upstream: str) -> str:
         return f"  {time_s} front-1 " + json.dumps(
-            logged({"upstream": upstream, "tokens": 80_000}), separators=(",", ":")
+            request_line({"upstream": upstream, "tokens": 80_000}), separators=(",", ":")
         )
 
     requests = read(["built in 1 s", at(3.0, "e1"), at(5.0, "e2"), at(4.0, "e1"), "  6.0 front-1 nothing"])
--- a/tests/system/test_mixed_versions.py
+++ b/tests/system/test_mixed_versions.py
@@ -38,10 +38,12 @@
         pytest.skip(f"this clone does not have {EARLIER_COMMIT[:7]}")
     assert found.returncode == 0, found.stderr.decode()
     root = tmp_path_factory.mktemp("earlier")
-    packed = root / "text.tar"
-    made = _git("archive", f"--output={packed}", EARLIER_COMMIT, "larkweir", "mulleinhitch", "packages")
-    assert made.returncode == 0, made.stderr.decode()
-    with tarfile.open(packed) as archive:
+    archive_path = root / "text.tar"
+    archived = _git(
+        "archive", f"--output={archive_path}", EARLIER_COMMIT, "larkweir", "mulleinhitch", "packages"
+    )
+    assert archived.returncode == 0, archived.stderr.decode()
+    with tarfile.open(archive_path) as archive:
         archive.extractall(root, filter="data")
     return root
 
--- a/tests/system/test_operator_commands.py
+++ b/tests/system/test_operator_commands.py
@@ -34,8 +34,8 @@
         assert (done.exit_code, done.output) == (0, "version 5 is acknowledged\n")
         done = await command("config", "get", *at)
         assert msgspec.json.decode(done.output)["generation"] == 5
-        whole = file(tmp_path, "whole.json", configuration(9))
-        done = await command("config", "put", *at, "--base", "1", whole)
+        stale = file(tmp_path, "whole.json", configuration(9))
+        done = await command("config", "put", *at, "--base", "1", stale)
         assert done.exit_code == EXIT_REJECTED
         assert "412 the version in place is 5, not 1" in done.output
 
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -98,10 +98,10 @@
         for number in (1, 2):
             await fleet.kill(fleet.control[number])
 
-        async def is_without() -> bool:
+        async def has_no_share() -> bool:
             return await total_share(fleet, [0]) == 0.0
 
-        await fleet.until(is_without)
+        await fleet.until(has_no_share)
         assert (
             await admitted(fleet, 20) <= 2
         ), "the controller's lease has ended, and the router's reserve is small"
--- a/tests/system/test_rollouts.py
+++ b/tests/system/test_rollouts.py
@@ -15,15 +15,15 @@
 from tests.system.reporting_router import ReportingRouter
 from tests.system.test_fleet import configuration, respond_ok, serve
 
-LONG_S = 600.0  # longer than any test
+LONG_DURATION_S = 600.0  # longer than any test
 ELECTION_RESERVE_S = 8.0  # a roll-out of this duration tolerates full weight 2 s late, as after an election
 
 
-def order(version: str = "v2", duration_s: float = LONG_S, service: str = "s") -> bytes:
+def order(version: str = "v2", duration_s: float = LONG_DURATION_S, service: str = "s") -> bytes:
     return msgspec.json.encode({"backend": service, "target_version": version, "duration_s": duration_s})
 
 
-async def clear_answer(fleet: Fleet, method: str, target: str, body: bytes = b"") -> Reply:
+async def definite_answer(fleet: Fleet, method: str, target: str, body: bytes = b"") -> Reply:
     """Call the controllers in turn until one gives a definite answer (a status below 500)."""
     for address in itertools.cycle(fleet.control):
         reply = await ask(address, method, target, body)
@@ -33,11 +33,11 @@
 
 
 async def place(fleet: Fleet, **fields: Any) -> Reply:
-    return await clear_answer(fleet, "POST", "/rollouts", order(**fields))
+    return await definite_answer(fleet, "POST", "/rollouts", order(**fields))
 
 
 async def state_of(fleet: Fleet, service: str = "s") -> dict[str, Any]:
-    reply = await clear_answer(fleet, "GET", f"/rollouts/{service}")
+    reply = await definite_answer(fleet, "GET", f"/rollouts/{service}")
     assert reply.status == 200, reply
     return dict(msgspec.json.decode(reply.body))
 
@@ -52,10 +52,10 @@
 
 def primary(fleet: Fleet) -> str:
     """Return the control address of the primary."""
-    return next(address for address in fleet.control if _leads(fleet.nodes.get(address)))
+    return next(address for address in fleet.control if _is_primary(fleet.nodes.get(address)))
 
 
-def _leads(node: Any) -> bool:
+def _is_primary(node: Any) -> bool:
     return node is not None and bool(node._driver.is_primary())
 
 
@@ -89,13 +89,13 @@
         assert (await place(fleet, version="v3")).status == 409
         assert (await place(fleet, service="nobody")).status == 404
         assert (await state_of(fleet))["target_version"] == "v2"
-        reply = await clear_answer(fleet, "DELETE", "/rollouts/s")
+        reply = await definite_answer(fleet, "DELETE", "/rollouts/s")
         assert msgspec.json.decode(reply.body)["state"] == "rolled_back"
         assert (await state_of(fleet))["reason"] == "aborted by the operator"
         assert (
-            await clear_answer(fleet, "DELETE", "/rollouts/s")
+            await definite_answer(fleet, "DELETE", "/rollouts/s")
         ).status == 200, "a repeated abort is acknowledged"
-        assert (await clear_answer(fleet, "DELETE", "/rollouts/nobody")).status == 404
+        assert (await definite_answer(fleet, "DELETE", "/rollouts/nobody")).status == 404
         assert (await place(fleet, version="v3")).status == 200
 
     run_scenario(tmp_path, scenario)
@@ -121,7 +121,7 @@
 )
 def test_an_invalid_order_is_rejected(body: bytes, tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        reply = await clear_answer(fleet, "POST", "/rollouts", body)
+        reply = await definite_answer(fleet, "POST", "/rollouts", body)
         assert reply.status == 400
         assert msgspec.json.decode(reply.body)["error"]
 
@@ -188,7 +188,7 @@
     run_scenario(tmp_path, scenario)
 
 
-async def reported(
+async def run_reported_rollout(
     fleet: Fleet, router: ReportingRouter, during: Callable[[], Awaitable[None]] | None = None
 ) -> dict[str, Any]:
     """Run a roll-out for which `router` reports samples, while upstreams send heartbeats; return its final state."""
@@ -214,7 +214,7 @@
 
 def test_a_good_version_is_completed(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        found = await reported(fleet, ReportingRouter(fleet))
+        found = await run_reported_rollout(fleet, ReportingRouter(fleet))
         assert (found["state"], found["target_weight"]) == ("completed", 1.0), found
 
     run_scenario(tmp_path, scenario, routers=0)
@@ -222,7 +222,7 @@
 
 def test_a_bad_version_is_rolled_back(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        found = await reported(fleet, ReportingRouter(fleet, target_fails=True))
+        found = await run_reported_rollout(fleet, ReportingRouter(fleet, target_fails=True))
         assert (found["state"], found["target_weight"]) == ("rolled_back", 0.0)
         assert "answers failed" in found["reason"]
 
@@ -234,7 +234,7 @@
         async def lose_primary() -> None:
             await fleet.kill(primary(fleet))
 
-        found = await reported(fleet, ReportingRouter(fleet), lose_primary)
+        found = await run_reported_rollout(fleet, ReportingRouter(fleet), lose_primary)
         assert (found["state"], found["reason"]) == ("completed", ""), found
 
     run_scenario(tmp_path, scenario, routers=0)
