--- a/tests/cluster/test_messages_golden.py
+++ b/tests/cluster/test_messages_golden.py
@@ -1,7 +1,7 @@
-"""Lines as version 0.2 of the fleet wrote them: one of every kind that its processes send each other.
+"""Golden lines of the wire protocol, as written by version 0.2 of the fleet, with at least one of every message type.
 
-The fleet is updated one process at a time, so each of these is read and written the same by every later version.
-`tests/cluster/golden_messages.jsonl` holds the lines; the messages are given here, in the same order.
+Processes are updated one at a time, so every later version must read and write these lines in the same way. The lines
+are in `tests/cluster/golden_messages.jsonl`; this file defines the messages in the same order.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
     PlacementRequest("chat", "6f1d", 5_000.5, "e-1"),
     PlacementResponse("6f1d", None),
     PlacementResponse("6f1d", "e-1", True),
-    # Of later versions, which leave these fields out where the other process need not read them.
+    # Added by later versions, which omit these fields unless the receiver needs them.
     Pull(vector={}, records=[Record(UPSTREAM, "10.0.0.2/0f", 8)]),
     Delta(wants_records=True),
     Delta(records=[Record(VERSIONED_UPSTREAM, "10.0.0.2/0f", 9)]),
@@ -122,13 +122,13 @@
     assert msgspec.json.encode(message) == line
 
 
-def test_every_kind_has_its_line() -> None:
+def test_every_message_type_has_a_golden_line() -> None:
     assert {type(message) for message in MESSAGES} | {Replication} == set(get_args(Message))
     carried = {type(msgspec.json.decode(line, type=Replication).message) for line in REPLICATION}
     assert carried == set(get_args(ReplicationMessage))
 
 
-def test_fields_that_an_older_or_newer_process_leaves_out_or_adds() -> None:
+def test_missing_and_unknown_fields_are_accepted() -> None:
     assert msgspec.json.decode(
         b'{"type":"forwarded","ticket":1,"status":200}', type=Message
     ) == PrimaryResponse(1, 200)
@@ -149,7 +149,7 @@
     assert ConfigurationChange(False, 0, "{}").identity == "8b690a83cd7ce51a4c90196e"
 
 
-def test_the_value_that_a_change_makes() -> None:
+def test_the_document_after_a_change() -> None:
     complete = '{"generation":4,"routes":[],"services":[{"name":"s","max_conns":3,"kept":{"as":"it is"}}]}'
     first = apply_change("", ConfigurationChange(False, 0, complete).encode()).unwrap()
     assert first == complete
--- a/tests/system/test_demo.py
+++ b/tests/system/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration starts, its request is answered, and it ends by a signal."""
+"""The demonstration starts, answers the request that it prints, and ends on a signal."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def leave_a_stream(front: str) -> None:
-    """A client that goes after the first event; returns once its engine has ended the connection too."""
+    """Disconnect a client after the first event of its stream, then check that another request is answered."""
     host, _, port = front.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     head = "POST /answers/x HTTP/1.1\r\nHost: demo.example\r\nX-Api-Key: demo-key\r\nX-Request-Id: 2\r\n"
@@ -29,11 +29,11 @@
         X_Request_Id="3",
         X_Token_Usage="100,80",
     )
-    assert later.whole
+    assert later.is_complete
 
 
 def test_the_demonstration_serves_the_request_that_it_prints() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -49,7 +49,7 @@
                 text = ""
                 while "Ctrl-C" not in text:
                     line = (await process.stdout.readline()).decode()
-                    assert line, "it ended before it was ready"
+                    assert line, "the demonstration ended before it was ready"
                     text += line
                 found = re.search(r"http://([\d.:]+)/answers/x", text)
                 assert found is not None
@@ -62,7 +62,7 @@
                     X_Request_Id="1",
                     X_Token_Usage="100,80",
                 )
-                assert (reply.status, reply.whole) == (200, True)
+                assert (reply.status, reply.is_complete) == (200, True)
                 assert reply.body.count(b"data: word") == 8
                 await leave_a_stream(found[1])
                 process.send_signal(signal.SIGINT)
@@ -76,4 +76,4 @@
                 process.kill()
                 await process.wait()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/system/test_large_change.py
+++ b/tests/system/test_large_change.py
@@ -1,4 +1,4 @@
-"""A change of many routes reaches a router over a small link while it still serves requests over the same link."""
+"""A change of many routes reaches a router over a slow link that also carries its requests."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 import pytest
 
 from larkweir.cluster.links import Connection
-from tests.system.loopback import Fleet, ask, play
+from tests.system.loopback import Fleet, ask, run_scenario
 from tests.system.test_fleet import configuration
 
 CONTROLLERS = 5
-ROUTES = 1_400  # that one change adds
+ROUTES = 1_400  # added by one change
 LINK_BYTES_PER_S = 5_000_000 / 8
-MAX_TRANSFER_S = 1.25  # half of the time in which a change is to be in force: requests use the link too
+MAX_TRANSFER_S = 1.25  # half of the time until a change must be in force, as requests use the link too
 
 
 def routes(count: int) -> list[dict[str, Any]]:
-    """Routes with the fields of an operator's, named and placed by chance."""
+    """Return routes with the usual fields, and with random names and path prefixes."""
     rng = random.Random(69)
     names = rng.sample(range(36**5, 36**6), count)
     return [
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def received(monkeypatch: pytest.MonkeyPatch) -> Counter[Connection]:
-    """Bytes by connection between processes of the fleet, at the receiving end."""
+    """Count the received bytes of each connection between processes of the fleet."""
     counts: Counter[Connection] = Counter()
     data_received = Connection.data_received
 
@@ -58,14 +58,12 @@
     return counts
 
 
-def test_a_change_of_many_routes_is_not_sent_over_a_small_link_by_every_controller_whole(
-    tmp_path: Path, received: Counter[Connection]
-) -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_a_change_of_many_routes_fits_a_slow_link(tmp_path: Path, received: Counter[Connection]) -> None:
+    async def scenario(fleet: Fleet) -> None:
         front = fleet.fronts[0]
 
         async def is_in_force_everywhere() -> bool:
-            """At the router, by what it tells each controller."""
+            """Return whether the router has reported the newest sequence to each controller."""
             await ask(fleet.control[0], "GET", "/status")
             controllers = [fleet.nodes[address] for address in fleet.control]
             newest = max(one._state.configuration.sequence for one in controllers)
@@ -85,13 +83,15 @@
         assert table.version == 2
         for route in added:
             assert table.find_route("a.example", route["path_prefix"] + "x").name == route["name"]
-        at_router = sum(
+        router_bytes = sum(
             count
             for connection, count in received.items()
             if any(link.connection is connection for link in router._sync._links._links.values())
         )
-        assert at_router > 0
+        assert router_bytes > 0
         size = len(msgspec.json.encode(patch))
-        assert at_router / LINK_BYTES_PER_S < MAX_TRANSFER_S, f"{at_router} bytes for a change of {size}"
+        assert (
+            router_bytes / LINK_BYTES_PER_S < MAX_TRANSFER_S
+        ), f"{router_bytes} bytes for a change of {size}"
 
-    play(tmp_path, scene, controllers=CONTROLLERS, routers=1, tolerance=2)
+    run_scenario(tmp_path, scenario, controllers=CONTROLLERS, routers=1, tolerance=2)
--- a/tests/system/test_own_days.py
+++ b/tests/system/test_own_days.py
@@ -1,4 +1,4 @@
-"""The project's own days for the bench: every kind of trouble is in one of them, and reports are read rightly."""
+"""The project's own days for the bench: every kind of fault occurs in one of them, and reports are parsed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from benchmarks.fleet_days import DAYS, Played, read
 
-# As the platform's bench lists them.
+# The kinds of faults, as listed by the platform's bench.
 KINDS = """
 burst hot_key hot_tenant srv_crash release answer_lost garble node_kill roll_term herd_kill replace_core seed_turnover
 after_ack_wipe disk_slow disk_full clock_step core_cut node_cut config_change config_storm config_race bad_config
@@ -29,12 +29,12 @@
     ]
 
 
-def test_every_kind_of_trouble_is_in_a_day() -> None:
+def test_every_kind_of_fault_is_in_a_day() -> None:
     drawn = {entry["kind"] for day in _days() for entry in [*day.get("plan", []), *day.get("faults", [])]}
     assert sorted(set(KINDS) - drawn) == []
 
 
-def test_a_day_is_called_as_its_file() -> None:
+def test_a_day_has_the_name_of_its_file() -> None:
     for file in Path(DAYS).rglob("*.toml"):
         assert [day["name"] for day in tomllib.loads(file.read_text())["day"]] == [file.stem]
 
