--- a/larkweir/control/server.py
+++ b/larkweir/control/server.py
@@ -63,8 +63,8 @@
             return False
         descriptor = transport.get_extra_info("socket").fileno()
         if not self._done:
-            return net.waits(descriptor)
-        return transport.get_write_buffer_size() > 0 or net.in_flight(descriptor) > 0
+            return net.is_readable(descriptor)
+        return transport.get_write_buffer_size() > 0 or net.unacknowledged_bytes(descriptor) > 0
 
     def abort(self) -> None:
         self._done = True
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -182,7 +182,9 @@
         from larkweir.coordination.health_sharing import SharedHealthAdapter  # not imported without the duty
 
         dispatcher = self._host.dispatcher
-        return SharedHealthAdapter(self._balancers, lambda: dispatcher.upstreams.targets, dispatcher.heard)
+        return SharedHealthAdapter(
+            self._balancers, lambda: dispatcher.upstreams.targets, dispatcher.on_peer_health
+        )
 
     def _balancers(self) -> list[Balancer]:
         if self._routes is not None:
--- a/larkweir/core/attempts.py
+++ b/larkweir/core/attempts.py
@@ -96,8 +96,8 @@
         process = self._process_of(action.server)
 
         def on_recorded() -> None:
-            moved = process is not self._process_of(action.server)
-            self._launch(request, number, action, until_ms, moved=moved)
+            process_changed = process is not self._process_of(action.server)
+            self._launch(request, number, action, until_ms, process_changed=process_changed)
 
         durable_state.began(request.trace, on_recorded, request.memory_ms)
 
@@ -115,12 +115,17 @@
         return None if target is None else target.process
 
     def _launch(
-        self, request: ActiveRequest, number: int, action: Send, until_ms: float, moved: bool = False
+        self,
+        request: ActiveRequest,
+        number: int,
+        action: Send,
+        until_ms: float,
+        process_changed: bool = False,
     ) -> None:
-        """Begin the attempt, if it is still allowed. `moved`: its server is another process by now."""
+        """Begin the attempt, if it is still allowed. `process_changed`: its server is another process by now."""
         now = self._clock.now_ms()
         too_late = request.finished or until_ms <= now or request.is_body_consumed
-        excluded = too_late or number >= request.max_attempts or moved
+        excluded = too_late or number >= request.max_attempts or process_changed
         attempt: Attempt | None = None
         if not excluded and not self.is_client_gone(request):
             attempt = self._begin(request, number, action, until_ms, now)
--- a/larkweir/core/dispatcher.py
+++ b/larkweir/core/dispatcher.py
@@ -68,9 +68,9 @@
         self._events: deque[Event] = deque()
         self._is_delivering = False
         # For how long the process has just stood still: requests read now have waited for about so long.
-        self.lost_ms = 0.0
+        self.stalled_ms = 0.0
         # A loop iteration as late as this had a standstill before it; infinity: nobody asks.
-        self.stall_ms = math.inf
+        self.min_stall_ms = math.inf
         self._apply(config)
 
     def _create_senders(self, config: Config) -> None:
@@ -147,9 +147,11 @@
         event.request = number = self.requests.next_number
         self.requests.next_number += 1
         now = self.clock.now_ms()
-        lost_ms = self._standstill_ms(loop_timing, now) if self.stall_ms < math.inf else self.lost_ms
-        if lost_ms:
-            time_left_ms = event.time_left_ms = max(0.0, time_left_ms - lost_ms)
+        stalled_ms = (
+            self._stalled_before_ms(loop_timing, now) if self.min_stall_ms < math.inf else self.stalled_ms
+        )
+        if stalled_ms:
+            time_left_ms = event.time_left_ms = max(0.0, time_left_ms - stalled_ms)
         deadline_ms = now + time_left_ms
         stream = message.stream
         is_arriving = stream is not None and not stream.ended
@@ -172,12 +174,12 @@
         self.deliver(event)
         return number
 
-    def _standstill_ms(self, loop_timing: LoopTiming, now: float) -> float:
+    def _stalled_before_ms(self, loop_timing: LoopTiming, now: float) -> float:
         """For how long the process stood still before it read this request. The system's news may be handled before
         the timer that notices a standstill; and a process that is stopped in the middle of an iteration reads on in it.
         """
         waited_ms = max(loop_timing.late_ms, now - loop_timing.poll_ended_ms)
-        return max(self.lost_ms, waited_ms) if waited_ms > self.stall_ms else self.lost_ms
+        return max(self.stalled_ms, waited_ms) if waited_ms > self.min_stall_ms else self.stalled_ms
 
     def _grant_budget(
         self, budgets: Budgets, request: ActiveRequest, event: RequestArrived, now: float
@@ -259,7 +261,7 @@
                     upstream.number, upstream.address, ServerState.GONE, upstream.started_ms
                 )
 
-    def heard(self, event: PeerHealthReport) -> None:
+    def on_peer_health(self, event: PeerHealthReport) -> None:
         """Another replica's finding of an upstream's health."""
         self.deliver(event)
 
@@ -282,9 +284,9 @@
             for action in self.decisions.handle(self.clock.now_ms(), event):
                 self.actions.execute(action)
         except Exception as problem:
-            self._fail_alone(event, problem)
+            self._fail_request(event, problem)
 
-    def _fail_alone(self, event: Event, problem: Exception) -> None:
+    def _fail_request(self, event: Event, problem: Exception) -> None:
         """Guards the other requests: whatever went wrong with this one, it alone is answered 500."""
         number = getattr(event, "request", event.cookie if isinstance(event, TimerFired) else 0)
         request = self.requests.get(number)
--- a/larkweir/core/loop_timing.py
+++ b/larkweir/core/loop_timing.py
@@ -27,7 +27,7 @@
 
     # A poll counts as one that waited if it took longer than this time and than this share of the iteration before:
     # on a busy machine a poll that returns at once may still lose the CPU for a while.
-    WAITED_MS, WAITED_PART = 0.5, 0.5
+    WAITED_MS, WAITED_SHARE = 0.5, 0.5
     LATE_MS = 5.0  # a timer that is later than this is not late by rounding alone
 
     def __init__(self, now_ms: float) -> None:
@@ -49,7 +49,7 @@
         before, self.poll_ended_ms = self.poll_ended_ms, now_ms
         busy = self.poll_began_ms - before
         self.late_ms = 0.0
-        if now_ms - self.poll_began_ms <= max(self.WAITED_MS, self.WAITED_PART * busy):
+        if now_ms - self.poll_began_ms <= max(self.WAITED_MS, self.WAITED_SHARE * busy):
             self.since_ms = before
             self.late_ms = busy
         elif now_ms > due_ms + self.LATE_MS:
--- a/larkweir/core/net.py
+++ b/larkweir/core/net.py
@@ -1,8 +1,8 @@
 """System calls on sockets beside the event loop: what is unread, whether the peer has closed, what it has not
 acknowledged, and the closing of the sending side.
 
-All such calls are here, and callers use them as attributes of the module (`net.waits`), so that the simulated kernel of
-`standins.world` can replace them.
+All such calls are here, and callers use them as attributes of the module (`net.is_readable`), so that the simulated kernel
+of `standins.world` can replace them.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     return found
 
 
-def waits(descriptor: int) -> bool:
+def is_readable(descriptor: int) -> bool:
     """Whether bytes, an end, or a connection to accept, wait in the system."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
@@ -71,7 +71,7 @@
         sock.detach()
 
 
-def shut(descriptor: int) -> None:
+def shutdown_sending(descriptor: int) -> None:
     """Close the sending side of a connection at once: the other end sees the end behind what was sent. OSError where
     the other end has reset it.
     """
@@ -82,7 +82,7 @@
         sock.detach()
 
 
-def in_flight(descriptor: int) -> int:
+def unacknowledged_bytes(descriptor: int) -> int:
     """Bytes that the system has taken and the peer's has not acknowledged (SIOCOUTQ, tcp(7)). OSError or ValueError
     where it doesn't tell.
     """
@@ -95,7 +95,7 @@
     goes on sending it for minutes after the close, and an end that was cut off takes it when it is back.
     """
     try:
-        if in_flight(sock.fileno()):
+        if unacknowledged_bytes(sock.fileno()):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
     except (OSError, ValueError):
         pass  # closed by now, or no such socket: nothing is sent again
--- a/larkweir/core/peer_progress.py
+++ b/larkweir/core/peer_progress.py
@@ -14,33 +14,33 @@
     # Counted between two looks: guards against taking a standstill of this process for the peer's.
     MAX_STEP_MS = 500.0
 
-    __slots__ = ("_looked_ms", "_taken", "long_to", "silent_ms", "written")
+    __slots__ = ("_acknowledged", "_updated_ms", "long_answer_end", "silent_ms", "written")
 
     def __init__(self) -> None:
         self.written = 0  # bytes, since the connection came up
-        self.long_to = 0  # of these, up to the end of the last long answer
+        self.long_answer_end = 0  # of these, up to the end of the last long answer
         self.silent_ms = 0.0
-        self._taken = 0
-        self._looked_ms: float | None = None
+        self._acknowledged = 0
+        self._updated_ms: float | None = None
 
-    def look(self, left: int, now_ms: float) -> float:
+    def update(self, left: int, now_ms: float) -> float:
         """`left`: bytes written that the peer's system has not acknowledged. For how many milliseconds it has taken
         nothing, though there was something to take.
         """
         taken = self.written - left
-        before, self._looked_ms = self._looked_ms, now_ms
-        if taken != self._taken or left <= 0 or before is None:
-            self._taken = taken
+        before, self._updated_ms = self._updated_ms, now_ms
+        if taken != self._acknowledged or left <= 0 or before is None:
+            self._acknowledged = taken
             self.silent_ms = 0.0
         else:
             self.silent_ms += max(0.0, min(now_ms - before, self.MAX_STEP_MS))
         return self.silent_ms
 
-    def rest(self) -> None:
+    def pause(self) -> None:
         """Nothing was looked at meanwhile: the next look begins anew."""
-        self._looked_ms = None
+        self._updated_ms = None
 
     @property
-    def in_long(self) -> bool:
+    def in_long_answer(self) -> bool:
         """Whether a part of a long answer was still to be taken at the last look."""
-        return self._taken < self.long_to
+        return self._acknowledged < self.long_answer_end
--- a/larkweir/core/request_parser.py
+++ b/larkweir/core/request_parser.py
@@ -15,7 +15,7 @@
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))
 
 
-WANTED = frozenset(
+PARSED_HEADERS = frozenset(
     (
         b"x-trace-id",
         b"x-qos",
@@ -72,7 +72,7 @@
         found: dict[bytes, bytes] = {}
         for name, value in message.headers:
             lower = name.lower()
-            if lower in WANTED:
+            if lower in PARSED_HEADERS:
                 if lower in found:
                     raise FramingError(400, f"header {lower.decode('latin-1')} comes more than once")
                 found[lower] = value
--- a/larkweir/lifecycle/stall_watch.py
+++ b/larkweir/lifecycle/stall_watch.py
@@ -17,7 +17,7 @@
         self._stall_ms = stall_ms
         self._log = log
         self._due_ms = node.clock.now_ms()
-        node.dispatcher.stall_ms = stall_ms
+        node.dispatcher.min_stall_ms = stall_ms
         self._look()
 
     def _look(self) -> None:
@@ -29,9 +29,9 @@
             self._log(
                 f"this process stood still for {lost_ms:.0f} ms; requests read now have waited meanwhile"
             )
-            self._node.dispatcher.lost_ms = lost_ms
+            self._node.dispatcher.stalled_ms = lost_ms
             self._node.clock.after(self.FORGET_MS, self._forget)
         self._node.clock.after(interval_ms, self._look)
 
     def _forget(self) -> None:
-        self._node.dispatcher.lost_ms = 0.0
+        self._node.dispatcher.stalled_ms = 0.0
--- a/larkweir/protocols/caller_writer.py
+++ b/larkweir/protocols/caller_writer.py
@@ -20,7 +20,7 @@
     """
     waiting = transport.get_write_buffer_size()
     try:
-        return waiting + net.in_flight(transport.get_extra_info("socket").fileno())
+        return waiting + net.unacknowledged_bytes(transport.get_extra_info("socket").fileno())
     except (OSError, ValueError, AttributeError):
         return waiting
 
@@ -73,7 +73,7 @@
         """
         if not transport.get_write_buffer_size():
             with suppress(OSError):  # the peer may have reset it
-                net.shut(transport.get_extra_info("socket").fileno())
+                net.shutdown_sending(transport.get_extra_info("socket").fileno())
 
     def close_sending(self) -> None:
         """Close the sending side behind what is written; what the caller still sends is read."""
@@ -108,11 +108,11 @@
 
     def end_long_answer(self) -> None:
         """All of a long answer is written."""
-        self._progress.long_to = self._progress.written
+        self._progress.long_answer_end = self._progress.written
 
     def restart_timing(self) -> None:
         """Nobody has checked for a while, since nothing was waiting: what is waiting now is timed from here."""
-        self._progress.rest()
+        self._progress.pause()
 
     def check_undelivered(self, now_ms: float, memory_short: bool = False) -> bool:
         """Whether the caller's system is still to acknowledge something. If it has acknowledged nothing for too long,
@@ -120,13 +120,13 @@
         """
         transport = self.transport
         waiting_bytes = unacknowledged(transport) if transport is not None else 0
-        silent_ms = self._progress.look(waiting_bytes, now_ms)
+        silent_ms = self._progress.update(waiting_bytes, now_ms)
         arriving = self._long_body is not None and not self._long_body.ended
         if transport is None or not waiting_bytes:
             if not arriving:
                 self._long_body = None
             return False
-        is_long = (arriving or self._progress.in_long) and not memory_short
+        is_long = (arriving or self._progress.in_long_answer) and not memory_short
         if silent_ms > (self.STALL_MS if is_long else self.UNREAD_MS):
             self.log_truncation(
                 f"its caller has read nothing for {silent_ms:.0f} ms{', and memory is short' * memory_short}",
@@ -138,7 +138,7 @@
     def log_truncation(self, why: str, now_ms: float) -> None:
         """Log, once, that a long answer that had begun ends early, with what was received and is unacknowledged."""
         body, self._long_body = self._long_body, None
-        if self.transport is None or (body is None and not self._progress.in_long):
+        if self.transport is None or (body is None and not self._progress.in_long_answer):
             return
         waiting_bytes = unacknowledged(self.transport)
         if not waiting_bytes and (body is None or body.complete):
--- a/larkweir/protocols/fastcgi/callers.py
+++ b/larkweir/protocols/fastcgi/callers.py
@@ -259,7 +259,7 @@
         return (
             self.awaits_request
             and transport is not None
-            and not net.waits(transport.get_extra_info("socket").fileno())
+            and not net.is_readable(transport.get_extra_info("socket").fileno())
         )
 
     @property
--- a/larkweir/protocols/fastcgi/part.py
+++ b/larkweir/protocols/fastcgi/part.py
@@ -34,7 +34,7 @@
 def attach(host: Host, options: Operator) -> None:
     """Speak FastCGI in this balancer, as the operator file says."""
     host.connection_types["fastcgi"] = FastcgiCaller
-    said, figures, plain = host.upstream_protocol, options.fastcgi, host.upstreams.make
+    said, figures, plain = host.upstream_protocol, options.fastcgi, host.upstreams.make_connection
     if figures.upstreams == "off" and said is None:
         return
     capabilities = UpstreamCapabilities(figures.multiplex, figures.requests, figures.keep, host.log.write)
@@ -48,8 +48,10 @@
     def make(pool: UpstreamPool, upstream: Upstream) -> UpstreamConnection:
         return capabilities.connection(pool, upstream) if speaks(upstream) else plain(pool, upstream)
 
-    host.upstreams.make = make
-    host.upstreams.full = lambda upstream, waiting: speaks(upstream) and capabilities.full(upstream, waiting)
+    host.upstreams.make_connection = make
+    host.upstreams.is_full = lambda upstream, waiting: speaks(upstream) and capabilities.full(
+        upstream, waiting
+    )
     host.request_handler.checks.append(refuse_collapsing)
     host.request_handler.streams = False  # the records of a request are made of its whole body
     host.close_callbacks.append(capabilities.close)
--- a/larkweir/protocols/fastcgi/upstreams.py
+++ b/larkweir/protocols/fastcgi/upstreams.py
@@ -163,7 +163,7 @@
         self._sent_bytes = 0
         self._charged_bytes = 0  # to the memory budget that all connections share
         self.idle_since_ms = 0.0
-        self.resting = False  # ids are not used again, so nothing old can be taken for something new
+        self.reuse_delayed = False  # ids are not used again, so nothing old can be taken for something new
         self.listed = False
         self.retired = False
         self._socket_watch: net.Watch  # from its coming up on
@@ -348,7 +348,7 @@
             self._transport.get_write_buffer_size() if self._transport is not None else 0
         )
 
-    def look(self, call: AttemptCall) -> None:
+    def update_written(self, call: AttemptCall) -> None:
         """Update whether the call may have crossed its dividing line; see `upstream_machine`."""
         if not call.written:
             call.written = len(self._calls) > 1 or self._taken_bytes() > self._line_bytes
--- a/larkweir/protocols/http1/upstreams.py
+++ b/larkweir/protocols/http1/upstreams.py
@@ -39,7 +39,7 @@
         self._call: AttemptCall | None = None
         self._charged_bytes = 0  # to the memory budget that all connections share
         self._probe_body: bytes | None = None  # of the answer before, if that was a health check's
-        self.resting = False  # the answer before was an attempt's: see `REST_MS` of the pool
+        self.reuse_delayed = False  # the answer before was an attempt's: see `REUSE_DELAY_MS` of the pool
         self.idle_since_ms = 0.0
         self.listed = False
         self._lost = False
@@ -82,7 +82,7 @@
         if call is None:  # nothing was asked
             self.abort()
             return
-        call.touched = True
+        call.has_answer_bytes = True
         reader = self._reader
         answers = reader.feed(data)
         fits = self._charge_memory(reader.buffered_bytes)
@@ -141,7 +141,7 @@
                 and answer.keep_alive
             ):
                 call.connection = None
-                self.resting = True
+                self.reuse_delayed = True
                 self._pool.put(self)
             else:
                 self.abort()
@@ -193,7 +193,7 @@
             return
         if clean and answer.keep_alive:
             call.connection = None
-            self.resting = not call.probe
+            self.reuse_delayed = not call.probe
             self._pool.put(self)
         else:
             self.abort()
@@ -298,7 +298,7 @@
         """How many more calls it can carry now."""
         return int(self._call is None and not self._lost)
 
-    def look(self, call: AttemptCall) -> None:
+    def update_written(self, call: AttemptCall) -> None:
         """Nothing to do: a request may have run from its last byte on, and `resume_writing` marks that."""
 
     def release(self, call: AttemptCall) -> None:
--- a/larkweir/protocols/listener.py
+++ b/larkweir/protocols/listener.py
@@ -125,7 +125,7 @@
             if listening not in self._sockets:
                 return False
             if len(self._connections) >= self.budget:
-                if not net.waits(listening.fileno()):
+                if not net.is_readable(listening.fileno()):
                     return False
                 if not self._evict():
                     self._pause()
--- a/larkweir/upstreams/attempt_call.py
+++ b/larkweir/upstreams/attempt_call.py
@@ -44,7 +44,7 @@
 class AttemptCall:
     """An attempt or a health check. Its observer is told of its end once, with the outcome and the answer."""
 
-    LEAST_LEFT_MS = 1.0  # less time than that can't be told to an upstream, so that nothing is sent
+    MIN_TIME_LEFT_MS = 1.0  # less time than that can't be told to an upstream, so that nothing is sent
 
     __slots__ = (
         "clock",
@@ -52,6 +52,7 @@
         "connection",
         "ended",
         "extra",
+        "has_answer_bytes",
         "margin_ms",
         "message",
         "observer",
@@ -59,7 +60,6 @@
         "probe",
         "process",
         "timer",
-        "touched",
         "until_ms",
         "upstream",
         "write_by_ms",
@@ -98,7 +98,7 @@
         self.written = False  # it may have been begun: its dividing line may have been crossed
         self.written_ms = 0.0  # when it was handed to a connection; 0: not yet
         self.connect_ms = 0.0  # how long that took to come up, less what was this process's own time
-        self.touched = False  # something has come back for it
+        self.has_answer_bytes = False  # something has come back for it
         self.ended = False
 
     def write(self, connection: UpstreamConnection, now_ms: float) -> bool:
@@ -108,7 +108,7 @@
         if (
             self.upstream.drain_expired(now_ms)
             or now_ms >= self.write_by_ms
-            or self.left_ms(now_ms) < self.LEAST_LEFT_MS  # its timer may be late
+            or self.left_ms(now_ms) < self.MIN_TIME_LEFT_MS  # its timer may be late
             or self.observer.no_longer_needed()
         ):
             self.end(Outcome.MOOT)
@@ -119,7 +119,7 @@
         return True
 
     @property
-    def moved(self) -> bool:
+    def process_changed(self) -> bool:
         """Whether its upstream is another process by now than the one that it is meant for."""
         return self.process is not self.upstream.process
 
@@ -133,9 +133,9 @@
         if self.write_by_ms == math.inf or self.clock.now_ms() < self.write_by_ms:
             return
         if self.connection is not None:
-            self.connection.look(self)
+            self.connection.update_written(self)
         if not self.written:
-            self.end(Outcome.RESET if self.touched else Outcome.MOOT)
+            self.end(Outcome.RESET if self.has_answer_bytes else Outcome.MOOT)
 
     def on_body_received(self, until_ms: float) -> None:
         """Its last byte has come: it is waited for until then, or for as long as it was given."""
@@ -155,14 +155,14 @@
     def time_out(self) -> None:
         """No answer in time; if its line has not been crossed, it never will be."""
         if self.connection is not None:
-            self.connection.look(self)
-        self.end(Outcome.TIMEOUT if self.written or self.touched else Outcome.CONNECT_FAILED)
+            self.connection.update_written(self)
+        self.end(Outcome.TIMEOUT if self.written or self.has_answer_bytes else Outcome.CONNECT_FAILED)
 
     def on_connection_lost(self) -> None:
         """Its connection is lost: it can't be answered any more. An upstream that has sent a byte back may have run it,
         whatever was written by then.
         """
-        self.end(Outcome.RESET if self.written or self.touched else Outcome.CONNECT_FAILED)
+        self.end(Outcome.RESET if self.written or self.has_answer_bytes else Outcome.CONNECT_FAILED)
 
     def end(self, outcome: Outcome, answer: Message | None = None) -> None:
         """End it with this outcome; without effect once it has ended."""
--- a/larkweir/upstreams/connection.py
+++ b/larkweir/upstreams/connection.py
@@ -17,7 +17,7 @@
     upstream: Upstream
     address: Address
     idle_since_ms: float
-    resting: bool  # its last answer was an attempt's: see `UpstreamPool.REST_MS`
+    reuse_delayed: bool  # its last answer was an attempt's: see `UpstreamPool.REUSE_DELAY_MS`
     listed: bool  # the pool holds it for further calls
     retired: bool  # it leads to a process that is gone, or is not trusted any more: it gets no further call
 
@@ -38,7 +38,7 @@
     def send(self, call: AttemptCall) -> None:
         """Write a call's request."""
 
-    def look(self, call: AttemptCall) -> None:
+    def update_written(self, call: AttemptCall) -> None:
         """Bring up to date whether the call's dividing line may have been crossed (`written`)."""
 
     def release(self, call: AttemptCall) -> None:
--- a/larkweir/upstreams/pool.py
+++ b/larkweir/upstreams/pool.py
@@ -37,36 +37,36 @@
     # it: guards against a second copy of the answer, or noise, that comes one read later and would be taken
     # for the answer to the next call. A probe is the first half of a send, so its connection does not rest:
     # there an answer that repeats the probe's is told by its body.
-    REST_MS = 25.0
-    LOOK_MS = (2.0, 20.0)  # from look to look, for calls that wait because connections are paced
+    REUSE_DELAY_MS = 25.0
+    WAITING_POLL_MS = (2.0, 20.0)  # from look to look, for calls that wait because connections are paced
     CONNECT_MARGIN_MS = 100.0  # of the drain's grace, for lists that are read late
 
     def __init__(
         self,
         clock: Clock,
         memory: MemoryBudget,
-        make: Callable[[UpstreamPool, Upstream], UpstreamConnection],
+        make_connection: Callable[[UpstreamPool, Upstream], UpstreamConnection],
         settings: Settings,
         budget: int,
         drain_grace_ms: float,
     ) -> None:
-        """`make` makes a connection that is not up yet; it must be an `asyncio.Protocol`. `budget` bounds the
+        """`make_connection` makes a connection that is not up yet; it must be an `asyncio.Protocol`. `budget` bounds the
         sockets. `drain_grace_ms` is how long after the word of a drain something new may still go there.
         """
         self.clock = clock
         self.memory = memory
-        self.make = make
+        self.make_connection = make_connection
         self.table: dict[int, Upstream] = {}
         self.draining: set[int] = set()  # those told to drain
         # Where an upstream says how much it takes: whether that is out already.
-        self.full: Callable[[Upstream, int], bool] | None = None
-        self._pending: Counter[int] = Counter()  # calls that wait for a connection, where `full` is asked
+        self.is_full: Callable[[Upstream, int], bool] | None = None
+        self._pending: Counter[int] = Counter()  # calls that wait for a connection, where `is_full` is asked
         self._idle: dict[
             int, list[UpstreamConnection]
         ] = {}  # with room, by upstream, the one used last at the end
         # Coming up, by upstream: one that has room for more calls than wait for it.
-        self._coming: dict[int, tuple[UpstreamConnection, list[AttemptCall]]] = {}
-        self._made: dict[
+        self._shared_connecting: dict[int, tuple[UpstreamConnection, list[AttemptCall]]] = {}
+        self._assigned: dict[
             AttemptCall, UpstreamConnection
         ] = {}  # for a call whose connection is about to come up
         self._open: dict[
@@ -85,7 +85,7 @@
         self._budget = budget
         idle_ms = settings.conn_idle_ms
         # Guards against writing to a connection in the moment the upstream closes it for having stood idle.
-        self._keep_ms = idle_ms - min(5_000.0, 0.2 * idle_ms)
+        self._max_idle_ms = idle_ms - min(5_000.0, 0.2 * idle_ms)
         self._connect_timeout_ms = settings.connect_timeout_ms
         self._drain_grace_ms = max(0.0, drain_grace_ms - self.CONNECT_MARGIN_MS)
         for upstream in self.table.values():
@@ -173,13 +173,13 @@
             call.timer = self.clock.at(until_ms, call.time_out)
         if write_by_ms < until_ms:
             self.clock.at(write_by_ms, call.end_if_unwritten)
-        idle = self._take(upstream, now)
+        idle = self._take_idle(upstream, now)
         if idle is not None:
             if not call.write(idle, now) or idle.room:
                 self.put(idle)
-        elif self.full is not None and self.full(upstream, self._pending[target]):
+        elif self.is_full is not None and self.is_full(upstream, self._pending[target]):
             call.end(Outcome.FULL)
-        elif self._join(call):
+        elif self._join_connecting(call):
             pass
         elif self.sockets >= self._budget and not self._close_oldest():
             call.end(Outcome.CONNECT_FAILED)
@@ -187,7 +187,7 @@
             queue = self._waiting.setdefault(target, deque())
             queue.append(call)
             if len(queue) == 1:
-                self._look_later(target, now)
+                self._poll_waiting_later(target, now)
         else:
             self._open_for(call)
         return call
@@ -195,19 +195,21 @@
     def _open_for(self, call: AttemptCall) -> None:
         """A new connection, for this call first."""
         upstream = call.upstream
-        if self.full is not None:
+        if self.is_full is not None:
             self._pending[upstream.number] += 1
             # Others that come meanwhile may wait for the same connection.
-            self._made[call] = connection = self.make(self, upstream)
+            self._assigned[call] = connection = self.make_connection(self, upstream)
             if connection.room > 1:
-                self._coming[upstream.number] = (connection, [call])
+                self._shared_connecting[upstream.number] = (connection, [call])
         task = asyncio.get_running_loop().create_task(self._connect(call))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
-    def _look_later(self, number: int, now: float) -> None:
+    def _poll_waiting_later(self, number: int, now: float) -> None:
         assert self.rate_limiter is not None
-        wait = max(self.LOOK_MS[0], min(self.rate_limiter.wait_ms(number, now), self.LOOK_MS[1]))
+        wait = max(
+            self.WAITING_POLL_MS[0], min(self.rate_limiter.wait_ms(number, now), self.WAITING_POLL_MS[1])
+        )
         self.clock.after(wait, lambda: self._serve_waiting(number))
 
     def _serve_waiting(self, number: int) -> None:
@@ -221,13 +223,13 @@
             upstream = call.upstream
             if call.observer.no_longer_needed():  # also where it has ended by itself
                 call.end(Outcome.MOOT)
-            elif not call.ended and self.table.get(number) is upstream and not call.moved:
-                idle = self._take(upstream, now)
+            elif not call.ended and self.table.get(number) is upstream and not call.process_changed:
+                idle = self._take_idle(upstream, now)
                 if idle is not None:
                     if not call.write(idle, now) or idle.room:
                         self.put(idle)
                 elif self.rate_limiter is not None and not self.rate_limiter.is_allowed(number, now):
-                    self._look_later(number, now)
+                    self._poll_waiting_later(number, now)
                     return
                 elif self.sockets >= self._budget and not self._close_oldest():
                     call.end(Outcome.CONNECT_FAILED)
@@ -240,9 +242,9 @@
 
     async def _connect(self, call: AttemptCall) -> None:
         upstream = call.upstream
-        connection = self._made.pop(call, None) or self.make(self, upstream)
+        connection = self._assigned.pop(call, None) or self.make_connection(self, upstream)
         protocol = cast(asyncio.Protocol, connection)
-        coming = self._coming.get(upstream.number)
+        coming = self._shared_connecting.get(upstream.number)
         calls = coming[1] if coming is not None and coming[0] is connection else [call]
         self.clock.loop_iteration()  # tasks run behind the end of the turn that made them
         begun = self.clock.now_ms()
@@ -250,17 +252,17 @@
             async with asyncio.timeout(self._connect_timeout_ms / 1000.0):
                 await asyncio.get_running_loop().create_connection(lambda: protocol, *connection.address)
         except OSError:  # refused, unreachable, out of descriptors, or not up in time
-            self._came(connection, len(calls))
+            self._connect_ended(connection, len(calls))
             for item in calls:
                 item.end(Outcome.CONNECT_FAILED)
             return
-        self._came(connection, len(calls))
+        self._connect_ended(connection, len(calls))
         self._open[connection] = None
-        if call.moved or not connection.usable():
+        if call.process_changed or not connection.usable():
             self.closed(connection)
             connection.abort()
             for item in calls:
-                item.end(Outcome.MOOT if call.moved else Outcome.CONNECT_FAILED)
+                item.end(Outcome.MOOT if call.process_changed else Outcome.CONNECT_FAILED)
             return
         took = self.clock.loop_iteration().remote_ms(begun)
         now = self.clock.now_ms()
@@ -273,40 +275,40 @@
         if connection.room:
             self.put(connection)
 
-    def _join(self, call: AttemptCall) -> bool:
+    def _join_connecting(self, call: AttemptCall) -> bool:
         """Let it wait for a connection that is coming up and has room for it."""
-        coming = self._coming.get(call.upstream.number)
+        coming = self._shared_connecting.get(call.upstream.number)
         if coming is None or len(coming[1]) >= coming[0].room or coming[1][0].process is not call.process:
             return False  # none, full, or on its way to another process
         coming[1].append(call)
         self._pending[call.upstream.number] += 1
         return True
 
-    def _came(self, connection: UpstreamConnection, calls: int) -> None:
-        if self.full is None:
+    def _connect_ended(self, connection: UpstreamConnection, calls: int) -> None:
+        if self.is_full is None:
             return
         number = connection.upstream.number
         self._pending[number] -= calls
         if self._pending[number] <= 0:
             del self._pending[number]
-        coming = self._coming.get(connection.upstream.number)
+        coming = self._shared_connecting.get(connection.upstream.number)
         if coming is not None and coming[0] is connection:
-            del self._coming[connection.upstream.number]
+            del self._shared_connecting[connection.upstream.number]
 
-    def _take(self, upstream: Upstream, now: float) -> UpstreamConnection | None:
+    def _take_idle(self, upstream: Upstream, now: float) -> UpstreamConnection | None:
         idle = self._idle.get(upstream.number)
         if not idle:
             return None
         for at in range(len(idle) - 1, -1, -1):
             connection = idle[at]
             unused = now - connection.idle_since_ms
-            if connection.resting and unused < self.REST_MS:
+            if connection.reuse_delayed and unused < self.REUSE_DELAY_MS:
                 continue
             del idle[at]
             connection.listed = False
             if connection.room <= 0:  # it takes fewer than when it was listed
                 continue
-            if (unused < self._keep_ms or connection.calls) and connection.usable():
+            if (unused < self._max_idle_ms or connection.calls) and connection.usable():
                 return connection
             connection.abort()
         return None
@@ -336,7 +338,7 @@
 
     def _sweep(self) -> None:
         """Close what has stood idle for nearly as long as the upstream lets it."""
-        oldest = self.clock.now_ms() - self._keep_ms + self.SWEEP_MS
+        oldest = self.clock.now_ms() - self._max_idle_ms + self.SWEEP_MS
         for number in list(self._idle):
             kept = []
             for connection in self._idle[number]:
--- a/standins/world/planted.py
+++ b/standins/world/planted.py
@@ -290,7 +290,7 @@
         "MemoryBudget.charge",
         _leaks,
     ),
-    Planted("a connection does not rest", "spoilt", POOL, "UpstreamPool.REST_MS", lambda real: 0.0),
+    Planted("a connection does not rest", "spoilt", POOL, "UpstreamPool.REUSE_DELAY_MS", lambda real: 0.0),
     Planted(
         "a cold upstream is not spared",
         "cold",
--- a/standins/world/system.py
+++ b/standins/world/system.py
@@ -82,18 +82,18 @@
     return Close(running().numbered[descriptor])
 
 
-def waits(descriptor: int) -> bool:
+def is_readable(descriptor: int) -> bool:
     what = running().numbered[descriptor].what
     return isinstance(what, End | Listening) and what.readable
 
 
-def shut(descriptor: int) -> None:
+def shutdown_sending(descriptor: int) -> None:
     end = running().numbered[descriptor].end
     if end is not None:
         end.shut_writing()
 
 
-def in_flight(descriptor: int) -> int:
+def unacknowledged_bytes(descriptor: int) -> int:
     end = running().numbered[descriptor].end
     if end is None:
         raise OSError(errno.ENOTSOCK, os.strerror(errno.ENOTSOCK))
@@ -191,9 +191,9 @@
     ("larkweir.core.stderr_log", "select", SimpleNamespace(poll=Log, POLLOUT=select.POLLOUT)),
     ("larkweir.core.net", "watch", watch),
     ("larkweir.core.net", "watch_close", watch_close),
-    ("larkweir.core.net", "waits", waits),
-    ("larkweir.core.net", "shut", shut),
-    ("larkweir.core.net", "in_flight", in_flight),
+    ("larkweir.core.net", "is_readable", is_readable),
+    ("larkweir.core.net", "shutdown_sending", shutdown_sending),
+    ("larkweir.core.net", "unacknowledged_bytes", unacknowledged_bytes),
     ("larkweir.protocols.listener", "socket", SocketModule()),
     ("larkweir.protocols.unix_sockets", "socket", SocketModule()),
     ("larkweir.control.server", "socket", SocketModule()),
--- a/tests/budget/test_half_written.py
+++ b/tests/budget/test_half_written.py
@@ -10,7 +10,7 @@
 
 from tests.budget.test_ring import switch_on
 from tests.fakes import PATIENCE_S, Answer, Caller, Script, entry, pass_time, running
-from tests.upstreams.test_attempts import _Wrapped
+from tests.upstreams.test_attempts import _CallWithWrite
 
 
 def small_buffers(pool: Any) -> None:
@@ -26,7 +26,7 @@
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
             return bool(write(connection, now_ms))
 
-        await connect(_Wrapped(call, small))
+        await connect(_CallWithWrite(call, small))
 
     pool._connect = cut
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,22 +20,22 @@
 # (FastCGI with many requests on one) an attempt that is given up does not close it: those tests are left out there.
 RULES = {
     "test_refused_connection_proves_it_never_ran",
-    "test_a_connection_that_never_comes_up_proves_it_never_ran",
+    "test_a_connection_that_is_never_established_proves_it_never_ran",
     "test_no_answer_times_out_and_its_connection_is_closed",
     "test_an_unsafe_request_on_a_reused_connection_that_breaks_is_sent_once",
     "test_idle_connections_are_closed_before_the_limit",
     "test_a_connection_near_the_idle_limit_is_not_reused",
-    "test_two_copies_one_answer",
-    "test_cancel_closes_the_connection_and_is_told_once",
-    "test_client_gone_is_told_and_its_attempt_still_ends",
-    "test_the_deadline_is_answered_by_the_engine_once",
-    "test_sends_past_the_cap_or_for_a_request_that_is_over_are_moot",
-    "test_a_drain_past_its_grace_stops_a_send_that_is_still_connecting",
-    "test_nothing_new_goes_to_a_drained_upstream",
-    "test_a_keyed_request_that_may_have_run_stays_in_its_zone_and_its_memory",
-    "test_a_keyed_request_past_its_memory_is_not_repeated",
+    "test_two_answered_copies_give_one_answer",
+    "test_cancel_closes_the_connection_and_is_reported_once",
+    "test_client_gone_is_reported_and_the_attempt_still_ends",
+    "test_the_dispatcher_answers_once_at_the_deadline",
+    "test_sends_beyond_the_attempt_limit_or_for_a_finished_request_are_moot",
+    "test_an_expired_drain_stops_a_send_that_is_still_connecting",
+    "test_no_new_request_goes_to_a_draining_upstream",
+    "test_a_keyed_request_that_may_have_run_is_retried_only_in_its_zone",
+    "test_a_keyed_request_is_not_retried_after_its_memory_span",
     "test_probes_read_the_load_report",
-    "test_a_large_answer_is_passed_on_unchanged",
+    "test_a_large_answer_is_forwarded_unchanged",
     "test_refusals_carry_the_advice_in_decimal_seconds",
     "test_an_error_in_one_request_is_answered_500_with_its_id_in_the_log",
     "test_a_second_final_answer_is_dropped",
@@ -47,7 +47,7 @@
     "test_a_restarted_upstream_gets_new_connections",
     "test_absent_from_a_whole_list_is_gone",
     "test_discovery_down_and_back",
-    "test_small_writes_go_out_at_once",
+    "test_small_writes_are_sent_without_delay",
 }
 # What holds for some pairs only: a refused id costs an HTTP caller its connection, since what follows on it can't be
 # told apart; requests sent ahead on one are HTTP's own; calls on a shared connection need few sockets.
@@ -61,7 +61,7 @@
     ],
 }
 # What comes back, over upstreams' protocols: rows of the outcome table that speak of framing are HTTP's own.
-OUTCOMES = {"test_what_comes_back_is_told_as_the_protocol_says"}
+OUTCOMES = {"test_each_answer_leads_to_the_outcome_of_the_table"}
 HTTP_ROWS = (
     "a 200 in chunks",
     "3 GB",
--- a/tests/core/test_body_stream.py
+++ b/tests/core/test_body_stream.py
@@ -1,4 +1,4 @@
-"""A body that is passed on while it comes: every order of pieces, holds, sinks that come and go, and its end."""
+"""A body that is passed on while it comes: every order of pieces, is_full, sinks that come and go, and its end."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 from larkweir.core.body_stream import BodyStream
 
-MOST = 10
+MAX_BUFFERED = 10
 
 
-BUFFER = 6  # what a taker's own buffer takes before it says so
+SINK_BUFFER = 6  # what a taker's own buffer takes before it says so
 
 
-class Taker:
+class FakeSink:
     """A connection that writes: its buffer fills with what it is given, and empties as its peer reads."""
 
     def __init__(self) -> None:
         self.got = b""
         self.ends: list[str] = []
         self.unsent = 0
-        self.most = 0
+        self.max_unsent = 0
         self.stream: BodyStream | None = None  # once it has been told of it
 
     @property
-    def holds(self) -> bool:
-        return self.unsent > BUFFER
+    def is_full(self) -> bool:
+        return self.unsent > SINK_BUFFER
 
     def fill(self, count: int) -> None:
-        held = self.holds
+        held = self.is_full
         self.unsent += count
-        self.most = max(self.most, self.unsent)
-        if self.holds is not held and self.stream is not None:
+        self.max_unsent = max(self.max_unsent, self.unsent)
+        if self.is_full is not held and self.stream is not None:
             self.stream.set_sink_paused(True)
 
     def read_by_peer(self, count: int) -> None:
-        held = self.holds
+        held = self.is_full
         self.unsent = max(0, self.unsent - count)
-        if self.holds is not held and self.stream is not None:
+        if self.is_full is not held and self.stream is not None:
             self.stream.set_sink_paused(False)
 
     def write(self, data: bytes) -> None:
@@ -60,31 +60,31 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.stream = BodyStream(None, MOST)
-        self.steers = False
-        self.held = False
-        self.told: list[bool] = []
-        self.stream.on_end = self.told.append
+        self.stream = BodyStream(None, MAX_BUFFERED)
+        self.has_callback = False
+        self.is_paused = False
+        self.end_results: list[bool] = []
+        self.stream.on_end = self.end_results.append
         self.fed = b""
-        self.unsteered = 0  # bytes that came before the producer could be told
-        self.sink: Taker | None = None
-        self.gone = False  # a sink that had a part has left
+        self.unregulated_bytes = 0  # bytes that came before the producer could be told
+        self.sink: FakeSink | None = None
+        self.is_partly_consumed = False  # a sink that had a part has left
 
-    def hold(self, holding: bool) -> None:
-        assert holding is not self.held  # told of changes only
-        self.held = holding
+    def set_paused(self, paused: bool) -> None:
+        assert paused is not self.is_paused  # told of changes only
+        self.is_paused = paused
 
-    @precondition(lambda self: not self.steers)
+    @precondition(lambda self: not self.has_callback)
     @rule()
     def steer(self) -> None:
-        self.steers = True
-        self.stream.on_backpressure(self.hold)
+        self.has_callback = True
+        self.stream.on_backpressure(self.set_paused)
 
-    @precondition(lambda self: not self.stream.ended and not self.held)
+    @precondition(lambda self: not self.stream.ended and not self.is_paused)
     @rule(data=st.binary(min_size=1, max_size=PIECE))
     def feed(self, data: bytes) -> None:
-        if not self.steers:
-            self.unsteered += len(data)
+        if not self.has_callback:
+            self.unregulated_bytes += len(data)
         self.stream.feed(data)
         self.fed += data
 
@@ -96,17 +96,17 @@
         else:
             self.stream.fail()
 
-    @precondition(lambda self: self.sink is None and not self.gone)
-    @rule(written=st.integers(0, 2 * BUFFER))
+    @precondition(lambda self: self.sink is None and not self.is_partly_consumed)
+    @rule(written=st.integers(0, 2 * SINK_BUFFER))
     def attach(self, written: int) -> None:
         """The head goes out first, and may fill its buffer before there is a body to tell."""
-        self.sink = Taker()
+        self.sink = FakeSink()
         self.sink.fill(written)
         self.sink.stream = self.stream
-        self.stream.attach(self.sink, self.sink.holds)
+        self.stream.attach(self.sink, self.sink.is_full)
 
     @precondition(lambda self: self.sink is not None)
-    @rule(count=st.integers(1, 2 * BUFFER))
+    @rule(count=st.integers(1, 2 * SINK_BUFFER))
     def peer_reads(self, count: int) -> None:
         assert self.sink is not None
         self.sink.read_by_peer(count)
@@ -115,7 +115,7 @@
     @rule()
     def detach(self) -> None:
         assert self.sink is not None
-        self.gone = bool(self.sink.got)
+        self.is_partly_consumed = bool(self.sink.got)
         self.stream.detach(self.sink)
         self.sink.stream = None
         self.sink = None
@@ -133,52 +133,55 @@
     def nothing_is_lost_or_doubled(self) -> None:
         stream = self.stream
         assert not (stream.complete and stream.failed)
-        assert len(self.told) == int(stream.ended)
+        assert len(self.end_results) == int(stream.ended)
         if self.sink is not None:
             if not stream.failed:
                 assert self.sink.got == self.fed
             assert self.sink.ends == (["whole"] if stream.complete else ["broken"] if stream.failed else [])
             assert stream.buffered_bytes == 0
-        elif not self.gone and not stream.failed:
+        elif not self.is_partly_consumed and not stream.failed:
             assert stream.buffered_bytes == len(self.fed)
             assert not stream.consumed
 
     @invariant()
     def held_bytes_are_bounded(self) -> None:
         """What waits in the stream and, of it, in its sink's buffer, beside what came before anyone could be told."""
-        assert self.stream.buffered_bytes < MOST + self.PIECE + self.unsteered
+        assert self.stream.buffered_bytes < MAX_BUFFERED + self.PIECE + self.unregulated_bytes
         if self.sink is not None:
-            assert self.sink.most <= max(2 * BUFFER, MOST) + self.PIECE + self.unsteered + BUFFER
+            assert (
+                self.sink.max_unsent
+                <= max(2 * SINK_BUFFER, MAX_BUFFERED) + self.PIECE + self.unregulated_bytes + SINK_BUFFER
+            )
 
     @invariant()
     def the_producer_is_held_where_nobody_takes_more(self) -> None:
         stream = self.stream
         if stream.ended:
-            assert not self.held  # what comes behind it is read
-        elif self.steers:
-            full = self.sink.holds if self.sink is not None else stream.buffered_bytes >= MOST
-            assert self.held is full
-
-
-def test_a_producer_that_steers_late_is_told_that_the_stream_is_full() -> None:
-    stream = BodyStream(None, MOST)
-    stream.feed(bytes(MOST))
-    told: list[bool] = []
-    stream.on_backpressure(told.append)
-    assert told == [True]
-    stream.attach(Taker(), is_paused=False)
-    assert told == [True, False]
-
-
-def test_a_sink_that_holds_before_it_is_attached_holds_the_producer() -> None:
-    stream = BodyStream(None, MOST)
-    told: list[bool] = []
-    stream.on_backpressure(told.append)
-    stream.attach(Taker(), is_paused=True)
+            assert not self.is_paused  # what comes behind it is read
+        elif self.has_callback:
+            full = self.sink.is_full if self.sink is not None else stream.buffered_bytes >= MAX_BUFFERED
+            assert self.is_paused is full
+
+
+def test_a_callback_that_is_set_on_a_full_stream_is_called_at_once() -> None:
+    stream = BodyStream(None, MAX_BUFFERED)
+    stream.feed(bytes(MAX_BUFFERED))
+    pauses: list[bool] = []
+    stream.on_backpressure(pauses.append)
+    assert pauses == [True]
+    stream.attach(FakeSink(), is_paused=False)
+    assert pauses == [True, False]
+
+
+def test_a_sink_that_is_paused_before_it_is_attached_pauses_the_producer() -> None:
+    stream = BodyStream(None, MAX_BUFFERED)
+    pauses: list[bool] = []
+    stream.on_backpressure(pauses.append)
+    stream.attach(FakeSink(), is_paused=True)
     stream.feed(b"x")
-    assert told == [True]
+    assert pauses == [True]
     stream.set_sink_paused(False)
-    assert told == [True, False]
+    assert pauses == [True, False]
 
 
 TestBodies = Bodies.TestCase
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -10,7 +10,7 @@
 from larkweir.core.clock import Clock
 
 
-def test_a_step_of_the_systems_time_neither_turns_the_clock_nor_fires_a_timer(
+def test_a_step_of_the_system_time_neither_changes_the_clock_nor_fires_a_timer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Leases, suspicions and deadlines all go by it."""
--- a/tests/core/test_loop_timing.py
+++ b/tests/core/test_loop_timing.py
@@ -10,14 +10,14 @@
 from larkweir.core.loop_timing import LoopTiming
 
 
-def test_where_the_poll_waited_the_news_came_as_it_ended() -> None:
+def test_after_a_poll_that_waited_all_time_until_its_end_is_remote() -> None:
     timing = LoopTiming(0.0)
     timing.poll_began(10.0)
     timing.poll_ended(60.0, inf)
     assert timing.remote_ms(8.0) == 52.0
 
 
-def test_where_it_did_not_wait_the_turn_before_is_our_own_time() -> None:
+def test_after_a_poll_that_returned_at_once_the_previous_iteration_is_local_time() -> None:
     timing = LoopTiming(0.0)
     timing.poll_began(1.0)
     timing.poll_ended(50.0, inf)  # a turn that takes 80 ms
@@ -27,14 +27,14 @@
     assert timing.remote_ms(20.0) == 30.0  # written before: up to its beginning it is
 
 
-def test_a_process_that_was_stopped_counts_what_it_missed_as_its_own() -> None:
+def test_time_in_which_the_process_was_stopped_is_local_time() -> None:
     timing = LoopTiming(0.0)
     timing.poll_began(10.0)
     timing.poll_ended(2_010.0, 30.0)  # a timer was due after 20 ms of 2 s
     assert timing.since_ms == 30.0
 
 
-def test_what_a_turn_takes_itself_is_not_counted_in_it() -> None:
+def test_the_duration_of_a_handler_is_not_counted_as_remote_time() -> None:
     async def run() -> tuple[float, float]:
         loop = asyncio.get_running_loop()
         clock = Clock(loop)
@@ -54,7 +54,7 @@
     assert 0.0 < spent <= entered
 
 
-def test_how_long_news_may_have_waited_unread() -> None:
+def test_late_ms_is_how_long_events_may_have_waited_unread() -> None:
     """A process that is stopped in its poll, or in the middle of a turn, is told by neither the same way."""
     timing = LoopTiming(0.0)
     timing.poll_ended(10.0, inf)
--- a/tests/core/test_own_time.py
+++ b/tests/core/test_own_time.py
@@ -12,7 +12,7 @@
 
 from tests.fakes import PATIENCE_S, Caller, Script, entry, ok, running
 
-OWN_S = 0.2
+BUSY_S = 0.2
 
 
 class Upstream(threading.Thread):
@@ -35,7 +35,7 @@
             connection.recv(65536)
 
 
-def test_a_turn_of_requests_alone_that_takes_long_is_not_the_upstreams_time() -> None:
+def test_a_slow_iteration_that_handles_only_requests_is_not_counted_as_upstream_time() -> None:
     async def run() -> tuple[float, float]:
         upstream = Upstream()
         upstream.start()
@@ -48,7 +48,7 @@
                 if len(arrived) == 2:  # nothing but a request is handled in this turn, and it takes its time
                     upstream.go.set()
                     upstream.answered.wait(PATIENCE_S)
-                    time.sleep(OWN_S)
+                    time.sleep(BUSY_S)
             return None
 
         script.more = more
@@ -64,4 +64,4 @@
             return end.spent_ms, end.upstream_ms
 
     spent, upstream = uvloop.run(run())
-    assert 0.0 <= upstream <= spent - OWN_S * 1000.0
+    assert 0.0 <= upstream <= spent - BUSY_S * 1000.0
--- a/tests/core/test_stderr_log.py
+++ b/tests/core/test_stderr_log.py
@@ -26,7 +26,7 @@
     os.close(write)
 
 
-def test_a_line_is_cut_and_stays_one() -> None:
+def test_a_long_message_is_truncated_to_one_line() -> None:
     read, write = os.pipe()
     log = StderrLog("n", write)
     log.write("a\nb" + "x" * 10_000)
@@ -37,7 +37,7 @@
     os.close(write)
 
 
-def test_a_closed_log_is_survived() -> None:
+def test_writing_to_a_closed_descriptor_does_not_raise() -> None:
     read, write = os.pipe()
     os.close(read)
     log = StderrLog("n", write)
@@ -48,7 +48,7 @@
     log.close()
 
 
-def test_a_change_of_state_has_room_beyond_the_rate(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lines_on_state_changes_are_written_beyond_the_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "monotonic", lambda: 7.5)
     read, write = os.pipe()
     log = StderrLog("n", write)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -207,7 +207,7 @@
     )
     node = Node(config, asyncio.get_running_loop(), script, options=options)
     dispatcher, listener = node.dispatcher, node.listener
-    node.upstreams.REST_MS = rest_ms
+    node.upstreams.REUSE_DELAY_MS = rest_ms
     listener.start(listener.bind(config.listen), make=node.connection_types[Caller.speaks])
     node.discovery.start()
     async with asyncio.timeout(PATIENCE_S):
--- a/tests/lifecycle/test_stop.py
+++ b/tests/lifecycle/test_stop.py
@@ -138,7 +138,7 @@
         async with running(upstream.entry("a"), script=Script([1])) as balancer:
             caller = Raw(balancer)
             connection = await caller.come()
-            waits = net.waits
+            waits = net.is_readable
             asked: list[int] = []
 
             def then_comes(descriptor: int) -> bool:
--- a/tests/protocols/fastcgi/test_hard_cases.py
+++ b/tests/protocols/fastcgi/test_hard_cases.py
@@ -381,7 +381,7 @@
                     first.ask()
                     assert (await first.answer()).status == 200
                     go.clear()
-                capabilities = balancer.dispatcher.upstreams.full.__closure__  # type: ignore[union-attr]
+                capabilities = balancer.dispatcher.upstreams.is_full.__closure__  # type: ignore[union-attr]
                 assert capabilities is not None
                 known = next(c.cell_contents for c in capabilities if hasattr(c.cell_contents, "_known"))
                 await until(lambda known=known: not known._queries)
--- a/tests/upstreams/test_attempts.py
+++ b/tests/upstreams/test_attempts.py
@@ -49,7 +49,7 @@
 
 
 # A probe's time-out in tests: longer than any busy machine stalls. It passes by `pass_time`, never by waiting.
-PROBE_PATIENCE_MS = 1_000.0 * PATIENCE_S
+PROBE_TIMEOUT_MS = 1_000.0 * PATIENCE_S
 
 
 async def probe_ended(script: Script) -> ProbeEnded:
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(("behave", "outcome"), [row[1:] for row in TABLE], ids=[row[0] for row in TABLE])
-def test_what_comes_back_is_told_as_the_protocol_says(behave: Any, outcome: Outcome) -> None:
+def test_each_answer_leads_to_the_outcome_of_the_table(behave: Any, outcome: Outcome) -> None:
     """Guards the outcome table: a wrong row lets an unsafe request run twice."""
 
     async def work() -> None:
@@ -197,7 +197,7 @@
     return listener, fillers
 
 
-def test_a_connection_that_never_comes_up_proves_it_never_ran() -> None:
+def test_a_connection_that_is_never_established_proves_it_never_ran() -> None:
     """Guards the row 'could not connect' against a machine that says nothing."""
 
     async def work() -> None:
@@ -218,7 +218,7 @@
     run(work())
 
 
-def test_a_connection_that_comes_up_late_carries_its_call_once() -> None:
+def test_a_connection_that_is_established_late_carries_its_call_once() -> None:
     """Guards against a second attempt beside a connection that is only late: it comes up when the system asks again, a
     second after the first time.
     """
@@ -307,7 +307,7 @@
                         raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
                     return bool(write(connection, now_ms))
 
-                wrapped = _Wrapped(call, cut)
+                wrapped = _CallWithWrite(call, cut)
                 await original(wrapped)  # type: ignore[arg-type]
 
             balancer.dispatcher.upstreams._connect = small  # type: ignore[method-assign]
@@ -323,7 +323,7 @@
     run(work())
 
 
-class _Wrapped:
+class _CallWithWrite:
     """A call whose `write` is another."""
 
     def __init__(self, call: Any, write: Any) -> None:
@@ -382,7 +382,7 @@
     run(work())
 
 
-def test_small_writes_go_out_at_once() -> None:
+def test_small_writes_are_sent_without_delay() -> None:
     """Guards latency: TCP_NODELAY is on, on both sides."""
 
     async def work() -> None:
@@ -450,7 +450,7 @@
     run(work())
 
 
-def test_what_is_passed_on_and_what_is_not() -> None:
+def test_which_parts_of_a_request_are_forwarded() -> None:
     """Guards method, target, body and ids, which go on unchanged, and the time left, which does not grow."""
 
     async def work() -> None:
@@ -481,7 +481,7 @@
     run(work())
 
 
-def test_two_copies_one_answer() -> None:
+def test_two_answered_copies_give_one_answer() -> None:
     """Guards 'exactly one answer': both copies are served, the first goes out, the second is told."""
 
     async def work() -> None:
@@ -527,7 +527,7 @@
     run(work())
 
 
-def test_cancel_closes_the_connection_and_is_told_once() -> None:
+def test_cancel_closes_the_connection_and_is_reported_once() -> None:
     """Guards Cancel: one outcome, and the upstream sees the end."""
 
     async def work() -> None:
@@ -553,7 +553,7 @@
     run(work())
 
 
-def test_client_gone_is_told_and_its_attempt_still_ends() -> None:
+def test_client_gone_is_reported_and_the_attempt_still_ends() -> None:
     """Guards ClientGone: the request is over, and its attempt out still gets its one end, marked final."""
 
     async def work() -> None:
@@ -585,7 +585,7 @@
     await talk.send(status(503, "X-Never-Ran: 1\r\n"))
 
 
-def test_the_deadline_is_answered_by_the_engine_once() -> None:
+def test_the_dispatcher_answers_once_at_the_deadline() -> None:
     """Guards against decisions that never answer: the attempt out ends, then one answer goes."""
 
     async def work() -> None:
@@ -608,7 +608,7 @@
 
 
 @pytest.mark.parametrize("sent", [False, True])
-def test_what_was_never_begun_by_its_deadline_is_refused(sent: bool) -> None:
+def test_a_request_that_never_ran_is_refused_at_its_deadline(sent: bool) -> None:
     """Guards callers of what may not run twice: 503 says that asking again is harmless, 504 does not."""
 
     async def work() -> None:
@@ -629,7 +629,7 @@
     run(work())
 
 
-def test_sends_past_the_cap_or_for_a_request_that_is_over_are_moot() -> None:
+def test_sends_beyond_the_attempt_limit_or_for_a_finished_request_are_moot() -> None:
     """Guards the attempt cap and late sends: told as moot, and nothing is written."""
 
     async def work() -> None:
@@ -654,7 +654,7 @@
 
 
 @pytest.mark.parametrize("change", ["leaving", "left"])
-def test_a_drain_past_its_grace_stops_a_send_that_is_still_connecting(change: str) -> None:
+def test_an_expired_drain_stops_a_send_that_is_still_connecting(change: str) -> None:
     """Guards the drain: told while the connection is on its way up, so that not a byte may be written."""
 
     async def work() -> None:
@@ -686,7 +686,7 @@
     run(work())
 
 
-def test_nothing_new_goes_to_a_drained_upstream() -> None:
+def test_no_new_request_goes_to_a_draining_upstream() -> None:
     """Guards the drain with the module's own decisions: the next requests all go to the other one."""
 
     async def work() -> None:
@@ -709,7 +709,7 @@
     run(work())
 
 
-def test_a_keyed_request_that_may_have_run_stays_in_its_zone_and_its_memory() -> None:
+def test_a_keyed_request_that_may_have_run_is_retried_only_in_its_zone() -> None:
     """Guards keyed repeats with the module's own decisions: never to another zone once it may have run."""
 
     async def work() -> None:
@@ -738,7 +738,7 @@
     run(work())
 
 
-def test_a_keyed_request_past_its_memory_is_not_repeated() -> None:
+def test_a_keyed_request_is_not_retried_after_its_memory_span() -> None:
     """Guards the memory's end: the upstreams have forgotten the key by the time the first attempt fails."""
 
     async def work() -> None:
@@ -778,13 +778,13 @@
         script = Script([1])
         stats = {"How": "on_probe", "Fields": ["queue", "inflight"]}
         async with running(upstream.entry("a"), silent.entry("b"), script=script, stats=stats) as balancer:
-            balancer.dispatcher.probes.TIMEOUT_MS = PROBE_PATIENCE_MS
+            balancer.dispatcher.probes.TIMEOUT_MS = PROBE_TIMEOUT_MS
             for server in (1, 2, 77):
                 balancer.dispatcher.actions.execute(Probe(server))
             ended = [await probe_ended(script), await probe_ended(script)]
             async with asyncio.timeout(PATIENCE_S):
                 await silent.arrived.get()  # written: from here on it can only time out
-            pass_time(balancer.dispatcher.clock, PROBE_PATIENCE_MS)
+            pass_time(balancer.dispatcher.clock, PROBE_TIMEOUT_MS)
             ended.append(await probe_ended(script))
             ends = {event.server: (event.outcome, tuple(event.report)) for event in ended}
         upstream.close()
@@ -801,12 +801,12 @@
 @pytest.mark.parametrize(
     "text", [b"", b"7,2", b"TEXT inflight=7", b"TEXT inflight=x, queue=1", b"TEXT inflight=nan, queue=1"]
 )
-def test_a_broken_report_is_none(text: bytes) -> None:
+def test_a_malformed_load_report_is_ignored(text: bytes) -> None:
     """Guards decisions against half a report: values in the wrong place would call a busy server idle."""
     assert parse_report(text, ("inflight", "queue")) == ()
 
 
-def test_a_large_answer_is_passed_on_unchanged() -> None:
+def test_a_large_answer_is_forwarded_unchanged() -> None:
     """Guards good answers above the protocol's 64 KiB, which were once taken for spoilt by every upstream in
     turn; what they take of the room is given back.
     """
@@ -837,7 +837,7 @@
     run(work())
 
 
-def test_a_second_copy_one_read_later_answers_no_other_request() -> None:
+def test_a_late_second_copy_of_an_answer_answers_no_other_request() -> None:
     """Guards a caller against the copy of another's answer: the connection rests after an answer, so that a
     copy finds no new call on it, and is closed by what comes.
     """
@@ -865,7 +865,7 @@
                     await asyncio.sleep(0.01)
             caller.ask("move", b"x", "/api?3")
             assert (await caller.answer()).body == b"/api?3"
-            balancer.dispatcher.upstreams.REST_MS = 0.0  # rested: it is used again
+            balancer.dispatcher.upstreams.REUSE_DELAY_MS = 0.0  # rested: it is used again
             caller.ask("move", b"x", "/api?4")
             assert (await caller.answer()).body == b"/api?4"
             assert upstream.connections == 3
@@ -874,7 +874,7 @@
     run(work())
 
 
-def test_a_probe_s_answer_that_comes_twice_answers_no_request() -> None:
+def test_a_duplicate_of_a_probes_answer_answers_no_request() -> None:
     """Guards a caller against a load report: its copy comes when an attempt has taken the connection."""
 
     async def work() -> None:
@@ -890,7 +890,7 @@
             running(upstream.entry("a"), script=script, stats=stats) as balancer,
             Caller(balancer.port) as caller,
         ):
-            balancer.dispatcher.probes.TIMEOUT_MS = PROBE_PATIENCE_MS
+            balancer.dispatcher.probes.TIMEOUT_MS = PROBE_TIMEOUT_MS
             balancer.dispatcher.actions.execute(Probe(1))
             assert (await probe_ended(script)).outcome is Outcome.OK
             caller.ask("move", b"x")
@@ -930,7 +930,7 @@
             call.written = False  # as with a body larger than what the system takes
             await loop.sock_sendall(connection, b"HTTP/1.1 200 OK\r\n")
             async with asyncio.timeout(PATIENCE_S):
-                while not call.touched:
+                while not call.has_answer_bytes:
                     await asyncio.sleep(0.001)
             if not silent:
                 connection.close()
--- a/tests/upstreams/test_broken_answers.py
+++ b/tests/upstreams/test_broken_answers.py
@@ -24,7 +24,7 @@
 )
 from tests.lifecycle.service import until
 from tests.upstreams.test_attempts import run
-from tests.upstreams.test_idle_connections import at_once, disconnect
+from tests.upstreams.test_idle_connections import act_on_socket, disconnect
 
 PIECE = b"0123456789abcdef" * 2_048
 LONG = PIECE * 4  # more than is held back until it is whole
@@ -42,14 +42,14 @@
     return encoding.chunk(body) if kind == "chunks" else body
 
 
-def last_words_and_reset(talk: Talk, data: bytes) -> None:
+def send_and_reset(talk: Talk, data: bytes) -> None:
     """Both lie in the kernel before the balancer reads the first of them."""
 
     def act(raw: object) -> None:
         assert raw.send(data) == len(data)  # type: ignore[attr-defined]
         disconnect(raw)  # type: ignore[arg-type]
 
-    at_once(talk, act)
+    act_on_socket(talk, act)
 
 
 async def all_closed(balancer: Running) -> None:
@@ -60,13 +60,13 @@
 
 
 @pytest.mark.parametrize("kind", HEADS)
-def test_a_reset_behind_an_answers_bytes_is_no_end_of_it(kind: str) -> None:
+def test_a_reset_after_an_answers_bytes_is_not_its_end(kind: str) -> None:
     """Guards a caller against half an answer: of one that only the end of its connection delimits, too."""
 
     async def work() -> None:
         async def answer(request: Incoming, talk: Talk) -> None:
             head = HEADS[kind].replace(b"1000000", b"1000")  # short: held until it is whole
-            last_words_and_reset(talk, head + framed(kind, b"half of it"))
+            send_and_reset(talk, head + framed(kind, b"half of it"))
 
         upstream = await FakeUpstream(answer).start()
         script = Script([1])
@@ -81,7 +81,7 @@
     run(work())
 
 
-async def begun(caller: Caller) -> dict[str, str]:
+async def read_first_bytes(caller: Caller) -> dict[str, str]:
     """Ask, and read the first bytes of a long answer."""
     caller.ask()
     async with asyncio.timeout(PATIENCE_S):
@@ -91,7 +91,7 @@
     return head[1]
 
 
-async def rest(caller: Caller) -> bytes:
+async def read_remaining(caller: Caller) -> bytes:
     """What still comes until the connection ends, in whatever way."""
     got = b""
     async with asyncio.timeout(PATIENCE_S):
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("kind", HEADS)
-def test_a_reset_of_an_answer_that_is_passed_on_shows_to_its_caller(kind: str) -> None:
+def test_a_reset_of_a_forwarded_answer_is_visible_to_the_caller(kind: str) -> None:
     """Guards the same where a part has gone on: no last chunk, or fewer bytes than announced."""
 
     async def work() -> None:
@@ -117,9 +117,9 @@
         upstream = await FakeUpstream(answer).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            headers = await begun(caller)
-            last_words_and_reset(await talks.get(), framed(kind, b"the last that comes"))
-            got = await rest(caller)
+            headers = await read_first_bytes(caller)
+            send_and_reset(await talks.get(), framed(kind, b"the last that comes"))
+            got = await read_remaining(caller)
             if "content-length" in headers:
                 assert len(got) < 999_000
             else:
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("kind", HEADS)
-def test_a_reset_long_after_the_start_shows_to_its_caller(kind: str) -> None:
+def test_a_reset_long_after_the_start_is_visible_to_the_caller(kind: str) -> None:
     """Guards answers that last for minutes: no deadline runs any more, and their end is as well seen as ever."""
 
     async def work() -> None:
@@ -146,7 +146,7 @@
         upstream = await FakeUpstream(answer).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            await begun(caller)
+            await read_first_bytes(caller)
             talk = await talks.get()
             got = b""
             for n in range(12):  # two minutes
@@ -159,8 +159,8 @@
                         got = got[-20:] + part
                 pass_time(balancer.dispatcher.clock, 10_000)
             assert not script.ends()
-            last_words_and_reset(talk, framed(kind, b"the last that comes"))
-            got = await rest(caller)
+            send_and_reset(talk, framed(kind, b"the last that comes"))
+            got = await read_remaining(caller)
             assert not got.endswith(encoding.LAST_CHUNK)
             assert (await script.ended()).outcome is Outcome.RESET
             await all_closed(balancer)
@@ -169,7 +169,7 @@
     run(work())
 
 
-def without_end(
+def endless_answer(
     kind: str, ended: asyncio.Event, sent: list[int]
 ) -> Callable[[Incoming, Talk], Awaitable[None]]:
     async def answer(request: Incoming, talk: Talk) -> None:
@@ -199,7 +199,7 @@
         ("error", False),
     ],
 )
-def test_an_answer_without_end_is_bounded_by_its_size(
+def test_an_endless_answer_is_limited_by_size(
     kind: str, passed_on: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards memory and descriptors: the exchange ends, the connection is closed, and the caller can tell."""
@@ -210,12 +210,12 @@
     async def work() -> None:
         ended = asyncio.Event()
         sent: list[int] = []
-        upstream = await FakeUpstream(without_end(kind, ended, sent)).start()
+        upstream = await FakeUpstream(endless_answer(kind, ended, sent)).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
             if passed_on:
-                headers = await begun(caller)
-                got = await rest(caller)
+                headers = await read_first_bytes(caller)
+                got = await read_remaining(caller)
                 assert headers.get("transfer-encoding") == "chunked"
                 assert not got.endswith(encoding.LAST_CHUNK) and len(got) < 16 * len(LONG)
             else:
@@ -235,9 +235,7 @@
 @pytest.mark.parametrize(
     "data", [b"HTTP/1.1 200 OK\r\nX-Pad: ", HEADS["announced"] + b"half"], ids=["head", "body"]
 )
-def test_an_answer_that_never_goes_on_is_bounded_by_the_deadline(
-    data: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_stalled_answer_is_ended_at_the_deadline(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards descriptors against an upstream that says a part and rests: what it has begun may have run."""
     monkeypatch.setattr(
         UpstreamConnection, "FORWARD_AFTER_MS", 1e9
@@ -258,7 +256,7 @@
             caller.ask("move", b"x")
             await upstream.arrived.get()
             (request,) = balancer.dispatcher.requests
-            await until(lambda: request.attempts[0].touched, "its first bytes")  # type: ignore[union-attr]
+            await until(lambda: request.attempts[0].has_answer_bytes, "its first bytes")  # type: ignore[union-attr]
             pass_time(balancer.dispatcher.clock, 8_000)
             assert (await caller.answer()).status in (502, 504)
             assert (await script.ended()).outcome is Outcome.TIMEOUT
--- a/tests/upstreams/test_given_up.py
+++ b/tests/upstreams/test_given_up.py
@@ -15,21 +15,21 @@
 from tests.upstreams.test_attempts import run
 
 BODY = b"x" * 12_000  # taken whole by this system, and more than the upstream's takes
-LITTLE = 2_048  # bytes that the upstream's system takes for a process that does not read
+RECEIVE_BUFFER_BYTES = 2_048  # bytes that the upstream's system takes for a process that does not read
 DEADLINE_MS = 8_000.0
 
 
 def silent_listener() -> socket.socket:
     """An upstream whose process reads nothing, and whose system takes little for it."""
     listening = socket.socket()
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LITTLE)
+    listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     listening.bind(("127.0.0.1", 0))
     listening.listen(1)
     listening.setblocking(False)
     return listening
 
 
-async def read_to_its_end(sock: socket.socket) -> int:
+async def read_until_eof(sock: socket.socket) -> int:
     """Bytes that come before a good end; ConnectionError where it is reset."""
     loop = asyncio.get_running_loop()
     size = 0
@@ -39,7 +39,7 @@
     return size
 
 
-def test_a_request_that_was_given_up_never_reaches_an_upstream_that_was_cut_off() -> None:
+def test_an_abandoned_request_never_reaches_an_upstream_that_was_disconnected() -> None:
     """Guards against a keyed request that runs again, long after its repeat: the system goes on sending what a closed
     connection has not delivered.
     """
@@ -63,6 +63,6 @@
                     assert (await caller.answer()).status == 502  # the script fails what may have run
                     await until(lambda: not calls._open, "the end of its connection")
                     with pytest.raises(ConnectionError):
-                        await read_to_its_end(upstream)
+                        await read_until_eof(upstream)
 
     run(work())
--- a/tests/upstreams/test_idle_connections.py
+++ b/tests/upstreams/test_idle_connections.py
@@ -19,7 +19,7 @@
 from tests.upstreams.test_attempts import run
 
 
-def at_once(talk: Talk, act: Callable[[socket.socket], object]) -> None:
+def act_on_socket(talk: Talk, act: Callable[[socket.socket], object]) -> None:
     """Do something to an upstream's side of a connection, past its loop: what it does lies in the kernel before any
     turn of the loop can read it.
     """
@@ -29,7 +29,7 @@
 
 def resets(talk: Talk) -> None:
     """A close resets only with the last descriptor of the socket; connect(2) to no address does at once."""
-    at_once(talk, disconnect)
+    act_on_socket(talk, disconnect)
 
 
 def disconnect(raw: socket.socket) -> None:
@@ -39,10 +39,10 @@
 
 
 ACTS: dict[str, Callable[[Talk], None]] = {
-    "half a line": lambda talk: at_once(talk, lambda raw: raw.send(b"HTT")),
-    "a second answer": lambda talk: at_once(talk, lambda raw: raw.send(ok(b"another's"))),
-    "an answer without a request": lambda talk: at_once(talk, lambda raw: raw.send(status(408))),
-    "its end": lambda talk: at_once(talk, lambda raw: raw.shutdown(socket.SHUT_WR)),
+    "half a line": lambda talk: act_on_socket(talk, lambda raw: raw.send(b"HTT")),
+    "a second answer": lambda talk: act_on_socket(talk, lambda raw: raw.send(ok(b"another's"))),
+    "an answer without a request": lambda talk: act_on_socket(talk, lambda raw: raw.send(status(408))),
+    "its end": lambda talk: act_on_socket(talk, lambda raw: raw.shutdown(socket.SHUT_WR)),
     "a reset": resets,
 }
 
@@ -51,7 +51,7 @@
     await talk.send(ok(request.target.encode()))
 
 
-async def rested(caller: Caller, balancer: Any) -> UpstreamConnection:
+async def open_idle_connection(caller: Caller, balancer: Any) -> UpstreamConnection:
     """One connection to the upstream, that lies idle."""
     caller.ask("move", b"x", "/api?first")
     assert (await caller.answer()).status == 200
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("act", ACTS.values(), ids=ACTS)
 @pytest.mark.parametrize("protocols", ["http1-http1", "http1-fastcgi", "http1-shared"], indirect=True)
-def test_what_lies_in_the_kernel_when_a_connection_is_taken_keeps_a_request_off_it(
+def test_a_connection_with_input_in_the_kernel_is_not_reused(
     act: Callable[[Talk], None],
 ) -> None:
     """Guards a request against the answer to another, and against a connection that has ended: both are there and have
@@ -72,16 +72,16 @@
         upstream = await FakeUpstream(echo).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            await rested(caller, balancer)
+            await open_idle_connection(caller, balancer)
             pool = balancer.dispatcher.upstreams
-            take = pool._take
+            take = pool._take_idle
 
             def first(target: Any, now: float) -> UpstreamConnection | None:
                 if upstream.connections == 1:
                     act(upstream.talks[0])
                 return take(target, now)
 
-            pool._take = first  # type: ignore[method-assign]
+            pool._take_idle = first  # type: ignore[method-assign]
             caller.ask("move", b"x", "/api?second")
             assert (await caller.answer()).body == b"/api?second"
             assert [item.target for item in upstream.seen] == ["/api?first", "/api?second"]
@@ -93,7 +93,9 @@
 
 
 @pytest.mark.parametrize("act", [ACTS[name] for name in ("half a line", "its end", "a reset")])
-def test_what_crosses_the_write_fails_an_unsafe_request_once(act: Callable[[Talk], None]) -> None:
+def test_an_event_that_crosses_the_write_fails_an_unsafe_request_without_a_retry(
+    act: Callable[[Talk], None],
+) -> None:
     """Guards what may not run twice: between the last look at a connection and the write nothing can be known, so that
     the request may have run. With the module's own decisions.
     """
@@ -139,7 +141,7 @@
         upstream = await FakeUpstream(echo).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            await rested(caller, balancer)
+            await open_idle_connection(caller, balancer)
 
             async def lost(request: Incoming, talk: Talk) -> None:
                 resets(talk)
@@ -155,14 +157,16 @@
 
 
 @pytest.mark.parametrize("act", ACTS.values(), ids=ACTS)
-def test_what_comes_while_a_connection_is_being_closed_harms_nothing(act: Callable[[Talk], None]) -> None:
+def test_input_on_a_connection_that_is_being_closed_affects_no_later_request(
+    act: Callable[[Talk], None],
+) -> None:
     """Guards the table of connections, and the next request, where one is closed that has just spoken."""
 
     async def work() -> None:
         upstream = await FakeUpstream(echo).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            await rested(caller, balancer)
+            await open_idle_connection(caller, balancer)
             pool = balancer.dispatcher.upstreams
             act(upstream.talks[0])
             pool.close_idle(1)  # in the same turn
--- a/tests/upstreams/test_late_connections.py
+++ b/tests/upstreams/test_late_connections.py
@@ -34,7 +34,7 @@
 from tests.upstreams.gate import Gate, pass_time_unnoticed
 from tests.upstreams.test_attempts import reset, run
 
-PATIENT = {"ConnectTimeoutMs": 60_000}  # by the loop's time, which no test lets pass
+LONG_CONNECT_TIMEOUT = {"ConnectTimeoutMs": 60_000}  # by the loop's time, which no test lets pass
 DEADLINE_MS = 8_000.0
 MEMORY_MS = 4_000.0  # of the class `post`
 GRACE_MS = 500.0
@@ -58,13 +58,13 @@
 
 
 @each_protocol
-def test_a_late_connection_tells_what_is_left_then() -> None:
+def test_a_late_connection_sends_the_time_left_at_the_write() -> None:
     """Guards upstreams against work that nobody waits for any more: what was left when the call was made is not."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with (
-            running(upstream.entry("a"), script=Script([1]), limits=PATIENT) as balancer,
+            running(upstream.entry("a"), script=Script([1]), limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
             Gate(upstream.port) as gate,
         ):
@@ -81,7 +81,7 @@
 
 
 @each_protocol
-def test_a_further_attempt_tells_what_is_left_then() -> None:
+def test_a_retry_sends_the_time_left_at_its_write() -> None:
     """Guards the same where an attempt before has had most of the time, and its own connection has the rest."""
 
     async def work() -> None:
@@ -94,7 +94,9 @@
         first, second = await FakeUpstream(fails).start(), await FakeUpstream().start()
         script = Script([1, 2])
         async with (
-            running(first.entry("a"), second.entry("b"), script=script, limits=PATIENT) as balancer,
+            running(
+                first.entry("a"), second.entry("b"), script=script, limits=LONG_CONNECT_TIMEOUT
+            ) as balancer,
             Caller(balancer.port) as caller,
             Gate(second.port) as gate,
         ):
@@ -121,7 +123,7 @@
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with (
-            running(upstream.entry("a"), script=script, limits=PATIENT) as balancer,
+            running(upstream.entry("a"), script=script, limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
             Gate(upstream.port) as gate,
         ):
@@ -138,14 +140,14 @@
 
 
 @pytest.mark.parametrize("left", [True, False], ids=["some time left", "none left"])
-def test_a_body_that_came_before_its_connection_has_the_time_from_its_last_byte_on(left: bool) -> None:
+def test_the_time_of_a_body_received_before_its_connection_counts_from_its_last_byte(left: bool) -> None:
     """Guards the same for a body that is passed on while it comes: no time runs until it has come, and then it does."""
 
     async def work() -> None:
         upstream = await LongUpstream().start()
         script = Script([1])
         async with (
-            running(upstream.entry("a"), script=script, limits=PATIENT) as balancer,
+            running(upstream.entry("a"), script=script, limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
             Gate(upstream.port) as gate,
         ):
@@ -178,13 +180,15 @@
 
 @each_protocol
 @pytest.mark.parametrize("let", [pass_time, pass_time_unnoticed], ids=["timely", "late timer"])
-def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(let: Any) -> None:
+def test_a_retry_whose_connection_is_established_after_its_window_is_not_sent(let: Any) -> None:
     """Guards what may run once: servers have forgotten the key by then. With the module's own decisions."""
 
     async def work() -> None:
         ups = [await FakeUpstream(reset).start() for _ in range(2)]
         async with (
-            running(*(up.entry(f"u{n}") for n, up in enumerate(ups)), limits=PATIENT) as balancer,
+            running(
+                *(up.entry(f"u{n}") for n, up in enumerate(ups)), limits=LONG_CONNECT_TIMEOUT
+            ) as balancer,
             Caller(balancer.port) as caller,
             Gate(*(up.port for up in ups), free=1) as gate,
         ):
@@ -203,13 +207,15 @@
     run(work())
 
 
-def test_a_repeat_whose_connection_comes_up_in_its_window_is_sent() -> None:
+def test_a_retry_whose_connection_is_established_within_its_window_is_sent() -> None:
     """The test before, short of the window: the repeat serves."""
 
     async def work() -> None:
         ups = [await FakeUpstream(reset).start() for _ in range(2)]
         async with (
-            running(*(up.entry(f"u{n}") for n, up in enumerate(ups)), limits=PATIENT) as balancer,
+            running(
+                *(up.entry(f"u{n}") for n, up in enumerate(ups)), limits=LONG_CONNECT_TIMEOUT
+            ) as balancer,
             Caller(balancer.port) as caller,
             Gate(*(up.port for up in ups), free=1) as gate,
         ):
@@ -228,7 +234,7 @@
 
 
 @each_protocol
-def test_a_repeat_that_waits_for_leave_to_connect_past_its_window_is_not_sent() -> None:
+def test_a_retry_that_waits_for_the_connect_rate_limit_past_its_window_is_not_sent() -> None:
     """Guards the same where connections are paced."""
 
     async def work() -> None:
@@ -252,7 +258,9 @@
     run(work())
 
 
-def windowed(write_in_ms: float, balancer: Callable[[], Running]) -> Callable[[Event], list[Action] | None]:
+def send_with_write_deadline(
+    write_in_ms: float, balancer: Callable[[], Running]
+) -> Callable[[Event], list[Action] | None]:
     """Decisions that give every attempt so long to be written."""
 
     def more(event: Event) -> list[Action] | None:
@@ -264,7 +272,7 @@
     return more
 
 
-def test_a_repeat_whose_last_byte_the_system_has_not_taken_by_then_never_ends() -> None:
+def test_a_retry_whose_last_byte_is_unsent_after_its_window_is_never_completed() -> None:
     """Guards the window against an upstream that reads slowly: it counts to the last byte, not to the first."""
 
     async def work() -> None:
@@ -276,11 +284,11 @@
             port = listener.getsockname()[1]
             script = Script([1])
             async with (
-                running(entry("a", port), script=script, limits=PATIENT) as balancer,
+                running(entry("a", port), script=script, limits=LONG_CONNECT_TIMEOUT) as balancer,
                 Caller(balancer.port) as caller,
                 Gate(port) as gate,
             ):
-                script.more = windowed(MEMORY_MS, lambda: balancer)
+                script.more = send_with_write_deadline(MEMORY_MS, lambda: balancer)
                 caller.ask("post", b"x" * 60_000)
                 transport = await gate.held()
                 sock = transport.get_extra_info("socket")
@@ -304,7 +312,7 @@
     run(work())
 
 
-def test_a_repeat_whose_body_still_comes_when_its_window_ends_never_ends() -> None:
+def test_a_retry_whose_body_is_still_arriving_after_its_window_is_never_completed() -> None:
     """Guards the window where the first attempt was answered before it had a byte of the body: the timer is late, and
     the rest of the body comes before it.
     """
@@ -335,7 +343,7 @@
         classes = [dict(item) for item in SETTINGS["Categories"]]
         classes[1]["MemorySpanMs"] = memory_ms
         async with (
-            running(entry("a", port), categories=classes, limits=PATIENT) as balancer,
+            running(entry("a", port), categories=classes, limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
         ):
             raw = request_bytes("post", b"x" * 600_000)
@@ -354,13 +362,15 @@
     run(work())
 
 
-def test_a_reload_leaves_a_request_the_window_that_it_was_taken_with() -> None:
+def test_a_request_keeps_its_retry_window_across_a_reload() -> None:
     """Guards against a repeat past the window of before, where a longer one is in force by now."""
 
     async def work() -> None:
         ups = [await FakeUpstream(reset).start() for _ in range(2)]
         async with (
-            running(*(up.entry(f"u{n}") for n, up in enumerate(ups)), limits=PATIENT) as balancer,
+            running(
+                *(up.entry(f"u{n}") for n, up in enumerate(ups)), limits=LONG_CONNECT_TIMEOUT
+            ) as balancer,
             Caller(balancer.port) as caller,
             Gate(*(up.port for up in ups), free=1) as gate,
         ):
@@ -390,14 +400,16 @@
 @each_protocol
 @pytest.mark.parametrize("spent_ms", [GRACE_MS, GRACE_MS / 2.0], ids=["after", "within"])
 @pytest.mark.parametrize("lifecycle", ["leaving", "left"])
-def test_a_connection_that_comes_up_after_the_grace_carries_nothing(lifecycle: str, spent_ms: float) -> None:
+def test_a_connection_established_after_the_drain_grace_period_carries_no_call(
+    lifecycle: str, spent_ms: float
+) -> None:
     """Guards the drain: what was admitted before it may be sent within its grace, and not after."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with (
-            running(upstream.entry("a"), script=script, limits=PATIENT) as balancer,
+            running(upstream.entry("a"), script=script, limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
             Gate(upstream.port) as gate,
         ):
@@ -415,7 +427,7 @@
     run(work())
 
 
-class HeldStore:
+class DelayedStore:
     """A store that keeps a request only when it is told to."""
 
     def __init__(self) -> None:
@@ -429,13 +441,13 @@
 
 @each_protocol
 @pytest.mark.parametrize("how", ["leaving", "moved", "restarted", "gone and back"])
-def test_a_request_that_the_store_has_kept_too_late_goes_nowhere(how: str) -> None:
+def test_a_request_that_is_recorded_too_late_is_not_sent(how: str) -> None:
     """Guards the drain, and the process that the decisions chose, against a disk that takes its time."""
 
     async def work() -> None:
         upstream, other = await FakeUpstream().start(), await FakeUpstream().start()
         script = Script([1])
-        store = HeldStore()
+        store = DelayedStore()
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             Caller(balancer.port) as caller,
@@ -465,7 +477,7 @@
     run(work())
 
 
-def test_a_body_may_end_after_the_grace_where_its_send_began_within() -> None:
+def test_a_body_may_end_after_the_grace_period_if_its_send_began_within_it() -> None:
     """The time of a send counts from its first byte."""
 
     async def work() -> None:
@@ -490,14 +502,14 @@
     run(work())
 
 
-def test_a_body_whose_connection_comes_up_after_the_grace_goes_nowhere() -> None:
+def test_a_body_whose_connection_is_established_after_the_grace_period_is_not_sent() -> None:
     """The other side of it: no byte of it had gone out within the grace."""
 
     async def work() -> None:
         upstream = await LongUpstream().start()
         script = Script([1])
         async with (
-            running(upstream.entry("a"), script=script, limits=PATIENT) as balancer,
+            running(upstream.entry("a"), script=script, limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
             Gate(upstream.port) as gate,
         ):
@@ -518,14 +530,14 @@
 
 
 @each_protocol
-def test_a_drain_that_is_taken_back_lets_a_late_connection_carry_its_call() -> None:
+def test_after_a_cancelled_drain_a_late_connection_carries_its_call() -> None:
     """An id that is listed again, of the same process: its drain is over."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with (
-            running(upstream.entry("a"), script=script, limits=PATIENT) as balancer,
+            running(upstream.entry("a"), script=script, limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
             Gate(upstream.port) as gate,
         ):
@@ -545,7 +557,7 @@
 @each_protocol
 @pytest.mark.parametrize("before", [[], ["leaving"], ["left"]], ids=["at once", "drained", "gone"])
 @pytest.mark.parametrize("place", ["another address", "the same address"])
-def test_a_connection_to_the_process_before_carries_nothing_for_the_one_behind_its_id_now(
+def test_a_connection_to_the_previous_process_of_an_id_carries_no_call_for_the_new_one(
     before: list[str], place: str
 ) -> None:
     """Guards a drained process against a call that its successor's listing seems to allow, and a group of servers
@@ -556,7 +568,7 @@
         old, new = await FakeUpstream().start(), await FakeUpstream().start()
         script = Script([1])
         async with (
-            running(old.entry("a"), script=script, limits=PATIENT) as balancer,
+            running(old.entry("a"), script=script, limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
             Gate(old.port) as gate,
         ):
@@ -582,7 +594,7 @@
 
 @each_protocol
 @pytest.mark.parametrize("gone", [False, True], ids=["moved", "gone and listed again"])
-def test_a_call_that_waits_for_leave_to_connect_goes_to_no_other_process(gone: bool) -> None:
+def test_a_call_that_waits_for_the_connect_rate_limit_goes_to_no_other_process(gone: bool) -> None:
     """Guards a call that was meant for one process against the idle connection of the next that has its id."""
 
     async def work() -> None:
@@ -596,7 +608,7 @@
         ):
             pool = balancer.dispatcher.upstreams
             pool.rate_limiter = Shut(0)
-            pool.LOOK_MS = (3_000.0, 3_000.0)  # type: ignore[assignment]
+            pool.WAITING_POLL_MS = (3_000.0, 3_000.0)  # type: ignore[assignment]
             caller.ask("move", b"x", "/api?old")
             await until(lambda: pool._waiting, "the call, waiting")
             if gone:
@@ -617,14 +629,14 @@
 
 
 @each_protocol
-def test_a_call_joins_no_connection_on_its_way_to_the_process_before() -> None:
+def test_a_call_does_not_join_a_connection_to_the_previous_process() -> None:
     """Guards the same where a connection takes many calls: the one that is coming up was opened to another process."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with (
-            running(upstream.entry("a"), script=script, limits=PATIENT) as balancer,
+            running(upstream.entry("a"), script=script, limits=LONG_CONNECT_TIMEOUT) as balancer,
             Caller(balancer.port) as caller,
             Caller(balancer.port) as other,
             Gate(upstream.port) as gate,
--- a/tests/upstreams/test_old_callers.py
+++ b/tests/upstreams/test_old_callers.py
@@ -9,11 +9,11 @@
 from standins.peers import PATIENCE_S, read_head
 from tests.fakes import Caller, FakeUpstream, Incoming, Script, Talk, request_bytes, running
 from tests.upstreams.test_attempts import run
-from tests.upstreams.test_broken_answers import HEADS, LONG, all_closed, framed, last_words_and_reset
+from tests.upstreams.test_broken_answers import HEADS, LONG, all_closed, framed, send_and_reset
 
 
 @pytest.mark.parametrize("kind", [kind for kind in HEADS if kind != "length"])
-def test_an_answer_that_breaks_off_resets_an_old_caller(kind: str) -> None:
+def test_a_broken_answer_resets_the_connection_of_an_http_1_0_caller(kind: str) -> None:
     async def work() -> None:
         talks: asyncio.Queue[Talk] = asyncio.Queue()
 
@@ -31,7 +31,7 @@
                 head = await read_head(caller.reader)
                 assert head is not None and "content-length" not in head[1]
                 await caller.reader.readexactly(1_000)
-                last_words_and_reset(await talks.get(), framed(kind, b"the last that comes"))
+                send_and_reset(await talks.get(), framed(kind, b"the last that comes"))
                 with pytest.raises(ConnectionError):
                     while await caller.reader.read(65_536):
                         pass
