--- a/larkweir/core/__init__.py
+++ b/larkweir/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, answers and attempts without a protocol: dispatcher, clock, memory budget, ports."""
+"""Protocol-independent requests, answers and attempts: dispatcher, clock, memory budget, ports."""
--- a/larkweir/core/actions.py
+++ b/larkweir/core/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the decisions: each kind has one handler."""
+"""Executes the actions that the decisions return; each kind of action has one handler."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ActionExecutor:
-    """Finds an action's handler by its class, which must be one of `larkweir_balancing.interface` itself."""
+    """Finds an action's handler by its exact class, one of `larkweir_balancing.interface`; subclasses don't match."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         answer: Callable[[int, int, Headers], None],
         deliver: Callable[[TimerFired], None],
     ) -> None:
-        """`answer`: answers a request by its number, with a status and headers."""
+        """`answer`: answers the request with a given number, with a status and headers."""
         self._clock = clock
         self._log = log
         self._upstreams = upstreams
@@ -63,7 +63,7 @@
         }
 
     def execute(self, action: Action) -> None:
-        """Carry out one action; one that has no handler is logged."""
+        """Execute one action. An action without a handler is logged."""
         self._handlers.get(type(action), self._log_unsupported)(action)
 
     def _log_unsupported(self, action: Action) -> None:
--- a/larkweir/core/active_request.py
+++ b/larkweir/core/active_request.py
@@ -13,31 +13,35 @@
 
 
 class Caller(Protocol):
-    """Where an answer goes."""
+    """The sender of a request, to which the answer is sent."""
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send the one answer, which is complete."""
+        """Send the request's only answer, which is complete."""
 
     @property
     def streams(self) -> bool:
-        """Whether it accepts an answer that is forwarded while it arrives."""
+        """Whether the caller accepts a streamed answer, which is forwarded while it arrives."""
 
     def begin(self, status: int, headers: Headers, stream: BodyStream) -> None:
-        """Begin the one answer, whose body arrives by `stream`; that it can't be completed is reported there."""
+        """Begin the request's only answer, whose body arrives through `stream`. If the body can't be completed,
+        `stream` reports it.
+        """
 
     def gone(self) -> bool:
-        """Whether the caller has closed its connection, as the system knows by now: also where that is not read yet."""
+        """Whether the caller has closed its connection, according to the system: the event loop may not have read the
+        close yet.
+        """
 
     @property
     def peer(self) -> str:
-        """The address it asks from, `unix` on a Unix socket, or empty if that is not known."""
+        """The caller's address; `unix` on a Unix socket, or empty if the address is unknown."""
 
 
 class AttemptTime(NamedTuple):
     """How long an attempt has taken, in milliseconds."""
 
     total_ms: float
-    remote_ms: float  # of it, what was certainly spent at the upstream and on the way
+    remote_ms: float  # the part of `total_ms` that was certainly spent at the upstream and on the network
 
 
 class ActiveRequest:
@@ -78,16 +82,18 @@
         self.deadline_ms = deadline_ms
         self.trace = trace
         self.max_attempts = max_attempts
-        self.attempts: list[Attempt | None] = []  # by their numbers; None for one that was never sent
-        self.in_flight = 0  # attempts whose end the decisions have not been told
-        self.may_have_run = False  # an attempt that has ended may have run
+        self.attempts: list[
+            Attempt | None
+        ] = []  # indexed by attempt number; None for an attempt that was not sent
+        self.in_flight = 0  # attempts whose end has not been reported to the decisions
+        self.may_have_run = False  # an upstream may have run an attempt that has ended
         self.finished = False  # answered, or the client is gone
         self.timer: Timer | None = None
-        self.run_once = False  # it may not run twice, which is recorded on disk before it is sent
-        self.memory_ms = 0.0  # for so long servers drop its repeats; set with `run_once`
-        self.budget: RequestBudget | None = None  # where budgets are on
-        self.time_left_ms = 0.0  # that it has from its last byte on
-        # Of an answer that is forwarded while it arrives: how long its first bytes took.
+        self.run_once = False  # it may not run twice, so it is recorded on disk before it is first sent
+        self.memory_ms = 0.0  # how long servers recognize and drop its repeats; set with `run_once`
+        self.budget: RequestBudget | None = None  # None if retry budgets are off
+        self.time_left_ms = 0.0  # the time until its deadline, counted from its last byte
+        # How long the first bytes of a streamed answer took; None if there is no streamed answer.
         self.answer_started: AttemptTime | None = None
 
     @property
@@ -98,24 +104,24 @@
 
     @property
     def is_body_consumed(self) -> bool:
-        """Whether a part of its body is gone, so that no further attempt could send it completely."""
+        """Whether part of its body is no longer available, so that another attempt could not send all of it."""
         stream = self.message.stream
         return stream is not None and (stream.consumed or stream.failed)
 
     def finish(self) -> None:
-        """It is answered, or its client is gone: no deadline runs any more."""
+        """Mark it as answered or abandoned by its client, and stop its deadline."""
         self.finished = True
         if self.timer is not None:
             self.timer.cancel()
 
     def cancel_attempts(self) -> None:
-        """End the attempts that are in flight, as cancelled."""
+        """Cancel the attempts that are in flight."""
         for attempt in self.attempts:
             if attempt is not None:
                 attempt.end(Outcome.CANCELLED)
 
     def time_out_attempts(self) -> None:
-        """End the attempts that are in flight, as timed out."""
+        """Time out the attempts that are in flight."""
         for attempt in self.attempts:
             if attempt is not None:
                 attempt.time_out()
--- a/larkweir/core/attempts.py
+++ b/larkweir/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sends requests to upstreams, and reports how each attempt began to be answered and ended."""
+"""Sends the attempts of requests to upstreams, and reports the start of each streamed answer and each attempt's end."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _AttemptObserver:
-    """Reports on one attempt, by its request and its number there."""
+    """Reports the progress of one attempt, which is identified by its request and its number within the request."""
 
     __slots__ = ("_number", "_request", "_runner", "_sent_ms", "_server", "is_launching")
 
@@ -30,7 +30,7 @@
         self._number = number
         self._server = server
         self._sent_ms = sent_ms
-        self.is_launching = True  # whether the client is gone was checked in this moment
+        self.is_launching = True  # `_launch` has just checked whether the client is gone
 
     @property
     def streams(self) -> bool:
@@ -49,7 +49,7 @@
 
 
 class AttemptRunner:
-    """Sends attempts. Each `Send` of the decisions is followed by exactly one `AttemptEnded`."""
+    """Sends attempts. Each `Send` action leads to exactly one `AttemptEnded` event."""
 
     def __init__(
         self,
@@ -62,8 +62,8 @@
         is_client_gone: Callable[[ActiveRequest], bool],
         deliver: Callable[[AnswerStarted | AttemptEnded], None],
     ) -> None:
-        """`report_names`: the values of the load report in answers' headers, empty where none is expected.
-        `is_client_gone`: checks a request's client, and ends the request if it is gone.
+        """`report_names`: the names of the values in the load report of an answer's headers; empty if no report is
+        expected. `is_client_gone`: checks a request's client, and ends the request if the client is gone.
         """
         self.is_client_gone = is_client_gone
         self._clock = clock
@@ -77,7 +77,9 @@
     # ------------------------------------------------ sending
 
     def send(self, action: Send) -> None:
-        """Begin the next attempt of a request; where it may not run twice, once that is recorded on disk."""
+        """Start the next attempt of a request. The first attempt of a request that may not run twice starts only after
+        the request has been recorded on disk.
+        """
         request = self._requests.get(action.request)
         if request is None:
             self._log.write(f"a send for request {action.request}, which is over")
@@ -102,7 +104,7 @@
         durable_state.began(request.trace, on_recorded, request.memory_ms)
 
     def cancel(self, action: Cancel) -> None:
-        """End an attempt that is in flight, as cancelled."""
+        """Cancel an attempt that is in flight."""
         request = self._requests.get(action.request)
         if request is None or not 0 <= action.attempt < len(request.attempts):
             return
@@ -122,7 +124,7 @@
         until_ms: float,
         process_changed: bool = False,
     ) -> None:
-        """Begin the attempt, if it is still allowed. `process_changed`: its server is another process by now."""
+        """Start the attempt if it is still allowed. `process_changed`: another process now has the server's number."""
         now = self._clock.now_ms()
         too_late = request.finished or until_ms <= now or request.is_body_consumed
         excluded = too_late or number >= request.max_attempts or process_changed
@@ -137,14 +139,14 @@
     def _begin(
         self, request: ActiveRequest, number: int, action: Send, until_ms: float, now: float
     ) -> Attempt | None:
-        """None where the retry budget does not allow it, or the upstream is not known."""
+        """Start the attempt. Returns None if the retry budget does not allow it or the upstream is unknown."""
         patience_ms = return_margin_ms = 0.0
         extra: Headers | None = None
         budgets = self._extensions.budgets
         if request.budget is not None and budgets is not None:
             return_margin_ms = budgets.way_back_ms
             if until_ms - now <= return_margin_ms:
-                return None  # nothing useful can come back in time
+                return None  # no answer could reach the caller in time
             extra = request.budget.grant(number, request.max_attempts - number, now)
             if extra is None:
                 return None
@@ -170,8 +172,8 @@
     def answer_started(
         self, request: ActiveRequest, number: int, server: int, sent_ms: float, answer: Message
     ) -> bool:
-        """A long answer has begun, and is the one answer from here on: there is no further attempt, whatever becomes
-        of it. Returns whether anybody accepts it.
+        """A streamed answer has begun. It is the request's only answer: there is no further attempt, even if it breaks
+        off. Returns whether the answer is accepted.
         """
         if request.finished or answer.stream is None:
             return False
@@ -193,10 +195,10 @@
         sent_ms: float,
         answer: Message | None,
     ) -> None:
-        """An attempt has ended: the first good answer is passed to the caller, and the decisions are told."""
+        """An attempt has ended: pass the first successful answer to the caller, and notify the decisions."""
         verifier = self._extensions.answer_verifier
         if verifier is not None and not verifier.ended(server, outcome, answer):
-            outcome = Outcome.ERROR  # it has run, at the wrong place
+            outcome = Outcome.ERROR  # the request has run, but at the wrong upstream
         budget = request.budget
         if budget is not None:
             budget.settle(number, outcome, answer, self._clock.now_ms())
@@ -209,7 +211,7 @@
         report = report_of(answer, self._report_names, False) if self._report_names else ()
         attempts_left = None if budget is None else budget.left
         if request.is_body_consumed:
-            attempts_left = 0  # the part of the body that the attempt had is not retained
+            attempts_left = 0  # the part of the body that was sent with the attempt is not retained
         total_ms, remote_ms = request.answer_started or self._time_taken(request, number, sent_ms)
         finished = request.finished
         self._deliver(
@@ -220,7 +222,7 @@
         self._requests.remove_if_done(request)
 
     def _answer_headers(self, request: ActiveRequest, answer: Message) -> Headers:
-        """The headers that are passed to the caller with an upstream's 200."""
+        """The headers that are forwarded to the caller with an upstream's 200."""
         headers = [
             (name, value) for name, value in answer.end_to_end_headers() if name.lower() != LOAD_HEADER
         ]
@@ -231,9 +233,9 @@
         return headers
 
     def _time_taken(self, request: ActiveRequest, number: int, sent_ms: float) -> AttemptTime:
-        """How long an attempt has taken, and how much of that was certainly the upstream's: what this process added, to
-        reading the answer or to establishing a connection, is no sign of the upstream's state. For a body that arrived
-        in pieces, it is counted from its last byte on.
+        """How long an attempt has taken, and how much of that was certainly spent at the upstream. Delays that this
+        process added to reading the answer or to connecting are excluded, since they say nothing about the upstream.
+        If the request's body was streamed, the time counts from its last byte.
         """
         loop_timing = self._clock.loop_iteration()
         attempt = request.attempts[number]
--- a/larkweir/core/body_stream.py
+++ b/larkweir/core/body_stream.py
@@ -1,9 +1,9 @@
 """A message body that is forwarded while it arrives, with bounded buffering and back-pressure. Pure logic.
 
-The producer (the connection that reads the body) feeds it; the sink (the connection that writes it) accepts it. Bytes
-that arrive before there is a sink are buffered, up to `max_buffered_bytes`; beyond that, and whenever the
-sink can't accept more, the producer is told to pause. Nothing is retained once the sink has had it, so a body of which
-some is `consumed` can't be sent a second time.
+The producer is the connection that reads the body, and the sink is the connection that writes it. Bytes that arrive
+before there is a sink are buffered. The producer is told to pause when `max_buffered_bytes` are buffered, and whenever
+the sink can't accept more. Bytes are not retained after they were passed to the sink, so a body that is partly
+`consumed` can't be sent a second time.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 class Sink(Protocol):
-    """The connection that a body is forwarded to."""
+    """The connection to which a body is forwarded."""
 
     def write(self, data: bytes) -> None:
-        """The next bytes of the body."""
+        """Write the next bytes of the body."""
 
     def write_eof(self) -> None:
-        """The body has ended: all of it was passed to `write`."""
+        """The body is complete: all of it was passed to `write`."""
 
     def on_body_failed(self) -> None:
         """The rest of the body will never arrive."""
 
 
 class BodyStream:
-    """One body. It ends once: either `complete` or `failed` becomes true, and stays so."""
+    """One body. It ends once: either `complete` or `failed` becomes true and stays true."""
 
     __slots__ = (
         "_is_paused",
@@ -46,19 +46,21 @@
     )
 
     def __init__(self, length: int | None, max_buffered_bytes: int) -> None:
-        """`length`: the body's announced length in bytes, or None. `max_buffered_bytes`: how many bytes are buffered
-        before there is a sink.
+        """`length`: the body's announced length in bytes, or None. `max_buffered_bytes`: without a sink, the producer
+        is paused when this many bytes are buffered.
         """
         self.length = length
         self.max_buffered_bytes = max_buffered_bytes
-        self.buffered_bytes = 0  # bytes buffered
+        self.buffered_bytes = 0
         self.size = 0  # bytes received
-        self.consumed = False  # a sink has had some of it
+        self.consumed = False  # part of it was passed to a sink
         self.complete = False
         self.failed = False
         self.failure = ""  # why it failed, for the log
         self._pause: Callable[[bool], None] | None = None  # the producer's callback
-        self.on_end: Callable[[bool], None] | None = None  # called once, with whether the body is complete
+        self.on_end: Callable[[bool], None] | None = (
+            None  # called once at the end; the argument: is it complete?
+        )
         self._pieces: list[bytes] = []
         self._sink: Sink | None = None
         self._is_sink_paused = False
@@ -72,9 +74,8 @@
     # ------------------------------------------------ the producer's side
 
     def on_backpressure(self, pause: Callable[[bool], None]) -> None:
-        """Set the producer's callback for back-pressure: True to pause reading, False to resume. It is called for
-        every change from now on, and at once if the producer is to pause, since what was fed before may have filled
-        the buffer.
+        """Set the producer's callback for back-pressure: True pauses reading, False resumes it. The callback is called
+        on every change, and immediately if the bytes that were fed earlier have already filled the buffer.
         """
         if not self.ended:
             self._pause = pause
@@ -82,7 +83,7 @@
                 pause(True)
 
     def feed(self, data: bytes) -> None:
-        """The next bytes were received. Ignored once the body has ended."""
+        """Add received bytes. Ignored after the body has ended."""
         if self.ended:
             return
         self.size += len(data)
@@ -103,7 +104,7 @@
                 self._sink.write_eof()
 
     def fail(self, why: str = "") -> None:
-        """The rest will never arrive; what is buffered is dropped."""
+        """The rest of the body will never arrive. Buffered bytes are dropped."""
         if not self.ended:
             self.failed = True
             self.failure = why
@@ -116,7 +117,7 @@
         on_end, self.on_end = self.on_end, None
         pause, self._pause = self._pause, None
         if pause is not None and self._is_paused:
-            pause(False)  # guards against a producer that was paused at the last bytes and never reads again
+            pause(False)  # otherwise a producer that was paused at the last bytes would never read again
         self._is_paused = False
         if on_end is not None:
             on_end(self.complete)
@@ -124,8 +125,8 @@
     # ------------------------------------------------ the sink's side
 
     def attach(self, sink: Sink, is_paused: bool) -> None:
-        """Pass what is buffered to `sink`, and from now on whatever arrives. `is_paused`: the sink can't accept more
-        for now; its transport has said so before it was attached.
+        """Pass the buffered bytes to `sink`, and then all further bytes as they arrive. `is_paused`: the sink can't
+        accept more at present; its transport was paused before the sink was attached.
         """
         self._sink = sink
         self._is_sink_paused = is_paused
@@ -133,7 +134,7 @@
         self._drop()
         for data in pieces:
             if self._sink is not sink:
-                return  # it detached while it was given a piece
+                return  # the sink detached itself during `write`
             self.consumed = True
             sink.write(data)
         if self._sink is sink and self.complete:
@@ -143,14 +144,14 @@
         self._update_backpressure()
 
     def detach(self, sink: Sink) -> None:
-        """The sink takes no more. If it has had some of the body, no other sink can take the rest."""
+        """Detach the sink. If it has received part of the body, no other sink can receive the rest."""
         if self._sink is sink:
             self._sink = None
             self._is_sink_paused = False
             self._update_backpressure()
 
     def set_sink_paused(self, paused: bool) -> None:
-        """Whether the sink can't accept more for now (its write buffer is full)."""
+        """Set whether the sink can't accept more at present because its write buffer is full."""
         self._is_sink_paused = paused
         self._update_backpressure()
 
--- a/larkweir/core/clock.py
+++ b/larkweir/core/clock.py
@@ -1,6 +1,6 @@
-"""The clock that all parts of a balancer read, and its timers on the event loop.
+"""The clock that all parts of a balancer share, and its timers on the event loop.
 
-It also records the loop's polls, from which `larkweir.core.loop_timing` tells for how long events have waited.
+The clock also records the loop's polls; `larkweir.core.loop_timing` derives from them how long events have waited.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Timer:
-    """A callback that is called once, at `due_ms` or later, unless it is cancelled before."""
+    """A callback that is called once, at `due_ms` or later, unless it is cancelled first."""
 
     __slots__ = ("call", "due_ms")
 
@@ -24,18 +24,18 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Never call the callback; without effect once it was called."""
+        """Cancel the callback. Has no effect after it was called."""
         self.call = None
 
 
 class Clock:
-    """Unix time in milliseconds, read once at start and advanced by the monotonic clock from then on, so that a step of
-    the system's time can't turn it back. Timers fire at their due time or later, never earlier, ordered by due time.
+    """Unix time in milliseconds. It is read once at the start and then advanced by the monotonic clock, so that setting
+    the system time can't turn it back. Timers fire at their due time or later, never earlier, ordered by due time.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, offset_ms: float | None = None) -> None:
-        """`offset_ms`: Unix time less monotonic time, where a predecessor process of this balancer has measured it;
-        both must read the same clock. None: it is measured now.
+        """`offset_ms`: Unix time minus monotonic time, as measured by a predecessor process of this balancer; both
+        processes must use the same monotonic clock. None: it is measured now.
         """
         self._loop = loop
         self.offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0 if offset_ms is None else offset_ms
@@ -46,8 +46,8 @@
         self._compact_at = 1024  # timers in the heap
         self.timing = LoopTiming(self.now_ms())
         self._in_iteration = False
-        # Called after each iteration of the loop: for how long it handled events, and for how long including the poll
-        # before it, in milliseconds.
+        # Called after each iteration of the loop with two durations in milliseconds: of the handling of events, and of
+        # the handling and the poll before it together.
         self.on_iteration: Callable[[float, float], None] | None = None
 
     def now_ms(self) -> float:
@@ -55,8 +55,8 @@
         return self.offset_ms + time.monotonic() * 1000.0
 
     def loop_iteration(self) -> LoopTiming:
-        """The timing of the loop's present iteration. Every handler of socket events calls this before anything else:
-        the first call in an iteration records when its poll ended.
+        """The timing of the loop's current iteration. Every handler of socket events must call this first: the first
+        call in an iteration records when the iteration's poll ended.
         """
         if not self._in_iteration:
             self._in_iteration = True
@@ -98,11 +98,11 @@
                 return
             self._armed.cancel()
         self._armed_ms = due
-        # The loop's timers have a resolution of whole milliseconds: rounded up, so that none fires early.
+        # The loop's timers have a resolution of 1 ms. The delay is rounded up, so that no timer fires early.
         self._armed = self._loop.call_later(max(0, ceil(due - self.now_ms())) / 1000.0, self._fire)
 
     def _fire(self) -> None:
-        self.loop_iteration()  # before `_armed` is cleared: the iteration's timing is told from when this was due
+        self.loop_iteration()  # must precede clearing `_armed`: it reads when this timer was due
         self._armed = None
         try:
             while self._heap and self._heap[0][0] <= self.now_ms():
--- a/larkweir/core/dispatcher.py
+++ b/larkweir/core/dispatcher.py
@@ -1,7 +1,6 @@
-"""Passes events to the decisions and has their actions carried out.
+"""Passes events to the decisions (`larkweir_balancing.Balancer`) and executes the actions that they return.
 
-Nothing is decided here: which upstream gets a request, whether it is tried again, refused or failed, is up to the
-decisions (`larkweir_balancing.Balancer`).
+The decisions alone determine which upstream gets a request, and whether the request is retried, refused or failed.
 """
 
 from __future__ import annotations
@@ -44,8 +43,8 @@
 class Dispatcher:
     """Owns the table of requests. Times are milliseconds of its clock.
 
-    Each request that `arrive` accepts gets exactly one answer, unless its client is gone: the decisions' answer, an
-    upstream's, or 503 or 504 at its deadline.
+    Each request that `arrive` accepts gets exactly one answer, unless its client is gone. The answer comes from the
+    decisions or from an upstream, or is a 503 or 504 at the request's deadline.
     """
 
     def __init__(
@@ -67,9 +66,9 @@
         self._create_senders(config)
         self._events: deque[Event] = deque()
         self._is_delivering = False
-        # For how long the process has just stood still: requests read now have waited for about so long.
+        # How long the process has just stalled: requests that are read now have waited about that long.
         self.stalled_ms = 0.0
-        # A loop iteration as late as this had a standstill before it; infinity: nobody asks.
+        # Events that waited longer than this indicate that the process stalled; infinity turns the detection off.
         self.min_stall_ms = math.inf
         self._apply(config)
 
@@ -110,15 +109,15 @@
         self.requests.recent_ids.extend_retention(max(item.deadline_ms for item in config.settings.classes))
 
     def reconfigure(self, config: Config) -> None:
-        """Use a new configuration, from here on in the order of events. Open requests keep theirs: their class,
-        deadline and maximum of attempts are their own.
+        """Use a new configuration for all events after this one. Open requests keep the class, deadline and maximum
+        number of attempts that they arrived with.
         """
         self._apply(config)
         self.deliver(Reconfigured(config.settings))
 
     @property
     def ready(self) -> bool:
-        """Whether there is a list that requests can be served from, and no newer one that is due in a moment."""
+        """Whether some upstream is ready, and discovery has delivered its first list or is no longer waited for."""
         membership = self.extensions.membership
         if membership is not None and not membership.begun:
             return False
@@ -126,12 +125,12 @@
 
     @property
     def has_requests(self) -> bool:
-        """Whether there are requests that are not finished, or have attempts in flight."""
+        """Whether there are requests that are unfinished or have attempts in flight."""
         return bool(self.requests)
 
     @property
     def unanswered(self) -> int:
-        """How many requests still wait for their answer."""
+        """How many requests have not been answered yet."""
         return sum(not request.finished for request in self.requests)
 
     # ------------------------------------------------ arrival
@@ -139,10 +138,11 @@
     def arrive(
         self, caller: Caller, message: Message, time_left_ms: float, trace: bytes, event: RequestArrived
     ) -> int:
-        """A request has arrived, under an id that is not open; returns its number, under which it may have been
-        answered already. Its body may still be arriving: then its time counts from its last byte on.
+        """Accept a request whose id is not open. Returns the request's number; the request may have been answered
+        already. If its body is still arriving, the time until its deadline counts from the last byte.
         """
-        # Guards against taking an iteration that brings requests alone for a time spent waiting.
+        # Records the end of this iteration's poll. Otherwise an iteration that only reads requests would be taken for
+        # part of the poll, that is for time spent waiting.
         loop_timing = self.clock.loop_iteration()
         event.request = number = self.requests.next_number
         self.requests.next_number += 1
@@ -175,8 +175,9 @@
         return number
 
     def _stalled_before_ms(self, loop_timing: LoopTiming, now: float) -> float:
-        """For how long the process stood still before it read this request. The system's news may be handled before
-        the timer that notices a standstill; and a process that is stopped in the middle of an iteration reads on in it.
+        """How long the process stalled before it read this request. `stalled_ms` alone is not enough: socket events may
+        be handled before the timer that detects a stall, and a process that was stopped in the middle of a loop
+        iteration continues to read in that iteration.
         """
         waited_ms = max(loop_timing.late_ms, now - loop_timing.poll_ended_ms)
         return max(self.stalled_ms, waited_ms) if waited_ms > self.min_stall_ms else self.stalled_ms
@@ -184,7 +185,7 @@
     def _grant_budget(
         self, budgets: Budgets, request: ActiveRequest, event: RequestArrived, now: float
     ) -> bool:
-        """Give the request its retry budget; False: it was refused, with nothing sent."""
+        """Give the request its retry budget. Returns False if the request was refused, with nothing sent upstream."""
         budget = budgets.arrive(request.caller.peer, request.message, event, now, request.trace)
         if isinstance(budget, list):
             request.caller.answer(503, [*budget, (b"Retry-After", b"1")], b"")
@@ -193,7 +194,9 @@
         return True
 
     def _body_ended(self, request: ActiveRequest, complete: bool) -> None:
-        """The last byte of a request's body was received. Where it never will be, whoever reads the body gives up."""
+        """The last byte of a request's body was received: start its deadline. If the body has failed, the caller's
+        connection, which reads the body, calls `give_up`.
+        """
         if request.finished or not complete:
             return
         request.deadline_ms = self.clock.now_ms() + request.time_left_ms
@@ -206,9 +209,9 @@
     # ------------------------------------------------ clients
 
     def is_client_gone(self, request: ActiveRequest) -> bool:
-        """Check whether a request's client has closed its connection; if so the request ends. An attempt must not
-        begin after that, and the close may lie unread: behind other bytes while reading is paused, or behind a loop
-        iteration that lasts.
+        """Check whether a request's client has closed its connection, and end the request if so. No attempt may start
+        after the close. The check asks the system because the event loop may not have read the close yet: reading may
+        be paused with other bytes before it, or the current loop iteration may be long.
         """
         if not request.caller.gone():
             return False
@@ -216,25 +219,25 @@
         return True
 
     def client_gone(self, number: int) -> None:
-        """A request's client has closed its connection: nobody takes the answer any more."""
+        """A request's client has closed its connection, so its answer is no longer needed."""
         request = self.requests.get(number)
         if request is None:
             return
         if request.finished:
             if request.answer_started is not None:
-                request.cancel_attempts()  # nobody takes the rest of the answer
+                request.cancel_attempts()  # the rest of the answer is not needed
             return
         request.finish()
         if request.budget is not None:
-            request.budget.closing(499)  # sent to nobody
+            request.budget.closing(499)  # closes the budget; the returned headers are not sent
         self.deliver(ClientGone(number))
         if request.is_arriving or request.is_body_consumed:
             request.cancel_attempts()  # the rest of its body will never arrive
         self.requests.remove_if_done(request)
 
     def give_up(self, number: int, status: int, text: bytes) -> None:
-        """Whoever reads a request's body can't go on: it is answered with `status`, and has not run, since its last
-        byte was never received.
+        """Answer a request whose body could not be read to its end, with `status`. The request has not run, since its
+        last byte was never received.
         """
         request = self.requests.get(number)
         if request is not None and not request.finished:
@@ -245,7 +248,7 @@
     # ------------------------------------------------ membership
 
     def on_listing(self, listing: Listing) -> None:
-        """Apply what discovery has sent: to the upstreams, then to the decisions."""
+        """Apply a message of discovery to the upstreams, then pass it to the decisions."""
         if listing.kind in (ListKind.FULL, ListKind.CACHED):
             self._remove_absent(listing)
         for entry, address in zip(listing.entries, listing.addresses, strict=True):
@@ -253,7 +256,7 @@
         self.deliver(ListUpdate(listing.kind, listing.version, listing.entries))
 
     def _remove_absent(self, listing: Listing) -> None:
-        """An upstream that a complete list does not name is gone."""
+        """Mark each upstream that a complete list does not name as gone."""
         named = {entry.server for entry in listing.entries}
         for upstream in list(self.upstreams.targets.values()):
             if upstream.number not in named:
@@ -262,13 +265,13 @@
                 )
 
     def on_peer_health(self, event: PeerHealthReport) -> None:
-        """Another replica's finding of an upstream's health."""
+        """Another replica has reported an upstream's health."""
         self.deliver(event)
 
     # ------------------------------------------------ events and answers
 
     def deliver(self, event: Event) -> None:
-        """Pass an event to the decisions; one that comes while another is handled is handled after it."""
+        """Pass an event to the decisions. An event that is delivered while another is being handled is queued."""
         self._events.append(event)
         if self._is_delivering:
             return
@@ -287,7 +290,9 @@
             self._fail_request(event, problem)
 
     def _fail_request(self, event: Event, problem: Exception) -> None:
-        """Guards the other requests: whatever went wrong with this one, it alone is answered 500."""
+        """Log an unexpected exception and answer only the request that it concerns, with 500. Guards the other
+        requests against it.
+        """
         number = getattr(event, "request", event.cookie if isinstance(event, TimerFired) else 0)
         request = self.requests.get(number)
         trace = request.trace.decode("latin-1") if request is not None else "-"
@@ -304,7 +309,7 @@
     def _answer(
         self, request: ActiveRequest, status: int, headers: Headers | None = None, body: bytes = b""
     ) -> None:
-        """Send the one final answer; a second is dropped."""
+        """Send the request's final answer. Any further answer is dropped."""
         if request.finished:
             return
         request.finish()
@@ -315,8 +320,8 @@
         self.requests.remove_if_done(request)
 
     def _deadline_passed(self, request: ActiveRequest) -> None:
-        """Attempts in flight end first, then the request is answered, if the decisions have not. What no upstream can
-        have begun is refused, since asking again is harmless.
+        """Time out the attempts in flight, then answer the request unless the decisions have answered it. A request
+        that no upstream can have begun gets 503, since repeating it is harmless; any other gets 504.
         """
         request.time_out_attempts()
         self._answer(request, 504 if request.may_have_run else 503)
--- a/larkweir/core/extensions.py
+++ b/larkweir/core/extensions.py
@@ -1,4 +1,4 @@
-"""What is attached to the dispatcher after it was made: discovery, and the components that are off by default."""
+"""The components that are attached to the dispatcher after its creation: discovery, and those that are optional."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def retry_after_header(wait_ms: float) -> Headers:
-    """`Retry-After` for `wait_ms` milliseconds. The platform's protocol has whole or decimal seconds."""
+    """`Retry-After` for `wait_ms` milliseconds. The platform's protocol allows whole or decimal seconds."""
     return [(b"Retry-After", b"%.3f" % (wait_ms / 1000.0))]
 
 
@@ -22,5 +22,5 @@
     budgets: Budgets | None = None
     durable_state: DurableState | None = None
     answer_verifier: AnswerVerifier | None = None
-    # The headers of a refusal that says when to come back, by the wait in milliseconds.
+    # Returns the headers of a refusal that says when to retry, given the wait in milliseconds.
     retry_after: Callable[[float], Headers] = retry_after_header
--- a/larkweir/core/health_probes.py
+++ b/larkweir/core/health_probes.py
@@ -1,4 +1,4 @@
-"""Health checks that the decisions ask for: one GET to an upstream, outside the requests."""
+"""Health checks that the decisions ask for: each is one GET to an upstream, independent of requests."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ProbeSender:
-    """Sends health checks; each ends in one `ProbeEnded`."""
+    """Sends health checks. Each ends with exactly one `ProbeEnded` event."""
 
     TIMEOUT_MS = 50.0
 
@@ -49,8 +49,8 @@
         target: bytes,
         deliver: Callable[[ProbeEnded], None],
     ) -> None:
-        """`report_names`: the values of the load report in the answer's body, empty where none is expected.
-        `target`: the request target.
+        """`report_names`: the names of the values in the load report of the answer's body; empty if no report is
+        expected. `target`: the request target.
         """
         self.target = target
         self._clock = clock
@@ -59,7 +59,7 @@
         self._deliver = deliver
 
     def send(self, action: Probe) -> None:
-        """Begin a health check of `action.server`."""
+        """Start a health check of `action.server`."""
         server = action.server
         now = self._clock.now_ms()
         upstream = self._upstreams.targets.get(server)
--- a/larkweir/core/memory_budget.py
+++ b/larkweir/core/memory_budget.py
@@ -1,22 +1,22 @@
-"""The memory budget that all connections share: bodies, heads and answers are charged to it while they are buffered."""
+"""The memory budget that all connections share. Bodies, heads and answers are charged to it while they are buffered."""
 
 from __future__ import annotations
 
 
 class MemoryBudget:
-    """Counts the bytes that all connections buffer together, against a limit. Guards the process's memory limit:
-    there are hundreds of connections, and a limit for each of them would not bound their sum.
+    """Limits the total number of bytes that all connections buffer. Guards the process's memory limit: there are
+    hundreds of connections, and a limit per connection would not bound their sum.
     """
 
-    SHARE = 0.25  # of the memory limit; the rest is for the program, its tables and the system's buffers
+    SHARE = 0.25  # of the process's memory limit; the rest is for the program, its tables and the system's buffers
 
     def __init__(self, memory_mb: float) -> None:
         self.resize(memory_mb)
         self.used_bytes = 0
 
     def charge(self, before: int, now: int) -> bool:
-        """Change one holder's charge from `before` to `now` bytes. The change is counted in any case; returns whether
-        it is within the limit.
+        """Change one connection's charge from `before` to `now` bytes. The change is always counted; returns whether
+        it is within the limit. A decrease always is.
         """
         self.used_bytes += now - before
         return now <= before or self.used_bytes <= self.max_bytes
@@ -32,5 +32,5 @@
         return self.used_bytes > self.max_bytes
 
     def resize(self, memory_mb: float) -> None:
-        """Set the limit to `SHARE` of `memory_mb` MiB; what is charged already stays."""
+        """Set the limit to `SHARE` of `memory_mb` MiB. Existing charges are kept."""
         self.max_bytes = int(memory_mb * 1024 * 1024 * self.SHARE)
--- a/larkweir/core/message.py
+++ b/larkweir/core/message.py
@@ -1,4 +1,4 @@
-"""Requests and answers independent of their protocol, and the errors of malformed ones. Pure logic."""
+"""Requests and answers, independent of the protocol, and the errors for malformed messages. Pure logic."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers of one connection, which are never forwarded (RFC 9110, section 7.6.1); each side writes its own framing.
+# Hop-by-hop headers, which are never forwarded (RFC 9110, section 7.6.1). Each connection writes its own framing.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -43,7 +43,7 @@
 
 
 class FramingError(Exception):
-    """A message is malformed or not acceptable; `status` is the answer's status for the caller."""
+    """A message is malformed or not acceptable; `status` is the HTTP status of the answer to the caller."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -51,7 +51,7 @@
 
 
 class Fault(NamedTuple):
-    """Why a connection's reader stopped. It is kept in place of the exception, whose traceback would keep the reader's
+    """Why a connection's reader stopped. It is stored instead of the exception, whose traceback would keep the reader's
     frames alive.
     """
 
@@ -61,7 +61,7 @@
 
 class Message:
     """One request or answer. It is complete, except that its body may still be arriving (`stream`). Header names keep
-    the case in which they were received; look-ups take names in lower case.
+    the case in which they were received; lookups take names in lower case.
     """
 
     __slots__ = (
@@ -82,10 +82,12 @@
         self.status = 0
         self.headers: Headers = []
         self.body = b""
-        self.stream: BodyStream | None = None  # the body, where it is forwarded while it arrives
+        self.stream: BodyStream | None = (
+            None  # the body if it is streamed, that is forwarded while it arrives
+        )
         self.keep_alive = True
         self.minor = 1  # the x of HTTP/1.x
-        # Since when it has been queued behind another request of its connection (head-of-line blocking); 0: it was not.
+        # When it was queued behind another request of its connection (head-of-line blocking); 0: it was not queued.
         self.queued_since_ms = 0.0
 
     def values(self, name: bytes) -> list[bytes]:
@@ -94,19 +96,19 @@
 
     @property
     def size(self) -> int:
-        """About how much memory it takes, in bytes."""
+        """The approximate memory use in bytes."""
         return len(self.body) + len(self.target) + sum(len(k) + len(v) + 128 for k, v in self.headers)
 
     def value(self, name: bytes) -> bytes | None:
-        """The only value of a header, or None; FramingError if the header is repeated."""
+        """The only value of a header, or None. Raises FramingError if the header is repeated."""
         values = self.values(name)
         if len(values) > 1:
             raise FramingError(400, f"header {name.decode('latin-1')} comes more than once")
         return values[0] if values else None
 
     def end_to_end_headers(self, less: bytes = b"") -> Headers:
-        """The end-to-end headers, which are forwarded: without `HOP_BY_HOP`, those that Connection names (RFC 9110,
-        section 7.6.1), and `less`, a name in lower case.
+        """The end-to-end headers, which are forwarded. They exclude `HOP_BY_HOP`, the headers that Connection names
+        (RFC 9110, section 7.6.1), and `less`, a name in lower case.
         """
         dropped = HOP_BY_HOP
         for key, value in self.headers:
--- a/larkweir/core/peer_progress.py
+++ b/larkweir/core/peer_progress.py
@@ -1,31 +1,31 @@
-"""Whether a peer still reads what it is sent, by what its system has acknowledged. Pure logic."""
+"""Detects whether a peer still reads, from the bytes that the peer's system has acknowledged. Pure logic."""
 
 from __future__ import annotations
 
 
 class PeerProgress:
-    """For how long a peer has read nothing, as far as this process ran to see it.
+    """Measures how long a peer has read nothing. Time in which this process did not run is not counted.
 
-    What waits in this process's own buffer is a poor witness: the system wants a third of its buffer free before it
-    takes more, so a reader of 64 kB/s behind some megabytes moves it once in 10 s or 20 s. What the peer's system has
-    acknowledged (SIOCOUTQ, tcp(7)) moves as it reads.
+    The size of this process's own write buffer is a poor indicator: the system accepts more only when a third of its
+    send buffer is free, so a peer that reads 64 kB/s with some megabytes buffered changes it only every 10 s or 20 s.
+    The number of bytes that the peer's system has acknowledged (SIOCOUTQ, tcp(7)) changes while the peer reads.
     """
 
-    # Counted between two looks: guards against taking a standstill of this process for the peer's.
+    # The most time that counts between two updates, so that a stall of this process is not attributed to the peer.
     MAX_STEP_MS = 500.0
 
     __slots__ = ("_acknowledged", "_updated_ms", "long_answer_end", "silent_ms", "written")
 
     def __init__(self) -> None:
-        self.written = 0  # bytes, since the connection came up
-        self.long_answer_end = 0  # of these, up to the end of the last long answer
+        self.written = 0  # bytes written since the connection was established
+        self.long_answer_end = 0  # value of `written` at the end of the last streamed answer
         self.silent_ms = 0.0
         self._acknowledged = 0
         self._updated_ms: float | None = None
 
     def update(self, left: int, now_ms: float) -> float:
-        """`left`: bytes written that the peer's system has not acknowledged. For how many milliseconds it has taken
-        nothing, though there was something to take.
+        """Update with `left`, the number of written bytes that the peer's system has not acknowledged. Returns for how
+        many milliseconds the peer has acknowledged nothing although there were unacknowledged bytes.
         """
         taken = self.written - left
         before, self._updated_ms = self._updated_ms, now_ms
@@ -37,10 +37,10 @@
         return self.silent_ms
 
     def pause(self) -> None:
-        """Nothing was looked at meanwhile: the next look begins anew."""
+        """Stop measuring: the time until the next update is not counted."""
         self._updated_ms = None
 
     @property
     def in_long_answer(self) -> bool:
-        """Whether a part of a long answer was still to be taken at the last look."""
+        """Whether part of a streamed answer was still unacknowledged at the last update."""
         return self._acknowledged < self.long_answer_end
--- a/larkweir/core/ports.py
+++ b/larkweir/core/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces that the core needs of the packages above it, which are passed in: the core imports none of them.
+"""The interfaces through which the core uses higher-level packages. Implementations are passed in, never imported.
 
 Pure logic. Times are milliseconds of the balancer's clock.
 """
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Listing:
-    """One message of discovery: the entries, and the address of each at the same index."""
+    """One message of discovery: the entries, and each entry's address at the same index."""
 
     kind: ListKind
     version: int
@@ -38,7 +38,7 @@
     """The load-balancing decisions: `larkweir_balancing.Balancer`."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; returns the actions to carry out, in order, at the same time."""
+        """Handle one event; returns the actions to execute, in order, at the same time."""
 
 
 class Attempt(Protocol):
@@ -46,87 +46,91 @@
 
     @property
     def written_ms(self) -> float:
-        """When it was written to a connection; 0 if it was not."""
+        """When it was written to a connection; 0 if it has not been written."""
 
     @property
     def connect_ms(self) -> float:
-        """How long its own connection took to be established, less the time that this process may have added."""
+        """How long establishing its connection took, minus the time that this process may have added. 0 if it reused a
+        connection.
+        """
 
     def time_out(self) -> None:
-        """End it: no answer came in time."""
+        """End it because no answer has arrived in time."""
 
     def on_body_received(self, until_ms: float) -> None:
-        """The request's last byte was received: its time runs from now on, until `until_ms` at the latest."""
+        """The request's last byte was received: the call's time runs from now until `until_ms` at the latest."""
 
     def end(self, outcome: Outcome, answer: Message | None = None) -> None:
-        """End it with this outcome; without effect once it has ended."""
+        """End it with this outcome. Has no effect after it has ended."""
 
 
 class CallObserver(Protocol):
-    """Is told of the progress of one call, and once of its end."""
+    """Is notified of the progress of one call, and exactly once of its end."""
 
     @property
     def streams(self) -> bool:
         """Whether an answer may be forwarded while it arrives."""
 
     def no_longer_needed(self) -> bool:
-        """Whether the call need not be written any more. It is asked just before that."""
+        """Whether the call need not be written any more. This is checked just before the write."""
 
     def started(self, answer: Message) -> bool:
-        """A long answer has begun, and its body arrives by `answer.stream`; returns whether anybody accepts it."""
+        """A streamed answer has begun, whose body arrives through `answer.stream`. Returns whether it is accepted."""
 
     def ended(self, outcome: Outcome, answer: Message | None) -> None:
-        """The call has ended; `answer` is what it ended with, if anything."""
+        """The call has ended; `answer` is the complete answer, if there is one."""
 
 
 class RequestBudget(Protocol):
-    """The retry budget of one request, where budgets are on."""
+    """The retry budget of one request, if budgets are on."""
 
     @property
     def left(self) -> int:
-        """How many attempts it may still cause, in this tier and those below."""
+        """How many attempts the request may still cause, in this tier and the tiers below."""
 
     def grant(self, attempt: int, tries: int, now_ms: float) -> Headers | None:
-        """The headers that an attempt carries to the tier below; None if it may not begin. `tries`: how many attempts
-        the request may still have here.
+        """The headers that an attempt carries to the tier below, or None if the attempt may not start. `tries`: how
+        many attempts the request may still have in this tier.
         """
 
     def settle(self, attempt: int, outcome: Outcome, answer: Message | None, now_ms: float) -> None:
-        """An attempt has ended: account for what it has cost."""
+        """An attempt has ended: account for its cost."""
 
     def closing(self, status: int) -> Headers:
-        """The headers that go back with the final answer."""
+        """Close the budget; returns its headers for the final answer."""
 
 
 class Baggage(Protocol):
-    """A field that travels with one request through the tiers, beside its budget."""
+    """A header field that is propagated with one request through the tiers, beside its budget."""
 
     def down(self) -> bytes:
-        """Its value for an attempt, to the tier below."""
+        """The field's value in an attempt to the tier below."""
 
     def on_answer(self, text: bytes | None, ran: bool) -> None:
-        """An attempt has ended: the value that came back with its answer. `ran`: it may have reached the tier below."""
+        """An attempt has ended. `text`: the field's value in its answer. `ran`: it may have reached the tier below."""
 
     def up(self) -> bytes:
-        """Its value in the final answer."""
+        """The field's value in the final answer."""
 
     def closed(self, status: int) -> None:
-        """The request has its one final answer, or its client is gone."""
+        """The request has been answered, or its client is gone."""
 
 
 class BaggagePropagator(Protocol):
-    """A component that has a field of its own travel with requests, between the tiers that budgets trust."""
+    """A component that propagates a header field of its own with requests, between tiers that trust each other's
+    budgets.
+    """
 
     @property
     def name(self) -> bytes:
         """The name of the header, as it is written."""
 
     def baggage_for(self, came: bytes | None, trace: bytes, event: RequestArrived, now_ms: float) -> Baggage:
-        """A request has arrived, with this value of the header."""
+        """The baggage of a request that has arrived. `came`: the value of its header."""
 
 
 class Budgets(Protocol):
-    """The retry budgets of all requests. Their headers are read and written here alone."""
+    """The retry budgets of all requests. Only this component reads and writes the budget headers."""
 
     @property
     def way_back_ms(self) -> float:
@@ -134,10 +138,10 @@
 
     @property
     def own(self) -> tuple[bytes, ...]:
-        """The prefixes, in lower case, of headers of upstreams' answers that are never forwarded."""
+        """The prefixes, in lower case, of the headers in upstreams' answers that are never forwarded."""
 
     def carry(self, rider: BaggagePropagator) -> None:
-        """Propagate one more field, for one other component."""
+        """Propagate an additional field, for another component."""
 
     def arrive(
         self, peer: str, message: Message, event: RequestArrived, now_ms: float, trace: bytes = b""
@@ -145,21 +149,19 @@
         """The budget of a request that has arrived, or the headers of its refusal."""
 
     def looped(self, peer: str, message: Message) -> Headers | None:
-        """The headers of a refusal, where a request whose id is open here has come back through the tiers (a loop);
-        None where it has not.
-        """
+        """The headers of a refusal if a request that is open here has returned through the tiers (a loop), or None."""
 
 
 class UpstreamInfo(Protocol):
-    """One upstream, as in the last message of discovery that named it."""
+    """One upstream, as described by the last message of discovery that named it."""
 
     @property
     def number(self) -> int:
-        """Its number in the decisions."""
+        """The number by which the decisions refer to it."""
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address on which it listens."""
 
     @property
     def state(self) -> ServerState:
@@ -167,11 +169,11 @@
 
     @property
     def started_ms(self) -> float:
-        """Since when it has run; 0 means long ago."""
+        """When it was started; 0 means long ago."""
 
     @property
     def process(self) -> object:
-        """Identifies the process behind it: another object once discovery names another process."""
+        """Identifies the upstream's process. It is replaced by a new object when discovery names another process."""
 
 
 class Pool(Protocol):
@@ -184,7 +186,7 @@
     def update(
         self, number: int, address: Address, state: ServerState, started_ms: float, kind: int = 0
     ) -> None:
-        """Apply what discovery says of one upstream. `kind` is its machine type, as the settings number it."""
+        """Apply what discovery reports of one upstream. `kind` is the number of its machine type in the settings."""
 
     def call(
         self,
@@ -198,10 +200,12 @@
         patience_ms: float = 0.0,
         write_by_ms: float = math.inf,
     ) -> Attempt | None:
-        """Begin a call, which ends at `until_ms` at the latest; None if there is no such upstream. While the request's
-        body is still arriving, `until_ms` is infinite, and `patience_ms` is how long the answer is waited for from its
-        last byte on. That byte is not written after `write_by_ms`: the call ends as never sent. `extra`: headers of
-        this call alone. `margin_ms`: of its time, what the way back takes.
+        """Start a call, which ends at `until_ms` at the latest. Returns None if the upstream is unknown.
+
+        While the request's body is still arriving, `until_ms` is infinite, and `patience_ms` limits the wait for the
+        answer, counted from the body's last byte. The last byte is not written after `write_by_ms`; the call ends as
+        never sent instead. `extra`: headers of this call only. `margin_ms`: the part of the call's time that is
+        reserved for returning the answer to the caller.
         """
 
     def close_idle(self, number: int) -> None:
@@ -212,31 +216,31 @@
     """State that survives a crash: the requests that must not run twice."""
 
     def began(self, trace: bytes, then: Callable[[], None], memory_ms: float = 0.0) -> None:
-        """A request that must not run twice is about to be sent for the first time; `then` is called once that is on
-        disk. A server drops its repeats for `memory_ms`.
+        """A request that must not run twice is about to be sent for the first time. `then` is called when that has
+        been recorded on disk. Servers recognize and drop repeats of the request for `memory_ms`.
         """
 
     def ended(self, trace: bytes) -> None:
-        """Such a request is answered, and no attempt of it is in flight."""
+        """Such a request has been answered, and no attempt of it is in flight."""
 
 
 class AnswerVerifier(Protocol):
-    """Checks by its answers whether an upstream that was restored from disk is there, and is the one that is meant."""
+    """Checks by the answers of an upstream that was restored from disk whether it is reachable and the expected one."""
 
     def ended(self, server: int, outcome: Outcome, answer: Message | None, probe: bool = False) -> bool:
-        """An attempt has ended; returns whether its answer counts. That of another upstream does not."""
+        """An attempt has ended. Returns whether its answer is valid; an answer of another upstream is not."""
 
     def begun(self, server: int, answer: Message) -> bool:
-        """A long answer has begun; returns whether it counts."""
+        """A streamed answer has begun. Returns whether it is valid."""
 
 
 class Membership(Protocol):
-    """Discovery, as the decisions ask for it."""
+    """Discovery, as controlled by the decisions."""
 
-    begun: bool  # whether its first list is there, or is not waited for any longer
+    begun: bool  # the first list has arrived, or is no longer waited for
 
     def fetch(self) -> None:
-        """Ask for the complete list, once."""
+        """Request the complete list once."""
 
     def watch(self, active: bool) -> None:
-        """Begin or end the subscription to changes."""
+        """Start or stop the subscription to changes."""
--- a/larkweir/core/recent_ids.py
+++ b/larkweir/core/recent_ids.py
@@ -1,4 +1,4 @@
-"""The ids of requests that ended a short while ago. Pure logic."""
+"""The ids of requests that ended recently. Pure logic."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class RecentIds:
-    """Ids by the time at which their requests ended, oldest first; bounded in number and, by `retention_ms`, in age."""
+    """Ids and the times at which their requests ended, oldest first, limited in number and in age (`retention_ms`)."""
 
     MAX_IDS = 4096
 
     def __init__(self) -> None:
-        self.retention_ms = 0.0  # for how long an id is retained; it never shrinks
+        self.retention_ms = 0.0  # how long an id is retained; it never decreases
         self.ended_ms: dict[bytes, float] = {}
 
     def __contains__(self, trace: bytes) -> bool:
@@ -21,13 +21,13 @@
         return iter(self.ended_ms)
 
     def extend_retention(self, longest_deadline_ms: float) -> None:
-        """Retain ids for twice the longest deadline. A shorter one changes nothing: a request that is open may have
-        been accepted with the longer one.
+        """Retain ids for at least twice the longest deadline. A shorter deadline doesn't reduce the retention, since
+        open requests may have been accepted with the longer one.
         """
         self.retention_ms = max(self.retention_ms, 2.0 * longest_deadline_ms)
 
     def add(self, trace: bytes, now_ms: float) -> None:
-        """A request with this id has ended at `now_ms`, which is not before that of any other."""
+        """A request with this id has ended at `now_ms`, which must not be earlier than the end of any other id."""
         self.ended_ms[trace] = now_ms
         while self.ended_ms:
             oldest = next(iter(self.ended_ms))
@@ -36,7 +36,7 @@
             del self.ended_ms[oldest]
 
     def items(self) -> Iterable[tuple[bytes, float]]:
-        """Each id and the time in milliseconds at which its request ended, oldest first."""
+        """The ids, each with the time in milliseconds at which its request ended, oldest first."""
         return self.ended_ms.items()
 
     def merge(self, ids: Iterable[tuple[bytes, float]]) -> None:
--- a/larkweir/core/reports.py
+++ b/larkweir/core/reports.py
@@ -1,6 +1,6 @@
-"""Parses load reports, which an upstream sends in an answer's header (inline) or in a probe's body.
+"""Parses load reports, which an upstream sends in a header of an answer (inline) or in the body of a probe's answer.
 
-A report is the word TEXT, a blank, and `name=value` pairs with commas between them. Pure logic.
+A report is the word TEXT, a space, and `name=value` pairs separated by commas. Pure logic.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 
 def parse_report(text: bytes, names: Sequence[str]) -> tuple[float, ...]:
-    """The values of `names`, in that order. Empty if the text is no report, a name is missing, or a value is no
-    number from 0 to 1e9.
+    """The values of `names`, in that order. Empty if the text is not a report, a name is missing, or a value is not a
+    number in [0, 1e9).
     """
     kind, _, rest = text.strip().partition(b" ")
     if kind.upper() != b"TEXT":
@@ -26,12 +26,12 @@
             values[name.decode("ascii")] = float(value)
         except ValueError:
             return ()
-    wanted = [values.get(name, -1.0) for name in names]  # -1: missing, which the check below refuses
+    wanted = [values.get(name, -1.0) for name in names]  # -1: missing, which the check below rejects
     return tuple(wanted) if all(0.0 <= value < 1e9 for value in wanted) else ()
 
 
 def report_of(answer: Message | None, names: Sequence[str], from_body: bool) -> tuple[float, ...]:
-    """The load report in an answer's body or header, as `parse_report` gives it; empty where there is none."""
+    """The load report in an answer's body or header, parsed by `parse_report`. Empty if there is none."""
     if answer is None or not names:
         return ()
     try:
--- a/larkweir/core/request_handler.py
+++ b/larkweir/core/request_handler.py
@@ -1,4 +1,4 @@
-"""Entry point of complete messages from callers, of any protocol: answered at once, or passed to the dispatcher."""
+"""Entry point for complete messages of callers, of any protocol: they are answered or passed to the dispatcher."""
 
 from __future__ import annotations
 
@@ -19,52 +19,55 @@
     """Load shedding by this process, before a request is parsed."""
 
     def refusal_for(self, message: Message) -> Headers | None:
-        """The headers of the refusal, or None where the message is admitted."""
+        """The headers of the refusal, or None if the message is admitted."""
 
 
 class Router(Protocol):
-    """Selects the pool of upstreams for a request, where there are several."""
+    """Selects the pool of upstreams for a request, if there are several pools."""
 
     def place(self, message: Message) -> tuple[int, Headers] | object:
-        """Match the message to a route and rewrite its target to the one that is sent upstream. Returns an opaque
-        value for `choose`, or the status and headers of the answer where no route matches.
+        """Match the message to a route and replace its target by the one that is sent upstream. Returns an opaque
+        value for `choose`, or the status and headers of the answer if no route matches.
         """
 
     def choose(self, place: object, message: Message, event: RequestArrived, trace: bytes) -> bool:
-        """Store the selected pool in `event`; False where no pool is suitable."""
+        """Store the selected pool in `event`. Returns False if no pool is suitable."""
 
 
 class PeerIds(Protocol):
-    """Other processes of this balancer that serve beside this one, by the ids of the requests that each takes."""
+    """The ids of requests that other processes of this balancer have accepted while this one serves."""
 
     def __contains__(self, trace: bytes) -> bool:
-        """Whether another has taken a request with this id."""
+        """Whether another process has accepted a request with this id."""
 
     def announce(self, trace: bytes) -> None:
-        """This process is about to accept one. To be called before any of it is sent."""
+        """This process is about to accept a request with this id. Must be called before the request is sent."""
 
 
 class RequestHandler:
-    """Answers `/ready`, refuses what is no acceptable request, and passes the rest to the dispatcher."""
+    """Answers `/ready`, rejects unacceptable requests, and passes all others to the dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher, parser: RequestParser, ready: Callable[[], bool]) -> None:
         self.dispatcher = dispatcher
         self.parser = parser
         self._ready = ready
-        self.load_shedder: LoadShedder | None = None  # load shedding, where it is on
+        self.load_shedder: LoadShedder | None = None  # None: load shedding is off
         self.streams = True  # whether long bodies are forwarded while they arrive
         self.router: Router | None = None  # None: `/api` is the only path
-        self.peer_ids: PeerIds | None = None  # None: no other process serves beside this one
-        self.checks: list[Check] = []  # raise FramingError for what the tier's protocol could not carry
+        self.peer_ids: PeerIds | None = None  # None: no other process of this balancer is serving
+        self.checks: list[
+            Check
+        ] = []  # raise FramingError for messages that the upstreams' protocol can't represent
 
     def is_known(self, trace: bytes) -> bool:
-        """Whether a request with this id is open, or was until lately, here or at another process of this balancer."""
+        """Whether a request with this id is open or ended recently, here or in another process of this balancer."""
         known = self.dispatcher.requests.is_known(trace)
         return known or (self.peer_ids is not None and trace in self.peer_ids)
 
     def handle(self, caller: Caller, message: Message) -> int | None:
         """Answer the message through `caller` and return None, or pass it to the dispatcher and return the dispatcher's
-        number of the request, which may have been answered already. FramingError if the message is not acceptable.
+        number of the request, which may have been answered already. Raises FramingError if the message is not
+        acceptable.
         """
         path = message.target.partition(b"?")[0]
         place: object = None
@@ -88,16 +91,16 @@
                 caller.answer(404, [], b"")
                 return None
             if self.is_known(trace):
-                # A request that comes back through the tiers has the same id: loops are checked first, since the tier
-                # below may try again after a refusal, and not after a bad request.
+                # A request that returns through the tiers has the same id. Loops are checked first, since the tier that
+                # sent it may retry after a refusal (503), but not after a bad request (409).
                 budgets = self.dispatcher.extensions.budgets
                 refused = budgets and budgets.looped(caller.peer, message)
                 if refused:
                     caller.answer(503, [*refused, (b"Retry-After", b"1")], b"")
                     return None
-                # Guards the open request: another one under its id could not be told from a repeat of it.
+                # Guards the open request: a second request with its id could not be distinguished from a repeat.
                 raise FramingError(409, "a request with this id is open, or was until lately")
-            if message.queued_since_ms:  # it was queued since then
+            if message.queued_since_ms:  # the time in the queue counts against the deadline
                 left = max(0.0, left - (self.dispatcher.clock.now_ms() - message.queued_since_ms))
                 event.time_left_ms = left
             if self.peer_ids is not None:
--- a/larkweir/core/request_parser.py
+++ b/larkweir/core/request_parser.py
@@ -1,6 +1,4 @@
-"""Parses a caller's message into the `RequestArrived` event of the decisions, by the names in the settings. Pure
-logic.
-"""
+"""Parses a caller's message into a `RequestArrived` event, using the names in the settings. Pure logic."""
 
 from __future__ import annotations
 
@@ -32,8 +30,9 @@
 class RequestParser:
     """Parses and checks request headers against the settings' classes and tenants."""
 
-    # Earlier settings that are retained for requests received under them and queued since. A request is not queued for
-    # longer than its deadline; with more reloads than these in that time it is read by the oldest.
+    # The number of earlier settings that are retained for queued requests, which are parsed with the settings under
+    # which they were received. A request is queued no longer than its deadline. If there are more reloads in that time,
+    # the oldest retained settings apply.
     MAX_EARLIER = 8
 
     def __init__(
@@ -43,19 +42,19 @@
         now_ms: float = 0.0,
         before: RequestParser | None = None,
     ) -> None:
-        """`taken`: the names of the classes that requests may ask for; None: all of the settings. Removed classes
-        stay in the settings while requests of theirs are open. `before`: what these settings replace as of `now_ms`,
-        on the balancer's clock.
+        """`taken`: the names of the classes that new requests may use; None: all classes of the settings. A removed
+        class stays in the settings while requests of that class are open. `before`: the parser that this one replaces
+        at `now_ms`, on the balancer's clock.
         """
         self._settings = settings
         self._classes = {item.name.encode(): n for n, item in enumerate(settings.classes)}
         self._removed = {name for name in self._classes if taken is not None and name.decode() not in taken}
         self._tenants = {item.name.encode(): n for n, item in enumerate(settings.tenants)}
-        # What was in force before, oldest first, each with the time of its replacement.
+        # Earlier parsers, oldest first, each with the time at which it was replaced.
         self._earlier: list[tuple[float, RequestParser]] = []
         if before is not None:
             self._earlier = [*before._earlier, (now_ms, before)][-self.MAX_EARLIER :]
-            before._earlier = []  # no chain of all settings that ever were
+            before._earlier = []  # otherwise the parsers would form a chain that keeps all earlier settings alive
 
     def _received_under(self, message: Message) -> RequestParser:
         """The parser of the settings that were in force when a queued message was received."""
@@ -66,8 +65,8 @@
         return self
 
     def parse(self, message: Message) -> tuple[RequestArrived, float, bytes]:
-        """Returns the event, the time until the deadline in milliseconds, and the request's id. FramingError if the
-        headers are not those of an acceptable request.
+        """Returns the event, the time until the deadline in milliseconds, and the request's id. Raises FramingError if
+        the headers are not acceptable.
         """
         found: dict[bytes, bytes] = {}
         for name, value in message.headers:
@@ -79,7 +78,7 @@
         get = found.get
         trace = get(b"x-trace-id")
         if not trace or len(trace) > MAX_TRACE:
-            # Upstreams and readers of the logs tell requests apart by it.
+            # Upstreams and logs identify requests by this id.
             raise FramingError(400, "a request without its id")
         named = get(b"x-qos", b"")
         terms = self._received_under(message) if self._earlier else self
@@ -92,9 +91,9 @@
         if text is not None:
             if not text.isdigit() or len(text) > 15:
                 raise FramingError(400, f"unreadable deadline {text!r:.60}")
-            left = min(left, float(text))  # no client waits longer than its class's deadline
+            left = min(left, float(text))  # a client can only shorten the deadline of the class
         if cls.effect is Effect.KEYED and not get(b"idempotency-key"):
-            # Guards against repeats that the upstreams have no key to drop by.
+            # Without a key, the upstreams could not recognize and drop a repeat.
             raise FramingError(400, "a keyed request without its key")
         hint = get(b"x-size-hint")
         key = get(b"x-object")
@@ -102,7 +101,7 @@
             request=0,
             class_index=index,
             time_left_ms=left,
-            # A tenant that the settings do not name gets the number after the last: it has no quota.
+            # A tenant that is not in the settings gets the number after the last one, which has no quota.
             tenant=self._tenants.get(get(b"x-customer") or b"", len(self._tenants)),
             key=zlib.crc32(key) + 1 if key else 0,
             expected_ms=int(hint) / 1000.0 if hint and hint.isdigit() and len(hint) < 12 else None,
@@ -113,8 +112,8 @@
         return event, left, trace
 
     def _keep_terms(self, event: RequestArrived, cls: RequestClass, max_attempts: int) -> None:
-        """Hold a queued request to the class and attempts it was received under; FramingError if its class's place in
-        the settings has been given to another class meanwhile.
+        """Keep the class and the maximum number of attempts under which a queued request was received. Raises
+        FramingError if another class has its class's index in the current settings.
         """
         classes = self._settings.classes
         if event.class_index >= len(classes) or classes[event.class_index].name != cls.name:
--- a/larkweir/core/request_table.py
+++ b/larkweir/core/request_table.py
@@ -1,4 +1,4 @@
-"""The table of requests: those that are open or have attempts in flight, and the ids that must not come again."""
+"""The table of requests that are open or have attempts in flight, and the ids that no new request may use."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class RequestTable:
-    """Requests by their numbers, from their arrival until they are finished and no attempt is in flight.
+    """Requests by number, from their arrival until they are finished and no attempt is in flight.
 
-    An id is new with every request, so a copy that comes a moment after the answer must not run either: ids of open
-    requests and of those that ended lately are known.
+    Every request has a new id, so a request with a known id is a copy and must not run, even shortly after the answer.
+    The table therefore stores the ids of open requests and of requests that ended recently.
     """
 
     def __init__(self, clock: Clock, extensions: Extensions) -> None:
@@ -23,8 +23,8 @@
         self._requests: dict[int, ActiveRequest] = {}
         self.open_ids: set[bytes] = set()
         self.recent_ids = RecentIds()
-        self.next_number = 1  # that no request has had in this process
-        # The request with a number, or None once it is finished and has no attempt in flight.
+        self.next_number = 1  # the number of the next request; numbers are not reused in a process
+        # Returns the request with a number, or None if it is finished and has no attempt in flight.
         self.get: Callable[[int], ActiveRequest | None] = self._requests.get
 
     def __len__(self) -> int:
@@ -34,12 +34,12 @@
         return iter(self._requests.values())
 
     def add(self, request: ActiveRequest) -> None:
-        """Enter a request, whose id is not open."""
+        """Add a request. Its id must not be open."""
         self._requests[request.number] = request
         self.open_ids.add(request.trace)
 
     def remove_if_done(self, request: ActiveRequest) -> None:
-        """Remove a request that is finished and has no attempt in flight; its id stays known for a while."""
+        """Remove the request if it is finished and has no attempt in flight. Its id is retained for a while."""
         if (
             request.finished
             and not request.in_flight
@@ -52,15 +52,17 @@
             self.recent_ids.add(request.trace, self._clock.now_ms())
 
     def is_known(self, trace: bytes) -> bool:
-        """Whether a request with this id is open here, or was until lately."""
+        """Whether a request with this id is open here, or ended recently."""
         return trace in self.open_ids or trace in self.recent_ids.ended_ms
 
     def ids(self) -> list[tuple[str, float]]:
-        """The ids that are open or were lately, each with the time in milliseconds at which it ended, newest last."""
+        """The ids of open and recently ended requests, newest last, each with the time in milliseconds at which its
+        request ended (now for an open one).
+        """
         now = self._clock.now_ms()
         found = [*self.recent_ids.items(), *((trace, now) for trace in self.open_ids)]
         return [(trace.decode("latin-1"), ended_ms) for trace, ended_ms in found[-self.recent_ids.MAX_IDS :]]
 
     def merge_ids(self, ids: list[tuple[str, float]]) -> None:
-        """Ids that another process of this balancer has seen: a copy of such a request must not run here."""
+        """Add ids that another process of this balancer has seen: copies of those requests must not run here."""
         self.recent_ids.merge((text.encode("latin-1", "replace"), ended_ms) for text, ended_ms in ids)
--- a/larkweir/core/stderr_log.py
+++ b/larkweir/core/stderr_log.py
@@ -1,4 +1,4 @@
-"""The log on standard error: rate-limited lines of bounded length, written without ever blocking the event loop."""
+"""The log on standard error: rate-limited lines of limited length, written without blocking the event loop."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class StderrLog:
-    """Writes lines to a descriptor, at most `PER_SECOND` a second, so that a fault that repeats floods neither the
-    log nor the process. Lines are dropped and counted where the rate is passed or nobody reads: guards requests
-    against a full pipe.
+    """Writes lines to a file descriptor, at most `PER_SECOND` per second, so that a repeated fault floods neither the
+    log nor the process. Lines beyond the rate are dropped and counted, and so are lines to a full pipe that nobody
+    reads, so that logging never delays requests.
     """
 
     PER_SECOND = 10
-    CHANGES_PER_SECOND = 5  # beyond these, of lines that a flood of others must not hide
-    MAX_LINE_BYTES = 2000  # less than PIPE_BUF, so that it is written whole or not at all (pipe(7))
+    CHANGES_PER_SECOND = 5  # additional lines per second, reserved for `write_change`
+    MAX_LINE_BYTES = 2000  # less than PIPE_BUF, so that a line is written completely or not at all (pipe(7))
 
     def __init__(self, name: str, descriptor: int = 2) -> None:
-        """`name` is the balancer's, and begins each line."""
+        """`name`: the balancer's name, which is at the start of each line."""
         self._name = name
         self._descriptor = descriptor
         self._own = False
@@ -31,30 +31,29 @@
         try:
             mode = os.fstat(descriptor).st_mode
             if stat.S_ISFIFO(mode):
-                # O_NONBLOCK belongs to the open file description, which other processes may share: the pipe is
-                # opened again, so that it is set for this process alone.
+                # O_NONBLOCK belongs to the open file description, which other processes may share. The pipe is
+                # therefore opened again, so that the flag is set for this process only.
                 path = f"/proc/self/fd/{descriptor}"
                 self._descriptor = os.open(path, os.O_WRONLY | os.O_NONBLOCK | os.O_CLOEXEC)
                 self._own = True
             self._poll.register(self._descriptor, select.POLLOUT)
         except OSError:
-            pass  # it can't be opened again, or is closed: lines are written after a poll, or dropped
+            pass  # the pipe can't be reopened, or the descriptor is closed: lines are written after a poll, or dropped
 
     def write(self, text: str) -> None:
-        """Write one line, or drop and count it; never blocks and never raises."""
+        """Write one line, or drop and count it. Never blocks and never raises."""
         if self._admit():
             self._write_line(text, 1)
 
     def write_change(self, text: str) -> None:
-        """Write a line on a change of state that others are waiting to see, such as who owns a duty.
-
-        Up to `CHANGES_PER_SECOND` of them have room when the other lines have passed the rate.
+        """Write a line about a change of state that must not be lost in a flood of other lines, such as a new owner of
+        a duty. Up to `CHANGES_PER_SECOND` such lines are written when the other lines have used up the rate.
         """
         if self._admit(is_change=True):
             self._write_line(text, 1)
 
     def _admit(self, *, is_change: bool = False) -> bool:
-        """Whether the rate allows one more line now. Dropped lines are counted, and logged with the first line of a
+        """Whether the rate allows another line now. The number of dropped lines is logged before the first line of a
         later second.
         """
         second = int(time.monotonic())
@@ -73,7 +72,7 @@
         return False
 
     def _write_line(self, text: str, count: int) -> None:
-        """`count`: how many dropped lines this one stands for, if it is dropped."""
+        """Write a line. `count`: how many dropped lines to count if the line itself is dropped."""
         line = f"larkweir {self._name}: {text}".replace("\n", " | ").encode("utf-8", "replace")
         self._put(line[: self.MAX_LINE_BYTES], count)
 
@@ -82,11 +81,11 @@
             if not self._poll.poll(0):
                 raise BlockingIOError
             os.write(self._descriptor, line + b"\n")
-        except (OSError, ValueError):  # a log that can't be written must not end the balancer
+        except (OSError, ValueError):  # a failing log must not end the balancer
             self._dropped += count
 
     def close(self) -> None:
-        """Close the descriptor, if it was opened here."""
+        """Close the descriptor if this object opened it."""
         if self._own:
             self._own = False
             os.close(self._descriptor)
--- a/larkweir/upstreams/__init__.py
+++ b/larkweir/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The pool of upstreams and the life of a call, whatever the protocol."""
+"""The pool of upstreams and the lifecycle of a call, independent of the protocol."""
--- a/larkweir/upstreams/attempt_call.py
+++ b/larkweir/upstreams/attempt_call.py
@@ -1,7 +1,8 @@
 """A call to an upstream: one attempt or health check, which ends with exactly one outcome. Pure logic.
 
-Each protocol has a dividing line: until the system has accepted a byte from it on, the upstream can't have begun the
-request; from then on it may have. In HTTP/1.1 it is the last byte. Nothing is ever sent again from here.
+Each protocol defines a point in a request, its dividing line. Until the system has accepted a byte at or after that
+point, the upstream can't have begun to run the request; after that, it may have. In HTTP/1.1 the point is the request's
+last byte. A call is never sent a second time.
 """
 
 from __future__ import annotations
@@ -42,9 +43,9 @@
 
 
 class AttemptCall:
-    """An attempt or a health check. Its observer is told of its end once, with the outcome and the answer."""
+    """An attempt or a health check. Its observer is notified of its end once, with the outcome and the answer."""
 
-    MIN_TIME_LEFT_MS = 1.0  # less time than that can't be told to an upstream, so that nothing is sent
+    MIN_TIME_LEFT_MS = 1.0  # a call with less time is not sent: the header has whole milliseconds
 
     __slots__ = (
         "clock",
@@ -80,29 +81,28 @@
         patience_ms: float = 0.0,
         write_by_ms: float = math.inf,
     ) -> None:
-        self.patience_ms = (
-            patience_ms  # how long it is waited for from its last byte on, while that is to come
-        )
+        # The maximum wait from the body's last byte, used while the body is still arriving.
+        self.patience_ms = patience_ms
         self.clock = clock
         self.upstream = upstream
-        self.process = upstream.process  # that it is meant for
+        self.process = upstream.process  # the upstream's process when the call was made
         self.message = message
-        self.until_ms = until_ms  # nobody waits for it any longer than that
-        self.write_by_ms = write_by_ms  # its last byte may not be written later than that
+        self.until_ms = until_ms  # its deadline
+        self.write_by_ms = write_by_ms  # its last byte may not be written later than this
         self.observer = observer
         self.probe = probe
-        self.extra = extra  # fields that go with this attempt alone
-        self.margin_ms = margin_ms  # of the time until then, what the way back takes
+        self.extra = extra  # headers of this attempt only
+        self.margin_ms = margin_ms  # time reserved before the deadline for returning the answer to the caller
         self.connection: UpstreamConnection | None = None
         self.timer: Timer | None = None
-        self.written = False  # it may have been begun: its dividing line may have been crossed
-        self.written_ms = 0.0  # when it was handed to a connection; 0: not yet
-        self.connect_ms = 0.0  # how long that took to come up, less what was this process's own time
-        self.has_answer_bytes = False  # something has come back for it
+        self.written = False  # its dividing line may have been crossed, so the upstream may have begun it
+        self.written_ms = 0.0  # when it was passed to a connection; 0: not yet
+        self.connect_ms = 0.0  # how long the connection took to be established, minus this process's own time
+        self.has_answer_bytes = False  # at least one byte of an answer was received
         self.ended = False
 
     def write(self, connection: UpstreamConnection, now_ms: float) -> bool:
-        """Send it on a connection that is up, unless it is over; whether a byte was written."""
+        """Send it on an established connection, unless it has ended or may not be sent. Returns whether it was sent."""
         if self.ended:
             return False
         if (
@@ -120,16 +120,16 @@
 
     @property
     def process_changed(self) -> bool:
-        """Whether its upstream is another process by now than the one that it is meant for."""
+        """Whether another process has replaced the upstream's process for which the call was made."""
         return self.process is not self.upstream.process
 
     def left_ms(self, now_ms: float) -> float:
-        """The time that its upstream has; from the last byte of its body on, while that is still to come."""
+        """The time that its upstream has left. While the body is still arriving, the time counts from its last byte."""
         left = self.until_ms - now_ms
         return (left if left < math.inf else self.patience_ms) - self.margin_ms
 
     def end_if_unwritten(self) -> None:
-        """Past `write_by_ms` it ends, unless its dividing line may have been crossed: the rest is never written."""
+        """After `write_by_ms`, end it unless its dividing line may have been crossed. The rest is never written."""
         if self.write_by_ms == math.inf or self.clock.now_ms() < self.write_by_ms:
             return
         if self.connection is not None:
@@ -138,14 +138,16 @@
             self.end(Outcome.RESET if self.has_answer_bytes else Outcome.MOOT)
 
     def on_body_received(self, until_ms: float) -> None:
-        """Its last byte has come: it is waited for until then, or for as long as it was given."""
+        """The request's last byte was received: set the deadline to `until_ms`, or to `patience_ms` from now if that is
+        earlier.
+        """
         if not self.ended and self.timer is None:
             clock = self.clock
             self.until_ms = min(until_ms, clock.now_ms() + self.patience_ms)
             self.timer = clock.at(self.until_ms, self.time_out)
 
     def begin(self, answer: Message) -> bool:
-        """A long answer has begun: no deadline runs any more; whether anybody takes it."""
+        """A streamed answer has begun. Stop the deadline if the observer accepts it. Returns whether it does."""
         if self.ended or not self.observer.started(answer):
             return False
         if self.timer is not None:
@@ -153,19 +155,19 @@
         return True
 
     def time_out(self) -> None:
-        """No answer in time; if its line has not been crossed, it never will be."""
+        """End it because no answer has arrived in time. If its dividing line has not been crossed, it never ran."""
         if self.connection is not None:
             self.connection.update_written(self)
         self.end(Outcome.TIMEOUT if self.written or self.has_answer_bytes else Outcome.CONNECT_FAILED)
 
     def on_connection_lost(self) -> None:
-        """Its connection is lost: it can't be answered any more. An upstream that has sent a byte back may have run it,
-        whatever was written by then.
+        """Its connection is lost, so it can't be answered any more. If the upstream has sent any byte of an answer, it
+        may have run the request, no matter how much of the request was written.
         """
         self.end(Outcome.RESET if self.written or self.has_answer_bytes else Outcome.CONNECT_FAILED)
 
     def end(self, outcome: Outcome, answer: Message | None = None) -> None:
-        """End it with this outcome; without effect once it has ended."""
+        """End it with this outcome. Has no effect after it has ended."""
         if self.ended:
             return
         self.ended = True
@@ -175,13 +177,14 @@
         if connection is not None:
             connection.release(self)
         observer = self.observer
-        # They hold the request, and the request holds its calls: guards against cycles left to the collector.
+        # Both refer to the request, which refers to its calls. Dropping them avoids reference cycles, which only the
+        # garbage collector would free.
         self.observer, self.message = _NO_OBSERVER, _NO_MESSAGE
         observer.ended(outcome, answer)
 
 
 def outcome_of(answer: Message) -> Outcome:
-    """The outcome of a complete answer, by the platform's protocol."""
+    """The outcome of a complete answer according to the platform's protocol."""
     if answer.status == 200:
         return Outcome.OK
     if answer.status in (503, 504) and answer.values(NEVER_RAN_HEADER) == [b"1"]:
--- a/larkweir/upstreams/connection.py
+++ b/larkweir/upstreams/connection.py
@@ -12,14 +12,14 @@
 
 
 class UpstreamConnection(Protocol):
-    """A connection as the pool and the calls on it see it. The implementation is an `asyncio.Protocol` too."""
+    """The interface that the pool and the calls use. Implementations are also `asyncio.Protocol`s."""
 
     upstream: Upstream
     address: Address
     idle_since_ms: float
     reuse_delayed: bool  # its last answer was an attempt's: see `UpstreamPool.REUSE_DELAY_MS`
-    listed: bool  # the pool holds it for further calls
-    retired: bool  # it leads to a process that is gone, or is not trusted any more: it gets no further call
+    listed: bool  # it is in the pool's table of idle connections
+    retired: bool  # its process is gone, or the connection is no longer trusted: it gets no further call
 
     @property
     def calls(self) -> int:
@@ -27,10 +27,10 @@
 
     @property
     def room(self) -> int:
-        """How many more calls it could carry now."""
+        """How many additional calls it could carry now."""
 
     def usable(self) -> bool:
-        """Whether it is established, with neither an end nor unread bytes waiting in the system."""
+        """Whether it is established, with no end of the connection and no unread bytes pending in the system."""
 
     def abort(self) -> None:
         """Close it at once."""
@@ -39,7 +39,7 @@
         """Write a call's request."""
 
     def update_written(self, call: AttemptCall) -> None:
-        """Bring up to date whether the call's dividing line may have been crossed (`written`)."""
+        """Update the call's `written`: whether its dividing line may have been crossed."""
 
     def release(self, call: AttemptCall) -> None:
-        """The call has ended without an answer, and is to be given up."""
+        """The call has ended: stop serving it."""
--- a/larkweir/upstreams/pool.py
+++ b/larkweir/upstreams/pool.py
@@ -1,4 +1,4 @@
-"""The table of upstreams, the connections to them, idle or in use, and the limit on sockets. Opens the connections."""
+"""The table of upstreams, and their connections, idle or in use. Opens connections and limits the number of sockets."""
 
 from __future__ import annotations
 
@@ -23,23 +23,26 @@
     """Limits the rate at which connections to an upstream are opened. Times are the clock's milliseconds."""
 
     def is_allowed(self, upstream: int, now_ms: float) -> bool:
-        """Whether another connection may be opened now; if so it is counted."""
+        """Whether another connection may be opened now. If so, the connection is counted."""
 
     def wait_ms(self, upstream: int, now_ms: float) -> float:
-        """About how many milliseconds until then."""
+        """The approximate time in milliseconds until another connection may be opened."""
 
 
 class UpstreamPool:
-    """The table of upstreams, the idle connections, and the budget of sockets."""
+    """The table of upstreams, the idle connections, and the limit on sockets."""
 
     SWEEP_MS = 1_000.0
-    # After an attempt's answer a connection takes no new call for so long, and what comes in that time closes
-    # it: guards against a second copy of the answer, or noise, that comes one read later and would be taken
-    # for the answer to the next call. A probe is the first half of a send, so its connection does not rest:
-    # there an answer that repeats the probe's is told by its body.
+    # After an attempt's answer a connection gets no new call for this long, and any input in that time closes it.
+    # Guards against a second copy of the answer, or garbage, that arrives one read later and would be taken for the
+    # answer to the next call. After a probe's answer there is no delay, since a send usually follows the probe; a
+    # repeated answer of a probe is recognized by its body.
     REUSE_DELAY_MS = 25.0
-    WAITING_POLL_MS = (2.0, 20.0)  # from look to look, for calls that wait because connections are paced
-    CONNECT_MARGIN_MS = 100.0  # of the drain's grace, for lists that are read late
+    WAITING_POLL_MS = (
+        2.0,
+        20.0,
+    )  # minimum and maximum interval of polling for calls that wait for the rate limiter
+    CONNECT_MARGIN_MS = 100.0  # subtracted from a drain's grace period, for lists that are read late
 
     def __init__(
         self,
@@ -50,41 +53,39 @@
         budget: int,
         drain_grace_ms: float,
     ) -> None:
-        """`make_connection` makes a connection that is not up yet; it must be an `asyncio.Protocol`. `budget` bounds the
-        sockets. `drain_grace_ms` is how long after the word of a drain something new may still go there.
+        """`make_connection` creates an unconnected connection, an `asyncio.Protocol`. `budget`: the maximum number of
+        sockets. `drain_grace_ms`: how long new calls may be sent to an upstream after discovery reported its drain.
         """
         self.clock = clock
         self.memory = memory
         self.make_connection = make_connection
         self.table: dict[int, Upstream] = {}
-        self.draining: set[int] = set()  # those told to drain
-        # Where an upstream says how much it takes: whether that is out already.
+        self.draining: set[int] = set()  # numbers of the upstreams that drain
+        # Whether an upstream that states its capacity has none left, given the calls that wait for a connection to it.
         self.is_full: Callable[[Upstream, int], bool] | None = None
-        self._pending: Counter[int] = Counter()  # calls that wait for a connection, where `is_full` is asked
-        self._idle: dict[
-            int, list[UpstreamConnection]
-        ] = {}  # with room, by upstream, the one used last at the end
-        # Coming up, by upstream: one that has room for more calls than wait for it.
+        self._pending: Counter[int] = (
+            Counter()
+        )  # calls waiting for a connection, by upstream; only with `is_full`
+        # Connections with room for a call, by upstream; the most recently used is last.
+        self._idle: dict[int, list[UpstreamConnection]] = {}
+        # By upstream, a connection that is being established and can carry several calls, with the calls that wait.
         self._shared_connecting: dict[int, tuple[UpstreamConnection, list[AttemptCall]]] = {}
-        self._assigned: dict[
-            AttemptCall, UpstreamConnection
-        ] = {}  # for a call whose connection is about to come up
-        self._open: dict[
-            UpstreamConnection, None
-        ] = {}  # in the order of their coming up, so that a run can be had again
+        # By call, the connection that was created for it and is about to be established.
+        self._assigned: dict[AttemptCall, UpstreamConnection] = {}
+        # In the order in which they were established, so that runs are reproducible.
+        self._open: dict[UpstreamConnection, None] = {}
         self._connecting: set[asyncio.Task[None]] = set()
         self._sweeping = False
         self.rate_limiter: ConnectRateLimiter | None = None
-        self._waiting: dict[
-            int, deque[AttemptCall]
-        ] = {}  # for a connection that may not be opened yet, by upstream
+        # By upstream, calls for which the rate limiter does not allow a connection yet.
+        self._waiting: dict[int, deque[AttemptCall]] = {}
         self.configure(settings, budget, drain_grace_ms)
 
     def configure(self, settings: Settings, budget: int, drain_grace_ms: float) -> None:
-        """Take new figures. What is out stays out; drains told before keep their grace or a shorter one."""
+        """Apply new settings. Calls in progress are unaffected; the grace periods of open drains can only decrease."""
         self._budget = budget
         idle_ms = settings.conn_idle_ms
-        # Guards against writing to a connection in the moment the upstream closes it for having stood idle.
+        # Guards against writing to a connection at the moment at which the upstream closes it as idle.
         self._max_idle_ms = idle_ms - min(5_000.0, 0.2 * idle_ms)
         self._connect_timeout_ms = settings.connect_timeout_ms
         self._drain_grace_ms = max(0.0, drain_grace_ms - self.CONNECT_MARGIN_MS)
@@ -93,12 +94,12 @@
 
     @property
     def targets(self) -> Mapping[int, Upstream]:
-        """The upstreams by their numbers."""
+        """The upstreams by number."""
         return self.table
 
     @property
     def sockets(self) -> int:
-        """Connections that are established or being established."""
+        """The number of connections that are established or being established."""
         return len(self._open) + len(self._connecting)
 
     def update(
@@ -109,7 +110,7 @@
         started_ms: float,
         kind: int = 0,
     ) -> None:
-        """Take over what discovery tells of one; `kind` is the machine's, as the settings number it."""
+        """Apply what discovery reports of one upstream. `kind` is the number of its machine type in the settings."""
         now = self.clock.now_ms()
         upstream = self.table.get(number)
         if upstream is None:
@@ -129,10 +130,10 @@
         else:
             self.draining.discard(number)
         if state is ServerState.GONE:
-            del self.table[number]  # calls on their way to it hold it, and see its state
+            del self.table[number]  # pending calls still refer to the object, and see its state
 
     def set_draining_since(self, number: int, draining_since_ms: float) -> None:
-        """Another process of this balancer was told of a drain before: the grace period runs from then."""
+        """Another process of this balancer learned of a drain earlier: start the grace period at that time."""
         upstream = self.table.get(number)
         if upstream is not None and upstream.draining_since_ms:
             upstream.draining_since_ms = min(upstream.draining_since_ms, draining_since_ms)
@@ -150,9 +151,7 @@
         patience_ms: float = 0.0,
         write_by_ms: float = math.inf,
     ) -> AttemptCall | None:
-        """Begin a call, on an idle connection or a new one; it ends at `until_ms` at the latest, and is not written
-        after `write_by_ms`.
-        """
+        """Start a call on an idle connection or a new one. See `larkweir.core.ports.Pool.call`."""
         upstream = self.table.get(target)
         if upstream is None:
             return None
@@ -193,11 +192,11 @@
         return call
 
     def _open_for(self, call: AttemptCall) -> None:
-        """A new connection, for this call first."""
+        """Open a new connection for this call."""
         upstream = call.upstream
         if self.is_full is not None:
             self._pending[upstream.number] += 1
-            # Others that come meanwhile may wait for the same connection.
+            # Calls that begin before it is established may wait for the same connection.
             self._assigned[call] = connection = self.make_connection(self, upstream)
             if connection.room > 1:
                 self._shared_connecting[upstream.number] = (connection, [call])
@@ -213,15 +212,15 @@
         self.clock.after(wait, lambda: self._serve_waiting(number))
 
     def _serve_waiting(self, number: int) -> None:
-        """Calls that wait because connections are paced: one that has come free goes before a new one. Whose time is
-        over has ended by itself, as never sent; whose client has gone opens none.
+        """Serve the calls that wait for the rate limiter. An idle connection is preferred to a new one. Calls that have
+        timed out are skipped (they ended as never sent), and no connection is opened for calls whose client is gone.
         """
         queue = self._waiting.get(number)
         now = self.clock.now_ms()
         while queue:
             call = queue[0]
             upstream = call.upstream
-            if call.observer.no_longer_needed():  # also where it has ended by itself
+            if call.observer.no_longer_needed():  # also true if the call has already ended
                 call.end(Outcome.MOOT)
             elif not call.ended and self.table.get(number) is upstream and not call.process_changed:
                 idle = self._take_idle(upstream, now)
@@ -236,7 +235,7 @@
                 else:
                     self._open_for(call)
             elif not call.ended:
-                call.end(Outcome.MOOT)  # its upstream is gone, or another process by now
+                call.end(Outcome.MOOT)  # its upstream is gone or was replaced by another process
             queue.popleft()
         self._waiting.pop(number, None)
 
@@ -246,12 +245,12 @@
         protocol = cast(asyncio.Protocol, connection)
         coming = self._shared_connecting.get(upstream.number)
         calls = coming[1] if coming is not None and coming[0] is connection else [call]
-        self.clock.loop_iteration()  # tasks run behind the end of the turn that made them
+        self.clock.loop_iteration()  # this task runs in a later loop iteration than the one that created it
         begun = self.clock.now_ms()
         try:
             async with asyncio.timeout(self._connect_timeout_ms / 1000.0):
                 await asyncio.get_running_loop().create_connection(lambda: protocol, *connection.address)
-        except OSError:  # refused, unreachable, out of descriptors, or not up in time
+        except OSError:  # refused, unreachable, out of descriptors, or not established in time
             self._connect_ended(connection, len(calls))
             for item in calls:
                 item.end(Outcome.CONNECT_FAILED)
@@ -270,16 +269,16 @@
             item.connect_ms = took
             if connection.room:
                 item.write(connection, now)
-            else:  # it has broken under the first of them
+            else:  # the connection broke while an earlier call was written
                 item.end(Outcome.CONNECT_FAILED)
         if connection.room:
             self.put(connection)
 
     def _join_connecting(self, call: AttemptCall) -> bool:
-        """Let it wait for a connection that is coming up and has room for it."""
+        """Let the call wait for a connection that is being established, if one has room. Returns whether one has."""
         coming = self._shared_connecting.get(call.upstream.number)
         if coming is None or len(coming[1]) >= coming[0].room or coming[1][0].process is not call.process:
-            return False  # none, full, or on its way to another process
+            return False  # no such connection, no room, or it leads to another process
         coming[1].append(call)
         self._pending[call.upstream.number] += 1
         return True
@@ -306,7 +305,7 @@
                 continue
             del idle[at]
             connection.listed = False
-            if connection.room <= 0:  # it takes fewer than when it was listed
+            if connection.room <= 0:  # its capacity has decreased since it was listed
                 continue
             if (unused < self._max_idle_ms or connection.calls) and connection.usable():
                 return connection
@@ -314,7 +313,7 @@
         return None
 
     def put(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next call, if it still leads to an upstream that takes new ones."""
+        """Keep a connection for the next call if it still leads to an upstream that accepts new calls."""
         upstream = connection.upstream
         stays = self.table.get(upstream.number) is upstream and upstream.address == connection.address
         if connection.listed:
@@ -337,7 +336,7 @@
             self.clock.after(self.SWEEP_MS, self._sweep)
 
     def _sweep(self) -> None:
-        """Close what has stood idle for nearly as long as the upstream lets it."""
+        """Close connections that have been idle for nearly as long as the upstream allows."""
         oldest = self.clock.now_ms() - self._max_idle_ms + self.SWEEP_MS
         for number in list(self._idle):
             kept = []
@@ -376,7 +375,7 @@
             self._idle[number] = kept
 
     def retire(self, number: int) -> None:
-        """The process behind an upstream's connections is no more: they take no further call."""
+        """The process behind an upstream's connections is gone: send no further call on them."""
         for connection in self._open:
             if connection.upstream.number == number:
                 connection.retired = True
@@ -386,14 +385,14 @@
                 connection.abort()
 
     def closed(self, connection: UpstreamConnection) -> None:
-        """A connection was closed: remove it."""
+        """Remove a connection that was closed."""
         self._open.pop(connection, None)
         idle = self._idle.get(connection.upstream.number)
         if idle and connection in idle:
             idle.remove(connection)
 
     def close(self) -> None:
-        """At the end of the process."""
+        """Close all connections, at the end of the process."""
         for task in list(self._connecting):
             task.cancel()
         for connection in list(self._open):
