--- a/larkweir/core/actions.py
+++ b/larkweir/core/actions.py
@@ -67,7 +67,7 @@
         self._handlers.get(type(action), self._log_unsupported)(action)
 
     def _log_unsupported(self, action: Action) -> None:
-        self._log.write(f"{type(action).__name__} is not built")
+        self._log.write(f"no handler for action {type(action).__name__}")
 
     def _set_timer(self, action: SetTimer) -> None:
         event = TimerFired(action.cookie)
--- a/larkweir/core/attempts.py
+++ b/larkweir/core/attempts.py
@@ -82,7 +82,7 @@
         """
         request = self._requests.get(action.request)
         if request is None:
-            self._log.write(f"a send for request {action.request}, which is over")
+            self._log.write(f"Send action for request {action.request}, which has ended")
             return
         now = self._clock.now_ms()
         number = len(request.attempts)
--- a/standins/world/balancers.py
+++ b/standins/world/balancers.py
@@ -45,7 +45,7 @@
 HANDOVER = re.compile(r"handover: ")
 TAKEN_OVER = "handover: the successor has taken over"
 TAKEN_BACK = re.compile(r"handover: .*this life (goes on|takes over again)")
-WRONG = re.compile(r"Traceback|Error\(|Exception|is not built|which is over")
+WRONG = re.compile(r"Traceback|Error\(|Exception|no handler for action|which has ended")
 MOST_LOG = 2_000
 
 
--- a/tests/core/test_body_stream.py
+++ b/tests/core/test_body_stream.py
@@ -1,4 +1,4 @@
-"""A body that is passed on while it comes: every order of pieces, is_full, sinks that come and go, and its end."""
+"""A body that is forwarded while it arrives, with pieces, pauses, sinks and the body's end in any order."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 MAX_BUFFERED = 10
 
 
-SINK_BUFFER = 6  # what a taker's own buffer takes before it says so
+SINK_BUFFER = 6  # a sink with more unsent bytes than this is full
 
 
 class FakeSink:
-    """A connection that writes: its buffer fills with what it is given, and empties as its peer reads."""
+    """A connection that writes the body. Its buffer grows with each write and shrinks when the peer reads."""
 
     def __init__(self) -> None:
         self.got = b""
         self.ends: list[str] = []
         self.unsent = 0
         self.max_unsent = 0
-        self.stream: BodyStream | None = None  # once it has been told of it
+        self.stream: BodyStream | None = None  # set when the sink is attached
 
     @property
     def is_full(self) -> bool:
@@ -54,7 +54,7 @@
 
 
 class Bodies(RuleBasedStateMachine):
-    """The producer obeys, from the moment on that it can be told: it may come to steer at any time, early or late."""
+    """The producer pauses when it is told to. It may set its back-pressure callback at any time."""
 
     PIECE = 8
 
@@ -66,12 +66,12 @@
         self.end_results: list[bool] = []
         self.stream.on_end = self.end_results.append
         self.fed = b""
-        self.unregulated_bytes = 0  # bytes that came before the producer could be told
+        self.unregulated_bytes = 0  # bytes that were fed before the producer had set its callback
         self.sink: FakeSink | None = None
-        self.is_partly_consumed = False  # a sink that had a part has left
+        self.is_partly_consumed = False  # a sink was detached after it had received a part
 
     def set_paused(self, paused: bool) -> None:
-        assert paused is not self.is_paused  # told of changes only
+        assert paused is not self.is_paused  # called only on changes
         self.is_paused = paused
 
     @precondition(lambda self: not self.has_callback)
@@ -99,7 +99,7 @@
     @precondition(lambda self: self.sink is None and not self.is_partly_consumed)
     @rule(written=st.integers(0, 2 * SINK_BUFFER))
     def attach(self, written: int) -> None:
-        """The head goes out first, and may fill its buffer before there is a body to tell."""
+        """The message's head is written first, and may fill the sink's buffer before the body is attached."""
         self.sink = FakeSink()
         self.sink.fill(written)
         self.sink.stream = self.stream
@@ -145,7 +145,7 @@
 
     @invariant()
     def held_bytes_are_bounded(self) -> None:
-        """What waits in the stream and, of it, in its sink's buffer, beside what came before anyone could be told."""
+        """Bounds the bytes in the stream and in its sink's buffer, apart from bytes fed before the callback was set."""
         assert self.stream.buffered_bytes < MAX_BUFFERED + self.PIECE + self.unregulated_bytes
         if self.sink is not None:
             assert (
@@ -157,7 +157,7 @@
     def the_producer_is_held_where_nobody_takes_more(self) -> None:
         stream = self.stream
         if stream.ended:
-            assert not self.is_paused  # what comes behind it is read
+            assert not self.is_paused  # the producer must read what follows the body
         elif self.has_callback:
             full = self.sink.is_full if self.sink is not None else stream.buffered_bytes >= MAX_BUFFERED
             assert self.is_paused is full
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -1,4 +1,4 @@
-"""The one clock, where the system's time is set under it."""
+"""The clock must not follow changes of the system time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def test_a_step_of_the_system_time_neither_changes_the_clock_nor_fires_a_timer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Leases, suspicions and deadlines all go by it."""
+    """Guards leases, suspicions and deadlines, which all use this clock."""
     mono_s = [1_000.0]
     monkeypatch.setattr(module.time, "monotonic", lambda: mono_s[0])
     monkeypatch.setattr(module.time, "time", lambda: 2_000_000.0)
--- a/tests/core/test_own_time.py
+++ b/tests/core/test_own_time.py
@@ -1,4 +1,4 @@
-"""What the decisions are told of whose time it was, on sockets, with an upstream that has a thread of its own."""
+"""The upstream time that is reported to the decisions, with sockets and an upstream in a thread of its own."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Upstream(threading.Thread):
-    """Answers the first request when it is told to, and says that it has."""
+    """Answers the first request after `go` is set, and then sets `answered`."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -45,7 +45,7 @@
         def more(event: Event) -> list[Action] | None:
             if isinstance(event, RequestArrived):
                 arrived.append(event)
-                if len(arrived) == 2:  # nothing but a request is handled in this turn, and it takes its time
+                if len(arrived) == 2:  # only this request is handled in this iteration, and slowly
                     upstream.go.set()
                     upstream.answered.wait(PATIENCE_S)
                     time.sleep(BUSY_S)
--- a/tests/core/test_stderr_log.py
+++ b/tests/core/test_stderr_log.py
@@ -1,4 +1,4 @@
-"""The log: bounded, and never a wait."""
+"""The log on standard error: bounded, and it never blocks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_a_full_pipe_drops_lines_and_counts_them() -> None:
-    """Guards the event loop: writing to a log that nobody reads must return."""
+    """Guards the event loop: a write to a pipe that nobody reads must return."""
     read, write = os.pipe()
     log = StderrLog("n", write)
     log.PER_SECOND = 100_000
@@ -20,7 +20,7 @@
     assert log._dropped > 0
     held = os.read(read, 1 << 20)
     assert held.count(b"\n") + log._dropped == 5_000
-    assert os.get_blocking(write)  # another's end of the pipe is left as it was
+    assert os.get_blocking(write)  # the shared descriptor's flags are unchanged
     log.close()
     os.close(read)
     os.close(write)
--- a/tests/upstreams/gate.py
+++ b/tests/upstreams/gate.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that come up only when a test says so."""
+"""Connections to upstreams that are established only when a test allows it."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 class Gate:
-    """Real connections to the given ports: each is made by the system at once, and handed to whoever asked for it only
-    when the gate opens. The first `free` of them pass.
+    """Delays connections to the given ports. The system establishes each at once, but the caller of
+    `create_connection` receives it only after the gate was opened. The first `free` connections are not delayed.
     """
 
     def __init__(self, *ports: int, free: int = 0) -> None:
@@ -41,7 +41,7 @@
         return made
 
     async def held(self) -> asyncio.Transport:
-        """The next connection that waits here."""
+        """The next connection that is delayed here."""
         async with asyncio.timeout(PATIENCE_S):
             return await self._arrived.get()
 
@@ -50,5 +50,5 @@
 
 
 def pass_time_unnoticed(clock: Clock, ms: float) -> None:
-    """Let so many milliseconds go by, and every timer be late for them."""
+    """Advance the clock by `ms` without firing timers, as if every timer were late."""
     clock.offset_ms += ms
--- a/tests/upstreams/test_attempts.py
+++ b/tests/upstreams/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts over loopback: each row of the outcome table, and what must never be written."""
+"""Attempts over loopback: each row of the outcome table, and cases in which no request may be written."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
-    """On the loop that the program runs on."""
+    """Run `work` on the event loop that the program uses, with a timeout."""
     uvloop.run(asyncio.wait_for(work, 3 * PATIENCE_S))
 
 
-# A probe's time-out in tests: longer than any busy machine stalls. It passes by `pass_time`, never by waiting.
+# The probe timeout in tests, longer than any stall of a busy machine. Tests let it pass with `pass_time`, not by waits.
 PROBE_TIMEOUT_MS = 1_000.0 * PATIENCE_S
 
 
 async def probe_ended(script: Script) -> ProbeEnded:
-    """The next end of a probe."""
+    """The next `ProbeEnded` event."""
     async with asyncio.timeout(PATIENCE_S):
         while True:
             event = await script.told.get()
@@ -88,7 +88,7 @@
 
 
 async def too_long(request: Incoming, talk: Talk) -> None:
-    """Over what is passed on while it comes; over FastCGI, where answers are held whole, over what may be held."""
+    """Exceed the size limit of streamed answers or, with FastCGI, of answers that are buffered completely."""
     if request.values is None:
         await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY + 1))
     else:
@@ -119,8 +119,8 @@
     ("an endless head", sends(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: ppppppppp\r\n" * 3000), Outcome.RESET),
     ("another version", sends(ok().replace(b"1.1", b"2.0")), Outcome.RESET),
     ("interim answers without end", sends(b"HTTP/1.1 103 Early Hints\r\n\r\n" * 60_000), Outcome.RESET),
-    ("noise behind", sends(ok() + b"\x00noise\r\n\r\n"), Outcome.OK),
-    ("a second copy behind", sends(ok() * 2), Outcome.OK),
+    ("garbage after the answer", sends(ok() + b"\x00noise\r\n\r\n"), Outcome.OK),
+    ("a second copy after the answer", sends(ok() * 2), Outcome.OK),
     (
         "a load report that can't be read",
         sends(ok(b"served", "Endpoint-Load-Metrics: \xff=\r\n")),
@@ -166,11 +166,11 @@
 
 
 def test_refused_connection_proves_it_never_ran() -> None:
-    """Guards the row 'could not connect': nothing listens at the address."""
+    """Guards the row 'could not connect' when nothing listens at the address."""
 
     async def work() -> None:
         with socket.socket() as unused:
-            unused.bind(("127.0.0.1", 0))  # bound, never listening
+            unused.bind(("127.0.0.1", 0))  # bound but not listening
             script = Script([1])
             async with (
                 running(entry("a", unused.getsockname()[1]), script=script) as balancer,
@@ -184,7 +184,7 @@
 
 
 def full_backlog() -> tuple[socket.socket, list[socket.socket]]:
-    """A listener that accepts nothing more: connections to it never come up."""
+    """A listener with a full backlog: connections to it are never established."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
@@ -198,7 +198,7 @@
 
 
 def test_a_connection_that_is_never_established_proves_it_never_ran() -> None:
-    """Guards the row 'could not connect' against a machine that says nothing."""
+    """Guards the row 'could not connect' when the machine does not respond at all."""
 
     async def work() -> None:
         listener, fillers = full_backlog()
@@ -219,8 +219,8 @@
 
 
 def test_a_connection_that_is_established_late_carries_its_call_once() -> None:
-    """Guards against a second attempt beside a connection that is only late: it comes up when the system asks again, a
-    second after the first time.
+    """Guards against a second attempt while a connection is only late. It is established when the system repeats its
+    SYN packet, one second after the first.
     """
 
     async def work() -> None:
@@ -253,7 +253,7 @@
 
 
 def test_no_answer_times_out_and_its_connection_is_closed() -> None:
-    """Guards the row 'timed out': the attempt is given up by closing, and the request may have run."""
+    """Guards the row 'timed out': the connection is closed, and the request may have run."""
 
     async def work() -> None:
         closed = asyncio.Event()
@@ -279,10 +279,10 @@
 
 
 def test_a_break_before_the_last_byte_is_written_proves_it_never_ran() -> None:
-    """Guards the dividing line: an upstream that resets with part of the request unread and unwritten."""
+    """Guards the dividing line: the upstream resets while part of the request is unread and part is unwritten."""
 
     async def work() -> None:
-        # Small buffers keep the last byte with the balancer: the body is larger than what the system takes.
+        # Small buffers keep the last byte in the balancer, since the body is larger than the system accepts.
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         listener.bind(("127.0.0.1", 0))
@@ -297,7 +297,7 @@
             first = asyncio.ensure_future(loop.sock_accept(listener))
             original = balancer.dispatcher.upstreams._connect
 
-            # The system's own send buffer is cut as well, before anything is written.
+            # The system's send buffer is reduced as well, before anything is written.
             async def small(call: Any) -> None:
                 write = call.write
 
@@ -315,7 +315,7 @@
             connection, _ = await first
             head = await loop.sock_recv(connection, 100)
             assert head.startswith(b"POST")
-            connection.close()  # with bytes unread: a reset
+            connection.close()  # a reset, since there are unread bytes
             assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
             assert (await caller.answer()).status == 502
         listener.close()
@@ -324,7 +324,7 @@
 
 
 class _CallWithWrite:
-    """A call whose `write` is another."""
+    """A call with a different `write`."""
 
     def __init__(self, call: Any, write: Any) -> None:
         self._call, self.write = call, write
@@ -334,14 +334,14 @@
 
 
 def test_an_unsafe_request_on_a_reused_connection_that_breaks_is_sent_once() -> None:
-    """Guards against silent re-sends: the kept connection breaks once the request is on it."""
+    """Guards against silent resends: the reused connection breaks after the request was written."""
 
     async def work() -> None:
         ups = [await FakeUpstream().start() for _ in range(2)]
-        # With the module's own decisions: it must not try the other upstream either.
+        # Uses the real decisions, which must not try the other upstream either.
         entries = [u.entry(f"u{n}") for n, u in enumerate(ups)]
         async with running(*entries) as balancer, Caller(balancer.port) as caller:
-            while not all(u.seen for u in ups):  # both have a kept connection
+            while not all(u.seen for u in ups):  # until both have an idle connection
                 caller.ask()
                 assert (await caller.answer()).status == 200
             warm = sum(len(u.seen) for u in ups)
@@ -358,7 +358,7 @@
 
 
 def test_a_connection_with_unread_bytes_or_an_end_is_not_reused() -> None:
-    """Guards against writing a request to a connection whose other side has spoken or closed."""
+    """Guards against writing a request to a connection whose peer has sent something or closed it."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -372,7 +372,7 @@
                 raw = upstream.talks[-1].writer.get_extra_info("socket").fileno()
                 with socket.socket(fileno=socket.dup(raw)) as side:
                     side.send(spoil) if spoil else side.shutdown(socket.SHUT_WR)
-                # Asked in the same turn of the loop, before it can have read what came.
+                # Checked in the same iteration of the loop, before it can have read the input.
                 assert not kept.usable()
                 caller.ask("move", b"y")
                 assert (await caller.answer()).status == 200
@@ -383,7 +383,7 @@
 
 
 def test_small_writes_are_sent_without_delay() -> None:
-    """Guards latency: TCP_NODELAY is on, on both sides."""
+    """Guards latency: TCP_NODELAY is set on the connections to upstreams and to callers."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -404,7 +404,7 @@
 
 
 def test_a_connection_near_the_idle_limit_is_not_reused() -> None:
-    """Guards against the upstream closing a connection in the moment a request is written to it."""
+    """Guards against the upstream closing a connection at the moment at which a request is written to it."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -425,7 +425,7 @@
 
 
 def test_idle_connections_are_closed_before_the_limit() -> None:
-    """Guards the same without a request: the sweep closes them by itself."""
+    """Guards the same without a further request: the periodic sweep closes idle connections."""
 
     async def work() -> None:
         ended = asyncio.Event()
@@ -444,14 +444,16 @@
             caller.ask()
             await caller.answer()
             async with asyncio.timeout(PATIENCE_S):
-                await ended.wait()  # closed by the balancer: nothing else ends it
+                await ended.wait()  # only the balancer can have closed it
         upstream.close()
 
     run(work())
 
 
 def test_which_parts_of_a_request_are_forwarded() -> None:
-    """Guards method, target, body and ids, which go on unchanged, and the time left, which does not grow."""
+    """Method, target, body and ids are forwarded unchanged, the time left never grows, and hop-by-hop headers are
+    dropped.
+    """
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -482,7 +484,9 @@
 
 
 def test_two_answered_copies_give_one_answer() -> None:
-    """Guards 'exactly one answer': both copies are served, the first goes out, the second is told."""
+    """Guards 'exactly one answer': both copies are answered, the first answer is sent to the caller, and the second is
+    only reported to the decisions.
+    """
 
     async def work() -> None:
         go = [asyncio.Event(), asyncio.Event()]
@@ -519,7 +523,7 @@
                 (0, Outcome.OK, True),
             ]
             caller.ask(target="/ready")
-            assert (await caller.answer()).status == 200  # and nothing of the second copy before it
+            assert (await caller.answer()).status == 200  # with no part of the second copy before it
             assert not balancer.dispatcher.requests
         for item in ups:
             item.close()
@@ -528,7 +532,7 @@
 
 
 def test_cancel_closes_the_connection_and_is_reported_once() -> None:
-    """Guards Cancel: one outcome, and the upstream sees the end."""
+    """Guards Cancel: the attempt ends with one outcome, and the upstream sees the end of the connection."""
 
     async def work() -> None:
         ended = asyncio.Event()
@@ -554,7 +558,7 @@
 
 
 def test_client_gone_is_reported_and_the_attempt_still_ends() -> None:
-    """Guards ClientGone: the request is over, and its attempt out still gets its one end, marked final."""
+    """Guards ClientGone: the request ends, and its attempt in flight still gets exactly one end, marked final."""
 
     async def work() -> None:
         go = asyncio.Event()
@@ -586,7 +590,7 @@
 
 
 def test_the_dispatcher_answers_once_at_the_deadline() -> None:
-    """Guards against decisions that never answer: the attempt out ends, then one answer goes."""
+    """Guards against decisions that never answer: the attempt in flight ends, then exactly one answer is sent."""
 
     async def work() -> None:
         upstream = await FakeUpstream(silence).start()
@@ -609,7 +613,7 @@
 
 @pytest.mark.parametrize("sent", [False, True])
 def test_a_request_that_never_ran_is_refused_at_its_deadline(sent: bool) -> None:
-    """Guards callers of what may not run twice: 503 says that asking again is harmless, 504 does not."""
+    """Guards callers whose requests may not run twice: 503 says that a repeat is harmless, 504 does not."""
 
     async def work() -> None:
         upstream = await FakeUpstream(refuses).start()
@@ -630,7 +634,7 @@
 
 
 def test_sends_beyond_the_attempt_limit_or_for_a_finished_request_are_moot() -> None:
-    """Guards the attempt cap and late sends: told as moot, and nothing is written."""
+    """Guards the limit on attempts and late sends: they are reported as moot, and nothing is written."""
 
     async def work() -> None:
         upstream = await FakeUpstream(reset).start()
@@ -655,14 +659,14 @@
 
 @pytest.mark.parametrize("change", ["leaving", "left"])
 def test_an_expired_drain_stops_a_send_that_is_still_connecting(change: str) -> None:
-    """Guards the drain: told while the connection is on its way up, so that not a byte may be written."""
+    """Guards the drain: it is reported while the connection is being established, so no byte may be written."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
             pool = balancer.dispatcher.upstreams
-            pool._drain_grace_ms = 0.0  # so that no test waits for it
+            pool._drain_grace_ms = 0.0  # so that the test need not wait for its end
             connect, told = pool._connect, asyncio.Event()
 
             async def late(call: Any) -> None:
@@ -687,7 +691,7 @@
 
 
 def test_no_new_request_goes_to_a_draining_upstream() -> None:
-    """Guards the drain with the module's own decisions: the next requests all go to the other one."""
+    """Guards the drain, with the real decisions: all further requests go to the other upstream."""
 
     async def work() -> None:
         draining, other = await FakeUpstream().start(), await FakeUpstream().start()
@@ -710,7 +714,7 @@
 
 
 def test_a_keyed_request_that_may_have_run_is_retried_only_in_its_zone() -> None:
-    """Guards keyed repeats with the module's own decisions: never to another zone once it may have run."""
+    """Guards keyed retries, with the real decisions: never in another zone after the request may have run."""
 
     async def work() -> None:
         async def fail(request: Incoming, talk: Talk) -> None:
@@ -727,7 +731,7 @@
                     caller.ask("post", b"x")
                     answer = await caller.answer()
                 tried_north = sum(len(u.seen) for u in north) - sum(before)
-                if tried_north:  # it may have run there: not refused, not sent south
+                if tried_north:  # it may have run there, so it is neither refused nor sent south
                     assert answer.status == 502 and len(south.seen) == served_before
                 else:
                     assert answer.status == 200 and len(south.seen) == served_before + 1
@@ -739,7 +743,7 @@
 
 
 def test_a_keyed_request_is_not_retried_after_its_memory_span() -> None:
-    """Guards the memory's end: the upstreams have forgotten the key by the time the first attempt fails."""
+    """Guards the end of the memory span: the upstreams have forgotten the key when the first attempt fails."""
 
     async def work() -> None:
         classes = [dict(item) for item in SETTINGS["Categories"]]
@@ -767,7 +771,7 @@
 
 
 def test_probes_read_the_load_report() -> None:
-    """Guards probes: the report's values come in the settings' order, and a late one is no report."""
+    """Guards probes: the values of a report are in the order of the settings, and a late report is not used."""
 
     async def work() -> None:
         async def load(request: Incoming, talk: Talk) -> None:
@@ -783,7 +787,7 @@
                 balancer.dispatcher.actions.execute(Probe(server))
             ended = [await probe_ended(script), await probe_ended(script)]
             async with asyncio.timeout(PATIENCE_S):
-                await silent.arrived.get()  # written: from here on it can only time out
+                await silent.arrived.get()  # the probe is written, so it can only time out
             pass_time(balancer.dispatcher.clock, PROBE_TIMEOUT_MS)
             ended.append(await probe_ended(script))
             ends = {event.server: (event.outcome, tuple(event.report)) for event in ended}
@@ -802,13 +806,13 @@
     "text", [b"", b"7,2", b"TEXT inflight=7", b"TEXT inflight=x, queue=1", b"TEXT inflight=nan, queue=1"]
 )
 def test_a_malformed_load_report_is_ignored(text: bytes) -> None:
-    """Guards decisions against half a report: values in the wrong place would call a busy server idle."""
+    """Guards decisions against part of a report: with values in the wrong place, a busy server would look idle."""
     assert parse_report(text, ("inflight", "queue")) == ()
 
 
 def test_a_large_answer_is_forwarded_unchanged() -> None:
-    """Guards good answers above the protocol's 64 KiB, which were once taken for spoilt by every upstream in
-    turn; what they take of the room is given back.
+    """Guards valid answers above the protocol's 64 KiB. Such an answer once counted as broken at each upstream in turn.
+    The memory that it takes is released.
     """
 
     async def work() -> None:
@@ -838,8 +842,8 @@
 
 
 def test_a_late_second_copy_of_an_answer_answers_no_other_request() -> None:
-    """Guards a caller against the copy of another's answer: the connection rests after an answer, so that a
-    copy finds no new call on it, and is closed by what comes.
+    """Guards a caller against a copy of another caller's answer: a connection gets no new call for a while after an
+    answer, so that a late copy meets no call and closes the connection.
     """
 
     async def work() -> None:
@@ -865,7 +869,7 @@
                     await asyncio.sleep(0.01)
             caller.ask("move", b"x", "/api?3")
             assert (await caller.answer()).body == b"/api?3"
-            balancer.dispatcher.upstreams.REUSE_DELAY_MS = 0.0  # rested: it is used again
+            balancer.dispatcher.upstreams.REUSE_DELAY_MS = 0.0  # as if the delay had passed: it is reused
             caller.ask("move", b"x", "/api?4")
             assert (await caller.answer()).body == b"/api?4"
             assert upstream.connections == 3
@@ -875,13 +879,13 @@
 
 
 def test_a_duplicate_of_a_probes_answer_answers_no_request() -> None:
-    """Guards a caller against a load report: its copy comes when an attempt has taken the connection."""
+    """Guards a caller against a load report as its answer: a copy arrives when an attempt is using the connection."""
 
     async def work() -> None:
         report = ok(b"TEXT inflight=7, queue=2, util=0.61")
 
         async def twice(request: Incoming, talk: Talk) -> None:
-            await talk.send(report)  # the probe's answer, and instead of the attempt's its copy
+            await talk.send(report)  # answers the probe, and the attempt with a copy of the probe's answer
 
         upstream = await FakeUpstream(twice).start()
         script = Script([1])
@@ -905,7 +909,7 @@
 
 @pytest.mark.parametrize("silent", [False, True], ids=["reset", "silent"])
 def test_any_byte_of_an_answer_means_that_it_may_have_run(silent: bool) -> None:
-    """Guards unsafe requests: an upstream that answers before it has read all proves nothing."""
+    """Guards unsafe requests: an upstream that answers before it has read the complete request may have run it."""
 
     async def work() -> None:
         listener = socket.socket()
@@ -927,7 +931,7 @@
                     await asyncio.sleep(0.001)
             call = next(iter(pool._open))._call
             assert call is not None
-            call.written = False  # as with a body larger than what the system takes
+            call.written = False  # as if the body were larger than the system accepts
             await loop.sock_sendall(connection, b"HTTP/1.1 200 OK\r\n")
             async with asyncio.timeout(PATIENCE_S):
                 while not call.has_answer_bytes:
--- a/tests/upstreams/test_broken_answers.py
+++ b/tests/upstreams/test_broken_answers.py
@@ -1,4 +1,4 @@
-"""Answers that break off, at once or long after their start, and answers without end: never taken for whole ones."""
+"""Answers that break off, at once or long after their start, and endless answers must never count as complete."""
 
 from __future__ import annotations
 
@@ -27,7 +27,9 @@
 from tests.upstreams.test_idle_connections import act_on_socket, disconnect
 
 PIECE = b"0123456789abcdef" * 2_048
-LONG = PIECE * 4  # more than is held back until it is whole
+LONG = (
+    PIECE * 4
+)  # more than is buffered until an answer is complete, so that it is forwarded while it arrives
 HEADS = {
     "announced": b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
     "HTTP/1.0": b"HTTP/1.0 200 OK\r\n\r\n",
@@ -35,7 +37,7 @@
     "length": b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n",
     "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 }
-ERROR = b"HTTP/1.1 500 X\r\nConnection: close\r\n\r\n"  # of no use to a caller, so that it is held
+ERROR = b"HTTP/1.1 500 X\r\nConnection: close\r\n\r\n"  # an error is never forwarded, so it is buffered
 
 
 def framed(kind: str, body: bytes) -> bytes:
@@ -43,7 +45,7 @@
 
 
 def send_and_reset(talk: Talk, data: bytes) -> None:
-    """Both lie in the kernel before the balancer reads the first of them."""
+    """Send `data` and reset the connection. Both are in the kernel before the balancer reads any of it."""
 
     def act(raw: object) -> None:
         assert raw.send(data) == len(data)  # type: ignore[attr-defined]
@@ -53,7 +55,7 @@
 
 
 async def all_closed(balancer: Running) -> None:
-    """The exchange has ended, and its connection's descriptor is given back."""
+    """Wait until the exchange has ended and its connection is closed. All memory must have been released then."""
     await until(lambda: not balancer.dispatcher.requests, "the end of the exchange")
     await until(lambda: not balancer.dispatcher.upstreams.sockets, "the end of its connection")  # type: ignore[attr-defined]
     assert balancer.dispatcher.memory.used_bytes == 0
@@ -61,11 +63,11 @@
 
 @pytest.mark.parametrize("kind", HEADS)
 def test_a_reset_after_an_answers_bytes_is_not_its_end(kind: str) -> None:
-    """Guards a caller against half an answer: of one that only the end of its connection delimits, too."""
+    """Guards a caller against half an answer, also if only the end of the connection delimits the answer."""
 
     async def work() -> None:
         async def answer(request: Incoming, talk: Talk) -> None:
-            head = HEADS[kind].replace(b"1000000", b"1000")  # short: held until it is whole
+            head = HEADS[kind].replace(b"1000000", b"1000")  # short, so it is buffered until it is complete
             send_and_reset(talk, head + framed(kind, b"half of it"))
 
         upstream = await FakeUpstream(answer).start()
@@ -82,7 +84,7 @@
 
 
 async def read_first_bytes(caller: Caller) -> dict[str, str]:
-    """Ask, and read the first bytes of a long answer."""
+    """Send a request, and read the first bytes of its long answer."""
     caller.ask()
     async with asyncio.timeout(PATIENCE_S):
         head = await read_head(caller.reader)
@@ -92,7 +94,7 @@
 
 
 async def read_remaining(caller: Caller) -> bytes:
-    """What still comes until the connection ends, in whatever way."""
+    """The bytes until the connection is closed or reset."""
     got = b""
     async with asyncio.timeout(PATIENCE_S):
         try:
@@ -105,7 +107,7 @@
 
 @pytest.mark.parametrize("kind", HEADS)
 def test_a_reset_of_a_forwarded_answer_is_visible_to_the_caller(kind: str) -> None:
-    """Guards the same where a part has gone on: no last chunk, or fewer bytes than announced."""
+    """Guards a caller that has received part of the answer: the last chunk is missing, or bytes that were announced."""
 
     async def work() -> None:
         talks: asyncio.Queue[Talk] = asyncio.Queue()
@@ -134,7 +136,7 @@
 
 @pytest.mark.parametrize("kind", HEADS)
 def test_a_reset_long_after_the_start_is_visible_to_the_caller(kind: str) -> None:
-    """Guards answers that last for minutes: no deadline runs any more, and their end is as well seen as ever."""
+    """Guards answers that last for minutes: no deadline applies any more, and a break must still be detected."""
 
     async def work() -> None:
         talks: asyncio.Queue[Talk] = asyncio.Queue()
@@ -202,7 +204,7 @@
 def test_an_endless_answer_is_limited_by_size(
     kind: str, passed_on: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards memory and descriptors: the exchange ends, the connection is closed, and the caller can tell."""
+    """Guards memory and descriptors: the exchange ends, the connection is closed, and the caller can detect it."""
     if kind != "error":
         monkeypatch.setattr(codec, "MAX_BODY", 8 * len(LONG))
     monkeypatch.setattr(codec, "MAX_ANSWER", 8 * len(LONG))
@@ -227,7 +229,7 @@
                 await ended.wait()
             await all_closed(balancer)
         upstream.close()
-        assert sum(sent) < 24 * 1024 * 1024  # with all that the systems hold between the two
+        assert sum(sent) < 24 * 1024 * 1024  # includes the bytes in the socket buffers between the two
 
     run(work())
 
@@ -236,10 +238,10 @@
     "data", [b"HTTP/1.1 200 OK\r\nX-Pad: ", HEADS["announced"] + b"half"], ids=["head", "body"]
 )
 def test_a_stalled_answer_is_ended_at_the_deadline(data: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards descriptors against an upstream that says a part and rests: what it has begun may have run."""
+    """Guards descriptors against an upstream that sends part of an answer and then stalls. The request may have run."""
     monkeypatch.setattr(
         UpstreamConnection, "FORWARD_AFTER_MS", 1e9
-    )  # it is not passed on by the time that is let pass
+    )  # the time that the test lets pass must not start forwarding
 
     async def work() -> None:
         ended = asyncio.Event()
--- a/tests/upstreams/test_given_up.py
+++ b/tests/upstreams/test_given_up.py
@@ -1,5 +1,5 @@
-"""A call that is given up while its upstream's system does not have all of it: the rest must never get there, also
-where the upstream was only cut off and comes back after the time for which it drops repeats.
+"""A call that is abandoned before the upstream's system has received all of it. The rest must never arrive, not even
+if the upstream was only disconnected and is reachable again after the time in which it drops repeats.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from tests.lifecycle.service import until
 from tests.upstreams.test_attempts import run
 
-BODY = b"x" * 12_000  # taken whole by this system, and more than the upstream's takes
-RECEIVE_BUFFER_BYTES = 2_048  # bytes that the upstream's system takes for a process that does not read
+BODY = b"x" * 12_000  # fits the send buffer of this system, but not the receive buffer of the upstream
+RECEIVE_BUFFER_BYTES = 2_048  # of the upstream, whose process does not read
 DEADLINE_MS = 8_000.0
 
 
 def silent_listener() -> socket.socket:
-    """An upstream whose process reads nothing, and whose system takes little for it."""
+    """An upstream whose process reads nothing, and whose receive buffer is small."""
     listening = socket.socket()
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     listening.bind(("127.0.0.1", 0))
@@ -30,7 +30,7 @@
 
 
 async def read_until_eof(sock: socket.socket) -> int:
-    """Bytes that come before a good end; ConnectionError where it is reset."""
+    """The number of bytes until a regular end of the connection. Raises ConnectionError if it is reset."""
     loop = asyncio.get_running_loop()
     size = 0
     async with asyncio.timeout(PATIENCE_S):
@@ -40,8 +40,8 @@
 
 
 def test_an_abandoned_request_never_reaches_an_upstream_that_was_disconnected() -> None:
-    """Guards against a keyed request that runs again, long after its repeat: the system goes on sending what a closed
-    connection has not delivered.
+    """Guards against a keyed request that runs again long after its retry: after a close, the system continues to send
+    bytes that were not delivered.
     """
 
     async def work() -> None:
@@ -60,7 +60,9 @@
                         lambda: any(item._call and item._call.written for item in calls._open), "its write"
                     )
                     pass_time(balancer.dispatcher.clock, DEADLINE_MS)
-                    assert (await caller.answer()).status == 502  # the script fails what may have run
+                    assert (
+                        await caller.answer()
+                    ).status == 502  # the script fails a request that may have run
                     await until(lambda: not calls._open, "the end of its connection")
                     with pytest.raises(ConnectionError):
                         await read_until_eof(upstream)
--- a/tests/upstreams/test_idle_connections.py
+++ b/tests/upstreams/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""What an upstream does to a connection that rests, in the very moment in which a request takes it."""
+"""Events on an idle connection at the moment at which a request is about to use it."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 def act_on_socket(talk: Talk, act: Callable[[socket.socket], object]) -> None:
-    """Do something to an upstream's side of a connection, past its loop: what it does lies in the kernel before any
-    turn of the loop can read it.
+    """Act on an upstream's side of a connection, bypassing the event loop: the effect is in the kernel before any
+    iteration of the loop can read it.
     """
     with socket.socket(fileno=socket.dup(talk.writer.get_extra_info("socket").fileno())) as raw:
         act(raw)
 
 
 def resets(talk: Talk) -> None:
-    """A close resets only with the last descriptor of the socket; connect(2) to no address does at once."""
+    """Reset the connection. connect(2) with AF_UNSPEC does so at once; a close would only with the last descriptor."""
     act_on_socket(talk, disconnect)
 
 
@@ -52,7 +52,7 @@
 
 
 async def open_idle_connection(caller: Caller, balancer: Any) -> UpstreamConnection:
-    """One connection to the upstream, that lies idle."""
+    """Make a request, and return its connection to the upstream, which is idle then."""
     caller.ask("move", b"x", "/api?first")
     assert (await caller.answer()).status == 200
     (kept,) = balancer.dispatcher.upstreams._idle[1]
@@ -64,8 +64,8 @@
 def test_a_connection_with_input_in_the_kernel_is_not_reused(
     act: Callable[[Talk], None],
 ) -> None:
-    """Guards a request against the answer to another, and against a connection that has ended: both are there and have
-    not been read, since the request comes in the same turn of the loop.
+    """Guards a request against the answer to another one, and against a connection that has ended. Both are pending but
+    unread, since the request arrives in the same iteration of the loop.
     """
 
     async def work() -> None:
@@ -96,8 +96,8 @@
 def test_an_event_that_crosses_the_write_fails_an_unsafe_request_without_a_retry(
     act: Callable[[Talk], None],
 ) -> None:
-    """Guards what may not run twice: between the last look at a connection and the write nothing can be known, so that
-    the request may have run. With the module's own decisions.
+    """Guards requests that may not run twice: an event between the last check of a connection and the write can't be
+    noticed, so the request may have run. Uses the real decisions.
     """
 
     async def work() -> None:
@@ -106,7 +106,7 @@
             running(*(up.entry(f"u{n}") for n, up in enumerate(ups))) as balancer,
             Caller(balancer.port) as caller,
         ):
-            while not all(up.seen for up in ups):  # both have a connection that lies idle
+            while not all(up.seen for up in ups):  # until both have an idle connection
                 caller.ask()
                 assert (await caller.answer()).status == 200
             warm = sum(len(up.seen) for up in ups)
@@ -135,7 +135,9 @@
 
 
 def test_a_reset_after_the_last_byte_was_written_means_that_it_may_have_run() -> None:
-    """Guards the same for a request on a connection that had rested: it was taken, and no answer came."""
+    """Guards requests that may not run twice on a reused connection: the upstream has received the request, but its
+    answer never arrives.
+    """
 
     async def work() -> None:
         upstream = await FakeUpstream(echo).start()
@@ -160,7 +162,7 @@
 def test_input_on_a_connection_that_is_being_closed_affects_no_later_request(
     act: Callable[[Talk], None],
 ) -> None:
-    """Guards the table of connections, and the next request, where one is closed that has just spoken."""
+    """Guards the table of connections and the next request when a connection is closed that has just received input."""
 
     async def work() -> None:
         upstream = await FakeUpstream(echo).start()
@@ -169,7 +171,7 @@
             await open_idle_connection(caller, balancer)
             pool = balancer.dispatcher.upstreams
             act(upstream.talks[0])
-            pool.close_idle(1)  # in the same turn
+            pool.close_idle(1)  # in the same iteration of the loop
             caller.ask("move", b"x", "/api?second")
             assert (await caller.answer()).body == b"/api?second"
             assert upstream.connections == 2
--- a/tests/upstreams/test_late_connections.py
+++ b/tests/upstreams/test_late_connections.py
@@ -1,5 +1,5 @@
-"""A connection that comes up late, against all that may have changed by then: the time that is left, the window of a
-repeat, the grace of a drain, and the process behind an id.
+"""Connections that are established late. By then the time left, the window of a retry, the grace period of a drain,
+and the process behind an upstream's id may have changed.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 from tests.upstreams.gate import Gate, pass_time_unnoticed
 from tests.upstreams.test_attempts import reset, run
 
-LONG_CONNECT_TIMEOUT = {"ConnectTimeoutMs": 60_000}  # by the loop's time, which no test lets pass
+LONG_CONNECT_TIMEOUT = {"ConnectTimeoutMs": 60_000}  # in the loop's time, which the tests don't advance
 DEADLINE_MS = 8_000.0
-MEMORY_MS = 4_000.0  # of the class `post`
+MEMORY_MS = 4_000.0  # how long servers recognize repeats of the class `post`
 GRACE_MS = 500.0
-# Over each protocol that upstreams speak.
+# With each protocol of upstreams.
 each_protocol = pytest.mark.parametrize(
     "protocols", ["http1-http1", "http1-fastcgi", "http1-shared"], indirect=True
 )
 
 
 async def change(balancer: Running, script: Script, listed: dict[str, Any]) -> None:
-    """Discovery tells of a change, and the decisions have had it."""
+    """Let discovery report a change, and wait until the decisions have received it."""
     balancer.discovery.change(listed)
     version = balancer.discovery.generation
     await until(
@@ -54,12 +54,12 @@
     )
 
 
-# ---------------------------------------------------------------- the time that is left
+# ---------------------------------------------------------------- the time left
 
 
 @each_protocol
 def test_a_late_connection_sends_the_time_left_at_the_write() -> None:
-    """Guards upstreams against work that nobody waits for any more: what was left when the call was made is not."""
+    """Guards upstreams against work that is no longer needed: the time left when the call was made is out of date."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -82,7 +82,7 @@
 
 @each_protocol
 def test_a_retry_sends_the_time_left_at_its_write() -> None:
-    """Guards the same where an attempt before has had most of the time, and its own connection has the rest."""
+    """Guards the same if an earlier attempt and the retry's own connection have used up most of the time."""
 
     async def work() -> None:
         go = asyncio.Event()
@@ -117,7 +117,7 @@
 
 @each_protocol
 def test_nothing_is_sent_when_nothing_is_left() -> None:
-    """Guards upstreams where the deadline's timer is late: no time at all is told as no time, by sending nothing."""
+    """Guards upstreams when the deadline's timer fires late: with no time left, the request must not be sent."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("left", [True, False], ids=["some time left", "none left"])
 def test_the_time_of_a_body_received_before_its_connection_counts_from_its_last_byte(left: bool) -> None:
-    """Guards the same for a body that is passed on while it comes: no time runs until it has come, and then it does."""
+    """Guards the same for a streamed body: the time until the deadline starts with its last byte."""
 
     async def work() -> None:
         upstream = await LongUpstream().start()
@@ -157,7 +157,7 @@
             (request,) = balancer.dispatcher.requests
             stream = request.message.stream
             assert stream is not None
-            stream.max_buffered_bytes = 1_000_000  # so that all of it may wait here
+            stream.max_buffered_bytes = 1_000_000  # so that the complete body can be buffered
             caller.send(raw[1_000:])
             await until(lambda: stream.complete, "the last byte")
             if left:
@@ -175,13 +175,13 @@
     run(work())
 
 
-# ---------------------------------------------------------------- the window of a keyed repeat
+# ---------------------------------------------------------------- the window of a keyed retry
 
 
 @each_protocol
 @pytest.mark.parametrize("let", [pass_time, pass_time_unnoticed], ids=["timely", "late timer"])
 def test_a_retry_whose_connection_is_established_after_its_window_is_not_sent(let: Any) -> None:
-    """Guards what may run once: servers have forgotten the key by then. With the module's own decisions."""
+    """Guards requests that may run only once: the servers have forgotten the key by then. Uses the real decisions."""
 
     async def work() -> None:
         ups = [await FakeUpstream(reset).start() for _ in range(2)]
@@ -193,7 +193,7 @@
             Gate(*(up.port for up in ups), free=1) as gate,
         ):
             caller.ask("post", b"x")
-            await gate.held()  # the repeat's
+            await gate.held()  # the connection of the retry
             for up in ups:
                 up.behave = FakeUpstream().behave
             let(balancer.dispatcher.clock, MEMORY_MS)
@@ -208,7 +208,7 @@
 
 
 def test_a_retry_whose_connection_is_established_within_its_window_is_sent() -> None:
-    """The test before, short of the window: the repeat serves."""
+    """The previous test, but within the window: the retry is sent and succeeds."""
 
     async def work() -> None:
         ups = [await FakeUpstream(reset).start() for _ in range(2)]
@@ -235,7 +235,7 @@
 
 @each_protocol
 def test_a_retry_that_waits_for_the_connect_rate_limit_past_its_window_is_not_sent() -> None:
-    """Guards the same where connections are paced."""
+    """Guards the same when the rate of new connections is limited."""
 
     async def work() -> None:
         ups = [await FakeUpstream(reset).start() for _ in range(2)]
@@ -261,7 +261,7 @@
 def send_with_write_deadline(
     write_in_ms: float, balancer: Callable[[], Running]
 ) -> Callable[[Event], list[Action] | None]:
-    """Decisions that give every attempt so long to be written."""
+    """Decisions that limit the time in which each attempt may be written."""
 
     def more(event: Event) -> list[Action] | None:
         if isinstance(event, RequestArrived):
@@ -273,7 +273,7 @@
 
 
 def test_a_retry_whose_last_byte_is_unsent_after_its_window_is_never_completed() -> None:
-    """Guards the window against an upstream that reads slowly: it counts to the last byte, not to the first."""
+    """Guards the window against an upstream that reads slowly: the window applies to the last byte, not the first."""
 
     async def work() -> None:
         with socket.socket() as listener:
@@ -313,8 +313,8 @@
 
 
 def test_a_retry_whose_body_is_still_arriving_after_its_window_is_never_completed() -> None:
-    """Guards the window where the first attempt was answered before it had a byte of the body: the timer is late, and
-    the rest of the body comes before it.
+    """Guards the window of a retry with a streamed body. The first attempt was answered before any byte of the body was
+    sent, and the rest of the body arrives after the window, but before its timer, which is late.
     """
 
     async def work() -> None:
@@ -339,7 +339,7 @@
         first = asyncio.Event()
         server = await asyncio.start_server(talk, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        memory_ms = 300.0  # well within the time that a caller may rest in its body
+        memory_ms = 300.0  # well within the time for which a caller may pause within its body
         classes = [dict(item) for item in SETTINGS["Categories"]]
         classes[1]["MemorySpanMs"] = memory_ms
         async with (
@@ -363,7 +363,7 @@
 
 
 def test_a_request_keeps_its_retry_window_across_a_reload() -> None:
-    """Guards against a repeat past the window of before, where a longer one is in force by now."""
+    """Guards against a retry after the original window when a reload has set a longer one."""
 
     async def work() -> None:
         ups = [await FakeUpstream(reset).start() for _ in range(2)]
@@ -394,7 +394,7 @@
     run(work())
 
 
-# ---------------------------------------------------------------- the grace of a drain
+# ---------------------------------------------------------------- the grace period of a drain
 
 
 @each_protocol
@@ -403,7 +403,7 @@
 def test_a_connection_established_after_the_drain_grace_period_carries_no_call(
     lifecycle: str, spent_ms: float
 ) -> None:
-    """Guards the drain: what was admitted before it may be sent within its grace, and not after."""
+    """Guards the drain: requests that were admitted before it may be sent within its grace period, but not later."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -428,7 +428,7 @@
 
 
 class DelayedStore:
-    """A store that keeps a request only when it is told to."""
+    """A store that records a request only when the test calls its callback."""
 
     def __init__(self) -> None:
         self.then: asyncio.Queue[Callable[[], None]] = asyncio.Queue()
@@ -442,7 +442,7 @@
 @each_protocol
 @pytest.mark.parametrize("how", ["leaving", "moved", "restarted", "gone and back"])
 def test_a_request_that_is_recorded_too_late_is_not_sent(how: str) -> None:
-    """Guards the drain, and the process that the decisions chose, against a disk that takes its time."""
+    """Guards against a slow disk: meanwhile the drain may expire, or another process replace the selected one."""
 
     async def work() -> None:
         upstream, other = await FakeUpstream().start(), await FakeUpstream().start()
@@ -478,7 +478,7 @@
 
 
 def test_a_body_may_end_after_the_grace_period_if_its_send_began_within_it() -> None:
-    """The time of a send counts from its first byte."""
+    """A send counts as begun with its first byte."""
 
     async def work() -> None:
         upstream = await LongUpstream().start()
@@ -503,7 +503,7 @@
 
 
 def test_a_body_whose_connection_is_established_after_the_grace_period_is_not_sent() -> None:
-    """The other side of it: no byte of it had gone out within the grace."""
+    """The opposite case: no byte was sent within the grace period."""
 
     async def work() -> None:
         upstream = await LongUpstream().start()
@@ -531,7 +531,7 @@
 
 @each_protocol
 def test_after_a_cancelled_drain_a_late_connection_carries_its_call() -> None:
-    """An id that is listed again, of the same process: its drain is over."""
+    """If the id is listed as active again, for the same process, its drain is over."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -560,8 +560,8 @@
 def test_a_connection_to_the_previous_process_of_an_id_carries_no_call_for_the_new_one(
     before: list[str], place: str
 ) -> None:
-    """Guards a drained process against a call that its successor's listing seems to allow, and a group of servers
-    against a repeat that runs outside it.
+    """Guards a drained process against a call that its successor's listing seems to allow, and a keyed request against
+    a retry outside its group of servers.
     """
 
     async def work() -> None:
@@ -582,7 +582,7 @@
             gate.open()
             assert (await script.ended()).outcome is Outcome.MOOT
             assert (await caller.answer()).status == 502
-            caller.ask("move", b"x")  # and the next goes to the new one, on a connection of its own
+            caller.ask("move", b"x")  # the next request goes to the new process, on a new connection
             assert (await caller.answer()).status == 200
             assert there.connections == (1 if there is new else 2)
         old.close()
@@ -595,7 +595,7 @@
 @each_protocol
 @pytest.mark.parametrize("gone", [False, True], ids=["moved", "gone and listed again"])
 def test_a_call_that_waits_for_the_connect_rate_limit_goes_to_no_other_process(gone: bool) -> None:
-    """Guards a call that was meant for one process against the idle connection of the next that has its id."""
+    """Guards a call for one process against an idle connection to a later process with the same id."""
 
     async def work() -> None:
         old, new = await FakeUpstream().start(), await FakeUpstream().start()
@@ -616,9 +616,9 @@
             await change(balancer, script, new.entry("a", startedAtMs=5))
             pool.rate_limiter = Shut(1)
             other.ask("move", b"x", "/api?new")
-            assert (await other.answer()).status == 200  # its connection lies idle now
+            assert (await other.answer()).status == 200  # its connection is idle now
             assert (await script.ended()).outcome is Outcome.OK
-            pass_time(balancer.dispatcher.clock, 3_000)  # the one that waits is looked at
+            pass_time(balancer.dispatcher.clock, 3_000)  # until the waiting call is polled
             assert (await script.ended()).outcome is Outcome.MOOT
             assert (await caller.answer()).status == 502
         old.close()
@@ -630,7 +630,7 @@
 
 @each_protocol
 def test_a_call_does_not_join_a_connection_to_the_previous_process() -> None:
-    """Guards the same where a connection takes many calls: the one that is coming up was opened to another process."""
+    """Guards the same for connections that carry many calls: the one being established leads to another process."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -651,7 +651,7 @@
             assert (await other.answer()).status == 200
             assert (
                 await caller.answer()
-            ).status == 200  # within its grace, to the process that it was meant for
+            ).status == 200  # within the grace period, from the process for which it was made
             assert upstream.connections == 2
         upstream.close()
 
--- a/tests/upstreams/test_old_callers.py
+++ b/tests/upstreams/test_old_callers.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.0 caller, whose answer only the end of its connection delimits, can tell one that broke off."""
+"""An HTTP/1.0 caller can detect a broken answer, although only the end of its connection delimits answers."""
 
 from __future__ import annotations
 
