--- a/tests/lifecycle/test_stop.py
+++ b/tests/lifecycle/test_stop.py
@@ -148,7 +148,7 @@
                     caller.ask()
                 return found
 
-            monkeypatch.setattr(net, "waits", then_comes)
+            monkeypatch.setattr(net, "is_readable", then_comes)
             balancer.listener.closing = True
             balancer.listener.end_idle()
             monkeypatch.undo()
