--- a/tests/core/test_own_time.py
+++ b/tests/core/test_own_time.py
@@ -1,4 +1,4 @@
-"""What the decisions are told of whose time it was, on sockets, with an upstream that has a thread of its own."""
+"""The upstream time that is reported to the decisions, with sockets and an upstream in a thread of its own."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from tests.fakes import PATIENCE_S, Caller, Script, entry, ok, running
 
-OWN_S = 0.2
+BUSY_S = 0.2
 
 
 class Upstream(threading.Thread):
-    """Answers the first request when it is told to, and says that it has."""
+    """Answers the first request after `go` is set, and then sets `answered`."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -35,7 +35,7 @@
             connection.recv(65536)
 
 
-def test_a_turn_of_requests_alone_that_takes_long_is_not_the_upstreams_time() -> None:
+def test_a_slow_iteration_that_handles_only_requests_is_not_counted_as_upstream_time() -> None:
     async def run() -> tuple[float, float]:
         upstream = Upstream()
         upstream.start()
@@ -45,10 +45,10 @@
         def more(event: Event) -> list[Action] | None:
             if isinstance(event, RequestArrived):
                 arrived.append(event)
-                if len(arrived) == 2:  # nothing but a request is handled in this turn, and it takes its time
+                if len(arrived) == 2:  # only this request is handled in this iteration, and slowly
                     upstream.go.set()
                     upstream.answered.wait(PATIENCE_S)
-                    time.sleep(OWN_S)
+                    time.sleep(BUSY_S)
             return None
 
         script.more = more
@@ -64,4 +64,4 @@
             return end.spent_ms, end.upstream_ms
 
     spent, upstream = uvloop.run(run())
-    assert 0.0 <= upstream <= spent - OWN_S * 1000.0
+    assert 0.0 <= upstream <= spent - BUSY_S * 1000.0
--- a/tests/core/test_stderr_log.py
+++ b/tests/core/test_stderr_log.py
@@ -1,4 +1,4 @@
-"""The log: bounded, and never a wait."""
+"""The log on standard error: bounded, and it never blocks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_a_full_pipe_drops_lines_and_counts_them() -> None:
-    """Guards the event loop: writing to a log that nobody reads must return."""
+    """Guards the event loop: a write to a pipe that nobody reads must return."""
     read, write = os.pipe()
     log = StderrLog("n", write)
     log.PER_SECOND = 100_000
@@ -20,13 +20,13 @@
     assert log._dropped > 0
     held = os.read(read, 1 << 20)
     assert held.count(b"\n") + log._dropped == 5_000
-    assert os.get_blocking(write)  # another's end of the pipe is left as it was
+    assert os.get_blocking(write)  # the shared descriptor's flags are unchanged
     log.close()
     os.close(read)
     os.close(write)
 
 
-def test_a_line_is_cut_and_stays_one() -> None:
+def test_a_long_message_is_truncated_to_one_line() -> None:
     read, write = os.pipe()
     log = StderrLog("n", write)
     log.write("a\nb" + "x" * 10_000)
@@ -37,7 +37,7 @@
     os.close(write)
 
 
-def test_a_closed_log_is_survived() -> None:
+def test_writing_to_a_closed_descriptor_does_not_raise() -> None:
     read, write = os.pipe()
     os.close(read)
     log = StderrLog("n", write)
@@ -48,7 +48,7 @@
     log.close()
 
 
-def test_a_change_of_state_has_room_beyond_the_rate(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lines_on_state_changes_are_written_beyond_the_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "monotonic", lambda: 7.5)
     read, write = os.pipe()
     log = StderrLog("n", write)
--- a/tests/upstreams/test_idle_connections.py
+++ b/tests/upstreams/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""What an upstream does to a connection that rests, in the very moment in which a request takes it."""
+"""Events on an idle connection at the moment at which a request is about to use it."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from tests.upstreams.test_attempts import run
 
 
-def at_once(talk: Talk, act: Callable[[socket.socket], object]) -> None:
-    """Do something to an upstream's side of a connection, past its loop: what it does lies in the kernel before any
-    turn of the loop can read it.
+def act_on_socket(talk: Talk, act: Callable[[socket.socket], object]) -> None:
+    """Act on an upstream's side of a connection, bypassing the event loop: the effect is in the kernel before any
+    iteration of the loop can read it.
     """
     with socket.socket(fileno=socket.dup(talk.writer.get_extra_info("socket").fileno())) as raw:
         act(raw)
 
 
 def resets(talk: Talk) -> None:
-    """A close resets only with the last descriptor of the socket; connect(2) to no address does at once."""
-    at_once(talk, disconnect)
+    """Reset the connection. connect(2) with AF_UNSPEC does so at once; a close would only with the last descriptor."""
+    act_on_socket(talk, disconnect)
 
 
 def disconnect(raw: socket.socket) -> None:
@@ -39,10 +39,10 @@
 
 
 ACTS: dict[str, Callable[[Talk], None]] = {
-    "half a line": lambda talk: at_once(talk, lambda raw: raw.send(b"HTT")),
-    "a second answer": lambda talk: at_once(talk, lambda raw: raw.send(ok(b"another's"))),
-    "an answer without a request": lambda talk: at_once(talk, lambda raw: raw.send(status(408))),
-    "its end": lambda talk: at_once(talk, lambda raw: raw.shutdown(socket.SHUT_WR)),
+    "half a line": lambda talk: act_on_socket(talk, lambda raw: raw.send(b"HTT")),
+    "a second answer": lambda talk: act_on_socket(talk, lambda raw: raw.send(ok(b"another's"))),
+    "an answer without a request": lambda talk: act_on_socket(talk, lambda raw: raw.send(status(408))),
+    "its end": lambda talk: act_on_socket(talk, lambda raw: raw.shutdown(socket.SHUT_WR)),
     "a reset": resets,
 }
 
@@ -51,8 +51,8 @@
     await talk.send(ok(request.target.encode()))
 
 
-async def rested(caller: Caller, balancer: Any) -> UpstreamConnection:
-    """One connection to the upstream, that lies idle."""
+async def open_idle_connection(caller: Caller, balancer: Any) -> UpstreamConnection:
+    """Make a request, and return its connection to the upstream, which is idle then."""
     caller.ask("move", b"x", "/api?first")
     assert (await caller.answer()).status == 200
     (kept,) = balancer.dispatcher.upstreams._idle[1]
@@ -61,27 +61,27 @@
 
 @pytest.mark.parametrize("act", ACTS.values(), ids=ACTS)
 @pytest.mark.parametrize("protocols", ["http1-http1", "http1-fastcgi", "http1-shared"], indirect=True)
-def test_what_lies_in_the_kernel_when_a_connection_is_taken_keeps_a_request_off_it(
+def test_a_connection_with_input_in_the_kernel_is_not_reused(
     act: Callable[[Talk], None],
 ) -> None:
-    """Guards a request against the answer to another, and against a connection that has ended: both are there and have
-    not been read, since the request comes in the same turn of the loop.
+    """Guards a request against the answer to another one, and against a connection that has ended. Both are pending but
+    unread, since the request arrives in the same iteration of the loop.
     """
 
     async def work() -> None:
         upstream = await FakeUpstream(echo).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            await rested(caller, balancer)
+            await open_idle_connection(caller, balancer)
             pool = balancer.dispatcher.upstreams
-            take = pool._take
+            take = pool._take_idle
 
             def first(target: Any, now: float) -> UpstreamConnection | None:
                 if upstream.connections == 1:
                     act(upstream.talks[0])
                 return take(target, now)
 
-            pool._take = first  # type: ignore[method-assign]
+            pool._take_idle = first  # type: ignore[method-assign]
             caller.ask("move", b"x", "/api?second")
             assert (await caller.answer()).body == b"/api?second"
             assert [item.target for item in upstream.seen] == ["/api?first", "/api?second"]
@@ -93,9 +93,11 @@
 
 
 @pytest.mark.parametrize("act", [ACTS[name] for name in ("half a line", "its end", "a reset")])
-def test_what_crosses_the_write_fails_an_unsafe_request_once(act: Callable[[Talk], None]) -> None:
-    """Guards what may not run twice: between the last look at a connection and the write nothing can be known, so that
-    the request may have run. With the module's own decisions.
+def test_an_event_that_crosses_the_write_fails_an_unsafe_request_without_a_retry(
+    act: Callable[[Talk], None],
+) -> None:
+    """Guards requests that may not run twice: an event between the last check of a connection and the write can't be
+    noticed, so the request may have run. Uses the real decisions.
     """
 
     async def work() -> None:
@@ -104,7 +106,7 @@
             running(*(up.entry(f"u{n}") for n, up in enumerate(ups))) as balancer,
             Caller(balancer.port) as caller,
         ):
-            while not all(up.seen for up in ups):  # both have a connection that lies idle
+            while not all(up.seen for up in ups):  # until both have an idle connection
                 caller.ask()
                 assert (await caller.answer()).status == 200
             warm = sum(len(up.seen) for up in ups)
@@ -133,13 +135,15 @@
 
 
 def test_a_reset_after_the_last_byte_was_written_means_that_it_may_have_run() -> None:
-    """Guards the same for a request on a connection that had rested: it was taken, and no answer came."""
+    """Guards requests that may not run twice on a reused connection: the upstream has received the request, but its
+    answer never arrives.
+    """
 
     async def work() -> None:
         upstream = await FakeUpstream(echo).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            await rested(caller, balancer)
+            await open_idle_connection(caller, balancer)
 
             async def lost(request: Incoming, talk: Talk) -> None:
                 resets(talk)
@@ -155,17 +159,19 @@
 
 
 @pytest.mark.parametrize("act", ACTS.values(), ids=ACTS)
-def test_what_comes_while_a_connection_is_being_closed_harms_nothing(act: Callable[[Talk], None]) -> None:
-    """Guards the table of connections, and the next request, where one is closed that has just spoken."""
+def test_input_on_a_connection_that_is_being_closed_affects_no_later_request(
+    act: Callable[[Talk], None],
+) -> None:
+    """Guards the table of connections and the next request when a connection is closed that has just received input."""
 
     async def work() -> None:
         upstream = await FakeUpstream(echo).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            await rested(caller, balancer)
+            await open_idle_connection(caller, balancer)
             pool = balancer.dispatcher.upstreams
             act(upstream.talks[0])
-            pool.close_idle(1)  # in the same turn
+            pool.close_idle(1)  # in the same iteration of the loop
             caller.ask("move", b"x", "/api?second")
             assert (await caller.answer()).body == b"/api?second"
             assert upstream.connections == 2
