--- a/benchmarks/fleet_duties.py
+++ b/benchmarks/fleet_duties.py
@@ -118,10 +118,10 @@
             part = 0.2 * (beat + 1) / Ramp.STEPS
             outage = 4.0 if beat in (7, 8) else 1.0  # of what lies behind both
             for trial in trials:
-                trial.forget()  # as `Trials.note` does at each step
+                trial.forget()  # as `Trials.record` does at each step
                 for _ in range(options.requests):
                     failed = rng.random() < min(0.9, rate * outage)
-                    trial.ended(rng.random() < part, failed, 5.0 + rng.random())
+                    trial.record(rng.random() < part, failed, 5.0 + rng.random())
                     requests += 1
                     bads += failed
             fleet.beat(change=beat % 6 == 5)
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -30,7 +30,7 @@
 from larkweir.core.message import Headers, Message
 from larkweir.core.ports import Listing
 from larkweir.lifecycle.node import Node
-from larkweir.routes.subsets import WAYS
+from larkweir.routes.subsets import STRATEGIES
 from larkweir.routes.trial import Trial
 
 
@@ -150,7 +150,7 @@
         rate = canary if to else main
         if hard and 0.4 < at / count < 0.5:
             rate = 0.7
-        if it.ended(to, rng.random() < rate, rng.lognormvariate(3.0, 0.5)):
+        if it.record(to, rng.random() < rate, rng.lognormvariate(3.0, 0.5)):
             return at
     return count
 
@@ -168,7 +168,7 @@
 def subsets() -> None:
     for upstreams, copies, size in ((200, 30, 20), (200, 200, 20), (2_000, 200, 40), (2_000, 2_000, 40)):
         names = [f"s{n}" for n in range(upstreams)]
-        for way, choose in WAYS.items():
+        for way, choose in STRATEGIES.items():
             some = range(0, copies, max(1, copies // 100))
             load: Counter[str] = Counter()
             if way != "rendezvous" or copies * upstreams <= 400_000:
--- a/larkweir/cli/routes.py
+++ b/larkweir/cli/routes.py
@@ -9,7 +9,7 @@
 from larkweir.config.platform import ConfigError
 from larkweir.config.routing import DEFAULT
 from larkweir.lifecycle.config_loader import load_options
-from larkweir.routes.ask import Book, moved, parse
+from larkweir.routes.explain import RouteExplainer, moved, parse
 
 GOOD, NONE, BAD = 0, 1, 2
 
@@ -31,7 +31,7 @@
     if not options.routes:
         print(f"{path}: no routes; /api goes to {DEFAULT}")
         return GOOD
-    book = Book(options)
+    book = RouteExplainer(options)
     if not tries:
         for name, route in sorted(options.routes.items()):
             what = [route.host or "any host", route.path or "any path", *route.methods, *route.headers]
@@ -49,13 +49,13 @@
         except ValueError as problem:
             print(f"{text}: {problem}", file=sys.stderr)
             return BAD
-        answer = book.ask(asked)
+        answer = book.explain(asked)
         print(str(asked))
-        for item in answer.passed:
+        for item in answer.rejected:
             print(f"    not {item}")
         if not answer.route:
             worst = NONE
-            print(f"    refused: {answer.said}")
+            print(f"    refused: {answer.refusal}")
             continue
         print(f"    route {answer.route}")
         for pool, value in answer.pools.items():
@@ -69,4 +69,4 @@
 def print_moved(old: Operator, new: Operator) -> None:
     """Which requests a change sends elsewhere, one line each."""
     for item in moved(old, new):
-        print(f"{item.asked}: {item.before} -> {item.after}")
+        print(f"{item.sample}: {item.before} -> {item.after}")
--- a/larkweir/coordination/captures/part.py
+++ b/larkweir/coordination/captures/part.py
@@ -31,7 +31,7 @@
     from larkweir_peers.transport import PeerTransport
 
     from larkweir.coordination.duties.thresholds import CaptureThresholds
-    from larkweir.routes.hands import Routes
+    from larkweir.routes.request_routing import Routes
 
 PEER_CHANNEL = 5
 
--- a/larkweir/coordination/duties/ramps.py
+++ b/larkweir/coordination/duties/ramps.py
@@ -54,7 +54,7 @@
     def ramping(self) -> Mapping[str, tuple[str, float, float]]:
         """The ramps that are under way here: name, span in milliseconds, and since when, by key."""
 
-    def stand(self, name: str, step: int) -> None:
+    def set_step(self, name: str, step: int) -> None:
         """Set a ramp's step."""
         ...
 
@@ -176,7 +176,7 @@
                     step, since + (step - 1) * span / LAST_STEP, Resend(now_ms)
                 )
             self._advance(local, fleet.get(key), has_owner, span, now_ms)
-            routes.stand(name, local.step)
+            routes.set_step(name, local.step)
             if local.due.wants(key in fleet, now_ms):
                 rows.append(RampRow(key, span, local.step))
         self.next_ms = now_ms + CHECK_INTERVAL_MS
--- a/larkweir/coordination/duties/table.py
+++ b/larkweir/coordination/duties/table.py
@@ -11,7 +11,7 @@
 from larkweir.coordination.duties.ports import FleetTask, HealthSharing
 
 if TYPE_CHECKING:
-    from larkweir.routes.hands import Routes
+    from larkweir.routes.request_routing import Routes
 
 
 class CaptureTasks(Protocol):
--- a/larkweir/coordination/duties/verdicts.py
+++ b/larkweir/coordination/duties/verdicts.py
@@ -44,7 +44,7 @@
     Resend,
     heartbeat_due,
 )
-from larkweir.routes.trial import FACTORS, Trial, nobody, rates
+from larkweir.routes.trial import FACTORS, Trial, ignore_bad_end, rates
 
 MAX_TRIALS = 24  # at a time; further ones are each balancer's own
 MAX_ENDED = 16
@@ -100,7 +100,7 @@
     def on_trial(self) -> Mapping[str, Trial]:
         """The canaries on trial here, by key."""
 
-    def end(self, key: str, reason: str) -> None:
+    def end_trial(self, key: str, reason: str) -> None:
         """Send no more requests to the canary; without effect where it has ended already."""
         ...
 
@@ -265,7 +265,7 @@
     def on_left_fleet(self) -> None:
         """Each trial here goes by its own alarm again."""
         for trial in self._routes().on_trial().values():
-            trial.alone, trial.grown = True, nobody
+            trial.ends_locally, trial.on_bad_end = True, ignore_bad_end
 
     def _on_bad_end(self) -> None:
         """A trial has seen a bad end: report it soon."""
@@ -278,7 +278,7 @@
         """End canaries that have a verdict, and report new evidence."""
         routes = self._routes()
         for key, reason in self.state.ended:
-            routes.end(key, reason)
+            routes.end_trial(key, reason)
         trials = routes.on_trial()
         self._has_owner = self._heartbeat.has_owner(now_ms)
         watched = {total.key for total in self.state.totals}
@@ -289,8 +289,8 @@
         rows: list[Evidence] = []
         self._checked_ms, due_ms = now_ms, now_ms + CHECK_INTERVAL_MS
         for key, trial in trials.items():
-            trial.grown = self._on_bad_end
-            trial.alone = not (self._has_owner and key in watched)
+            trial.on_bad_end = self._on_bad_end
+            trial.ends_locally = not (self._has_owner and key in watched)
             if not self._term:
                 continue
             baseline = self._baselines.get(key)
--- a/larkweir/coordination/edits/plugin.py
+++ b/larkweir/coordination/edits/plugin.py
@@ -28,7 +28,7 @@
 from larkweir.coordination.edits.reloads import PendingReload, StatedTables
 from larkweir.coordination.edits.tables import ResolutionTarget, schema, tables_of
 from larkweir.core.clock import Timer
-from larkweir.routes.hands import Routes
+from larkweir.routes.request_routing import Routes
 
 if TYPE_CHECKING:
     from larkweir.coordination.edits.ended import Ended, OwnedStates
--- a/larkweir/coordination/owners.py
+++ b/larkweir/coordination/owners.py
@@ -34,7 +34,7 @@
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.ports import Decisions
 from larkweir.core.stderr_log import StderrLog
-from larkweir.routes.hands import Routes
+from larkweir.routes.request_routing import Routes
 
 OWNERS, REPORTS = 1, 4  # channels of the peers' transport
 STEP_MS = 250.0  # between two steps of a duty that nothing wakes
--- a/larkweir/lifecycle/node.py
+++ b/larkweir/lifecycle/node.py
@@ -41,7 +41,7 @@
     from larkweir.lifecycle.peer_request_ids import NotifyTaken, PeerRequestIds
     from larkweir.membership.remembered.restore import RestoredMembers
     from larkweir.membership.remembered.rows import RestoredState
-    from larkweir.routes.hands import Routes
+    from larkweir.routes.request_routing import Routes
     from larkweir.routes.switch import Switch
     from larkweir.store.recoverable_state import RecoverableState
     from larkweir.store.state_store import StateStore
@@ -185,7 +185,7 @@
     def _class_places(self) -> set[int]:
         """The indices of the classes of open requests."""
         if self.routes is not None:
-            return self.routes.switch.class_places()
+            return self.routes.switch.class_indices()
         if isinstance(self.decisions, Balancer):
             return {request.class_index for request in self.decisions.requests.values()}
         return set()
--- a/larkweir/lifecycle/node_state.py
+++ b/larkweir/lifecycle/node_state.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from larkweir.membership.remembered.evidence import Evidence
     from larkweir.membership.remembered.restore import RestoredMembers
-    from larkweir.routes.hands import Routes
+    from larkweir.routes.request_routing import Routes
     from larkweir.routes.switch import Switch
 
 
--- a/larkweir/routes/ask.py
+++ b/larkweir/routes/explain.py
@@ -10,12 +10,12 @@
 from larkweir.config.options import Operator, Route
 from larkweir.config.routing import DEFAULT, header_of, parts
 from larkweir.core.message import FramingError
-from larkweir.routes.paths import host, normal
+from larkweir.routes.paths import normalize, normalize_host
 from larkweir.routes.router import Router
 from larkweir.routes.table import Facts
 
 
-class Asked(NamedTuple):
+class SampleRequest(NamedTuple):
     """A request, as staff write it: `POST /x host=a.example class=publicar tenant=acme x-beta=1`."""
 
     method: str
@@ -34,42 +34,42 @@
         )
 
 
-def parse(text: str) -> Asked:
+def parse(text: str) -> SampleRequest:
     """ValueError says what is wrong."""
     words = text.split()
     if len(words) < 2 or not re.fullmatch(r"[A-Z]+", words[0]) or not words[1].startswith("/"):
         raise ValueError(
             "write a method and a path, and more as name=value: 'POST /x host=a.example class=publicar'"
         )
-    said: dict[str, str] = {}
+    fields: dict[str, str] = {}
     headers = []
     for word in words[2:]:
         name, equals, value = word.partition("=")
         if not equals or not name:
             raise ValueError(f"{word!r:.60} is no name=value")
         if name.lower() in ("host", "class", "tenant"):
-            said[name.lower()] = value
+            fields[name.lower()] = value
         else:
             headers.append((name.lower(), value))
-    return Asked(
+    return SampleRequest(
         words[0],
         words[1],
-        said.get("host", ""),
-        said.get("class", ""),
-        said.get("tenant", ""),
+        fields.get("host", ""),
+        fields.get("class", ""),
+        fields.get("tenant", ""),
         tuple(headers),
     )
 
 
-class Answer(NamedTuple):
+class Explanation(NamedTuple):
     route: str  # empty: none
     pools: dict[str, float]  # with their parts
     fallback: tuple[str, ...]
-    passed: tuple[str, ...]  # routes before it that did not fit, and why
-    said: str  # why it is refused, where it is
+    rejected: tuple[str, ...]  # routes before it that did not fit, and why
+    refusal: str  # why it is refused, where it is
 
 
-class Book:
+class RouteExplainer:
     """A file's routes, by the names that are in it: no platform file is wanted."""
 
     def __init__(self, options: Operator) -> None:
@@ -77,40 +77,40 @@
         self._tenants = _numbers(name for route in options.routes.values() for name in route.tenants)
         self.router = Router(options.routes, self._classes, self._tenants, 0.0)
 
-    def ask(self, asked: Asked) -> Answer:
+    def explain(self, sample: SampleRequest) -> Explanation:
         try:
-            target, name = normal(asked.target.encode()), host(asked.host.encode())
+            target, name = normalize(sample.target.encode()), normalize_host(sample.host.encode())
         except FramingError as problem:
-            return Answer("", {}, (), (), f"{problem.status}: {problem}")
+            return Explanation("", {}, (), (), f"{problem.status}: {problem}")
         headers: dict[bytes, list[bytes]] = {}
-        for key, value in asked.headers:
+        for key, value in sample.headers:
             headers.setdefault(key.encode(), []).append(value.encode())
         facts = Facts(
             name,
             target,
-            asked.method.encode(),
+            sample.method.encode(),
             headers,
-            self._classes.get(asked.cls, -2),
-            self._tenants.get(asked.tenant, -2),
+            self._classes.get(sample.cls, -2),
+            self._tenants.get(sample.tenant, -2),
         )
-        route, passed = self.router.table.why(facts)
+        route, rejected = self.router.table.explain(facts)
         if route is None:
             allowed = self.router.allowed(name, target)
-            said = "404: no route" if allowed is None else "404: no route whose conditions fit"
-            if allowed and asked.method.encode() not in allowed:
-                said = "405: " + ", ".join(sorted(item.decode() for item in allowed))
-            return Answer("", {}, (), tuple(passed), said)
+            refusal = "404: no route" if allowed is None else "404: no route whose conditions fit"
+            if allowed and sample.method.encode() not in allowed:
+                refusal = "405: " + ", ".join(sorted(item.decode() for item in allowed))
+            return Explanation("", {}, (), tuple(rejected), refusal)
         own = self.router.routes[route]
-        whole = parts(own)
-        pools = {own.pool: max(0.0, 1.0 - sum(whole.values()))} | whole
-        return Answer(route, pools, own.fallback, tuple(passed), "")
+        full_shares = parts(own)
+        pools = {own.pool: max(0.0, 1.0 - sum(full_shares.values()))} | full_shares
+        return Explanation(route, pools, own.fallback, tuple(rejected), "")
 
 
 def _numbers(names: Iterator[str]) -> Mapping[str, int]:
     return {name: n for n, name in enumerate(dict.fromkeys(names))}
 
 
-def samples(route: Route) -> Iterator[Asked]:
+def samples(route: Route) -> Iterator[SampleRequest]:
     """Requests that a route is meant for, as far as one route tells: its path, one that lies below, each condition."""
     path = re.sub(r"\{[^}]*\}", "some", route.path or "/")
     paths = [path[:-2] or "/", path[:-1] + "some"] if path.endswith("/*") else [path]
@@ -120,18 +120,18 @@
         for method in route.methods or ("GET", "POST"):
             for cls in route.classes or ("",):
                 for tenant in route.tenants or ("",):
-                    yield Asked(method, target, name, cls, tenant, headers)
+                    yield SampleRequest(method, target, name, cls, tenant, headers)
 
 
 class Moved(NamedTuple):
-    asked: Asked
+    sample: SampleRequest
     before: str
     after: str
 
 
-def _where(answer: Answer) -> str:
+def _destination(answer: Explanation) -> str:
     if not answer.route:
-        return answer.said
+        return answer.refusal
     found = " ".join(
         pool if value >= 1.0 else f"{pool} {value:.3%}".replace(".000", "")
         for pool, value in answer.pools.items()
@@ -144,23 +144,31 @@
     """Requests that go elsewhere under the new file: of those that any route of either is meant for, and `/api`."""
     if not old.routes and not new.routes:
         return []
-    one = Book(old) if old.routes else None
-    other = Book(new) if new.routes else None
-    asked = dict.fromkeys(
+    old_routes = RouteExplainer(old) if old.routes else None
+    new_routes = RouteExplainer(new) if new.routes else None
+    candidates = dict.fromkeys(
         [
-            Asked("GET", "/api"),
+            SampleRequest("GET", "/api"),
             *(item for options in (old, new) for route in options.routes.values() for item in samples(route)),
         ]
     )
     found = []
-    for item in asked:
-        before = _where(one.ask(item)) if one is not None else _alone(item)
-        after = _where(other.ask(item)) if other is not None else _alone(item)
+    for item in candidates:
+        before = (
+            _destination(old_routes.explain(item))
+            if old_routes is not None
+            else _destination_without_routes(item)
+        )
+        after = (
+            _destination(new_routes.explain(item))
+            if new_routes is not None
+            else _destination_without_routes(item)
+        )
         if before != after:
             found.append(Moved(item, before, after))
     return found
 
 
-def _alone(asked: Asked) -> str:
+def _destination_without_routes(sample: SampleRequest) -> str:
     """Without any route."""
-    return DEFAULT if asked.target.partition("?")[0] == "/api" else "404: no route"
+    return DEFAULT if sample.target.partition("?")[0] == "/api" else "404: no route"
--- a/larkweir/routes/part.py
+++ b/larkweir/routes/part.py
@@ -15,7 +15,7 @@
 from larkweir.core.request_handler import RequestHandler
 from larkweir.core.stderr_log import StderrLog
 from larkweir.membership.discovery import Discovery
-from larkweir.routes.hands import Routes
+from larkweir.routes.request_routing import Routes
 
 
 class Host(Protocol):
@@ -53,7 +53,7 @@
         names = host.discovery.names
         names.reverse = {} if names.reverse is None else names.reverse
         routes.name_of = lambda number: (names.reverse or {}).get(number, "")
-    host.upstream_protocol = routes.speaks
+    host.upstream_protocol = routes.protocol_of
     host.request_handler.router = routes
 
     def configure(config: Config, options: Operator | None) -> None:
--- a/larkweir/routes/paths.py
+++ b/larkweir/routes/paths.py
@@ -13,7 +13,7 @@
 
 from larkweir.core.message import FramingError
 
-MOST_SEGMENTS = 64
+MAX_SEGMENTS = 64
 _UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 _PLAIN = re.compile(rb"(?:/[A-Za-z0-9_~-][A-Za-z0-9._~-]*)+|/")  # in its normal form already, as most are
 _BAD = re.compile(rb"[^!$&'()*+,;=:@/A-Za-z0-9._~%-]")  # no character of a path (section 3.3)
@@ -42,7 +42,7 @@
     return b"%" + digits.upper()
 
 
-def normal(target: bytes) -> Target:
+def normalize(target: bytes) -> Target:
     """The normal form of an origin-form target; FramingError 400 where it has none that all readers share."""
     path, mark, query = target.partition(b"?")
     if _PLAIN.fullmatch(path):
@@ -70,12 +70,12 @@
                 kept.append(b"")  # the folder itself
         segments = tuple(kept)
         path = b"/" + b"/".join(segments)
-    if len(segments) > MOST_SEGMENTS:
-        raise FramingError(400, f"a path of more than {MOST_SEGMENTS} parts")
+    if len(segments) > MAX_SEGMENTS:
+        raise FramingError(400, f"a path of more than {MAX_SEGMENTS} parts")
     return Target(path, segments, mark + query)
 
 
-def host(value: bytes) -> bytes:
+def normalize_host(value: bytes) -> bytes:
     """A Host field's name in lower case, without its port and a dot at its end; FramingError 400 where it is none."""
     if not value:
         return b""
--- a/larkweir/routes/pools.py
+++ b/larkweir/routes/pools.py
@@ -14,7 +14,7 @@
 from larkweir.routes.subsets import ring
 
 
-def named(options: Operator) -> list[str]:
+def referenced_pools(options: Operator) -> list[str]:
     """The pools that any route can send to, the default first: that one is always there, and asks for the list."""
     found = [DEFAULT]
     for route in options.routes.values():
@@ -53,7 +53,7 @@
         pool: Pool,
         config: Config,
         fixed: Mapping[int, ServerEntry],
-        called: Callable[[int], str] = str,
+        stable_name: Callable[[int], str] = str,
     ) -> None:
         """`fixed`: the upstreams of all fixed lists by number; `own` of them are this pool's. `called`: by this
         process's number of it, what an upstream is called at every balancer."""
@@ -66,7 +66,7 @@
         self._subset = pool.subset or 0
         self._me, self._copies = config.settings.me, config.settings.balancer_count
         self._fixed = fixed
-        self._called = called
+        self._stable_name = stable_name
         self.own: frozenset[int] | None = None  # of the fixed ones; None: discovery's
 
     def __call__(self, entries: Iterable[ServerEntry]) -> list[ServerEntry]:
@@ -82,19 +82,21 @@
             found = [by[name] for name in ring(list(by), self._me, self._copies, self._subset)]
         if not self._evacuated:
             return found
-        away = {
+        draining = {
             server
             for zone, part in self._evacuated.items()
-            for server in leaving((entry.server for entry in found if entry.zone == zone), part, self._called)
+            for server in evacuated_servers(
+                (entry.server for entry in found if entry.zone == zone), part, self._stable_name
+            )
         }
         return [
             replace(entry, state=ServerState.DRAINING)
-            if entry.server in away and entry.state is ServerState.READY
+            if entry.server in draining and entry.state is ServerState.READY
             else entry
             for entry in found
         ]
 
-    def empty(self, zone: int, part: float) -> bool:
+    def set_evacuated_share(self, zone: int, part: float) -> bool:
         """So much of an evacuated zone counts as draining; whether that is news."""
         before = self._evacuated.get(zone)
         if before is None or before == part:
@@ -110,26 +112,28 @@
         )
 
 
-def leaving(servers: Iterable[int], part: float, called: Callable[[int], str]) -> list[int]:
+def evacuated_servers(servers: Iterable[int], part: float, stable_name: Callable[[int], str]) -> list[int]:
     """So much of a zone, rounded down, in the order in which it empties: the same at every balancer that knows the same
     upstreams, in whatever order it heard of them, since the order goes by what they are called."""
     if part >= 1.0:
         return list(servers)
-    order = sorted(servers, key=lambda server: _order(called(server)))
+    order = sorted(servers, key=lambda server: _evacuation_order(stable_name(server)))
     return order[: int(part * len(order) + 1e-9)]
 
 
-def _order(name: str) -> tuple[bytes, str]:
+def _evacuation_order(name: str) -> tuple[bytes, str]:
     return blake2b(name.encode(), digest_size=8, person=b"evacuate").digest(), name
 
 
-def whole(options: Operator, zones: Sequence[str]) -> tuple[dict[str, Pool], dict[str, dict[str, str]]]:
+def resolve_pools(
+    options: Operator, zones: Sequence[str]
+) -> tuple[dict[str, Pool], dict[str, dict[str, str]]]:
     """All pools that are used, with what their parents say; and of those that spill, the names of their parts by
     zone. A part decides for its zone alone, so that a request is in one zone with all its attempts.
     """
     found: dict[str, Pool] = {}
     parts_: dict[str, dict[str, str]] = {}
-    for name in named(options):
+    for name in referenced_pools(options):
         pool = inherited(name, options.pools)
         if not pool.spill:
             found[name] = pool
--- a/larkweir/routes/hands.py
+++ b/larkweir/routes/request_routing.py
@@ -20,17 +20,17 @@
 from larkweir.core.message import Headers, Message
 from larkweir.core.ports import Address, Listing
 from larkweir.core.request_parser import METHODS
-from larkweir.routes.paths import Target, host, normal
-from larkweir.routes.pools import Members, settings_of, whole
+from larkweir.routes.paths import Target, normalize, normalize_host
+from larkweir.routes.pools import Members, resolve_pools, settings_of
 from larkweir.routes.router import Choice, Router
 from larkweir.routes.split import Ramp
-from larkweir.routes.switch import Coming, Pool, Switch
+from larkweir.routes.switch import PendingGeneration, Pool, Switch
 from larkweir.routes.table import Facts
 from larkweir.routes.trial import Trial
 from larkweir.routes.zones import Spill
 
 
-class Place:
+class RequestTarget:
     """Where a request asks for."""
 
     __slots__ = ("host", "target")
@@ -39,38 +39,38 @@
         self.host, self.target = name, target
 
 
-class Copied:
+class DiscardingCaller:
     """Takes the answer to a mirrored request, for nobody."""
 
     streams = False
     peer = ""
 
-    def __init__(self, ended: Callable[[], None]) -> None:
-        self._ended = ended
+    def __init__(self, on_answered: Callable[[], None]) -> None:
+        self._on_answered = on_answered
 
     def gone(self) -> bool:
         return False
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        self._ended()
+        self._on_answered()
 
     def begin(self, status: int, headers: Headers, body: BodyStream) -> None:
-        self._ended()
+        self._on_answered()
 
 
 class Routes:
     """Between what a caller sends and the dispatcher."""
 
-    MOST_COPIES = 32  # mirrored requests at a time; past that none are copied
-    LOOK_MS = 500.0  # from look to look at how full zones are: some times the longest aim there is
-    FIRST_FIXED = 1 << 41  # numbers of upstreams in fixed lists: above all that discovery's get
+    MAX_MIRRORED = 32  # mirrored requests at a time; past that none are copied
+    SPILL_INTERVAL_MS = 500.0  # from look to look at how full zones are: some times the longest aim there is
+    FIRST_FIXED_NUMBER = 1 << 41  # numbers of upstreams in fixed lists: above all that discovery's get
 
-    def __init__(self, options: Operator, config: Config, clock: Clock, say: Callable[[str], None]) -> None:
+    def __init__(self, options: Operator, config: Config, clock: Clock, log: Callable[[str], None]) -> None:
         self._clock = clock
-        self._say = say
+        self._log = log
         self.config = config
         self.dispatcher: Dispatcher | None = None  # set before the first request
-        self._copies = 0
+        self._mirrored_in_flight = 0
         self.mirrored = self.unmirrored = 0
         self._fixed: dict[int, ServerEntry] = {}
         self._addresses: dict[int, Address] = {}
@@ -78,26 +78,26 @@
         self.name_of: Callable[[int], str] = lambda number: ""
         self._numbers: dict[tuple[Address, str], int] = {}
         self._version = 0  # of the list
-        self._tell: Callable[[Listing], None] = lambda listing: None
+        self._publish: Callable[[Listing], None] = lambda listing: None
         self._options = options
         self._protocols: dict[str, str] = {}  # by pool
         self._zoned: dict[str, dict[str, str]] = {}  # pools that spill: the names of their parts by zone
         self._spills: dict[str, Spill] = {}
         self._shares: dict[str, dict[str, float]] = {}  # of them, by zone
-        self._looks = False
+        self._spill_scheduled = False
         self._rng = Random(config.seed)
         self._members: dict[str, Members] = {}
-        self._emptying: dict[
+        self._evacuating: dict[
             tuple[str, str], float
         ] = {}  # zones of pools that a reload has evacuated: since when
-        self._emptied: dict[tuple[str, str], float] = {}  # how much of them
+        self._evacuated_shares: dict[tuple[str, str], float] = {}  # how much of them
         self._evacuated: set[tuple[str, str]] = set()  # all that are
         self._evacuate_ms = 0.0
         self._keys: dict[str, tuple[str, str]] = {}  # of those that empty, by key
         self.router = self._router(options, config, None)
         pools, settings = self._pools(options, config, {})
         self.switch = Switch(pools, DEFAULT)
-        self.switch.ended = self._ended
+        self.switch.on_request_ended = self._on_request_ended
         self._settings = settings
 
     # ------------------------------------------------ generations
@@ -108,11 +108,11 @@
         return Router(options.routes, classes, tenants, self._clock.now_ms(), before)
 
     def _pools(
-        self, options: Operator, config: Config, held: dict[str, Pool]
+        self, options: Operator, config: Config, existing: dict[str, Pool]
     ) -> tuple[dict[str, Pool], dict[str, Settings]]:
         pools: dict[str, Pool] = {}
         settings: dict[str, Settings] = {}
-        wanted, self._zoned = whole(options, config.zones)
+        wanted, self._zoned = resolve_pools(options, config.zones)
         home = config.zones[config.settings.my_zone] if config.zones else ""
         self._spills = {name: self._spills.get(name) or Spill(home) for name in self._zoned}
         members: dict[str, Members] = {}
@@ -125,24 +125,26 @@
         self._protocols = {name: pool.protocol for name, pool in wanted.items() if pool.protocol}
         for name, pool in wanted.items():
             settings[name] = settings_of(pool, config.settings, name == DEFAULT)
-            members[name] = Members(pool, config, used, self._called)
+            members[name] = Members(pool, config, used, self._stable_name)
             members[name].own = own.get(name)
-            if name in held:
-                pools[name] = held[name]
+            if name in existing:
+                pools[name] = existing[name]
                 pools[name].filter = members[name]
             else:
                 seed = config.seed ^ int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
                 pools[name] = Pool(
                     name, Balancer(settings[name], seed if name != DEFAULT else config.seed), members[name]
                 )
-        self._empty(options, config, wanted, held)
+        self._start_evacuations(options, config, wanted, existing)
         self._members = members
-        for name, zone in self._emptying:
-            members[name].empty(config.zones.index(zone), self._emptied.get((name, zone), 0.0))
+        for name, zone in self._evacuating:
+            members[name].set_evacuated_share(
+                config.zones.index(zone), self._evacuated_shares.get((name, zone), 0.0)
+            )
         return pools, settings
 
-    def _empty(
-        self, options: Operator, config: Config, wanted: dict[str, PoolTable], held: dict[str, Pool]
+    def _start_evacuations(
+        self, options: Operator, config: Config, wanted: dict[str, PoolTable], existing: dict[str, Pool]
     ) -> None:
         """Zones that this generation evacuates, of pools that were there before, empty by and by where they are to; who
         starts with them finds them empty."""
@@ -157,15 +159,19 @@
             if zone in config.zones
         }
         new = (
-            {item for item in evacuated - self._evacuated if item[0] in held} if self._evacuate_ms else set()
+            {item for item in evacuated - self._evacuated if item[0] in existing}
+            if self._evacuate_ms
+            else set()
         )
-        emptying = {item: since for item, since in self._emptying.items() if item in evacuated}
-        self._emptying = emptying | dict.fromkeys(new, now)
-        self._emptied = {item: part for item, part in self._emptied.items() if item in self._emptying}
+        evacuating = {item: since for item, since in self._evacuating.items() if item in evacuated}
+        self._evacuating = evacuating | dict.fromkeys(new, now)
+        self._evacuated_shares = {
+            item: part for item, part in self._evacuated_shares.items() if item in self._evacuating
+        }
         self._evacuated = evacuated
-        self._keys = {_key(*item): item for item in self._emptying}
+        self._keys = {_key(*item): item for item in self._evacuating}
 
-    def _called(self, number: int) -> str:
+    def _stable_name(self, number: int) -> str:
         """Its address in a fixed list, else its instance id; the number where neither is known."""
         if number in self._addresses:
             host, port = self._addresses[number]
@@ -175,7 +181,7 @@
     def _number(self, line: str, config: Config, used: dict[int, ServerEntry]) -> int:
         """An upstream of a fixed list keeps its number as long as the process lives."""
         address, zone = fixed_of(line)
-        number = self._numbers.setdefault((address, zone), self.FIRST_FIXED + len(self._numbers))
+        number = self._numbers.setdefault((address, zone), self.FIRST_FIXED_NUMBER + len(self._numbers))
         at = config.zones.index(zone) if zone in config.zones else 0
         used[number] = ServerEntry(number, zone=at)
         self._addresses[number] = address
@@ -185,22 +191,22 @@
         """A generation that has been checked: it counts with the `Reconfigured` that follows."""
         self.config = config
         self.router = self._router(options, config, self.router)
-        held = dict(self.switch.pools)
+        existing = dict(self.switch.pools)
         fixed = dict(self._fixed)
-        pools, settings = self._pools(options, config, held)
-        left = [pool for name, pool in held.items() if name not in pools]
-        self.switch.coming = Coming(pools, settings, left)
+        pools, settings = self._pools(options, config, existing)
+        removed = [pool for name, pool in existing.items() if name not in pools]
+        self.switch.pending_generation = PendingGeneration(pools, settings, removed)
         self._options = options
         entries = [entry for number, entry in self._fixed.items() if number not in fixed]
         entries += [ServerEntry(number, ServerState.GONE) for number in fixed if number not in self._fixed]
         if entries:
             addresses = tuple(self._addresses[entry.server] for entry in entries)
-            self._tell(Listing(ListKind.PROOF, self._version, tuple(entries), addresses))
+            self._publish(Listing(ListKind.PROOF, self._version, tuple(entries), addresses))
 
     # ------------------------------------------------ the list
 
     def reroute(self, tell: Callable[[Listing], None]) -> None:
-        self._tell = tell
+        self._publish = tell
 
     def on_listing(self, listing: Listing) -> None:
         """What discovery tells, with the fixed lists beside it, which are always whole."""
@@ -209,23 +215,23 @@
             addresses = (*listing.addresses, *(self._addresses[number] for number in self._fixed))
             listing = Listing(listing.kind, listing.version, entries, addresses)
         self._version = listing.version
-        self._tell(listing)
+        self._publish(listing)
 
     # ------------------------------------------------ a request
 
-    def place(self, message: Message) -> tuple[int, Headers] | Place:
+    def place(self, message: Message) -> tuple[int, Headers] | RequestTarget:
         """`larkweir.core.request_handler.Router`. FramingError 400 for a target or Host that has no one form."""
-        target = normal(message.target)
-        name = host(message.value(b"host") or b"")
-        refusal = refused(self.router.allowed(name, target), message.method)
+        target = normalize(message.target)
+        name = normalize_host(message.value(b"host") or b"")
+        refusal = refusal_of(self.router.allowed(name, target), message.method)
         if refusal is not None:
             return refusal
         message.target = target.path + target.query
-        return Place(name, target)
+        return RequestTarget(name, target)
 
     def choose(self, place: object, message: Message, event: RequestArrived, trace: bytes) -> bool:
         """`larkweir.core.request_handler.Router`."""
-        assert isinstance(place, Place)
+        assert isinstance(place, RequestTarget)
         headers: dict[bytes, list[bytes]] = {}
         if self.router.headers:
             for key, value in message.headers:
@@ -244,7 +250,7 @@
             choice.pools = tuple(part for name in choice.pools for part in self._in_zones(name))
         event.choice = choice
         if choice.mirror:
-            self._copy(message, event, choice, trace)
+            self._mirror(message, event, choice, trace)
         return True
 
     # ------------------------------------------------ zones
@@ -255,9 +261,9 @@
         zoned = self._zoned.get(name)
         if zoned is None:
             return [name]
-        if not self._looks:
-            self._looks = True
-            self._look()
+        if not self._spill_scheduled:
+            self._spill_scheduled = True
+            self._update_spill()
         shares = self._shares.get(name, {})
         order = sorted(zoned, key=lambda zone: -shares.get(zone, 0.0))
         drawn = self._rng.random()
@@ -269,19 +275,19 @@
                 break
         return [zoned[zone] for zone in order]
 
-    def _look(self) -> None:
+    def _update_spill(self) -> None:
         """How full each zone is, by each part's own window; again in a while, as long as any pool spills."""
         if not self._zoned:
-            self._looks = False
+            self._spill_scheduled = False
             return
         for name, zoned in self._zoned.items():
-            carried, carries = {}, {}
+            loads, capacities = {}, {}
             for zone, part in zoned.items():
                 decisions = self.switch.pools[part].decisions
-                carried[zone] = decisions.limiter.mean_in_flight
-                carries[zone] = decisions.limiter.window if decisions.table.ready_count else 0.0
-            self._shares[name] = self._spills[name].look(carried, carries)
-        self._clock.after(self.LOOK_MS, self._look)
+                loads[zone] = decisions.limiter.mean_in_flight
+                capacities[zone] = decisions.limiter.window if decisions.table.ready_count else 0.0
+            self._shares[name] = self._spills[name].update(loads, capacities)
+        self._clock.after(self.SPILL_INTERVAL_MS, self._update_spill)
 
     def _key(self, route: str, message: Message, event: RequestArrived, trace: bytes) -> bytes:
         """What a request is sticky by; its own id where it has nothing of the kind."""
@@ -294,13 +300,13 @@
             return trace
         return message.value(self.router.sticky[route]) or trace
 
-    def _copy(self, message: Message, event: RequestArrived, choice: Choice, trace: bytes) -> None:
+    def _mirror(self, message: Message, event: RequestArrived, choice: Choice, trace: bytes) -> None:
         """A safe request once more, to another pool, for nobody: bounded, and with an id of its own."""
         dispatcher = self.dispatcher
         if (
             dispatcher is None
             or message.stream is not None
-            or self._copies >= self.MOST_COPIES
+            or self._mirrored_in_flight >= self.MAX_MIRRORED
             or dispatcher.memory.is_half_used
         ):
             self.unmirrored += 1
@@ -314,75 +320,81 @@
         copy.headers = [
             (key, own if key.lower() == b"x-trace-id" else value) for key, value in message.headers
         ]
-        told = RequestArrived(
+        mirrored_event = RequestArrived(
             0, event.class_index, event.time_left_ms, event.tenant, event.key, event.expected_ms
         )
-        told.choice = Choice("", tuple(self._in_zones(choice.mirror)))
-        self._copies += 1
+        mirrored_event.choice = Choice("", tuple(self._in_zones(choice.mirror)))
+        self._mirrored_in_flight += 1
         self.mirrored += 1
-        left = event.time_left_ms
+        time_left_ms = event.time_left_ms
         # In a turn of its own: the request itself goes first.
         config = self.config
-        self._clock.after(0.0, lambda: self._send_copy(dispatcher, copy, left, own, told, config))
+        self._clock.after(
+            0.0, lambda: self._send_mirrored(dispatcher, copy, time_left_ms, own, mirrored_event, config)
+        )
 
-    def _send_copy(
+    def _send_mirrored(
         self,
         dispatcher: Dispatcher,
         copy: Message,
-        left: float,
+        time_left_ms: float,
         trace: bytes,
-        told: RequestArrived,
+        mirrored_event: RequestArrived,
         config: Config,
     ) -> None:
-        def ended() -> None:
-            self._copies -= 1
+        def on_answered() -> None:
+            self._mirrored_in_flight -= 1
 
         if self.config is not config:
             # Its class and tenant are places in settings that count no more, and the class may not be safe any more.
-            ended()
+            on_answered()
             self.mirrored -= 1
             self.unmirrored += 1
             return
-        dispatcher.arrive(Copied(ended), copy, left, trace, told)
+        dispatcher.arrive(DiscardingCaller(on_answered), copy, time_left_ms, trace, mirrored_event)
 
-    def _ended(self, choice: Choice, failed: bool, spent_ms: float) -> None:
+    def _on_request_ended(self, choice: Choice, failed: bool, spent_ms: float) -> None:
         if choice.trial is None:
             return
         main = (
             self.router.routes[choice.route].pool if choice.route in self.router.routes else choice.pools[0]
         )
-        line = choice.trial.note(choice.part, main, failed, spent_ms, choice.cls, choice.era)
+        line = choice.trial.record(
+            choice.assigned_pool, main, failed, spent_ms, choice.cls, choice.split_version
+        )
         if line:
-            self._say(line)
+            self._log(line)
 
     def on_trial(self) -> dict[str, Trial]:
         """Of the present generation (`Router.on_trial`)."""
         return self.router.on_trial()
 
-    def end(self, key: str, why: str) -> None:
+    def end_trial(self, key: str, why: str) -> None:
         """A part's trial is over by a fleet's word (`Router.end`)."""
-        line = self.router.end(key, why)
+        line = self.router.end_trial(key, why)
         if line:
-            self._say(line)
+            self._log(line)
 
     def ramping(self) -> dict[str, tuple[str, float, float]]:
         """As `Router.ramping`, with the zones that empty."""
-        found = {key: (key, self._evacuate_ms, self._emptying[item]) for key, item in self._keys.items()}
+        found = {key: (key, self._evacuate_ms, self._evacuating[item]) for key, item in self._keys.items()}
         return self.router.ramping() | found
 
-    def stand(self, name: str, step: int) -> None:
+    def set_step(self, name: str, step: int) -> None:
         """What counts of a ramp from now on: a route's, or a zone's that empties."""
         item = self._keys.get(name)
         if item is None:
-            self.router.stand(name, step)
+            self.router.set_step(name, step)
             return
-        self._emptied[item] = part = max(Ramp(1.0, 0.0).after(step), self._emptied.get(item, 0.0))
-        if self._members[item[0]].empty(self.config.zones.index(item[1]), part):
-            self._tell(Listing(ListKind.PROOF, self._version, (), ()))
+        self._evacuated_shares[item] = part = max(
+            Ramp(1.0, 0.0).after(step), self._evacuated_shares.get(item, 0.0)
+        )
+        if self._members[item[0]].set_evacuated_share(self.config.zones.index(item[1]), part):
+            self._publish(Listing(ListKind.PROOF, self._version, (), ()))
 
-    def speaks(self, number: int) -> str:
+    def protocol_of(self, number: int) -> str:
         """What an upstream speaks, by the pools that have it; empty where none says."""
-        for pool in self.switch.has.get(number, ()):
+        for pool in self.switch.pools_by_server.get(number, ()):
             if self._protocols.get(pool.name):
                 return self._protocols[pool.name]
         return ""
@@ -394,7 +406,7 @@
             "pools": ",".join(
                 f"{name}:{pool.decisions.table.ready_count}" for name, pool in self.switch.pools.items()
             )[:300],
-            "pools_left": len(self.switch.left),
+            "pools_left": len(self.switch.draining_pools),
         }
         if self._shares:
             found["zones"] = ";".join(
@@ -413,7 +425,7 @@
     return blake2b(f"{pool}\0{zone}".encode(), digest_size=8, person=b"evacuate").hexdigest()
 
 
-def refused(allowed: Collection[bytes] | None, method: bytes) -> tuple[int, Headers] | None:
+def refusal_of(allowed: Collection[bytes] | None, method: bytes) -> tuple[int, Headers] | None:
     """A status and headers for what no route takes; None where one may."""
     if allowed is None:
         return 404, []
--- a/larkweir/routes/router.py
+++ b/larkweir/routes/router.py
@@ -24,11 +24,11 @@
     pools: tuple[str, ...]  # the first, and those that it falls back to in turn
     trial: Trials | None = None
     mirror: str = ""  # a pool that gets a copy
-    at: int = 0  # in `pools`
-    began_ms: float = 0.0
+    position: int = 0  # in `pools`
+    started_ms: float = 0.0
     cls: int = 0
-    part: str = ""  # the pool of the route that it fell to, whichever zone's
-    era: int = 0  # of the parts by which it fell there: another whenever they change
+    assigned_pool: str = ""  # the pool of the route that it fell to, whichever zone's
+    split_version: int = 0  # of the parts by which it fell there: another whenever they change
 
 
 @dataclass(slots=True)
@@ -39,22 +39,24 @@
     alpha: float
     by_pool: dict[str, Trial] = field(default_factory=dict)
     ended: dict[str, str] = field(default_factory=dict)  # pools whose part is over, and why
-    era: int = 0
+    split_version: int = 0
 
-    def note(self, pool: str, main: str, failed: bool, spent_ms: float, cls: int, era: int = 0) -> str:
+    def record(
+        self, pool: str, main: str, failed: bool, spent_ms: float, cls: int, split_version: int = 0
+    ) -> str:
         """A request has had its answer from this pool's part; a line where a part ends with it. One that was sent under
         parts that count no more says nothing."""
-        if era != self.era:
-            if era < self.era:
+        if split_version != self.split_version:
+            if split_version < self.split_version:
                 return ""
-            self.era = era
+            self.split_version = split_version
             for trial in self.by_pool.values():
                 trial.forget()
         if pool == main:  # the control of all
             for name, trial in self.by_pool.items():
-                if trial.ended(False, failed, spent_ms, cls):
+                if trial.record(False, failed, spent_ms, cls):
                     return self._end(name, trial)
-        elif pool in self.by_pool and self.by_pool[pool].ended(True, failed, spent_ms, cls):
+        elif pool in self.by_pool and self.by_pool[pool].record(True, failed, spent_ms, cls):
             return self._end(pool, self.by_pool[pool])
         return ""
 
@@ -101,8 +103,8 @@
     ) -> None:
         self.routes = dict(routes)
         # What a route that is as it was came to is taken over: of thousands, a generation changes a few.
-        known = before if before is not None and before._names == (classes, tenants) else None
-        self._names: tuple[Mapping[str, int], Mapping[str, int]] = (classes, tenants)
+        known = before if before is not None and before._numbering == (classes, tenants) else None
+        self._numbering: tuple[Mapping[str, int], Mapping[str, int]] = (classes, tenants)
         self._matches: dict[str, Match] = {
             name: known._matches[name]
             if known is not None and known.routes.get(name) is route
@@ -110,12 +112,12 @@
             for name, route in routes.items()
         }
         self.table = Table.of(self._matches.items())
-        self._since: dict[str, float] = {}
+        self._started_ms: dict[str, float] = {}
         self._trials: dict[str, Trials] = {}
         self._parts = {name: parts(route) for name, route in routes.items()}
         self._keys: dict[str, str] = {}  # by route with parts: the same wherever the file says the same
-        self.stepped: dict[str, int] = (
-            before.stepped if before is not None else {}
+        self.fleet_steps: dict[str, int] = (
+            before.fleet_steps if before is not None else {}
         )  # ramps that a fleet steps
         self._salt = {name: name.encode() for name in routes}
         # Names of headers that any route asks for: others need not be looked at.
@@ -130,15 +132,15 @@
         for name, route in routes.items():
             if not route.split:
                 continue
-            self._keys[name] = _key(name, route)
+            self._keys[name] = _fingerprint(name, route)
             old = before.routes.get(name) if before is not None else None
             if before is not None and old is not None and _same_parts(old, route):
-                self._since[name] = before._since[name]
+                self._started_ms[name] = before._started_ms[name]
                 if name in before._trials:
                     self._trials[name] = before._trials[name]
                 continue
-            self._since[name] = now_ms
-            self.stepped.pop(name, None)
+            self._started_ms[name] = now_ms
+            self.fleet_steps.pop(name, None)
             if route.alarm > 0.0:
                 self._trials[name] = Trials(
                     name,
@@ -166,12 +168,12 @@
         """The parts of a route's pools as they are now; they come to 1."""
         route = self.routes[name]
         trials = self._trials.get(name)
-        since = now_ms - self._since.get(name, now_ms)
+        since = now_ms - self._started_ms.get(name, now_ms)
         found = {}
-        for pool, whole in self._parts[name].items():
+        for pool, full_share in self._parts[name].items():
             ended = trials is not None and pool in trials.ended
-            ramp = Ramp(whole, route.ramp_ms)
-            step = self.stepped.get(name)
+            ramp = Ramp(full_share, route.ramp_ms)
+            step = self.fleet_steps.get(name)
             found[pool] = 0.0 if ended else ramp.at(since) if step is None else ramp.after(step)
         return {route.pool: max(0.0, 1.0 - sum(found.values()))} | found
 
@@ -187,14 +189,14 @@
         if route.mirror and safe and score(b"mirror", trace, b"", 1.0) >= _mirror_bound(route.mirror_part):
             mirror = route.mirror
         later = tuple(item for item in route.fallback if item != pool)
-        era = self._era(name, trials, now_ms) if trials is not None else 0
-        return Choice(name, (pool, *later), trials, mirror, part=pool, era=era)
+        split_version = self._split_version(name, trials, now_ms) if trials is not None else 0
+        return Choice(name, (pool, *later), trials, mirror, assigned_pool=pool, split_version=split_version)
 
-    def _era(self, name: str, trials: Trials, now_ms: float) -> int:
+    def _split_version(self, name: str, trials: Trials, now_ms: float) -> int:
         """Goes up with each step of the ramp, and with each part that is over."""
-        step = self.stepped.get(name)
+        step = self.fleet_steps.get(name)
         if step is None:
-            step = Ramp(1.0, self.routes[name].ramp_ms).step(now_ms - self._since[name])
+            step = Ramp(1.0, self.routes[name].ramp_ms).step(now_ms - self._started_ms[name])
         return step * len(self._parts[name]) + len(trials.ended)
 
     # ------------------------------------------------ for a fleet that does it together
@@ -216,7 +218,7 @@
             for at, pool in enumerate(self._parts[name])
         }
 
-    def end(self, key: str, why: str) -> str:
+    def end_trial(self, key: str, why: str) -> str:
         """The part of that key gets nothing any more; a line that says so, empty where it is over or not known."""
         for name, trials in self._trials.items():
             for at, pool in enumerate(self._parts[name]):
@@ -228,18 +230,18 @@
         """By key, routes whose parts grow: name, span in milliseconds, and since when."""
         return {
             self._keys[name]: (name, self.routes[name].ramp_ms, since)
-            for name, since in self._since.items()
+            for name, since in self._started_ms.items()
             if self.routes[name].ramp_ms > 0.0
         }
 
-    def stand(self, name: str, step: int) -> None:
+    def set_step(self, name: str, step: int) -> None:
         """What counts of a route's ramp from now on; no step is taken back."""
-        self.stepped[name] = max(step, self.stepped.get(name, 0))
+        self.fleet_steps[name] = max(step, self.fleet_steps.get(name, 0))
 
     def states(self, now_ms: float) -> dict[str, str]:
         """By route with parts: how they stand, for staff."""
         found = {}
-        for name in self._since:
+        for name in self._started_ms:
             parts_ = ",".join(f"{pool}:{value:.3f}" for pool, value in self.weights(name, now_ms).items())
             found[name] = parts_
         return found
@@ -260,6 +262,6 @@
 
 
 @lru_cache(MEMO)
-def _key(name: str, route: Route) -> str:
-    said = repr((name, *(getattr(route, key) for key in _PARTS)))
-    return blake2b(said.encode(), digest_size=8).hexdigest()
+def _fingerprint(name: str, route: Route) -> str:
+    description = repr((name, *(getattr(route, key) for key in _PARTS)))
+    return blake2b(description.encode(), digest_size=8).hexdigest()
--- a/larkweir/routes/subsets.py
+++ b/larkweir/routes/subsets.py
@@ -36,11 +36,11 @@
     count = len(names)
     if size >= count or not count:
         return list(names)
-    hands = max(1, count // size)
-    dealt = sorted(names)
-    Random(me // hands).shuffle(dealt)
-    begins = (me % hands) * size
-    return dealt[begins : begins + size]
+    subsets_per_round = max(1, count // size)
+    shuffled = sorted(names)
+    Random(me // subsets_per_round).shuffle(shuffled)
+    begins = (me % subsets_per_round) * size
+    return shuffled[begins : begins + size]
 
 
 def rendezvous(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
@@ -55,7 +55,7 @@
     return rng.sample(sorted(names), min(size, len(names)))
 
 
-WAYS: dict[str, Callable[[Sequence[str], int, int, int], list[str]]] = {
+STRATEGIES: dict[str, Callable[[Sequence[str], int, int, int], list[str]]] = {
     "ring": ring,
     "rounds": rounds,
     "rendezvous": rendezvous,
@@ -63,6 +63,6 @@
 }
 
 
-def least(upstreams: int, copies: int) -> int:
+def min_subset_size(upstreams: int, copies: int) -> int:
     """The smallest subset by which every upstream is some balancer's, and of which one that is bad is no great part."""
     return max(10, math.ceil(2.0 * upstreams / max(1, copies)))
--- a/larkweir/routes/switch.py
+++ b/larkweir/routes/switch.py
@@ -61,33 +61,45 @@
     filter: Filter  # of all entries, whole lists at a time
     draining: bool = False  # no route names it any more
     requests: int = 0
-    told: dict[int, ServerEntry] = field(default_factory=dict)  # of the list, as its decisions have it
-    counted: set[int] = field(default_factory=set)  # upstreams whose calls of other pools have changed
+    known_entries: dict[int, ServerEntry] = field(
+        default_factory=dict
+    )  # of the list, as its decisions have it
+    stale_counts: set[int] = field(default_factory=set)  # upstreams whose calls of other pools have changed
 
 
-class Held:
+class ActiveRequest:
     """One request."""
 
-    __slots__ = ("arrived", "choice", "due_ms", "first", "out", "pool", "ran", "senders", "sent")
+    __slots__ = (
+        "arrived",
+        "attempts_sent",
+        "choice",
+        "deadline_ms",
+        "first_attempt",
+        "in_flight",
+        "may_have_run",
+        "pool",
+        "senders",
+    )
 
     def __init__(self, pool: Pool, choice: Choice, arrived: RequestArrived, now_ms: float) -> None:
         self.pool = pool
         self.choice = choice
         self.arrived = arrived
-        self.due_ms = now_ms + arrived.time_left_ms
-        self.sent = 0  # attempts, of all pools
-        self.first = 0  # the number of this pool's first attempt
-        self.out = 0
-        self.ran = False  # an attempt may have run
+        self.deadline_ms = now_ms + arrived.time_left_ms
+        self.attempts_sent = 0  # attempts, of all pools
+        self.first_attempt = 0  # the number of this pool's first attempt
+        self.in_flight = 0
+        self.may_have_run = False  # an attempt may have run
         self.senders: dict[int, Pool] = {}  # by attempt that is out
 
 
-class Coming(NamedTuple):
+class PendingGeneration(NamedTuple):
     """A generation that is to count with the next `Reconfigured`."""
 
     pools: dict[str, Pool]
     settings: dict[str, Settings]
-    left: list[Pool]
+    removed: list[Pool]
 
 
 class Switch:
@@ -99,16 +111,16 @@
         self.pools = pools
         self.main = main  # the one that asks for lists, where they must be asked for
         self.entries: dict[int, ServerEntry] = {}  # the whole list, as last told
-        self.has: dict[int, list[Pool]] = {}  # by upstream
-        self._requests: dict[int, Held] = {}
+        self.pools_by_server: dict[int, list[Pool]] = {}  # by upstream
+        self._requests: dict[int, ActiveRequest] = {}
         self._probes: dict[int, deque[Pool]] = {}
-        self._out_at: dict[int, dict[int, int]] = {}  # by upstream and pool (its `id`): calls that are out
+        self._in_flight: dict[int, dict[int, int]] = {}  # by upstream and pool (its `id`): calls that are out
         self._version = 0
-        self.listed = False  # a list has come
-        self.ended: Callable[[Choice, bool, float], None] = lambda choice, failed, spent_ms: None
-        self.coming: Coming | None = None
-        self._list_waits = False  # a list has come that pools hear of with the generation that comes
-        self.left: list[Pool] = []  # pools that no route names, until their requests are over
+        self.list_received = False  # a list has come
+        self.on_request_ended: Callable[[Choice, bool, float], None] = lambda choice, failed, spent_ms: None
+        self.pending_generation: PendingGeneration | None = None
+        self._list_deferred = False  # a list has come that pools hear of with the generation that comes
+        self.draining_pools: list[Pool] = []  # pools that no route names, until their requests are over
         self.now = 0.0
 
     # ------------------------------------------------ the dispatcher's side
@@ -126,8 +138,12 @@
         if isinstance(event, AnswerStarted | RequestBodyReceived | ClientGone):
             return self._of_request(event)
         if isinstance(event, PeerHealthReport):
-            having = list(self.has.get(event.server, ()))
-            return [action for pool in having for action in self._out(pool, self._tell(pool, event))]
+            listing_pools = list(self.pools_by_server.get(event.server, ()))
+            return [
+                action
+                for pool in listing_pools
+                for action in self._translate_actions(pool, self._forward(pool, event))
+            ]
         if isinstance(event, ProbeEnded):
             asked = self._probes.get(event.server)
             if not asked:
@@ -135,10 +151,10 @@
             pool = asked.popleft()
             if not asked:
                 del self._probes[event.server]
-            return self._out(pool, self._tell(pool, event))
+            return self._translate_actions(pool, self._forward(pool, event))
         if isinstance(event, Reconfigured):
-            coming, self.coming = self.coming, None
-            return [] if coming is None else self._reconfigure(coming)
+            pending_generation, self.pending_generation = self.pending_generation, None
+            return [] if pending_generation is None else self._reconfigure(pending_generation)
         assert isinstance(event, PeerMessage)
         return []
 
@@ -149,132 +165,142 @@
         pool = self._pool(choice)
         if pool is None:  # its generation has gone while it came
             return [Refuse(event.request)]
-        choice.began_ms, choice.cls = self.now, event.class_index
-        held = Held(pool, choice, event, self.now)
-        self._requests[event.request] = held
+        choice.started_ms, choice.cls = self.now, event.class_index
+        active = ActiveRequest(pool, choice, event, self.now)
+        self._requests[event.request] = active
         pool.requests += 1
         reserved = self._reserved(choice)
         if reserved:
-            event = replace(event, attempts_left=self._share(pool, held, reserved))
-        return self._out(pool, self._tell(pool, event), held)
+            event = replace(event, attempts_left=self._share(pool, active, reserved))
+        return self._translate_actions(pool, self._forward(pool, event), active)
 
     def _reserved(self, choice: Choice) -> int:
         """Attempts that are kept for the pools still to come: one each, or there would be none left for them."""
-        return sum(name in self.pools for name in choice.pools[choice.at + 1 :])
+        return sum(name in self.pools for name in choice.pools[choice.position + 1 :])
 
-    def _share(self, pool: Pool, held: Held, reserved: int) -> int:
+    def _share(self, pool: Pool, active: ActiveRequest, reserved: int) -> int:
         """Attempts that its present pool may make: of those that are left in all, less what is kept for others."""
-        left = pool.decisions.settings.max_attempts - held.sent
-        if held.arrived.attempts_left is not None:
-            left = min(left, held.arrived.attempts_left - held.sent)
+        left = pool.decisions.settings.max_attempts - active.attempts_sent
+        if active.arrived.attempts_left is not None:
+            left = min(left, active.arrived.attempts_left - active.attempts_sent)
         return max(1, left - reserved) if left > 0 else 0
 
     def _pool(self, choice: Choice) -> Pool | None:
         """The next of its pools that is there."""
-        while choice.at < len(choice.pools):
-            pool = self.pools.get(choice.pools[choice.at])
+        while choice.position < len(choice.pools):
+            pool = self.pools.get(choice.pools[choice.position])
             if pool is not None:
                 return pool
-            choice.at += 1
+            choice.position += 1
         return None
 
     def _attempt_ended(self, event: AttemptEnded) -> list[Action]:
-        held = self._requests.get(event.request)
-        if held is None:
+        active = self._requests.get(event.request)
+        if active is None:
             return []
-        sender = held.senders.pop(event.attempt, held.pool)
+        sender = active.senders.pop(event.attempt, active.pool)
         self._count(event.server, sender, -1)
-        held.out -= 1
-        held.ran = held.ran or event.outcome not in NEVER_RAN
+        active.in_flight -= 1
+        active.may_have_run = active.may_have_run or event.outcome not in NEVER_RAN
         if event.outcome is Outcome.OK:
-            self._over(held, False)
-        pool = held.pool
-        number = event.attempt - held.first
+            self._report_outcome(active, False)
+        pool = active.pool
+        number = event.attempt - active.first_attempt
         if number >= 0:
-            told = event if not held.first else replace(event, attempt=number)
-            if event.attempts_left is not None and (reserved := self._reserved(held.choice)):
-                told = replace(told, attempts_left=max(0, event.attempts_left - reserved))
-            actions = self._out(pool, self._tell(pool, told), held)
+            forwarded = event if not active.first_attempt else replace(event, attempt=number)
+            if event.attempts_left is not None and (reserved := self._reserved(active.choice)):
+                forwarded = replace(forwarded, attempts_left=max(0, event.attempts_left - reserved))
+            actions = self._translate_actions(pool, self._forward(pool, forwarded), active)
         else:
             actions = []
-        self._settle(event.request, held)
+        self._forget_if_finished(event.request, active)
         return actions
 
     def _of_request(self, event: AnswerStarted | RequestBodyReceived | ClientGone) -> list[Action]:
-        held = self._requests.get(event.request)
-        if held is None:
+        active = self._requests.get(event.request)
+        if active is None:
             return []
-        told: Event = event
+        forwarded: Event = event
         if isinstance(event, AnswerStarted):
-            self._over(held, False)
-            if held.first:
-                told = replace(event, attempt=event.attempt - held.first)
+            self._report_outcome(active, False)
+            if active.first_attempt:
+                forwarded = replace(event, attempt=event.attempt - active.first_attempt)
         elif isinstance(event, RequestBodyReceived):
-            held.arrived.body_incomplete = False
-            held.due_ms = self.now + held.arrived.time_left_ms
-        actions = self._out(held.pool, self._tell(held.pool, told), held)
+            active.arrived.body_incomplete = False
+            active.deadline_ms = self.now + active.arrived.time_left_ms
+        actions = self._translate_actions(active.pool, self._forward(active.pool, forwarded), active)
         if isinstance(event, ClientGone):
-            held.choice.route = ""  # how it would have ended nobody knows
-        self._settle(event.request, held)
+            active.choice.route = ""  # how it would have ended nobody knows
+        self._forget_if_finished(event.request, active)
         return actions
 
-    def _settle(self, number: int, held: Held) -> None:
+    def _forget_if_finished(self, number: int, active: ActiveRequest) -> None:
         """Forget a request that its decisions have forgotten, and that has nothing out."""
-        if not held.out and number not in held.pool.decisions.requests and self._requests.get(number) is held:
+        if (
+            not active.in_flight
+            and number not in active.pool.decisions.requests
+            and self._requests.get(number) is active
+        ):
             del self._requests[number]
-            self._leave(held.pool)
+            self._release(active.pool)
 
-    def _leave(self, pool: Pool) -> None:
+    def _release(self, pool: Pool) -> None:
         pool.requests -= 1
-        if pool.draining and not pool.requests and pool in self.left:
-            self.left.remove(pool)
-            self._unlist(pool)
+        if pool.draining and not pool.requests and pool in self.draining_pools:
+            self.draining_pools.remove(pool)
+            self._remove_pool(pool)
 
-    def _over(self, held: Held, failed: bool) -> None:
+    def _report_outcome(self, active: ActiveRequest, failed: bool) -> None:
         """It has its answer; told once."""
-        choice, held.choice = held.choice, Choice("", held.choice.pools)
+        choice, active.choice = active.choice, Choice("", active.choice.pools)
         if choice.route:
-            self.ended(choice, failed, self.now - choice.began_ms)
+            self.on_request_ended(choice, failed, self.now - choice.started_ms)
 
     def _timer(self, event: TimerFired) -> list[Action]:
         if event.cookie == LIST_COOKIE:
             pool = self.pools[self.main]
-            return self._out(pool, self._tell(pool, event))
-        held = self._requests.get(event.cookie)
-        if held is None:
+            return self._translate_actions(pool, self._forward(pool, event))
+        active = self._requests.get(event.cookie)
+        if active is None:
             return []
-        actions = self._out(held.pool, self._tell(held.pool, event), held)
-        self._settle(event.cookie, held)
+        actions = self._translate_actions(active.pool, self._forward(active.pool, event), active)
+        self._forget_if_finished(event.cookie, active)
         return actions
 
     # ------------------------------------------------ a pool's actions
 
-    def _out(self, pool: Pool, actions: list[Action], held: Held | None = None) -> list[Action]:
+    def _translate_actions(
+        self, pool: Pool, actions: list[Action], active: ActiveRequest | None = None
+    ) -> list[Action]:
         """A pool's actions as the dispatcher is to carry them out."""
         found: list[Action] = []
         for action in actions:
             if isinstance(action, Send):
-                owner = self._requests[action.request]
-                owner.sent += 1
-                owner.out += 1
-                owner.senders[owner.sent - 1] = pool
+                request = self._requests[action.request]
+                request.attempts_sent += 1
+                request.in_flight += 1
+                request.senders[request.attempts_sent - 1] = pool
                 self._count(action.server, pool, 1)
                 found.append(action)
             elif isinstance(action, Refuse):
                 found += self._refused(action)
             elif isinstance(action, Fail):
-                owner = self._requests[action.request]
-                self._over(owner, True)
+                request = self._requests[action.request]
+                self._report_outcome(request, True)
                 found.append(action)
-                self._settle(action.request, owner)
+                self._forget_if_finished(action.request, request)
             elif isinstance(action, Cancel):
-                owner = self._requests[action.request]
-                found.append(Cancel(action.request, action.attempt + owner.first) if owner.first else action)
+                request = self._requests[action.request]
+                found.append(
+                    Cancel(action.request, action.attempt + request.first_attempt)
+                    if request.first_attempt
+                    else action
+                )
             elif isinstance(action, Probe):
                 self._probes.setdefault(action.server, deque()).append(pool)
                 found.append(action)
             elif isinstance(action, CloseIdle):
-                for other in self.has.get(action.server, ()):
+                for other in self.pools_by_server.get(action.server, ()):
                     if other is not pool:
                         other.decisions.on_connections_closed(action.server)
                 found.append(action)
@@ -284,27 +310,32 @@
 
     def _refused(self, action: Refuse) -> list[Action]:
         """To the next of its pools, where no attempt may have run, or running twice is harmless; else to its caller."""
-        held = self._requests[action.request]
-        choice = held.choice
-        left = held.due_ms - self.now
-        safe = held.arrived.class_in(held.pool.decisions.settings).effect is Effect.SAFE
-        if (safe or not held.ran) and not held.out and left > 0.0 and not held.arrived.body_incomplete:
-            choice.at += 1
+        active = self._requests[action.request]
+        choice = active.choice
+        left = active.deadline_ms - self.now
+        safe = active.arrived.class_in(active.pool.decisions.settings).effect is Effect.SAFE
+        if (
+            (safe or not active.may_have_run)
+            and not active.in_flight
+            and left > 0.0
+            and not active.arrived.body_incomplete
+        ):
+            choice.position += 1
             pool = self._pool(choice)
             if pool is not None:
-                before = held.pool
-                held.pool, held.first = pool, held.sent
+                before = active.pool
+                active.pool, active.first_attempt = pool, active.attempts_sent
                 pool.requests += 1
-                self._leave(before)
-                share = self._share(pool, held, self._reserved(choice))
+                self._release(before)
+                share = self._share(pool, active, self._reserved(choice))
                 if share:
-                    again = replace(held.arrived, time_left_ms=left, attempts_left=share)
-                    return self._out(pool, self._tell(pool, again), held)
-        return self._give_up(action, held)
+                    again = replace(active.arrived, time_left_ms=left, attempts_left=share)
+                    return self._translate_actions(pool, self._forward(pool, again), active)
+        return self._give_up(action, active)
 
-    def _give_up(self, action: Refuse, held: Held) -> list[Action]:
-        self._over(held, True)
-        self._settle(action.request, held)
+    def _give_up(self, action: Refuse, active: ActiveRequest) -> list[Action]:
+        self._report_outcome(active, True)
+        self._forget_if_finished(action.request, active)
         return [action]
 
     # ------------------------------------------------ the list
@@ -312,24 +343,24 @@
     def _list(self, event: ListUpdate) -> list[Action]:
         if event.kind is ListKind.FAILED:
             pool = self.pools[self.main]
-            return self._out(pool, self._tell(pool, event))
-        whole = event.kind in (ListKind.FULL, ListKind.CACHED)
-        if whole:
+            return self._translate_actions(pool, self._forward(pool, event))
+        is_full_list = event.kind in (ListKind.FULL, ListKind.CACHED)
+        if is_full_list:
             self.entries = {}
-            self.listed = True
+            self.list_received = True
         for entry in event.entries:
             if entry.state is ServerState.GONE:
                 self.entries.pop(entry.server, None)
             else:
                 self.entries[entry.server] = entry
         self._version = event.version
-        if self.coming is not None:
+        if self.pending_generation is not None:
             # Told with the generation that it belongs to. Guards against a request whose class is a place in the new
             # settings, and that comes while pools have the former ones: what they do about a list may set it free.
-            self._list_waits = True
+            self._list_deferred = True
             return []
         actions: list[Action] = []
-        for pool in (*self.pools.values(), *self.left):
+        for pool in (*self.pools.values(), *self.draining_pools):
             actions += self._relist(pool, event.kind)
         return actions
 
@@ -337,97 +368,99 @@
         """Tell a pool what of the list is its own now: what has changed for it, or all of it where the list is
         whole.
         """
-        mine = {entry.server: entry for entry in pool.filter(self.entries.values())}
-        gone = [number for number in pool.told if number not in mine]
+        own_entries = {entry.server: entry for entry in pool.filter(self.entries.values())}
+        gone = [number for number in pool.known_entries if number not in own_entries]
         for number in gone:
-            self._drop(number, pool)
-        for number in mine:
-            if number not in pool.told:
-                self._join(number, pool)
+            self._remove_member(number, pool)
+        for number in own_entries:
+            if number not in pool.known_entries:
+                self._add_member(number, pool)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            entries = list(mine.values())
+            entries = list(own_entries.values())
         else:
-            entries = [entry for number, entry in mine.items() if pool.told.get(number) != entry]
+            entries = [
+                entry for number, entry in own_entries.items() if pool.known_entries.get(number) != entry
+            ]
             entries += [ServerEntry(number, ServerState.GONE) for number in gone]
-        pool.told = mine
+        pool.known_entries = own_entries
         if not entries and kind is ListKind.PROOF:
             return []
-        actions = self._tell(pool, ListUpdate(kind, self._version, entries))
+        actions = self._forward(pool, ListUpdate(kind, self._version, entries))
         # A new one, or one that is told of anew, may have calls of others already.
-        pool.counted.update(number for number in mine if number in self._out_at)
-        return self._out(pool, actions)
+        pool.stale_counts.update(number for number in own_entries if number in self._in_flight)
+        return self._translate_actions(pool, actions)
 
     def _count(self, server: int, pool: Pool, change: int) -> None:
         """A call of this pool's has gone to an upstream, or come back: the other pools that have it are told."""
-        counts = self._out_at.setdefault(server, {})
+        counts = self._in_flight.setdefault(server, {})
         left = counts.get(id(pool), 0) + change
         if left > 0:
             counts[id(pool)] = left
         else:
             counts.pop(id(pool), None)
             if not counts:
-                del self._out_at[server]
-        for other in self.has.get(server, ()):
+                del self._in_flight[server]
+        for other in self.pools_by_server.get(server, ()):
             if other is not pool:
-                other.counted.add(server)  # told when it next decides anything
+                other.stale_counts.add(server)  # told when it next decides anything
 
-    def _tell(self, pool: Pool, event: Event) -> list[Action]:
+    def _forward(self, pool: Pool, event: Event) -> list[Action]:
         """Hand an event to a pool's decisions, with what others have out at its upstreams."""
-        if pool.counted:
-            self._tell_counts(pool)
+        if pool.stale_counts:
+            self._update_counts(pool)
         return pool.decisions.handle(self.now, event)
 
-    def _tell_counts(self, pool: Pool) -> None:
-        for number in pool.counted:
-            counts = self._out_at.get(number, {})
+    def _update_counts(self, pool: Pool) -> None:
+        for number in pool.stale_counts:
+            counts = self._in_flight.get(number, {})
             pool.decisions.set_other_in_flight(
                 number, sum(counts.values()) - counts.get(id(pool), 0), self.now
             )
-        pool.counted.clear()
+        pool.stale_counts.clear()
 
-    def settle(self) -> None:
+    def update_all_counts(self) -> None:
         """Tell all pools what they would be told next: for whoever looks at them."""
-        for pool in (*self.pools.values(), *self.left):
-            self._tell_counts(pool)
+        for pool in (*self.pools.values(), *self.draining_pools):
+            self._update_counts(pool)
 
-    def _join(self, number: int, pool: Pool) -> None:
-        having = self.has.setdefault(number, [])
-        if pool not in having:
-            having.append(pool)
+    def _add_member(self, number: int, pool: Pool) -> None:
+        listing_pools = self.pools_by_server.setdefault(number, [])
+        if pool not in listing_pools:
+            listing_pools.append(pool)
 
-    def _drop(self, number: int, pool: Pool) -> None:
-        having = self.has.get(number, [])
-        if pool in having:
-            having.remove(pool)
-        if not having:
-            self.has.pop(number, None)
+    def _remove_member(self, number: int, pool: Pool) -> None:
+        listing_pools = self.pools_by_server.get(number, [])
+        if pool in listing_pools:
+            listing_pools.remove(pool)
+        if not listing_pools:
+            self.pools_by_server.pop(number, None)
 
-    def _unlist(self, pool: Pool) -> None:
-        for number in list(self.has):
-            self._drop(number, pool)
+    def _remove_pool(self, pool: Pool) -> None:
+        for number in list(self.pools_by_server):
+            self._remove_member(number, pool)
 
     # ------------------------------------------------ generations
 
-    def _reconfigure(self, coming: Coming) -> list[Action]:
+    def _reconfigure(self, pending_generation: PendingGeneration) -> list[Action]:
         """Other pools from here on: those that stay are the same objects, with their own new settings. Those that leave
         keep their requests, and get no new ones.
         """
-        pools, settings, left = coming
+        pools, settings, removed = pending_generation
         self._carry_over(self.pools[self.main].decisions.settings, settings[self.main])
         actions: list[Action] = []
-        for pool in left:
+        for pool in removed:
             pool.draining = True
             if pool.requests:
-                self.left.append(pool)
+                self.draining_pools.append(pool)
             else:
-                self._unlist(pool)
+                self._remove_pool(pool)
         self.pools = pools
         for name, pool in pools.items():
             if pool.decisions.settings != settings[name]:
-                actions += self._out(pool, self._tell(pool, Reconfigured(settings[name])))
-        if self.listed or self._list_waits:
-            self._list_waits = False
-            for pool in (*pools.values(), *self.left):
+                actions += self._translate_actions(pool, self._forward(pool, Reconfigured(settings[name])))
+        if self.list_received or self._list_deferred:
+            self._list_deferred = False
+            for pool in (*pools.values(), *self.draining_pools):
                 actions += self._relist(pool, ListKind.PROOF)
         return actions
 
@@ -435,19 +468,19 @@
         """Open requests go on under the settings that they came with."""
         names = [tenant.name for tenant in before.tenants]
         places = {tenant.name: n for n, tenant in enumerate(after.tenants)}
-        for held in self._requests.values():
-            arrived, choice = held.arrived, held.choice
+        for active in self._requests.values():
+            arrived, choice = active.arrived, active.choice
             if before.classes[arrived.class_index] != after.classes[arrived.class_index]:
                 # Another pool would take it up under what its class says now: guards against running it twice where
                 # the class has become one that may be repeated.
-                choice.pools = choice.pools[: choice.at + 1]
+                choice.pools = choice.pools[: choice.position + 1]
             if 0 <= arrived.tenant < len(names):
                 # Another pool counts it for its tenant's share, by the place that the tenant has now.
                 arrived.tenant = places.get(names[arrived.tenant], len(places))
 
-    def class_places(self) -> set[int]:
+    def class_indices(self) -> set[int]:
         """The places of the classes of open requests."""
-        return {held.arrived.class_index for held in self._requests.values()}
+        return {active.arrived.class_index for active in self._requests.values()}
 
     # ------------------------------------------------ from life to life
 
@@ -460,6 +493,6 @@
         self.pools[self.main].decisions.adopt(learned)
         others = learned.get("pools")
         if isinstance(others, dict):
-            for name, told in others.items():
-                if name in self.pools and isinstance(told, dict):
-                    self.pools[name].decisions.adopt(told)
+            for name, state in others.items():
+                if name in self.pools and isinstance(state, dict):
+                    self.pools[name].decisions.adopt(state)
--- a/larkweir/routes/table.py
+++ b/larkweir/routes/table.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from larkweir.routes.paths import MOST_SEGMENTS, Target
+from larkweir.routes.paths import MAX_SEGMENTS, Target
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,22 +80,22 @@
 class Leaf:
     """The routes of one place, in their order; many that ask for a value of one header are found by it."""
 
-    MANY = 8
+    INDEX_THRESHOLD = 8
 
-    __slots__ = ("_by", "_entries", "_header", "_rest")
+    __slots__ = ("_by_value", "_entries", "_header", "_other_entries")
 
     def __init__(self) -> None:
         self._entries: list[Entry] = []
         self._header: bytes | None = None
-        self._by: dict[bytes, list[Entry]] = {}
-        self._rest: list[Entry] = []
+        self._by_value: dict[bytes, list[Entry]] = {}
+        self._other_entries: list[Entry] = []
 
     def add(self, entry: Entry) -> None:
         self._entries.append(entry)
 
-    def close(self) -> None:
+    def finish(self) -> None:
         self._entries.sort()
-        if len(self._entries) <= self.MANY:
+        if len(self._entries) <= self.INDEX_THRESHOLD:
             return
         names: dict[bytes, int] = {}
         for entry in self._entries:
@@ -107,16 +107,19 @@
         for entry in self._entries:
             values = [value for name, value in entry.match.headers if name == self._header]
             if values and values[0] is not None:
-                self._by.setdefault(values[0], []).append(entry)
+                self._by_value.setdefault(values[0], []).append(entry)
             else:
-                self._rest.append(entry)
+                self._other_entries.append(entry)
 
     def find(self, facts: Facts) -> Entry | None:
         if self._header is None:
             return next((entry for entry in self._entries if entry.fits(facts)), None)
         values = facts.headers.get(self._header, ())
-        named = self._by.get(values[0], ()) if len(values) == 1 else ()
-        found = [next((entry for entry in some if entry.fits(facts)), None) for some in (named, self._rest)]
+        named = self._by_value.get(values[0], ()) if len(values) == 1 else ()
+        found = [
+            next((entry for entry in some if entry.fits(facts)), None)
+            for some in (named, self._other_entries)
+        ]
         return min((entry for entry in found if entry is not None), default=None)
 
     @property
@@ -125,58 +128,58 @@
 
 
 class Node:
-    __slots__ = ("any", "below", "here", "words")
+    __slots__ = ("exact", "literals", "subtree", "wildcard")
 
     def __init__(self) -> None:
-        self.words: dict[bytes, Node] = {}
-        self.any: Node | None = None  # a `{name}`
-        self.here: Leaf | None = None  # routes of just this path
-        self.below: Leaf | None = None  # routes of this path and all below it
+        self.literals: dict[bytes, Node] = {}
+        self.wildcard: Node | None = None  # a `{name}`
+        self.exact: Leaf | None = None  # routes of just this path
+        self.subtree: Leaf | None = None  # routes of this path and all below it
 
     def leaf(self, segments: Sequence[bytes], prefix: bool) -> Leaf:
         node = self
         for segment in segments:
             if segment.startswith(b"{"):
-                node.any = node.any or Node()
-                node = node.any
+                node.wildcard = node.wildcard or Node()
+                node = node.wildcard
             else:
-                node = node.words.setdefault(segment, Node())
+                node = node.literals.setdefault(segment, Node())
         if prefix:
-            node.below = node.below or Leaf()
-            return node.below
-        node.here = node.here or Leaf()
-        return node.here
+            node.subtree = node.subtree or Leaf()
+            return node.subtree
+        node.exact = node.exact or Leaf()
+        return node.exact
 
     def leaves(self) -> Iterator[Leaf]:
-        waiting: list[Node] = [self]
-        while waiting:
-            node = waiting.pop()
-            yield from (leaf for leaf in (node.here, node.below) if leaf is not None)
-            waiting += node.words.values()
-            if node.any is not None:
-                waiting.append(node.any)
+        pending: list[Node] = [self]
+        while pending:
+            node = pending.pop()
+            yield from (leaf for leaf in (node.exact, node.subtree) if leaf is not None)
+            pending += node.literals.values()
+            if node.wildcard is not None:
+                pending.append(node.wildcard)
 
     def walk(self, segments: Sequence[bytes]) -> Iterator[Leaf]:
         """The leaves that a path comes to, in their order: depth first, a word before a `{name}`, the deepest prefix
         first. A node is visited once at the most.
         """
-        waiting: list[tuple[Node, int, bool]] = [(self, 0, False)]
-        while waiting:
-            node, at, left = waiting.pop()
-            if left:  # all below it has been tried
-                if node.below is not None:
-                    yield node.below
+        pending: list[tuple[Node, int, bool]] = [(self, 0, False)]
+        while pending:
+            node, at, children_done = pending.pop()
+            if children_done:  # all below it has been tried
+                if node.subtree is not None:
+                    yield node.subtree
                 continue
-            waiting.append((node, at, True))
+            pending.append((node, at, True))
             if at == len(segments):
-                if node.here is not None:
-                    yield node.here
+                if node.exact is not None:
+                    yield node.exact
                 continue
-            if node.any is not None and segments[at]:  # an empty segment is no name
-                waiting.append((node.any, at + 1, False))
-            word = node.words.get(segments[at])
-            if word is not None:
-                waiting.append((word, at + 1, False))
+            if node.wildcard is not None and segments[at]:  # an empty segment is no name
+                pending.append((node.wildcard, at + 1, False))
+            literal = node.literals.get(segments[at])
+            if literal is not None:
+                pending.append((literal, at + 1, False))
 
 
 def segments_of(path: bytes) -> list[bytes]:
@@ -189,41 +192,41 @@
     """All routes, compiled. `find` says which one; `why` also what came before it and did not fit."""
 
     _hosts: dict[bytes, Node] = field(default_factory=dict)
-    _ends: dict[bytes, Node] = field(default_factory=dict)  # of `*.x`, without the star
-    _any: Node = field(default_factory=Node)
+    _suffixes: dict[bytes, Node] = field(default_factory=dict)  # of `*.x`, without the star
+    _any_host: Node = field(default_factory=Node)
 
     @classmethod
     def of(cls, routes: Iterable[tuple[str, Match]]) -> Table:
         table = cls()
         for name, match in routes:
             if match.host.startswith(b"*."):
-                root = table._ends.setdefault(match.host[1:], Node())
+                root = table._suffixes.setdefault(match.host[1:], Node())
             elif match.host:
                 root = table._hosts.setdefault(match.host, Node())
             else:
-                root = table._any
+                root = table._any_host
             prefix = match.prefix or not match.path
             path = match.path.rstrip(b"/") if prefix else match.path
             root.leaf(segments_of(path), prefix).add(Entry(rank(name, match), name, match))
-        for root in (*table._hosts.values(), *table._ends.values(), table._any):
+        for root in (*table._hosts.values(), *table._suffixes.values(), table._any_host):
             for leaf in root.leaves():
-                leaf.close()
+                leaf.finish()
         return table
 
     def _roots(self, host: bytes) -> Iterator[Node]:
         root = self._hosts.get(host)
         if root is not None:
             yield root
-        if self._ends and host:
+        if self._suffixes and host:
             at = host.find(b".")
-            for _ in range(MOST_SEGMENTS):
+            for _ in range(MAX_SEGMENTS):
                 if at < 0:
                     break
-                root = self._ends.get(host[at:])
+                root = self._suffixes.get(host[at:])
                 if root is not None:
                     yield root
                 at = host.find(b".", at + 1)
-        yield self._any
+        yield self._any_host
 
     def find(self, facts: Facts) -> str | None:
         for root in self._roots(facts.host):
@@ -239,19 +242,19 @@
             for leaf in root.walk(target.segments):
                 yield from leaf.entries
 
-    def why(self, facts: Facts) -> tuple[str | None, list[str]]:
+    def explain(self, facts: Facts) -> tuple[str | None, list[str]]:
         """The route, and those before it that did not fit, each with what was missing."""
-        passed: list[str] = []
+        rejected: list[str] = []
         for entry in self.candidates(facts.host, facts.target):
             if entry.fits(facts):
-                return entry.name, passed
+                return entry.name, rejected
             match = entry.match
             if match.methods and facts.method not in match.methods:
-                passed.append(f"{entry.name}: another method")
+                rejected.append(f"{entry.name}: another method")
             elif match.classes and facts.cls not in match.classes:
-                passed.append(f"{entry.name}: another class")
+                rejected.append(f"{entry.name}: another class")
             elif match.tenants and facts.tenant not in match.tenants:
-                passed.append(f"{entry.name}: another tenant")
+                rejected.append(f"{entry.name}: another tenant")
             else:
-                passed.append(f"{entry.name}: a header is missing, another, or there twice")
-        return None, passed
+                rejected.append(f"{entry.name}: a header is missing, another, or there twice")
+        return None, rejected
--- a/larkweir/routes/trial.py
+++ b/larkweir/routes/trial.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass, field
 
 FACTORS = (1.5, 2.0, 4.0, 8.0, 16.0, 64.0)
-BESIDE = 10  # good ends beside a bad one: more than that say little more
+MAX_GOOD_KEPT = 10  # good ends beside a bad one: more than that say little more
 
 
 @dataclass(slots=True)
@@ -36,18 +36,18 @@
     )  # by class: whether the last ones were the canary's
 
     def good(self, canary: bool, cls: int) -> None:
-        self._good.setdefault(cls, deque(maxlen=BESIDE)).append(canary)
+        self._good.setdefault(cls, deque(maxlen=MAX_GOOD_KEPT)).append(canary)
 
     def bad(self, canary: bool, cls: int) -> None:
-        beside = self._good.get(cls)
-        if not beside:
+        recent_good = self._good.get(cls)
+        if not recent_good:
             return
-        theirs = sum(beside) + canary  # of all these, the canary's
-        ours = len(beside) + 1 - theirs
-        beside.clear()
-        if theirs and ours:
+        canary_ends = sum(recent_good) + canary  # of all these, the canary's
+        control_ends = len(recent_good) + 1 - canary_ends
+        recent_good.clear()
+        if canary_ends and control_ends:
             for at, factor in enumerate(FACTORS):
-                odds = (theirs + ours) / (factor * theirs + ours)
+                odds = (canary_ends + control_ends) / (factor * canary_ends + control_ends)
                 self.logs[at] += math.log(factor * odds if canary else odds)
 
     def forget(self) -> None:
@@ -62,12 +62,12 @@
         return sum(math.exp(value) for value in self.logs) / len(FACTORS)
 
 
-class Usual:
+class SlowThreshold:
     """The time from which an end counts as slow: the 90th of a hundred of all ends, canary's and control's alike, by a
     stochastic approximation in logarithms (Robbins and Monro): no sample is kept.
     """
 
-    PART = 0.9
+    QUANTILE = 0.9
     STEP = 0.05
 
     __slots__ = ("_log", "count")
@@ -76,7 +76,7 @@
         self._log = 0.0
         self.count = 0
 
-    def slow(self, spent_ms: float) -> bool:
+    def is_slow(self, spent_ms: float) -> bool:
         """Whether it is slow by what was usual before it; it counts for what comes behind."""
         value = math.log(max(spent_ms, 0.001))
         self.count += 1
@@ -86,11 +86,11 @@
         slow = value > self._log
         # Large steps at first, so that a bad first guess is left soon.
         step = max(self.STEP, 1.0 / self.count)
-        self._log += step * (self.PART if slow else self.PART - 1.0) * 2.0
+        self._log += step * (self.QUANTILE if slow else self.QUANTILE - 1.0) * 2.0
         return slow and self.count > 50
 
 
-def nobody() -> None:
+def ignore_bad_end() -> None:
     """Is told of a trial's growth where no fleet listens."""
 
 
@@ -102,14 +102,14 @@
     failures: Bet = field(default_factory=Bet)
     delays: Bet = field(default_factory=Bet)
     requests: list[int] = field(default_factory=lambda: [0, 0])  # control's, canary's
-    bads: list[int] = field(default_factory=lambda: [0, 0])
-    slows: list[int] = field(default_factory=lambda: [0, 0])
-    _usual: dict[int, Usual] = field(default_factory=dict)  # by class
+    failure_counts: list[int] = field(default_factory=lambda: [0, 0])
+    slow_counts: list[int] = field(default_factory=lambda: [0, 0])
+    _slow_thresholds: dict[int, SlowThreshold] = field(default_factory=dict)  # by class
     verdict: str = ""  # why it ended; empty: it goes on
-    alone: bool = True  # it ends by what is seen here; else by what a fleet says
-    grown: Callable[[], None] = nobody  # called behind each bad or slow end
+    ends_locally: bool = True  # it ends by what is seen here; else by what a fleet says
+    on_bad_end: Callable[[], None] = ignore_bad_end  # called behind each bad or slow end
 
-    def ended(self, canary: bool, failed: bool, spent_ms: float, cls: int = 0) -> bool:
+    def record(self, canary: bool, failed: bool, spent_ms: float, cls: int = 0) -> bool:
         """A request has had its answer; whether the trial ends with it."""
         if self.verdict:
             return False
@@ -117,26 +117,26 @@
         # A failure counts as fast or slow by nothing: its time says how it was given up.
         slow = False
         if not failed:
-            slow = self._usual.setdefault(cls, Usual()).slow(spent_ms)
+            slow = self._slow_thresholds.setdefault(cls, SlowThreshold()).is_slow(spent_ms)
         if failed:
-            self.bads[canary] += 1
+            self.failure_counts[canary] += 1
             self.failures.bad(canary, cls)
         else:
             self.failures.good(canary, cls)
             if slow:
-                self.slows[canary] += 1
+                self.slow_counts[canary] += 1
                 self.delays.bad(canary, cls)
             else:
                 self.delays.good(canary, cls)
         if failed or slow:
-            self.grown()
-        if not self.alone:
+            self.on_bad_end()
+        if not self.ends_locally:
             return False
         # Two bets share the alarms.
         if self.failures.stake >= 2.0 / self.alpha:
-            self.verdict = f"it fails more: {rates(self.bads, self.requests)}"
+            self.verdict = f"it fails more: {rates(self.failure_counts, self.requests)}"
         elif self.delays.stake >= 2.0 / self.alpha:
-            self.verdict = f"it is slow more often: {rates(self.slows, self.requests)}"
+            self.verdict = f"it is slow more often: {rates(self.slow_counts, self.requests)}"
         return bool(self.verdict)
 
     def forget(self) -> None:
@@ -152,7 +152,7 @@
     @property
     def counts(self) -> tuple[int, ...]:
         """Requests, failures and slow ends, each the control's and the canary's."""
-        return (*self.requests, *self.bads, *self.slows)
+        return (*self.requests, *self.failure_counts, *self.slow_counts)
 
 
 def rates(counts: Sequence[int], requests: Sequence[int]) -> str:
--- a/standins/duties.py
+++ b/standins/duties.py
@@ -107,8 +107,8 @@
     def on_trial(self) -> Mapping[str, Trial]:
         return self.router.on_trial()
 
-    def end(self, key: str, why: str) -> None:
-        line = self.router.end(key, why)
+    def end_trial(self, key: str, why: str) -> None:
+        line = self.router.end_trial(key, why)
         if line:
             self.lines.append(line)
             self.fleet.ended.setdefault(self.name, self.fleet.network.now_ms)
@@ -178,12 +178,12 @@
         fleet = self.fleet
         now = fleet.network.now_ms
         choice = self.router.choose(ROUTE, b"%d" % fleet.rng.getrandbits(40), b"", True, now)
-        canary = choice.part != fleet.route.pool
+        canary = choice.assigned_pool != fleet.route.pool
         failed = bad(canary)
         fleet.answers[canary] += 1
         fleet.bads[canary] += failed
-        if choice.trial is not None and choice.trial.note(
-            choice.part, fleet.route.pool, failed, 5.0, 0, choice.era
+        if choice.trial is not None and choice.trial.record(
+            choice.assigned_pool, fleet.route.pool, failed, 5.0, 0, choice.split_version
         ):
             fleet.ended.setdefault(self.name, now)
 
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -53,8 +53,8 @@
     """So many bad ends of the canary, each beside ten good ones of the control."""
     for _ in range(times):
         for _ in range(10):
-            trial.ended(False, False, 5.0)
-        trial.ended(True, True, 5.0)
+            trial.record(False, False, 5.0)
+        trial.record(True, True, 5.0)
 
 
 def evidence(**changes: object) -> Evidence:
@@ -102,7 +102,7 @@
                     work.on_committed(state, version)
         for total in decode_state(state).totals:
             seen = [sum(trial_of(router).logs[at] for router in routers) for at in range(LOG_COUNT)]
-            bads = sum(trial_of(router).bads[1] for router in routers)
+            bads = sum(trial_of(router).failure_counts[1] for router in routers)
             assert total.counts[3] <= bads  # each of these ends wins the bets the same: none counts twice
             assert all(value <= LOG_UNIT * most + 1e-6 for value, most in zip(total.logs, seen, strict=True))
 
@@ -154,9 +154,9 @@
             works[n].tick(now)
             trial_of(lives[n]).failures.bad(True, 0)
             for _ in range(2):
-                trial_of(lives[n]).ended(False, True, 5.0)  # one that says little: nothing is beside it
-            trial_of(lives[n]).ended(True, False, 5.0)
-            trial_of(lives[n]).ended(False, True, 5.0)
+                trial_of(lives[n]).record(False, True, 5.0)  # one that says little: nothing is beside it
+            trial_of(lives[n]).record(True, False, 5.0)
+            trial_of(lives[n]).record(False, True, 5.0)
             seen += 4
             for report in works[n].tick(now + 60.0):
                 for _ in range(2):
@@ -196,14 +196,14 @@
     work.tick(10.0)
     bad(trial_of(router), 2)
     work.on_report("copy", report, 10.0)
-    assert trial_of(router).alone  # it is not named yet
+    assert trial_of(router).ends_locally  # it is not named yet
     state = work.step(b"", 20.0) or b""
     work.on_committed(state, (1, 2))
     work.tick(100.0)
     bad(trial_of(router), 9)
     assert not trial_of(router).verdict
     work.tick(100.0 + OWNER_TIMEOUT_MS)  # the beats stay away
-    trial_of(router).ended(False, False, 5.0)
+    trial_of(router).record(False, False, 5.0)
     assert not router.on_trial() or trial_of(router).verdict
 
 
@@ -222,7 +222,7 @@
     assert isinstance(report, EvidenceReport) and report.rows[0].counts[3] == 2
     work.on_left_fleet()
     bad(trial_of(router), 1)
-    assert len(woken) == 1 and trial_of(router).alone
+    assert len(woken) == 1 and trial_of(router).ends_locally
 
 
 def test_a_copy_is_alone_when_the_last_beat_is_four_seconds_old_not_at_its_next_look() -> None:
@@ -287,7 +287,7 @@
         for beat in range(8):
             for trial in trials:
                 for _ in range(12):
-                    trial.ended(rng.random() < 0.025 * (beat + 1), rng.random() < 0.2, 5.0)
+                    trial.record(rng.random() < 0.025 * (beat + 1), rng.random() < 0.2, 5.0)
             fleet.beat(change=beat == 4)
         highest.append(fleet.most)
     assert sum(most >= 2.0 / 0.2 for most in highest) <= 12  # an alarm of 0.2
@@ -339,7 +339,7 @@
                     owner.on_report(f"copy{n}", report, now)
             else:
                 work.tick(now)
-            step = routers[n].stepped[ROUTE]
+            step = routers[n].fleet_steps[ROUTE]
             assert step >= shown[n]
             if shown[n] and away[n]:
                 assert step <= max([shown[n] + 1, *(s for _, s in steps[-1:])])
@@ -354,7 +354,7 @@
     work = Ramps(1, lambda: router)
     work.on_committed(b"", (1, 1))
     work.tick(9_500.0)  # alone until now
-    assert router.stepped[ROUTE] == 10
+    assert router.fleet_steps[ROUTE] == 10
     key = next(iter(router.ramping()))
     for step in (10, 4, 7):
         work.on_report("copy", RampReport(1, (RampRow(key, RAMP.ramp_ms, step),)), 9_600.0)
@@ -365,21 +365,21 @@
     work.tick(10_200.0)
     work.on_committed(state, (1, 3))
     work.tick(13_000.0)
-    assert router.stepped[ROUTE] == 10 and work.tick(13_000.0) == []
+    assert router.fleet_steps[ROUTE] == 10 and work.tick(13_000.0) == []
     for more in (0.0, 250.0, 500.0):
         work.tick(13_000.0 + OWNER_TIMEOUT_MS + more)  # led no more: one step, not all that it has waited for
-        assert router.stepped[ROUTE] == 11
+        assert router.fleet_steps[ROUTE] == 11
 
 
 def test_rules_that_begin_anew_take_no_step_back() -> None:
     router = routes(RAMP)
     for now in (9_500.0, 9_750.0):
         Ramps(1, lambda: router).tick(now)
-    router._since[ROUTE] = 9_000.0
+    router._started_ms[ROUTE] = 9_000.0
     Ramps(1, lambda: router).tick(10_000.0)
-    assert router.stepped[ROUTE] == 10
+    assert router.fleet_steps[ROUTE] == 10
     later = Router({ROUTE: CANARY}, {}, {}, 11_000.0, router)
-    assert later.weights(ROUTE, 11_000.0)["new"] == 0.2 and not later.stepped
+    assert later.weights(ROUTE, 11_000.0)["new"] == 0.2 and not later.fleet_steps
 
 
 def test_bad_wishes_and_ramps_that_nobody_asks_for_any_more() -> None:
--- a/tests/fleet/test_edits_plugin.py
+++ b/tests/fleet/test_edits_plugin.py
@@ -20,7 +20,7 @@
 from larkweir.coordination.duties.verdicts import State
 from larkweir.coordination.edits.plugin import EditsPlugin, attach, begin
 from larkweir.core.clock import Clock
-from larkweir.routes.hands import Routes
+from larkweir.routes.request_routing import Routes
 from standins.peers import PATIENCE_S
 from tests.fleet.services import platform
 from tests.upstreams.test_attempts import run
--- a/tests/routes/test_check.py
+++ b/tests/routes/test_check.py
@@ -14,7 +14,7 @@
 from larkweir.config.platform import Config
 from larkweir.config.platform import decode as decode_platform
 from larkweir.config.routing import inherited, routing_objections
-from larkweir.routes.ask import Asked, Book, moved, parse
+from larkweir.routes.explain import RouteExplainer, SampleRequest, moved, parse
 from larkweir.routes.pools import settings_of
 from tests.fakes import config_data
 
@@ -248,7 +248,7 @@
 
 def test_the_first_route_moves_all_that_it_does_not_name() -> None:
     found = moved(Operator(), Operator(routes={"x": Route(path="/x")}))
-    assert [(str(item.asked), item.before, item.after) for item in found] == [
+    assert [(str(item.sample), item.before, item.after) for item in found] == [
         ("GET /api", "default", "404: no route"),
         ("GET /x", "404: no route", "default"),
         ("POST /x", "404: no route", "default"),
@@ -262,6 +262,6 @@
 
 
 def test_a_request_reads_back_as_it_is_written() -> None:
-    asked = Asked("POST", "/x", "a.b", "look", "acme", (("x-a", "1"),))
-    assert parse(str(asked)) == asked
-    assert Book(Operator(routes={"r": Route(host="a.b")})).ask(asked).route == "r"
+    sample = SampleRequest("POST", "/x", "a.b", "look", "acme", (("x-a", "1"),))
+    assert parse(str(sample)) == sample
+    assert RouteExplainer(Operator(routes={"r": Route(host="a.b")})).explain(sample).route == "r"
--- a/tests/routes/test_leaving.py
+++ b/tests/routes/test_leaving.py
@@ -13,7 +13,7 @@
 from larkweir.config.platform import decode
 from larkweir.membership.listing import parse_listing
 from larkweir.membership.names import Names
-from larkweir.routes.pools import Members, leaving
+from larkweir.routes.pools import Members, evacuated_servers
 from tests.fleet.services import platform
 
 
@@ -32,7 +32,7 @@
 
     def away(self, part: float) -> set[str]:
         assert self.names.reverse is not None
-        self.members.empty(0, part)
+        self.members.set_evacuated_share(0, part)
         found = self.members(self.entries)
         return {self.names.reverse[entry.server] for entry in found if entry.state is ServerState.DRAINING}
 
@@ -65,6 +65,6 @@
 
 @given(st.sets(st.integers(0, 10_000), max_size=60), st.floats(0.0, 1.0))
 def test_one_more_upstream_moves_one_at_the_most(servers: set[int], part: float) -> None:
-    before = set(leaving(sorted(servers), part, str))
-    more = set(leaving(sorted(servers | {10_001}), part, str))
+    before = set(evacuated_servers(sorted(servers), part, str))
+    more = set(evacuated_servers(sorted(servers | {10_001}), part, str))
     assert len(before - more) <= 1 and len(more - before) <= 1 + (len(more) > len(before))
--- a/tests/routes/test_loopback.py
+++ b/tests/routes/test_loopback.py
@@ -133,10 +133,10 @@
             reload(it, {"r": Route(path="/api", pool="n")}, {"n": pools["n"]})
             assert await ask(it, cls="move") == (200, b"new")
             assert it.node is not None and it.node.routes is not None
-            assert [pool.name for pool in it.node.routes.switch.left] == ["o"]
+            assert [pool.name for pool in it.node.routes.switch.draining_pools] == ["o"]
             let.set()
             assert await first == (200, b"old")
-            await until(lambda: not it.node.routes.switch.left, "the pool is gone")  # type: ignore[union-attr]
+            await until(lambda: not it.node.routes.switch.draining_pools, "the pool is gone")  # type: ignore[union-attr]
             assert len(old.seen) == 1
         close(old, new)
 
@@ -244,13 +244,13 @@
             ((key, (name, span, _)),) = routes.ramping().items()
             assert key == name and span == 60_000.0
             for step in range(1, 21):
-                routes.stand(name, step)
+                routes.set_step(name, step)
                 ready.append(pool.table.ready_count)
                 if step == 10:  # another reload changes nothing of it
                     it.node.reconfigure(
                         it.node.config, Operator(routes=route, pools=evacuated, owners=owners)
                     )
-            routes.stand(name, 3)  # from rules that begin anew: nothing is taken back
+            routes.set_step(name, 3)  # from rules that begin anew: nothing is taken back
             assert ready[0] == 7 and ready == sorted(ready, reverse=True) and ready[-1] == 1
             assert len(set(ready)) >= 4 and pool.table.ready_count == 1
             it.node.reconfigure(it.node.config, Operator(routes=route, pools={"p": Pool()}, owners=owners))
@@ -295,7 +295,7 @@
             for _ in range(60):
                 assert await ask(it, cls="look") == (200, b"up")
             assert it.node is not None and it.node.routes is not None
-            assert it.node.routes.mirrored <= it.node.routes.MOST_COPIES and it.node.routes.unmirrored > 20
+            assert it.node.routes.mirrored <= it.node.routes.MAX_MIRRORED and it.node.routes.unmirrored > 20
             assert 1 <= len(mirror.seen) <= it.node.routes.mirrored
         close(up, mirror)
 
@@ -328,7 +328,7 @@
         async with running(up.entry("u0"), routes=routes, pools=pools) as it:
             assert it.node is not None and it.node.routes is not None
             router = it.node.routes.router
-            router._since["api"] -= 300_000.0  # half of the ramp is over
+            router._started_ms["api"] -= 300_000.0  # half of the ramp is over
             async with Caller(it.port) as caller:
                 for n in range(400):
                     caller.ask("look", b"", X_Trace_Id=f"t{n}")
@@ -453,7 +453,7 @@
         ServerEntry,
     )
 
-    from larkweir.routes.hands import Routes
+    from larkweir.routes.request_routing import Routes
 
     config = decode(json.dumps(config_data([], 1)), {})
 
--- a/tests/routes/test_paths.py
+++ b/tests/routes/test_paths.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from larkweir.core.message import FramingError
-from larkweir.routes.paths import host, normal
+from larkweir.routes.paths import normalize, normalize_host
 
 
 @pytest.mark.parametrize(
@@ -32,8 +32,8 @@
     ],
 )
 def test_normal_form(target: bytes, path: bytes) -> None:
-    assert normal(target).path == path
-    assert normal(target + b"?q=%2F..").query == b"?q=%2F.."
+    assert normalize(target).path == path
+    assert normalize(target + b"?q=%2F..").query == b"?q=%2F.."
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
 )
 def test_what_two_readers_could_take_for_different_things_is_refused(target: bytes) -> None:
     with pytest.raises(FramingError) as caught:
-        normal(target)
+        normalize(target)
     assert caught.value.status == 400
 
 
@@ -79,11 +79,11 @@
 @given(paths | st.binary(max_size=30).map(lambda data: b"/" + data))
 def test_the_normal_form_is_its_own_and_holds_nothing_to_climb_by(target: bytes) -> None:
     try:
-        found = normal(target)
+        found = normalize(target)
     except FramingError as problem:
         assert problem.status == 400
         return
-    again = normal(found.path + found.query)
+    again = normalize(found.path + found.query)
     assert again == found
     assert b"//" not in found.path and not {b".", b".."} & set(found.segments)
     assert found.path == b"/" + b"/".join(found.segments)
@@ -102,7 +102,7 @@
     ],
 )
 def test_host(value: bytes, name: bytes) -> None:
-    assert host(value) == name
+    assert normalize_host(value) == name
 
 
 @pytest.mark.parametrize(
@@ -110,4 +110,4 @@
 )
 def test_no_host(value: bytes) -> None:
     with pytest.raises(FramingError):
-        host(value)
+        normalize_host(value)
--- a/tests/routes/test_subsets.py
+++ b/tests/routes/test_subsets.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from larkweir.routes.subsets import WAYS, least, ring
+from larkweir.routes.subsets import STRATEGIES, min_subset_size, ring
 
 
-def load(names: list[str], copies: int, size: int, way: str) -> Counter[str]:
+def load(names: list[str], copies: int, size: int, strategy: str) -> Counter[str]:
     found: Counter[str] = Counter()
     for me in range(copies):
-        mine = WAYS[way](names, me, copies, size)
+        mine = STRATEGIES[strategy](names, me, copies, size)
         assert len(mine) == len(set(mine)) == min(size, len(names))
         found.update(mine)
     return found
@@ -28,11 +28,13 @@
     assert max(found.values()) <= mean + 1.0 + 1e-9 and min(found[name] for name in names) >= int(mean) - 1
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_it_does_not_go_by_the_order_of_the_list(way: str) -> None:
+@pytest.mark.parametrize("strategy", STRATEGIES)
+def test_it_does_not_go_by_the_order_of_the_list(strategy: str) -> None:
     names = [f"s{n}" for n in range(50)]
     for me in range(5):
-        assert set(WAYS[way](names, me, 5, 10)) == set(WAYS[way](list(reversed(names)), me, 5, 10))
+        assert set(STRATEGIES[strategy](names, me, 5, 10)) == set(
+            STRATEGIES[strategy](list(reversed(names)), me, 5, 10)
+        )
 
 
 def test_one_upstream_that_goes_moves_little() -> None:
@@ -51,4 +53,4 @@
 def test_all_are_somebodys_from_the_least_size_on() -> None:
     for upstreams, copies in ((40, 20), (2000, 30), (2000, 2000)):
         names = [f"s{n}" for n in range(upstreams)]
-        assert set(load(names, copies, least(upstreams, copies), "ring")) == set(names)
+        assert set(load(names, copies, min_subset_size(upstreams, copies), "ring")) == set(names)
--- a/tests/routes/test_switch.py
+++ b/tests/routes/test_switch.py
@@ -35,7 +35,7 @@
 )
 
 from larkweir.routes.router import Choice
-from larkweir.routes.switch import Coming, Pool, Switch
+from larkweir.routes.switch import PendingGeneration, Pool, Switch
 
 CLASSES = (
     RequestClass(500.0, 1_000.0, Effect.SAFE, name="look"),
@@ -100,7 +100,7 @@
     for number, pool in ((1, "default"), (2, "blue"), (3, "default")):
         out = it.handle(1.0, RequestArrived(number, 0, 1_000.0, choice=Choice("r", (pool,))))
         assert [action.server for action in out if isinstance(action, Send)] == [3]
-    it.settle()
+    it.update_all_counts()
     for name in ("default", "blue"):
         assert it.pools[name].decisions.table.servers[3].in_flight == 3
         assert (
@@ -108,7 +108,7 @@
         )  # no token: it is not idle for either
     for number in (1, 2, 3):
         it.handle(5.0, AttemptEnded(number, 0, 3, Outcome.OK, True, 4.0))
-    it.settle()
+    it.update_all_counts()
     assert all(it.pools[name].decisions.table.servers[3].in_flight == 0 for name in ("default", "blue"))
 
 
@@ -243,7 +243,7 @@
         held = dict(self.it.pools)
         pools = {name: held.get(name) or pool_of(name) for name in ("default", *sorted(names))}
         left = [pool for name, pool in held.items() if name not in pools]
-        self.it.coming = Coming(pools, dict.fromkeys(pools, SETTINGS), left)
+        self.it.pending_generation = PendingGeneration(pools, dict.fromkeys(pools, SETTINGS), left)
         self.tell(Reconfigured(SETTINGS))
 
     @precondition(lambda self: self.open)
@@ -258,8 +258,8 @@
     def calls_are_counted_once_for_each_upstream(self) -> None:
         if not hasattr(self, "it"):
             return
-        self.it.settle()
-        for pool in (*self.it.pools.values(), *self.it.left):
+        self.it.update_all_counts()
+        for pool in (*self.it.pools.values(), *self.it.draining_pools):
             servers = pool.decisions.table.servers
             assert set(servers) <= MEMBERS[pool.name]
             for number, server in servers.items():
@@ -275,7 +275,7 @@
                 )  # a predecessor of the same name counts among the others
         open_ = {row[0] for row in self.out} | {number for number in self.open if not self.answers[number]}
         assert set(self.it._requests) <= open_
-        for pool in self.it.left:
+        for pool in self.it.draining_pools:
             assert pool.requests > 0
 
     def teardown(self) -> None:
@@ -291,7 +291,7 @@
             while self.out:
                 self.end(0, Outcome.CONNECT_FAILED)
         assert all(self.answers[number] == 1 for number in self.open)
-        assert not self.it._requests and not self.it.left
+        assert not self.it._requests and not self.it.draining_pools
 
 
 Switches.TestCase.settings = settings(
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkweir.routes.paths import normal
+from larkweir.routes.paths import normalize
 from larkweir.routes.table import Facts, Match, Table, rank, segments_of
 from tests.counting import calls_of
 
@@ -29,7 +29,7 @@
         ]
         for name, value in headers.items()
     }
-    return Facts(host.encode(), normal(path.encode()), method.encode(), rows, cls, tenant)
+    return Facts(host.encode(), normalize(path.encode()), method.encode(), rows, cls, tenant)
 
 
 ROUTES: dict[str, Match] = {
@@ -88,7 +88,7 @@
         rng.shuffle(names)
         table = Table.of((item, ROUTES[item]) for item in names)
         assert table.find(request_) == name
-        assert table.why(request_)[0] == name
+        assert table.explain(request_)[0] == name
 
 
 def test_ties_go_by_name() -> None:
@@ -102,9 +102,9 @@
 
 def test_why_says_what_was_missing() -> None:
     table = Table.of(ROUTES.items())
-    name, passed = table.why(facts("/api/word"))
+    name, rejected = table.explain(facts("/api/word"))
     assert name == "word"
-    assert passed == [
+    assert rejected == [
         "valued: a header is missing, another, or there twice",
         "headed: a header is missing, another, or there twice",
         "post: another method",
@@ -149,7 +149,7 @@
         else:
             continue
         path = _path_fits(match, request.target.segments)
-        entry = Table.of([(name, match)]).why(request)[0]
+        entry = Table.of([(name, match)]).explain(request)[0]
         if path is None or entry is None:
             continue
         key = (hosted, path, rank(name, match))
--- a/tests/routes/test_trial.py
+++ b/tests/routes/test_trial.py
@@ -31,7 +31,7 @@
         if outage[0] <= at < outage[1]:
             rate = 0.7  # of what lies behind both
         spent = rng.lognormvariate(3.0, 0.5) * (slower if to else 1.0)
-        if trial.ended(to, rng.random() < rate, spent):
+        if trial.record(to, rng.random() < rate, spent):
             return trial, at
     return trial, count
 
@@ -69,34 +69,36 @@
     rng = Random(1)
     for _ in range(4_000):
         to = rng.random() < 0.3
-        ends.append(trial.ended(to, to and rng.random() < 0.5, 10.0))
+        ends.append(trial.record(to, to and rng.random() < 0.5, 10.0))
     assert sum(ends) == 1 and "beside 0.0% of" in trial.verdict
 
 
 def test_a_canary_alone_or_a_control_alone_is_no_trial() -> None:
     for to in (True, False):
         trial = Trial(0.05)
-        assert not any(trial.ended(to, True, 10.0) for _ in range(2_000))
+        assert not any(trial.record(to, True, 10.0) for _ in range(2_000))
 
 
 def test_ends_of_one_step_of_a_ramp_are_not_put_beside_those_of_another() -> None:
     """While a part grows, the later of two ends is likelier to be the canary's, however good it is."""
     route = Route(pool="main", split=("new 40%",), sticky="request", ramp_ms=1000.0)
     router = Router({"r": route}, {}, {}, 0.0)
-    eras = [router.choose("r", b"k", b"", True, now).era for now in (0.0, 49.0, 51.0, 999.0, 1001.0)]
+    eras = [
+        router.choose("r", b"k", b"", True, now).split_version for now in (0.0, 49.0, 51.0, 999.0, 1001.0)
+    ]
     assert eras[0] == eras[1] < eras[2] < eras[3] == eras[4]
-    router.stand("r", 20)
-    assert router.choose("r", b"k", b"", True, 0.0).era == eras[4]
+    router.set_step("r", 20)
+    assert router.choose("r", b"k", b"", True, 0.0).split_version == eras[4]
     trials = router.choose("r", b"k", b"", True, 0.0).trial
     assert trials is not None
     trial = trials.by_pool["new"]
     for _ in range(10):
-        trials.note("main", "main", False, 5.0, 0, eras[0])
-    trials.note("new", "main", True, 5.0, 0, eras[2])
+        trials.record("main", "main", False, 5.0, 0, eras[0])
+    trials.record("new", "main", True, 5.0, 0, eras[2])
     assert trial.logs == (0.0,) * 2 * len(FACTORS)
     for _ in range(10):
-        trials.note("main", "main", False, 5.0, 0, eras[2])
-    trials.note("new", "main", True, 5.0, 0, eras[0])  # late, of the step before
+        trials.record("main", "main", False, 5.0, 0, eras[2])
+    trials.record("new", "main", True, 5.0, 0, eras[0])  # late, of the step before
     assert trial.logs == (0.0,) * 2 * len(FACTORS)
-    trials.note("new", "main", True, 5.0, 0, eras[2])
+    trials.record("new", "main", True, 5.0, 0, eras[2])
     assert trial.logs[0] > 0.0
--- a/tests/routes/test_zones.py
+++ b/tests/routes/test_zones.py
@@ -8,7 +8,7 @@
 import pytest
 
 from larkweir.config.options import Pool, Route
-from larkweir.routes.zones import FULL, Spill
+from larkweir.routes.zones import FULL_ABOVE, Spill
 from standins.peers import FakeUpstream, Incoming, Talk, ok
 from tests.fakes import running
 from tests.lifecycle.service import until
@@ -25,7 +25,7 @@
     rng = Random(seed)
     spills = [Spill(ZONES[n % 3]) for n in range(copies)]
     parts = [{zone: float(zone == spill.home) for zone in ZONES} for spill in spills]
-    carried = dict.fromkeys(ZONES, 0.0)
+    loads = dict.fromkeys(ZONES, 0.0)
     rows = []
     for _ in range(steps):
         now = dict.fromkeys(ZONES, 0.0)
@@ -34,9 +34,9 @@
                 now[zone] += value * demand[spill.home] * 3.0 / copies
         rows.append(now)
         for n, spill in enumerate(spills):
-            seen = {zone: value * (1.0 + rng.uniform(-0.05, 0.05)) for zone, value in carried.items()}
-            parts[n] = spill.look(seen, capacity)
-        carried = now
+            seen = {zone: value * (1.0 + rng.uniform(-0.05, 0.05)) for zone, value in loads.items()}
+            parts[n] = spill.update(seen, capacity)
+        loads = now
     return rows
 
 
@@ -65,29 +65,29 @@
 def test_a_zone_that_is_lost_is_left_at_once_and_found_again_little_by_little() -> None:
     spill = Spill("a")
     load = {"a": 50.0, "b": 50.0, "c": 50.0}
-    assert spill.look(load, EVEN)["a"] == 1.0
-    gone = spill.look(load, EVEN | {"a": 0.0})
+    assert spill.update(load, EVEN)["a"] == 1.0
+    gone = spill.update(load, EVEN | {"a": 0.0})
     assert gone["a"] == 0.0 and gone["b"] + gone["c"] == pytest.approx(1.0)
-    back = [spill.look(load | {"a": 0.0}, EVEN)["a"] for _ in range(200)]
+    back = [spill.update(load | {"a": 0.0}, EVEN)["a"] for _ in range(200)]
     assert 0.0 < back[0] <= 0.06 and back == sorted(back) and back[-1] == 1.0
 
 
 def test_a_lost_zones_traffic_goes_by_the_room_that_others_have() -> None:
-    found = Spill("a").look({"a": 0.0, "b": 80.0, "c": 20.0}, EVEN | {"a": 0.0})
-    assert found["c"] / found["b"] == pytest.approx((100.0 * FULL - 20.0) / (100.0 * FULL - 80.0))
+    found = Spill("a").update({"a": 0.0, "b": 80.0, "c": 20.0}, EVEN | {"a": 0.0})
+    assert found["c"] / found["b"] == pytest.approx((100.0 * FULL_ABOVE - 20.0) / (100.0 * FULL_ABOVE - 80.0))
 
 
 def test_parts_are_parts_whatever_comes() -> None:
     rng = Random(4)
     spill = Spill("a")
     for _ in range(2_000):
-        carried = {zone: rng.choice([0.0, rng.uniform(0, 300)]) for zone in ZONES}
-        carries = {zone: rng.choice([0.0, -1.0, rng.uniform(0, 200)]) for zone in ZONES}
-        found = spill.look(carried, carries)
+        loads = {zone: rng.choice([0.0, rng.uniform(0, 300)]) for zone in ZONES}
+        capacities = {zone: rng.choice([0.0, -1.0, rng.uniform(0, 200)]) for zone in ZONES}
+        found = spill.update(loads, capacities)
         assert all(-1e-9 <= value <= 1.0 + 1e-9 for value in found.values())
         total = sum(found.values())
-        assert total == pytest.approx(1.0) or not any(value > 0.0 for value in carries.values())
-        assert all(found[zone] == 0.0 for zone in ZONES if carries[zone] <= 0.0)
+        assert total == pytest.approx(1.0) or not any(value > 0.0 for value in capacities.values())
+        assert all(found[zone] == 0.0 for zone in ZONES if capacities[zone] <= 0.0)
 
 
 def test_a_pool_that_spills_stays_at_home_leaves_a_lost_zone_and_crosses_where_home_is_full() -> None:
@@ -107,8 +107,8 @@
         routes = {"api": Route(path="/api", pool="p")}
         async with running(*rows, routes=routes, pools={"p": Pool(spill=True)}, categories=categories) as it:
             assert it.node is not None and it.node.routes is not None
-            hands = it.node.routes
-            hands.LOOK_MS = 20.0
+            routes_ = it.node.routes
+            routes_.SPILL_INTERVAL_MS = 20.0
             assert [await ask(it) for _ in range(10)] == [(200, b"north")] * 10
             over = False
 
@@ -117,12 +117,12 @@
                     await ask(it)
 
             callers = [asyncio.ensure_future(caller()) for _ in range(24)]
-            await until(lambda: hands._shares["p"]["south"] > 0.1, "some of it crosses")
+            await until(lambda: routes_._shares["p"]["south"] > 0.1, "some of it crosses")
             over = True
             await asyncio.gather(*callers)
             assert len(south.seen) > 0
             it.discovery.change(rows[0] | {"lifecycle": "left"})
-            await until(lambda: hands._shares["p"]["north"] == 0.0, "the lost zone is left")
+            await until(lambda: routes_._shares["p"]["north"] == 0.0, "the lost zone is left")
             assert [await ask(it) for _ in range(10)] == [(200, b"south")] * 10
         north.close()
         south.close()
