--- a/larkweir/routes/__init__.py
+++ b/larkweir/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Which pool of upstreams a request belongs to."""
+"""Selects the pool of upstreams for a request."""
--- a/larkweir/routes/explain.py
+++ b/larkweir/routes/explain.py
@@ -1,5 +1,5 @@
-"""For staff: what becomes of a request under a file's routes, and which requests a change would send
-elsewhere."""
+"""For operators: where the routes of an operator file send a request, and which requests a change of the file
+would send elsewhere."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SampleRequest(NamedTuple):
-    """A request, as staff write it: `POST /x host=a.example class=publicar tenant=acme x-beta=1`."""
+    """A request as operators write it: `POST /x host=a.example class=publicar tenant=acme x-beta=1`."""
 
     method: str
     target: str
@@ -35,7 +35,7 @@
 
 
 def parse(text: str) -> SampleRequest:
-    """ValueError says what is wrong."""
+    """Parse a request in the form of `SampleRequest`. Raises ValueError with a message for the operator."""
     words = text.split()
     if len(words) < 2 or not re.fullmatch(r"[A-Z]+", words[0]) or not words[1].startswith("/"):
         raise ValueError(
@@ -46,7 +46,7 @@
     for word in words[2:]:
         name, equals, value = word.partition("=")
         if not equals or not name:
-            raise ValueError(f"{word!r:.60} is no name=value")
+            raise ValueError(f"{word!r:.60} is not of the form name=value")
         if name.lower() in ("host", "class", "tenant"):
             fields[name.lower()] = value
         else:
@@ -62,15 +62,17 @@
 
 
 class Explanation(NamedTuple):
-    route: str  # empty: none
-    pools: dict[str, float]  # with their parts
+    """Where a request goes, and why."""
+
+    route: str  # empty if there is none
+    pools: dict[str, float]  # fraction of the requests by pool
     fallback: tuple[str, ...]
-    rejected: tuple[str, ...]  # routes before it that did not fit, and why
-    refusal: str  # why it is refused, where it is
+    rejected: tuple[str, ...]  # routes that would come first but do not match, each with the reason
+    refusal: str  # status and reason; empty if the request is not refused
 
 
 class RouteExplainer:
-    """A file's routes, by the names that are in it: no platform file is wanted."""
+    """Explains the routes of an operator file. Needs no platform file: classes and tenants are those of the routes."""
 
     def __init__(self, options: Operator) -> None:
         self._classes = _numbers(name for route in options.routes.values() for name in route.classes)
@@ -111,7 +113,7 @@
 
 
 def samples(route: Route) -> Iterator[SampleRequest]:
-    """Requests that a route is meant for, as far as one route tells: its path, one that lies below, each condition."""
+    """Sample requests for one route: its path, a path below it if it is a prefix, and each of its conditions."""
     path = re.sub(r"\{[^}]*\}", "some", route.path or "/")
     paths = [path[:-2] or "/", path[:-1] + "some"] if path.endswith("/*") else [path]
     name = route.host.replace("*", "some")
@@ -124,6 +126,8 @@
 
 
 class Moved(NamedTuple):
+    """A request that goes elsewhere after a change, with both destinations."""
+
     sample: SampleRequest
     before: str
     after: str
@@ -141,7 +145,7 @@
 
 
 def moved(old: Operator, new: Operator) -> list[Moved]:
-    """Requests that go elsewhere under the new file: of those that any route of either is meant for, and `/api`."""
+    """The sample requests of all routes of both files, and `GET /api`, that go elsewhere under the new file."""
     if not old.routes and not new.routes:
         return []
     old_routes = RouteExplainer(old) if old.routes else None
@@ -170,5 +174,5 @@
 
 
 def _destination_without_routes(sample: SampleRequest) -> str:
-    """Without any route."""
+    """The destination of a request where the file has no routes."""
     return DEFAULT if sample.target.partition("?")[0] == "/api" else "404: no route"
--- a/larkweir/routes/part.py
+++ b/larkweir/routes/part.py
@@ -1,4 +1,4 @@
-"""The routes' place in a balancer."""
+"""Connects the routes to a balancer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Host(Protocol):
-    """What it needs of the balancer."""
+    """What the routes need of the balancer."""
 
     config: Config
     clock: Clock
@@ -35,7 +35,7 @@
 
 
 def begin(host: Host, options: Operator) -> None:
-    """Pools decide, each for itself; not where a script does."""
+    """Replace the single `Balancer` by one for each pool. Other implementations of `Decisions` (scripts) are kept."""
     if not isinstance(host.decisions, Balancer):
         return
     host.routes = Routes(options, host.config, host.clock, host.log.write)
@@ -43,6 +43,7 @@
 
 
 def attach(host: Host, options: Operator) -> None:
+    """Connect the routes to the dispatcher, discovery, the request handler, reloads and the status."""
     routes = host.routes
     if routes is None:
         return
--- a/larkweir/routes/paths.py
+++ b/larkweir/routes/paths.py
@@ -1,9 +1,10 @@
-"""A request's target and host in the one form that routes are matched by, and that goes on upstream.
+"""Normalizes the target and host of a request. Routes are matched by the normalized form, and the same form is sent
+upstream.
 
-What is matched is what is sent: an upstream that reads the target differently from the routes is how a request gets
-round them. So a target is brought into its normal form (RFC 3986, section 6.2.2), and what two readers could still
-take for different things is refused: an encoded slash, backslash or NUL, a percent sign encoded in front of two hex
-digits (a second decoding), a control character, and dots that climb over the root.
+If an upstream interpreted the target differently from the routes, a request could bypass them. So a target is brought
+into its normal form (RFC 3986, section 6.2.2), and targets that two parsers could still interpret differently are
+refused: an encoded slash, backslash or NUL, an encoded percent sign in front of two hex digits (double encoding), a
+control character, and dot segments that lead above the root.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 
 MAX_SEGMENTS = 64
 _UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-_PLAIN = re.compile(rb"(?:/[A-Za-z0-9_~-][A-Za-z0-9._~-]*)+|/")  # in its normal form already, as most are
-_BAD = re.compile(rb"[^!$&'()*+,;=:@/A-Za-z0-9._~%-]")  # no character of a path (section 3.3)
+_PLAIN = re.compile(rb"(?:/[A-Za-z0-9_~-][A-Za-z0-9._~-]*)+|/")  # already in normal form, as most targets are
+_BAD = re.compile(rb"[^!$&'()*+,;=:@/A-Za-z0-9._~%-]")  # not allowed in a path (RFC 3986, section 3.3)
 _ENCODED = re.compile(rb"%([0-9A-Fa-f]{2})?")
 _HOST = re.compile(rb"(?:[A-Za-z0-9_-]+(?:\.[A-Za-z0-9_-]+)*\.?|\[[0-9A-Fa-f:.]+\])(?::[0-9]{0,5})?")
 _REFUSED = {0x2F: "slash", 0x5C: "backslash", 0x00: "NUL"}
 
 
 class Target(NamedTuple):
-    path: bytes  # in its normal form
-    segments: tuple[bytes, ...]  # of it, without the root; "/a/" has an empty last one
-    query: bytes  # with its question mark; empty: none
+    path: bytes  # normalized
+    segments: tuple[bytes, ...]  # of the path; the last segment of "/a/" is empty
+    query: bytes  # with its question mark; empty if there is none
 
 
 def _decode(match: re.Match[bytes]) -> bytes:
@@ -43,7 +44,7 @@
 
 
 def normalize(target: bytes) -> Target:
-    """The normal form of an origin-form target; FramingError 400 where it has none that all readers share."""
+    """The normal form of an origin-form target. Raises FramingError 400 if parsers could interpret it differently."""
     path, mark, query = target.partition(b"?")
     if _PLAIN.fullmatch(path):
         segments = tuple(path[1:].split(b"/")) if len(path) > 1 else ()
@@ -67,7 +68,7 @@
                 kept.append(part)
                 continue
             if last and kept:
-                kept.append(b"")  # the folder itself
+                kept.append(b"")  # keeps the final slash
         segments = tuple(kept)
         path = b"/" + b"/".join(segments)
     if len(segments) > MAX_SEGMENTS:
@@ -76,7 +77,7 @@
 
 
 def normalize_host(value: bytes) -> bytes:
-    """A Host field's name in lower case, without its port and a dot at its end; FramingError 400 where it is none."""
+    """The host name of a Host field in lower case, without port and final dot. Raises FramingError 400 if invalid."""
     if not value:
         return b""
     if not _HOST.fullmatch(value):
--- a/larkweir/routes/pools.py
+++ b/larkweir/routes/pools.py
@@ -1,4 +1,4 @@
-"""What of the platform's settings and list is a pool's own."""
+"""The settings of each pool, and the upstreams that belong to it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def referenced_pools(options: Operator) -> list[str]:
-    """The pools that any route can send to, the default first: that one is always there, and asks for the list."""
+    """The pools that any route can send to, after the default pool, which always exists and requests the list."""
     found = [DEFAULT]
     for route in options.routes.values():
         for name in (route.pool, *parts(route), *route.fallback, *((route.mirror,) if route.mirror else ())):
@@ -25,7 +25,7 @@
 
 
 def settings_of(pool: Pool, settings: Settings, main: bool) -> Settings:
-    """The platform's settings with what the pool says: never looser in what the four rules rest on."""
+    """The platform's settings with those of the pool, which may tighten the limits on load but not loosen them."""
     tuning = settings.tuning
     if pool.ratio is not None:
         tuning = replace(tuning, retry_ratio=pool.ratio)
@@ -38,14 +38,16 @@
         settings,
         tuning=tuning,
         max_attempts=attempts,
-        # One pool asks for the list, and all are told.
+        # Only the main pool requests the list; all pools receive it.
         on_request_discovery=settings.on_request_discovery and main,
     )
 
 
 class Members:
-    """Which lines of the whole list are a pool's: by zone, machine type and cell, or by its own fixed list; of those,
-    the subset that this balancer connects to; those of an evacuated zone, as if they drained.
+    """Selects a pool's upstreams from the complete list: by zone, machine type and cell, or by the pool's fixed list.
+
+    If the pool has a subset size, only the subset for this balancer is selected. Upstreams of an evacuated zone are
+    marked as draining.
     """
 
     def __init__(
@@ -55,19 +57,25 @@
         fixed: Mapping[int, ServerEntry],
         stable_name: Callable[[int], str] = str,
     ) -> None:
-        """`fixed`: the upstreams of all fixed lists by number; `own` of them are this pool's. `called`: by this
-        process's number of it, what an upstream is called at every balancer."""
+        """Args:
+        pool: the pool's table of the operator file.
+        config: the platform's configuration.
+        fixed: the upstreams of all fixed lists, by number; `own` holds the numbers of those in this pool.
+        stable_name: maps this process's number of an upstream to a name that is the same at every balancer.
+        """
         zones = {name: n for n, name in enumerate(config.zones)}
         kinds = {name: n for n, name in enumerate(config.kinds)}
         self._zones = frozenset(zones.get(name, -1) for name in pool.zones or ())
         self._kinds = frozenset(kinds.get(name, -1) for name in pool.kinds or ())
         self._cells = frozenset(int(item) for item in pool.cells or ())
-        self._evacuated = {zones.get(name, -1): 1.0 for name in pool.evacuated or ()}  # by zone, how far
+        self._evacuated = {
+            zones.get(name, -1): 1.0 for name in pool.evacuated or ()
+        }  # by zone: the evacuated fraction
         self._subset = pool.subset or 0
         self._me, self._copies = config.settings.me, config.settings.balancer_count
         self._fixed = fixed
         self._stable_name = stable_name
-        self.own: frozenset[int] | None = None  # of the fixed ones; None: discovery's
+        self.own: frozenset[int] | None = None  # upstreams of the fixed list; None: those of discovery
 
     def __call__(self, entries: Iterable[ServerEntry]) -> list[ServerEntry]:
         if self.own is not None:
@@ -78,7 +86,7 @@
             found = [entry for entry in entries if entry.server not in self._fixed and self._fits(entry)]
         if self._subset and self._subset < len(found):
             by = {str(entry.server): entry for entry in found}
-            # Drained ones keep their places: their going moves no other before they are gone.
+            # Draining upstreams stay in the ring, so that they move no others before they are gone.
             found = [by[name] for name in ring(list(by), self._me, self._copies, self._subset)]
         if not self._evacuated:
             return found
@@ -97,7 +105,7 @@
         ]
 
     def set_evacuated_share(self, zone: int, part: float) -> bool:
-        """So much of an evacuated zone counts as draining; whether that is news."""
+        """Set the fraction of an evacuated zone that is marked as draining. Returns whether it has changed."""
         before = self._evacuated.get(zone)
         if before is None or before == part:
             return False
@@ -113,8 +121,10 @@
 
 
 def evacuated_servers(servers: Iterable[int], part: float, stable_name: Callable[[int], str]) -> list[int]:
-    """So much of a zone, rounded down, in the order in which it empties: the same at every balancer that knows the same
-    upstreams, in whatever order it heard of them, since the order goes by what they are called."""
+    """The given fraction of a zone's upstreams, rounded down, in the order in which they are evacuated.
+
+    The order depends on their names only, so that every balancer that knows the same upstreams selects the same ones.
+    """
     if part >= 1.0:
         return list(servers)
     order = sorted(servers, key=lambda server: _evacuation_order(stable_name(server)))
@@ -128,8 +138,9 @@
 def resolve_pools(
     options: Operator, zones: Sequence[str]
 ) -> tuple[dict[str, Pool], dict[str, dict[str, str]]]:
-    """All pools that are used, with what their parents say; and of those that spill, the names of their parts by
-    zone. A part decides for its zone alone, so that a request is in one zone with all its attempts.
+    """All pools in use, with the settings inherited from their parents. A pool that spills is divided into one sub-pool
+    per zone, so that a request stays in one zone while it is in one sub-pool; the second result has the names of these
+    sub-pools by pool and zone.
     """
     found: dict[str, Pool] = {}
     parts_: dict[str, dict[str, str]] = {}
@@ -138,7 +149,7 @@
         if not pool.spill:
             found[name] = pool
             continue
-        if name == DEFAULT:  # it asks for the list
+        if name == DEFAULT:  # needed to request the list
             found[name] = pool
         parts_[name] = {zone: f"{name}@{zone}" for zone in pool.zones or zones}
         for zone, part in parts_[name].items():
--- a/larkweir/routes/request_routing.py
+++ b/larkweir/routes/request_routing.py
@@ -1,5 +1,5 @@
-"""Routes and pools in a balancer: what is taken, under which target it goes on, fixed lists, copies,
-generations."""
+"""Request routing of a balancer: selects the route and the pools of a request, rewrites its target, adds the
+upstreams of fixed lists, mirrors requests, spills between zones, and applies reloads."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class RequestTarget:
-    """Where a request asks for."""
+    """The normalized host and target of a request."""
 
     __slots__ = ("host", "target")
 
@@ -40,7 +40,7 @@
 
 
 class DiscardingCaller:
-    """Takes the answer to a mirrored request, for nobody."""
+    """The caller of a mirrored request: discards the answer."""
 
     streams = False
     peer = ""
@@ -59,11 +59,11 @@
 
 
 class Routes:
-    """Between what a caller sends and the dispatcher."""
+    """Selects the route and the pools of each request before it reaches the dispatcher."""
 
-    MAX_MIRRORED = 32  # mirrored requests at a time; past that none are copied
-    SPILL_INTERVAL_MS = 500.0  # from look to look at how full zones are: some times the longest aim there is
-    FIRST_FIXED_NUMBER = 1 << 41  # numbers of upstreams in fixed lists: above all that discovery's get
+    MAX_MIRRORED = 32  # mirrored requests in flight; beyond that, requests are not mirrored
+    SPILL_INTERVAL_MS = 500.0  # between updates of zone shares; several times the longest latency target
+    FIRST_FIXED_NUMBER = 1 << 41  # first number for upstreams of fixed lists; above all numbers of discovery
 
     def __init__(self, options: Operator, config: Config, clock: Clock, log: Callable[[str], None]) -> None:
         self._clock = clock
@@ -74,33 +74,35 @@
         self.mirrored = self.unmirrored = 0
         self._fixed: dict[int, ServerEntry] = {}
         self._addresses: dict[int, Address] = {}
-        # An upstream's instance id, where a zone may empty by and by; "" where it is not known
+        # The instance id of an upstream, "" if unknown. Set only where zones can be evacuated in steps.
         self.name_of: Callable[[int], str] = lambda number: ""
         self._numbers: dict[tuple[Address, str], int] = {}
-        self._version = 0  # of the list
+        self._version = 0  # of the last listing
         self._publish: Callable[[Listing], None] = lambda listing: None
         self._options = options
         self._protocols: dict[str, str] = {}  # by pool
-        self._zoned: dict[str, dict[str, str]] = {}  # pools that spill: the names of their parts by zone
+        self._zoned: dict[
+            str, dict[str, str]
+        ] = {}  # by pool that spills: the name of its sub-pool in each zone
         self._spills: dict[str, Spill] = {}
-        self._shares: dict[str, dict[str, float]] = {}  # of them, by zone
+        self._shares: dict[str, dict[str, float]] = {}  # by pool that spills: the share of each zone
         self._spill_scheduled = False
         self._rng = Random(config.seed)
         self._members: dict[str, Members] = {}
-        self._evacuating: dict[
-            tuple[str, str], float
-        ] = {}  # zones of pools that a reload has evacuated: since when
-        self._evacuated_shares: dict[tuple[str, str], float] = {}  # how much of them
-        self._evacuated: set[tuple[str, str]] = set()  # all that are
+        # By pool and zone that is evacuated step by step: the start time.
+        self._evacuating: dict[tuple[str, str], float] = {}
+        # By pool and zone that is evacuated step by step: the fraction of upstreams that is already draining.
+        self._evacuated_shares: dict[tuple[str, str], float] = {}
+        self._evacuated: set[tuple[str, str]] = set()  # every evacuated pool and zone, gradually or not
         self._evacuate_ms = 0.0
-        self._keys: dict[str, tuple[str, str]] = {}  # of those that empty, by key
+        self._keys: dict[str, tuple[str, str]] = {}  # pool and zone, by the key of the evacuation
         self.router = self._router(options, config, None)
         pools, settings = self._pools(options, config, {})
         self.switch = Switch(pools, DEFAULT)
         self.switch.on_request_ended = self._on_request_ended
         self._settings = settings
 
-    # ------------------------------------------------ generations
+    # ------------------------------------------------ reloads
 
     def _router(self, options: Operator, config: Config, before: Router | None) -> Router:
         classes = {cls.name: n for n, cls in enumerate(config.settings.classes)}
@@ -146,8 +148,10 @@
     def _start_evacuations(
         self, options: Operator, config: Config, wanted: dict[str, PoolTable], existing: dict[str, Pool]
     ) -> None:
-        """Zones that this generation evacuates, of pools that were there before, empty by and by where they are to; who
-        starts with them finds them empty."""
+        """Start the step-by-step evacuation of zones that this configuration evacuates anew in existing pools.
+
+        Without `evacuate_ms`, and for pools that did not exist before, a zone is evacuated at once.
+        """
         self._evacuate_ms = options.owners.evacuate_ms if options.owners.on else 0.0
         if "ramps" not in options.owners.duties:
             self._evacuate_ms = 0.0
@@ -172,14 +176,14 @@
         self._keys = {_key(*item): item for item in self._evacuating}
 
     def _stable_name(self, number: int) -> str:
-        """Its address in a fixed list, else its instance id; the number where neither is known."""
+        """The address of an upstream of a fixed list, else the instance id; the number where neither is known."""
         if number in self._addresses:
             host, port = self._addresses[number]
             return f"{host}:{port}"
         return self.name_of(number) or str(number)
 
     def _number(self, line: str, config: Config, used: dict[int, ServerEntry]) -> int:
-        """An upstream of a fixed list keeps its number as long as the process lives."""
+        """The number of an upstream of a fixed list; it stays the same for the lifetime of the process."""
         address, zone = fixed_of(line)
         number = self._numbers.setdefault((address, zone), self.FIRST_FIXED_NUMBER + len(self._numbers))
         at = config.zones.index(zone) if zone in config.zones else 0
@@ -188,7 +192,7 @@
         return number
 
     def reconfigure(self, options: Operator, config: Config) -> None:
-        """A generation that has been checked: it counts with the `Reconfigured` that follows."""
+        """Prepare a valid configuration. It takes effect with the `Reconfigured` event that follows."""
         self.config = config
         self.router = self._router(options, config, self.router)
         existing = dict(self.switch.pools)
@@ -203,13 +207,13 @@
             addresses = tuple(self._addresses[entry.server] for entry in entries)
             self._publish(Listing(ListKind.PROOF, self._version, tuple(entries), addresses))
 
-    # ------------------------------------------------ the list
+    # ------------------------------------------------ the list of upstreams
 
     def reroute(self, tell: Callable[[Listing], None]) -> None:
         self._publish = tell
 
     def on_listing(self, listing: Listing) -> None:
-        """What discovery tells, with the fixed lists beside it, which are always whole."""
+        """Pass on a listing from discovery; a complete one is extended by the upstreams of the fixed lists."""
         if self._fixed and listing.kind in (ListKind.FULL, ListKind.CACHED):
             entries = (*listing.entries, *self._fixed.values())
             addresses = (*listing.addresses, *(self._addresses[number] for number in self._fixed))
@@ -217,10 +221,10 @@
         self._version = listing.version
         self._publish(listing)
 
-    # ------------------------------------------------ a request
+    # ------------------------------------------------ requests
 
     def place(self, message: Message) -> tuple[int, Headers] | RequestTarget:
-        """`larkweir.core.request_handler.Router`. FramingError 400 for a target or Host that has no one form."""
+        """See `larkweir.core.request_handler.Router`. Raises FramingError 400 if the target or Host is unacceptable."""
         target = normalize(message.target)
         name = normalize_host(message.value(b"host") or b"")
         refusal = refusal_of(self.router.allowed(name, target), message.method)
@@ -230,7 +234,7 @@
         return RequestTarget(name, target)
 
     def choose(self, place: object, message: Message, event: RequestArrived, trace: bytes) -> bool:
-        """`larkweir.core.request_handler.Router`."""
+        """See `larkweir.core.request_handler.Router`."""
         assert isinstance(place, RequestTarget)
         headers: dict[bytes, list[bytes]] = {}
         if self.router.headers:
@@ -256,8 +260,8 @@
     # ------------------------------------------------ zones
 
     def _in_zones(self, name: str) -> list[str]:
-        """A pool's parts in the order in which a request may come to them: one drawn by its share, then those with
-        more."""
+        """The sub-pools of a pool in the order in which a request tries them: one is drawn at random by the zones'
+        shares, the others follow by descending share."""
         zoned = self._zoned.get(name)
         if zoned is None:
             return [name]
@@ -276,7 +280,8 @@
         return [zoned[zone] for zone in order]
 
     def _update_spill(self) -> None:
-        """How full each zone is, by each part's own window; again in a while, as long as any pool spills."""
+        """Update the shares of all zones from the load and the window of each sub-pool's limiter. Repeats as long as
+        any pool spills."""
         if not self._zoned:
             self._spill_scheduled = False
             return
@@ -290,7 +295,7 @@
         self._clock.after(self.SPILL_INTERVAL_MS, self._update_spill)
 
     def _key(self, route: str, message: Message, event: RequestArrived, trace: bytes) -> bytes:
-        """What a request is sticky by; its own id where it has nothing of the kind."""
+        """The value by which a request is sticky; the request id where the request has no such value."""
         sticky = self._options.routes[route].sticky if route in self._options.routes else "request"
         if sticky == "tenant":
             return message.value(b"x-customer") or trace
@@ -301,7 +306,7 @@
         return message.value(self.router.sticky[route]) or trace
 
     def _mirror(self, message: Message, event: RequestArrived, choice: Choice, trace: bytes) -> None:
-        """A safe request once more, to another pool, for nobody: bounded, and with an id of its own."""
+        """Send a copy of a safe request, with its own id, to the mirror pool, unless a limit is reached."""
         dispatcher = self.dispatcher
         if (
             dispatcher is None
@@ -327,7 +332,7 @@
         self._mirrored_in_flight += 1
         self.mirrored += 1
         time_left_ms = event.time_left_ms
-        # In a turn of its own: the request itself goes first.
+        # In a later turn of the event loop, so that the request itself is sent first.
         config = self.config
         self._clock.after(
             0.0, lambda: self._send_mirrored(dispatcher, copy, time_left_ms, own, mirrored_event, config)
@@ -346,7 +351,7 @@
             self._mirrored_in_flight -= 1
 
         if self.config is not config:
-            # Its class and tenant are places in settings that count no more, and the class may not be safe any more.
+            # After a reload the indices of the class and the tenant are out of date, and the class may not be safe.
             on_answered()
             self.mirrored -= 1
             self.unmirrored += 1
@@ -366,22 +371,22 @@
             self._log(line)
 
     def on_trial(self) -> dict[str, Trial]:
-        """Of the present generation (`Router.on_trial`)."""
+        """The canaries on trial in the current configuration (`Router.on_trial`)."""
         return self.router.on_trial()
 
     def end_trial(self, key: str, why: str) -> None:
-        """A part's trial is over by a fleet's word (`Router.end`)."""
+        """End the trial of a canary because the fleet has decided so (`Router.end_trial`)."""
         line = self.router.end_trial(key, why)
         if line:
             self._log(line)
 
     def ramping(self) -> dict[str, tuple[str, float, float]]:
-        """As `Router.ramping`, with the zones that empty."""
+        """As `Router.ramping`, plus the zones that are being evacuated."""
         found = {key: (key, self._evacuate_ms, self._evacuating[item]) for key, item in self._keys.items()}
         return self.router.ramping() | found
 
     def set_step(self, name: str, step: int) -> None:
-        """What counts of a ramp from now on: a route's, or a zone's that empties."""
+        """Set the step of a ramp: that of a route, or of a zone that is being evacuated."""
         item = self._keys.get(name)
         if item is None:
             self.router.set_step(name, step)
@@ -393,7 +398,7 @@
             self._publish(Listing(ListKind.PROOF, self._version, (), ()))
 
     def protocol_of(self, number: int) -> str:
-        """What an upstream speaks, by the pools that have it; empty where none says."""
+        """The protocol of an upstream, from the pools that contain it; empty if none sets one."""
         for pool in self.switch.pools_by_server.get(number, ()):
             if self._protocols.get(pool.name):
                 return self._protocols[pool.name]
@@ -426,7 +431,12 @@
 
 
 def refusal_of(allowed: Collection[bytes] | None, method: bytes) -> tuple[int, Headers] | None:
-    """A status and headers for what no route takes; None where one may."""
+    """The status and headers of the refusal if no route takes the method; None if one may.
+
+    Args:
+        allowed: the result of `Router.allowed`.
+        method: the method of the request.
+    """
     if allowed is None:
         return 404, []
     if method not in METHODS or (allowed and method not in allowed):
--- a/larkweir/routes/router.py
+++ b/larkweir/routes/router.py
@@ -1,5 +1,5 @@
-"""From a request to the pools that it may go to: the route, its split, its trial. Reads no clock and sends
-nothing."""
+"""Selects the pools that a request may go to, by its route and the split of that route, and counts canary trials.
+Pure logic: reads no clock and sends nothing."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 
 @dataclass(slots=True)
 class Choice:
-    """Where one request goes."""
+    """The pools selected for one request."""
 
     route: str
-    pools: tuple[str, ...]  # the first, and those that it falls back to in turn
+    pools: tuple[str, ...]  # the first choice, then the fallback pools in order
     trial: Trials | None = None
-    mirror: str = ""  # a pool that gets a copy
-    position: int = 0  # in `pools`
+    mirror: str = ""  # the pool that gets a copy; empty: none
+    position: int = 0  # index of the current pool in `pools`
     started_ms: float = 0.0
     cls: int = 0
-    assigned_pool: str = ""  # the pool of the route that it fell to, whichever zone's
-    split_version: int = 0  # of the parts by which it fell there: another whenever they change
+    assigned_pool: str = ""  # the pool drawn from the split, without its zone
+    split_version: int = 0  # version of the shares by which it was drawn; rises with each change of them
 
 
 @dataclass(slots=True)
 class Trials:
-    """One route's parts on trial, each beside the rest."""
+    """The canary pools of one route that are on trial, each compared with the main pool."""
 
     route: str
     alpha: float
     by_pool: dict[str, Trial] = field(default_factory=dict)
-    ended: dict[str, str] = field(default_factory=dict)  # pools whose part is over, and why
+    ended: dict[str, str] = field(default_factory=dict)  # pools whose trial has ended, with the reason
     split_version: int = 0
 
     def record(
         self, pool: str, main: str, failed: bool, spent_ms: float, cls: int, split_version: int = 0
     ) -> str:
-        """A request has had its answer from this pool's part; a line where a part ends with it. One that was sent under
-        parts that count no more says nothing."""
+        """Count the answer to a request that was assigned to `pool`. Ignored if it was sent under an earlier version of
+        the split. Returns a log line if a trial ends with it, else an empty string."""
         if split_version != self.split_version:
             if split_version < self.split_version:
                 return ""
             self.split_version = split_version
             for trial in self.by_pool.values():
                 trial.forget()
-        if pool == main:  # the control of all
+        if pool == main:  # the control of all trials
             for name, trial in self.by_pool.items():
                 if trial.record(False, failed, spent_ms, cls):
                     return self._end(name, trial)
@@ -64,14 +64,14 @@
         return self.end(pool, trial.verdict)
 
     def end(self, pool: str, why: str) -> str:
-        """Its part is over; a line that says so."""
+        """End the trial of a pool. Returns a log line."""
         self.ended[pool] = why
         del self.by_pool[pool]
         return f"route {self.route}: {pool} gets nothing any more: {why}"
 
 
 def match_of(route: Route, classes: Mapping[str, int], tenants: Mapping[str, int]) -> Match:
-    """Names to numbers; one that the settings don't have fits no request."""
+    """The conditions of a route with class and tenant names replaced by indices; unknown names match no request."""
     path, prefix = route.path, False
     if path.endswith("/*"):
         path, prefix = path[:-1], True
@@ -91,7 +91,7 @@
 
 
 class Router:
-    """One generation of routes. Trials of a route whose parts are as they were go on from the generation before."""
+    """The routes of one configuration. If the split of a route is unchanged by a reload, its ramp and trials go on."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         before: Router | None = None,
     ) -> None:
         self.routes = dict(routes)
-        # What a route that is as it was came to is taken over: of thousands, a generation changes a few.
+        # Compiled conditions of unchanged routes are reused: a reload changes few of possibly thousands.
         known = before if before is not None and before._numbering == (classes, tenants) else None
         self._numbering: tuple[Mapping[str, int], Mapping[str, int]] = (classes, tenants)
         self._matches: dict[str, Match] = {
@@ -115,12 +115,11 @@
         self._started_ms: dict[str, float] = {}
         self._trials: dict[str, Trials] = {}
         self._parts = {name: parts(route) for name, route in routes.items()}
-        self._keys: dict[str, str] = {}  # by route with parts: the same wherever the file says the same
-        self.fleet_steps: dict[str, int] = (
-            before.fleet_steps if before is not None else {}
-        )  # ramps that a fleet steps
+        self._keys: dict[str, str] = {}  # by route with a split; the same at all balancers with the same file
+        # The current step of each ramp that the fleet advances together.
+        self.fleet_steps: dict[str, int] = before.fleet_steps if before is not None else {}
         self._salt = {name: name.encode() for name in routes}
-        # Names of headers that any route asks for: others need not be looked at.
+        # Only headers with these names matter to any route.
         self.headers = frozenset(
             header_of(item)[0].encode() for route in routes.values() for item in route.headers
         )
@@ -152,8 +151,8 @@
         return self.table.find(facts)
 
     def allowed(self, host: bytes, target: Target) -> frozenset[bytes] | None:
-        """The methods that any route of this host and path takes; None where no route is there at all, empty where one
-        takes any.
+        """The methods that the routes of this host and path accept; None if there is no route, empty if one of them
+        accepts any method.
         """
         found: set[bytes] = set()
         there = False
@@ -165,7 +164,7 @@
         return frozenset(found) if there else None
 
     def weights(self, name: str, now_ms: float) -> dict[str, float]:
-        """The parts of a route's pools as they are now; they come to 1."""
+        """The current shares of a route's pools; they sum to 1."""
         route = self.routes[name]
         trials = self._trials.get(name)
         since = now_ms - self._started_ms.get(name, now_ms)
@@ -178,7 +177,7 @@
         return {route.pool: max(0.0, 1.0 - sum(found.values()))} | found
 
     def choose(self, name: str, key: bytes, trace: bytes, safe: bool, now_ms: float) -> Choice:
-        """Where a request of this route goes. `key` is what it is sticky by."""
+        """Select the pools for a request of this route. `key` is the value by which the request is sticky."""
         route = self.routes[name]
         pool, trials = route.pool, None
         if route.split:
@@ -193,16 +192,16 @@
         return Choice(name, (pool, *later), trials, mirror, assigned_pool=pool, split_version=split_version)
 
     def _split_version(self, name: str, trials: Trials, now_ms: float) -> int:
-        """Goes up with each step of the ramp, and with each part that is over."""
+        """The version of a route's split: rises with each step of the ramp and with each trial that ends."""
         step = self.fleet_steps.get(name)
         if step is None:
             step = Ramp(1.0, self.routes[name].ramp_ms).step(now_ms - self._started_ms[name])
         return step * len(self._parts[name]) + len(trials.ended)
 
-    # ------------------------------------------------ for a fleet that does it together
+    # ------------------------------------------------ trials and ramps that a fleet runs together
 
     def on_trial(self) -> dict[str, Trial]:
-        """Parts that are watched, each by a key that is the same at all copies whose files say the same."""
+        """The canaries on trial, by a key that is the same at all balancers with the same file."""
         return {
             f"{self._keys[name]}/{at}": trials.by_pool[pool]
             for name, trials in self._trials.items()
@@ -211,7 +210,7 @@
         }
 
     def parts_by_key(self) -> dict[str, tuple[str, str]]:
-        """Of all parts that are or were watched: the route and the pool."""
+        """The route and the pool of each canary whose trial is running or has ended, by its key."""
         return {
             f"{self._keys[name]}/{at}": (name, pool)
             for name in self._trials
@@ -219,7 +218,7 @@
         }
 
     def end_trial(self, key: str, why: str) -> str:
-        """The part of that key gets nothing any more; a line that says so, empty where it is over or not known."""
+        """End the trial with this key. Returns a log line, empty if the trial has ended already or is unknown."""
         for name, trials in self._trials.items():
             for at, pool in enumerate(self._parts[name]):
                 if key == f"{self._keys[name]}/{at}" and pool in trials.by_pool:
@@ -227,7 +226,7 @@
         return ""
 
     def ramping(self) -> dict[str, tuple[str, float, float]]:
-        """By key, routes whose parts grow: name, span in milliseconds, and since when."""
+        """The ramps of routes, by key: the route's name, the span in milliseconds, and the start time."""
         return {
             self._keys[name]: (name, self.routes[name].ramp_ms, since)
             for name, since in self._started_ms.items()
@@ -235,11 +234,11 @@
         }
 
     def set_step(self, name: str, step: int) -> None:
-        """What counts of a route's ramp from now on; no step is taken back."""
+        """Set the step of a route's ramp. Steps never decrease."""
         self.fleet_steps[name] = max(step, self.fleet_steps.get(name, 0))
 
     def states(self, now_ms: float) -> dict[str, str]:
-        """By route with parts: how they stand, for staff."""
+        """The current shares of each route with a split, as text for operators."""
         found = {}
         for name in self._started_ms:
             parts_ = ",".join(f"{pool}:{value:.3f}" for pool, value in self.weights(name, now_ms).items())
@@ -248,7 +247,7 @@
 
 
 def _mirror_bound(part: float) -> float:
-    """The least score of a request that is mirrored: -1/log(u) is above it for a part of all u."""
+    """The lowest score of a mirrored request: -1/log(u) with u uniform in (0, 1) reaches it with probability `part`."""
     from math import inf, log
 
     return -1.0 if part >= 1.0 else inf if part <= 0.0 else -1.0 / log(1.0 - part)
--- a/larkweir/routes/subsets.py
+++ b/larkweir/routes/subsets.py
@@ -1,5 +1,5 @@
-"""Which upstreams one balancer of many connects to, so that each has few connections, each upstream even load,
-and the change of one moves little. Weighed in `benchmarks/subsets.py`.
+"""Selects the subset of upstreams that one of many balancers connects to. The aims: few connections per balancer, even
+load on the upstreams, and few changes when one upstream comes or goes. Compared in `benchmarks/routes.py`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,10 @@
 
 
 def ring(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
-    """Each balancer has an arc of the ring of upstreams, `size` of them wide, that begins at its own fraction of the
-    whole.
+    """Each balancer has an arc of `size` neighbours on a ring of upstreams. The starts of the arcs are spread evenly.
 
-    Upstreams lie at the same distance, in the order of a checksum: one that goes moves those behind it by a part of one
-    place. Arcs of all balancers lie evenly, so that every upstream is in as many as any other, but for one.
+    Upstreams are spaced evenly, in the order of a hash: removing one moves those behind it by a fraction of a place.
+    Each upstream is in as many arcs as any other, give or take one.
     """
     count = len(names)
     if size >= count or not count:
@@ -30,8 +29,8 @@
 
 
 def rounds(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
-    """Deterministic subsetting (Site Reliability Engineering, chapter 20): balancers in rounds, each of which deals all
-    upstreams out in an order of its own.
+    """Deterministic subsetting (Site Reliability Engineering, chapter 20): balancers are grouped in rounds. Each round
+    divides all upstreams among its balancers, in its own random order.
     """
     count = len(names)
     if size >= count or not count:
@@ -44,13 +43,14 @@
 
 
 def rendezvous(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
-    """The upstreams with the highest claims on this balancer: one that goes is replaced alone; evenness is chance's."""
+    """Rendezvous hashing: the upstreams that rank first for this balancer. Removing one changes nothing else in the
+    subset; the load is only as even as a random choice."""
     own = str(me).encode()
     return sorted(names, key=lambda name: (_point(own, name.encode()), name))[: min(size, len(names))]
 
 
 def drawn(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
-    """At random, and anew with each change."""
+    """A random subset, drawn anew whenever the number of upstreams changes."""
     rng = Random(f"{me}:{len(names)}")
     return rng.sample(sorted(names), min(size, len(names)))
 
@@ -64,5 +64,5 @@
 
 
 def min_subset_size(upstreams: int, copies: int) -> int:
-    """The smallest subset by which every upstream is some balancer's, and of which one that is bad is no great part."""
+    """The smallest subset size at which each upstream is in some subset, and a bad upstream is a small part of any."""
     return max(10, math.ceil(2.0 * upstreams / max(1, copies)))
--- a/larkweir/routes/switch.py
+++ b/larkweir/routes/switch.py
@@ -1,9 +1,11 @@
-"""Many pools' decisions behind the one interface that the dispatcher knows. A request with all its attempts
-belongs to one pool; what is told of it goes there, and what is told of upstreams goes to all pools that have them.
+"""Combines the balancers of several pools behind the single interface that the dispatcher uses.
 
-An upstream may be in several pools. Its calls are then counted for it, whichever pool sends them, so that none takes
-for idle what another has filled; what a cold one gets is each pool's part of its own traffic, so that the sum is that
-of one.
+A request is assigned to one pool at a time, and its events go to that pool's balancer. Events about an upstream go to
+every pool that contains it.
+
+An upstream may be in several pools. Each of them then counts the calls that the others have in flight there, so that no
+pool takes an upstream for idle that another pool has filled. During slow start each pool limits an upstream to a
+fraction of the pool's own traffic, so that all pools together send it no more than a single pool would.
 """
 
 from __future__ import annotations
@@ -47,28 +49,28 @@
 
 from larkweir.routes.router import Choice
 
-LIST_COOKIE = 1 << 40  # the decisions' own, for asking for the list: above every request's number
+LIST_COOKIE = 1 << 40  # timer cookie of the list requests; above every request number
 
 Filter = Callable[[Iterable[ServerEntry]], list[ServerEntry]]
 
 
 @dataclass(slots=True)
 class Pool:
-    """One pool: its decisions, and what of the list is its own."""
+    """One pool: its balancer, and the upstreams of the list that belong to it."""
 
     name: str
     decisions: Balancer
-    filter: Filter  # of all entries, whole lists at a time
-    draining: bool = False  # no route names it any more
+    filter: Filter  # selects the entries of this pool from the complete list
+    draining: bool = False  # no route uses the pool any more
     requests: int = 0
-    known_entries: dict[int, ServerEntry] = field(
-        default_factory=dict
-    )  # of the list, as its decisions have it
-    stale_counts: set[int] = field(default_factory=set)  # upstreams whose calls of other pools have changed
+    # The entries that the pool's balancer knows, by upstream number.
+    known_entries: dict[int, ServerEntry] = field(default_factory=dict)
+    # Upstreams whose number of calls from other pools has changed since the balancer was last updated.
+    stale_counts: set[int] = field(default_factory=set)
 
 
 class ActiveRequest:
-    """One request."""
+    """An open request and the pool that it is assigned to."""
 
     __slots__ = (
         "arrived",
@@ -87,15 +89,15 @@
         self.choice = choice
         self.arrived = arrived
         self.deadline_ms = now_ms + arrived.time_left_ms
-        self.attempts_sent = 0  # attempts, of all pools
-        self.first_attempt = 0  # the number of this pool's first attempt
+        self.attempts_sent = 0  # by all pools together
+        self.first_attempt = 0  # number of the first attempt of the current pool
         self.in_flight = 0
-        self.may_have_run = False  # an attempt may have run
-        self.senders: dict[int, Pool] = {}  # by attempt that is out
+        self.may_have_run = False  # whether an upstream may have executed an attempt
+        self.senders: dict[int, Pool] = {}  # by the number of the attempt in flight
 
 
 class PendingGeneration(NamedTuple):
-    """A generation that is to count with the next `Reconfigured`."""
+    """A configuration that takes effect with the next `Reconfigured` event."""
 
     pools: dict[str, Pool]
     settings: dict[str, Settings]
@@ -103,27 +105,30 @@
 
 
 class Switch:
-    """`larkweir.core.ports.Decisions` over several pools. `ended` is told of each request's answer: its choice,
-    whether it failed, and how long it took.
+    """Implements `larkweir.core.ports.Decisions` for several pools.
+
+    `on_request_ended` is called once for each answered request that has a route, with its choice, whether it failed,
+    and its duration in milliseconds.
     """
 
     def __init__(self, pools: dict[str, Pool], main: str) -> None:
         self.pools = pools
-        self.main = main  # the one that asks for lists, where they must be asked for
-        self.entries: dict[int, ServerEntry] = {}  # the whole list, as last told
-        self.pools_by_server: dict[int, list[Pool]] = {}  # by upstream
+        self.main = main  # the pool that requests the list of upstreams, where it must be requested
+        self.entries: dict[int, ServerEntry] = {}  # the complete list, as last received
+        self.pools_by_server: dict[int, list[Pool]] = {}
         self._requests: dict[int, ActiveRequest] = {}
         self._probes: dict[int, deque[Pool]] = {}
-        self._in_flight: dict[int, dict[int, int]] = {}  # by upstream and pool (its `id`): calls that are out
+        # Calls in flight, by upstream and by the `id` of the pool.
+        self._in_flight: dict[int, dict[int, int]] = {}
         self._version = 0
-        self.list_received = False  # a list has come
+        self.list_received = False  # whether a complete list has been received
         self.on_request_ended: Callable[[Choice, bool, float], None] = lambda choice, failed, spent_ms: None
         self.pending_generation: PendingGeneration | None = None
-        self._list_deferred = False  # a list has come that pools hear of with the generation that comes
-        self.draining_pools: list[Pool] = []  # pools that no route names, until their requests are over
+        self._list_deferred = False  # a list was received that the pools get with the pending configuration
+        self.draining_pools: list[Pool] = []  # pools without a route that still have requests
         self.now = 0.0
 
-    # ------------------------------------------------ the dispatcher's side
+    # ------------------------------------------------ events from the dispatcher
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         self.now = now_ms
@@ -163,7 +168,7 @@
         if not isinstance(choice, Choice):
             choice = Choice("", (self.main,))
         pool = self._pool(choice)
-        if pool is None:  # its generation has gone while it came
+        if pool is None:  # a reload has removed all of its pools since the route was chosen
             return [Refuse(event.request)]
         choice.started_ms, choice.cls = self.now, event.class_index
         active = ActiveRequest(pool, choice, event, self.now)
@@ -175,18 +180,18 @@
         return self._translate_actions(pool, self._forward(pool, event), active)
 
     def _reserved(self, choice: Choice) -> int:
-        """Attempts that are kept for the pools still to come: one each, or there would be none left for them."""
+        """The number of attempts reserved for the remaining fallback pools: one each, so that each gets a try."""
         return sum(name in self.pools for name in choice.pools[choice.position + 1 :])
 
     def _share(self, pool: Pool, active: ActiveRequest, reserved: int) -> int:
-        """Attempts that its present pool may make: of those that are left in all, less what is kept for others."""
+        """How many of the remaining attempts the current pool may make, without the `reserved` ones."""
         left = pool.decisions.settings.max_attempts - active.attempts_sent
         if active.arrived.attempts_left is not None:
             left = min(left, active.arrived.attempts_left - active.attempts_sent)
         return max(1, left - reserved) if left > 0 else 0
 
     def _pool(self, choice: Choice) -> Pool | None:
-        """The next of its pools that is there."""
+        """The first remaining pool of the choice that still exists."""
         while choice.position < len(choice.pools):
             pool = self.pools.get(choice.pools[choice.position])
             if pool is not None:
@@ -230,12 +235,12 @@
             active.deadline_ms = self.now + active.arrived.time_left_ms
         actions = self._translate_actions(active.pool, self._forward(active.pool, forwarded), active)
         if isinstance(event, ClientGone):
-            active.choice.route = ""  # how it would have ended nobody knows
+            active.choice.route = ""  # the outcome is unknown, so it is not reported
         self._forget_if_finished(event.request, active)
         return actions
 
     def _forget_if_finished(self, number: int, active: ActiveRequest) -> None:
-        """Forget a request that its decisions have forgotten, and that has nothing out."""
+        """Forget a request that its pool has forgotten and that has no attempt in flight."""
         if (
             not active.in_flight
             and number not in active.pool.decisions.requests
@@ -251,7 +256,7 @@
             self._remove_pool(pool)
 
     def _report_outcome(self, active: ActiveRequest, failed: bool) -> None:
-        """It has its answer; told once."""
+        """Report the outcome of an answered request; later calls for the same request have no effect."""
         choice, active.choice = active.choice, Choice("", active.choice.pools)
         if choice.route:
             self.on_request_ended(choice, failed, self.now - choice.started_ms)
@@ -267,12 +272,12 @@
         self._forget_if_finished(event.cookie, active)
         return actions
 
-    # ------------------------------------------------ a pool's actions
+    # ------------------------------------------------ actions of a pool
 
     def _translate_actions(
         self, pool: Pool, actions: list[Action], active: ActiveRequest | None = None
     ) -> list[Action]:
-        """A pool's actions as the dispatcher is to carry them out."""
+        """Convert the actions of a pool to those that the dispatcher carries out."""
         found: list[Action] = []
         for action in actions:
             if isinstance(action, Send):
@@ -309,7 +314,7 @@
         return found
 
     def _refused(self, action: Refuse) -> list[Action]:
-        """To the next of its pools, where no attempt may have run, or running twice is harmless; else to its caller."""
+        """Pass a refused request on to its next pool, if it is safe or no attempt may have run; else refuse it."""
         active = self._requests[action.request]
         choice = active.choice
         left = active.deadline_ms - self.now
@@ -338,7 +343,7 @@
         self._forget_if_finished(action.request, active)
         return [action]
 
-    # ------------------------------------------------ the list
+    # ------------------------------------------------ the list of upstreams
 
     def _list(self, event: ListUpdate) -> list[Action]:
         if event.kind is ListKind.FAILED:
@@ -355,8 +360,9 @@
                 self.entries[entry.server] = entry
         self._version = event.version
         if self.pending_generation is not None:
-            # Told with the generation that it belongs to. Guards against a request whose class is a place in the new
-            # settings, and that comes while pools have the former ones: what they do about a list may set it free.
+            # The pools get the list together with the configuration that it belongs to. A pool's reaction to a list
+            # may let a waiting request in; its class would be an index into the new settings while the pools still
+            # have the old ones.
             self._list_deferred = True
             return []
         actions: list[Action] = []
@@ -365,9 +371,7 @@
         return actions
 
     def _relist(self, pool: Pool, kind: ListKind) -> list[Action]:
-        """Tell a pool what of the list is its own now: what has changed for it, or all of it where the list is
-        whole.
-        """
+        """Send a pool its entries of the list: all of them if the list is complete, else those that have changed."""
         own_entries = {entry.server: entry for entry in pool.filter(self.entries.values())}
         gone = [number for number in pool.known_entries if number not in own_entries]
         for number in gone:
@@ -386,12 +390,12 @@
         if not entries and kind is ListKind.PROOF:
             return []
         actions = self._forward(pool, ListUpdate(kind, self._version, entries))
-        # A new one, or one that is told of anew, may have calls of others already.
+        # Other pools may already have calls in flight at upstreams that are new to this pool or announced again.
         pool.stale_counts.update(number for number in own_entries if number in self._in_flight)
         return self._translate_actions(pool, actions)
 
     def _count(self, server: int, pool: Pool, change: int) -> None:
-        """A call of this pool's has gone to an upstream, or come back: the other pools that have it are told."""
+        """Update the number of calls of a pool in flight at an upstream, and mark the other pools' counts stale."""
         counts = self._in_flight.setdefault(server, {})
         left = counts.get(id(pool), 0) + change
         if left > 0:
@@ -402,10 +406,10 @@
                 del self._in_flight[server]
         for other in self.pools_by_server.get(server, ()):
             if other is not pool:
-                other.stale_counts.add(server)  # told when it next decides anything
+                other.stale_counts.add(server)  # updated before the next event of that pool
 
     def _forward(self, pool: Pool, event: Event) -> list[Action]:
-        """Hand an event to a pool's decisions, with what others have out at its upstreams."""
+        """Pass an event to a pool's balancer, after updating the counts of other pools' calls."""
         if pool.stale_counts:
             self._update_counts(pool)
         return pool.decisions.handle(self.now, event)
@@ -419,7 +423,7 @@
         pool.stale_counts.clear()
 
     def update_all_counts(self) -> None:
-        """Tell all pools what they would be told next: for whoever looks at them."""
+        """Bring the counts of all pools up to date, so that they can be inspected."""
         for pool in (*self.pools.values(), *self.draining_pools):
             self._update_counts(pool)
 
@@ -439,11 +443,11 @@
         for number in list(self.pools_by_server):
             self._remove_member(number, pool)
 
-    # ------------------------------------------------ generations
+    # ------------------------------------------------ reloads
 
     def _reconfigure(self, pending_generation: PendingGeneration) -> list[Action]:
-        """Other pools from here on: those that stay are the same objects, with their own new settings. Those that leave
-        keep their requests, and get no new ones.
+        """Replace the pools. Pools that remain are the same objects and get their new settings. Removed pools finish
+        their open requests and get no new ones.
         """
         pools, settings, removed = pending_generation
         self._carry_over(self.pools[self.main].decisions.settings, settings[self.main])
@@ -465,24 +469,24 @@
         return actions
 
     def _carry_over(self, before: Settings, after: Settings) -> None:
-        """Open requests go on under the settings that they came with."""
+        """Adjust open requests to new settings: each keeps the class and the tenant with which it arrived."""
         names = [tenant.name for tenant in before.tenants]
         places = {tenant.name: n for n, tenant in enumerate(after.tenants)}
         for active in self._requests.values():
             arrived, choice = active.arrived, active.choice
             if before.classes[arrived.class_index] != after.classes[arrived.class_index]:
-                # Another pool would take it up under what its class says now: guards against running it twice where
-                # the class has become one that may be repeated.
+                # A fallback pool would treat the request by the new settings of its class, and could run it twice if
+                # the class has become repeatable. So the request gets no further pools.
                 choice.pools = choice.pools[: choice.position + 1]
             if 0 <= arrived.tenant < len(names):
-                # Another pool counts it for its tenant's share, by the place that the tenant has now.
+                # A fallback pool counts the request for its tenant, by the tenant's index in the new settings.
                 arrived.tenant = places.get(names[arrived.tenant], len(places))
 
     def class_indices(self) -> set[int]:
-        """The places of the classes of open requests."""
+        """The class indices of all open requests."""
         return {active.arrived.class_index for active in self._requests.values()}
 
-    # ------------------------------------------------ from life to life
+    # ------------------------------------------------ state that survives a restart
 
     def learned(self) -> dict[str, Any]:
         found = self.pools[self.main].decisions.learned()
--- a/larkweir/routes/table.py
+++ b/larkweir/routes/table.py
@@ -1,14 +1,15 @@
-"""Routes, compiled, so that finding one costs by the length of a path and not by the number of routes.
+"""The compiled routes. The time to find a route depends on the length of the path, not on the number of routes.
 
-Which route wins is no matter of the file's order. From the left, the first difference decides:
+The order of routes in the file does not matter. The first of these criteria in which two routes differ decides:
 
-1. the host: the name itself, then `*.` and the longest end of it, then any;
-2. the path, segment by segment: a word, then a `{name}`, then the end of a prefix; a whole path goes before a prefix
-as long; 3. more conditions on headers, then a method, then classes, then tenants;
-4. the name of the route.
+1. The host: an exact name, then `*.` with the longest suffix, then any host.
+2. The path, segment by segment: a literal, then a `{name}`, then the end of a prefix. An exact path precedes a prefix
+   of the same length.
+3. The number of header conditions, more first; then whether there is a condition on methods, on classes, on tenants.
+4. The name of the route.
 
-A route whose path fits and whose conditions do not leaves the way to the next. There are no regular expressions: a walk
-visits a node of the tree once at the most, and a `{name}` takes one segment.
+If the path of a route matches but its conditions do not, the next route is tried. There are no regular expressions: a
+`{name}` matches exactly one segment, and a search visits each node of the tree at most once.
 """
 
 from __future__ import annotations
@@ -22,19 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """What a request must be."""
+    """The conditions of a route."""
 
-    host: bytes = b""  # lower case; "*.x" is any name that ends in ".x"; empty: any
+    host: bytes = b""  # lower case; "*.x" matches any name that ends in ".x"; empty: any
     path: bytes = b""  # "/a/{b}/c"; empty: any
-    prefix: bool = False  # the path, or what lies below it
+    prefix: bool = False  # also matches all paths below `path`
     methods: frozenset[bytes] = frozenset()
-    headers: tuple[tuple[bytes, bytes | None], ...] = ()  # lower-case name, and the value it has; None: any
+    headers: tuple[
+        tuple[bytes, bytes | None], ...
+    ] = ()  # lower-case name and required value; None: any value
     classes: frozenset[int] = frozenset()
     tenants: frozenset[int] = frozenset()
 
 
 class Facts(NamedTuple):
-    """What a request is."""
+    """The properties of a request that routes are matched by."""
 
     host: bytes
     target: Target
@@ -45,7 +48,7 @@
 
 
 class Rank(NamedTuple):
-    """Among those of one place in the tree; less goes before."""
+    """Precedence among the routes of one leaf: the lower rank is tried first."""
 
     headers: int
     method: bool
@@ -55,6 +58,8 @@
 
 
 class Entry(NamedTuple):
+    """A route in a leaf. Entries are sorted by rank."""
+
     rank: Rank
     name: str
     match: Match
@@ -65,7 +70,7 @@
             return False
         for name, value in match.headers:
             found = facts.headers.get(name, ())
-            # One that comes twice has no one value: what two readers could read differently fits no condition.
+            # A repeated header matches no condition, since two readers could take different values for the valid one.
             if len(found) != 1 or (value is not None and found[0] != value):
                 return False
         if match.classes and facts.cls not in match.classes:
@@ -78,9 +83,9 @@
 
 
 class Leaf:
-    """The routes of one place, in their order; many that ask for a value of one header are found by it."""
+    """The routes of one node, by rank. If there are many, they are indexed by the value of one header."""
 
-    INDEX_THRESHOLD = 8
+    INDEX_THRESHOLD = 8  # routes; a leaf with more of them gets an index
 
     __slots__ = ("_by_value", "_entries", "_header", "_other_entries")
 
@@ -128,13 +133,15 @@
 
 
 class Node:
+    """A node of the path tree: one segment."""
+
     __slots__ = ("exact", "literals", "subtree", "wildcard")
 
     def __init__(self) -> None:
         self.literals: dict[bytes, Node] = {}
-        self.wildcard: Node | None = None  # a `{name}`
-        self.exact: Leaf | None = None  # routes of just this path
-        self.subtree: Leaf | None = None  # routes of this path and all below it
+        self.wildcard: Node | None = None  # the child for a `{name}`
+        self.exact: Leaf | None = None  # routes of exactly this path
+        self.subtree: Leaf | None = None  # routes of this path and all paths below it
 
     def leaf(self, segments: Sequence[bytes], prefix: bool) -> Leaf:
         node = self
@@ -160,13 +167,13 @@
                 pending.append(node.wildcard)
 
     def walk(self, segments: Sequence[bytes]) -> Iterator[Leaf]:
-        """The leaves that a path comes to, in their order: depth first, a word before a `{name}`, the deepest prefix
-        first. A node is visited once at the most.
+        """The leaves that match a path, in order of precedence: depth first, a literal before a `{name}`, the longest
+        prefix first. Each node is visited at most once.
         """
         pending: list[tuple[Node, int, bool]] = [(self, 0, False)]
         while pending:
             node, at, children_done = pending.pop()
-            if children_done:  # all below it has been tried
+            if children_done:  # the prefix routes come after everything below the node
                 if node.subtree is not None:
                     yield node.subtree
                 continue
@@ -175,7 +182,7 @@
                 if node.exact is not None:
                     yield node.exact
                 continue
-            if node.wildcard is not None and segments[at]:  # an empty segment is no name
+            if node.wildcard is not None and segments[at]:  # a `{name}` does not match an empty segment
                 pending.append((node.wildcard, at + 1, False))
             literal = node.literals.get(segments[at])
             if literal is not None:
@@ -183,16 +190,16 @@
 
 
 def segments_of(path: bytes) -> list[bytes]:
-    """Of a route's path, in its normal form; a slash at the end of a prefix says nothing."""
+    """The segments of a route's normalized path. A prefix must be given without its final slash."""
     return path[1:].split(b"/") if len(path) > 1 else []
 
 
 @dataclass(slots=True)
 class Table:
-    """All routes, compiled. `find` says which one; `why` also what came before it and did not fit."""
+    """All compiled routes. `find` returns the matching one; `explain` also the routes that were tried before it."""
 
     _hosts: dict[bytes, Node] = field(default_factory=dict)
-    _suffixes: dict[bytes, Node] = field(default_factory=dict)  # of `*.x`, without the star
+    _suffixes: dict[bytes, Node] = field(default_factory=dict)  # by the suffix of `*.x`, with its dot
     _any_host: Node = field(default_factory=Node)
 
     @classmethod
@@ -237,13 +244,13 @@
         return None
 
     def candidates(self, host: bytes, target: Target) -> Iterator[Entry]:
-        """All whose host and path fit, in their order."""
+        """All routes whose host and path match, in order of precedence."""
         for root in self._roots(host):
             for leaf in root.walk(target.segments):
                 yield from leaf.entries
 
     def explain(self, facts: Facts) -> tuple[str | None, list[str]]:
-        """The route, and those before it that did not fit, each with what was missing."""
+        """The name of the matching route, and the routes that were tried before it, each with why it does not match."""
         rejected: list[str] = []
         for entry in self.candidates(facts.host, facts.target):
             if entry.fits(facts):
@@ -256,5 +263,5 @@
             elif match.tenants and facts.tenant not in match.tenants:
                 rejected.append(f"{entry.name}: another tenant")
             else:
-                rejected.append(f"{entry.name}: a header is missing, another, or there twice")
+                rejected.append(f"{entry.name}: a header is missing, has another value, or is repeated")
         return None, rejected
--- a/larkweir/routes/zones.py
+++ b/larkweir/routes/zones.py
@@ -1,10 +1,10 @@
-"""How much of a zone's traffic crosses to others, by what each can carry, so that the sum over many balancers
-comes to rest.
+"""Decides how much of a zone's traffic spills to other zones, by their capacity, so that the traffic of many balancers
+together converges.
 
-All or nothing sloshes: a zone that is full sends everybody elsewhere, which is then full. Here the part that stays at
-home follows how full home is, by a little at a time: it falls while home is full and others have room, and rises
-while home has room. Between the two lies a band in which nothing moves. Every balancer sees about the same fullness,
-so that all move together: the step is bounded by the time in which an effect can be seen.
+An all-or-nothing rule oscillates: all traffic leaves a full zone and then overloads another one. Here the home zone's
+share changes in small steps: it falls while the home zone is full and others have room, and rises while the home zone
+has room. Between the two thresholds nothing changes. All balancers see about the same utilization and therefore move
+together, so each step is small enough for its effect to be seen before the next one.
 """
 
 from __future__ import annotations
@@ -12,26 +12,30 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-FULL_ABOVE, ROOM_BELOW = (
-    0.9,
-    0.75,
-)  # of what a zone can carry: above the one it is full, below the other there is room
-MAX_STEP = 0.05  # of the traffic, that moves at a time at the most
-TILT = 0.25  # of a zone's part of the rest, for a fullness that differs by all it can carry
-MIN_SHARE = 0.01  # of the traffic, that is worth moving
+FULL_ABOVE, ROOM_BELOW = 0.9, 0.75  # utilization above which a zone is full, and below which it has room
+MAX_STEP = 0.05  # largest change of the home share per update, as a fraction of the traffic
+TILT = 0.25  # relative change of a remote zone's weight per update if its utilization is 1.0 off the mean
+MIN_SHARE = (
+    0.01  # lower bound of shares, weights and utilization in a step, so that a share of 0 can grow again
+)
 
 
 @dataclass(slots=True)
 class Spill:
-    """The part of one pool's requests that goes to each zone, as one balancer of `home` has it."""
+    """The share of one pool's requests that a balancer in the zone `home` sends to each zone."""
 
     home: str
     home_share: float = 1.0
-    remote_shares: dict[str, float] = field(default_factory=dict)  # of the rest, by zone
+    # By remote zone: its share of the traffic that leaves the home zone.
+    remote_shares: dict[str, float] = field(default_factory=dict)
 
     def update(self, loads: Mapping[str, float], capacities: Mapping[str, float]) -> dict[str, float]:
-        """The parts by zone, from what each carries now and what it can carry: any unit, the same for both. A zone
-        that can carry nothing gets nothing; called as often as an effect takes to be seen.
+        """Update and return the share of each zone. To be called at intervals in which the effect of the previous
+        update becomes visible. A zone without capacity gets no traffic.
+
+        Args:
+            loads: the current load by zone.
+            capacities: the capacity by zone, in the same unit as the load.
         """
         usable = {zone: max(0.0, value) for zone, value in capacities.items()}
         if usable.get(self.home, 0.0) <= 0.0:
@@ -42,7 +46,7 @@
             load = sum(loads.get(zone, 0.0) for zone in usable if zone != self.home)
             room = others > 0.0 and load / others < FULL_ABOVE
             if fullness > FULL_ABOVE and room:
-                # By as much as is too much, and no further than a step.
+                # By half of the excess, at most by one step.
                 over = 1.0 - FULL_ABOVE / fullness
                 self.home_share = max(
                     0.0, self.home_share - min(MAX_STEP, 0.5 * over * max(self.home_share, MIN_SHARE))
@@ -55,14 +59,14 @@
         return self.parts(loads, usable)
 
     def parts(self, loads: Mapping[str, float], usable: Mapping[str, float]) -> dict[str, float]:
-        """What does not stay is dealt out: at first by the room that each other zone has left, then moved towards the
-        less full ones, a little at a time. By the room alone all balancers follow what they did themselves a moment
-        ago, and two zones take turns to be full.
+        """Divide the traffic that leaves the home zone: initially by the free capacity of each remote zone, then in
+        small steps towards the less utilized ones. By free capacity alone, all balancers would react to their own last
+        move, and two zones would be full in turns.
         """
         found = {zone: 0.0 for zone in usable}
         others = {zone: value for zone, value in usable.items() if zone != self.home and value > 0.0}
         weights = {zone: weight for zone, weight in self.remote_shares.items() if zone in others}
-        if len(weights) < len(others):  # one is new: by room, where there is any, else by size
+        if len(weights) < len(others):  # a zone is new: by free capacity, or by capacity if none is free
             room = {
                 zone: max(0.0, value * FULL_ABOVE - loads.get(zone, 0.0)) for zone, value in others.items()
             }
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -105,8 +105,8 @@
     name, rejected = table.explain(facts("/api/word"))
     assert name == "word"
     assert rejected == [
-        "valued: a header is missing, another, or there twice",
-        "headed: a header is missing, another, or there twice",
+        "valued: a header is missing, has another value, or is repeated",
+        "headed: a header is missing, has another value, or is repeated",
         "post: another method",
         "classed: another class",
         "tenanted: another tenant",
