--- a/tests/routes/test_check.py
+++ b/tests/routes/test_check.py
@@ -53,14 +53,14 @@
         (Route(pool="a", fallback=("b", "a")), "fallback"),
     ],
 )
-def test_one_route_alone(route: Route, key: str) -> None:
+def test_an_invalid_route_reports_the_faulty_key(route: Route, key: str) -> None:
     assert list(route.faults()) == [key]
 
 
 @pytest.mark.parametrize(
     "path", ["", "/", "/a", "/a/", "/a/{b}/c", "/a/*", "/*", "/a/%C3%BC", "/@s/n", "/a/{b}/*"]
 )
-def test_paths_that_are_some(path: str) -> None:
+def test_valid_paths_have_no_faults(path: str) -> None:
     assert not Route(path=path).faults()
 
 
@@ -128,7 +128,7 @@
         (Operator(routes={"r": Route()}, storms=Storms(on=True)), "LW519", "storms.on"),
     ],
 )
-def test_faults(options: Operator, code: str, key: str) -> None:
+def test_objections_have_a_code_a_key_and_a_remedy(options: Operator, code: str, key: str) -> None:
     found = [item for item in routing_objections(options, platform()) if item.grave]
     assert [(item.code, item.key) for item in found][:1] == [(code, key)]
     assert found[0].text and found[0].mend
@@ -141,12 +141,12 @@
         Operator(pools={"a": A, "b": A}, routes={"r": Route(pool="b")}),
     ],
 )
-def test_what_is_surely_not_meant_is_a_warning(options: Operator) -> None:
+def test_probable_mistakes_are_warnings(options: Operator) -> None:
     found = list(routing_objections(options, platform()))
     assert found and not any(item.grave for item in found)
 
 
-def test_what_differs_in_conditions_is_reachable() -> None:
+def test_routes_with_different_conditions_are_reachable() -> None:
     options = Operator(
         routes={
             "a": Route(path="/x", classes=("look",)),
@@ -170,7 +170,7 @@
     assert found.tuning.cold_pace * settings.fall_multiple <= 1.0 + 1e-9
 
 
-def test_what_a_pool_does_not_say_is_as_its_parents_say() -> None:
+def test_a_pool_inherits_settings_from_its_parents() -> None:
     pools = {
         "a": Pool(zones=("north",), attempts=2),
         "b": Pool(parent="a", attempts=3),
@@ -202,7 +202,7 @@
 """
 
 
-def test_toml_says_it_and_both_ways_mean_the_same() -> None:
+def test_routes_and_pools_are_read_from_toml() -> None:
     options, faults = decode(FILE)
     assert not faults
     assert options.routes["api"].split == ("green 5%",) and options.pools["green"].subset == 10
@@ -216,7 +216,7 @@
     )
 
 
-def test_staff_ask_what_becomes_of_a_request(tmp_path: Path) -> None:
+def test_the_command_explains_where_a_request_goes(tmp_path: Path) -> None:
     path = tmp_path / "op.toml"
     path.write_text(FILE)
     found = larkweir("routes", str(path), "--try", "GET /x/../api")
@@ -236,7 +236,7 @@
     assert "publish: any host, /p/{name}, PUT, X-Beta: 1 -> green, then blue" in listed
 
 
-def test_a_diff_says_which_requests_go_elsewhere(tmp_path: Path) -> None:
+def test_a_diff_lists_the_requests_that_go_elsewhere(tmp_path: Path) -> None:
     old, new = tmp_path / "old.toml", tmp_path / "new.toml"
     old.write_text(FILE)
     new.write_text(FILE.replace("green 5%", "green 10%").replace('path = "/p/{name}"', 'path = "/q/{name}"'))
@@ -246,7 +246,7 @@
     assert "PUT /q/some x-beta=1: 404: no route -> green, then blue" in found.stdout
 
 
-def test_the_first_route_moves_all_that_it_does_not_name() -> None:
+def test_adding_the_first_route_moves_all_other_requests() -> None:
     found = moved(Operator(), Operator(routes={"x": Route(path="/x")}))
     assert [(str(item.sample), item.before, item.after) for item in found] == [
         ("GET /api", "default", "404: no route"),
@@ -256,12 +256,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "GET", "get /x", "GET x", "GET /x host", "GET /x =a"])
-def test_what_is_no_request(text: str) -> None:
+def test_malformed_sample_requests_are_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         parse(text)
 
 
-def test_a_request_reads_back_as_it_is_written() -> None:
+def test_a_sample_request_is_parsed_back_from_its_text() -> None:
     sample = SampleRequest("POST", "/x", "a.b", "look", "acme", (("x-a", "1"),))
     assert parse(str(sample)) == sample
     assert RouteExplainer(Operator(routes={"r": Route(host="a.b")})).explain(sample).route == "r"
--- a/tests/routes/test_leaving.py
+++ b/tests/routes/test_leaving.py
@@ -17,7 +17,7 @@
 from tests.fleet.services import platform
 
 
-class Copy:
+class BalancerView:
     """One balancer's view: it hears of rows in an order of its own, which gives its numbers."""
 
     def __init__(self, rows: list[dict[str, object]]) -> None:
@@ -30,7 +30,7 @@
         names = self.names.reverse
         self.members = Members(Pool(evacuated=(config.zones[0],)), config, {}, lambda number: names[number])
 
-    def away(self, part: float) -> set[str]:
+    def draining(self, part: float) -> set[str]:
         assert self.names.reverse is not None
         self.members.set_evacuated_share(0, part)
         found = self.members(self.entries)
@@ -46,25 +46,25 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 7, 40])
-def test_copies_that_heard_the_list_in_different_orders_empty_the_same_upstreams(count: int) -> None:
+def test_balancers_that_received_the_list_in_different_orders_evacuate_the_same_upstreams(count: int) -> None:
     rng = Random(count)
-    copies = []
+    views = []
     for _ in range(5):
         heard = rows(count)
         rng.shuffle(heard)
-        copies.append(Copy(heard))
+        views.append(BalancerView(heard))
     before: set[str] = set()
     for step in range(21):
-        (away, *others) = [copy.away(step / 20) for copy in copies]
-        assert all(other == away for other in others)
-        assert len(away) == count * step // 20  # as much as the step says, rounded down
-        assert before <= away
-        before = away
+        (draining, *others) = [view.draining(step / 20) for view in views]
+        assert all(other == draining for other in others)
+        assert len(draining) == count * step // 20  # as much as the step says, rounded down
+        assert before <= draining
+        before = draining
     assert len(before) == count
 
 
 @given(st.sets(st.integers(0, 10_000), max_size=60), st.floats(0.0, 1.0))
-def test_one_more_upstream_moves_one_at_the_most(servers: set[int], part: float) -> None:
+def test_one_more_upstream_changes_at_most_one_evacuated_upstream(servers: set[int], part: float) -> None:
     before = set(evacuated_servers(sorted(servers), part, str))
     more = set(evacuated_servers(sorted(servers | {10_001}), part, str))
     assert len(before - more) <= 1 and len(more - before) <= 1 + (len(more) > len(before))
--- a/tests/routes/test_loopback.py
+++ b/tests/routes/test_loopback.py
@@ -22,7 +22,7 @@
 from tests.upstreams.test_attempts import run
 
 
-async def saying(name: str, code: int = 200) -> FakeUpstream:
+async def upstream_answering(name: str, code: int = 200) -> FakeUpstream:
     async def behave(request: Incoming, talk: Talk) -> None:
         await talk.send(ok(name.encode()) if code == 200 else status(code))
 
@@ -50,9 +50,13 @@
 NORTH = Pool(zones=("north",))
 
 
-def test_each_route_goes_to_its_pool_and_what_no_route_takes_is_told(tmp_path: Any) -> None:
+def test_each_route_goes_to_its_pool_and_other_requests_are_refused(tmp_path: Any) -> None:
     async def work() -> None:
-        north, south, fixed = await saying("north"), await saying("south"), await saying("fixed")
+        north, south, fixed = (
+            await upstream_answering("north"),
+            await upstream_answering("south"),
+            await upstream_answering("fixed"),
+        )
         routes = {
             "api": Route(path="/api", pool="n"),
             "publish": Route(path="/publish/{name}", methods=("PUT", "POST"), pool="s"),
@@ -79,9 +83,9 @@
     run(work())
 
 
-def test_a_method_that_no_route_of_the_path_takes_is_told_with_those_that_are() -> None:
+def test_a_405_answer_lists_the_methods_that_the_path_allows() -> None:
     async def work() -> None:
-        up = await saying("up")
+        up = await upstream_answering("up")
         routes = {"put": Route(path="/x", methods=("PUT",)), "get": Route(path="/x", methods=("GET",))}
         async with running(up.entry("u0"), routes=routes) as it:
             reader, writer = await asyncio.open_connection("127.0.0.1", it.port)
@@ -94,9 +98,9 @@
     run(work())
 
 
-def test_a_header_that_comes_twice_fits_no_route() -> None:
+def test_a_repeated_header_matches_no_condition() -> None:
     async def work() -> None:
-        up, beta = await saying("up"), await saying("beta")
+        up, beta = await upstream_answering("up"), await upstream_answering("beta")
         routes = {"all": Route(path="/api"), "beta": Route(path="/api", headers=("X-Beta: 1",), pool="b")}
         pools = {"b": Pool(fixed=(f"127.0.0.1:{beta.port}",))}
         async with running(up.entry("u0"), routes=routes, pools=pools) as it:
@@ -115,17 +119,17 @@
     run(work())
 
 
-def test_a_reload_that_removes_the_pool_a_traspaso_is_in() -> None:
+def test_a_reload_that_removes_the_pool_of_an_open_request() -> None:
     """It is answered from there, by the rules of its pool; nothing new goes there."""
 
     async def work() -> None:
-        let = asyncio.Event()
+        release = asyncio.Event()
 
         async def slow(request: Incoming, talk: Talk) -> None:
-            await let.wait()
+            await release.wait()
             await talk.send(ok(b"old"))
 
-        old, new = await FakeUpstream(slow).start(), await saying("new")
+        old, new = await FakeUpstream(slow).start(), await upstream_answering("new")
         pools = {"o": Pool(fixed=(f"127.0.0.1:{old.port}",)), "n": Pool(fixed=(f"127.0.0.1:{new.port}",))}
         async with running(routes={"r": Route(path="/api", pool="o")}, pools=pools) as it:
             first = asyncio.ensure_future(ask(it, cls="move"))
@@ -134,7 +138,7 @@
             assert await ask(it, cls="move") == (200, b"new")
             assert it.node is not None and it.node.routes is not None
             assert [pool.name for pool in it.node.routes.switch.draining_pools] == ["o"]
-            let.set()
+            release.set()
             assert await first == (200, b"old")
             await until(lambda: not it.node.routes.switch.draining_pools, "the pool is gone")  # type: ignore[union-attr]
             assert len(old.seen) == 1
@@ -143,12 +147,16 @@
     run(work())
 
 
-def test_a_fallback_gets_what_never_ran_and_nothing_that_may_have() -> None:
+def test_a_fallback_gets_only_requests_that_never_ran() -> None:
     async def work() -> None:
         async def cut(request: Incoming, talk: Talk) -> None:
             talk.writer.transport.abort()
 
-        broken, gone, spare = await FakeUpstream(cut).start(), await saying("gone"), await saying("spare")
+        broken, gone, spare = (
+            await FakeUpstream(cut).start(),
+            await upstream_answering("gone"),
+            await upstream_answering("spare"),
+        )
         gone.close()
         pools = {
             "gone": Pool(fixed=(f"127.0.0.1:{gone.port}",)),
@@ -177,7 +185,7 @@
 
 def test_a_pool_without_upstreams_at_the_start_refuses_and_serves_once_it_has_one() -> None:
     async def work() -> None:
-        up, south = await saying("up"), await saying("south")
+        up, south = await upstream_answering("up"), await upstream_answering("south")
         routes = {"api": Route(path="/api"), "s": Route(path="/s", pool="s")}
         categories = [
             {"Name": "look", "Effect": "read_like", "AimMs": 200, "HardLimitMs": 400, "Group": "all"}
@@ -194,17 +202,19 @@
     run(work())
 
 
-def test_an_evacuated_zone_gets_nothing_new_and_repeats_of_what_it_may_have_run_go_nowhere_else() -> None:
+def test_an_evacuated_zone_gets_no_new_requests_and_those_that_it_may_have_run_are_not_repeated_elsewhere() -> (
+    None
+):
     async def work() -> None:
         began = asyncio.Event()
-        let = asyncio.Event()
+        release = asyncio.Event()
 
         async def cut(request: Incoming, talk: Talk) -> None:
             began.set()
-            await let.wait()
+            await release.wait()
             talk.writer.transport.abort()
 
-        north, south = await FakeUpstream(cut).start(), await saying("south")
+        north, south = await FakeUpstream(cut).start(), await upstream_answering("south")
         rows = [north.entry("u0"), south.entry("u1", zone="south")]
         route = {"api": Route(path="/api", pool="p"), "n": Route(path="/n", pool="n")}
         pools = {"p": Pool(), "n": NORTH}
@@ -214,7 +224,7 @@
             reload(it, route, {"p": Pool(evacuated=("north",)), "n": Pool(parent="p")})
             found = [await ask(it) for _ in range(10)]
             assert found == [(200, b"south")] * 10
-            let.set()  # its zone may have run it, and is evacuated
+            release.set()  # its zone may have run it, and is evacuated
             assert (await keyed)[0] in (502, 503, 504)
             assert not any(request.headers["x-qos"] == "post" for request in south.seen)
             reload(it, route, pools)
@@ -226,10 +236,10 @@
     run(work())
 
 
-def test_a_zone_empties_step_by_step_where_the_fleet_steps_it_and_who_starts_finds_it_empty() -> None:
+def test_a_zone_is_evacuated_in_fleet_steps_and_at_once_for_a_process_that_starts() -> None:
     async def work() -> None:
-        ups = [await saying("north") for _ in range(6)]
-        south = await saying("south")
+        ups = [await upstream_answering("north") for _ in range(6)]
+        south = await upstream_answering("south")
         rows = [up.entry(f"u{n}") for n, up in enumerate(ups)] + [south.entry("s", zone="south")]
         route = {"api": Route(path="/api", pool="p")}
         evacuated = {"p": Pool(evacuated=("north",))}
@@ -267,7 +277,7 @@
 
 def test_two_pools_that_share_an_upstream_share_its_connections() -> None:
     async def work() -> None:
-        up = await saying("up")
+        up = await upstream_answering("up")
         routes = {"a": Route(path="/a", pool="a"), "b": Route(path="/b", pool="b")}
         async with running(up.entry("u0"), routes=routes, pools={"a": Pool(), "b": Pool()}) as it:
             for n in range(10):
@@ -278,12 +288,12 @@
     run(work())
 
 
-def test_copies_go_to_the_mirror_for_safe_requests_alone_and_change_no_answer() -> None:
+def test_only_safe_requests_are_mirrored_and_answers_do_not_change() -> None:
     async def work() -> None:
         async def never(request: Incoming, talk: Talk) -> None:
             await asyncio.sleep(60.0)
 
-        up, mirror = await saying("up"), await FakeUpstream(never).start()
+        up, mirror = await upstream_answering("up"), await FakeUpstream(never).start()
         pools = {"m": Pool(fixed=(f"127.0.0.1:{mirror.port}",))}
         routes = {"api": Route(path="/api", mirror="m")}
         async with running(up.entry("u0"), routes=routes, pools=pools) as it:
@@ -303,9 +313,9 @@
 
 
 @pytest.mark.parametrize(("part", "canaries"), [("0%", 0), ("100%", 40)])
-def test_a_split_at_its_ends(part: str, canaries: int) -> None:
+def test_a_split_of_0_and_100_percent(part: str, canaries: int) -> None:
     async def work() -> None:
-        up, canary = await saying("up"), await saying("canary")
+        up, canary = await upstream_answering("up"), await upstream_answering("canary")
         pools = {"c": Pool(fixed=(f"127.0.0.1:{canary.port}",))}
         routes = {"api": Route(path="/api", split=(f"c {part}",), sticky="request")}
         async with running(up.entry("u0"), routes=routes, pools=pools) as it:
@@ -316,11 +326,11 @@
     run(work())
 
 
-def test_a_canary_that_fails_is_rolled_back_in_the_middle_of_its_ramp_and_told_once(
+def test_a_failing_canary_is_rolled_back_during_its_ramp_and_logged_once(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     async def work() -> None:
-        up, bad = await saying("up"), await saying("bad", 500)
+        up, bad = await upstream_answering("up"), await upstream_answering("bad", 500)
         pools = {"c": Pool(fixed=(f"127.0.0.1:{bad.port}",), attempts=1)}
         routes = {
             "api": Route(path="/api", split=("c 60%",), sticky="request", ramp_ms=600_000.0, alarm=0.05)
@@ -349,7 +359,7 @@
     assert said.count("route api: c gets nothing any more: it fails more") == 1
 
 
-class Steered:
+class SteppedTime:
     """The time of a node, which passes only as a test says, and with each attempt that ends without an answer."""
 
     REFUSAL_MS = 0.3  # short beside an answer, as on loopback
@@ -362,7 +372,7 @@
     def pass_ms(self, ms: float) -> None:
         self._now_ms += ms
 
-    def steer(self, node: Node) -> None:
+    def install(self, node: Node) -> None:
         """From now on."""
         assert node.routes is not None
         self._now_ms = node.clock.now_ms()
@@ -384,7 +394,7 @@
     `alarm` allows chance to end a canary that is no worse, so the times that the trial compares are the test's own: by
     a seeded draw for each answer, and short for each attempt that the dead one refuses.
     """
-    now = Steered(monkeypatch)
+    now = SteppedTime(monkeypatch)
     draws = Random(1)
 
     async def work() -> None:
@@ -397,7 +407,7 @@
         routes = {"api": Route(path="/api", split=("c 50%",), sticky="request", alarm=0.05)}
         async with running(up.entry("u0"), routes=routes, pools=pools) as it:
             assert it.node is not None and it.node.routes is not None
-            now.steer(it.node)
+            now.install(it.node)
             bad = 0
             async with Caller(it.port) as caller:
                 for n in range(300):
@@ -415,7 +425,7 @@
     run(work())
 
 
-def test_nothing_of_it_is_there_without_routes() -> None:
+def test_no_module_of_the_routes_is_imported_without_routes() -> None:
     import subprocess
     import sys
 
@@ -429,7 +439,7 @@
 
 def test_a_subset_connects_to_no_more_than_its_size() -> None:
     async def work() -> None:
-        ups = [await saying(f"u{n}") for n in range(8)]
+        ups = [await upstream_answering(f"u{n}") for n in range(8)]
         rows = [up.entry(f"u{n}") for n, up in enumerate(ups)]
         routes = {"api": Route(path="/api", pool="p")}
         async with running(*rows, routes=routes, pools={"p": Pool(subset=3)}) as it:
@@ -441,7 +451,7 @@
     run(work())
 
 
-def test_outcomes_of_the_platform_are_as_they_were() -> None:
+def test_one_route_for_everything_changes_no_decision() -> None:
     """With one route over all, a pool decides as the decisions alone do: the same sends, event for event."""
     from larkweir_balancing import Balancer
     from larkweir_balancing.interface import (
--- a/tests/routes/test_paths.py
+++ b/tests/routes/test_paths.py
@@ -64,7 +64,7 @@
         b"/a" * 65,
     ],
 )
-def test_what_two_readers_could_take_for_different_things_is_refused(target: bytes) -> None:
+def test_ambiguous_targets_are_refused(target: bytes) -> None:
     with pytest.raises(FramingError) as caught:
         normalize(target)
     assert caught.value.status == 400
@@ -77,7 +77,7 @@
 
 
 @given(paths | st.binary(max_size=30).map(lambda data: b"/" + data))
-def test_the_normal_form_is_its_own_and_holds_nothing_to_climb_by(target: bytes) -> None:
+def test_normalizing_is_idempotent_and_leaves_no_dot_segments(target: bytes) -> None:
     try:
         found = normalize(target)
     except FramingError as problem:
@@ -108,6 +108,6 @@
 @pytest.mark.parametrize(
     "value", [b"a b", b"a/b", b"a:b", b"a@b", b"a:1:2", b"[::1", b"a:999999", b"a,b", b"..", b".a"]
 )
-def test_no_host(value: bytes) -> None:
+def test_invalid_hosts_are_refused(value: bytes) -> None:
     with pytest.raises(FramingError):
         normalize_host(value)
--- a/tests/routes/test_reload_crossings.py
+++ b/tests/routes/test_reload_crossings.py
@@ -27,18 +27,18 @@
 NEVER_RAN = "X-Never-Ran: 1\r\n"
 
 
-class Full:
+class RejectingUpstream:
     """An upstream's behaviour: it turns every request away unseen; the first one once it is told to."""
 
     def __init__(self) -> None:
-        self.go = asyncio.Event()
+        self.released = asyncio.Event()
 
     async def __call__(self, request: Incoming, talk: Talk) -> None:
-        await self.go.wait()
+        await self.released.wait()
         await talk.send(status(503, NEVER_RAN))
 
 
-async def fails(request: Incoming, talk: Talk) -> None:
+async def answer_500(request: Incoming, talk: Talk) -> None:
     await talk.send(status(500))
 
 
@@ -60,7 +60,7 @@
     return tuple(replace(item, **changes) if item.name == name else item for item in classes)
 
 
-FALLS_BACK = {"r": Route(path="/api", pool="first", fallback=("spare",))}
+FALLBACK_ROUTES = {"r": Route(path="/api", pool="first", fallback=("spare",))}
 
 
 def test_an_unsafe_request_runs_once_though_its_class_is_safe_when_it_falls_back() -> None:
@@ -69,17 +69,17 @@
     """
 
     async def work() -> None:
-        full = Full()
-        first = await FakeUpstream(full).start()
-        spares = [await FakeUpstream(fails).start() for _ in range(2)]
+        rejecting = RejectingUpstream()
+        first = await FakeUpstream(rejecting).start()
+        spares = [await FakeUpstream(answer_500).start() for _ in range(2)]
         pools = {"first": fixed(first, attempts=1), "spare": fixed(*spares)}
-        async with running(routes=FALLS_BACK, pools=pools) as it, Caller(it.port) as caller:
+        async with running(routes=FALLBACK_ROUTES, pools=pools) as it, Caller(it.port) as caller:
             caller.ask("move", b"x")
             await first.arrived.get()
             settings = settings_of(it)
             classes = with_class(settings.classes, "move", effect=Effect.SAFE)
-            reconfigure(it, FALLS_BACK, pools, replace(settings, classes=classes))
-            full.go.set()
+            reconfigure(it, FALLBACK_ROUTES, pools, replace(settings, classes=classes))
+            rejecting.released.set()
             assert (await caller.answer()).status == 503
             assert sum(len(spare.seen) for spare in spares) == 0
             caller.ask("move", b"x")  # the class as it is now
@@ -91,20 +91,20 @@
     run(work())
 
 
-def test_a_request_whose_class_stays_falls_back_over_a_reload() -> None:
+def test_a_request_whose_class_is_unchanged_falls_back_after_a_reload() -> None:
     """The reload changes another class, and moves its own to another place in the file."""
 
     async def work() -> None:
-        full = Full()
-        first, spare = await FakeUpstream(full).start(), await FakeUpstream().start()
+        rejecting = RejectingUpstream()
+        first, spare = await FakeUpstream(rejecting).start(), await FakeUpstream().start()
         pools = {"first": fixed(first), "spare": fixed(spare)}
-        async with running(routes=FALLS_BACK, pools=pools) as it, Caller(it.port) as caller:
+        async with running(routes=FALLBACK_ROUTES, pools=pools) as it, Caller(it.port) as caller:
             caller.ask("move", b"x")
             await first.arrived.get()
             settings = settings_of(it)
             classes = with_class(settings.classes, "look", worth=3.0)[::-1]
-            reconfigure(it, FALLS_BACK, pools, replace(settings, classes=classes))
-            full.go.set()
+            reconfigure(it, FALLBACK_ROUTES, pools, replace(settings, classes=classes))
+            rejecting.released.set()
             assert (await caller.answer()).status == 200
             assert len(spare.seen) == 1
         first.close()
@@ -113,22 +113,22 @@
     run(work())
 
 
-def test_a_request_that_falls_back_keeps_its_most_attempts() -> None:
+def test_a_request_that_falls_back_keeps_its_maximum_number_of_attempts() -> None:
     """One it was to have, and it has had that: four, as there are now, are for what comes after."""
 
     async def work() -> None:
-        full = Full()
-        first, spare = await FakeUpstream(full).start(), await FakeUpstream().start()
+        rejecting = RejectingUpstream()
+        first, spare = await FakeUpstream(rejecting).start(), await FakeUpstream().start()
         pools = {"first": fixed(first), "spare": fixed(spare)}
         limits = {"SendCap": 1}
         async with (
-            running(routes=FALLS_BACK, pools=pools, limits=limits) as it,
+            running(routes=FALLBACK_ROUTES, pools=pools, limits=limits) as it,
             Caller(it.port) as caller,
         ):
             caller.ask("look")
             await first.arrived.get()
-            reconfigure(it, FALLS_BACK, pools, replace(settings_of(it), max_attempts=4))
-            full.go.set()
+            reconfigure(it, FALLBACK_ROUTES, pools, replace(settings_of(it), max_attempts=4))
+            rejecting.released.set()
             assert (await caller.answer()).status in (502, 503)
             assert len(first.seen) == 1 and not spare.seen
             caller.ask("look")
@@ -144,13 +144,13 @@
     """Tenants change their places in the file, and one goes: whoever has its place has nothing to do with it."""
 
     async def work() -> None:
-        full = Full()
-        first, spare = await FakeUpstream(full).start(), await FakeUpstream().start()
+        rejecting = RejectingUpstream()
+        first, spare = await FakeUpstream(rejecting).start(), await FakeUpstream().start()
         pools = {"first": fixed(first), "spare": fixed(spare)}
         rows = [{"Name": name, "QuotaPerS": 100, "Fraction": 0.3} for name in ("acme", "beta", "gone")]
         counted: list[str] = []
         async with (
-            running(routes=FALLS_BACK, pools=pools, base=_base(Tenants=rows)) as it,
+            running(routes=FALLBACK_ROUTES, pools=pools, base=_base(Tenants=rows)) as it,
             Caller(it.port) as beta,
             Caller(it.port) as gone,
         ):
@@ -160,7 +160,7 @@
                 await first.arrived.get()
             settings = settings_of(it)
             tenants = (Tenant(100.0, name="beta"), Tenant(100.0, name="acme"))
-            reconfigure(it, FALLS_BACK, pools, replace(settings, tenants=tenants))
+            reconfigure(it, FALLBACK_ROUTES, pools, replace(settings, tenants=tenants))
             callers = it.node.routes.switch.pools["spare"].decisions.client_stats
             real = callers.is_over_share
 
@@ -169,7 +169,7 @@
                 return real(event)
 
             callers.is_over_share = counting  # type: ignore[method-assign]
-            full.go.set()
+            rejecting.released.set()
             for caller in (beta, gone):
                 assert (await caller.answer()).status == 200
             assert sorted(counted) == ["", "beta"]
@@ -183,7 +183,7 @@
     return SETTINGS | changes
 
 
-def test_a_copy_of_a_request_that_was_safe_does_not_go_out_after_a_reload() -> None:
+def test_a_mirrored_request_is_not_sent_after_a_reload() -> None:
     """The reload comes between the request and its copy, and makes the class unsafe."""
 
     async def work() -> None:
@@ -218,7 +218,7 @@
     run(work())
 
 
-def test_a_request_that_a_list_of_the_reload_sets_free_meets_the_pools_of_the_reload() -> None:
+def test_a_request_admitted_by_the_list_of_a_reload_uses_the_pools_of_the_reload() -> None:
     """It was sent ahead of the first one, which pools answer as they hear of the list of the reload. Its route leads to
     a pool that is new with the reload.
     """
--- a/tests/routes/test_subsets.py
+++ b/tests/routes/test_subsets.py
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize(
     ("upstreams", "copies", "size"), [(40, 20, 8), (200, 30, 20), (100, 200, 10), (7, 3, 10)]
 )
-def test_the_ring_loads_all_alike(upstreams: int, copies: int, size: int) -> None:
+def test_the_ring_loads_upstreams_evenly(upstreams: int, copies: int, size: int) -> None:
     names = [f"s{n}" for n in range(upstreams)]
     found = load(names, copies, size, "ring")
     mean = sum(found.values()) / upstreams
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("strategy", STRATEGIES)
-def test_it_does_not_go_by_the_order_of_the_list(strategy: str) -> None:
+def test_subsets_do_not_depend_on_the_order_of_the_list(strategy: str) -> None:
     names = [f"s{n}" for n in range(50)]
     for me in range(5):
         assert set(STRATEGIES[strategy](names, me, 5, 10)) == set(
@@ -37,7 +37,7 @@
         )
 
 
-def test_one_upstream_that_goes_moves_little() -> None:
+def test_removing_one_upstream_changes_little() -> None:
     """While half of the balancers restart nothing moves at all: places go by the settings, not by who is there."""
     names = [f"s{n}" for n in range(200)]
     moved = kept = 0
@@ -50,7 +50,7 @@
     assert restarted == [set(ring(names, me, 30, 20)) for me in range(15)]
 
 
-def test_all_are_somebodys_from_the_least_size_on() -> None:
+def test_with_the_minimum_size_each_upstream_is_in_some_subset() -> None:
     for upstreams, copies in ((40, 20), (2000, 30), (2000, 2000)):
         names = [f"s{n}" for n in range(upstreams)]
         assert set(load(names, copies, min_subset_size(upstreams, copies), "ring")) == set(names)
--- a/tests/routes/test_switch.py
+++ b/tests/routes/test_switch.py
@@ -57,7 +57,7 @@
     return Switch({name: pool_of(name) for name in names}, "default")
 
 
-def test_a_request_that_no_pool_can_serve_goes_to_its_fallback_once() -> None:
+def test_a_request_that_its_pool_cannot_serve_goes_to_its_fallback_once() -> None:
     it = switch_of("default", "none", "blue")
     it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(1, 6)]))
     event = RequestArrived(1, 2, 1_000.0, choice=Choice("r", ("none", "blue")))
@@ -72,7 +72,7 @@
     assert [type(action) for action in out if isinstance(action, Send | Fail | Refuse)] == [Fail]
 
 
-def test_attempts_of_all_pools_together_are_no_more_than_one_would_make() -> None:
+def test_all_pools_together_make_no_more_attempts_than_one_may() -> None:
     it = switch_of("default", "blue", "green")
     it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(1, 6)]))
     out = it.handle(1.0, RequestArrived(1, 0, 1_000.0, choice=Choice("r", ("default", "blue", "green"))))
@@ -94,7 +94,7 @@
     assert not it._requests
 
 
-def test_two_pools_count_an_upstreams_calls_once() -> None:
+def test_two_pools_count_the_calls_to_a_shared_upstream_once() -> None:
     it = switch_of("default", "blue")
     it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(3)]))  # the only one, of both
     for number, pool in ((1, "default"), (2, "blue"), (3, "default")):
@@ -112,7 +112,7 @@
     assert all(it.pools[name].decisions.table.servers[3].in_flight == 0 for name in ("default", "blue"))
 
 
-def test_two_pools_together_give_a_cold_upstream_no_more_than_one_would() -> None:
+def test_two_pools_together_send_an_upstream_in_slow_start_no_more_than_one_would() -> None:
     def sends(names: tuple[str, ...]) -> int:
         rng, cold, now = Random(5), 0, 10_000.0
         MEMBERS["default"], MEMBERS["blue"] = set(range(1, 11)), set(range(1, 11))
@@ -178,16 +178,16 @@
         if isinstance(action, Send):
             number = action.request
             assert number in self.open and not self.answers[number]
-            held = self.it._requests[number].pool
+            pool = self.it._requests[number].pool
             assert self.states[action.server] is ServerState.READY
-            assert action.server in MEMBERS[held.name] and held.name in self.took[number]
+            assert action.server in MEMBERS[pool.name] and pool.name in self.took[number]
             effect = CLASSES[self.open[number].class_index].effect
             if self.ran.get(number) and effect is not Effect.SAFE:
                 # Only the decisions' own repeat of a keyed one, in the pool where it may have run.
-                assert effect is Effect.KEYED and set(self.ran[number]) == {held.name}
+                assert effect is Effect.KEYED and set(self.ran[number]) == {pool.name}
             if effect is Effect.UNSAFE:
                 assert not [row for row in self.out if row[0] == number]
-            self.out.append((number, self.sent[number], action.server, held.name))
+            self.out.append((number, self.sent[number], action.server, pool.name))
             self.sent[number] += 1
             assert self.sent[number] <= SETTINGS.max_attempts
         elif isinstance(action, Refuse | Fail):
@@ -240,10 +240,10 @@
 
     @rule(names=st.sets(st.sampled_from(["blue", "green", "none"])))
     def generation(self, names: set[str]) -> None:
-        held = dict(self.it.pools)
-        pools = {name: held.get(name) or pool_of(name) for name in ("default", *sorted(names))}
-        left = [pool for name, pool in held.items() if name not in pools]
-        self.it.pending_generation = PendingGeneration(pools, dict.fromkeys(pools, SETTINGS), left)
+        existing = dict(self.it.pools)
+        pools = {name: existing.get(name) or pool_of(name) for name in ("default", *sorted(names))}
+        removed = [pool for name, pool in existing.items() if name not in pools]
+        self.it.pending_generation = PendingGeneration(pools, dict.fromkeys(pools, SETTINGS), removed)
         self.tell(Reconfigured(SETTINGS))
 
     @precondition(lambda self: self.open)
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -81,7 +81,7 @@
         (facts("/api/../api/word"), "word"),
     ],
 )
-def test_the_order_is_stated_and_not_the_files(request_: Facts, name: str) -> None:
+def test_precedence_does_not_depend_on_the_order_in_the_file(request_: Facts, name: str) -> None:
     rng = Random(1)
     names = list(ROUTES)
     for _ in range(5):
@@ -91,7 +91,7 @@
         assert table.explain(request_)[0] == name
 
 
-def test_ties_go_by_name() -> None:
+def test_ties_are_broken_by_name() -> None:
     rows = [
         ("b", Match(path=b"/x", classes=frozenset([1]))),
         ("a", Match(path=b"/x", classes=frozenset([1, 2]))),
@@ -100,7 +100,7 @@
         assert Table.of(order).find(facts("/x", cls=1)) == "a"
 
 
-def test_why_says_what_was_missing() -> None:
+def test_explain_tells_why_routes_did_not_match() -> None:
     table = Table.of(ROUTES.items())
     name, rejected = table.explain(facts("/api/word"))
     assert name == "word"
@@ -135,7 +135,7 @@
     return (*key, 2), prefix  # the end of a prefix comes behind any that goes on
 
 
-def slow(routes: Iterable[tuple[str, Match]], request: Facts) -> str | None:
+def find_by_trying_all(routes: Iterable[tuple[str, Match]], request: Facts) -> str | None:
     best = None
     for name, match in routes:
         if not match.host:
@@ -182,17 +182,17 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(matches, max_size=14), st.lists(requests, min_size=1, max_size=6))
-def test_it_finds_what_trying_all_finds(found: list[Match], asked: list[Facts]) -> None:
+def test_find_agrees_with_trying_all_routes(found: list[Match], asked: list[Facts]) -> None:
     rows = [(f"r{n}", match) for n, match in enumerate(found)]
     table = Table.of(rows)
     for request in asked:
-        assert table.find(request) == slow(rows, request)
+        assert table.find(request) == find_by_trying_all(rows, request)
 
 
 # ---------------------------------------------------------------- ten thousand
 
 
-def test_ten_thousand_routes_cost_a_request_as_much_as_ten() -> None:
+def test_finding_one_of_ten_thousand_routes_costs_as_much_as_one_of_ten() -> None:
     def table(count: int) -> Table:
         rows = [(f"r{n}", Match(path=f"/s{n % 100}/t{n // 100}/{{id}}".encode())) for n in range(count // 2)]
         rows += [
--- a/tests/routes/test_trial.py
+++ b/tests/routes/test_trial.py
@@ -11,7 +11,7 @@
 from larkweir.routes.trial import FACTORS, Trial
 
 
-def watch(
+def run_trial(
     seed: int,
     count: int,
     part: float,
@@ -37,16 +37,16 @@
 
 
 @pytest.mark.parametrize("ramp", [False, True], ids=["steady", "ramp"])
-def test_one_that_is_no_worse_is_seldom_ended(ramp: bool) -> None:
+def test_a_canary_that_is_no_worse_is_rarely_ended(ramp: bool) -> None:
     """Watched at every request, through an outage behind both: at most alpha of them. `benchmarks.routes` plays 200."""
     ended = sum(
-        watch(seed, 1_200, 0.2, 0.01, 0.01, outage=(500, 700), ramp=ramp)[1] < 1_200 for seed in range(60)
+        run_trial(seed, 1_200, 0.2, 0.01, 0.01, outage=(500, 700), ramp=ramp)[1] < 1_200 for seed in range(60)
     )
     assert ended <= 0.05 * 60 + 2.0 * (60 * 0.05 * 0.95) ** 0.5
 
 
-def test_a_planted_error_of_5_percent_is_found_soon() -> None:
-    found = [watch(seed, 20_000, 0.05, 0.005, 0.055) for seed in range(20)]
+def test_an_added_error_rate_of_5_percent_is_found_soon() -> None:
+    found = [run_trial(seed, 20_000, 0.05, 0.005, 0.055) for seed in range(20)]
     assert all(at < 20_000 for _, at in found)
     assert sorted(at for _, at in found)[10] < 5_000
     assert (
@@ -54,16 +54,16 @@
     )  # the others: the bet on time was first
 
 
-def test_one_that_takes_longer_is_found() -> None:
-    found = [watch(seed, 20_000, 0.1, 0.01, 0.01, slower=1.5) for seed in range(8)]
+def test_a_slower_canary_is_found() -> None:
+    found = [run_trial(seed, 20_000, 0.1, 0.01, 0.01, slower=1.5) for seed in range(8)]
     assert all("slow" in trial.verdict for trial, _ in found)
 
 
-def test_one_that_is_better_is_left_alone() -> None:
-    assert all(watch(seed, 5_000, 0.1, 0.05, 0.0, slower=0.5)[1] == 5_000 for seed in range(8))
+def test_a_better_canary_is_never_ended() -> None:
+    assert all(run_trial(seed, 5_000, 0.1, 0.05, 0.0, slower=0.5)[1] == 5_000 for seed in range(8))
 
 
-def test_its_end_is_told_once_and_says_how_many() -> None:
+def test_a_trial_ends_once_and_its_verdict_gives_the_rates() -> None:
     trial = Trial(0.05)
     ends = []
     rng = Random(1)
@@ -73,32 +73,32 @@
     assert sum(ends) == 1 and "beside 0.0% of" in trial.verdict
 
 
-def test_a_canary_alone_or_a_control_alone_is_no_trial() -> None:
+def test_without_requests_to_both_sides_a_trial_never_ends() -> None:
     for to in (True, False):
         trial = Trial(0.05)
         assert not any(trial.record(to, True, 10.0) for _ in range(2_000))
 
 
-def test_ends_of_one_step_of_a_ramp_are_not_put_beside_those_of_another() -> None:
+def test_outcomes_of_different_ramp_steps_are_not_compared() -> None:
     """While a part grows, the later of two ends is likelier to be the canary's, however good it is."""
     route = Route(pool="main", split=("new 40%",), sticky="request", ramp_ms=1000.0)
     router = Router({"r": route}, {}, {}, 0.0)
-    eras = [
+    versions = [
         router.choose("r", b"k", b"", True, now).split_version for now in (0.0, 49.0, 51.0, 999.0, 1001.0)
     ]
-    assert eras[0] == eras[1] < eras[2] < eras[3] == eras[4]
+    assert versions[0] == versions[1] < versions[2] < versions[3] == versions[4]
     router.set_step("r", 20)
-    assert router.choose("r", b"k", b"", True, 0.0).split_version == eras[4]
+    assert router.choose("r", b"k", b"", True, 0.0).split_version == versions[4]
     trials = router.choose("r", b"k", b"", True, 0.0).trial
     assert trials is not None
     trial = trials.by_pool["new"]
     for _ in range(10):
-        trials.record("main", "main", False, 5.0, 0, eras[0])
-    trials.record("new", "main", True, 5.0, 0, eras[2])
+        trials.record("main", "main", False, 5.0, 0, versions[0])
+    trials.record("new", "main", True, 5.0, 0, versions[2])
     assert trial.logs == (0.0,) * 2 * len(FACTORS)
     for _ in range(10):
-        trials.record("main", "main", False, 5.0, 0, eras[2])
-    trials.record("new", "main", True, 5.0, 0, eras[0])  # late, of the step before
+        trials.record("main", "main", False, 5.0, 0, versions[2])
+    trials.record("new", "main", True, 5.0, 0, versions[0])  # late, of the step before
     assert trial.logs == (0.0,) * 2 * len(FACTORS)
-    trials.record("new", "main", True, 5.0, 0, eras[2])
+    trials.record("new", "main", True, 5.0, 0, versions[2])
     assert trial.logs[0] > 0.0
--- a/tests/routes/test_zones.py
+++ b/tests/routes/test_zones.py
@@ -12,13 +12,13 @@
 from standins.peers import FakeUpstream, Incoming, Talk, ok
 from tests.fakes import running
 from tests.lifecycle.service import until
-from tests.routes.test_loopback import ask, saying
+from tests.routes.test_loopback import ask, upstream_answering
 from tests.upstreams.test_attempts import run
 
 ZONES = ("a", "b", "c")
 
 
-def fleet(
+def simulate(
     demand: dict[str, float], capacity: dict[str, float], steps: int, copies: int = 30, seed: int = 1
 ) -> list[dict[str, float]]:
     """What each zone carries, by step, where every copy looks at what it sees a step late and with an error of 5%."""
@@ -43,8 +43,8 @@
 EVEN = dict.fromkeys(ZONES, 100.0)
 
 
-def test_a_zone_that_is_too_full_gives_away_what_is_too_much_and_comes_to_rest() -> None:
-    rows = fleet({"a": 140.0, "b": 50.0, "c": 50.0}, EVEN, 200)
+def test_an_overloaded_zone_spills_its_excess_and_converges() -> None:
+    rows = simulate({"a": 140.0, "b": 50.0, "c": 50.0}, EVEN, 200)
     last = rows[100:]
     assert all(60.0 <= row["a"] <= 100.0 for row in last)
     assert max(row["a"] for row in last) - min(row["a"] for row in last) < 10.0  # it does not slosh
@@ -52,17 +52,17 @@
     assert rows[0]["a"] == pytest.approx(140.0)
 
 
-def test_while_home_has_room_nothing_leaves_it() -> None:
-    rows = fleet({"a": 70.0, "b": 20.0, "c": 60.0}, EVEN, 50)
+def test_nothing_spills_while_the_home_zone_has_room() -> None:
+    rows = simulate({"a": 70.0, "b": 20.0, "c": 60.0}, EVEN, 50)
     assert all(row == pytest.approx({"a": 70.0, "b": 20.0, "c": 60.0}) for row in rows)
 
 
-def test_where_all_are_full_nobody_pushes_its_own_to_others() -> None:
-    rows = fleet({"a": 150.0, "b": 95.0, "c": 95.0}, EVEN, 100)
+def test_full_zones_do_not_overload_each_other() -> None:
+    rows = simulate({"a": 150.0, "b": 95.0, "c": 95.0}, EVEN, 100)
     assert all(row["b"] <= 1.1 * 95.0 + 10.0 and row["c"] <= 1.1 * 95.0 + 10.0 for row in rows)
 
 
-def test_a_zone_that_is_lost_is_left_at_once_and_found_again_little_by_little() -> None:
+def test_a_lost_zone_gets_no_traffic_at_once_and_regains_it_gradually() -> None:
     spill = Spill("a")
     load = {"a": 50.0, "b": 50.0, "c": 50.0}
     assert spill.update(load, EVEN)["a"] == 1.0
@@ -72,12 +72,12 @@
     assert 0.0 < back[0] <= 0.06 and back == sorted(back) and back[-1] == 1.0
 
 
-def test_a_lost_zones_traffic_goes_by_the_room_that_others_have() -> None:
+def test_the_traffic_of_a_lost_zone_is_divided_by_free_capacity() -> None:
     found = Spill("a").update({"a": 0.0, "b": 80.0, "c": 20.0}, EVEN | {"a": 0.0})
     assert found["c"] / found["b"] == pytest.approx((100.0 * FULL_ABOVE - 20.0) / (100.0 * FULL_ABOVE - 80.0))
 
 
-def test_parts_are_parts_whatever_comes() -> None:
+def test_shares_are_valid_for_any_loads_and_capacities() -> None:
     rng = Random(4)
     spill = Spill("a")
     for _ in range(2_000):
@@ -90,7 +90,7 @@
         assert all(found[zone] == 0.0 for zone in ZONES if capacities[zone] <= 0.0)
 
 
-def test_a_pool_that_spills_stays_at_home_leaves_a_lost_zone_and_crosses_where_home_is_full() -> None:
+def test_a_pool_spills_when_the_home_zone_is_full_or_lost() -> None:
     async def work() -> None:
         slots = asyncio.Semaphore(1)
 
@@ -99,7 +99,7 @@
                 await asyncio.sleep(0.02)
             await talk.send(ok(b"north"))
 
-        north, south = await FakeUpstream(narrow).start(), await saying("south")
+        north, south = await FakeUpstream(narrow).start(), await upstream_answering("south")
         rows = [north.entry("u0"), south.entry("u1", zone="south")]
         categories = [
             {"Name": "look", "Effect": "read_like", "AimMs": 150, "HardLimitMs": 300, "Group": "all"}
