--- a/larkweir/routes/pools.py
+++ b/larkweir/routes/pools.py
@@ -72,7 +72,7 @@
             zones.get(name, -1): 1.0 for name in pool.evacuated or ()
         }  # by zone: the evacuated fraction
         self._subset = pool.subset or 0
-        self._me, self._copies = config.settings.me, config.settings.balancer_count
+        self._me, self._balancer_count = config.settings.me, config.settings.balancer_count
         self._fixed = fixed
         self._stable_name = stable_name
         self.own: frozenset[int] | None = None  # upstreams of the fixed list; None: those of discovery
@@ -87,7 +87,7 @@
         if self._subset and self._subset < len(found):
             by = {str(entry.server): entry for entry in found}
             # Draining upstreams stay in the ring, so that they move no others before they are gone.
-            found = [by[name] for name in ring(list(by), self._me, self._copies, self._subset)]
+            found = [by[name] for name in ring(list(by), self._me, self._balancer_count, self._subset)]
         if not self._evacuated:
             return found
         draining = {
--- a/larkweir/routes/request_routing.py
+++ b/larkweir/routes/request_routing.py
@@ -209,8 +209,8 @@
 
     # ------------------------------------------------ the list of upstreams
 
-    def reroute(self, tell: Callable[[Listing], None]) -> None:
-        self._publish = tell
+    def reroute(self, publish: Callable[[Listing], None]) -> None:
+        self._publish = publish
 
     def on_listing(self, listing: Listing) -> None:
         """Pass on a listing from discovery; a complete one is extended by the upstreams of the fixed lists."""
--- a/larkweir/routes/subsets.py
+++ b/larkweir/routes/subsets.py
@@ -14,7 +14,7 @@
     return int.from_bytes(blake2b(b"\0".join(parts), digest_size=8).digest(), "big")
 
 
-def ring(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
+def ring(names: Sequence[str], me: int, balancer_count: int, size: int) -> list[str]:
     """Each balancer has an arc of `size` neighbours on a ring of upstreams. The starts of the arcs are spread evenly.
 
     Upstreams are spaced evenly, in the order of a hash: removing one moves those behind it by a fraction of a place.
@@ -24,11 +24,11 @@
     if size >= count or not count:
         return list(names)
     placed = sorted(names, key=lambda name: (_point(name.encode()), name))
-    begins = (me % max(1, copies)) * count // max(1, copies)
+    begins = (me % max(1, balancer_count)) * count // max(1, balancer_count)
     return [placed[(begins + at) % count] for at in range(size)]
 
 
-def rounds(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
+def rounds(names: Sequence[str], me: int, balancer_count: int, size: int) -> list[str]:
     """Deterministic subsetting (Site Reliability Engineering, chapter 20): balancers are grouped in rounds. Each round
     divides all upstreams among its balancers, in its own random order.
     """
@@ -42,14 +42,14 @@
     return shuffled[begins : begins + size]
 
 
-def rendezvous(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
+def rendezvous(names: Sequence[str], me: int, balancer_count: int, size: int) -> list[str]:
     """Rendezvous hashing: the upstreams that rank first for this balancer. Removing one changes nothing else in the
     subset; the load is only as even as a random choice."""
     own = str(me).encode()
     return sorted(names, key=lambda name: (_point(own, name.encode()), name))[: min(size, len(names))]
 
 
-def drawn(names: Sequence[str], me: int, copies: int, size: int) -> list[str]:
+def random_subset(names: Sequence[str], me: int, balancer_count: int, size: int) -> list[str]:
     """A random subset, drawn anew whenever the number of upstreams changes."""
     rng = Random(f"{me}:{len(names)}")
     return rng.sample(sorted(names), min(size, len(names)))
@@ -59,10 +59,10 @@
     "ring": ring,
     "rounds": rounds,
     "rendezvous": rendezvous,
-    "random": drawn,
+    "random": random_subset,
 }
 
 
-def min_subset_size(upstreams: int, copies: int) -> int:
+def min_subset_size(upstreams: int, balancer_count: int) -> int:
     """The smallest subset size at which each upstream is in some subset, and a bad upstream is a small part of any."""
-    return max(10, math.ceil(2.0 * upstreams / max(1, copies)))
+    return max(10, math.ceil(2.0 * upstreams / max(1, balancer_count)))
--- a/larkweir/routes/zones.py
+++ b/larkweir/routes/zones.py
@@ -41,18 +41,18 @@
         if usable.get(self.home, 0.0) <= 0.0:
             self.home_share = 0.0
         else:
-            fullness = loads.get(self.home, 0.0) / usable[self.home]
+            utilization = loads.get(self.home, 0.0) / usable[self.home]
             others = sum(value for zone, value in usable.items() if zone != self.home)
             load = sum(loads.get(zone, 0.0) for zone in usable if zone != self.home)
             room = others > 0.0 and load / others < FULL_ABOVE
-            if fullness > FULL_ABOVE and room:
+            if utilization > FULL_ABOVE and room:
                 # By half of the excess, at most by one step.
-                over = 1.0 - FULL_ABOVE / fullness
+                over = 1.0 - FULL_ABOVE / utilization
                 self.home_share = max(
                     0.0, self.home_share - min(MAX_STEP, 0.5 * over * max(self.home_share, MIN_SHARE))
                 )
-            elif fullness < ROOM_BELOW and self.home_share < 1.0:
-                under = (ROOM_BELOW - fullness) / max(fullness, MIN_SHARE)
+            elif utilization < ROOM_BELOW and self.home_share < 1.0:
+                under = (ROOM_BELOW - utilization) / max(utilization, MIN_SHARE)
                 self.home_share = min(
                     1.0, self.home_share + min(MAX_STEP, 0.5 * under * max(self.home_share, MIN_SHARE))
                 )
@@ -72,10 +72,10 @@
             }
             weights = room if sum(room.values()) > 0.0 else dict(others)
         else:
-            fullness = {zone: loads.get(zone, 0.0) / value for zone, value in others.items()}
-            mean = sum(fullness.values()) / max(1, len(fullness))
+            utilization = {zone: loads.get(zone, 0.0) / value for zone, value in others.items()}
+            mean = sum(utilization.values()) / max(1, len(utilization))
             for zone in weights:
-                tilt = min(1.0, max(-1.0, mean - fullness[zone]))
+                tilt = min(1.0, max(-1.0, mean - utilization[zone]))
                 weights[zone] = max(weights[zone], MIN_SHARE) * (1.0 + TILT * tilt)
         total = sum(weights.values())
         self.remote_shares = {zone: weight / total for zone, weight in weights.items()} if total > 0.0 else {}
--- a/tests/routes/test_subsets.py
+++ b/tests/routes/test_subsets.py
@@ -9,21 +9,21 @@
 from larkweir.routes.subsets import STRATEGIES, min_subset_size, ring
 
 
-def load(names: list[str], copies: int, size: int, strategy: str) -> Counter[str]:
+def load(names: list[str], balancer_count: int, size: int, strategy: str) -> Counter[str]:
     found: Counter[str] = Counter()
-    for me in range(copies):
-        mine = STRATEGIES[strategy](names, me, copies, size)
+    for me in range(balancer_count):
+        mine = STRATEGIES[strategy](names, me, balancer_count, size)
         assert len(mine) == len(set(mine)) == min(size, len(names))
         found.update(mine)
     return found
 
 
 @pytest.mark.parametrize(
-    ("upstreams", "copies", "size"), [(40, 20, 8), (200, 30, 20), (100, 200, 10), (7, 3, 10)]
+    ("upstreams", "balancer_count", "size"), [(40, 20, 8), (200, 30, 20), (100, 200, 10), (7, 3, 10)]
 )
-def test_the_ring_loads_upstreams_evenly(upstreams: int, copies: int, size: int) -> None:
+def test_the_ring_loads_upstreams_evenly(upstreams: int, balancer_count: int, size: int) -> None:
     names = [f"s{n}" for n in range(upstreams)]
-    found = load(names, copies, size, "ring")
+    found = load(names, balancer_count, size, "ring")
     mean = sum(found.values()) / upstreams
     assert max(found.values()) <= mean + 1.0 + 1e-9 and min(found[name] for name in names) >= int(mean) - 1
 
@@ -51,6 +51,8 @@
 
 
 def test_with_the_minimum_size_each_upstream_is_in_some_subset() -> None:
-    for upstreams, copies in ((40, 20), (2000, 30), (2000, 2000)):
+    for upstreams, balancer_count in ((40, 20), (2000, 30), (2000, 2000)):
         names = [f"s{n}" for n in range(upstreams)]
-        assert set(load(names, copies, min_subset_size(upstreams, copies), "ring")) == set(names)
+        assert set(load(names, balancer_count, min_subset_size(upstreams, balancer_count), "ring")) == set(
+            names
+        )
--- a/tests/routes/test_zones.py
+++ b/tests/routes/test_zones.py
@@ -19,11 +19,11 @@
 
 
 def simulate(
-    demand: dict[str, float], capacity: dict[str, float], steps: int, copies: int = 30, seed: int = 1
+    demand: dict[str, float], capacity: dict[str, float], steps: int, balancer_count: int = 30, seed: int = 1
 ) -> list[dict[str, float]]:
     """What each zone carries, by step, where every copy looks at what it sees a step late and with an error of 5%."""
     rng = Random(seed)
-    spills = [Spill(ZONES[n % 3]) for n in range(copies)]
+    spills = [Spill(ZONES[n % 3]) for n in range(balancer_count)]
     parts = [{zone: float(zone == spill.home) for zone in ZONES} for spill in spills]
     loads = dict.fromkeys(ZONES, 0.0)
     rows = []
@@ -31,7 +31,7 @@
         now = dict.fromkeys(ZONES, 0.0)
         for spill, part in zip(spills, parts, strict=True):
             for zone, value in part.items():
-                now[zone] += value * demand[spill.home] * 3.0 / copies
+                now[zone] += value * demand[spill.home] * 3.0 / balancer_count
         rows.append(now)
         for n, spill in enumerate(spills):
             seen = {zone: value * (1.0 + rng.uniform(-0.05, 0.05)) for zone, value in loads.items()}
