--- a/larkweir/routes/pools.py
+++ b/larkweir/routes/pools.py
@@ -25,7 +25,8 @@
 
 
 def settings_of(pool: Pool, settings: Settings, main: bool) -> Settings:
-    """The platform's settings with those of the pool, which may tighten the limits on load but not loosen them."""
+    """The platform's settings with those of the pool. A pool can't raise the number of attempts, nor the pace of slow
+    start above the limit that `fall_multiple` sets."""
     tuning = settings.tuning
     if pool.ratio is not None:
         tuning = replace(tuning, retry_ratio=pool.ratio)
@@ -57,20 +58,21 @@
         fixed: Mapping[int, ServerEntry],
         stable_name: Callable[[int], str] = str,
     ) -> None:
-        """Args:
-        pool: the pool's table of the operator file.
-        config: the platform's configuration.
-        fixed: the upstreams of all fixed lists, by number; `own` holds the numbers of those in this pool.
-        stable_name: maps this process's number of an upstream to a name that is the same at every balancer.
+        """Read the pool's conditions.
+
+        Args:
+            pool: the pool's table of the operator file.
+            config: the platform's configuration.
+            fixed: the upstreams of all fixed lists, by number; `own` holds the numbers of those in this pool.
+            stable_name: maps this process's number of an upstream to a name that is the same at every balancer.
         """
         zones = {name: n for n, name in enumerate(config.zones)}
         kinds = {name: n for n, name in enumerate(config.kinds)}
         self._zones = frozenset(zones.get(name, -1) for name in pool.zones or ())
         self._kinds = frozenset(kinds.get(name, -1) for name in pool.kinds or ())
         self._cells = frozenset(int(item) for item in pool.cells or ())
-        self._evacuated = {
-            zones.get(name, -1): 1.0 for name in pool.evacuated or ()
-        }  # by zone: the evacuated fraction
+        # By evacuated zone: the fraction of its upstreams that is marked as draining.
+        self._evacuated = {zones.get(name, -1): 1.0 for name in pool.evacuated or ()}
         self._subset = pool.subset or 0
         self._me, self._balancer_count = config.settings.me, config.settings.balancer_count
         self._fixed = fixed
--- a/larkweir/routes/request_routing.py
+++ b/larkweir/routes/request_routing.py
@@ -81,9 +81,8 @@
         self._publish: Callable[[Listing], None] = lambda listing: None
         self._options = options
         self._protocols: dict[str, str] = {}  # by pool
-        self._zoned: dict[
-            str, dict[str, str]
-        ] = {}  # by pool that spills: the name of its sub-pool in each zone
+        # By pool that spills: the name of its sub-pool in each zone.
+        self._zoned: dict[str, dict[str, str]] = {}
         self._spills: dict[str, Spill] = {}
         self._shares: dict[str, dict[str, float]] = {}  # by pool that spills: the share of each zone
         self._spill_scheduled = False
--- a/larkweir/routes/table.py
+++ b/larkweir/routes/table.py
@@ -29,9 +29,7 @@
     path: bytes = b""  # "/a/{b}/c"; empty: any
     prefix: bool = False  # also matches all paths below `path`
     methods: frozenset[bytes] = frozenset()
-    headers: tuple[
-        tuple[bytes, bytes | None], ...
-    ] = ()  # lower-case name and required value; None: any value
+    headers: tuple[tuple[bytes, bytes | None], ...] = ()  # lower-case name, required value (None: any)
     classes: frozenset[int] = frozenset()
     tenants: frozenset[int] = frozenset()
 
--- a/larkweir/routes/zones.py
+++ b/larkweir/routes/zones.py
@@ -15,9 +15,7 @@
 FULL_ABOVE, ROOM_BELOW = 0.9, 0.75  # utilization above which a zone is full, and below which it has room
 MAX_STEP = 0.05  # largest change of the home share per update, as a fraction of the traffic
 TILT = 0.25  # relative change of a remote zone's weight per update if its utilization is 1.0 off the mean
-MIN_SHARE = (
-    0.01  # lower bound of shares, weights and utilization in a step, so that a share of 0 can grow again
-)
+MIN_SHARE = 0.01  # lower bound of shares, weights and utilization in a step, so that it can start from 0
 
 
 @dataclass(slots=True)
--- a/tests/routes/test_check.py
+++ b/tests/routes/test_check.py
@@ -1,4 +1,4 @@
-"""What routes and pools may not say; what staff are told of a request, and of a change."""
+"""Validation of routes and pools, and what the command line reports about requests and changes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         (Route(path="/a/../b"), "path"),
         (Route(path="/a/*/b"), "path"),
         (Route(path="/a/{b"), "path"),
-        (Route(path="/a/(b|c)+"), "path"),  # no regular expressions: none can take long
+        (Route(path="/a/(b|c)+"), "path"),  # no regular expressions, whose matching could take long
         (Route(path="/a%2g"), "path"),
         (Route(path="/a%c3"), "path"),
         (Route(path="/a" * 65), "path"),
@@ -159,7 +159,7 @@
             "h": Route(host="a.b", path="/x"),
         }
     )
-    # `d` goes before `e` by name alone, and has all of its requests.
+    # `d` precedes `e` only by its name, and matches all requests that `e` does.
     assert [item.key for item in routing_objections(options, platform()) if item.grave] == ["route.e"]
 
 
--- a/tests/routes/test_leaving.py
+++ b/tests/routes/test_leaving.py
@@ -1,4 +1,4 @@
-"""The order in which a zone empties: the same at copies that heard of its upstreams in different orders."""
+"""The order in which the upstreams of a zone are evacuated is the same at all balancers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class BalancerView:
-    """One balancer's view: it hears of rows in an order of its own, which gives its numbers."""
+    """The upstreams as one balancer knows them: their numbers depend on the order in which it received the rows."""
 
     def __init__(self, rows: list[dict[str, object]]) -> None:
         config = decode(platform(), {})
@@ -50,14 +50,14 @@
     rng = Random(count)
     views = []
     for _ in range(5):
-        heard = rows(count)
-        rng.shuffle(heard)
-        views.append(BalancerView(heard))
+        received = rows(count)
+        rng.shuffle(received)
+        views.append(BalancerView(received))
     before: set[str] = set()
     for step in range(21):
         (draining, *others) = [view.draining(step / 20) for view in views]
         assert all(other == draining for other in others)
-        assert len(draining) == count * step // 20  # as much as the step says, rounded down
+        assert len(draining) == count * step // 20  # the share of the step, rounded down
         assert before <= draining
         before = draining
     assert len(before) == count
--- a/tests/routes/test_loopback.py
+++ b/tests/routes/test_loopback.py
@@ -1,4 +1,4 @@
-"""Routes over real sockets."""
+"""Routes over loopback sockets."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
             assert (await ask(it, "/publish/"))[0] == 404
             assert await ask(it, "/whatever", Host="other.example") == (200, b"fixed")
             assert await ask(it, "/%61pi/../api") == (200, b"north")
-            assert north.seen[-1].target == "/api"  # what was matched is what is sent
+            assert north.seen[-1].target == "/api"  # the normalized target is sent
             for bad in ("/api%2Fx", "/../api", "/a%252fpi", "/api\\x"):
                 assert (await ask(it, bad))[0] == 400
             assert (await ask(it, "/none"))[0] == 404
@@ -120,7 +120,7 @@
 
 
 def test_a_reload_that_removes_the_pool_of_an_open_request() -> None:
-    """It is answered from there, by the rules of its pool; nothing new goes there."""
+    """The request is still answered by its old pool, which gets no new requests."""
 
     async def work() -> None:
         release = asyncio.Event()
@@ -173,7 +173,10 @@
             {"Name": "look", "Effect": "read_like", "AimMs": 400, "HardLimitMs": 800, "Group": "all"},
         ]
         async with running(routes=routes, pools=pools, limits=limits, categories=categories) as it:
-            assert await ask(it, "/gone", "move") == (200, b"spare")  # refused connections: it never ran
+            assert await ask(it, "/gone", "move") == (
+                200,
+                b"spare",
+            )  # connections are refused, so the request never ran
             assert (await ask(it, "/broken", "move"))[0] == 502
             assert not any(request.target == "/broken" for request in spare.seen)
             found = [await ask(it, "/broken", "look") for _ in range(6)]
@@ -224,7 +227,7 @@
             reload(it, route, {"p": Pool(evacuated=("north",)), "n": Pool(parent="p")})
             found = [await ask(it) for _ in range(10)]
             assert found == [(200, b"south")] * 10
-            release.set()  # its zone may have run it, and is evacuated
+            release.set()  # may have run in the zone, which is evacuated now
             assert (await keyed)[0] in (502, 503, 504)
             assert not any(request.headers["x-qos"] == "post" for request in south.seen)
             reload(it, route, pools)
@@ -256,11 +259,11 @@
             for step in range(1, 21):
                 routes.set_step(name, step)
                 ready.append(pool.table.ready_count)
-                if step == 10:  # another reload changes nothing of it
+                if step == 10:  # another reload does not restart the evacuation
                     it.node.reconfigure(
                         it.node.config, Operator(routes=route, pools=evacuated, owners=owners)
                     )
-            routes.set_step(name, 3)  # from rules that begin anew: nothing is taken back
+            routes.set_step(name, 3)  # a lower step, as after a restart of the fleet's ramp, is ignored
             assert ready[0] == 7 and ready == sorted(ready, reverse=True) and ready[-1] == 1
             assert len(set(ready)) >= 4 and pool.table.ready_count == 1
             it.node.reconfigure(it.node.config, Operator(routes=route, pools={"p": Pool()}, owners=owners))
@@ -338,7 +341,7 @@
         async with running(up.entry("u0"), routes=routes, pools=pools) as it:
             assert it.node is not None and it.node.routes is not None
             router = it.node.routes.router
-            router._started_ms["api"] -= 300_000.0  # half of the ramp is over
+            router._started_ms["api"] -= 300_000.0  # half of the ramp has passed
             async with Caller(it.port) as caller:
                 for n in range(400):
                     caller.ask("look", b"", X_Trace_Id=f"t{n}")
@@ -348,10 +351,10 @@
             assert router._trials["api"].ended.keys() == {"c"} and n < 300
             assert router.weights("api", it.node.clock.now_ms()) == {"default": 1.0, "c": 0.0}
             assert [(await ask(it))[1] for _ in range(20)] == [b"up"] * 20
-            reload(it, routes, pools, drain_grace_ms=1.0)  # the same parts: what was ended stays so
+            reload(it, routes, pools, drain_grace_ms=1.0)  # with the same split the trial stays ended
             assert (await ask(it))[1] == b"up" and it.node.routes.router._trials["api"].ended
             reload(it, {"api": replace(routes["api"], split=("c 50%",))}, pools)
-            assert not it.node.routes.router._trials["api"].ended  # another split is another trial
+            assert not it.node.routes.router._trials["api"].ended  # a changed split starts a new trial
         close(up, bad)
 
     run(work())
@@ -360,9 +363,9 @@
 
 
 class SteppedTime:
-    """The time of a node, which passes only as a test says, and with each attempt that ends without an answer."""
+    """A node's clock that advances only when a test says so, and with each attempt that ends without an answer."""
 
-    REFUSAL_MS = 0.3  # short beside an answer, as on loopback
+    REFUSAL_MS = 0.3  # short compared with an answer, as on loopback
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._monkeypatch = monkeypatch
@@ -373,7 +376,7 @@
         self._now_ms += ms
 
     def install(self, node: Node) -> None:
-        """From now on."""
+        """Replace the clock of a node."""
         assert node.routes is not None
         self._now_ms = node.clock.now_ms()
         handle = node.routes.switch.handle
@@ -389,10 +392,10 @@
 
 
 def test_a_canary_with_one_upstream_that_dies_is_not_rolled_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its other upstream serves what the dead one can't: no request ends badly for it.
+    """The canary's other upstream takes over, so that its requests do not fail.
 
-    `alarm` allows chance to end a canary that is no worse, so the times that the trial compares are the test's own: by
-    a seeded draw for each answer, and short for each attempt that the dead one refuses.
+    `alarm` allows a canary that is no worse to be ended by chance. So the durations that the trial compares come from
+    the test: a seeded random duration for each answer, and a short one for each attempt that the dead upstream refuses.
     """
     now = SteppedTime(monkeypatch)
     draws = Random(1)
@@ -417,8 +420,10 @@
                             talk.writer.transport.abort()
                     caller.ask("look", b"", X_Trace_Id=f"t{n}")
                     bad += (await caller.answer()).status != 200
-            assert bad <= 15  # what was under way when it died, or tried it again; its whole part is 60
-            assert now.refused, "the dead one was never tried"
+            assert (
+                bad <= 15
+            )  # requests in flight when it stopped, or that tried it again; its full share is 60
+            assert now.refused, "the dead upstream was never tried"
             assert not it.node.routes.router._trials["api"].ended
         close(up, other)
 
@@ -452,7 +457,7 @@
 
 
 def test_one_route_for_everything_changes_no_decision() -> None:
-    """With one route over all, a pool decides as the decisions alone do: the same sends, event for event."""
+    """With one route for all requests, the switch returns the same actions as a single balancer for every event."""
     from larkweir_balancing import Balancer
     from larkweir_balancing.interface import (
         AttemptEnded,
--- a/tests/routes/test_paths.py
+++ b/tests/routes/test_paths.py
@@ -1,4 +1,4 @@
-"""Targets and hosts in their one form, or refused."""
+"""Targets and hosts are normalized or refused."""
 
 from __future__ import annotations
 
--- a/tests/routes/test_reload_crossings.py
+++ b/tests/routes/test_reload_crossings.py
@@ -1,4 +1,4 @@
-"""Requests that a reload overtakes between two pools: they keep the class and the tenant that they came with."""
+"""Requests that are open during a reload and then fall back to another pool keep their class and tenant."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class RejectingUpstream:
-    """An upstream's behaviour: it turns every request away unseen; the first one once it is told to."""
+    """An upstream's behaviour: rejects every request as not executed, once `released` is set."""
 
     def __init__(self) -> None:
         self.released = asyncio.Event()
@@ -64,8 +64,8 @@
 
 
 def test_an_unsafe_request_runs_once_though_its_class_is_safe_when_it_falls_back() -> None:
-    """Its first pool turns it away after the reload. Taken up by the next one as what its class has become, it would
-    be repeated there.
+    """The first pool refuses the request after a reload that makes its class safe. A fallback pool that treated it as
+    safe would repeat it.
     """
 
     async def work() -> None:
@@ -82,7 +82,7 @@
             rejecting.released.set()
             assert (await caller.answer()).status == 503
             assert sum(len(spare.seen) for spare in spares) == 0
-            caller.ask("move", b"x")  # the class as it is now
+            caller.ask("move", b"x")  # a request that arrives after the reload
             assert (await caller.answer()).status in (502, 503)
             assert sum(len(spare.seen) for spare in spares) > 1
         for upstream in (first, *spares):
@@ -92,7 +92,7 @@
 
 
 def test_a_request_whose_class_is_unchanged_falls_back_after_a_reload() -> None:
-    """The reload changes another class, and moves its own to another place in the file."""
+    """The reload changes another class, and moves the class of the request to another position in the file."""
 
     async def work() -> None:
         rejecting = RejectingUpstream()
@@ -114,7 +114,7 @@
 
 
 def test_a_request_that_falls_back_keeps_its_maximum_number_of_attempts() -> None:
-    """One it was to have, and it has had that: four, as there are now, are for what comes after."""
+    """The request arrived with a limit of one attempt and has made it. The new limit of four is for later requests."""
 
     async def work() -> None:
         rejecting = RejectingUpstream()
@@ -141,7 +141,7 @@
 
 
 def test_a_request_that_falls_back_counts_for_its_own_tenant() -> None:
-    """Tenants change their places in the file, and one goes: whoever has its place has nothing to do with it."""
+    """Tenants change positions in the file and one is removed. The tenant now at its position must not be charged."""
 
     async def work() -> None:
         rejecting = RejectingUpstream()
@@ -184,7 +184,7 @@
 
 
 def test_a_mirrored_request_is_not_sent_after_a_reload() -> None:
-    """The reload comes between the request and its copy, and makes the class unsafe."""
+    """The reload happens between the request and its mirrored copy, and makes the class unsafe."""
 
     async def work() -> None:
         async def answers(request: Incoming, talk: Talk) -> None:
@@ -219,8 +219,8 @@
 
 
 def test_a_request_admitted_by_the_list_of_a_reload_uses_the_pools_of_the_reload() -> None:
-    """It was sent ahead of the first one, which pools answer as they hear of the list of the reload. Its route leads to
-    a pool that is new with the reload.
+    """The second of two pipelined requests is admitted when the first one is answered, which happens as the pools get
+    the list of a reload. The route of the second request then leads to a pool that is new with the reload.
     """
 
     async def work() -> None:
--- a/tests/routes/test_split.py
+++ b/tests/routes/test_split.py
@@ -1,4 +1,4 @@
-"""Parts of a route: sticky, of the size that is said, and little moves when they change."""
+"""Splits of a route: sticky, of the configured size, and few keys move when shares change."""
 
 from __future__ import annotations
 
--- a/tests/routes/test_subsets.py
+++ b/tests/routes/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets: even, small, and moved little by one change."""
+"""Subsets are small, load upstreams evenly, and change little when one upstream does."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def test_removing_one_upstream_changes_little() -> None:
-    """While half of the balancers restart nothing moves at all: places go by the settings, not by who is there."""
+    """Restarts of balancers change nothing, since a balancer's position depends on the settings only."""
     names = [f"s{n}" for n in range(200)]
     moved = kept = 0
     for me in range(30):
--- a/tests/routes/test_switch.py
+++ b/tests/routes/test_switch.py
@@ -1,4 +1,4 @@
-"""Many pools behind one interface: the law over any order of events, and shared upstreams counted once."""
+"""Several pools behind one interface: invariants for any order of events, and shared upstreams are counted once."""
 
 from __future__ import annotations
 
@@ -62,7 +62,9 @@
     it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(1, 6)]))
     event = RequestArrived(1, 2, 1_000.0, choice=Choice("r", ("none", "blue")))
     out, now = it.handle(1.0, event), 1.0
-    while not any(isinstance(action, Send) for action in out):  # held, while a server might come
+    while not any(
+        isinstance(action, Send) for action in out
+    ):  # the request waits for an upstream for some time
         timer = next(action for action in out if isinstance(action, SetTimer))
         now += timer.delay_ms
         out = it.handle(now, TimerFired(timer.cookie))
@@ -96,16 +98,14 @@
 
 def test_two_pools_count_the_calls_to_a_shared_upstream_once() -> None:
     it = switch_of("default", "blue")
-    it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(3)]))  # the only one, of both
+    it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(3)]))  # the only upstream, in both pools
     for number, pool in ((1, "default"), (2, "blue"), (3, "default")):
         out = it.handle(1.0, RequestArrived(number, 0, 1_000.0, choice=Choice("r", (pool,))))
         assert [action.server for action in out if isinstance(action, Send)] == [3]
     it.update_all_counts()
     for name in ("default", "blue"):
         assert it.pools[name].decisions.table.servers[3].in_flight == 3
-        assert (
-            not it.pools[name].decisions.table.by_in_flight[0][0].items
-        )  # no token: it is not idle for either
+        assert not it.pools[name].decisions.table.by_in_flight[0][0].items  # not idle for either pool
     for number in (1, 2, 3):
         it.handle(5.0, AttemptEnded(number, 0, 3, Outcome.OK, True, 4.0))
     it.update_all_counts()
@@ -154,7 +154,7 @@
 
 
 class Switches(RuleBasedStateMachine):
-    """Requests of any class over pools that come, go and share upstreams."""
+    """Requests of any class, with pools that are added and removed and that share upstreams."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -183,7 +183,7 @@
             assert action.server in MEMBERS[pool.name] and pool.name in self.took[number]
             effect = CLASSES[self.open[number].class_index].effect
             if self.ran.get(number) and effect is not Effect.SAFE:
-                # Only the decisions' own repeat of a keyed one, in the pool where it may have run.
+                # Only the pool where a keyed request may have run may repeat it.
                 assert effect is Effect.KEYED and set(self.ran[number]) == {pool.name}
             if effect is Effect.UNSAFE:
                 assert not [row for row in self.out if row[0] == number]
@@ -272,14 +272,14 @@
                 )
                 assert (
                     server.other_in_flight >= theirs
-                )  # a predecessor of the same name counts among the others
+                )  # a removed pool of the same name counts as another pool
         open_ = {row[0] for row in self.out} | {number for number in self.open if not self.answers[number]}
         assert set(self.it._requests) <= open_
         for pool in self.it.draining_pools:
             assert pool.requests > 0
 
     def teardown(self) -> None:
-        """Whatever was open has one answer in the end."""
+        """Every open request gets exactly one answer in the end."""
         while self.out:
             self.end(0, Outcome.CONNECT_FAILED)
             for _ in range(50):
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""Which route wins: by the stated order, whatever the file's; beside a matcher that tries all."""
+"""The precedence of routes, independent of their order in the file, compared with a matcher that tries all routes."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
         (facts("/api/word", method="POST", x_beta="1"), "headed"),
         (facts("/api/word", x_beta="2", x_more="1"), "valued"),
         (facts("/api/word", x_beta="3", x_more="1"), "headed"),
-        (facts("/api/word", x_beta=["2", "2"], x_more="1"), "word"),  # one that comes twice fits no condition
+        (facts("/api/word", x_beta=["2", "2"], x_more="1"), "word"),  # a repeated header matches no condition
         (facts("/api/word", "a.example"), "hosted"),
         (facts("/other", "a.example"), "star"),
         (facts("/other", "x.b.example"), "longer-star"),
@@ -113,11 +113,11 @@
     ]
 
 
-# ---------------------------------------------------------------- beside one that tries all
+# ---------------------------------------------------------------- compared with a matcher that tries all routes
 
 
 def _path_fits(match: Match, segments: tuple[bytes, ...]) -> tuple[tuple[int, ...], bool] | None:
-    """How well a path fits, as a key that sorts better ones first; none if it does not."""
+    """How well a path matches, as a sort key with better matches first; None if it does not match."""
     prefix = match.prefix or not match.path
     wanted = segments_of(match.path.rstrip(b"/") if prefix else match.path)
     if len(wanted) > len(segments) or (not prefix and len(wanted) != len(segments)):
@@ -132,7 +132,7 @@
             key.append(0)
         else:
             return None
-    return (*key, 2), prefix  # the end of a prefix comes behind any that goes on
+    return (*key, 2), prefix  # the end of a prefix comes after any further segment
 
 
 def find_by_trying_all(routes: Iterable[tuple[str, Match]], request: Facts) -> str | None:
@@ -189,7 +189,7 @@
         assert table.find(request) == find_by_trying_all(rows, request)
 
 
-# ---------------------------------------------------------------- ten thousand
+# ---------------------------------------------------------------- many routes
 
 
 def test_finding_one_of_ten_thousand_routes_costs_as_much_as_one_of_ten() -> None:
@@ -212,7 +212,7 @@
 
 
 def test_no_template_takes_exponential_time() -> None:
-    """Words and names at every level: a node is visited once, however many ways lead on."""
+    """Literals and names at every level: each node is visited once, however many branches there are."""
     rows = []
     for n in range(2**10):
         parts = ["a" if n >> bit & 1 else "{x}" for bit in range(10)]
--- a/tests/routes/test_trial.py
+++ b/tests/routes/test_trial.py
@@ -1,4 +1,4 @@
-"""A canary on trial: few false alarms however long it is watched, and a worse one is found."""
+"""Canary trials: few false alarms however long a trial runs, and worse canaries are found."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
     outage: tuple[int, int] = (0, 0),
     ramp: bool = False,
 ) -> tuple[Trial, int]:
-    """A trial of so many requests; at which it ended, or `count`. `main` and `canary`: what fails."""
+    """Run a trial of `count` requests. Returns it, and the number of the request that ended it or `count`. `main` and
+    `canary` are the failure rates."""
     rng = Random(seed)
     trial = Trial(0.05)
     for at in range(count):
@@ -29,7 +30,7 @@
         to = rng.random() < mine
         rate = canary if to else main
         if outage[0] <= at < outage[1]:
-            rate = 0.7  # of what lies behind both
+            rate = 0.7  # an outage of something that both depend on
         spent = rng.lognormvariate(3.0, 0.5) * (slower if to else 1.0)
         if trial.record(to, rng.random() < rate, spent):
             return trial, at
@@ -38,7 +39,8 @@
 
 @pytest.mark.parametrize("ramp", [False, True], ids=["steady", "ramp"])
 def test_a_canary_that_is_no_worse_is_rarely_ended(ramp: bool) -> None:
-    """Watched at every request, through an outage behind both: at most alpha of them. `benchmarks.routes` plays 200."""
+    """Checked at every request, through an outage that affects both: at most a fraction of alpha is ended.
+    `benchmarks.routes` runs 200 seeds."""
     ended = sum(
         run_trial(seed, 1_200, 0.2, 0.01, 0.01, outage=(500, 700), ramp=ramp)[1] < 1_200 for seed in range(60)
     )
@@ -51,7 +53,7 @@
     assert sorted(at for _, at in found)[10] < 5_000
     assert (
         sum("fails more" in trial.verdict for trial, _ in found) >= 18
-    )  # the others: the bet on time was first
+    )  # in the others the test for slow requests ended the trial first
 
 
 def test_a_slower_canary_is_found() -> None:
@@ -80,7 +82,7 @@
 
 
 def test_outcomes_of_different_ramp_steps_are_not_compared() -> None:
-    """While a part grows, the later of two ends is likelier to be the canary's, however good it is."""
+    """While a share grows, the later of two outcomes is more likely the canary's, however good the canary is."""
     route = Route(pool="main", split=("new 40%",), sticky="request", ramp_ms=1000.0)
     router = Router({"r": route}, {}, {}, 0.0)
     versions = [
@@ -98,7 +100,7 @@
     assert trial.logs == (0.0,) * 2 * len(FACTORS)
     for _ in range(10):
         trials.record("main", "main", False, 5.0, 0, versions[2])
-    trials.record("new", "main", True, 5.0, 0, versions[0])  # late, of the step before
+    trials.record("new", "main", True, 5.0, 0, versions[0])  # late, from an earlier step
     assert trial.logs == (0.0,) * 2 * len(FACTORS)
     trials.record("new", "main", True, 5.0, 0, versions[2])
     assert trial.logs[0] > 0.0
--- a/tests/routes/test_zones.py
+++ b/tests/routes/test_zones.py
@@ -1,4 +1,4 @@
-"""Spill between zones: it comes to rest, takes no more than is too much, and overloads nobody."""
+"""Spill between zones: it converges, moves only the excess, and overloads no zone."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def simulate(
     demand: dict[str, float], capacity: dict[str, float], steps: int, balancer_count: int = 30, seed: int = 1
 ) -> list[dict[str, float]]:
-    """What each zone carries, by step, where every copy looks at what it sees a step late and with an error of 5%."""
+    """The load of each zone by step. Each balancer sees the load one step late and with an error of up to 5%."""
     rng = Random(seed)
     spills = [Spill(ZONES[n % 3]) for n in range(balancer_count)]
     parts = [{zone: float(zone == spill.home) for zone in ZONES} for spill in spills]
@@ -47,7 +47,7 @@
     rows = simulate({"a": 140.0, "b": 50.0, "c": 50.0}, EVEN, 200)
     last = rows[100:]
     assert all(60.0 <= row["a"] <= 100.0 for row in last)
-    assert max(row["a"] for row in last) - min(row["a"] for row in last) < 10.0  # it does not slosh
+    assert max(row["a"] for row in last) - min(row["a"] for row in last) < 10.0  # no oscillation
     assert all(max(row["b"], row["c"]) <= 100.0 for row in rows)
     assert rows[0]["a"] == pytest.approx(140.0)
 
