--- a/larkweir/routes/part.py
+++ b/larkweir/routes/part.py
@@ -1,4 +1,4 @@
-"""The routes' place in a balancer."""
+"""Connects the routes to a balancer."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from larkweir.core.request_handler import RequestHandler
 from larkweir.core.stderr_log import StderrLog
 from larkweir.membership.discovery import Discovery
-from larkweir.routes.hands import Routes
+from larkweir.routes.request_routing import Routes
 
 
 class Host(Protocol):
-    """What it needs of the balancer."""
+    """What the routes need of the balancer."""
 
     config: Config
     clock: Clock
@@ -35,7 +35,7 @@
 
 
 def begin(host: Host, options: Operator) -> None:
-    """Pools decide, each for itself; not where a script does."""
+    """Replace the single `Balancer` by one for each pool. Other implementations of `Decisions` (scripts) are kept."""
     if not isinstance(host.decisions, Balancer):
         return
     host.routes = Routes(options, host.config, host.clock, host.log.write)
@@ -43,6 +43,7 @@
 
 
 def attach(host: Host, options: Operator) -> None:
+    """Connect the routes to the dispatcher, discovery, the request handler, reloads and the status."""
     routes = host.routes
     if routes is None:
         return
@@ -53,7 +54,7 @@
         names = host.discovery.names
         names.reverse = {} if names.reverse is None else names.reverse
         routes.name_of = lambda number: (names.reverse or {}).get(number, "")
-    host.upstream_protocol = routes.speaks
+    host.upstream_protocol = routes.protocol_of
     host.request_handler.router = routes
 
     def configure(config: Config, options: Operator | None) -> None:
--- a/tests/routes/test_subsets.py
+++ b/tests/routes/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets: even, small, and moved little by one change."""
+"""Subsets are small, load upstreams evenly, and change little when one upstream does."""
 
 from __future__ import annotations
 
@@ -6,37 +6,39 @@
 
 import pytest
 
-from larkweir.routes.subsets import WAYS, least, ring
+from larkweir.routes.subsets import STRATEGIES, min_subset_size, ring
 
 
-def load(names: list[str], copies: int, size: int, way: str) -> Counter[str]:
+def load(names: list[str], balancer_count: int, size: int, strategy: str) -> Counter[str]:
     found: Counter[str] = Counter()
-    for me in range(copies):
-        mine = WAYS[way](names, me, copies, size)
+    for me in range(balancer_count):
+        mine = STRATEGIES[strategy](names, me, balancer_count, size)
         assert len(mine) == len(set(mine)) == min(size, len(names))
         found.update(mine)
     return found
 
 
 @pytest.mark.parametrize(
-    ("upstreams", "copies", "size"), [(40, 20, 8), (200, 30, 20), (100, 200, 10), (7, 3, 10)]
+    ("upstreams", "balancer_count", "size"), [(40, 20, 8), (200, 30, 20), (100, 200, 10), (7, 3, 10)]
 )
-def test_the_ring_loads_all_alike(upstreams: int, copies: int, size: int) -> None:
+def test_the_ring_loads_upstreams_evenly(upstreams: int, balancer_count: int, size: int) -> None:
     names = [f"s{n}" for n in range(upstreams)]
-    found = load(names, copies, size, "ring")
+    found = load(names, balancer_count, size, "ring")
     mean = sum(found.values()) / upstreams
     assert max(found.values()) <= mean + 1.0 + 1e-9 and min(found[name] for name in names) >= int(mean) - 1
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_it_does_not_go_by_the_order_of_the_list(way: str) -> None:
+@pytest.mark.parametrize("strategy", STRATEGIES)
+def test_subsets_do_not_depend_on_the_order_of_the_list(strategy: str) -> None:
     names = [f"s{n}" for n in range(50)]
     for me in range(5):
-        assert set(WAYS[way](names, me, 5, 10)) == set(WAYS[way](list(reversed(names)), me, 5, 10))
+        assert set(STRATEGIES[strategy](names, me, 5, 10)) == set(
+            STRATEGIES[strategy](list(reversed(names)), me, 5, 10)
+        )
 
 
-def test_one_upstream_that_goes_moves_little() -> None:
-    """While half of the balancers restart nothing moves at all: places go by the settings, not by who is there."""
+def test_removing_one_upstream_changes_little() -> None:
+    """Restarts of balancers change nothing, since a balancer's position depends on the settings only."""
     names = [f"s{n}" for n in range(200)]
     moved = kept = 0
     for me in range(30):
@@ -48,7 +50,9 @@
     assert restarted == [set(ring(names, me, 30, 20)) for me in range(15)]
 
 
-def test_all_are_somebodys_from_the_least_size_on() -> None:
-    for upstreams, copies in ((40, 20), (2000, 30), (2000, 2000)):
+def test_with_the_minimum_size_each_upstream_is_in_some_subset() -> None:
+    for upstreams, balancer_count in ((40, 20), (2000, 30), (2000, 2000)):
         names = [f"s{n}" for n in range(upstreams)]
-        assert set(load(names, copies, least(upstreams, copies), "ring")) == set(names)
+        assert set(load(names, balancer_count, min_subset_size(upstreams, balancer_count), "ring")) == set(
+            names
+        )
--- a/tests/routes/test_switch.py
+++ b/tests/routes/test_switch.py
@@ -1,4 +1,4 @@
-"""Many pools behind one interface: the law over any order of events, and shared upstreams counted once."""
+"""Several pools behind one interface: invariants for any order of events, and shared upstreams are counted once."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 )
 
 from larkweir.routes.router import Choice
-from larkweir.routes.switch import Coming, Pool, Switch
+from larkweir.routes.switch import PendingGeneration, Pool, Switch
 
 CLASSES = (
     RequestClass(500.0, 1_000.0, Effect.SAFE, name="look"),
@@ -57,12 +57,14 @@
     return Switch({name: pool_of(name) for name in names}, "default")
 
 
-def test_a_request_that_no_pool_can_serve_goes_to_its_fallback_once() -> None:
+def test_a_request_that_its_pool_cannot_serve_goes_to_its_fallback_once() -> None:
     it = switch_of("default", "none", "blue")
     it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(1, 6)]))
     event = RequestArrived(1, 2, 1_000.0, choice=Choice("r", ("none", "blue")))
     out, now = it.handle(1.0, event), 1.0
-    while not any(isinstance(action, Send) for action in out):  # held, while a server might come
+    while not any(
+        isinstance(action, Send) for action in out
+    ):  # the request waits for an upstream for some time
         timer = next(action for action in out if isinstance(action, SetTimer))
         now += timer.delay_ms
         out = it.handle(now, TimerFired(timer.cookie))
@@ -72,7 +74,7 @@
     assert [type(action) for action in out if isinstance(action, Send | Fail | Refuse)] == [Fail]
 
 
-def test_attempts_of_all_pools_together_are_no_more_than_one_would_make() -> None:
+def test_all_pools_together_make_no_more_attempts_than_one_may() -> None:
     it = switch_of("default", "blue", "green")
     it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(1, 6)]))
     out = it.handle(1.0, RequestArrived(1, 0, 1_000.0, choice=Choice("r", ("default", "blue", "green"))))
@@ -94,25 +96,23 @@
     assert not it._requests
 
 
-def test_two_pools_count_an_upstreams_calls_once() -> None:
+def test_two_pools_count_the_calls_to_a_shared_upstream_once() -> None:
     it = switch_of("default", "blue")
-    it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(3)]))  # the only one, of both
+    it.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(3)]))  # the only upstream, in both pools
     for number, pool in ((1, "default"), (2, "blue"), (3, "default")):
         out = it.handle(1.0, RequestArrived(number, 0, 1_000.0, choice=Choice("r", (pool,))))
         assert [action.server for action in out if isinstance(action, Send)] == [3]
-    it.settle()
+    it.update_all_counts()
     for name in ("default", "blue"):
         assert it.pools[name].decisions.table.servers[3].in_flight == 3
-        assert (
-            not it.pools[name].decisions.table.by_in_flight[0][0].items
-        )  # no token: it is not idle for either
+        assert not it.pools[name].decisions.table.by_in_flight[0][0].items  # not idle for either pool
     for number in (1, 2, 3):
         it.handle(5.0, AttemptEnded(number, 0, 3, Outcome.OK, True, 4.0))
-    it.settle()
+    it.update_all_counts()
     assert all(it.pools[name].decisions.table.servers[3].in_flight == 0 for name in ("default", "blue"))
 
 
-def test_two_pools_together_give_a_cold_upstream_no_more_than_one_would() -> None:
+def test_two_pools_together_send_an_upstream_in_slow_start_no_more_than_one_would() -> None:
     def sends(names: tuple[str, ...]) -> int:
         rng, cold, now = Random(5), 0, 10_000.0
         MEMBERS["default"], MEMBERS["blue"] = set(range(1, 11)), set(range(1, 11))
@@ -154,7 +154,7 @@
 
 
 class Switches(RuleBasedStateMachine):
-    """Requests of any class over pools that come, go and share upstreams."""
+    """Requests of any class, with pools that are added and removed and that share upstreams."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -178,16 +178,16 @@
         if isinstance(action, Send):
             number = action.request
             assert number in self.open and not self.answers[number]
-            held = self.it._requests[number].pool
+            pool = self.it._requests[number].pool
             assert self.states[action.server] is ServerState.READY
-            assert action.server in MEMBERS[held.name] and held.name in self.took[number]
+            assert action.server in MEMBERS[pool.name] and pool.name in self.took[number]
             effect = CLASSES[self.open[number].class_index].effect
             if self.ran.get(number) and effect is not Effect.SAFE:
-                # Only the decisions' own repeat of a keyed one, in the pool where it may have run.
-                assert effect is Effect.KEYED and set(self.ran[number]) == {held.name}
+                # Only the pool where a keyed request may have run may repeat it.
+                assert effect is Effect.KEYED and set(self.ran[number]) == {pool.name}
             if effect is Effect.UNSAFE:
                 assert not [row for row in self.out if row[0] == number]
-            self.out.append((number, self.sent[number], action.server, held.name))
+            self.out.append((number, self.sent[number], action.server, pool.name))
             self.sent[number] += 1
             assert self.sent[number] <= SETTINGS.max_attempts
         elif isinstance(action, Refuse | Fail):
@@ -240,10 +240,10 @@
 
     @rule(names=st.sets(st.sampled_from(["blue", "green", "none"])))
     def generation(self, names: set[str]) -> None:
-        held = dict(self.it.pools)
-        pools = {name: held.get(name) or pool_of(name) for name in ("default", *sorted(names))}
-        left = [pool for name, pool in held.items() if name not in pools]
-        self.it.coming = Coming(pools, dict.fromkeys(pools, SETTINGS), left)
+        existing = dict(self.it.pools)
+        pools = {name: existing.get(name) or pool_of(name) for name in ("default", *sorted(names))}
+        removed = [pool for name, pool in existing.items() if name not in pools]
+        self.it.pending_generation = PendingGeneration(pools, dict.fromkeys(pools, SETTINGS), removed)
         self.tell(Reconfigured(SETTINGS))
 
     @precondition(lambda self: self.open)
@@ -258,8 +258,8 @@
     def calls_are_counted_once_for_each_upstream(self) -> None:
         if not hasattr(self, "it"):
             return
-        self.it.settle()
-        for pool in (*self.it.pools.values(), *self.it.left):
+        self.it.update_all_counts()
+        for pool in (*self.it.pools.values(), *self.it.draining_pools):
             servers = pool.decisions.table.servers
             assert set(servers) <= MEMBERS[pool.name]
             for number, server in servers.items():
@@ -272,14 +272,14 @@
                 )
                 assert (
                     server.other_in_flight >= theirs
-                )  # a predecessor of the same name counts among the others
+                )  # a removed pool of the same name counts as another pool
         open_ = {row[0] for row in self.out} | {number for number in self.open if not self.answers[number]}
         assert set(self.it._requests) <= open_
-        for pool in self.it.left:
+        for pool in self.it.draining_pools:
             assert pool.requests > 0
 
     def teardown(self) -> None:
-        """Whatever was open has one answer in the end."""
+        """Every open request gets exactly one answer in the end."""
         while self.out:
             self.end(0, Outcome.CONNECT_FAILED)
             for _ in range(50):
@@ -291,7 +291,7 @@
             while self.out:
                 self.end(0, Outcome.CONNECT_FAILED)
         assert all(self.answers[number] == 1 for number in self.open)
-        assert not self.it._requests and not self.it.left
+        assert not self.it._requests and not self.it.draining_pools
 
 
 Switches.TestCase.settings = settings(
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""Which route wins: by the stated order, whatever the file's; beside a matcher that tries all."""
+"""The precedence of routes, independent of their order in the file, compared with a matcher that tries all routes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkweir.routes.paths import normal
+from larkweir.routes.paths import normalize
 from larkweir.routes.table import Facts, Match, Table, rank, segments_of
 from tests.counting import calls_of
 
@@ -29,7 +29,7 @@
         ]
         for name, value in headers.items()
     }
-    return Facts(host.encode(), normal(path.encode()), method.encode(), rows, cls, tenant)
+    return Facts(host.encode(), normalize(path.encode()), method.encode(), rows, cls, tenant)
 
 
 ROUTES: dict[str, Match] = {
@@ -72,7 +72,7 @@
         (facts("/api/word", method="POST", x_beta="1"), "headed"),
         (facts("/api/word", x_beta="2", x_more="1"), "valued"),
         (facts("/api/word", x_beta="3", x_more="1"), "headed"),
-        (facts("/api/word", x_beta=["2", "2"], x_more="1"), "word"),  # one that comes twice fits no condition
+        (facts("/api/word", x_beta=["2", "2"], x_more="1"), "word"),  # a repeated header matches no condition
         (facts("/api/word", "a.example"), "hosted"),
         (facts("/other", "a.example"), "star"),
         (facts("/other", "x.b.example"), "longer-star"),
@@ -81,17 +81,17 @@
         (facts("/api/../api/word"), "word"),
     ],
 )
-def test_the_order_is_stated_and_not_the_files(request_: Facts, name: str) -> None:
+def test_precedence_does_not_depend_on_the_order_in_the_file(request_: Facts, name: str) -> None:
     rng = Random(1)
     names = list(ROUTES)
     for _ in range(5):
         rng.shuffle(names)
         table = Table.of((item, ROUTES[item]) for item in names)
         assert table.find(request_) == name
-        assert table.why(request_)[0] == name
+        assert table.explain(request_)[0] == name
 
 
-def test_ties_go_by_name() -> None:
+def test_ties_are_broken_by_name() -> None:
     rows = [
         ("b", Match(path=b"/x", classes=frozenset([1]))),
         ("a", Match(path=b"/x", classes=frozenset([1, 2]))),
@@ -100,24 +100,24 @@
         assert Table.of(order).find(facts("/x", cls=1)) == "a"
 
 
-def test_why_says_what_was_missing() -> None:
+def test_explain_tells_why_routes_did_not_match() -> None:
     table = Table.of(ROUTES.items())
-    name, passed = table.why(facts("/api/word"))
+    name, rejected = table.explain(facts("/api/word"))
     assert name == "word"
-    assert passed == [
-        "valued: a header is missing, another, or there twice",
-        "headed: a header is missing, another, or there twice",
+    assert rejected == [
+        "valued: a header is missing, has another value, or is repeated",
+        "headed: a header is missing, has another value, or is repeated",
         "post: another method",
         "classed: another class",
         "tenanted: another tenant",
     ]
 
 
-# ---------------------------------------------------------------- beside one that tries all
+# ---------------------------------------------------------------- compared with a matcher that tries all routes
 
 
 def _path_fits(match: Match, segments: tuple[bytes, ...]) -> tuple[tuple[int, ...], bool] | None:
-    """How well a path fits, as a key that sorts better ones first; none if it does not."""
+    """How well a path matches, as a sort key with better matches first; None if it does not match."""
     prefix = match.prefix or not match.path
     wanted = segments_of(match.path.rstrip(b"/") if prefix else match.path)
     if len(wanted) > len(segments) or (not prefix and len(wanted) != len(segments)):
@@ -132,10 +132,10 @@
             key.append(0)
         else:
             return None
-    return (*key, 2), prefix  # the end of a prefix comes behind any that goes on
+    return (*key, 2), prefix  # the end of a prefix comes after any further segment
 
 
-def slow(routes: Iterable[tuple[str, Match]], request: Facts) -> str | None:
+def find_by_trying_all(routes: Iterable[tuple[str, Match]], request: Facts) -> str | None:
     best = None
     for name, match in routes:
         if not match.host:
@@ -149,7 +149,7 @@
         else:
             continue
         path = _path_fits(match, request.target.segments)
-        entry = Table.of([(name, match)]).why(request)[0]
+        entry = Table.of([(name, match)]).explain(request)[0]
         if path is None or entry is None:
             continue
         key = (hosted, path, rank(name, match))
@@ -182,17 +182,17 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(matches, max_size=14), st.lists(requests, min_size=1, max_size=6))
-def test_it_finds_what_trying_all_finds(found: list[Match], asked: list[Facts]) -> None:
+def test_find_agrees_with_trying_all_routes(found: list[Match], asked: list[Facts]) -> None:
     rows = [(f"r{n}", match) for n, match in enumerate(found)]
     table = Table.of(rows)
     for request in asked:
-        assert table.find(request) == slow(rows, request)
+        assert table.find(request) == find_by_trying_all(rows, request)
 
 
-# ---------------------------------------------------------------- ten thousand
+# ---------------------------------------------------------------- many routes
 
 
-def test_ten_thousand_routes_cost_a_request_as_much_as_ten() -> None:
+def test_finding_one_of_ten_thousand_routes_costs_as_much_as_one_of_ten() -> None:
     def table(count: int) -> Table:
         rows = [(f"r{n}", Match(path=f"/s{n % 100}/t{n // 100}/{{id}}".encode())) for n in range(count // 2)]
         rows += [
@@ -212,7 +212,7 @@
 
 
 def test_no_template_takes_exponential_time() -> None:
-    """Words and names at every level: a node is visited once, however many ways lead on."""
+    """Literals and names at every level: each node is visited once, however many branches there are."""
     rows = []
     for n in range(2**10):
         parts = ["a" if n >> bit & 1 else "{x}" for bit in range(10)]
