--- a/packages/peers/tests/fleet_peers.py
+++ b/packages/peers/tests/fleet_peers.py
@@ -15,17 +15,19 @@
 KEYS = (b"sixteen letters!",)
 
 
-BORN_MS = 1_000_000  # of the clock that process starts are taken from
+CLOCK_ORIGIN_MS = 1_000_000  # of the clock that process starts are taken from
 
 
-RTT = (1.0, 10.0)
+DELAY_RANGE_MS = (1.0, 10.0)
 
 
 class Fleet:
     """The protocol of each process, its datagrams and its timer on the network, and its events."""
 
-    def __init__(self, seed: int, lost: float = 0.0, doubled: float = 0.0, names: list[str] = NAMES) -> None:
-        self.net = Network(seed, delay_ms=RTT, loss_rate=lost, duplicate_rate=doubled)
+    def __init__(
+        self, seed: int, loss_rate: float = 0.0, duplicate_rate: float = 0.0, names: list[str] = NAMES
+    ) -> None:
+        self.net = Network(seed, delay_ms=DELAY_RANGE_MS, loss_rate=loss_rate, duplicate_rate=duplicate_rate)
         self.names = names
         self.processes: dict[str, PeerProtocol] = {}
         self.events: list[tuple[str, MemberEvent]] = []  # observer, event
@@ -38,8 +40,8 @@
     def start(self, name: str, clock_ms: float = 0.0) -> PeerProtocol:
         """Start a process; `clock_ms`: the error of its clock."""
         net, now = self.net, self.net.now_ms
-        process_start_ms = int(BORN_MS + now + clock_ms)
-        peers = self.processes[name] = PeerProtocol(
+        process_start_ms = int(CLOCK_ORIGIN_MS + now + clock_ms)
+        process = self.processes[name] = PeerProtocol(
             name, self.names, Random(net.rng.random()), now, process_start_ms, KEYS
         )
 
@@ -50,36 +52,36 @@
                 handle(source, data)
 
         def handle(source: str, data: bytes) -> None:
-            peers.on_datagram(source, data, net.now_ms)
-            self._out(name)
+            process.on_datagram(source, data, net.now_ms)
+            self._drain(name)
 
         net.listen(name, on_datagram)
-        self._out(name)
-        return peers
+        self._drain(name)
+        return process
 
-    def _out(self, name: str) -> None:
-        peers, net = self.processes[name], self.net
-        while peers.datagrams:
-            to, data = peers.datagrams.popleft()
+    def _drain(self, name: str) -> None:
+        process, net = self.processes[name], self.net
+        while process.datagrams:
+            to, data = process.datagrams.popleft()
             assert len(data) <= MAX_DATAGRAM_BYTES
             net.send(name, to, data)
-        while peers.items:
-            self.items.append((name, peers.items.popleft()))
-        while peers.membership.events:
-            self.events.append((name, peers.membership.events.popleft()))
+        while process.items:
+            self.items.append((name, process.items.popleft()))
+        while process.membership.events:
+            self.events.append((name, process.membership.events.popleft()))
         timer = self._timers.get(name)
         if timer is not None:
             timer.cancel()  # type: ignore[attr-defined]
-        self._timers[name] = net.at(peers.next_ms, lambda: self._tick(name), name)
+        self._timers[name] = net.at(process.next_ms, lambda: self._tick(name), name)
 
     def _tick(self, name: str) -> None:
         self.processes[name].tick(self.net.now_ms)
         assert self.processes[name].next_ms > self.net.now_ms  # else the timer would spin
-        self._out(name)
+        self._drain(name)
 
     def post(self, source: str, to: str, item: bytes) -> bool:
         done = self.processes[source].post(to, 1, item, self.net.now_ms)
-        self._out(source)
+        self._drain(source)
         return done
 
     def kill(self, *names: str) -> None:
@@ -93,20 +95,21 @@
     def reported(self, state: MemberState, of: str, since_ms: float = 0.0) -> dict[str, float]:
         """The observers of that state, and when each had it first."""
         found: dict[str, float] = {}
-        for who, event in self.events:
+        for observer, event in self.events:
             if event.state is state and event.name == of and event.at_ms >= since_ms:
-                found.setdefault(who, event.at_ms - since_ms)
+                found.setdefault(observer, event.at_ms - since_ms)
         return found
 
     def wrong_reports(self, state: MemberState, except_for: set[str]) -> set[tuple[str, str]]:
         return {
-            (who, event.name)
-            for who, event in self.events
+            (observer, event.name)
+            for observer, event in self.events
             if event.state is state and event.name not in except_for
         }
 
     def has_one_view(self, dead: set[str] = frozenset()) -> bool:  # type: ignore[assignment]
         """Whether each running process has the true state of all."""
         return all(
-            set(peers.alive()) == set(self.names) - {name} - dead for name, peers in self.processes.items()
+            set(process.alive()) == set(self.names) - {name} - dead
+            for name, process in self.processes.items()
         )
--- a/packages/peers/tests/rig_peers.py
+++ b/packages/peers/tests/rig_peers.py
@@ -25,10 +25,10 @@
     return PeerProtocol(me, NAMES, Random(me), 0.0, process_start_ms, keys, config)
 
 
-def take_sent(peers: PeerProtocol, to: str) -> list[bytes]:
+def take_sent(process: PeerProtocol, to: str) -> list[bytes]:
     """Take the datagrams that wait for `to`; drop the others."""
-    found = [item.data for item in peers.datagrams if item.to == to]
-    peers.datagrams.clear()
+    found = [item.data for item in process.datagrams if item.to == to]
+    process.datagrams.clear()
     return found
 
 
--- a/packages/peers/tests/test_peers_addresses.py
+++ b/packages/peers/tests/test_peers_addresses.py
@@ -8,7 +8,7 @@
 ME = pack_address("127.0.0.1:7946")
 
 
-def test_addresses_have_one_text_and_six_bytes() -> None:
+def test_an_address_has_one_text_form_and_six_bytes() -> None:
     assert unpack_address(pack_address("10.3.0.1:7946")) == "10.3.0.1:7946" and len(ME) == 6
     assert is_loopback("127.9.0.1:1") and not is_loopback("12.7.0.1:1")
     bad = [
--- a/packages/peers/tests/test_peers_failure_detector.py
+++ b/packages/peers/tests/test_peers_failure_detector.py
@@ -14,10 +14,10 @@
 from rig_peers import KEY, NAMES, A, B, C, D, introduce, new_process, take_sent
 
 
-def taken_messages(peers: PeerProtocol, to: str) -> list[object]:
+def taken_messages(process: PeerProtocol, to: str) -> list[object]:
     return [
         decode(DatagramAuthenticator((KEY,)).verify(pack_address(to), data) or b"")
-        for data in take_sent(peers, to)
+        for data in take_sent(process, to)
     ]
 
 
@@ -35,7 +35,7 @@
     assert isinstance(answer, Nack) and answer.request_number == a.sender._last_sequence_number
 
 
-def test_a_probe_of_a_removed_peer_reports_nobody() -> None:
+def test_a_probe_of_a_removed_peer_is_dropped_without_a_report() -> None:
     a = new_process(A)
     introduce(a, new_process(B), new_process(C), new_process(D))
     a.tick(a.next_ms)
--- a/packages/peers/tests/test_peers_fleet.py
+++ b/packages/peers/tests/test_peers_fleet.py
@@ -10,9 +10,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("lost", [0.0, 0.1])
-def test_a_crash_is_detected_by_all_and_nobody_else_is_suspected_dead(seed: int, lost: float) -> None:
-    fleet = Fleet(seed, lost=lost, doubled=lost)
+@pytest.mark.parametrize("loss_rate", [0.0, 0.1])
+def test_a_crash_is_detected_by_all_and_nobody_else_is_declared_dead(seed: int, loss_rate: float) -> None:
+    fleet = Fleet(seed, loss_rate=loss_rate, duplicate_rate=loss_rate)
     fleet.run(20_000.0)
     assert fleet.has_one_view()
     crashed, at = NAMES[seed], fleet.net.now_ms
@@ -25,20 +25,20 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_partition_splits_the_fleet_and_heals(seed: int) -> None:
-    fleet = Fleet(seed, lost=0.02)
+    fleet = Fleet(seed, loss_rate=0.02)
     fleet.run(15_000.0)
     fleet.net.split([NAMES[:12], NAMES[12:]])
     fleet.run(60_000.0)
-    for name, peers in fleet.processes.items():
+    for name, process in fleet.processes.items():
         side = NAMES[:12] if name in NAMES[:12] else NAMES[12:]
-        assert set(peers.alive()) == set(side) - {name}
+        assert set(process.alive()) == set(side) - {name}
     fleet.net.heal()
     fleet.run(15_000.0)
     assert fleet.has_one_view()
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_paused_process_reports_nobody_and_is_alive_again(seed: int) -> None:
+def test_a_paused_process_suspects_nobody_and_is_alive_again(seed: int) -> None:
     """SIGSTOP and SIGCONT: its time-outs have run out meanwhile."""
     fleet = Fleet(seed)
     stopped = set(NAMES[:3])
@@ -72,10 +72,10 @@
     assert sum(fleet.processes[name].health.score for name in NAMES[3:]) <= 5
     fleet.slow.clear()
     fleet.run(30_000.0)
-    assert fleet.has_one_view() and not any(peers.health.score for peers in fleet.processes.values())
+    assert fleet.has_one_view() and not any(process.health.score for process in fleet.processes.values())
 
 
-def test_a_new_process_replaces_the_former_one_also_with_its_clock_behind() -> None:
+def test_a_new_process_replaces_the_former_one_even_with_its_clock_behind() -> None:
     fleet = Fleet(5)
     fleet.run(10_000.0)
     for clock_ms in (0.0, -500_000.0):
@@ -87,7 +87,9 @@
         fleet.run(10_000.0)
         assert fleet.processes[name].membership.incarnation > before
         assert {
-            peers.membership.members[name].incarnation for n, peers in fleet.processes.items() if n != name
+            process.membership.members[name].incarnation
+            for n, process in fleet.processes.items()
+            if n != name
         } == {fleet.processes[name].membership.incarnation}
         assert fleet.has_one_view() and not fleet.reported(MemberState.DEAD, name)
 
@@ -102,8 +104,8 @@
     assert fleet.has_one_view({NAMES[1]})
 
 
-def test_items_arrive_or_not_but_never_twice_and_never_incomplete() -> None:
-    fleet = Fleet(7, lost=0.05, doubled=0.2)
+def test_items_are_never_delivered_twice_or_incomplete() -> None:
+    fleet = Fleet(7, loss_rate=0.05, duplicate_rate=0.2)
     fleet.run(5_000.0)
     posted: dict[tuple[str, str], list[bytes]] = {}
     random = Random(7)
@@ -120,7 +122,7 @@
     assert len(received) > 200
 
 
-def test_an_idle_process_sends_as_much_in_a_fleet_of_any_size() -> None:
+def test_the_send_rate_of_an_idle_process_does_not_depend_on_fleet_size() -> None:
     """Counted after the updates of the start."""
     sends = {}
     for number in (10, 60):
@@ -132,9 +134,9 @@
     assert 3.9 < sends[10] < 4.1 and 3.9 < sends[60] < 4.1
 
 
-def test_the_same_seed_is_the_same_run() -> None:
+def test_the_same_seed_gives_the_same_run() -> None:
     def run() -> object:
-        fleet = Fleet(9, lost=0.1, doubled=0.1)
+        fleet = Fleet(9, loss_rate=0.1, duplicate_rate=0.1)
         fleet.run(5_000.0)
         fleet.kill(NAMES[3])
         fleet.run(10_000.0)
--- a/packages/peers/tests/test_peers_golden.py
+++ b/packages/peers/tests/test_peers_golden.py
@@ -44,13 +44,13 @@
 LARGE = bytes(range(256)) * 2
 
 
-def rows(name: str) -> dict[str, bytes]:
+def read_rows(name: str) -> dict[str, bytes]:
     """Lines of a name and bytes in hex."""
     lines = (GOLDEN / name).read_text(encoding="ascii").splitlines()
     return {key: bytes.fromhex(text) for key, text in (line.split(" ") for line in lines)}
 
 
-FOUND = {name: rows(f"{name}.hex") for name in ("frames", "exchange")}
+EXPECTED = {name: read_rows(f"{name}.hex") for name in ("frames", "exchange")}
 
 
 def processes() -> dict[str, PeerProtocol]:
@@ -62,54 +62,54 @@
 
 def exchange() -> list[tuple[str, bytes]]:
     """Every datagram of three processes that probe, send items, suspect one that does not answer, and leave."""
-    peers = processes()
+    by_name = processes()
     found: list[tuple[str, bytes]] = []
     silent = {C}
     for turn in range(60):
         now_ms = 100.0 * turn
         if turn == 5:
-            assert peers[A].post(B, 2, LARGE, now_ms) and peers[A].post(B, 3, b"", now_ms)
+            assert by_name[A].post(B, 2, LARGE, now_ms) and by_name[A].post(B, 3, b"", now_ms)
         if turn == 40:
             silent.clear()
         if turn == 55:
-            peers[B].leave(now_ms)
-        for name, process in peers.items():
+            by_name[B].leave(now_ms)
+        for name, process in by_name.items():
             process.tick(now_ms)
-            going = [(item.to, item.data) for item in process.datagrams]
+            outgoing = [(item.to, item.data) for item in process.datagrams]
             process.datagrams.clear()
-            for to, data in going:
+            for to, data in outgoing:
                 found.append((f"{turn}:{name}>{to}", data))
                 if not silent & {name, to}:
-                    peers[to].on_datagram(name, data, now_ms)
-    assert [tuple(item) for item in peers[B].items] == [(A, 2, LARGE), (A, 3, b"")]
+                    by_name[to].on_datagram(name, data, now_ms)
+    assert [tuple(item) for item in by_name[B].items] == [(A, 2, LARGE), (A, 3, b"")]
     found += [
-        (f"{name}:{cause}", count.to_bytes(4, "big"))
-        for name, process in peers.items()
-        for cause, count in process.dropped.items()
+        (f"{name}:{reason}", count.to_bytes(4, "big"))
+        for name, process in by_name.items()
+        for reason, count in process.dropped.items()
     ]
     return found
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_message_is_decoded_and_encoded_as_before(name: str) -> None:
-    assert encode(MESSAGES[name]) == FOUND["frames"][name]
-    assert decode(FOUND["frames"][name]) == MESSAGES[name]
+def test_a_golden_frame_is_decoded_and_encoded_unchanged(name: str) -> None:
+    assert encode(MESSAGES[name]) == EXPECTED["frames"][name]
+    assert decode(EXPECTED["frames"][name]) == MESSAGES[name]
 
 
-def test_every_type_of_message_is_here() -> None:
+def test_every_message_type_has_a_golden_frame() -> None:
     assert {type(message) for message in MESSAGES.values()} == set(MESSAGE_TYPES.values())
 
 
-def test_an_address_and_a_tag_are_as_before() -> None:
-    assert pack_address(A) == FOUND["frames"]["name"] and unpack_address(FOUND["frames"]["name"]) == A
-    sealed = FOUND["frames"]["sealed"]
-    assert DatagramAuthenticator((KEY, OLD_KEY)).sign(pack_address(B), FOUND["frames"]["ping"]) == sealed
-    assert DatagramAuthenticator((OLD_KEY, KEY)).verify(pack_address(B), sealed) == FOUND["frames"]["ping"]
-    assert DatagramAuthenticator((KEY,)).verify(pack_address(C), sealed) is None
+def test_an_address_and_a_tag_are_unchanged() -> None:
+    assert pack_address(A) == EXPECTED["frames"]["name"] and unpack_address(EXPECTED["frames"]["name"]) == A
+    signed = EXPECTED["frames"]["sealed"]
+    assert DatagramAuthenticator((KEY, OLD_KEY)).sign(pack_address(B), EXPECTED["frames"]["ping"]) == signed
+    assert DatagramAuthenticator((OLD_KEY, KEY)).verify(pack_address(B), signed) == EXPECTED["frames"]["ping"]
+    assert DatagramAuthenticator((KEY,)).verify(pack_address(C), signed) is None
 
 
 def test_an_item_in_fragments_is_reassembled() -> None:
-    fragments = [FOUND["frames"][f"piece{number}"] for number in range(3)]
+    fragments = [EXPECTED["frames"][f"piece{number}"] for number in range(3)]
     assert split_item(LARGE) == fragments
     reassembler = Reassembler()
     assert [reassembler.add_fragment(A, 1, 2, n, 3, piece, 0.0) for n, piece in enumerate(fragments)] == [
@@ -119,7 +119,7 @@
     ]
 
 
-def test_an_exchange_is_datagram_by_datagram_as_before() -> None:
+def test_each_datagram_of_an_exchange_is_unchanged() -> None:
     found = exchange()
-    assert [f"{number}:{what}" for number, (what, _) in enumerate(found)] == list(FOUND["exchange"])
-    assert [data for _, data in found] == list(FOUND["exchange"].values())
+    assert [f"{number}:{what}" for number, (what, _) in enumerate(found)] == list(EXPECTED["exchange"])
+    assert [data for _, data in found] == list(EXPECTED["exchange"].values())
--- a/packages/peers/tests/test_peers_membership.py
+++ b/packages/peers/tests/test_peers_membership.py
@@ -103,7 +103,7 @@
     assert [item.data for item in b.items] == [b"all the same"]
 
 
-def test_the_first_reporter_is_passed_on_whatever_the_hashes() -> None:
+def test_the_first_reporter_is_gossiped_under_any_hash_seed() -> None:
     """A run of a seed can be repeated under any PYTHONHASHSEED."""
     names = [f"127.0.0.{n}:7946" for n in range(1, 16)]
     a = PeerProtocol(names[0], tuple(names[1:]), Random(1), 0.0, 1, (KEY,))
@@ -117,7 +117,7 @@
     assert reporters == [pack_address(by) for by in names[5:9]]
 
 
-def test_a_pause_of_this_process_postpones_suspicions_and_reports_nobody() -> None:
+def test_a_pause_of_this_process_postpones_suspicions_and_suspects_nobody() -> None:
     a = new_process(A)
     a.membership.on_probe_failed(B, 0.0)
     due = a.membership.due_ms
--- a/packages/peers/tests/test_peers_messages.py
+++ b/packages/peers/tests/test_peers_messages.py
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "cause"),
+    ("data", "reason"),
     [
         (b"", "malformed"),
         (GOOD[:1], "malformed"),
@@ -86,8 +86,8 @@
         (GOOD[:2] + b"\x91" * 200, "malformed"),
     ],
 )
-def test_what_is_not_a_message_has_a_drop_reason(data: bytes, cause: str) -> None:
-    with pytest.raises(MessageDecodeError, match=f"^{cause}$"):
+def test_an_invalid_message_raises_with_its_drop_reason(data: bytes, reason: str) -> None:
+    with pytest.raises(MessageDecodeError, match=f"^{reason}$"):
         decode(data)
 
 
@@ -97,7 +97,7 @@
     st.integers(0, MAX_DATAGRAM_BYTES),
     st.integers(0, 255),
 )
-def test_no_bytes_raise_anything_else(kind: int, data: bytes, at: int, byte: int) -> None:
+def test_arbitrary_bytes_raise_only_decode_errors(kind: int, data: bytes, at: int, byte: int) -> None:
     for candidate in (bytes((1, kind)) + data, GOOD[:at] + bytes((byte,)) + GOOD[at + 1 :]):
         try:
             message = decode(candidate)
--- a/packages/peers/tests/test_peers_protocol.py
+++ b/packages/peers/tests/test_peers_protocol.py
@@ -42,7 +42,7 @@
     assert not any(b.dropped.values())
 
 
-def test_an_item_out_of_bounds_raises() -> None:
+def test_an_invalid_item_raises() -> None:
     for channel, item in ((1, b"x" * (MAX_ITEM_BYTES + 1)), (0, b""), (256, b"")):
         with pytest.raises(ValueError):
             new_process(A).post(B, channel, item, 0.0)
@@ -83,10 +83,10 @@
 
 @pytest.mark.parametrize("case", UNUSABLE)
 def test_an_unusable_datagram_is_counted_and_changes_nothing(case: str) -> None:
-    change, source, cause = UNUSABLE[case]
+    change, source, reason = UNUSABLE[case]
     b = new_process(B)
     b.on_datagram(source, change(_signed(PING)), 0.0)
-    assert {name: n for name, n in b.dropped.items() if n} == {cause: 1}
+    assert {name: n for name, n in b.dropped.items() if n} == {reason: 1}
     assert not b.datagrams and not b.items and b.membership.counts_by_state()[MemberState.UNHEARD] == 3
     b.on_datagram(A, _signed(PING), 0.0)  # the unmodified one
     assert b.membership.members[A].state is MemberState.ALIVE and len(take_sent(b, A)) == 1
@@ -123,7 +123,7 @@
     assert c.dropped["former_life"] == 1
 
 
-def test_an_item_for_the_receivers_former_process_is_dropped_and_the_sender_learns() -> None:
+def test_an_item_for_the_receivers_former_process_is_dropped_and_the_sender_is_informed() -> None:
     a, b = new_process(A), new_process(B)
     introduce(a, b)
     a.post(B, 1, b"for the old one", 0.0)
@@ -162,7 +162,7 @@
     assert not b.items and b.counters()["unfinished"] == 1 and not len(b._reassembler)
 
 
-def test_fragments_of_two_processes_make_no_item() -> None:
+def test_fragments_of_two_processes_are_not_combined() -> None:
     """Each process numbers its items from 1; old fragments must not complete an item of a later process."""
     b = new_process(B)
     for process_start_ms, text, indices in ((1_000, b"o", (0,)), (2_000, b"n", (1, 0))):
@@ -175,7 +175,7 @@
     assert [item.data for item in b.items] == [b"n" * (MAX_FRAGMENT_BYTES + 1)]
 
 
-def test_items_that_are_not_taken_are_bounded() -> None:
+def test_the_queue_of_received_items_is_bounded() -> None:
     a, b = new_process(A, config=ProtocolConfig(datagrams_per_s=1e6, burst_datagrams=1e5)), new_process(B)
     introduce(a, b)
     for _ in range(PeerProtocol.MAX_QUEUED_ITEMS + 5):
--- a/packages/peers/tests/test_peers_rate_limiter.py
+++ b/packages/peers/tests/test_peers_rate_limiter.py
@@ -8,7 +8,7 @@
 from rig_peers import A, B, introduce, new_process
 
 
-def test_the_limit_is_respected_in_any_time_and_membership_has_a_reserve() -> None:
+def test_the_limit_holds_over_any_time_span_and_membership_has_a_reserve() -> None:
     random, now, taken = Random(3), 0.0, [(0.0, 0)]
     bucket = TokenBucket(50.0, 20.0, 0.0)
     for _ in range(2_000):
--- a/packages/peers/tests/test_peers_replace_peers.py
+++ b/packages/peers/tests/test_peers_replace_peers.py
@@ -22,7 +22,7 @@
 S = MemberState
 
 
-def with_state_of_b() -> tuple[PeerProtocol, PeerProtocol]:
+def processes_with_state_of_b() -> tuple[PeerProtocol, PeerProtocol]:
     """A and B, where A has items, fragments, datagrams, suspicions and a probe that concern B."""
     a, b, c = new_process(A, config=ProtocolConfig(suspicion_confirmations=2)), new_process(B), new_process(C)
     introduce(a, b, c)
@@ -46,8 +46,8 @@
     return a, b
 
 
-def test_of_a_removed_peer_nothing_remains_and_the_others_are_unchanged() -> None:
-    a, b = with_state_of_b()
+def test_all_state_of_a_removed_peer_is_dropped_and_the_others_are_unchanged() -> None:
+    a, b = processes_with_state_of_b()
     assert a.replace_peers((A, C, D), 1.0) == ([], [B])
     assert not a.items and not len(a._reassembler) and not a._reassembler._keys_by_peer
     assert all(item.to != B for item in a.datagrams) and not a.post(B, 1, b"", 1.0)
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_fleet_whose_lists_change_process_by_process(seed: int) -> None:
     """Four are removed and four others added; for seconds the lists differ, a twentieth of the datagrams is lost."""
-    fleet = Fleet(seed, lost=0.05, names=list(FLEET[:24]))
+    fleet = Fleet(seed, loss_rate=0.05, names=list(FLEET[:24]))
     fleet.run(10_000.0)
     fleet.names = FLEET[4:28]
     for name in FLEET[24:28]:
@@ -164,32 +164,32 @@
     crashed = FLEET[25]
     fleet.kill(crashed)
     fleet.run(12_000.0)
-    assert len(fleet.reported(S.DEAD, crashed, at)) == 23  # added peers are probed like the others
+    assert len(fleet.reported(S.DEAD, crashed, at)) == 23  # added process are probed like the others
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_random_list_changes_break_nothing_and_one_list_ends_in_one_view(seed: int) -> None:
-    fleet, random = Fleet(seed, lost=0.1, doubled=0.1, names=list(FLEET[:10])), Random(seed)
+def test_random_list_changes_keep_invariants_and_a_common_list_ends_in_one_view(seed: int) -> None:
+    fleet, random = Fleet(seed, loss_rate=0.1, duplicate_rate=0.1, names=list(FLEET[:10])), Random(seed)
     for _ in range(150):
         name = random.choice(FLEET[:10])
-        peers = fleet.processes[name]
+        process = fleet.processes[name]
         listed = random.sample(FLEET[:14], random.randrange(1, 14))
-        peers.replace_peers(listed, fleet.net.now_ms)
-        fleet._out(name)  # as the transport does after each call
+        process.replace_peers(listed, fleet.net.now_ms)
+        fleet._drain(name)  # as the transport does after each call
         to = random.choice(FLEET[:14])
         fleet.post(name, to, random.randbytes(random.choice((3, 700))))
         fleet.run(random.choice((0.0, 30.0, 300.0)))
-        members = peers.membership
+        members = process.membership
         assert set(members.members) == set(listed) - {name} == {m.name for m in members._by_address.values()}
         assert members.gone_count == sum(m.state in (S.DEAD, S.LEFT) for m in members.members.values())
         assert set(members._suspects) == {n for n, m in members.members.items() if m.state is S.SUSPECT}
         assert all(m.suspicion is not None and m.suspicion.reporters for m in members._suspects.values())
-        assert set(peers._windows) <= set(members.members) and not set(peers._removed_windows) & set(
+        assert set(process._windows) <= set(members.members) and not set(process._removed_windows) & set(
             members.members
         )
     for name in FLEET[:10]:
         fleet.processes[name].replace_peers(FLEET[:10], fleet.net.now_ms)
-        fleet._out(name)
+        fleet._drain(name)
     fleet.run(30_000.0)
     assert fleet.has_one_view()
     received = [(item.source, to, item.data) for to, item in fleet.items]
--- a/packages/peers/tests/test_peers_transport.py
+++ b/packages/peers/tests/test_peers_transport.py
@@ -17,7 +17,7 @@
 from larkweir_peers.transport import Channel, PeerTransport
 
 KEYS = (b"sixteen letters!",)
-QUICK = ProtocolConfig(
+FAST_CONFIG = ProtocolConfig(
     probe_interval_ms=50.0, ack_timeout_ms=20.0, datagrams_per_s=2_000.0, burst_datagrams=500.0
 )
 PROCESS_STARTS = count(1)
@@ -54,15 +54,19 @@
         self.received: list[tuple[str, bytes]] = []
         clock = LoopClock()
         process_start_ms = int(clock.now_ms()) + next(PROCESS_STARTS)
-        self.peers = PeerProtocol(name, names, Random(name), clock.now_ms(), process_start_ms, KEYS, QUICK)
-        self.socket = PeerTransport(self.peers, listen or name, clock, self.log.append, self.events.append)
-        self.channel: Channel = self.socket.open_channel(
+        self.protocol = PeerProtocol(
+            name, names, Random(name), clock.now_ms(), process_start_ms, KEYS, FAST_CONFIG
+        )
+        self.transport = PeerTransport(
+            self.protocol, listen or name, clock, self.log.append, self.events.append
+        )
+        self.channel: Channel = self.transport.open_channel(
             1, lambda source, item, now_ms: self.received.append((source, item))
         )
-        self.socket.start()
+        self.transport.start()
 
     def state(self, name: str) -> MemberState:
-        return self.peers.membership.members[name].state
+        return self.protocol.membership.members[name].state
 
 
 @asynccontextmanager
@@ -72,7 +76,7 @@
         yield processes
     finally:
         for process in processes:
-            process.socket.close()
+            process.transport.close()
 
 
 async def until(condition: Callable[[], object], awaited: str) -> None:
@@ -86,12 +90,12 @@
 
 
 def have_contact(processes: list[Process]) -> Callable[[], bool]:
-    names = [process.peers.address for process in processes]
+    names = [process.protocol.address for process in processes]
     return lambda: all(
         process.state(name) is MemberState.ALIVE
         for process in processes
         for name in names
-        if name != process.peers.address
+        if name != process.protocol.address
     )
 
 
@@ -106,8 +110,8 @@
             await until(lambda: len(processes[1].received) == len(processes[2].received) == 3, "each item")
             assert processes[1].received == [(names[0], item) for item in items]
             assert set(processes[0].channel.alive()) == {names[1], names[2]}
-            facts = processes[0].socket.status_fields()
-            assert facts["peers"] == "2/2" and facts["peers_dropped"] == "0"
+            status = processes[0].transport.status_fields()
+            assert status["peers"] == "2/2" and status["peers_dropped"] == "0"
             assert any("are there" in line for line in processes[0].log)
 
     asyncio.run(run())
@@ -116,26 +120,26 @@
 def test_a_foreign_datagram_is_counted_and_the_transport_continues() -> None:
     async def run() -> None:
         names = free_names(3)
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        foreign_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         async with running(names, 2) as processes:
             await until(have_contact(processes), "both know each other")
             host, _, port = names[0].rpartition(":")
             for data in (b"", b"x", b"x" * 256, b"x" * 9_000):
-                stranger.sendto(data, (host, int(port)))
-            dropped = processes[0].peers.dropped
+                foreign_socket.sendto(data, (host, int(port)))
+            dropped = processes[0].protocol.dropped
             await until(lambda: dropped["stranger"] + dropped["too_long"] == 4, "all four counted")
-            assert "stranger:3" in str(processes[0].socket.status_fields()["peers_dropped"])
-            processes[0].socket._handlers[1] = lambda source, item, now_ms: 1 / 0  # a handler that raises
+            assert "stranger:3" in str(processes[0].transport.status_fields()["peers_dropped"])
+            processes[0].transport._handlers[1] = lambda source, item, now_ms: 1 / 0  # a handler that raises
             processes[1].channel.post(names[0], b"bad")
-            await until(lambda: processes[0].socket.handler_errors == 1, "the handler has raised")
+            await until(lambda: processes[0].transport.handler_errors == 1, "the handler has raised")
             processes[0].channel.post(names[1], b"good")
             await until(lambda: processes[1].received == [(names[0], b"good")], "the transport continues")
-            processes[0].socket.post(names[1], 9, b"for no part")
+            processes[0].transport.post(names[1], 9, b"for no part")
             await until(
-                lambda: processes[1].peers.dropped["no_part"] == 1, "an item on a channel without a part"
+                lambda: processes[1].protocol.dropped["no_part"] == 1, "an item on a channel without a part"
             )
             assert not processes[1].channel.post(names[2], b"nobody there yet")
-        stranger.close()
+        foreign_socket.close()
 
     asyncio.run(run())
 
@@ -145,15 +149,15 @@
         names = free_names(3)
         async with running(names, 3) as processes:
             await until(have_contact(processes), "all three know each other")
-            processes[0].socket.close()
+            processes[0].transport.close()
             await until(lambda: processes[2].state(names[0]) is MemberState.LEFT, "its announcement")
-            processes[1].socket.set_suspended(True)  # its socket is closed without an announcement
+            processes[1].transport.set_suspended(True)  # its socket is closed without an announcement
             await until(lambda: processes[2].state(names[1]) is MemberState.DEAD, "its death")
             assert [event.state for event in processes[2].events if event.name == names[1]][-2:] == [
                 MemberState.SUSPECT,
                 MemberState.DEAD,
             ]
-            processes[1].socket.set_suspended(False)
+            processes[1].transport.set_suspended(False)
             await until(lambda: processes[2].state(names[1]) is MemberState.ALIVE, "its return")
 
     asyncio.run(run())
@@ -164,24 +168,24 @@
         names = free_names(2)
         async with running(names, 2) as processes:
             await until(have_contact(processes), "both know each other")
-            before = processes[1].peers.membership.members[names[0]].incarnation
+            before = processes[1].protocol.membership.members[names[0]].incarnation
             after = Process(names[0], names)
             assert (
-                not after.socket.is_open
-                and processes[0].socket.is_open
+                not after.transport.is_open
+                and processes[0].transport.is_open
                 and "until it is free" in after.log[0]
             )
             assert not after.channel.post(names[1], b"x")
-            processes[0].socket.set_suspended(True)
+            processes[0].transport.set_suspended(True)
             await until(
                 lambda: after.channel.post(names[1], b"of the new life"), "the address, and the other's life"
             )
             await until(lambda: processes[1].received, "its item")
             assert processes[1].received == [(names[0], b"of the new life")]
-            assert processes[1].peers.membership.members[names[0]].incarnation > before
-            processes[0].socket.close()  # without an announcement: the address is the successor's
+            assert processes[1].protocol.membership.members[names[0]].incarnation > before
+            processes[0].transport.close()  # without an announcement: the address is the successor's
             assert processes[1].state(names[0]) is MemberState.ALIVE
-            after.socket.close()
+            after.transport.close()
 
     asyncio.run(run())
 
@@ -191,6 +195,6 @@
         names = free_names(2)
         async with running(names, 1) as (process,):
             with pytest.raises(ValueError, match="channel 1"):
-                process.socket.open_channel(1, lambda source, item, now_ms: None)
+                process.transport.open_channel(1, lambda source, item, now_ms: None)
 
     asyncio.run(run())
--- a/packages/peers/tests/test_peers_update_queue.py
+++ b/packages/peers/tests/test_peers_update_queue.py
@@ -16,7 +16,7 @@
     return list(out.values())
 
 
-def test_the_least_sent_are_first_then_the_newest_and_each_is_sent_to_its_limit() -> None:
+def test_the_least_sent_updates_are_first_then_the_newest_and_sends_are_limited() -> None:
     queue = UpdateQueue()
     queue.add(update(1))
     queue.add(update(2))
@@ -27,7 +27,7 @@
     assert taken(queue, 9, 2) == [] and update(1).member not in queue
 
 
-def test_a_newer_update_replaces_the_last_one_and_is_sent_as_often_as_any() -> None:
+def test_a_newer_update_replaces_the_last_one_and_its_sends_are_counted_anew() -> None:
     queue = UpdateQueue()
     queue.add(update(1))
     assert taken(queue, 9, 2) == [update(1)]
@@ -35,7 +35,7 @@
     assert [taken(queue, 9, 2) for _ in range(3)] == [[update(1, 2)], [update(1, 2)], []]
 
 
-def test_a_discarded_update_is_not_sent_and_one_that_is_in_the_message_stays_as_it_is() -> None:
+def test_a_discarded_update_is_not_sent_and_updates_already_in_the_message_are_kept() -> None:
     queue = UpdateQueue()
     queue.add(update(1))
     queue.add(update(2))
