--- a/packages/peers/src/larkweir_peers/__init__.py
+++ b/packages/peers/src/larkweir_peers/__init__.py
@@ -1,1 +1,1 @@
-"""SWIM membership over listed addresses, and small items between peers: a pure protocol and a UDP transport for it."""
+"""SWIM membership and small messages (items) among listed peers: a protocol without I/O, and its UDP transport."""
--- a/packages/peers/src/larkweir_peers/addresses.py
+++ b/packages/peers/src/larkweir_peers/addresses.py
@@ -1,4 +1,4 @@
-"""A peer's address: an IPv4 address and port as text, and as six bytes in a datagram."""
+"""Addresses of peers: an IPv4 address and port, as text and as the six bytes used in datagrams."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def pack_address(address: str) -> bytes:
-    """`10.3.0.1:7946` as six bytes in network order.
+    """Encode an address such as `10.3.0.1:7946` as six bytes in network order.
 
     Raises:
-        AddressError: not an IPv4 address with a port from 1.
+        AddressError: `address` is not an IPv4 address with a port from 1 to 65535.
     """
     host, _, port = address.rpartition(":")
     parts = host.split(".")
@@ -26,17 +26,17 @@
 
 
 def unpack_address(raw: bytes) -> str:
-    """The text of an address that `pack_address` has packed."""
+    """Decode an address that `pack_address` has encoded."""
     return f"{raw[0]}.{raw[1]}.{raw[2]}.{raw[3]}:{raw[4] << 8 | raw[5]}"
 
 
 def is_loopback(address: str) -> bool:
-    """Whether datagrams to it never leave the machine (RFC 1122 section 3.2.1.3)."""
+    """Whether datagrams to the address never leave the machine (RFC 1122 section 3.2.1.3)."""
     return address.startswith("127.")
 
 
 def _is_decimal(text: str, maximum: int) -> bool:
-    """Whether it is a number up to `maximum` in its one canonical form: addresses are compared as text."""
+    """Whether `text` is a number up to `maximum` in canonical form, which matters as addresses are compared as text."""
     return (
         text.isascii()
         and text.isdigit()
--- a/packages/peers/src/larkweir_peers/authentication.py
+++ b/packages/peers/src/larkweir_peers/authentication.py
@@ -1,4 +1,4 @@
-"""Datagrams are authenticated by a keyed BLAKE2b tag (RFC 7693 section 2.9)."""
+"""Authenticates datagrams by a keyed BLAKE2b tag (RFC 7693 section 2.9)."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class DatagramAuthenticator:
-    """Signs with the first key and accepts every key, so that keys can be rotated process by process.
+    """Signs with the first key and accepts tags of any key, so that keys can be rotated one process at a time.
 
-    The tag covers the receiver's address: a datagram for one peer is not authentic for another.
+    The tag covers the receiver's address, so a datagram for one peer is not authentic for another.
     """
 
     def __init__(self, keys: Sequence[bytes]) -> None:
-        """Without keys nothing is signed, and everything is accepted.
+        """Without keys, datagrams are not signed and all are accepted.
 
         Raises:
             InvalidKeyError: a key is too short or too long, or there are more than `MAX_KEYS`.
         """
         if len(keys) > MAX_KEYS:
-            raise InvalidKeyError(f"{len(keys)} keys; {MAX_KEYS} at the most")
+            raise InvalidKeyError(f"{len(keys)} keys are configured; the maximum is {MAX_KEYS}")
         for key in keys:
             if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
                 raise InvalidKeyError(
-                    f"a key of {len(key)} bytes; {MIN_KEY_BYTES} to {MAX_KEY_BYTES} will do"
+                    f"a key has {len(key)} bytes; it must have {MIN_KEY_BYTES} to {MAX_KEY_BYTES}"
                 )
         self.keys = tuple(keys)
 
@@ -39,11 +39,11 @@
         return blake2b(receiver + data, digest_size=TAG_BYTES, key=key, person=b"larkweir.peers.1").digest()
 
     def sign(self, receiver: bytes, data: bytes) -> bytes:
-        """The datagram: `data` with its tag. `receiver`: the packed address that it is sent to."""
+        """Return `data` with its tag appended. `receiver` is the packed address that the datagram is sent to."""
         return data + self._tag(self.keys[0], receiver, data) if self.keys else data
 
     def verify(self, receiver: bytes, data: bytes) -> bytes | None:
-        """A datagram without its tag; None where no key has made the tag for this receiver."""
+        """Return the datagram without its tag, or None if the tag is not valid for this receiver under any key."""
         if not self.keys:
             return data
         message, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
--- a/packages/peers/src/larkweir_peers/errors.py
+++ b/packages/peers/src/larkweir_peers/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of this package: `PeersError` is the root of all of them, and each is a ValueError."""
+"""The exceptions of this package. All derive from `PeersError`, which is a ValueError."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class PeersError(ValueError):
-    """An address, a list of peers, a key or an argument that can't be used; the message is one line."""
+    """An address, list of peers, key or argument is invalid. The message is a single line."""
 
 
 class AddressError(PeersError):
-    """A text that is not an IPv4 address and port."""
+    """A string is not an IPv4 address and port."""
 
 
 class InvalidKeyError(PeersError):
-    """A key of the wrong length, or too many keys."""
+    """A key has the wrong length, or there are too many keys."""
 
 
 class MessageDecodeError(PeersError):
-    """Bytes that are not a message. `reason`: what the datagram is to be counted under."""
+    """The bytes are not a valid message. `reason` is the drop counter to increment for the datagram."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -26,12 +26,12 @@
 
 
 class FragmentError(PeersError):
-    """A fragment that can't belong to the item that it names."""
+    """A fragment is inconsistent with the item whose id it carries."""
 
 
 class ItemError(PeersError):
-    """An item that is too long, or a channel out of bounds."""
+    """An item is too long, or its channel number is out of range."""
 
 
 class ChannelInUseError(PeersError):
-    """A channel that has its handler already."""
+    """The channel already has a handler."""
--- a/packages/peers/src/larkweir_peers/failure_detector.py
+++ b/packages/peers/src/larkweir_peers/failure_detector.py
@@ -1,10 +1,10 @@
-"""The failure detector: which member is probed when, the outcome, and probes on behalf of others.
+"""The failure detector: schedules probes, evaluates their outcome, and relays probes on behalf of other members.
 
-SWIM sections 3.1 and 4.3 (round robin over a shuffled list), Lifeguard section IV-A (negative acknowledgements; times
-that grow while this process is not healthy itself). Beyond both, the target is pinged once more when indirect probes
-are sent, and it takes two failed probes in a row to suspect it. Else false suspicions would grow with fleet and loss
-until updates about them fill every datagram: with a tenth of the datagrams lost one probe of 130 fails, and 1 of 16,000
-twice.
+Implements SWIM sections 3.1 and 4.3 (round robin over a shuffled list) and Lifeguard section IV-A (negative
+acknowledgements, and longer intervals and timeouts while this process is itself unhealthy). In addition to both, the
+target is pinged once more when indirect probes are sent, and is suspected only after two failed probes in a row.
+Otherwise false suspicions would grow with the size of the fleet and the packet loss until updates about them filled
+every datagram: at 10 % loss one probe in 130 fails, but only one in 16,000 fails twice in a row.
 """
 
 from __future__ import annotations
@@ -23,12 +23,14 @@
 @dataclass(slots=True)
 class _Probe:
     target: str
-    expected_replies: dict[int, str]  # sequence number of a ping or ping request: who may answer it
-    indirect_due_ms: float  # when indirect probes are sent; infinite once they were, or after an answer
+    expected_replies: dict[
+        int, str
+    ]  # sequence number of a ping or ping request: the member that may answer it
+    indirect_due_ms: float  # infinity once indirect probes were sent, or after an ack
     expected_nacks: int = 0
     received_nacks: int = 0
     is_acked: bool = False
-    is_retry: bool = False  # the probe before, of the same member, has failed
+    is_retry: bool = False  # the previous probe of the same member has failed
 
 
 class _RelayedProbe(NamedTuple):
@@ -42,10 +44,10 @@
 
 
 class FailureDetector:
-    """Probes one member in each probe interval, and reports two failures in a row to the membership."""
+    """Probes one member per probe interval, and reports a member to the membership after two failures in a row."""
 
     MAX_RELAYED_PROBES = 256
-    NACK_DELAY_FACTOR = 0.8  # of `ack_timeout_ms`, after which the requester is sent a nack
+    NACK_DELAY_FACTOR = 0.8  # fraction of `ack_timeout_ms` after which the requester is sent a nack
 
     def __init__(
         self,
@@ -66,8 +68,8 @@
         self._retry_target: str | None = None
         self._next_probe_ms = now_ms + random_source.random() * config.probe_interval_ms
         self._periods = 0
-        self._relayed: dict[int, _RelayedProbe] = {}  # by the ping's sequence number; the oldest first
-        self._nacks_due: dict[int, None] = {}  # of them, those for which no nack was sent
+        self._relayed: dict[int, _RelayedProbe] = {}  # by the ping's sequence number; oldest first
+        self._nacks_due: dict[int, None] = {}  # the keys of `_relayed` for which no nack was sent yet
         self.failed_probes = 0
 
     @property
@@ -81,7 +83,7 @@
         return due
 
     def tick(self, now_ms: float) -> None:
-        """Send what is due: nacks, indirect probes, and the next probe once the interval is over."""
+        """Send the messages that are due: nacks, indirect probes, or the next probe once the interval is over."""
         self._expire_relayed(now_ms)
         probe = self._probe
         if now_ms >= self._next_probe_ms:
@@ -91,14 +93,14 @@
             self._send_ping_requests(probe, now_ms)
 
     def on_process_paused(self, now_ms: float) -> None:
-        """This process was paused: no outcome of what was under way means anything."""
+        """Discard all probes in progress: after a pause of this process their outcome is meaningless."""
         self._probe = self._retry_target = None
         self._next_probe_ms = now_ms
         self._relayed.clear()
         self._nacks_due.clear()
 
     def on_peers_replaced(self, added: Sequence[str], removed: Collection[str]) -> None:
-        """Insert added members at random places of the round (SWIM section 4.3); drop what concerns removed ones."""
+        """Insert added members at random positions of the round (SWIM section 4.3); drop the probes of removed ones."""
         if removed:
             self._order = [name for name in self._order if name not in removed]
             outdated = [n for n, of in self._relayed.items() if {of.target, of.requester} & {*removed}]
@@ -109,7 +111,7 @@
             probe = self._probe
             if probe is not None and probe.target in removed:
                 self._probe = None
-            elif probe is not None:  # a nack that can't come says nothing of local health
+            elif probe is not None:  # removed helpers can't send a nack; this must not lower local health
                 gone = sum(helper in removed for helper in probe.expected_replies.values())
                 probe.expected_nacks = max(probe.received_nacks, probe.expected_nacks - gone)
         for name in added:
@@ -178,10 +180,10 @@
                 probe.expected_replies[number] = helper
                 probe.expected_nacks += 1
 
-    # Answers
+    # Replies
 
     def on_ack(self, source: str, request_number: int, now_ms: float) -> bool:
-        """Returns whether an ack of `source` was expected; one for another member is passed on."""
+        """Handle an ack, and relay it if its ping was sent for another member. Returns whether it was expected."""
         relayed = self._relayed.get(request_number)
         if relayed is not None and relayed.target == source:
             del self._relayed[request_number]
@@ -195,7 +197,7 @@
         return True
 
     def on_nack(self, source: str, request_number: int) -> bool:
-        """Returns whether a nack of `source` was expected."""
+        """Handle a nack. Returns whether it was expected."""
         probe = self._probe
         if probe is None or probe.expected_replies.get(request_number) != source or source == probe.target:
             return False
@@ -205,7 +207,7 @@
     # Probes on behalf of others
 
     def on_ping_request(self, source: str, target: str, request_number: int, now_ms: float) -> None:
-        """Ping `target` for `source`; ignored where too many such probes are under way."""
+        """Ping `target` on behalf of `source`. Ignored if too many relayed probes are in progress."""
         if len(self._relayed) >= self.MAX_RELAYED_PROBES:
             return
         number = self._sender.ping(target, now_ms)
--- a/packages/peers/src/larkweir_peers/fragmentation.py
+++ b/packages/peers/src/larkweir_peers/fragmentation.py
@@ -1,4 +1,4 @@
-"""Items are split into fragments that fit a datagram, and reassembled."""
+"""Splits items into fragments that fit into a datagram, and reassembles them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def split_item(item: bytes) -> list[bytes]:
-    """The fragments of an item, in order; an empty item has one."""
+    """Split an item into its fragments, in order. An empty item has one empty fragment."""
     size = MAX_FRAGMENT_BYTES
     return [item[offset : offset + size] for offset in range(0, len(item), size)] or [b""]
 
@@ -25,7 +25,7 @@
 
 
 class Reassembler:
-    """Items of which fragments are missing, bounded in number, bytes and age; beyond a bound the oldest is evicted."""
+    """Holds incomplete items, limited in number, bytes and age. Beyond a limit, the oldest items are evicted."""
 
     MAX_ITEMS_PER_PEER = 16
     MAX_BYTES_PER_PEER = 32_768
@@ -34,11 +34,11 @@
     MAX_AGE_MS = 5_000.0
 
     def __init__(self) -> None:
-        self._partial: dict[_Key, _PartialItem] = {}  # the oldest first
-        self._keys_by_peer: dict[str, dict[_Key, None]] = {}  # the oldest first
+        self._partial: dict[_Key, _PartialItem] = {}  # oldest first
+        self._keys_by_peer: dict[str, dict[_Key, None]] = {}  # oldest first
         self._bytes_by_peer: dict[str, int] = {}
         self.buffered_bytes = 0
-        self.dropped = 0  # items that were evicted
+        self.dropped = 0  # number of evicted items
 
     def __len__(self) -> int:
         return len(self._partial)
@@ -53,13 +53,13 @@
         data: bytes,
         now_ms: float,
     ) -> bytes | None:
-        """Returns the item where this was its last missing fragment, else None.
+        """Add a fragment. Returns the item if this was its last missing fragment, else None.
 
         Raises:
-            FragmentError: the fragment can't belong to the item.
+            FragmentError: the fragment is inconsistent with its item.
         """
         if index >= fragment_count or (index < fragment_count - 1 and len(data) != MAX_FRAGMENT_BYTES):
-            raise FragmentError("a fragment of an impossible index or size")
+            raise FragmentError("the index or size of a fragment is invalid")
         if fragment_count == 1:
             return data
         key = (source, process_start_ms, item_id)
@@ -68,7 +68,7 @@
             item = self._partial[key] = _PartialItem(fragment_count, now_ms)
             self._keys_by_peer.setdefault(source, {})[key] = None
         if item.fragment_count != fragment_count:
-            raise FragmentError("a fragment of another item")
+            raise FragmentError("the fragment count differs from that of earlier fragments of the item")
         if index not in item.fragments:
             item.fragments[index] = data
             item.size_bytes += len(data)
@@ -81,7 +81,7 @@
         return None
 
     def expire(self, now_ms: float) -> None:
-        """Evict the items whose first fragment came `MAX_AGE_MS` ago."""
+        """Evict the items whose first fragment was received at least `MAX_AGE_MS` ago."""
         while self._partial:
             key, item = next(iter(self._partial.items()))
             if now_ms < item.started_ms + self.MAX_AGE_MS:
@@ -89,13 +89,13 @@
             self._evict(key)
 
     def forget_peer(self, source: str) -> None:
-        """Remove the items of a peer that is not listed any more; they don't count as dropped."""
+        """Remove the items of a peer that is no longer listed; they don't count as dropped."""
         for key in list(self._keys_by_peer.get(source, ())):
             self._remove(key)
 
     @property
     def due_ms(self) -> float:
-        """When the oldest item expires; infinite where there is none."""
+        """When the oldest item expires; infinity if there is none."""
         if not self._partial:
             return float("inf")
         return next(iter(self._partial.values())).started_ms + self.MAX_AGE_MS
--- a/packages/peers/src/larkweir_peers/local_health.py
+++ b/packages/peers/src/larkweir_peers/local_health.py
@@ -1,10 +1,10 @@
-"""Local health (Lifeguard section IV-A): a process that is slow itself gives others more time."""
+"""Local health (Lifeguard section IV-A): a process that is itself slow gives other processes more time to answer."""
 
 from __future__ import annotations
 
 
 class LocalHealth:
-    """A score from 0, healthy, to `max_score`. Missed answers raise it, answered probes lower it."""
+    """A score from 0 (healthy) to `max_score`. Missed answers raise the score, answered probes lower it."""
 
     __slots__ = ("_max_score", "score")
 
@@ -13,10 +13,10 @@
         self.score = 0
 
     def adjust(self, change: int) -> None:
-        """Add `change` to the score, within its bounds."""
+        """Add `change` to the score and clamp it to its bounds."""
         self.score = min(self._max_score, max(0, self.score + change))
 
     @property
     def multiplier(self) -> int:
-        """What the probe interval and the ack timeout are multiplied by."""
+        """The factor for the probe interval and the ack timeout."""
         return 1 + self.score
--- a/packages/peers/src/larkweir_peers/membership.py
+++ b/packages/peers/src/larkweir_peers/membership.py
@@ -1,8 +1,8 @@
-"""The state of each listed member, by its own messages and by gossip, and the updates that are passed on.
+"""The state of each listed member, as learned from its own messages and from gossip, and the updates to gossip.
 
-SWIM (Das, Gupta, Motivala 2002) sections 4.1 and 4.2, with Lifeguard (Dadgar, Phillips, Currey 2017) sections IV-B and
-IV-C. All addresses are listed from the start, so nobody joins: a member that was never contacted is assumed to be alive
-until shown otherwise.
+Implements SWIM (Das, Gupta, Motivala 2002) sections 4.1 and 4.2, with Lifeguard (Dadgar, Phillips, Currey 2017)
+sections IV-B and IV-C. All addresses are listed from the start, so there is no join message: a member that was never
+contacted is assumed to be alive until it is suspected.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class MemberEvent(NamedTuple):
-    """A member has changed to `state`; `at_ms` is the local time."""
+    """A member has changed to `state`. `at_ms` is the local time of the change."""
 
     name: str
     state: MemberState
@@ -33,7 +33,7 @@
 
 
 class ListChange(NamedTuple):
-    """The addresses by which a new list of peers differs from the one before."""
+    """The addresses that a new list of peers adds and removes."""
 
     added: list[str]
     removed: list[str]
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is known of a listed peer. `name` is its address as text."""
+    """The known state of a listed peer. `name` is its address as text."""
 
     name: str
     address_bytes: bytes
@@ -49,24 +49,24 @@
     incarnation: int = 0  # 0: not known
     suspicion: Suspicion | None = None
     needs_known_incarnation: bool = (
-        False  # it sent an older incarnation, and is to be told the one known here
+        False  # it sent an incarnation older than the known one, so the known one is sent to it
     )
 
     @property
     def first_reporter(self) -> bytes:
-        """Who was the first to suspect it; empty where it is not suspect."""
+        """The packed address of the first member to suspect it; empty if it is not suspect."""
         return next(iter(self.suspicion.reporters)) if self.suspicion is not None else b""
 
     def as_update(self) -> MemberUpdate:
-        """Its state as an update."""
+        """The state of this member as an update."""
         return MemberUpdate(self.address_bytes, self.state, self.incarnation, self.first_reporter)
 
 
 class Membership:
-    """The states of all members. `events` has each change of a state until it is taken."""
+    """The states of all members. Each change of state is appended to `events`, from which the caller removes it."""
 
     MAX_EVENTS = 4_096
-    MAX_FILL_UPDATES = 3  # updates of members that are not healthy, where a message has room left
+    MAX_FILL_UPDATES = 3  # maximum number of unhealthy members whose state fills up a message
 
     def __init__(
         self,
@@ -76,8 +76,8 @@
         config: ProtocolConfig,
         health: LocalHealth,
     ) -> None:
-        """`process_start_ms`: on a clock that should not go back from one process to the next at this address; where it
-        does, the peers' updates about the former process raise this one's incarnation above it.
+        """`process_start_ms` should be later than that of any earlier process at this address. If the clock has gone
+        back, the peers' updates about the earlier process make this one raise its incarnation above it.
 
         Raises:
             AddressError: an address is not an IPv4 address and port.
@@ -104,11 +104,11 @@
 
     @property
     def live_count(self) -> int:
-        """The processes that are neither dead nor have left, with this one."""
+        """The number of processes that are neither dead nor have left, including this one."""
         return len(self.members) - self.gone_count + 1
 
     def alive(self) -> tuple[str, ...]:
-        """The members that are likely to answer, neither suspect nor gone, in the order of the list."""
+        """The members that are neither suspect, dead nor have left, in the order of the list."""
         if self._alive is None:
             live_states = (MemberState.UNHEARD, MemberState.ALIVE)
             self._alive = tuple(name for name, member in self.members.items() if member.state in live_states)
@@ -128,13 +128,13 @@
     # The list
 
     def replace_peers(self, others: Sequence[str], now_ms: float) -> ListChange:
-        """Replace the list of members; returns what has changed.
+        """Replace the list of members. Returns the added and removed addresses.
 
-        Added members are assumed to be alive. Of a removed one nothing is kept, and a suspicion that only it had
-        reported ends. The others keep their state.
+        Added members are assumed to be alive. All state of removed members is dropped, and suspicions that only they
+        had reported end. The other members keep their state.
 
         Raises:
-            AddressError: an address is not an IPv4 address and port; nothing is changed.
+            AddressError: an address is not an IPv4 address and port. The list is unchanged.
         """
         listed = dict.fromkeys(name for name in others if pack_address(name) != self.address_bytes)
         removed = [name for name in self.members if name not in listed]
@@ -160,7 +160,7 @@
         self._updates.discard(member.address_bytes)
 
     def _withdraw_suspicion(self, suspect: Member, reporter: bytes, now_ms: float) -> None:
-        """A reporter is not listed any more. Without another one the suspect has its former state again."""
+        """Remove a reporter that is no longer listed. If no reporter is left, the suspect gets its former state."""
         assert suspect.suspicion is not None
         suspect.suspicion.reporters.pop(reporter, None)
         if not suspect.suspicion.reporters:
@@ -171,10 +171,10 @@
     # Messages and updates
 
     def on_message_from(self, member: Member, incarnation: int, now_ms: float) -> None:
-        """A member has sent a message itself. Only a higher incarnation ends a suspicion.
+        """Handle a message sent by the member itself. Only a higher incarnation ends a suspicion.
 
-        It is passed on, unless this is the first contact, which all assume: else a fleet that starts would have
-        thousands of updates without news.
+        A higher incarnation is gossiped, except at the first contact: all members are assumed to be alive anyway, and
+        a starting fleet would send thousands of updates without new information.
         """
         if incarnation > member.incarnation:
             was_contacted = member.state is not MemberState.UNHEARD
@@ -183,7 +183,7 @@
                 self._updates.add(MemberUpdate(member.address_bytes, MemberState.ALIVE, incarnation))
 
     def on_update(self, update: MemberUpdate, now_ms: float) -> bool:
-        """Apply an update from a message; returns whether its member is listed."""
+        """Apply an update from a message. Returns whether its member is listed."""
         if update.member == self.address_bytes:
             self._on_update_about_self(update)
             return True
@@ -207,8 +207,8 @@
         return True
 
     def _on_update_without_incarnation(self, member: Member, update: MemberUpdate, now_ms: float) -> None:
-        """The reporter never had contact with the member. Its suspicion counts for the incarnation known here; a death
-        may be older than that, so the known incarnation is spread instead.
+        """Apply an update from a reporter that never had contact with the member. A suspicion is applied to the known
+        incarnation. A report of death may be older than that incarnation, so the known incarnation is gossiped instead.
         """
         if update.state == MemberState.SUSPECT:
             known = MemberUpdate(update.member, MemberState.SUSPECT, member.incarnation, update.reporter)
@@ -217,7 +217,7 @@
             self._updates.add(MemberUpdate(update.member, MemberState.ALIVE, member.incarnation))
 
     def _on_update_about_self(self, update: MemberUpdate) -> None:
-        """Refute what is not true of this process, or is of a seemingly later one, with a higher incarnation."""
+        """Refute a false update about this process, or one with a higher incarnation, by raising the incarnation."""
         is_true = update.state == MemberState.ALIVE and update.incarnation == self.incarnation
         if self.is_leaving or is_true or update.incarnation < self.incarnation:
             return
@@ -227,7 +227,7 @@
         self._updates.add(MemberUpdate(self.address_bytes, MemberState.ALIVE, self.incarnation))
 
     def on_probe_failed(self, name: str, now_ms: float) -> None:
-        """The failure detector of this process has had no answer of a member: suspect it."""
+        """Suspect a member that did not answer the probes of this process."""
         member = self.members[name]
         if member.state not in GONE_STATES:
             state, incarnation = MemberState.SUSPECT, member.incarnation
@@ -238,7 +238,7 @@
         if update.incarnation < member.incarnation or member.state in GONE_STATES:
             return
         if update.reporter != self.address_bytes and update.reporter not in self._by_address:
-            return  # reported by nobody that is listed
+            return  # the reporter is not listed
         suspicion = member.suspicion
         if suspicion is None or update.incarnation > member.incarnation:
             suspicion = self._new_suspicion(update.reporter, now_ms)
@@ -251,7 +251,7 @@
             suspicion.reporters[update.reporter] = None
         else:
             return
-        # A further reporter may have moved the end into the past: that is no pause of this process.
+        # A further reporter may move the timeout into the past. `max` prevents `tick` from taking that for a pause.
         self._due_ms = min(self._due_ms, max(now_ms, suspicion.due_ms))
         self._updates.add(update)
 
@@ -272,7 +272,7 @@
         if state is MemberState.SUSPECT:
             self._suspects[member.name] = member
         elif not self._suspects:
-            self._due_ms = inf  # one in the past would look like a pause of this process later
+            self._due_ms = inf  # a due time in the past would later be taken for a process pause
         if state <= MemberState.ALIVE:
             self._unhealthy.pop(member.name, None)
         else:
@@ -283,11 +283,11 @@
 
     @property
     def due_ms(self) -> float:
-        """A time before which no suspicion runs out; infinite where there is none."""
+        """No suspicion times out before this time; infinity if there are no suspicions."""
         return self._due_ms
 
     def expire(self, now_ms: float) -> None:
-        """Suspects whose time-out is over are dead."""
+        """Declare suspects dead whose timeout has expired."""
         if now_ms < self.due_ms:
             return
         for member in list(self._suspects.values()):
@@ -297,7 +297,7 @@
         self._reschedule_expiry()
 
     def postpone_suspicions(self, by_ms: float) -> None:
-        """This process was paused, and could not receive refutations meanwhile."""
+        """Extend all suspicions by the length of a pause, during which this process could not receive refutations."""
         for member in self._suspects.values():
             if member.suspicion is not None:
                 member.suspicion.started_ms += by_ms
@@ -309,13 +309,13 @@
     # Dissemination
 
     def leave(self) -> None:
-        """This process ends for good: announce it, and refute nothing any more."""
+        """Announce that this process is shutting down, and stop refuting updates about it."""
         self.is_leaving = True
         self._updates.add(MemberUpdate(self.address_bytes, MemberState.LEFT, self.incarnation))
 
     def updates_for(self, to: Member, limit: int) -> list[MemberUpdate]:
-        """The updates for a message to a member, `limit` at the most: first the receiver's own state where it is not
-        alive (Lifeguard section IV-C), then the least sent ones, then members that are not healthy, in turn.
+        """Select at most `limit` updates for a message to a member: first the receiver's own state if it is not alive
+        (Lifeguard section IV-C), then the least-sent updates, then the states of unhealthy members in rotation.
         """
         out: dict[bytes, MemberUpdate] = {}
         if limit <= 0:
@@ -340,7 +340,7 @@
             out.setdefault(member.address_bytes, member.as_update())
 
     def _rotate_unhealthy(self) -> list[Member]:
-        """The first few of many, which are moved to the end."""
+        """Return the first few unhealthy members, and move them to the end."""
         unhealthy = self._unhealthy.values()
         first = [member for member, _ in zip(unhealthy, range(self.MAX_FILL_UPDATES), strict=False)]
         for member in first:
--- a/packages/peers/src/larkweir_peers/messages.py
+++ b/packages/peers/src/larkweir_peers/messages.py
@@ -1,8 +1,8 @@
-"""The messages in datagrams: a byte for the version, one for the type, and the message as a MessagePack array.
+"""The messages in datagrams: a version byte, a type byte, and the message as a MessagePack array.
 
 The messages are those of SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2017), and fragments
-of items. An incarnation holds the process's start, in milliseconds, above `REFUTATION_BITS` bits that count the
-refutations of that process.
+of items. The low `REFUTATION_BITS` bits of an incarnation count the refutations of the process; the bits above them
+are the start time of the process in milliseconds.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from larkweir_peers.errors import MessageDecodeError
 
 PROTOCOL_VERSION = 1
-MAX_DATAGRAM_BYTES = 256  # with the tag
-TAG_BYTES = 16  # kept free for the tag, also where there is no key
+MAX_DATAGRAM_BYTES = 256  # including the tag
+TAG_BYTES = 16  # reserved for the tag, even if there is no key
 MAX_HEADER_BYTES = (
     35  # version, type, array, sender, incarnation, receiver's start, number, the updates' array
 )
-MAX_UPDATE_BYTES = 27  # of one update
-MAX_FRAGMENT_BYTES = 188  # of an item, in one message
+MAX_UPDATE_BYTES = 27  # size of one encoded update
+MAX_FRAGMENT_BYTES = 188  # item bytes in one message
 MAX_ITEM_BYTES = 8192
 MAX_FRAGMENTS = -(-MAX_ITEM_BYTES // MAX_FRAGMENT_BYTES)
 REFUTATION_BITS = 16
@@ -36,35 +36,35 @@
 
 
 class MemberState(IntEnum):
-    """The state of a member. Of two updates with the same incarnation the one with the later state counts, except that
-    UNHEARD and ALIVE are left for each other only with another incarnation.
+    """The state of a member. Between two updates with the same incarnation, the higher state takes precedence. Changing
+    between UNHEARD and ALIVE requires a different incarnation.
     """
 
-    UNHEARD = 0  # listed, never contacted; assumed to be alive until shown otherwise
+    UNHEARD = 0  # listed but never contacted; assumed to be alive until suspected
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
-    LEFT = 4  # it announced its own end
+    LEFT = 4  # it announced that it was shutting down
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """A membership update that is spread by gossip (SWIM section 4.1)."""
+    """A membership update spread by gossip (SWIM section 4.1)."""
 
     member: AddressBytes
     state: Annotated[int, Meta(ge=1, le=4)]
     incarnation: Uint63
-    reporter: Annotated[bytes, Meta(max_length=ADDRESS_BYTES)] = b""  # of a suspicion
+    reporter: Annotated[bytes, Meta(max_length=ADDRESS_BYTES)] = b""  # who suspects the member
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """What all messages begin with."""
+    """The fields that all messages begin with."""
 
     sender: AddressBytes
     incarnation: Uint63  # the sender's
     receiver_start: (
-        Uint32  # the low 32 bits of the receiver's process start; 0 where the sender does not know it
+        Uint32  # the low 32 bits of the receiver's process start; 0 if the sender does not know it
     )
-    sequence_number: Uint63  # rises with each datagram of the sending process
+    sequence_number: Uint63  # incremented for each datagram of the sending process
     updates: Annotated[list[MemberUpdate], Meta(max_length=9)]
 
 
@@ -73,13 +73,13 @@
 
 
 class Ack(Message, frozen=True):
-    """The answer to a ping; also to a ping request whose target has answered."""
+    """The answer to a ping, or to a ping request whose target has answered."""
 
     request_number: Uint63  # the sequence number of the ping or the ping request
 
 
 class PingRequest(Message, frozen=True):
-    """An indirect probe: the receiver is to ping `target` (SWIM section 3.1: ping-req)."""
+    """An indirect probe: asks the receiver to ping `target` (ping-req in SWIM section 3.1)."""
 
     target: AddressBytes
 
@@ -91,10 +91,10 @@
 
 
 class Fragment(Message, frozen=True):
-    """A fragment of an item; a small item is one fragment."""
+    """A fragment of an item. A small item has a single fragment."""
 
     channel: Annotated[int, Meta(ge=1, le=255)]
-    item_id: Uint63  # rises with each item of the sending process
+    item_id: Uint63  # incremented for each item of the sending process
     index: Annotated[int, Meta(ge=0, lt=MAX_FRAGMENTS)]
     fragment_count: Annotated[int, Meta(ge=1, le=MAX_FRAGMENTS)]
     data: Annotated[bytes, Meta(max_length=MAX_FRAGMENT_BYTES)]
@@ -109,15 +109,15 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message, without a tag."""
+    """Encode a message, without a tag."""
     return bytes((PROTOCOL_VERSION, _TYPE_CODES[type(message)])) + _ENCODER.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """The message that `encode` has encoded.
+    """Decode the output of `encode`.
 
     Raises:
-        MessageDecodeError: anything else; its text is the `DropReason`.
+        MessageDecodeError: `data` is not a valid message; the error text is the `DropReason`.
     """
     if len(data) < 2:
         raise MessageDecodeError(DropReason.MALFORMED)
@@ -128,21 +128,21 @@
         raise MessageDecodeError(DropReason.UNKNOWN_TYPE)
     try:
         message: Message = decoder.decode(data[2:])
-    except (msgspec.DecodeError, RecursionError):  # a value out of its bounds is a DecodeError too
+    except (msgspec.DecodeError, RecursionError):  # an out-of-range value is a DecodeError too
         raise MessageDecodeError(DropReason.MALFORMED) from None
     return message
 
 
 def max_updates(body_bytes: int) -> int:
-    """How many updates fit into a message that has `body_bytes` bytes behind its header."""
+    """How many updates fit into a message with `body_bytes` bytes after its header."""
     return max(0, (MAX_DATAGRAM_BYTES - TAG_BYTES - MAX_HEADER_BYTES - body_bytes) // MAX_UPDATE_BYTES)
 
 
 def process_start_of(incarnation: int) -> int:
-    """The start of the process, in milliseconds, that an incarnation belongs to."""
+    """The start time in milliseconds of the process that an incarnation belongs to."""
     return incarnation >> REFUTATION_BITS
 
 
 def short_process_start(incarnation: int) -> int:
-    """A process's start as it stands in `Message.receiver_start`: 0 only where the incarnation is not known."""
+    """The process start as sent in `Message.receiver_start`; 0 only if the incarnation is not known."""
     return (incarnation >> REFUTATION_BITS & 0xFFFFFFFF or 1) if incarnation else 0
--- a/packages/peers/src/larkweir_peers/ports.py
+++ b/packages/peers/src/larkweir_peers/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces of this package: randomness, probes' datagrams, and the clock of the transport."""
+"""The interfaces that this package needs: a random source, a sender of probe messages, and a clock with timers."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class RandomSource(Protocol):
-    """Randomness, such as `random.Random`; with a seed a run can be repeated."""
+    """A source of random numbers, such as `random.Random`; a seeded one makes a run repeatable."""
 
     def random(self) -> float:
-        """A number from 0 to below 1."""
+        """A random number in [0, 1)."""
         ...
 
     def shuffle(self, x: MutableSequence[Any]) -> None:
@@ -19,8 +19,8 @@
 
 
 class ProbeSender(Protocol):
-    """Sends the failure detector's messages. Each method returns the message's sequence number, or None where the send
-    limit does not allow it.
+    """Sends the failure detector's messages. Each method returns the sequence number of the message, or None if the
+    send limit does not allow it.
     """
 
     def ping(self, to: str, now_ms: float) -> int | None:
@@ -32,29 +32,29 @@
         ...
 
     def ack(self, to: str, request_number: int, now_ms: float) -> int | None:
-        """Answer a ping, or a ping request whose target has answered."""
+        """Acknowledge a ping, or a ping request whose target has answered."""
         ...
 
     def nack(self, to: str, request_number: int, now_ms: float) -> int | None:
-        """Answer a ping request whose target has not answered yet."""
+        """Report that the target of a ping request has not answered yet."""
         ...
 
 
 class Timer(Protocol):
-    """A call that is scheduled."""
+    """A scheduled callback."""
 
     def cancel(self) -> None:
-        """Call nothing any more."""
+        """Cancel the callback."""
         ...
 
 
 class Clock(Protocol):
-    """The process's clock, in milliseconds, and its timers."""
+    """A clock in milliseconds, with timers."""
 
     def now_ms(self) -> float:
-        """The time in milliseconds, on the scale of `at`."""
+        """The current time in milliseconds, on the same scale as `at`."""
         ...
 
     def at(self, due_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call at a time of this clock."""
+        """Schedule `callback` for the time `due_ms` of this clock."""
         ...
--- a/packages/peers/src/larkweir_peers/protocol.py
+++ b/packages/peers/src/larkweir_peers/protocol.py
@@ -1,4 +1,4 @@
-"""The protocol of one process, without input or output: datagrams and time in; datagrams, items and events out."""
+"""The protocol of one process, without I/O: takes datagrams and the time, and produces datagrams, items and events."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Item(NamedTuple):
-    """An item that was received whole. `source`: the sender's address as text."""
+    """A completely received item. `source` is the sender's address as text."""
 
     source: str
     channel: int
@@ -44,14 +44,14 @@
 
 
 class PeerProtocol:
-    """One process among its peers.
+    """The protocol state of one process.
 
-    `on_datagram` never raises, whatever a peer sends. After each call the driver takes what waits in `datagrams`,
-    `items` and `membership.events`, and calls `tick` at `next_ms`.
+    `on_datagram` never raises, whatever a peer sends. After each call, the driver must empty `datagrams`, `items` and
+    `membership.events`, and schedule a call of `tick` at `next_ms`.
     """
 
     MAX_QUEUED_ITEMS = 256
-    MAX_REMOVED_WINDOWS = 1_024  # replay windows that are kept of peers that are not listed any more
+    MAX_REMOVED_WINDOWS = 1_024  # replay windows kept for peers that are no longer listed
 
     def __init__(
         self,
@@ -63,11 +63,11 @@
         keys: Sequence[bytes] = (),
         config: ProtocolConfig | None = None,
     ) -> None:
-        """`address`, `others`: this process and its peers, as they are seen by each other; `process_start_ms`: see
-        `Membership`.
+        """`address` and `others` are the addresses at which this process and its peers reach each other. For
+        `process_start_ms` see `Membership`.
 
         Raises:
-            PeersError: an address or a key can't be used, there are too many of them, or an address is not on loopback
+            PeersError: an address or a key is invalid, there are too many of them, or an address is not on loopback
                 and there is no key.
         """
         self._address_bytes = pack_address(address)
@@ -85,7 +85,7 @@
         self._windows: dict[str, ReplayWindow] = {}
         self._removed_windows: dict[
             str, ReplayWindow
-        ] = {}  # of peers that are not listed any more; oldest first
+        ] = {}  # of peers that are no longer listed; oldest first
         self._failure_detector = FailureDetector(
             self.membership, config, self.health, random_source, self.sender, now_ms
         )
@@ -95,18 +95,18 @@
             pack_address(name)
         remote = next((name for name in names if not is_loopback(name)), None)
         if remote is not None and not self._authenticator.keys:
-            raise PeersError(f"{remote} is beyond loopback: that takes a key")
+            raise PeersError(f"{remote} is not a loopback address, so a key is required")
         if len(others) > MAX_PEERS:
-            raise PeersError(f"{len(others)} names; {MAX_PEERS} at the most")
+            raise PeersError(f"{len(others)} peers are listed; the maximum is {MAX_PEERS}")
 
     def replace_peers(self, others: Sequence[str], now_ms: float) -> ListChange:
-        """Replace the list of peers; returns what has changed.
+        """Replace the list of peers. Returns the added and removed addresses.
 
-        Of a removed peer everything is dropped but its replay window, of the last `MAX_REMOVED_WINDOWS`: else its old
-        datagrams could be replayed once it is listed again.
+        All state of a removed peer is dropped except its replay window, without which its old datagrams could be
+        replayed once it is listed again. The last `MAX_REMOVED_WINDOWS` of these windows are kept.
 
         Raises:
-            PeersError: as for the constructor; nothing is changed.
+            PeersError: as for the constructor. The list is unchanged.
         """
         self._validate(others, others)
         change = self.membership.replace_peers(others, now_ms)
@@ -132,11 +132,11 @@
 
     @property
     def datagrams(self) -> deque[Datagram]:
-        """The datagrams that wait to be sent."""
+        """The queue of datagrams to be sent."""
         return self.sender.datagrams
 
     def alive(self) -> Sequence[str]:
-        """The peers that are likely to answer: a hint, never the truth."""
+        """The peers that are believed to be alive. This is a hint and may be out of date."""
         return self.membership.alive()
 
     @property
@@ -145,8 +145,8 @@
         return min(self._failure_detector.due_ms, self.membership.due_ms, self._reassembler.due_ms)
 
     def counters(self) -> dict[str, int]:
-        """The counts for STATUS, by the names that they have there: members by state, local health, datagrams sent and
-        received, and what was dropped, by reason.
+        """The counters by their names in STATUS: members by state, local health, datagrams sent and received, and drops
+        by reason.
         """
         found = {state.name.lower(): number for state, number in self.membership.counts_by_state().items()}
         found |= {"health": self.health.score, "sent": self.sender.sent, "received": self.received}
@@ -157,7 +157,7 @@
     # Receiving
 
     def on_datagram(self, source: str, data: bytes, now_ms: float) -> None:
-        """Take a datagram from the address `source`. One that can't be used is counted in `dropped`."""
+        """Process a datagram from the address `source`. An invalid one is dropped and counted in `dropped`."""
         self.received += 1
         reason = self._process(source, data, now_ms)
         if reason is not None:
@@ -181,7 +181,7 @@
         reason = self._check_replay(member, message)
         if reason is not None:
             if reason is DropReason.FORMER_INCARNATION:
-                # Perhaps a new process whose clock is behind: it raises its incarnation when it learns the former one.
+                # This may be a new process whose clock is behind. The hint makes it raise its incarnation.
                 member.needs_known_incarnation = True
                 self.sender.send_hint(member, now_ms)
             return reason
@@ -190,12 +190,12 @@
             self.membership.on_update(update, now_ms)
         reason = self._handle(member, message, now_ms)
         if member.state in GONE_STATES and not isinstance(message, Ping):
-            self.sender.send_hint(member, now_ms)  # it does not know that it counts as dead
+            self.sender.send_hint(member, now_ms)  # it does not know that it is DEAD or LEFT here
         return reason
 
     def _check_replay(self, member: Member, message: Message) -> DropReason | None:
         process_start_ms = process_start_of(message.incarnation)
-        # The later process may be known by an update alone.
+        # A later process may be known only from an update, which the replay window does not see.
         if process_start_ms < process_start_of(member.incarnation):
             return DropReason.FORMER_INCARNATION
         window = self._windows.setdefault(member.name, ReplayWindow())
@@ -210,7 +210,7 @@
             target = unpack_address(message.target)
             if target in self.membership.members:
                 self._failure_detector.on_ping_request(source, target, message.sequence_number, now_ms)
-            else:  # lists differ while they are changed: this process can't ping the target, but is alive
+            else:  # lists differ during a change; the nack shows that this process is alive
                 self.sender.nack(source, message.sequence_number, now_ms)
             return None
         if message.receiver_start != short_process_start(self.membership.incarnation):
@@ -250,8 +250,8 @@
     # Time
 
     def tick(self, now_ms: float) -> None:
-        """Do what is due. A tick that is late by a probe interval means that this process was paused: it then judges no
-        member by what it missed.
+        """Process everything that is due. A tick that is late by at least a probe interval means that this process was
+        paused. In that case no member is suspected for answers that this process missed.
         """
         late_ms = now_ms - self.next_ms
         if late_ms >= self.config.probe_interval_ms:
@@ -266,8 +266,9 @@
     # Sending
 
     def post(self, to: str, channel: int, item: bytes, now_ms: float) -> bool:
-        """Send an item once; it may be lost. Returns whether it was sent: not where the send limit does not allow it,
-        `to` is not listed, or there was no contact with it yet (it is pinged).
+        """Send an item once, without retransmission if it is lost. Returns whether it was sent. It is not sent if the
+        send limit does not allow it, if `to` is not listed, or if there was no contact with `to` yet. In the last case
+        `to` is pinged.
 
         Raises:
             ItemError: the item is longer than `MAX_ITEM_BYTES`, or the channel is not from 1 to 255.
@@ -275,7 +276,7 @@
         return self.sender.post(to, channel, item, now_ms)
 
     def leave(self, now_ms: float) -> None:
-        """Announce to a few peers that this process ends for good; they pass it on."""
+        """Announce to a few peers that this process is shutting down. They gossip it to the others."""
         self.membership.leave()
         for name in self.alive()[: self.config.indirect_probes]:
             self.sender.ping(name, now_ms)
--- a/packages/peers/src/larkweir_peers/rate_limiter.py
+++ b/packages/peers/src/larkweir_peers/rate_limiter.py
@@ -1,10 +1,10 @@
-"""The limit on the datagrams that a process sends."""
+"""Limits the rate of datagrams that a process sends."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """A token bucket: in any time of t seconds no more than `burst_datagrams + datagrams_per_s * t` are let through."""
+    """A token bucket: any t seconds allow at most `burst_datagrams + datagrams_per_s * t` datagrams."""
 
     __slots__ = ("_burst_tokens", "_tokens", "_tokens_per_ms", "_updated_ms")
 
@@ -14,7 +14,7 @@
         self._updated_ms = now_ms
 
     def try_acquire(self, tokens: int, reserve: float, now_ms: float) -> bool:
-        """Take `tokens` if at least `reserve` are left then; returns whether they were taken."""
+        """Take `tokens` if at least `reserve` tokens remain afterwards. Returns whether they were taken."""
         if now_ms > self._updated_ms:
             refilled = self._tokens + (now_ms - self._updated_ms) * self._tokens_per_ms
             self._tokens = min(self._burst_tokens, refilled)
--- a/packages/peers/src/larkweir_peers/replay_window.py
+++ b/packages/peers/src/larkweir_peers/replay_window.py
@@ -6,9 +6,9 @@
 
 
 class ReplayWindow:
-    """The sequence numbers that were received from one process of one peer.
+    """The sequence numbers received from the current process of one peer.
 
-    Of the last `SIZE` numbers each is accepted once; an older one is dropped, since it may have been received.
+    Each of the last `SIZE` numbers is accepted once. Older numbers are dropped, as they may have been received before.
     """
 
     __slots__ = ("_highest", "_seen_bits", "process_start_ms")
@@ -21,7 +21,7 @@
         self._seen_bits = 0
 
     def check(self, process_start_ms: int, number: int) -> DropReason | None:
-        """Record a number; returns why its datagram is to be dropped, None where it is new."""
+        """Record a sequence number. Returns the reason to drop its datagram, or None if the number is new."""
         if process_start_ms < self.process_start_ms:
             return DropReason.FORMER_INCARNATION
         if process_start_ms > self.process_start_ms:
--- a/packages/peers/src/larkweir_peers/sender.py
+++ b/packages/peers/src/larkweir_peers/sender.py
@@ -1,4 +1,4 @@
-"""The messages that a process sends: their headers, updates and tags, and the limit on them."""
+"""Builds the messages that a process sends (headers, updates and tags), and limits their rate."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 
 class Datagram(NamedTuple):
-    """A datagram that is to be sent. `to`: the address as text."""
+    """A datagram to be sent. `to` is the address as text."""
 
     to: str
     data: bytes
 
 
 class DatagramSender:
-    """Puts each message that the send limit allows into `datagrams`, where it waits until it is taken."""
+    """Appends each message that the send limit allows to the queue `datagrams`, which the caller empties."""
 
     MAX_QUEUED_DATAGRAMS = 1_024
-    MEMBERSHIP_RESERVE_FRACTION = 0.25  # of the burst: kept for membership, not used by items
-    HINT_INTERVAL_MS = 250.0  # between two hints to a member, at the least
+    MEMBERSHIP_RESERVE_FRACTION = 0.25  # fraction of the burst reserved for membership messages
+    HINT_INTERVAL_MS = 250.0  # minimum time between two hints to a member
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         """Send an item once; see `PeerProtocol.post`."""
         if len(item) > MAX_ITEM_BYTES or not 1 <= channel <= 255:
             raise ItemError(
-                f"{len(item)} bytes on channel {channel}; {MAX_ITEM_BYTES} bytes, channels 1 to 255"
+                f"item of {len(item)} bytes on channel {channel}: limits are {MAX_ITEM_BYTES} bytes, channels 1 to 255"
             )
         member = self._membership.members.get(to)
         if member is None:
@@ -85,40 +85,40 @@
         return True
 
     def ping(self, to: str, now_ms: float) -> int | None:
-        """Ping a member; returns the sequence number, None where the send limit does not allow it."""
+        """Ping a member. Returns the sequence number, or None if the send limit does not allow it."""
         member = self._allow_send(to, now_ms)
         return None if member is None else self._enqueue(member, Ping(*self._header(member, 0)))
 
     def ping_request(self, to: str, target: str, now_ms: float) -> int | None:
-        """Ask a member to ping `target`; returns as `ping` does."""
+        """Ask a member to ping `target`. Returns the same as `ping`."""
         member = self._allow_send(to, now_ms)
         if member is None:
             return None
         return self._enqueue(member, PingRequest(*self._header(member, 8), pack_address(target)))
 
     def ack(self, to: str, request_number: int, now_ms: float) -> int | None:
-        """Answer a ping or a ping request; returns as `ping` does."""
+        """Acknowledge a ping or a ping request. Returns the same as `ping`."""
         member = self._allow_send(to, now_ms)
         return (
             None if member is None else self._enqueue(member, Ack(*self._header(member, 9), request_number))
         )
 
     def nack(self, to: str, request_number: int, now_ms: float) -> int | None:
-        """Answer a ping request whose target has not answered yet; returns as `ping` does."""
+        """Report that the target of a ping request has not answered yet. Returns the same as `ping`."""
         member = self._allow_send(to, now_ms)
         return (
             None if member is None else self._enqueue(member, Nack(*self._header(member, 9), request_number))
         )
 
     def send_hint(self, member: Member, now_ms: float) -> None:
-        """Ping a member out of turn, so that it learns its state as it is seen here, and this process's incarnation."""
+        """Ping a member outside the probe schedule, to send it its state as known here and the sender's incarnation."""
         last = self._hinted_ms.get(member.name, -inf)
         if now_ms - last >= self.HINT_INTERVAL_MS:
             self._hinted_ms[member.name] = now_ms
             self.ping(member.name, now_ms)
 
     def forget_peers(self, removed: Collection[str]) -> None:
-        """Drop the datagrams that wait for peers that are not listed any more."""
+        """Drop the queued datagrams to peers that are no longer listed."""
         for name in removed:
             self._hinted_ms.pop(name, None)
         if removed:
@@ -132,7 +132,7 @@
         return self._membership.members[to]
 
     def _header(self, to: Member, body_bytes: int) -> tuple[bytes, int, int, int, list[MemberUpdate]]:
-        """The fields of `Message`, in their order."""
+        """The fields of `Message`, in order."""
         self._last_sequence_number += 1
         membership, number = self._membership, self._last_sequence_number
         updates = membership.updates_for(to, max_updates(body_bytes))
--- a/packages/peers/src/larkweir_peers/transport.py
+++ b/packages/peers/src/larkweir_peers/transport.py
@@ -1,4 +1,4 @@
-"""The protocol on a UDP socket and one timer of an asyncio loop."""
+"""Runs the protocol on a UDP socket and one timer of an asyncio loop."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Channel:
-    """A numbered channel: items on it reach the handler of the same channel in other processes."""
+    """A numbered channel. Its items are delivered to the handler of the same channel in the receiving process."""
 
     __slots__ = ("_channel", "_transport")
 
@@ -28,24 +28,24 @@
         self._channel = channel
 
     def post(self, to: str, item: bytes) -> bool:
-        """Send an item of up to `MAX_ITEM_BYTES`; returns whether it was sent. See `PeerProtocol.post`."""
+        """Send an item of up to `MAX_ITEM_BYTES`. Returns whether it was sent; see `PeerProtocol.post`."""
         return self._transport.post(to, self._channel, item)
 
     def alive(self) -> Sequence[str]:
-        """The peers that are likely to answer: a hint, never the truth."""
+        """The peers that are believed to be alive. This is a hint and may be out of date."""
         return self._transport.protocol.alive()
 
 
 class PeerTransport:
     """The socket of a process, from `start` to `close`.
 
-    Binding is retried while the address is in use: a predecessor may still have it. Nothing is raised for what the
-    network or a peer does; the same kind of trouble is logged once in `LOG_INTERVAL_MS`.
+    Binding is retried while the address is in use, since a predecessor process may still have it bound. Errors caused
+    by the network or a peer are never raised; each kind of error is logged at most once per `LOG_INTERVAL_MS`.
     """
 
-    MAX_READS_PER_TURN = 64  # datagrams that are read in one turn of the loop
+    MAX_READS_PER_TURN = 64  # maximum number of datagrams read in one turn of the loop
     BIND_RETRY_MS = 100.0
-    LOG_INTERVAL_MS = 10_000.0  # between two lines of the same kind
+    LOG_INTERVAL_MS = 10_000.0  # minimum time between two log lines of the same kind
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         log: Callable[[str], None],
         on_event: Callable[[MemberEvent], None] | None = None,
     ) -> None:
-        """`listen`: the address to bind, which may differ from the one that peers use.
+        """`listen` is the address to bind, which may differ from the address that peers use.
 
         Raises:
             AddressError: `listen` is not an IPv4 address and port.
@@ -63,7 +63,7 @@
         pack_address(listen)
         self.protocol = protocol
         self.send_errors = 0
-        self.handler_errors = 0  # items whose handler raised
+        self.handler_errors = 0  # number of items whose handler raised
         self._listen = listen
         self._clock = clock
         self._log = log
@@ -75,28 +75,28 @@
         self._is_closed = False
         self._is_flushing = False
         self._logged_ms: dict[str, float] = {}
-        self._unlogged_event: MemberEvent | None = None  # the last one that is not logged yet
+        self._unlogged_event: MemberEvent | None = None  # the last event, if it is not logged yet
         self._addresses = {name: _address(name) for name in protocol.membership.members}
         self._handlers: dict[int, ItemHandler] = {}
 
     def open_channel(self, channel: int, on_item: ItemHandler) -> Channel:
-        """Receive a channel's items by `on_item`, and send on it.
+        """Open a channel for sending, and deliver its received items to `on_item`.
 
         Raises:
-            ChannelInUseError: the channel was opened before.
+            ChannelInUseError: the channel is already open.
         """
         if channel in self._handlers:
-            raise ChannelInUseError(f"channel {channel} has its part already")
+            raise ChannelInUseError(f"channel {channel} already has a handler")
         self._handlers[channel] = on_item
         return Channel(self, channel)
 
     @property
     def is_open(self) -> bool:
-        """Whether the socket is bound: the address belongs to this process."""
+        """Whether the socket is bound to the address."""
         return self._socket is not None
 
     def start(self) -> None:
-        """Bind the socket, and retry until it succeeds."""
+        """Bind the socket. If this fails, retry until it succeeds."""
         if self._is_closed or self._socket is not None:
             return
         if self._timer is not None:
@@ -106,7 +106,7 @@
             sock.bind(_address(self._listen))
         except OSError as error:
             sock.close()
-            self._log_limited("bind", f"peers: {self._listen}: {error}; tried again until it is free")
+            self._log_limited("bind", f"peers: can't bind {self._listen}: {error}; retrying until it is free")
             self._timer = self._clock.at(self._clock.now_ms() + self.BIND_RETRY_MS, self.start)
             return
         self._socket = sock
@@ -115,14 +115,14 @@
         self._flush()
 
     def set_suspended(self, is_suspended: bool) -> None:
-        """Suspended: the socket is closed, so that a successor can bind the address. Else it is bound again."""
+        """Suspend by closing the socket, so that a successor can bind the address, or resume by binding it again."""
         if is_suspended:
             self._close_socket()
         else:
             self.start()
 
     def close(self) -> None:
-        """Close for good. Where the socket is bound, announce to peers that this process leaves."""
+        """Close permanently. If the socket is bound, first announce to peers that this process is leaving."""
         if self._socket is not None:
             self.protocol.leave(self._clock.now_ms())
             self._flush()
@@ -139,7 +139,7 @@
             sock.close()
 
     def post(self, to: str, channel: int, item: bytes) -> bool:
-        """See `PeerProtocol.post`; False also while the socket is not bound."""
+        """Send an item as `PeerProtocol.post` does. Also returns False while the socket is not bound."""
         if self._socket is None:
             return False
         done = self.protocol.post(to, channel, item, self._clock.now_ms())
@@ -147,13 +147,13 @@
         return done
 
     def replace_peers(self, others: Sequence[str]) -> str:
-        """Replace the list of peers; returns a line on what has changed, "" where nothing has. A list that can't be
-        used is logged, and changes nothing. See `PeerProtocol.replace_peers`.
+        """Replace the list of peers as `PeerProtocol.replace_peers` does. Returns a log line about the changes, "" if
+        there are none. If the new list is invalid, the error is logged and the old list is kept.
         """
         try:
             added, removed = self.protocol.replace_peers(others, self._clock.now_ms())
         except PeersError as error:
-            self._log(f"peers: the list stays as it was: {error}")
+            self._log(f"peers: the list is unchanged: {error}")
             return ""
         self._addresses = {name: _address(name) for name in self.protocol.membership.members}
         if self._unlogged_event is not None and self._unlogged_event.name not in self._addresses:
@@ -167,7 +167,7 @@
         return f"peers: {len(self._addresses)} others: {', '.join(changes)}" if changes else ""
 
     def status_fields(self) -> dict[str, object]:
-        """The fields for STATUS, by the names that they have there."""
+        """The fields for STATUS, by their names there."""
         counts = self.protocol.counters()
         own = ("unheard", "alive", "suspect", "dead", "left", "health", "sent", "received")
         found: dict[str, object] = {"peers": f"{counts['alive']}/{len(self._addresses)}"}
@@ -187,7 +187,7 @@
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as error:  # an earlier datagram was refused (ICMP)
-                self._log_limited("read", f"peers: read: {error}")
+                self._log_limited("read", f"peers: receive failed: {error}")
                 break
             self.protocol.on_datagram(f"{address[0]}:{address[1]}", data, self._clock.now_ms())
         self._flush()
@@ -198,7 +198,7 @@
         self._flush()
 
     def _flush(self) -> None:
-        """Send and deliver all that the protocol has put out, and what handlers post meanwhile."""
+        """Send and deliver all output of the protocol, including items that handlers post during delivery."""
         if self._is_flushing or self._socket is None:
             return
         self._is_flushing = True
@@ -240,18 +240,18 @@
     def _deliver(self, handler: ItemHandler, source: str, data: bytes) -> None:
         try:
             handler(source, data, self._clock.now_ms())
-        except Exception as error:  # the boundary to handlers: a peer's bytes must not end the loop
+        except Exception as error:  # a handler that fails on a peer's bytes must not end the loop
             self.handler_errors += 1
-            self._log_limited("item", f"peers: an item of {source}: {error!r:.200}")
+            self._log_limited("item", f"peers: the handler of an item from {source} failed: {error!r:.200}")
 
     def _send(self, address: tuple[str, int], data: bytes) -> None:
         assert self._socket is not None
         try:
             self._socket.sendto(data, address)
-        except OSError as error:  # lost, as any datagram may be lost
+        except OSError as error:  # the datagram is lost, which the protocol tolerates
             self.send_errors += 1
             if error.errno not in (errno.EAGAIN, errno.ENOBUFS, errno.ECONNREFUSED):
-                self._log_limited("send", f"peers: send: {error}")
+                self._log_limited("send", f"peers: send failed: {error}")
 
     def _schedule(self) -> None:
         due = self.protocol.next_ms
@@ -272,7 +272,7 @@
 
 
 def _abbreviate(names: Sequence[str], maximum: int = 3) -> str:
-    """The first few of many names, for a log line."""
+    """The first `maximum` names, for a log line."""
     return " ".join(names[:maximum]) + (" ..." if len(names) > maximum else "")
 
 
--- a/packages/peers/tests/test_peers_protocol.py
+++ b/packages/peers/tests/test_peers_protocol.py
@@ -1,4 +1,4 @@
-"""Two or three processes by hand: each hard case of a datagram, and items from end to end."""
+"""Two or three processes, step by step: invalid, replayed and outdated datagrams, and items from end to end."""
 
 from __future__ import annotations
 
@@ -62,22 +62,22 @@
 
 UNUSABLE: dict[str, tuple[Callable[[bytes], bytes], str, str]] = {
     "too long": (lambda data: data + bytes(257 - len(data)), A, "too_long"),
-    "from an address not in the list": (lambda data: data, "127.0.0.1:9999", "stranger"),
-    "from its own address": (lambda data: data, B, "stranger"),
-    "in another's name": (lambda data: data, C, "not_itself"),
-    "changed on its way": (_modified, A, "forged"),
-    "by another key": (
+    "from an unlisted address": (lambda data: data, "127.0.0.1:9999", "stranger"),
+    "from the receiver's own address": (lambda data: data, B, "stranger"),
+    "from an address other than its sender": (lambda data: data, C, "not_itself"),
+    "modified in transit": (_modified, A, "forged"),
+    "signed with another key": (
         lambda data: DatagramAuthenticator((b"o" * 16,)).sign(pack_address(B), PING),
         A,
         "forged",
     ),
     "without a tag": (lambda data: PING, A, "forged"),
-    "meant for another": (lambda data: _signed(PING, C), A, "forged"),
+    "signed for another receiver": (lambda data: _signed(PING, C), A, "forged"),
     "truncated": (lambda data: data[:-3], A, "forged"),
     "truncated before its tag": (lambda data: _signed(PING[:-1]), A, "malformed"),
     "empty": (lambda data: b"", A, "forged"),
     "of an unknown version": (lambda data: _signed(b"\x07" + PING[1:]), A, "version"),
-    "of an unknown kind": (lambda data: _signed(PING[:1] + b"\x63" + PING[2:]), A, "kind"),
+    "of an unknown type": (lambda data: _signed(PING[:1] + b"\x63" + PING[2:]), A, "kind"),
 }
 
 
@@ -88,7 +88,7 @@
     b.on_datagram(source, change(_signed(PING)), 0.0)
     assert {name: n for name, n in b.dropped.items() if n} == {reason: 1}
     assert not b.datagrams and not b.items and b.membership.counts_by_state()[MemberState.UNHEARD] == 3
-    b.on_datagram(A, _signed(PING), 0.0)  # the unmodified one
+    b.on_datagram(A, _signed(PING), 0.0)  # the unmodified datagram
     assert b.membership.members[A].state is MemberState.ALIVE and len(take_sent(b, A)) == 1
 
 
@@ -119,7 +119,8 @@
     assert b.membership.members[A].incarnation == 2_000 << REFUTATION_BITS
     c = new_process(C)
     c.membership.on_update(MemberUpdate(pack_address(A), MemberState.ALIVE, 2_000 << REFUTATION_BITS), 0.0)
-    c.on_datagram(A, _signed(PING, C), 1.0)  # of the former process; the new one is known by an update only
+    # This ping is from the former process. C knows the new one only from the update.
+    c.on_datagram(A, _signed(PING, C), 1.0)
     assert c.dropped["former_life"] == 1
 
 
@@ -163,7 +164,7 @@
 
 
 def test_fragments_of_two_processes_are_not_combined() -> None:
-    """Each process numbers its items from 1; old fragments must not complete an item of a later process."""
+    """Each process numbers its items from 1. Old fragments must not complete an item of a later process."""
     b = new_process(B)
     for process_start_ms, text, indices in ((1_000, b"o", (0,)), (2_000, b"n", (1, 0))):
         a = new_process(A, process_start_ms=process_start_ms)
@@ -197,7 +198,7 @@
 
 def test_without_a_key_only_loopback_is_allowed() -> None:
     for me, others in (("10.3.0.1:1", [A]), (A, [B, "10.3.0.2:1"])):
-        with pytest.raises(PeersError, match="takes a key"):
+        with pytest.raises(PeersError, match="so a key is required"):
             PeerProtocol(me, others, Random(1), 0.0, 1)
         PeerProtocol(me, others, Random(1), 0.0, 1, (KEY,))
     for bad in (
--- a/packages/peers/tests/test_peers_replace_peers.py
+++ b/packages/peers/tests/test_peers_replace_peers.py
@@ -1,4 +1,4 @@
-"""A list of peers that changes while they run: what is left of removed ones, added ones, and lists that differ."""
+"""Changes of the list of peers at run time: removed and added peers, and processes whose lists differ."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def processes_with_state_of_b() -> tuple[PeerProtocol, PeerProtocol]:
-    """A and B, where A has items, fragments, datagrams, suspicions and a probe that concern B."""
+    """Return A and B, where A holds items, fragments, datagrams, suspicions and a probe that involve B."""
     a, b, c = new_process(A, config=ProtocolConfig(suspicion_confirmations=2)), new_process(B), new_process(C)
     introduce(a, b, c)
     b.post(A, 1, b"whole", 0.0)
@@ -61,7 +61,7 @@
         assert B not in table
     assert pack_address(B) not in a.membership._updates and pack_address(B) not in a.membership._by_address
     state = {name: member.state for name, member in a.membership.members.items()}
-    assert state == {C: S.SUSPECT, D: S.UNHEARD}  # only B had reported D
+    assert state == {C: S.SUSPECT, D: S.UNHEARD}  # only B had suspected D
     assert a.membership.members[C].incarnation == 1_000 << REFUTATION_BITS
     assert a.membership.members[C].suspicion.reporters.keys() == {pack_address(D)}  # type: ignore[union-attr]
     for data in take_sent(b, A):
@@ -71,7 +71,7 @@
     a.replace_peers((C,), 2.0)
     assert (
         a.membership.live_count == 2 and a.membership.members[C].state is S.ALIVE
-    )  # its last reporter is removed
+    )  # the last process that suspected C is removed
     a.membership.on_update(MemberUpdate(pack_address(C), S.DEAD, 1_000 << REFUTATION_BITS), 2.0)
     assert a.membership.live_count == 1
     assert a.replace_peers((B,), 3.0) == ([B], [C])
@@ -125,15 +125,15 @@
         and a.membership.gone_count == 0
     )
     a.sender.ping(C, 9_001.0)
-    assert not a.membership._updates._heap  # their entries were skipped
+    assert not a.membership._updates._heap  # the entries of removed peers were skipped
 
 
 @pytest.mark.parametrize(
     ("others", "keys", "expected"),
     [
         ((B, "there"), (KEY,), "not an IPv4"),
-        ((B, "10.0.0.1:1"), (), "takes a key"),
-        ([f"127.{n >> 8}.{n & 255}.1:9" for n in range(4_097)], (KEY,), "4096 at the most"),
+        ((B, "10.0.0.1:1"), (), "so a key is required"),
+        ([f"127.{n >> 8}.{n & 255}.1:9" for n in range(4_097)], (KEY,), "the maximum is 4096"),
     ],
 )
 def test_an_invalid_list_changes_nothing(
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_fleet_whose_lists_change_process_by_process(seed: int) -> None:
-    """Four are removed and four others added; for seconds the lists differ, a twentieth of the datagrams is lost."""
+    """Four peers are replaced by four others. For seconds the lists differ, and 5 % of the datagrams are lost."""
     fleet = Fleet(seed, loss_rate=0.05, names=list(FLEET[:24]))
     fleet.run(10_000.0)
     fleet.names = FLEET[4:28]
