--- a/packages/peers/tests/fleet_peers.py
+++ b/packages/peers/tests/fleet_peers.py
@@ -1,4 +1,4 @@
-"""The protocol of many processes on a simulated network, with one timer each. One seed, one run."""
+"""Runs the protocol of many processes on a simulated network. The seed determines the whole run."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 KEYS = (b"sixteen letters!",)
 
 
-CLOCK_ORIGIN_MS = 1_000_000  # of the clock that process starts are taken from
+CLOCK_ORIGIN_MS = 1_000_000  # the process start time at simulated time 0
 
 
 DELAY_RANGE_MS = (1.0, 10.0)
 
 
 class Fleet:
-    """The protocol of each process, its datagrams and its timer on the network, and its events."""
+    """Processes on a simulated network. Delivers datagrams, runs timers, and records all events and items."""
 
     def __init__(
         self, seed: int, loss_rate: float = 0.0, duplicate_rate: float = 0.0, names: list[str] = NAMES
@@ -32,13 +32,13 @@
         self.processes: dict[str, PeerProtocol] = {}
         self.events: list[tuple[str, MemberEvent]] = []  # observer, event
         self.items: list[tuple[str, Item]] = []
-        self.slow: dict[str, float] = {}  # milliseconds that a slow process waits before each datagram
+        self.slow: dict[str, float] = {}  # milliseconds by which a slow process delays each received datagram
         self._timers: dict[str, object] = {}
         for name in names:
             self.start(name)
 
     def start(self, name: str, clock_ms: float = 0.0) -> PeerProtocol:
-        """Start a process; `clock_ms`: the error of its clock."""
+        """Start a process. `clock_ms` is the offset of its clock."""
         net, now = self.net, self.net.now_ms
         process_start_ms = int(CLOCK_ORIGIN_MS + now + clock_ms)
         process = self.processes[name] = PeerProtocol(
@@ -76,7 +76,7 @@
 
     def _tick(self, name: str) -> None:
         self.processes[name].tick(self.net.now_ms)
-        assert self.processes[name].next_ms > self.net.now_ms  # else the timer would spin
+        assert self.processes[name].next_ms > self.net.now_ms  # otherwise the timer would loop endlessly
         self._drain(name)
 
     def post(self, source: str, to: str, item: bytes) -> bool:
@@ -93,7 +93,7 @@
         self.net.run(self.net.now_ms + ms)
 
     def reported(self, state: MemberState, of: str, since_ms: float = 0.0) -> dict[str, float]:
-        """The observers of that state, and when each had it first."""
+        """When each observer first saw the state `state` of the member `of`, in milliseconds after `since_ms`."""
         found: dict[str, float] = {}
         for observer, event in self.events:
             if event.state is state and event.name == of and event.at_ms >= since_ms:
@@ -108,7 +108,7 @@
         }
 
     def has_one_view(self, dead: set[str] = frozenset()) -> bool:  # type: ignore[assignment]
-        """Whether each running process has the true state of all."""
+        """Whether each running process considers exactly the members outside `dead` alive."""
         return all(
             set(process.alive()) == set(self.names) - {name} - dead
             for name, process in self.processes.items()
--- a/packages/peers/tests/rig_peers.py
+++ b/packages/peers/tests/rig_peers.py
@@ -1,4 +1,4 @@
-"""Two to four processes that a test drives by hand."""
+"""Creates up to four protocol instances, whose datagrams and time a test controls step by step."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 def take_sent(process: PeerProtocol, to: str) -> list[bytes]:
-    """Take the datagrams that wait for `to`; drop the others."""
+    """Remove all queued datagrams, and return those to `to`."""
     found = [item.data for item in process.datagrams if item.to == to]
     process.datagrams.clear()
     return found
 
 
 def introduce(*processes: PeerProtocol, now: float = 0.0) -> None:
-    """Let each know the others' incarnations."""
+    """Exchange pings so that each process knows the incarnations of the others."""
     for sender_process in processes:
         for other in processes:
             if sender_process is not other:
--- a/packages/peers/tests/test_peers_addresses.py
+++ b/packages/peers/tests/test_peers_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses: one text and six bytes each, and nothing else."""
+"""Addresses have one canonical text form and six bytes; everything else is rejected."""
 
 from __future__ import annotations
 
--- a/packages/peers/tests/test_peers_authentication.py
+++ b/packages/peers/tests/test_peers_authentication.py
@@ -1,4 +1,4 @@
-"""Tags of datagrams: for one key and one receiver."""
+"""The tag of a datagram is valid for one key and one receiver only."""
 
 from __future__ import annotations
 
--- a/packages/peers/tests/test_peers_errors.py
+++ b/packages/peers/tests/test_peers_errors.py
@@ -1,4 +1,4 @@
-"""Each error is a PeersError and a ValueError, as callers have caught them before."""
+"""Each error is a PeersError and, for callers that catch it as such, a ValueError."""
 
 from __future__ import annotations
 
--- a/packages/peers/tests/test_peers_failure_detector.py
+++ b/packages/peers/tests/test_peers_failure_detector.py
@@ -1,4 +1,4 @@
-"""Probes while the list changes: requests about unlisted members, and probes of removed ones."""
+"""Probes while the list of peers changes: ping requests for unlisted members, and probes of removed members."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_a_ping_request_for_an_unlisted_target_is_answered_with_a_nack() -> None:
-    """The requester's local health depends on such answers."""
+    """Without the nack, the requester's local health would get worse."""
     a, b = new_process(A), new_process(B)
     introduce(a, b)
     b.replace_peers((A, C), 1.0)
--- a/packages/peers/tests/test_peers_fleet.py
+++ b/packages/peers/tests/test_peers_fleet.py
@@ -1,4 +1,4 @@
-"""Thirty processes on a simulated network: crashes, partitions, loss, pauses, new incarnations. One seed, one run."""
+"""Thirty processes on a simulated network, with crashes, partitions, packet loss, pauses and new incarnations."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_paused_process_suspects_nobody_and_is_alive_again(seed: int) -> None:
-    """SIGSTOP and SIGCONT: its time-outs have run out meanwhile."""
+    """Simulates SIGSTOP and SIGCONT. The timeouts of the process expire while it is paused."""
     fleet = Fleet(seed)
     stopped = set(NAMES[:3])
     for length in (700.0, 2_500.0, 30_000.0):
@@ -54,12 +54,12 @@
     assert not fleet.wrong_reports(MemberState.DEAD, stopped) and not fleet.wrong_reports(
         MemberState.SUSPECT, stopped
     )
-    assert fleet.reported(MemberState.DEAD, NAMES[0])  # 30 s are longer than any suspicion
+    assert fleet.reported(MemberState.DEAD, NAMES[0])  # 30 s are longer than the timeout of any suspicion
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_slow_processes_lower_their_local_health_before_they_suspect_others(seed: int) -> None:
-    """Lifeguard: each datagram waits at a slow process for longer than a probe lasts."""
+    """Lifeguard: a slow process handles each datagram only after the probe interval has passed."""
     fleet = Fleet(seed)
     fleet.run(10_000.0)
     slow = set(NAMES[:3])
@@ -123,7 +123,7 @@
 
 
 def test_the_send_rate_of_an_idle_process_does_not_depend_on_fleet_size() -> None:
-    """Counted after the updates of the start."""
+    """Sends are counted after the updates caused by the start have been gossiped."""
     sends = {}
     for number in (10, 60):
         fleet = Fleet(8, names=[f"127.0.1.{n}:1" for n in range(1, number + 1)])
--- a/packages/peers/tests/test_peers_fragmentation.py
+++ b/packages/peers/tests/test_peers_fragmentation.py
@@ -1,4 +1,4 @@
-"""Items in fragments: reassembled in any order, bounded where they never complete."""
+"""Fragments are reassembled in any order, and the memory for incomplete items is limited."""
 
 from __future__ import annotations
 
@@ -56,9 +56,11 @@
         len(reassembler) == Reassembler.MAX_ITEMS
         and reassembler.dropped == 40 * (Reassembler.MAX_ITEMS_PER_PEER + 4) - Reassembler.MAX_ITEMS
     )
-    assert reassembler.add_fragment("p39", 1, 3, 1, 2, b"", 0.0) is None  # it was evicted: a new one begins
+    # Item 3 was evicted, so this fragment starts a new one.
+    assert reassembler.add_fragment("p39", 1, 3, 1, 2, b"", 0.0) is None
     assert reassembler.add_fragment("p39", 1, 19, 1, 2, b"y", 0.0) == b"x" * MAX_FRAGMENT_BYTES + b"y"
     with pytest.raises(ValueError):
-        reassembler.add_fragment("p39", 1, 18, 0, 3, b"x" * MAX_FRAGMENT_BYTES, 0.0)  # another count
+        # The fragment count differs from that of the first fragment.
+        reassembler.add_fragment("p39", 1, 18, 0, 3, b"x" * MAX_FRAGMENT_BYTES, 0.0)
     with pytest.raises(ValueError):
         reassembler.add_fragment("p39", 1, 50, 0, 2, b"short", 0.0)
--- a/packages/peers/tests/test_peers_golden.py
+++ b/packages/peers/tests/test_peers_golden.py
@@ -1,4 +1,4 @@
-"""Datagrams of the release before are read, and the same are written: each frame, its tag, and a whole exchange."""
+"""Compatibility with earlier releases: recorded frames, tags and an exchange are decoded and reproduced exactly."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def read_rows(name: str) -> dict[str, bytes]:
-    """Lines of a name and bytes in hex."""
+    """Read a file of lines with a name and bytes in hex."""
     lines = (GOLDEN / name).read_text(encoding="ascii").splitlines()
     return {key: bytes.fromhex(text) for key, text in (line.split(" ") for line in lines)}
 
@@ -61,7 +61,7 @@
 
 
 def exchange() -> list[tuple[str, bytes]]:
-    """Every datagram of three processes that probe, send items, suspect one that does not answer, and leave."""
+    """Return all datagrams of three processes that probe, send items, suspect a silent process, and leave."""
     by_name = processes()
     found: list[tuple[str, bytes]] = []
     silent = {C}
--- a/packages/peers/tests/test_peers_local_health.py
+++ b/packages/peers/tests/test_peers_local_health.py
@@ -1,4 +1,4 @@
-"""Local health: a score within its bounds, and what time-outs are multiplied by."""
+"""Local health: the bounds of the score, and the resulting timeout multiplier."""
 
 from __future__ import annotations
 
--- a/packages/peers/tests/test_peers_membership.py
+++ b/packages/peers/tests/test_peers_membership.py
@@ -1,4 +1,4 @@
-"""Membership: which update counts, refutations, what is passed on, and a pause of the process itself."""
+"""Membership: precedence of updates, refutations, gossip, and pauses of the process itself."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from larkweir_peers.protocol import PeerProtocol
 from rig_peers import KEY, A, B, C, D, introduce, new_process, take_sent
 
-# State before, update, state after. Incarnations are small here.
+# State before, update, state after. Each is a pair of state and incarnation.
 S, T = MemberState, 5
 
 
@@ -27,8 +27,8 @@
     ((S.ALIVE, T), (S.DEAD, T - 1), (S.ALIVE, T)),
     ((S.ALIVE, T), (S.DEAD, T), (S.DEAD, T)),
     ((S.ALIVE, T), (S.LEFT, T), (S.LEFT, T)),
-    ((S.ALIVE, T), (S.SUSPECT, 0), (S.SUSPECT, T)),  # without an incarnation: of the known one
-    ((S.ALIVE, T), (S.DEAD, 0), (S.ALIVE, T)),  # it may be older than the known incarnation
+    ((S.ALIVE, T), (S.SUSPECT, 0), (S.SUSPECT, T)),  # 0: applies to the known incarnation
+    ((S.ALIVE, T), (S.DEAD, 0), (S.ALIVE, T)),  # the report may be older than the known incarnation
     ((S.SUSPECT, T), (S.DEAD, 0), (S.SUSPECT, T)),
     ((S.SUSPECT, T), (S.ALIVE, T), (S.SUSPECT, T)),
     ((S.SUSPECT, T), (S.ALIVE, T + 1), (S.ALIVE, T + 1)),
@@ -78,10 +78,10 @@
 
 
 def test_a_suspect_is_notified_first_and_a_dead_member_learns_its_state() -> None:
-    """Lifeguard's buddy."""
+    """The buddy system of Lifeguard (section IV-C): a ping to a suspect tells it first that it is suspect."""
     a, b = new_process(A), new_process(B)
     introduce(a, b)
-    for name in (B, C, D):  # the last is the newest update
+    for name in (B, C, D):  # B is the oldest update, D the newest
         a.membership.on_probe_failed(name, 0.0)
     a.sender.ping(B, 1.0)
     (data,) = take_sent(a, B)
@@ -94,7 +94,7 @@
     assert a.membership.members[B].state is S.ALIVE
     a.membership.on_update(MemberUpdate(pack_address(B), S.DEAD, b.membership.incarnation), 4.0)
     b.sender.ack(A, 1, 5.0)
-    a.on_datagram(B, take_sent(b, A)[0], 5.0)  # it sends a message, and does not know its state
+    a.on_datagram(B, take_sent(b, A)[0], 5.0)  # B sends a message without knowing that it is DEAD here
     assert len(take_sent(a, B)) == 1
     assert a.membership.members[B].state is S.DEAD and a.post(
         B, 1, b"all the same", 6.0
@@ -104,7 +104,7 @@
 
 
 def test_the_first_reporter_is_gossiped_under_any_hash_seed() -> None:
-    """A run of a seed can be repeated under any PYTHONHASHSEED."""
+    """The order of reporters must not depend on PYTHONHASHSEED, or seeded runs could not be repeated."""
     names = [f"127.0.0.{n}:7946" for n in range(1, 16)]
     a = PeerProtocol(names[0], tuple(names[1:]), Random(1), 0.0, 1, (KEY,))
     for at, who in enumerate(names[1:5]):
@@ -126,12 +126,12 @@
     assert a.membership.members[B].state is S.SUSPECT and a.health.score >= 1 and a.pauses == 1
     assert a.membership.due_ms > due + 55_000.0
     a.membership.on_update(MemberUpdate(pack_address(B), S.ALIVE, 1), due + 60_000.0)
-    assert a.membership.due_ms == float("inf")  # a time in the past would look like a pause later
+    assert a.membership.due_ms == float("inf")  # a due time in the past would later be taken for a pause
     a.membership.on_message_from(a.membership.members[C], T, 0.0)
     a.membership.on_update(MemberUpdate(pack_address(C), S.DEAD, 0), 0.0)
     assert MemberUpdate(pack_address(C), S.ALIVE, T) in [
         update.update for update in a.membership._updates._latest.values()
-    ]  # the known incarnation is spread
+    ]  # the known incarnation is gossiped
 
 
 def test_a_leaving_process_announces_it_and_refutes_nothing() -> None:
--- a/packages/peers/tests/test_peers_messages.py
+++ b/packages/peers/tests/test_peers_messages.py
@@ -1,4 +1,4 @@
-"""Messages: sizes at the bounds, and whatever bytes are received."""
+"""Messages: maximum sizes, and decoding of invalid and arbitrary bytes."""
 
 from __future__ import annotations
 
--- a/packages/peers/tests/test_peers_rate_limiter.py
+++ b/packages/peers/tests/test_peers_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The send limit: its bound in any time, and the reserve for membership."""
+"""The send limit holds over any time span, and a reserve is kept for membership messages."""
 
 from __future__ import annotations
 
--- a/packages/peers/tests/test_peers_replay_window.py
+++ b/packages/peers/tests/test_peers_replay_window.py
@@ -1,4 +1,4 @@
-"""The replay window against a model that remembers every number."""
+"""Compares the replay window with a model."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3 * ReplayWindow.SIZE)), max_size=200))
 def test_the_replay_window_accepts_a_number_once(numbers: list[tuple[int, int]]) -> None:
-    """Against a model that keeps every number."""
+    """The model remembers every sequence number."""
     window, seen, top = ReplayWindow(), set[tuple[int, int]](), dict[int, int]()
     process_start = 0
     for start, number in numbers:
--- a/packages/peers/tests/test_peers_suspicion.py
+++ b/packages/peers/tests/test_peers_suspicion.py
@@ -1,4 +1,4 @@
-"""A suspicion's time-out: shorter with each reporter."""
+"""Each further reporter shortens the timeout of a suspicion."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_each_further_reporter_shortens_a_suspicion() -> None:
-    """Lifeguard section IV-B: from the maximum to the minimum, by the logarithm."""
+    """The timeout falls from the maximum to the minimum on a logarithmic scale (Lifeguard section IV-B)."""
     by = [bytes((n,)) for n in range(4)]
     due = [Suspicion(100.0, 1_000.0, 6_000.0, 3, dict.fromkeys(by[: n + 1])).due_ms for n in range(4)]
     assert due[0] == 6_100.0 and due[2] == pytest.approx(2_137.6, abs=0.1) and due[3] == 1_100.0
@@ -27,7 +27,7 @@
         for _ in range(2):
             a.membership.on_update(MemberUpdate(pack_address(D), S.SUSPECT, 1, pack_address(source)), 0.0)
         assert a.membership.due_ms == pytest.approx(due_ms, abs=1.0)
-    assert a.membership._updates._last_sequence == 3  # passed on once for each reporter
+    assert a.membership._updates._last_sequence == 3  # queued once per reporter
     a.membership.expire(least - 1.0)
     assert a.membership.members[D].state is S.SUSPECT
     a.membership.expire(least)
--- a/packages/peers/tests/test_peers_transport.py
+++ b/packages/peers/tests/test_peers_transport.py
@@ -1,4 +1,4 @@
-"""Sockets on loopback: items and beliefs between them, what is not for them, an address that goes to a successor."""
+"""Transports on loopback: items, membership, foreign datagrams, and handing an address over to a successor process."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def free_names(number: int) -> list[str]:
-    """Loopback addresses that were just free."""
+    """Return loopback addresses that were free a moment ago."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(number)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -46,7 +46,7 @@
 
 
 class Process:
-    """A process's transport, with its log, events and items."""
+    """The protocol and transport of a process, with its recorded log, events and items."""
 
     def __init__(self, name: str, names: list[str], listen: str = "") -> None:
         self.log: list[str] = []
@@ -80,7 +80,7 @@
 
 
 async def until(condition: Callable[[], object], awaited: str) -> None:
-    """Wait for a condition, 20 s at the most."""
+    """Wait up to 20 s for a condition."""
     try:
         async with asyncio.timeout(20.0):
             while not condition():
@@ -136,7 +136,8 @@
             await until(lambda: processes[1].received == [(names[0], b"good")], "the transport continues")
             processes[0].transport.post(names[1], 9, b"for no part")
             await until(
-                lambda: processes[1].protocol.dropped["no_part"] == 1, "an item on a channel without a part"
+                lambda: processes[1].protocol.dropped["no_part"] == 1,
+                "an item without a handler",
             )
             assert not processes[1].channel.post(names[2], b"nobody there yet")
         foreign_socket.close()
@@ -152,13 +153,13 @@
             processes[0].transport.close()
             await until(lambda: processes[2].state(names[0]) is MemberState.LEFT, "its announcement")
             processes[1].transport.set_suspended(True)  # its socket is closed without an announcement
-            await until(lambda: processes[2].state(names[1]) is MemberState.DEAD, "its death")
+            await until(lambda: processes[2].state(names[1]) is MemberState.DEAD, "its failure")
             assert [event.state for event in processes[2].events if event.name == names[1]][-2:] == [
                 MemberState.SUSPECT,
                 MemberState.DEAD,
             ]
             processes[1].transport.set_suspended(False)
-            await until(lambda: processes[2].state(names[1]) is MemberState.ALIVE, "its return")
+            await until(lambda: processes[2].state(names[1]) is MemberState.ALIVE, "it is alive again")
 
     asyncio.run(run())
 
@@ -178,12 +179,13 @@
             assert not after.channel.post(names[1], b"x")
             processes[0].transport.set_suspended(True)
             await until(
-                lambda: after.channel.post(names[1], b"of the new life"), "the address, and the other's life"
+                lambda: after.channel.post(names[1], b"of the new life"),
+                "the address and the peer's incarnation",
             )
             await until(lambda: processes[1].received, "its item")
             assert processes[1].received == [(names[0], b"of the new life")]
             assert processes[1].protocol.membership.members[names[0]].incarnation > before
-            processes[0].transport.close()  # without an announcement: the address is the successor's
+            processes[0].transport.close()  # without an announcement, as the address belongs to the successor
             assert processes[1].state(names[0]) is MemberState.ALIVE
             after.transport.close()
 
--- a/packages/peers/tests/test_peers_update_queue.py
+++ b/packages/peers/tests/test_peers_update_queue.py
@@ -1,4 +1,4 @@
-"""The queue of updates: least sent first, then newest; one update a member; bounded."""
+"""The update queue: least-sent updates first, then the newest; one update per member; limited size."""
 
 from __future__ import annotations
 
