--- a/packages/peers/tests/rig_peers.py
+++ b/packages/peers/tests/rig_peers.py
@@ -1,4 +1,4 @@
-"""Two to four processes that a test drives by hand."""
+"""Creates up to four protocol instances, whose datagrams and time a test controls step by step."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     return PeerProtocol(me, NAMES, Random(me), 0.0, process_start_ms, keys, config)
 
 
-def take_sent(peers: PeerProtocol, to: str) -> list[bytes]:
-    """Take the datagrams that wait for `to`; drop the others."""
-    found = [item.data for item in peers.datagrams if item.to == to]
-    peers.datagrams.clear()
+def take_sent(process: PeerProtocol, to: str) -> list[bytes]:
+    """Remove all queued datagrams, and return those to `to`."""
+    found = [item.data for item in process.datagrams if item.to == to]
+    process.datagrams.clear()
     return found
 
 
 def introduce(*processes: PeerProtocol, now: float = 0.0) -> None:
-    """Let each know the others' incarnations."""
+    """Exchange pings so that each process knows the incarnations of the others."""
     for sender_process in processes:
         for other in processes:
             if sender_process is not other:
--- a/packages/peers/tests/test_peers_replace_peers.py
+++ b/packages/peers/tests/test_peers_replace_peers.py
@@ -1,4 +1,4 @@
-"""A list of peers that changes while they run: what is left of removed ones, added ones, and lists that differ."""
+"""Changes of the list of peers at run time: removed and added peers, and processes whose lists differ."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 S = MemberState
 
 
-def with_state_of_b() -> tuple[PeerProtocol, PeerProtocol]:
-    """A and B, where A has items, fragments, datagrams, suspicions and a probe that concern B."""
+def processes_with_state_of_b() -> tuple[PeerProtocol, PeerProtocol]:
+    """Return A and B, where A holds items, fragments, datagrams, suspicions and a probe that involve B."""
     a, b, c = new_process(A, config=ProtocolConfig(suspicion_confirmations=2)), new_process(B), new_process(C)
     introduce(a, b, c)
     b.post(A, 1, b"whole", 0.0)
@@ -46,8 +46,8 @@
     return a, b
 
 
-def test_of_a_removed_peer_nothing_remains_and_the_others_are_unchanged() -> None:
-    a, b = with_state_of_b()
+def test_all_state_of_a_removed_peer_is_dropped_and_the_others_are_unchanged() -> None:
+    a, b = processes_with_state_of_b()
     assert a.replace_peers((A, C, D), 1.0) == ([], [B])
     assert not a.items and not len(a._reassembler) and not a._reassembler._keys_by_peer
     assert all(item.to != B for item in a.datagrams) and not a.post(B, 1, b"", 1.0)
@@ -61,7 +61,7 @@
         assert B not in table
     assert pack_address(B) not in a.membership._updates and pack_address(B) not in a.membership._by_address
     state = {name: member.state for name, member in a.membership.members.items()}
-    assert state == {C: S.SUSPECT, D: S.UNHEARD}  # only B had reported D
+    assert state == {C: S.SUSPECT, D: S.UNHEARD}  # only B had suspected D
     assert a.membership.members[C].incarnation == 1_000 << REFUTATION_BITS
     assert a.membership.members[C].suspicion.reporters.keys() == {pack_address(D)}  # type: ignore[union-attr]
     for data in take_sent(b, A):
@@ -71,7 +71,7 @@
     a.replace_peers((C,), 2.0)
     assert (
         a.membership.live_count == 2 and a.membership.members[C].state is S.ALIVE
-    )  # its last reporter is removed
+    )  # the last process that suspected C is removed
     a.membership.on_update(MemberUpdate(pack_address(C), S.DEAD, 1_000 << REFUTATION_BITS), 2.0)
     assert a.membership.live_count == 1
     assert a.replace_peers((B,), 3.0) == ([B], [C])
@@ -125,15 +125,15 @@
         and a.membership.gone_count == 0
     )
     a.sender.ping(C, 9_001.0)
-    assert not a.membership._updates._heap  # their entries were skipped
+    assert not a.membership._updates._heap  # the entries of removed peers were skipped
 
 
 @pytest.mark.parametrize(
     ("others", "keys", "expected"),
     [
         ((B, "there"), (KEY,), "not an IPv4"),
-        ((B, "10.0.0.1:1"), (), "takes a key"),
-        ([f"127.{n >> 8}.{n & 255}.1:9" for n in range(4_097)], (KEY,), "4096 at the most"),
+        ((B, "10.0.0.1:1"), (), "so a key is required"),
+        ([f"127.{n >> 8}.{n & 255}.1:9" for n in range(4_097)], (KEY,), "the maximum is 4096"),
     ],
 )
 def test_an_invalid_list_changes_nothing(
@@ -147,8 +147,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_fleet_whose_lists_change_process_by_process(seed: int) -> None:
-    """Four are removed and four others added; for seconds the lists differ, a twentieth of the datagrams is lost."""
-    fleet = Fleet(seed, lost=0.05, names=list(FLEET[:24]))
+    """Four peers are replaced by four others. For seconds the lists differ, and 5 % of the datagrams are lost."""
+    fleet = Fleet(seed, loss_rate=0.05, names=list(FLEET[:24]))
     fleet.run(10_000.0)
     fleet.names = FLEET[4:28]
     for name in FLEET[24:28]:
@@ -164,32 +164,32 @@
     crashed = FLEET[25]
     fleet.kill(crashed)
     fleet.run(12_000.0)
-    assert len(fleet.reported(S.DEAD, crashed, at)) == 23  # added peers are probed like the others
+    assert len(fleet.reported(S.DEAD, crashed, at)) == 23  # added process are probed like the others
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_random_list_changes_break_nothing_and_one_list_ends_in_one_view(seed: int) -> None:
-    fleet, random = Fleet(seed, lost=0.1, doubled=0.1, names=list(FLEET[:10])), Random(seed)
+def test_random_list_changes_keep_invariants_and_a_common_list_ends_in_one_view(seed: int) -> None:
+    fleet, random = Fleet(seed, loss_rate=0.1, duplicate_rate=0.1, names=list(FLEET[:10])), Random(seed)
     for _ in range(150):
         name = random.choice(FLEET[:10])
-        peers = fleet.processes[name]
+        process = fleet.processes[name]
         listed = random.sample(FLEET[:14], random.randrange(1, 14))
-        peers.replace_peers(listed, fleet.net.now_ms)
-        fleet._out(name)  # as the transport does after each call
+        process.replace_peers(listed, fleet.net.now_ms)
+        fleet._drain(name)  # as the transport does after each call
         to = random.choice(FLEET[:14])
         fleet.post(name, to, random.randbytes(random.choice((3, 700))))
         fleet.run(random.choice((0.0, 30.0, 300.0)))
-        members = peers.membership
+        members = process.membership
         assert set(members.members) == set(listed) - {name} == {m.name for m in members._by_address.values()}
         assert members.gone_count == sum(m.state in (S.DEAD, S.LEFT) for m in members.members.values())
         assert set(members._suspects) == {n for n, m in members.members.items() if m.state is S.SUSPECT}
         assert all(m.suspicion is not None and m.suspicion.reporters for m in members._suspects.values())
-        assert set(peers._windows) <= set(members.members) and not set(peers._removed_windows) & set(
+        assert set(process._windows) <= set(members.members) and not set(process._removed_windows) & set(
             members.members
         )
     for name in FLEET[:10]:
         fleet.processes[name].replace_peers(FLEET[:10], fleet.net.now_ms)
-        fleet._out(name)
+        fleet._drain(name)
     fleet.run(30_000.0)
     assert fleet.has_one_view()
     received = [(item.source, to, item.data) for to, item in fleet.items]
