--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -30,7 +30,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "packages" / "owners" / "tests"))
 
-from fleet_owners import BrokenError, Fleet, Process
+from fleet_owners import Fleet, InvariantError, Process
 from larkweir_owners.lease_timing import LeaseTiming
 
 KEY = "duty0"
@@ -39,45 +39,45 @@
 def settled(seed: int, **how: Any) -> tuple[Fleet, Process]:
     fleet = Fleet(seed, **how)
     if not fleet.run_until(lambda: fleet.owner(KEY) is not None, 10_000.0, 20.0):
-        raise BrokenError("nobody takes the duty")
+        raise InvariantError("nobody takes the duty")
     if not fleet.run_until(lambda: all(fleet.votes(name) for name in fleet.members), 20_000.0, 20.0):
-        raise BrokenError("not all keepers vote")
+        raise InvariantError("not all keepers vote")
     fleet.run(fleet.rng.uniform(300.0, 1300.0))
     owner = fleet.owner(KEY)
     if owner is None:
-        raise BrokenError("the duty is lost without a fault")
+        raise InvariantError("the duty is lost without a fault")
     return fleet, owner
 
 
 def new_term(fleet: Fleet, most_ms: float) -> float:
     """Milliseconds until a term counts that is above the present one; inf where none does."""
     term, now = fleet.checker.last[KEY].term, fleet.network.now_ms
-    fleet.run_until(lambda: (KEY, term + 1) in fleet.checker.when, most_ms, 5.0)
-    return fleet.checker.when.get((KEY, term + 1), float("inf")) - now
+    fleet.run_until(lambda: (KEY, term + 1) in fleet.checker.term_committed_ms, most_ms, 5.0)
+    return fleet.checker.term_committed_ms.get((KEY, term + 1), float("inf")) - now
 
 
 def stop(seed: int) -> float:
     """Effects of an old term that were taken."""
     fleet, owner = settled(seed)
     fleet.network.pause(owner.name)
-    fleet.run(3 * fleet.times.lease_ms)
+    fleet.run(3 * fleet.timing.lease_ms)
     if fleet.checker.last[KEY].term < 2:
-        raise BrokenError("nobody took the term of a stopped owner")
+        raise InvariantError("nobody took the term of a stopped owner")
     fleet.network.resume(owner.name)
     fleet.run(600.0)
-    return fleet.checker.old_taken
+    return fleet.checker.stale_term_writes
 
 
 def faults(seed: int) -> float:
     fleet = Fleet(seed)
     fleet.play()
-    return fleet.checker.old_taken
+    return fleet.checker.stale_term_writes
 
 
 def kill(seed: int) -> float:
     fleet, owner = settled(seed)
     fleet.kill(owner.name)
-    return new_term(fleet, 8000.0) / fleet.times.lease_ms
+    return new_term(fleet, 8000.0) / fleet.timing.lease_ms
 
 
 def rest(seed: int) -> float:
@@ -85,22 +85,22 @@
     for _ in range(2):
         name = owner.name
         fleet.network.pause(name)
-        fleet.run(3 * fleet.times.lease_ms)
+        fleet.run(3 * fleet.timing.lease_ms)
         fleet.network.resume(name)
         fleet.run(600.0)
         found = fleet.owner(KEY)
         if found is None or found.name == name:
-            raise BrokenError("nobody took the term of a stopped owner")
+            raise InvariantError("nobody took the term of a stopped owner")
         owner = found
     fleet.network.pause(owner.name)
-    return new_term(fleet, 12_000.0) / fleet.times.lease_ms
+    return new_term(fleet, 12_000.0) / fleet.timing.lease_ms
 
 
 def drain(seed: int) -> float:
     fleet, owner = settled(seed)
     assert owner.owners is not None
     owner.owners.drain(fleet.network.now_ms)
-    owner.after()
+    owner.flush_and_reschedule()
     return new_term(fleet, 8000.0)
 
 
@@ -110,12 +110,12 @@
     members = [name for name in fleet.members if name != owner.name]
     group = {owner.name, members[0]} if owner.name not in fleet.members else {owner.name}
     fleet.network.split([group])
-    fleet.run(4 * fleet.times.lease_ms)
+    fleet.run(4 * fleet.timing.lease_ms)
     before = fleet.checker.last[KEY].term
     if before != 2:
-        raise BrokenError(f"{before - 1} terms began while it was cut, not one")
+        raise InvariantError(f"{before - 1} terms began while it was cut, not one")
     fleet.network.heal()
-    fleet.run(5 * fleet.times.lease_ms)
+    fleet.run(5 * fleet.timing.lease_ms)
     return fleet.checker.last[KEY].term - before
 
 
@@ -143,7 +143,7 @@
     what, seed = job
     try:
         return seed, PLAYS[what](seed)
-    except BrokenError as error:
+    except InvariantError as error:
         return seed, str(error)
 
 
--- a/packages/owners/src/larkweir_owners/leadership.py
+++ b/packages/owners/src/larkweir_owners/leadership.py
@@ -257,7 +257,7 @@
             self._write(record.version, released, self._on_released)
             return
         if not self.is_suspended and now_ms >= self._step_ms:
-            self._stepped_ms, self._step_ms = now_ms, _next_shared_moment(now_ms, self.timing.step_ms)
+            self._stepped_ms, self._step_ms = now_ms, _next_aligned_ms(now_ms, self.timing.step_ms)
             value = self._run_step(record, now_ms)
             if value is not None:
                 self._write(record.version, self._next_record(record, value, 1), self._on_written)
@@ -388,6 +388,6 @@
             self._publisher.announce_renewal(self.key, record)
 
 
-def _next_shared_moment(after_ms: float, every_ms: float) -> float:
+def _next_aligned_ms(after_ms: float, every_ms: float) -> float:
     """The next of the moments that all duties of a process share, so that their writes go together."""
     return (after_ms // every_ms + 1.0) * every_ms
--- a/packages/owners/tests/explore_owners.py
+++ b/packages/owners/tests/explore_owners.py
@@ -42,7 +42,7 @@
 SET = ReplicaSet(1, NAMES)
 
 
-class BrokenError(AssertionError):
+class InvariantError(AssertionError):
     """What was promised does not hold in a state that can be reached."""
 
 
@@ -64,34 +64,34 @@
     return disk
 
 
-def raised(number: int, disk: AcceptorState) -> Acceptor:
+def restarted_acceptor(number: int, disk: AcceptorState) -> Acceptor:
     """A keeper on its disk, with its predecessor's word that the disk is the latest."""
     return Acceptor(NAMES[number], disk, fingerprint(disk))
 
 
-class K(NamedTuple):
-    keeper: Acceptor
+class ReplicaState(NamedTuple):
+    replica: Acceptor
     disk: AcceptorState  # what was flushed
 
 
 @dataclass(slots=True)
-class P:
+class ProposerState:
     proposer: Proposer
     writes: int = 0
     rounds: int = 0
     began: Version = (0, 0)  # the highest version that had ended when its operation began
     next: Version | None = (0, 0)  # what its next write expects
     ended: tuple[Hashable, ...] = ()
-    sign: int = 0  # of all but what follows
-    told: tuple[int, ...] = (0, 0, 0)  # by keeper
+    signature: int = 0  # of all but what follows
+    reply_keys: tuple[int, ...] = (0, 0, 0)  # by keeper
 
 
 class State(NamedTuple):
     """Numbers of keepers and proposers; sets, as bits, of what was ever sent to a keeper and ever accepted there."""
 
-    keepers: tuple[int, int, int]
+    replicas: tuple[int, int, int]
     proposers: tuple[int, int]
-    to: tuple[int, int, int]
+    sent_to: tuple[int, int, int]
     accepted: tuple[int, int, int]
     done: Version
 
@@ -104,109 +104,116 @@
     results: tuple[Result, ...]
 
 
-class Numbers:
+class Interner:
     """Things by number; two with the same key are one."""
 
     def __init__(self) -> None:
-        self.of: dict[Hashable, int] = {}
-        self.things: list[Any] = []
+        self.numbers: dict[Hashable, int] = {}
+        self.values: list[Any] = []
 
-    def put(self, key: Hashable, thing: Any) -> int:
-        number = self.of.setdefault(key, len(self.things))
-        if number == len(self.things):
-            self.things.append(thing)
+    def intern(self, key: Hashable, value: Any) -> int:
+        number = self.numbers.setdefault(key, len(self.values))
+        if number == len(self.values):
+            self.values.append(value)
         return number
 
 
 class Explorer:
     def __init__(self, writes: tuple[int, int] = (1, 1), rounds: tuple[int, int] = (2, 2)) -> None:
         self.writes, self.rounds = writes, rounds
-        self.items, self.ks, self.ps = Numbers(), Numbers(), Numbers()
-        self.signs, self.tolds, self.chosen = Numbers(), Numbers(), Numbers()
-        self.keeper_moves: dict[tuple[int, int, int], Any] = {}
-        self.moves: dict[Hashable, Move] = {}
-        self.k_signs: list[int] = []  # by number, the same for all keepers
+        self.items, self.replica_table, self.proposer_table = Interner(), Interner(), Interner()
+        self.signatures, self.reply_tuples, self.chosen = Interner(), Interner(), Interner()
+        self.replica_moves: dict[tuple[int, int, int], Any] = {}
+        self.proposer_moves: dict[Hashable, Move] = {}
+        self.replica_signatures: list[int] = []  # by number, the same for all keepers
         self.restarts: dict[int, int] = {}
-        self.good: set[int] = set()
+        self.checked: set[int] = set()
 
-    def first(self) -> State:
-        keepers = tuple(self._number_k(n, K(raised(n, fresh_disk(n)), fresh_disk(n))) for n in range(3))
+    def initial_state(self) -> State:
+        replicas = tuple(
+            self._intern_replica(n, ReplicaState(restarted_acceptor(n, fresh_disk(n)), fresh_disk(n)))
+            for n in range(3)
+        )
         proposers = tuple(
-            self._number_p(P(Proposer(name, n + 1, SET, Outbox(), lambda: 0.0)))
+            self._intern_proposer(ProposerState(Proposer(name, n + 1, SET, Outbox(), lambda: 0.0)))
             for n, name in enumerate("ab")
         )
-        return State(keepers, proposers, (0, 0, 0), (0, 0, 0), (0, 0))  # type: ignore[arg-type]
+        return State(replicas, proposers, (0, 0, 0), (0, 0, 0), (0, 0))  # type: ignore[arg-type]
 
-    def steps(self, state: State) -> Iterator[State]:
+    def successors(self, state: State) -> Iterator[State]:
         for n in range(3):
-            left = state.to[n]
+            left = state.sent_to[n]
             while left:
                 number = (left & -left).bit_length() - 1
                 left &= left - 1
-                yield from self._to_keeper(state, n, number)
-            if (again := self._restart(n, state.keepers[n])) != state.keepers[n]:
-                yield state._replace(keepers=_with(state.keepers, n, again))
-        for who in (0, 1):
-            p: P = self.ps.things[state.proposers[who]]
-            if p.proposer._open and p.rounds < self.rounds[who]:
-                yield self._moved(state, who, self._known_move(state.proposers[who], ("round",)))
-            elif p.next is not None and p.writes < self.writes[who]:
-                start = self._known_move(state.proposers[who], ("start", state.done))
-                yield self._moved(state, who, start)
+                yield from self._deliver(state, n, number)
+            if (restarted := self._restart(n, state.replicas[n])) != state.replicas[n]:
+                yield state._replace(replicas=_replaced(state.replicas, n, restarted))
+        for index in (0, 1):
+            p: ProposerState = self.proposer_table.values[state.proposers[index]]
+            if p.proposer._open and p.rounds < self.rounds[index]:
+                yield self._after_move(state, index, self._cached_move(state.proposers[index], ("round",)))
+            elif p.next is not None and p.writes < self.writes[index]:
+                start = self._cached_move(state.proposers[index], ("start", state.done))
+                yield self._after_move(state, index, start)
 
     # Keepers
 
-    def _number_k(self, n: int, k: K) -> int:
-        sign = (k.keeper.mode, k.keeper.state.slots.get(KEY), k.disk.slots.get(KEY))
-        number = self.ks.put((n, k.keeper.state.incarnation, k.disk.incarnation, sign), k)
-        if number == len(self.k_signs):
-            self.k_signs.append(self.signs.put(sign, None))
+    def _intern_replica(self, n: int, k: ReplicaState) -> int:
+        signature = (k.replica.mode, k.replica.state.slots.get(KEY), k.disk.slots.get(KEY))
+        number = self.replica_table.intern((n, k.replica.state.incarnation, k.disk.incarnation, signature), k)
+        if number == len(self.replica_signatures):
+            self.replica_signatures.append(self.signatures.intern(signature, None))
         return number
 
     def _restart(self, n: int, number: int) -> int:
         if number in self.restarts:
             return self.restarts[number]
-        disk = self.ks.things[number].disk
-        again = self.restarts[number] = self._number_k(n, K(raised(n, disk.copy()), disk))
-        return again
+        disk = self.replica_table.values[number].disk
+        restarted = self.restarts[number] = self._intern_replica(
+            n, ReplicaState(restarted_acceptor(n, disk.copy()), disk)
+        )
+        return restarted
 
-    def _keeper_move(self, n: int, number: int, item: int) -> tuple[int, int | None, int, tuple[int, ...]]:
+    def _replica_move(self, n: int, number: int, item: int) -> tuple[int, int | None, int, tuple[int, ...]]:
         """The keeper afterwards; the same where its flush was lost; what it has now accepted, as a bit; answers."""
-        old: K = self.ks.things[number]
-        keeper = object.__new__(Acceptor)
-        keeper.__dict__.update(old.keeper.__dict__)
-        keeper.state = old.keeper.state.copy()
-        asked = self.items.things[item]
-        step = keeper.on_message(asked.ballot[1], asked)
+        old: ReplicaState = self.replica_table.values[number]
+        replica = object.__new__(Acceptor)
+        replica.__dict__.update(old.replica.__dict__)
+        replica.state = old.replica.state.copy()
+        request = self.items.values[item]
+        output = replica.on_message(request.ballot[1], request)
         disk = old.disk.copy()
-        for entry in step.entries:
+        for entry in output.entries:
             disk.apply(entry)
         bit = 0
-        for _, answer in step.messages:
-            if isinstance(answer, Accepted) and isinstance(asked, Accept):
-                bit = 1 << self.chosen.put((asked.ballot, asked.record), (asked.ballot, asked.record))
-        after = self._number_k(n, K(keeper, disk))
-        lost = self._restart(n, number) if step.entries else None
-        return after, lost, bit, tuple(self._item(answer) for _, answer in step.messages)
-
-    def _to_keeper(self, state: State, n: int, item: int) -> Iterator[State]:
-        key = (n, state.keepers[n], item)
-        if key not in self.keeper_moves:
-            self.keeper_moves[key] = self._keeper_move(*key)
-        after, lost, bit, answers = self.keeper_moves[key]
-        if lost is not None and lost != state.keepers[n]:
-            yield state._replace(keepers=_with(state.keepers, n, lost))
+        for _, answer in output.messages:
+            if isinstance(answer, Accepted) and isinstance(request, Accept):
+                bit = 1 << self.chosen.intern(
+                    (request.ballot, request.record), (request.ballot, request.record)
+                )
+        after = self._intern_replica(n, ReplicaState(replica, disk))
+        lost = self._restart(n, number) if output.entries else None
+        return after, lost, bit, tuple(self._item(answer) for _, answer in output.messages)
+
+    def _deliver(self, state: State, n: int, item: int) -> Iterator[State]:
+        key = (n, state.replicas[n], item)
+        if key not in self.replica_moves:
+            self.replica_moves[key] = self._replica_move(*key)
+        after, lost, bit, answers = self.replica_moves[key]
+        if lost is not None and lost != state.replicas[n]:
+            yield state._replace(replicas=_replaced(state.replicas, n, lost))
         new = state
-        if after != state.keepers[n] or bit | state.accepted[n] != state.accepted[n]:
-            keepers = _with(state.keepers, n, after)
-            accepted = _with(state.accepted, n, state.accepted[n] | bit)
-            new = State(keepers, state.proposers, state.to, accepted, state.done)
+        if after != state.replicas[n] or bit | state.accepted[n] != state.accepted[n]:
+            replicas = _replaced(state.replicas, n, after)
+            accepted = _replaced(state.accepted, n, state.accepted[n] | bit)
+            new = State(replicas, state.proposers, state.sent_to, accepted, state.done)
             yield new  # its answer is lost
-        who = 0 if self.items.things[item].ballot[1] == "a" else 1
+        index = 0 if self.items.values[item].ballot[1] == "a" else 1
         for answer in answers:
-            move = self._known_move(state.proposers[who], (n, answer))
-            if move.after != state.proposers[who]:
-                yield self._moved(new, who, move)
+            move = self._cached_move(state.proposers[index], (n, answer))
+            if move.after != state.proposers[index]:
+                yield self._after_move(new, index, move)
 
     def _item(self, item: AnyMessage) -> int:
         """Numbers of answers are left out, and who else promised: nothing rests on them while no disk is lost."""
@@ -219,21 +226,21 @@
                 fingerprint = (6, item.ballot, item.progress[:2])
             case _:
                 fingerprint = item
-        return self.items.put(fingerprint, item)
+        return self.items.intern(fingerprint, item)
 
     # Proposers
 
-    def _number_p(self, p: P) -> int:
+    def _intern_proposer(self, p: ProposerState) -> int:
         ops = p.proposer._open
-        p.sign = self.signs.put(
+        p.signature = self.signatures.intern(
             (
                 (p.proposer.name, p.writes, p.rounds, p.began, p.next, p.ended, p.proposer._counter),
                 tuple((op.ballot, op.phase, op.proposal, op.outcome, op.may_have_counted) for op in ops),
             ),
             None,
         )
-        p.told = tuple(
-            self.tolds.put(
+        p.reply_keys = tuple(
+            self.reply_tuples.intern(
                 tuple(
                     (
                         name in op.promises and self._item(op.promises[name]),
@@ -246,10 +253,10 @@
             )
             for name in NAMES
         )
-        return self.ps.put((p.sign, p.told), p)
+        return self.proposer_table.intern((p.signature, p.reply_keys), p)
 
-    def _move(self, number: int, how: tuple[Any, ...]) -> Move:
-        old: P = self.ps.things[number]
+    def _move(self, number: int, action: tuple[Any, ...]) -> Move:
+        old: ProposerState = self.proposer_table.values[number]
         results: list[Result] = []
         proposer = object.__new__(Proposer)
         proposer.__dict__.update(old.proposer.__dict__)
@@ -267,8 +274,8 @@
             )
             fresh.on_result = results.append
             proposer._open.append(fresh)
-        p = P(proposer, old.writes, old.rounds, old.began, old.next, old.ended)
-        match how:
+        p = ProposerState(proposer, old.writes, old.rounds, old.began, old.next, old.ended)
+        match action:
             case ("round",):
                 p.rounds += 1
                 proposer._start_round(proposer._open[0])
@@ -279,11 +286,11 @@
                 record = Record(expected[0] + 1, expected[1] + 1, proposer.name, proposer.incarnation)
                 proposer.write(KEY, expected, record, results.append)
             case (n, item):
-                proposer.on_message(NAMES[n], self.items.things[item], 0.0)
+                proposer.on_message(NAMES[n], self.items.values[item], 0.0)
         for result in results:
             version = result.record.version if result.record is not None else (0, 0)
             if version < p.began:
-                raise BrokenError(f"an operation gave {version}, {p.began} had ended when it began")
+                raise InvariantError(f"an operation gave {version}, {p.began} had ended when it began")
             p.ended = (*p.ended, (version, result.outcome, result.may_have_counted))
             p.next = version
         sent = [0, 0, 0]
@@ -291,83 +298,90 @@
             item = decode(data)
             assert item is not None
             sent[NAMES.index(name)] |= 1 << self._item(item)
-        return Move(self._number_p(p), tuple(sent), tuple(results))  # type: ignore[arg-type]
+        return Move(self._intern_proposer(p), tuple(sent), tuple(results))  # type: ignore[arg-type]
 
-    def _known_move(self, number: int, how: tuple[Any, ...]) -> Move:
-        key = (number, how)
-        move = self.moves.get(key)
+    def _cached_move(self, number: int, action: tuple[Any, ...]) -> Move:
+        key = (number, action)
+        move = self.proposer_moves.get(key)
         if move is None:
-            move = self.moves[key] = self._move(number, how)
+            move = self.proposer_moves[key] = self._move(number, action)
         return move
 
-    def _moved(self, state: State, who: int, move: Move) -> State:
+    def _after_move(self, state: State, index: int, move: Move) -> State:
         done = state.done
         for result in move.results:
             if result.outcome is Outcome.DONE and result.record is not None:
                 if not any(record == result.record for _, record in self._chosen(state.accepted)):
-                    raise BrokenError(f"{result.record} is told as written, and no majority has it")
+                    raise InvariantError(f"{result.record} is told as written, and no majority has it")
                 done = max(done, result.record.version)
-        (a, b, c), (d, e, f) = state.to, move.sent
-        proposers = (move.after, state.proposers[1]) if who == 0 else (state.proposers[0], move.after)
-        return State(state.keepers, proposers, (a | d, b | e, c | f), state.accepted, done)
+        (a, b, c), (d, e, f) = state.sent_to, move.sent
+        proposers = (move.after, state.proposers[1]) if index == 0 else (state.proposers[0], move.after)
+        return State(state.replicas, proposers, (a | d, b | e, c | f), state.accepted, done)
 
     # Checks
 
     def _chosen(self, accepted: tuple[int, int, int]) -> list[tuple[Ballot, Record]]:
         a, b, c = accepted
         bits = (a & b) | (a & c) | (b & c)
-        return [one for n, one in enumerate(self.chosen.things) if bits >> n & 1]
+        return [pair for n, pair in enumerate(self.chosen.values) if bits >> n & 1]
 
     def check(self, state: State) -> None:
         a, b, c = state.accepted
         bits = (a & b) | (a & c) | (b & c)
-        if bits in self.good:
+        if bits in self.checked:
             return
         values: dict[Version, Record] = {}
         before: Record | None = None
-        for _, record in sorted(self._chosen(state.accepted), key=lambda one: one[0]):
+        for _, record in sorted(self._chosen(state.accepted), key=lambda pair: pair[0]):
             if values.setdefault(record.version, record) != record:
-                raise BrokenError(f"two values of {record.version}: {values[record.version]} and {record}")
+                raise InvariantError(f"two values of {record.version}: {values[record.version]} and {record}")
             last = before.version if before is not None else (0, 0)
             if record != before and record.version != (last[0] + 1, last[1] + 1):
-                raise BrokenError(f"{record} was chosen behind {before}")
+                raise InvariantError(f"{record} was chosen behind {before}")
             before = record
-        self.good.add(bits)
+        self.checked.add(bits)
 
-    def sign(self, state: State) -> Hashable:
+    def signature(self, state: State) -> Hashable:
         """The same for states that differ only in which keeper is which."""
-        a, b = self.ps.things[state.proposers[0]], self.ps.things[state.proposers[1]]
-        signs, (k, m, o), (d, e, f), (g, h, i) = self.k_signs, state.keepers, state.to, state.accepted
-        (q, r, s), (t, u, v) = a.told, b.told
-        bundles = [(signs[k], d, g, q, t), (signs[m], e, h, r, u), (signs[o], f, i, s, v)]
+        a, b = self.proposer_table.values[state.proposers[0]], self.proposer_table.values[state.proposers[1]]
+        signatures, (k, m, o), (d, e, f), (g, h, i) = (
+            self.replica_signatures,
+            state.replicas,
+            state.sent_to,
+            state.accepted,
+        )
+        (q, r, s), (t, u, v) = a.reply_keys, b.reply_keys
+        bundles = [(signatures[k], d, g, q, t), (signatures[m], e, h, r, u), (signatures[o], f, i, s, v)]
         bundles.sort()
-        return hash((*bundles, a.sign, b.sign, state.done))
+        return hash((*bundles, a.signature, b.signature, state.done))
 
-    def run(self, depth: int, most_s: float = float("inf"), tell: bool = False) -> tuple[int, int, bool]:
+    def run(
+        self, depth: int, timeout_s: float = float("inf"), verbose: bool = False
+    ) -> tuple[int, int, bool]:
         """States seen, the depth to which all of them were, and whether there are no more behind it."""
         started = time.monotonic()
-        edge = [self.first()]
-        seen = {self.sign(edge[0])}
+        frontier = [self.initial_state()]
+        seen = {self.signature(frontier[0])}
         for level in range(1, depth + 1):
-            further: list[State] = []
-            for state in edge:
-                for new in self.steps(state):
-                    sign = self.sign(new)
-                    if sign not in seen:
-                        seen.add(sign)
+            next_frontier: list[State] = []
+            for state in frontier:
+                for new in self.successors(state):
+                    signature = self.signature(new)
+                    if signature not in seen:
+                        seen.add(signature)
                         self.check(new)
-                        further.append(new)
-                if time.monotonic() - started > most_s:
+                        next_frontier.append(new)
+                if time.monotonic() - started > timeout_s:
                     return len(seen), level - 1, False
-            edge = further
-            if tell:
+            frontier = next_frontier
+            if verbose:
                 print(f"depth {level}: {len(seen)} states, {time.monotonic() - started:.1f} s", flush=True)
-            if not edge:
+            if not frontier:
                 return len(seen), level - 1, True
         return len(seen), depth, False
 
 
-def _with(values: tuple[Any, ...], n: int, value: Any) -> Any:
+def _replaced(values: tuple[Any, ...], n: int, value: Any) -> Any:
     return (*values[:n], value, *values[n + 1 :])
 
 
@@ -378,10 +392,10 @@
     parser.add_argument("--rounds", type=int, nargs=2, default=(2, 2), help="ballots of a write, by proposer")
     parser.add_argument("--writes", type=int, nargs=2, default=(1, 1), help="by proposer")
     args = parser.parse_args()
-    states, depth, whole = Explorer(tuple(args.writes), tuple(args.rounds)).run(
+    states, depth, is_complete = Explorer(tuple(args.writes), tuple(args.rounds)).run(
         args.depth, args.seconds, True
     )
-    print(f"{states} states, {'whole' if whole else 'all'} to depth {depth}: no promise broken")
+    print(f"{states} states, {'complete' if is_complete else 'all'} to depth {depth}: no promise broken")
     return 0
 
 
--- a/packages/owners/tests/fleet_owners.py
+++ b/packages/owners/tests/fleet_owners.py
@@ -24,11 +24,11 @@
 from larkweir_simulated import Network
 
 
-class BrokenError(AssertionError):
+class InvariantError(AssertionError):
     """A promise was broken; the message names it first."""
 
 
-class Steady:
+class CountingDuty:
     """A duty that always has something to do: it counts. Its state names the owner that counted."""
 
     def __init__(self, name: str, process: Process) -> None:
@@ -37,10 +37,10 @@
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
         count = int(state.split(b" ")[0] or b"0")
-        return b"%d %s %d" % (count + 1, self._process.name.encode(), self._process.life)
+        return b"%d %s %d" % (count + 1, self._process.name.encode(), self._process.incarnation)
 
     def on_committed(self, state: bytes, version: Version) -> None:
-        self._process.fleet.checker.taken(self._process, self.name, version, state)
+        self._process.fleet.checker.on_applied(self._process, self.name, version, state)
 
 
 class Checker:
@@ -56,55 +56,55 @@
         self.last: dict[str, Record] = {}
         self.owners: dict[tuple[str, int], tuple[str, int]] = {}
         self.held: dict[tuple[str, str], Version] = {}
-        self.old_taken = 0
-        self.broken: list[str] = []  # what was found where an exception would be taken for a duty's own
-        self.effects: Counter[str] = Counter()
-        self.when: dict[tuple[str, int], float] = {}  # when a term first counted
+        self.stale_term_writes = 0
+        self.violations: list[str] = []  # what was found where an exception would be taken for a duty's own
+        self.update_counts: Counter[str] = Counter()
+        self.term_committed_ms: dict[tuple[str, int], float] = {}  # when a term first counted
 
     def accepted(
-        self, keeper: str, key: str, ballot: Ballot, record: Record, keepers: ReplicaSet, now: float
+        self, replica: str, key: str, ballot: Ballot, record: Record, replica_set: ReplicaSet, now: float
     ) -> None:
         """Holds it on its disk, and votes in this set."""
         first, names = self.votes.setdefault((key, ballot), (record, set()))
         if first != record:
-            raise BrokenError(f"one ballot, two values: {key} {ballot}: {first} and {record}")
-        names.add((keepers.epoch, keeper))
-        if sum((keepers.epoch, name) in names for name in keepers.names) >= keepers.quorum:
+            raise InvariantError(f"one ballot, two values: {key} {ballot}: {first} and {record}")
+        names.add((replica_set.epoch, replica))
+        if sum((replica_set.epoch, name) in names for name in replica_set.names) >= replica_set.quorum:
             self._chosen(key, record, now)
 
     def _chosen(self, key: str, record: Record, now: float) -> None:
-        there = self.values.get((key, record.version))
-        if there is not None:
-            if there != record:
-                raise BrokenError(f"one value a version: {key} {record.version}: {there} and {record}")
+        known = self.values.get((key, record.version))
+        if known is not None:
+            if known != record:
+                raise InvariantError(f"one value a version: {key} {record.version}: {known} and {record}")
             return
         self.values[key, record.version] = record
         before = self.last.get(key)
         if before is not None and record.version <= before.version:
-            raise BrokenError(f"versions never go back: {key}: {record} counts after {before}")
+            raise InvariantError(f"versions never go back: {key}: {record} counts after {before}")
         if before is not None and record.term < before.term:
-            self.old_taken += 1
+            self.stale_term_writes += 1
         if record.owner and not key.startswith("\0"):
             owner = self.owners.setdefault((key, record.term), (record.owner, record.incarnation))
             if owner != (record.owner, record.incarnation):
-                raise BrokenError(f"one owner a term: {key} {record.term}: {owner} and {record.owner}")
-        self.when.setdefault((key, record.term), now)
-        effects = before.update_count if before is not None else 0
-        if record.update_count not in (effects, effects + 1) or (
+                raise InvariantError(f"one owner a term: {key} {record.term}: {owner} and {record.owner}")
+        self.term_committed_ms.setdefault((key, record.term), now)
+        update_count = before.update_count if before is not None else 0
+        if record.update_count not in (update_count, update_count + 1) or (
             not key.startswith("\0") and record.value.split(b" ")[0] not in (b"%d" % record.update_count, b"")
         ):
-            raise BrokenError(f"effects in order: {key}: {record} after {before}")
+            raise InvariantError(f"effects in order: {key}: {record} after {before}")
         self.last[key] = record
-        self.effects[key] += record.update_count - effects
+        self.update_counts[key] += record.update_count - update_count
 
-    def taken(self, process: Process, key: str, version: Version, state: bytes) -> None:
+    def on_applied(self, process: Process, key: str, version: Version, state: bytes) -> None:
         held = self.held.get((process.name, key), (0, 0))
         if version <= held:
-            self.broken.append(f"copies never go back: {process.name} {key}: {version} after {held}")
+            self.violations.append(f"copies never go back: {process.name} {key}: {version} after {held}")
         self.held[process.name, key] = version
         chosen = self.values.get((key, version))
         if chosen is None or chosen.value != state:
-            self.broken.append(
+            self.violations.append(
                 f"only what counts is taken: {process.name} {key} {version}: {state!r}, {chosen}"
             )
 
@@ -114,7 +114,7 @@
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
-        self.life = 0
+        self.incarnation = 0
         self.disk: AcceptorState | None = None
         self.old_disk: AcceptorState | None = None
         self.held: dict[str, Record] = {}
@@ -137,29 +137,29 @@
 
     # Life
 
-    def start(self, witness: str = "") -> None:
+    def start(self, closed_fingerprint: str = "") -> None:
         """`witness`: what its predecessor told (a handover)."""
         fleet, network = self.fleet, self.fleet.network
-        self.life = fleet.rng.getrandbits(31)
-        keeper = None
-        if self.name in fleet.may_keep:
+        self.incarnation = fleet.rng.getrandbits(31)
+        acceptor = None
+        if self.name in fleet.eligible_replicas:
             if self.disk is None:
                 self.disk = AcceptorState(fleet.rng.getrandbits(31), fleet.replica_set)
-            keeper = Acceptor(self.name, self.disk.copy(), witness)
-        self.voting = keeper is not None and keeper.voting_incarnation is not None
+            acceptor = Acceptor(self.name, self.disk.copy(), closed_fingerprint)
+        self.voting = acceptor is not None and acceptor.voting_incarnation is not None
         self.owners = DutyManager(
             self.name,
-            self.life,
+            self.incarnation,
             fleet.replica_set,
-            [Steady(key, self) for key in fleet.keys],
+            [CountingDuty(key, self) for key in fleet.keys],
             self,
             fleet.rng.random,
-            lambda names, most: fleet.rng.sample(list(names), min(most, len(names))),
-            fleet.times,
-            keeper,
+            lambda names, count: fleet.rng.sample(list(names), min(count, len(names))),
+            fleet.timing,
+            acceptor,
             self.held.items(),
         )
-        network.listen(self.name, self._came)
+        network.listen(self.name, self._on_message)
         self._flush_ms = network.now_ms
         self._timer = network.after(fleet.rng.random() * 50, self._tick, self.name)
 
@@ -167,39 +167,45 @@
         self.fleet.network.kill(self.name)
         self.owners = None
 
-    def hand_over(self, late_ms: float, disk: AcceptorState | None = None, early: str | None = None) -> None:
+    def hand_over(
+        self, delay_ms: float, disk: AcceptorState | None = None, early_fingerprint: str | None = None
+    ) -> None:
         """To a successor under the same name, which is told what the file held; `disk`: what stands there by then;
         `early`: what a faulty predecessor told before it had stopped."""
         assert self.owners is not None
-        keeper = self.owners.acceptor
+        acceptor = self.owners.acceptor
         voted = (
-            keeper is not None
+            acceptor is not None
             and self.disk is not None
-            and keeper.voting_incarnation == self.disk.incarnation
+            and acceptor.voting_incarnation == self.disk.incarnation
+        )
+        closed_fingerprint = (
+            fingerprint(self.disk) if voted and self.disk is not None and self.disk.can_vote else ""
         )
-        told = fingerprint(self.disk) if voted and self.disk is not None and self.disk.can_vote else ""
         self.kill()
         self.disk = disk or self.disk
-        told = told if early is None else early
-        self.fleet.network.after(late_ms, lambda: None if self.owners is not None else self.start(told))
+        closed_fingerprint = closed_fingerprint if early_fingerprint is None else early_fingerprint
+        self.fleet.network.after(
+            delay_ms, lambda: None if self.owners is not None else self.start(closed_fingerprint)
+        )
 
-    def _came(self, source: str, data: bytes) -> None:
+    def _on_message(self, source: str, data: bytes) -> None:
         assert self.owners is not None
         self.owners.on_message(source, data, self.fleet.network.now_ms)
-        self.after()
+        self.flush_and_reschedule()
 
     def _tick(self) -> None:
         assert self.owners is not None
         self.owners.tick(self.fleet.network.now_ms)
-        self.after()
+        self.flush_and_reschedule()
 
-    def after(self) -> None:
+    def flush_and_reschedule(self) -> None:
         """Flush what is to be flushed, one after another, and set the timer."""
         assert self.owners is not None
         network = self.fleet.network
-        for step in self.owners.take_outputs():
+        for output in self.owners.take_outputs():
             self._flush_ms = max(network.now_ms, self._flush_ms) + self.fleet.rng.uniform(0.2, 3.0)
-            network.at(self._flush_ms, lambda step=step: self._flushed(step), self.name)
+            network.at(self._flush_ms, lambda output=output: self._on_flushed(output), self.name)
         self.held = dict(self.owners.replicator.records)
         due = max(self.owners.next_ms, network.now_ms + 1.0)
         if self._timer is not None:
@@ -207,24 +213,24 @@
         if due < float("inf"):
             self._timer = network.at(due, self._tick, self.name)
 
-    def _flushed(self, step: AcceptorOutput) -> None:
+    def _on_flushed(self, output: AcceptorOutput) -> None:
         assert self.owners is not None and self.disk is not None
-        for entry in step.entries:
+        for entry in output.entries:
             self.disk.apply(entry)
             match entry:
                 case SlotEntry(key, slot) if any(
-                    isinstance(i, Accepted) and i.ballot == slot.accepted_ballot for _, i in step.messages
+                    isinstance(i, Accepted) and i.ballot == slot.accepted_ballot for _, i in output.messages
                 ):
-                    self._holds(key)
+                    self._record_votes(key)
                 case IncarnationEntry():
                     self.voting = True
-                    self._holds(*self.disk.slots)  # what it learned, and what it had
+                    self._record_votes(*self.disk.slots)  # what it learned, and what it had
                 case ReplicaSetEntry() if self.voting:
-                    self._holds(*self.disk.slots)
-        self.owners.on_flushed(step, self.fleet.network.now_ms)
-        self.after()
+                    self._record_votes(*self.disk.slots)
+        self.owners.on_flushed(output, self.fleet.network.now_ms)
+        self.flush_and_reschedule()
 
-    def _holds(self, *keys: str) -> None:
+    def _record_votes(self, *keys: str) -> None:
         assert self.disk is not None
         now = self.fleet.network.now_ms
         for key in keys:
@@ -240,18 +246,18 @@
         self,
         seed: int,
         processes: int = 5,
-        keepers: int = 3,
+        replicas: int = 3,
         duties: int = 1,
-        lost: float = 0.02,
-        doubled: float = 0.02,
-        times: LeaseTiming | None = None,
+        loss_rate: float = 0.02,
+        duplicate_rate: float = 0.02,
+        timing: LeaseTiming | None = None,
     ) -> None:
-        self.network = Network(seed, (1.0, 10.0), lost, doubled)
+        self.network = Network(seed, (1.0, 10.0), loss_rate, duplicate_rate)
         self.rng = Random(seed + 1)
-        self.times = times if times is not None else LeaseTiming(lease_ms=1000.0, step_ms=50.0)
+        self.timing = timing if timing is not None else LeaseTiming(lease_ms=1000.0, step_ms=50.0)
         self.names = [f"10.0.{n // 250}.{n % 250}:7946" for n in range(processes)]
-        self.may_keep = set(self.names[: keepers + 2])
-        self.replica_set = ReplicaSet(1, tuple(self.names[:keepers]))
+        self.eligible_replicas = set(self.names[: replicas + 2])
+        self.replica_set = ReplicaSet(1, tuple(self.names[:replicas]))
         self.keys = [f"duty{n}" for n in range(duties)]
         self.alive = list(self.names)
         self.checker = Checker()
@@ -261,8 +267,8 @@
 
     def run(self, ms: float) -> None:
         self.network.run(self.network.now_ms + ms)
-        if self.checker.broken:
-            raise BrokenError(self.checker.broken[0])
+        if self.checker.violations:
+            raise InvariantError(self.checker.violations[0])
 
     def owner(self, key: str) -> Process | None:
         """Whom the register names, if that process lives and knows it."""
@@ -270,15 +276,15 @@
         if record is None or not record.owner:
             return None
         process = self.processes[record.owner]
-        if process.owners is None or process.life != record.incarnation:
+        if process.owners is None or process.incarnation != record.incarnation:
             return None
         return process if process.owners.leaderships[key].phase in (Phase.OWNER, Phase.UNSURE) else None
 
-    def kill(self, name: str, seen_after_ms: float = 1500.0) -> None:
+    def kill(self, name: str, detected_after_ms: float = 1500.0) -> None:
         self.processes[name].kill()
-        self.network.after(seen_after_ms, lambda: self._gone(name))
+        self.network.after(detected_after_ms, lambda: self._remove_dead(name))
 
-    def _gone(self, name: str) -> None:
+    def _remove_dead(self, name: str) -> None:
         if self.processes[name].owners is None and name in self.alive:
             self.alive.remove(name)
 
@@ -289,46 +295,49 @@
             self.alive.append(name)
             self.alive.sort()
 
-    def run_until(self, what: Any, most_ms: float, step_ms: float = 10.0) -> bool:
-        until = self.network.now_ms + most_ms
+    def run_until(self, condition: Any, timeout_ms: float, step_ms: float = 10.0) -> bool:
+        until = self.network.now_ms + timeout_ms
         while self.network.now_ms < until:
-            if what():
+            if condition():
                 return True
             self.run(step_ms)
-        return bool(what())
+        return bool(condition())
 
     # Seeded plans
 
     def play(
-        self, events: int = 8, gap_ms: tuple[float, float] = (100.0, 2500.0), rest_ms: float = 12_000.0
+        self,
+        fault_count: int = 8,
+        gap_ms: tuple[float, float] = (100.0, 2500.0),
+        recovery_ms: float = 12_000.0,
     ) -> None:
         """So many faults at random, some at the same time; then all is well again, and it must go on by itself."""
         rng = self.rng
         self.run(rng.uniform(500.0, 2000.0))
-        for _ in range(events):
-            self._befall(rng.choice(FAULTS))
+        for _ in range(fault_count):
+            self._inject(rng.choice(FAULTS))
             for _ in range(3):
                 self.run(rng.uniform(*gap_ms) / 3)
-                self.look(self.processes[rng.choice(self.names)], rng.choice(self.keys))
-        self.mend()
-        before = sum(self.checker.effects.values())
-        self.run(rest_ms)
-        if sum(self.checker.effects.values()) <= before:
-            raise BrokenError("once all is well, duties go on")
+                self.check_read(self.processes[rng.choice(self.names)], rng.choice(self.keys))
+        self.end_all_faults()
+        before = sum(self.checker.update_counts.values())
+        self.run(recovery_ms)
+        if sum(self.checker.update_counts.values()) <= before:
+            raise InvariantError("once all is well, duties go on")
         self.network.loss_rate = 0.0
         self.run(100.0)
-        self.calm()
+        self.check_converged()
 
-    def calm(self) -> None:
+    def check_converged(self) -> None:
         """What is held at the end is the same everywhere, but for what is on its way."""
         for key in self.keys:
             last = self.checker.last[key]
             for process in self.processes.values():
                 held = process.held.get(key)
                 if held is None or last.update_count - held.update_count > 100:
-                    raise BrokenError(f"all copies follow: {process.name} {key}: {held}, {last}")
+                    raise InvariantError(f"all copies follow: {process.name} {key}: {held}, {last}")
 
-    def mend(self) -> None:
+    def end_all_faults(self) -> None:
         self.network.heal()
         self.network.loss_rate, self.network.duplicate_rate, self.network.delay_ms = 0.02, 0.02, (1.0, 10.0)
         for name, process in self.processes.items():
@@ -340,7 +349,7 @@
                 process.kill()
             self.start(name)
 
-    def _bad_disk(self) -> bool:
+    def _has_bad_disk(self) -> bool:
         """At most one disk at a time is lost or old; that is what is promised for."""
         return not all(self.votes(name) for name in self.members)
 
@@ -352,22 +361,22 @@
     def members(self) -> list[str]:
         """Of the newest set that anybody has on disk, and the one before it."""
         sets = [p.disk.replica_set for p in self.processes.values() if p.disk is not None]
-        newest = max(sets, key=lambda keepers: (keepers.epoch, not keepers.previous))
+        newest = max(sets, key=lambda replica_set: (replica_set.epoch, not replica_set.previous))
         return sorted({*newest.names, *newest.previous})
 
-    def change(self, by: Process) -> None:
+    def change_replica_set(self, by: Process) -> None:
         """One keeper more or less; or on with a change that was left undone."""
         assert by.owners is not None
         now, present = self.network.now_ms, by.owners.proposer.replica_set
         if present.previous:
             by.owners.set_change.resume(lambda fault: None, now)
-            by.after()
+            by.flush_and_reschedule()
             return
         names = set(present.names)
         if len(names) > 3 and self.rng.random() < 0.5:
             names.remove(self.rng.choice(sorted(names)))
         elif len(names) < 5:
-            new = self.rng.choice(sorted(self.may_keep - names))
+            new = self.rng.choice(sorted(self.eligible_replicas - names))
             names.add(new)
             if new not in self.members and self.processes[new].owners is not None:
                 self.processes[new].kill()  # what it kept as a former keeper is removed, as the page says
@@ -377,28 +386,28 @@
             return
         if by.owners is not None:
             by.owners.set_change.begin(tuple(sorted(names)), lambda fault: None, now)
-            by.after()
+            by.flush_and_reschedule()
 
-    def look(self, by: Process, key: str) -> None:
+    def check_read(self, by: Process, key: str) -> None:
         """A read of the register: it must not be older than what counted when it began."""
         last = self.checker.last.get(key)
         least = last.version if last is not None else (0, 0)
 
-        def then(result: Result) -> None:
+        def on_result(result: Result) -> None:
             found = result.record.version if result.record is not None else (0, 0)
             if result.outcome is Outcome.DONE and found < least:
-                raise BrokenError(f"reads are linearizable: {key}: {found} read, {least} counted before")
+                raise InvariantError(f"reads are linearizable: {key}: {found} read, {least} counted before")
 
         if by.owners is not None:
             by.owners.proposer.set_time(self.network.now_ms)
-            by.owners.proposer.read(key, then)
-            by.after()
+            by.owners.proposer.read(key, on_result)
+            by.flush_and_reschedule()
 
-    def _befall(self, fault: str) -> None:
+    def _inject(self, fault: str) -> None:
         rng, network = self.rng, self.network
         name = rng.choice(self.names)
         owner = self.owner(rng.choice(self.keys))
-        lease = self.times.lease_ms
+        lease = self.timing.lease_ms
         live = [n for n in self.names if self.processes[n].owners is not None]
         match fault:
             case "stop owner" if owner is not None:
@@ -413,7 +422,7 @@
             case "kill":
                 self.kill(name)
                 network.after(rng.uniform(0.01, 3.0) * lease, lambda: self.start(name))
-            case "no disk" | "yesterday" if name in self.members and not self._bad_disk():
+            case "no disk" | "yesterday" if name in self.members and not self._has_bad_disk():
                 self.kill(name)
                 self.processes[name].disk = self.processes[name].old_disk if fault == "yesterday" else None
                 network.after(rng.uniform(0.01, 2.0) * lease, lambda: self.start(name))
@@ -424,10 +433,10 @@
             case "handover" if self.processes[name].owners is not None:
                 process, old = self.processes[name], self.processes[name].old_disk
                 swapped = (
-                    old if rng.random() < 0.3 and name in self.members and not self._bad_disk() else None
+                    old if rng.random() < 0.3 and name in self.members and not self._has_bad_disk() else None
                 )
                 process.hand_over(rng.uniform(1.0, 300.0), swapped)
-            case "power" if not self._bad_disk():
+            case "power" if not self._has_bad_disk():
                 for each in self.members:
                     self.kill(each)
                     network.after(rng.uniform(0.01, 1.0) * lease, lambda each=each: self.start(each))
@@ -435,10 +444,10 @@
                 process = self.processes[owner.name if owner is not None else rng.choice(live)]
                 if process.owners is not None:
                     process.owners.drain(network.now_ms)
-                    process.after()
+                    process.flush_and_reschedule()
             case "lag" if owner is not None and owner.owners is not None:
                 owner.owners.on_lag(lease, network.now_ms)
-                owner.after()
+                owner.flush_and_reschedule()
             case "cut":
                 group = rng.sample(self.names, rng.randint(1, len(self.names) - 1))
                 network.split([group])
@@ -449,7 +458,7 @@
             case "change":
                 by = self.processes[rng.choice(live or self.names)]
                 if by.owners is not None:
-                    self.change(by)
+                    self.change_replica_set(by)
             case "full disk" if name in self.members:
                 process = self.processes[name]
                 if process.owners is not None:
--- a/packages/owners/tests/owners_cases.py
+++ b/packages/owners/tests/owners_cases.py
@@ -13,7 +13,7 @@
 NEW = Record(1, 1, "p", 9, value=b"x")
 
 
-class Post:
+class RecordingTransport:
     def __init__(self) -> None:
         self.sent: list[tuple[str, AnyMessage]] = []
 
@@ -27,12 +27,14 @@
         return [f"p{n}" for n in range(20)]
 
 
-def keeper(life: tuple[int, int] = (1, 10), answers: int = 0) -> Acceptor:
-    disk = AcceptorState(life[1], SET, life, True, answers, {"k1": (1, 11, 0), "k2": (1, 12, 0)})
+def voting_acceptor(incarnation: tuple[int, int] = (1, 10), answer_count: int = 0) -> Acceptor:
+    disk = AcceptorState(
+        incarnation[1], SET, incarnation, True, answer_count, {"k1": (1, 11, 0), "k2": (1, 12, 0)}
+    )
     return Acceptor("k0", disk, fingerprint(disk))
 
 
-def only(sent: list[tuple[str, AnyMessage]]) -> AnyMessage:
+def only_message(sent: list[tuple[str, AnyMessage]]) -> AnyMessage:
     assert len(sent) == 1
     return sent[0][1]
 
@@ -41,10 +43,10 @@
     def __init__(self) -> None:
         self.reads: list[tuple[str, OnResult]] = []
 
-    def read(self, key: str, then: OnResult) -> None:
-        self.reads.append((key, then))
+    def read(self, key: str, on_result: OnResult) -> None:
+        self.reads.append((key, on_result))
 
-    def write(self, key: str, expected: tuple[int, int], record: Record, then: OnResult) -> None:
+    def write(self, key: str, expected: tuple[int, int], record: Record, on_result: OnResult) -> None:
         raise AssertionError
 
 
--- a/packages/owners/tests/test_owners_acceptor.py
+++ b/packages/owners/tests/test_owners_acceptor.py
@@ -2,28 +2,28 @@
 
 from larkweir_owners.acceptor_state import Slot
 from larkweir_owners.messages import Accept, Prepare, ReadRequest, Rejected
-from owners_cases import NEW, keeper, only
+from owners_cases import NEW, only_message, voting_acceptor
 
 
-def test_an_accept_is_refused_where_a_life_that_promised_it_is_over() -> None:
+def test_accept_is_rejected_when_a_promising_incarnation_is_outdated() -> None:
     ballot = (3, "p", 9)
-    by = (("k0", (1, 10, 1)), ("k1", (1, 11, 4)))
-    for now, why in (((1, 10), ""), ((2, 10), "life")):
-        k = keeper(now)
-        k.state.slots["d"] = Slot(ballot)  # as it would have learned it from others
-        answer = only(k.on_message("p", Accept(1, "d", ballot, NEW, by)).messages)
-        assert getattr(answer, "reason", "") == why
-    k = keeper()
-    k.on_message("p", Prepare(1, "d", ballot))
-    k.state.peer_progress["k1"] = (2, 11, 0)  # k1 has a new life, and asked this keeper to catch up
-    step = k.on_message("p", Accept(1, "d", ballot, NEW, by))
-    assert isinstance(only(step.messages), Rejected) and not step.entries
-    assert k.state.slots["d"].record is None
+    promised_by = (("k0", (1, 10, 1)), ("k1", (1, 11, 4)))
+    for incarnation, reason in (((1, 10), ""), ((2, 10), "life")):
+        acceptor = voting_acceptor(incarnation)
+        acceptor.state.slots["d"] = Slot(ballot)  # as it would have learned it from others
+        answer = only_message(acceptor.on_message("p", Accept(1, "d", ballot, NEW, promised_by)).messages)
+        assert getattr(answer, "reason", "") == reason
+    acceptor = voting_acceptor()
+    acceptor.on_message("p", Prepare(1, "d", ballot))
+    acceptor.state.peer_progress["k1"] = (2, 11, 0)  # k1 has a new life, and asked this keeper to catch up
+    output = acceptor.on_message("p", Accept(1, "d", ballot, NEW, promised_by))
+    assert isinstance(only_message(output.messages), Rejected) and not output.entries
+    assert acceptor.state.slots["d"].record is None
 
 
-def test_a_disk_that_cannot_be_written_ends_the_voting() -> None:
-    k = keeper()
-    k.on_disk_failed()
+def test_acceptor_stops_voting_when_its_disk_cannot_be_written() -> None:
+    acceptor = voting_acceptor()
+    acceptor.on_disk_failed()
     for item in (Prepare(1, "d", (1, "p", 9)), ReadRequest(1, 1, "d")):
-        step = k.on_message("p", item)
-        assert isinstance(only(step.messages), Rejected) and not step.entries
+        output = acceptor.on_message("p", item)
+        assert isinstance(only_message(output.messages), Rejected) and not output.entries
--- a/packages/owners/tests/test_owners_acceptor_file.py
+++ b/packages/owners/tests/test_owners_acceptor_file.py
@@ -32,16 +32,16 @@
 ]
 
 
-class Model:
+class ModelFolder:
     """A folder in memory. What is flushed stays over a crash; of the rest of a file any prefix may, and of what was
     done to the folder since it was flushed, all or the newest none."""
 
     def __init__(self, fail_at: int = 0) -> None:
         self.calls, self.fail_at = 0, fail_at
         self.data: list[bytearray] = []
-        self.kept: list[int] = []  # bytes flushed
+        self.flushed_bytes: list[int] = []  # bytes flushed
         self.names: dict[str, int] = {}
-        self.kept_names: dict[str, int] = {}
+        self.flushed_names: dict[str, int] = {}
 
     def _call(self) -> None:
         self.calls += 1
@@ -60,7 +60,7 @@
     def create(self, name: str) -> int:
         self._call()
         self.data.append(bytearray())
-        self.kept.append(0)
+        self.flushed_bytes.append(0)
         self.names[name] = len(self.data) - 1
         return self.names[name]
 
@@ -68,7 +68,7 @@
         self._call()
         number = self.names[name]
         del self.data[number][length:]
-        self.kept[number] = length
+        self.flushed_bytes[number] = length
         return number
 
     def write(self, number: int, data: bytes) -> None:
@@ -81,7 +81,7 @@
 
     def flush(self, number: int) -> None:
         self._call()
-        self.kept[number] = len(self.data[number])
+        self.flushed_bytes[number] = len(self.data[number])
 
     def rename(self, old: str, new: str) -> None:
         self._call()
@@ -89,18 +89,21 @@
 
     def flush_folder(self) -> None:
         self._call()
-        self.kept_names = dict(self.names)
+        self.flushed_names = dict(self.names)
 
-    def crashes(self) -> Iterator["Model"]:
+    def crashes(self) -> Iterator["ModelFolder"]:
         """All that may be there after a crash now."""
-        cuts = [range(kept, len(data) + 1) for kept, data in zip(self.kept, self.data, strict=True)]
-        for names in (self.names, self.kept_names):
+        cuts = [
+            range(flushed_bytes, len(data) + 1)
+            for flushed_bytes, data in zip(self.flushed_bytes, self.data, strict=True)
+        ]
+        for names in (self.names, self.flushed_names):
             for lengths in product(*(cut if n in names.values() else cut[:1] for n, cut in enumerate(cuts))):
-                left = Model()
-                left.data = [bytearray(d[:n]) for d, n in zip(self.data, lengths, strict=True)]
-                left.kept = list(lengths)
-                left.names, left.kept_names = dict(names), dict(names)
-                yield left
+                after_crash = ModelFolder()
+                after_crash.data = [bytearray(d[:n]) for d, n in zip(self.data, lengths, strict=True)]
+                after_crash.flushed_bytes = list(lengths)
+                after_crash.names, after_crash.flushed_names = dict(names), dict(names)
+                yield after_crash
 
 
 def states() -> list[AcceptorState]:
@@ -113,7 +116,7 @@
     return found
 
 
-def written(model: Model) -> list[int]:
+def write_entries(model: ModelFolder) -> list[int]:
     """Puts the entries, one flush each; which of them were promised, as the number of entries, before each call."""
     file = AcceptorFile(model, SET, lambda: 77)
     file.open()
@@ -123,34 +126,34 @@
     return [file._serial]
 
 
-def test_every_cut_and_every_flipped_bit_gives_what_was_there_at_some_time_before() -> None:
-    model = Model()
-    written(model)
-    data, known = model.read("keeper"), states()
+def test_truncated_or_bit_flipped_file_decodes_to_an_earlier_state() -> None:
+    model = ModelFolder()
+    write_entries(model)
+    data, known_states = model.read("keeper"), states()
     assert data is not None
     whole = decode_file(data, SET)
-    assert whole is not None and whole[0] == known[-1]
+    assert whole is not None and whole[0] == known_states[-1]
     lengths = []
     for length in range(len(data) + 1):
         found = decode_file(data[:length], SET)
-        lengths.append(-1 if found is None else known.index(found[0]))
-    assert lengths == sorted(lengths) and set(lengths) >= set(range(len(known)))
+        lengths.append(-1 if found is None else known_states.index(found[0]))
+    assert lengths == sorted(lengths) and set(lengths) >= set(range(len(known_states)))
     for bit in range(len(data) * 8):
-        hurt = bytearray(data)
-        hurt[bit // 8] ^= 1 << bit % 8
-        found = decode_file(bytes(hurt), SET)
-        assert found is None or found[0] in known[:-1], bit
+        damaged = bytearray(data)
+        damaged[bit // 8] ^= 1 << bit % 8
+        found = decode_file(bytes(damaged), SET)
+        assert found is None or found[0] in known_states[:-1], bit
 
 
 @pytest.mark.parametrize("compact", [1 << 20, 1])
-def test_what_was_promised_is_there_after_a_crash_at_any_call(
+def test_acknowledged_entries_survive_a_crash_at_any_call(
     compact: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(acceptor_file, "MIN_COMPACT_BYTES", compact)
-    known = states()
+    known_states = states()
     seen = 0
     for fail_at in range(1, 100):
-        model = Model(fail_at)
+        model = ModelFolder(fail_at)
         file = AcceptorFile(model, SET, lambda: 77)
         promised = -1  # nothing
         try:
@@ -164,20 +167,20 @@
                 promised += 1
         except OSError:
             pass
-        for left in model.crashes():
+        for after_crash in model.crashes():
             seen += 1
-            data = left.read("keeper")
+            data = after_crash.read("keeper")
             found = decode_file(data, SET) if data is not None else None
             if found is None:
                 assert promised == -1
             else:
-                assert found[0] in known[max(promised, 0) :]
+                assert found[0] in known_states[max(promised, 0) :]
         if model.calls < fail_at:
             break
     assert seen > 100 and promised == len(ENTRIES)
 
 
-def test_a_folder_is_read_again_and_a_torn_tail_is_cut(tmp_path, monkeypatch: pytest.MonkeyPatch) -> None:  # type: ignore[no-untyped-def]
+def test_folder_is_reopened_and_a_torn_tail_is_truncated(tmp_path, monkeypatch: pytest.MonkeyPatch) -> None:  # type: ignore[no-untyped-def]
     monkeypatch.setattr(acceptor_file, "MIN_COMPACT_BYTES", 64)
     folder = str(tmp_path / "k")
     file = AcceptorFile(LockedFolder(folder), SET, lambda: 77)
@@ -200,7 +203,7 @@
     lost.close()
 
 
-def test_a_file_that_is_written_anew_says_the_same() -> None:
+def test_compacted_file_decodes_to_the_same_state() -> None:
     for disk in states():
         data = acceptor_file.encode_header(disk.disk_id)
         for serial, entry in enumerate(disk.entries(), 1):
@@ -209,18 +212,18 @@
         assert found is not None and found[0] == disk
 
 
-def test_what_is_told_of_a_closed_file_is_all_of_it_and_only_of_a_keeper_that_voted() -> None:
-    model = Model()
+def test_closed_fingerprint_covers_the_whole_state_and_requires_a_voting_acceptor() -> None:
+    model = ModelFolder()
     file = AcceptorFile(model, SET, lambda: 77)
     file.open()
     assert file.append(ENTRIES)
     held = file.state.copy()
-    told = file.close((1, 4))
-    assert told == fingerprint(held) and not file.append(ENTRIES[:1])
+    closed_fingerprint = file.close((1, 4))
+    assert closed_fingerprint == fingerprint(held) and not file.append(ENTRIES[:1])
     again = AcceptorFile(model, SET, lambda: 78)
-    assert Acceptor("a", again.open(), told).voting_incarnation == (1, 4)
+    assert Acceptor("a", again.open(), closed_fingerprint).voting_incarnation == (1, 4)
     assert again.append([PeerProgressEntry((("b", (2, 5, 0)),))])  # no promise, and yet another disk
-    assert Acceptor("a", again.state.copy(), told).voting_incarnation is None
+    assert Acceptor("a", again.state.copy(), closed_fingerprint).voting_incarnation is None
     assert again.close(None) == ""  # it did not vote
     other = AcceptorFile(model, SET, lambda: 79)
     other.open()
@@ -232,7 +235,7 @@
 
 
 @pytest.mark.parametrize("at", range(len(ENTRIES)))
-def test_a_mark_tells_any_two_states_apart(at: int) -> None:
+def test_fingerprint_differs_between_any_two_states(at: int) -> None:
     disk = AcceptorState(77, SET)
     seen = {fingerprint(disk)}
     for entry in ENTRIES[: at + 1]:
--- a/packages/owners/tests/test_owners_duty_manager.py
+++ b/packages/owners/tests/test_owners_duty_manager.py
@@ -16,7 +16,7 @@
 from owners_cases import NEW
 
 
-def test_what_is_too_long_or_unknown_is_dropped_and_counted() -> None:
+def test_oversized_and_unknown_messages_are_dropped_and_counted() -> None:
     assert decode(encode(ReadRequest(1, 1, "x" * MAX_MESSAGE_BYTES))) is None
     assert decode(msgspec.msgpack.encode([99, 1, 2])) is None
     fleet = Fleet(1)
@@ -29,13 +29,13 @@
         owners.proposer.write("d", (1, 1), NEW, lambda result: None)
 
 
-def test_a_batch_is_as_its_items_and_none_is_in_another() -> None:
+def test_batch_acts_like_its_items_and_nested_batches_are_dropped() -> None:
     fleet = Fleet(1)
     process = fleet.processes[fleet.names[4]]
     assert process.owners is not None
-    news = encode(StateUpdates((("duty0", Record(7, 70, "x", 1)),)))
-    process.owners.on_message(fleet.names[0], encode(Batch((news, b"\xc1"))), 0.0)
+    update = encode(StateUpdates((("duty0", Record(7, 70, "x", 1)),)))
+    process.owners.on_message(fleet.names[0], encode(Batch((update, b"\xc1"))), 0.0)
     assert process.owners.replicator.version("duty0") == (7, 70) and process.owners.dropped == 1
-    more = encode(Batch((encode(StateUpdates((("duty0", Record(8, 80, "x", 1)),))),)))
-    process.owners.on_message(fleet.names[0], encode(Batch((more,))), 0.0)
+    nested = encode(Batch((encode(StateUpdates((("duty0", Record(8, 80, "x", 1)),))),)))
+    process.owners.on_message(fleet.names[0], encode(Batch((nested,))), 0.0)
     assert process.owners.replicator.version("duty0") == (7, 70) and process.owners.dropped == 2
--- a/packages/owners/tests/test_owners_explore.py
+++ b/packages/owners/tests/test_owners_explore.py
@@ -8,9 +8,9 @@
     ("writes", "rounds", "states"),
     [((1, 1), (1, 1), 1283), ((1, 1), (2, 1), None), ((1, 2), (1, 1), None)],
 )
-def test_one_value_a_version_whatever_comes_late_twice_or_never(
+def test_each_version_has_one_value_despite_late_duplicate_or_lost_messages(
     writes: tuple[int, int], rounds: tuple[int, int], states: int | None
 ) -> None:
-    seen, depth, whole = Explorer(writes, rounds).run(100)
+    seen, depth, is_complete = Explorer(writes, rounds).run(100)
     print(f"{writes} writes, {rounds} ballots: {seen} states to depth {depth}")
-    assert whole and (states is None or seen == states)
+    assert is_complete and (states is None or seen == states)
--- a/packages/owners/tests/test_owners_golden.py
+++ b/packages/owners/tests/test_owners_golden.py
@@ -47,15 +47,15 @@
 GOLDEN = Path(__file__).parent / "golden"
 RECORD = Record(7, 21, "a:1", 2**40 + 5, "b:2", 3, b"\x00state\xff")
 SET = ReplicaSet(2, ("a:1", "b:2", "c:3", "d:4"), ("a:1", "b:2", "c:3"), ("d:4", 2 << 20, 2**62 + 1))
-WORDS = (("a:1", (1, 2**62, 9)), ("b:2", (2, 77, 0)))
+PROGRESS = (("a:1", (1, 2**62, 9)), ("b:2", (2, 77, 0)))
 
 MESSAGES: dict[str, AnyMessage] = {
     "ask": ReadRequest((5 << 24) + 1, 2, "probes"),
     "prepare": Prepare(2, "probes", (9, "a:1", 5)),
-    "accept": Accept(2, "probes", (9, "a:1", 5), RECORD, WORDS),
+    "accept": Accept(2, "probes", (9, "a:1", 5), RECORD, PROGRESS),
     "held": ReadReply((5 << 24) + 1, "probes", (9, "a:1", 5), RECORD),
     "held_nothing": ReadReply(1, "probes", (0, "", 0), None),
-    "promised": Promised("probes", (9, "a:1", 5), (8, "b:2", 6), RECORD, (1, 2**62, 9), WORDS),
+    "promised": Promised("probes", (9, "a:1", 5), (8, "b:2", 6), RECORD, (1, 2**62, 9), PROGRESS),
     "promised_nothing": Promised("probes", (9, "a:1", 5), (0, "", 0), None, (1, 4, 0), ()),
     "accepted": Accepted("probes", (9, "a:1", 5), (1, 2**62, 10)),
     "refused_ballot": Rejected("probes", (9, "a:1", 5), "ballot", (10, "b:2", 6)),
@@ -93,39 +93,39 @@
     ReplicaSetEntry(SET),
     SlotEntry("ramps", Slot((2, "q", 8)), 3),
 ]
-FIRST = ReplicaSet(1, ("a:1", "b:2", "c:3"))
+FIRST_SET = ReplicaSet(1, ("a:1", "b:2", "c:3"))
 
 
-def rows(name: str) -> dict[str, bytes]:
+def read_hex_lines(name: str) -> dict[str, bytes]:
     """Lines of a name and bytes in hex."""
     lines = (GOLDEN / name).read_text(encoding="ascii").splitlines()
     return {key: bytes.fromhex(text) for key, text in (line.split(" ") for line in lines)}
 
 
-GOLDEN_MESSAGES = rows("messages.hex")
-GOLDEN_FILES = rows("keeper_files.hex")
+GOLDEN_MESSAGES = read_hex_lines("messages.hex")
+GOLDEN_FILES = read_hex_lines("keeper_files.hex")
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_message_is_read_and_written_as_before(name: str) -> None:
+def test_message_decodes_and_encodes_as_in_the_previous_release(name: str) -> None:
     assert decode(GOLDEN_MESSAGES[name]) == MESSAGES[name]
     assert encode(MESSAGES[name]) == GOLDEN_MESSAGES[name]
 
 
-def test_every_kind_of_message_is_here() -> None:
+def test_every_message_type_has_golden_bytes() -> None:
     assert {type(item) for item in MESSAGES.values()} == set(get_args(AnyMessage))
     assert set(MESSAGES) == set(GOLDEN_MESSAGES)
 
 
 def expected(entries: list[LogEntry]) -> AcceptorState:
-    disk = AcceptorState(2**62 + 1, FIRST)
+    disk = AcceptorState(2**62 + 1, FIRST_SET)
     for entry in entries:
         disk.apply(entry)
     return disk
 
 
-def test_a_new_file_and_its_log_are_written_as_before(tmp_path: Path) -> None:
-    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST, lambda: 2**62 + 1)
+def test_new_file_and_its_log_have_the_golden_bytes(tmp_path: Path) -> None:
+    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST_SET, lambda: 2**62 + 1)
     file.open()
     assert (tmp_path / "keeper").read_bytes() == GOLDEN_FILES["new"]
     for entry in ENTRIES:
@@ -135,9 +135,9 @@
     assert file.close((1, 77)).encode() == GOLDEN_FILES["mark"]
 
 
-def test_a_file_that_is_long_is_rewritten_as_before(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_compacted_file_has_the_golden_bytes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(acceptor_file, "MIN_COMPACT_BYTES", 1)
-    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST, lambda: 2**62 + 1)
+    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST_SET, lambda: 2**62 + 1)
     file.open()
     assert file.append(ENTRIES)
     file.close()
@@ -145,20 +145,20 @@
 
 
 @pytest.mark.parametrize("name", ["log", "rewritten"])
-def test_a_file_of_before_is_read(name: str, tmp_path: Path) -> None:
-    found = decode_file(GOLDEN_FILES[name], FIRST)
+def test_file_of_the_previous_release_is_read(name: str, tmp_path: Path) -> None:
+    found = decode_file(GOLDEN_FILES[name], FIRST_SET)
     assert found is not None and found[0] == expected(ENTRIES)
     assert fingerprint(found[0]).encode() == GOLDEN_FILES["mark"]
     (tmp_path / "keeper").write_bytes(GOLDEN_FILES[name])
-    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST, lambda: 1)
+    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST_SET, lambda: 1)
     assert file.open() == expected(ENTRIES) and file.truncated_bytes == 0
     assert file.close((1, 77)).encode() == GOLDEN_FILES["mark"]
     assert (tmp_path / "keeper").read_bytes() == GOLDEN_FILES[name]
 
 
-def test_a_torn_file_of_before_is_cut_and_gone_on_with(tmp_path: Path) -> None:
+def test_torn_file_of_the_previous_release_is_truncated_and_appended_to(tmp_path: Path) -> None:
     (tmp_path / "keeper").write_bytes(GOLDEN_FILES["torn"])
-    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST, lambda: 1)
+    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST_SET, lambda: 1)
     assert file.open() == expected(ENTRIES[:-1])
     assert file.truncated_bytes == len(GOLDEN_FILES["torn"]) - len(GOLDEN_FILES["log_but_one"])
     assert file.append(ENTRIES[-1:])
@@ -166,10 +166,10 @@
     assert (tmp_path / "keeper").read_bytes() == GOLDEN_FILES["log"]
 
 
-def test_a_folder_in_use_is_refused_as_before(tmp_path: Path) -> None:
-    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST, lambda: 1)
+def test_folder_in_use_is_rejected(tmp_path: Path) -> None:
+    file = AcceptorFile(LockedFolder(str(tmp_path)), FIRST_SET, lambda: 1)
     file.open()
     with pytest.raises(OSError, match="another process has it") as caught:
-        AcceptorFile(LockedFolder(str(tmp_path)), FIRST, lambda: 2).open()
+        AcceptorFile(LockedFolder(str(tmp_path)), FIRST_SET, lambda: 2).open()
     assert caught.value.errno == errno.EBUSY
     file.close()
--- a/packages/owners/tests/test_owners_messages.py
+++ b/packages/owners/tests/test_owners_messages.py
@@ -6,13 +6,13 @@
 
 
 @given(st.binary(max_size=200))
-def test_what_is_no_item_is_none(data: bytes) -> None:
+def test_arbitrary_bytes_decode_to_none_or_a_message_that_round_trips(data: bytes) -> None:
     item = decode(data)
     assert item is None or decode(encode(item)) == item
 
 
 @given(st.lists(st.binary(min_size=1, max_size=400), max_size=20))
-def test_small_items_go_together_in_their_order_and_large_ones_alone(items: list[bytes]) -> None:
+def test_small_messages_are_batched_in_order_and_large_ones_are_sent_alone(items: list[bytes]) -> None:
     found: list[bytes] = []
     for item in batched(items):
         read = decode(item)
--- a/packages/owners/tests/test_owners_placement.py
+++ b/packages/owners/tests/test_owners_placement.py
@@ -6,7 +6,7 @@
 
 
 @given(st.sets(st.integers(0, 40), min_size=2, max_size=12), st.integers(0, 11))
-def test_a_name_that_goes_moves_only_what_it_had(numbers: set[int], which: int) -> None:
+def test_removing_a_process_moves_only_its_own_duties(numbers: set[int], which: int) -> None:
     names = {f"10.0.0.{n}:7946" for n in numbers}
     gone = sorted(names)[which % len(names)]
     for key in ("a", "b", "c"):
--- a/packages/owners/tests/test_owners_readme.py
+++ b/packages/owners/tests/test_owners_readme.py
@@ -33,7 +33,7 @@
         return self._names
 
 
-def test_the_example_counts_and_has_one_owner(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_runs_with_one_owner(capsys: pytest.CaptureFixture[str]) -> None:
     (code,) = re.findall(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.DOTALL)
     rng = Random(1)
     names: dict[str, Any] = {
@@ -52,16 +52,16 @@
         me: names["manager"](me, number, Wire(me, members, queue)) for number, me in enumerate(members, 1)
     }
     for now_ms in range(0, 9_000, 10):
-        for one in managers.values():
-            if now_ms >= one.next_ms:
-                one.tick(float(now_ms))
+        for manager in managers.values():
+            if now_ms >= manager.next_ms:
+                manager.tick(float(now_ms))
         while queue:
             source, to, item = queue.popleft()
             managers[to].on_message(source, item, float(now_ms))
-            for one in managers.values():
-                for output in one.take_outputs():
-                    one.on_flushed(output, float(now_ms))
-    assert [one.owned_duties for one in managers.values()].count(["count"]) == 1
+            for manager in managers.values():
+                for output in manager.take_outputs():
+                    manager.on_flushed(output, float(now_ms))
+    assert [manager.owned_duties for manager in managers.values()].count(["count"]) == 1
     lines = [line.split(" ") for line in capsys.readouterr().out.splitlines()]
     states = [int(state[2:-1] or 0) for _, _, state in lines]
     assert {term for term, _, _ in lines} == {"1"}
--- a/packages/owners/tests/test_owners_replica_set_change.py
+++ b/packages/owners/tests/test_owners_replica_set_change.py
@@ -12,56 +12,58 @@
 from larkweir_owners.messages import Accept, AdoptSet, Record, ReplicaSet
 from larkweir_owners.ports import Outcome, Result
 from larkweir_owners.proposer import Proposer
-from owners_cases import SET, Post
+from owners_cases import SET, RecordingTransport
 
 
-def changed(fleet: Fleet, names: set[str], by: str) -> list[str]:
+def run_change(fleet: Fleet, names: set[str], by: str) -> list[str]:
     faults: list[str] = []
     process = fleet.processes[by]
     assert process.owners is not None
     order = tuple(fleet.rng.sample(sorted(names), len(names)))
     assert process.owners.set_change.begin(order, faults.append, fleet.network.now_ms) == ""
-    process.after()
+    process.flush_and_reschedule()
     fleet.run_until(lambda: bool(faults), 10_000.0)
     return faults
 
 
-def test_all_keepers_are_changed_for_others_one_at_a_time_while_duties_go_on() -> None:
+def test_all_replicas_are_replaced_one_at_a_time_while_duties_run() -> None:
     fleet = Fleet(7)
-    fleet.may_keep = set(fleet.names)
+    fleet.eligible_replicas = set(fleet.names)
     fleet.run(1000.0)
     names = set(fleet.names[:3])
     for new, old in ((3, 0), (4, 1)):
         fleet.processes[fleet.names[new]].kill()
         fleet.start(fleet.names[new])
         names.add(fleet.names[new])
-        assert changed(fleet, names, fleet.names[2]) == [""]
+        assert run_change(fleet, names, fleet.names[2]) == [""]
         names.remove(fleet.names[old])
-        assert changed(fleet, names, fleet.names[2]) == [""]
+        assert run_change(fleet, names, fleet.names[2]) == [""]
     for old in (0, 1):
         fleet.kill(fleet.names[old], 200.0)
-    before = fleet.checker.effects["duty0"]
+    before = fleet.checker.update_counts["duty0"]
     fleet.run(6000.0)
     assert set(fleet.members) == {fleet.names[n] for n in (2, 3, 4)}
-    assert fleet.checker.effects["duty0"] > before
+    assert fleet.checker.update_counts["duty0"] > before
     assert fleet.checker.last["\0keepers"].term == 5
 
 
 @pytest.mark.parametrize("first", range(0, 160, 20))
-def test_what_two_changes_apart_would_miss_is_written_anew_first(first: int) -> None:
+def test_old_records_survive_replacing_every_replica(first: int) -> None:
     """A register that nobody has written since is still there when no keeper of its time is left."""
     for seed in range(first, first + 20):
-        replace_all(Fleet(seed), ("a", "old")[seed % 2])  # before the duty's key in their order, or after it
+        replace_all_replicas(
+            Fleet(seed), ("a", "old")[seed % 2]
+        )  # before the duty's key in their order, or after it
 
 
-def replace_all(fleet: Fleet, key: str) -> None:
-    fleet.may_keep = set(fleet.names)
+def replace_all_replicas(fleet: Fleet, key: str) -> None:
+    fleet.eligible_replicas = set(fleet.names)
     fleet.run(1000.0)
     writer = fleet.processes[fleet.names[0]]
     assert writer.owners is not None
     done: list[Result] = []
     writer.owners.proposer.write(key, (0, 0), Record(1, 1, "x", 1), done.append)
-    writer.after()
+    writer.flush_and_reschedule()
     fleet.run(500.0)
     names = set(fleet.names[:3])
     for new, old in ((3, 0), (4, 1), (0, 2)):
@@ -70,55 +72,57 @@
         fleet.start(fleet.names[new])
         fleet.run(200.0)
         names.add(fleet.names[new])
-        assert changed(fleet, names, fleet.names[3]) == [""]
+        assert run_change(fleet, names, fleet.names[3]) == [""]
         names.remove(fleet.names[old])
-        assert changed(fleet, names, fleet.names[3]) == [""]
+        assert run_change(fleet, names, fleet.names[3]) == [""]
     reader = fleet.processes[fleet.names[3]]
     assert reader.owners is not None
     reader.owners.proposer.read(key, done.append)
-    reader.after()
+    reader.flush_and_reschedule()
     fleet.run(500.0)
     assert [result.record for result in done] == [Record(1, 1, "x", 1)] * 2
 
 
 @pytest.mark.parametrize("pair", [("k0", "k1"), ("k0", "k2"), ("k1", "k2")])
-def test_what_two_of_four_took_counts_once_both_are_of_a_set_of_three(pair: tuple[str, str]) -> None:
+def test_record_accepted_by_two_of_four_counts_once_both_are_in_a_set_of_three(pair: tuple[str, str]) -> None:
     """No majority took it; still each round of the next set meets it, so that one may say that it counts."""
     four = ReplicaSet(1, ("k0", "k1", "k2", "k3"))
     three = ReplicaSet(2, ("k0", "k1", "k2"), four.names)
     disk = AcceptorState(1, four, (1, 1), True)
-    keepers = {n: Acceptor(n, disk.copy(), fingerprint(disk)) for n in four.names}
-    took = Record(1, 1, "p", 9)
-    checker, mail, results = Checker(), Post(), list[Result]()
-
-    def talk(proposer: Proposer, up: Sequence[str], accepts: Sequence[str]) -> None:
-        while mail.sent:
-            to, item = mail.sent.pop(0)
-            if to in (accepts if isinstance(item, Accept) else up):
-                for _, answer in keepers[to].on_message(proposer.name, item).messages:
+    acceptors = {n: Acceptor(n, disk.copy(), fingerprint(disk)) for n in four.names}
+    accepted_record = Record(1, 1, "p", 9)
+    checker, transport, results = Checker(), RecordingTransport(), list[Result]()
+
+    def deliver_all(proposer: Proposer, reachable: Sequence[str], accepts: Sequence[str]) -> None:
+        while transport.sent:
+            to, item = transport.sent.pop(0)
+            if to in (accepts if isinstance(item, Accept) else reachable):
+                for _, answer in acceptors[to].on_message(proposer.name, item).messages:
                     proposer.on_message(to, answer, 0.0)
 
-    writer, reader, rival = (Proposer(name, 9, four, mail, lambda: 0.0) for name in ("p", "q", "r"))
-    writer.write("d", (0, 0), took, results.append)
-    talk(writer, four.names, ("k0", "k1"))
-    for name, keeper_set in (("k0", four), ("k1", four), ("k0", three), ("k3", three)):
-        checker.accepted(name, "d", (1, "p", 9), took, keeper_set, 0.0)
+    writer, reader, rival = (Proposer(name, 9, four, transport, lambda: 0.0) for name in ("p", "q", "r"))
+    writer.write("d", (0, 0), accepted_record, results.append)
+    deliver_all(writer, four.names, ("k0", "k1"))
+    for name, replica_set in (("k0", four), ("k1", four), ("k0", three), ("k3", three)):
+        checker.accepted(name, "d", (1, "p", 9), accepted_record, replica_set, 0.0)
         assert results == [] and checker.values == {}
     for name in three.names:
-        keepers[name].on_message("p", AdoptSet(three))
+        acceptors[name].on_message("p", AdoptSet(three))
     reader.adopt(three)
     reader.read("d", results.append)
-    talk(reader, three.names, ())
-    checker.accepted("k1", "d", (1, "p", 9), took, three, 0.0)
-    assert results == [Result(Outcome.DONE, took)] and checker.values == {("d", (1, 1)): took}
+    deliver_all(reader, three.names, ())
+    checker.accepted("k1", "d", (1, "p", 9), accepted_record, three, 0.0)
+    assert results == [Result(Outcome.DONE, accepted_record)] and checker.values == {
+        ("d", (1, 1)): accepted_record
+    }
     rival.write("d", (0, 0), Record(1, 1, "r", 9), results.append)  # k3 and it have not heard of the change
-    talk(rival, (*pair, "k3"), (*pair, "k3"))
-    assert results[1:] == [Result(Outcome.CONFLICT, took)]
+    deliver_all(rival, (*pair, "k3"), (*pair, "k3"))
+    assert results[1:] == [Result(Outcome.CONFLICT, accepted_record)]
 
 
-def test_a_run_with_changes_of_the_set_is_the_same_under_any_hash_seed() -> None:
+def test_run_with_replica_set_changes_is_the_same_under_any_hash_seed() -> None:
     code = (
-        "from test_owners_replica_set_change import *; f = Fleet(8); replace_all(f, 'a'); "
+        "from test_owners_replica_set_change import *; f = Fleet(8); replace_all_replicas(f, 'a'); "
         "print(f.network.sent, f.network.now_ms)"
     )
     runs = {
@@ -133,9 +137,9 @@
     assert len(runs) == 1
 
 
-def test_more_than_one_keeper_at_a_time_is_refused_and_so_is_one_with_an_old_file() -> None:
+def test_change_by_several_replicas_or_of_a_replica_with_an_old_file_is_rejected() -> None:
     fleet = Fleet(9)
-    fleet.may_keep = set(fleet.names)
+    fleet.eligible_replicas = set(fleet.names)
     fleet.run(1000.0)
     owners = fleet.processes[fleet.names[0]].owners
     assert owners is not None
@@ -144,5 +148,5 @@
     fleet.processes[fleet.names[3]].disk = AcceptorState(5, SET, (1, 5), True)
     fleet.processes[fleet.names[3]].kill()
     fleet.start(fleet.names[3])
-    (fault,) = changed(fleet, set(fleet.names[:4]), fleet.names[0])
+    (fault,) = run_change(fleet, set(fleet.names[:4]), fleet.names[0])
     assert "its file must be removed first" in fault
--- a/packages/owners/tests/test_owners_seeds.py
+++ b/packages/owners/tests/test_owners_seeds.py
@@ -8,58 +8,58 @@
 import sys
 
 import pytest
-from fleet_owners import BrokenError, Fleet
+from fleet_owners import Fleet, InvariantError
 from larkweir_owners.acceptor_state import fingerprint
 from larkweir_owners.lease_timing import LeaseTiming, Phase
 from larkweir_owners.messages import Record
 
 
 @pytest.mark.parametrize("first", range(0, 24, 4))
-def test_terms_never_go_back_whatever_befalls(first: int) -> None:
+def test_invariants_hold_under_seeded_faults(first: int) -> None:
     for seed in range(first, first + 4):
         Fleet(seed).play()
 
 
-def test_a_seed_replays() -> None:
+def test_a_seed_gives_the_same_run_twice() -> None:
     fleets = [Fleet(11), Fleet(11)]
     for fleet in fleets:
-        fleet.play(events=3, rest_ms=3000.0)
+        fleet.play(fault_count=3, recovery_ms=3000.0)
     assert fleets[0].checker.values == fleets[1].checker.values
     assert fleets[0].network.sent == fleets[1].network.sent > 1000
 
 
-def settled(seed: int, **how: int) -> Fleet:
-    fleet = Fleet(seed, **how)  # type: ignore[arg-type]
+def fleet_with_owner(seed: int, **options: int) -> Fleet:
+    fleet = Fleet(seed, **options)  # type: ignore[arg-type]
     assert fleet.run_until(lambda: fleet.owner("duty0") is not None, 8000.0)
     fleet.run(500.0)
     return fleet
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_an_owner_stopped_for_three_leases_does_no_harm_when_it_wakes(seed: int) -> None:
-    fleet = settled(seed)
+def test_owner_paused_for_three_leases_writes_nothing_after_it_resumes(seed: int) -> None:
+    fleet = fleet_with_owner(seed)
     old = fleet.owner("duty0")
     assert old is not None and old.owners is not None
     fleet.network.pause(old.name)
-    fleet.run(3 * fleet.times.lease_ms)
+    fleet.run(3 * fleet.timing.lease_ms)
     new = fleet.owner("duty0")
     assert new is not None and new is not old
     assert old.owners.leaderships["duty0"].phase is not Phase.WATCHING  # it still believes that it owns
     fleet.network.resume(old.name)
     fleet.run(1000.0)
     assert old.owners.leaderships["duty0"].phase is Phase.WATCHING
-    assert fleet.checker.old_taken == 0
+    assert fleet.checker.stale_term_writes == 0
     assert fleet.checker.last["duty0"].term == 2
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_drained_owner_names_its_heir_and_is_gone_at_once(seed: int) -> None:
-    fleet = settled(seed)
+def test_drained_owner_hands_over_to_its_successor_at_once(seed: int) -> None:
+    fleet = fleet_with_owner(seed)
     old = fleet.owner("duty0")
     assert old is not None and old.owners is not None
     term = fleet.checker.last["duty0"].term
     old.owners.drain(fleet.network.now_ms)
-    old.after()
+    old.flush_and_reschedule()
     assert fleet.run_until(lambda: fleet.owner("duty0") not in (None, old), 250.0)
     assert fleet.checker.last["duty0"].term == term + 1
     assert old.owners.owned_duties == []
@@ -67,47 +67,47 @@
     assert old.owners.owned_duties == []  # and takes nothing again
 
 
-def test_an_heir_that_rests_from_a_stop_takes_what_it_is_handed() -> None:
+def test_successor_that_yields_after_a_pause_takes_a_duty_released_to_it() -> None:
     """The preferred place stood still and is back; whoever drains names it, and the others wait for it."""
     delays = []
     for seed in range(6):
-        fleet = settled(seed)
+        fleet = fleet_with_owner(seed)
         old = fleet.owner("duty0")
         assert old is not None
         fleet.network.pause(old.name)
         assert fleet.run_until(lambda old=old, fleet=fleet: fleet.owner("duty0") not in (None, old), 8000.0)
         fleet.network.resume(old.name)
-        fleet.run(2 * fleet.times.lease_ms)
+        fleet.run(2 * fleet.timing.lease_ms)
         new = fleet.owner("duty0")
         assert new is not None and new is not old and new.owners is not None
-        began = fleet.network.now_ms
-        new.owners.drain(began)
-        new.after()
+        started_ms = fleet.network.now_ms
+        new.owners.drain(started_ms)
+        new.flush_and_reschedule()
         assert fleet.run_until(lambda new=new, fleet=fleet: fleet.owner("duty0") not in (None, new), 2000.0)
-        delays.append(fleet.network.now_ms - began)
+        delays.append(fleet.network.now_ms - started_ms)
     assert max(delays) < 250.0
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_candidates_that_rest_take_a_duty_that_nobody_else_takes(seed: int) -> None:
+def test_yielding_candidates_take_a_duty_that_nobody_else_takes(seed: int) -> None:
     """The last of three owners stands still, the other two candidates have just stood still themselves."""
-    fleet = settled(seed)
+    fleet = fleet_with_owner(seed)
     for _ in range(3):
         old = fleet.owner("duty0")
         assert old is not None
         fleet.network.pause(old.name)
-        began = fleet.network.now_ms
+        started_ms = fleet.network.now_ms
         assert fleet.run_until(lambda old=old, fleet=fleet: fleet.owner("duty0") not in (None, old), 8000.0)
-        spent = fleet.network.now_ms - began
-        fleet.run(1.5 * fleet.times.lease_ms)
+        elapsed_ms = fleet.network.now_ms - started_ms
+        fleet.run(1.5 * fleet.timing.lease_ms)
         fleet.network.resume(old.name)
         fleet.run(600.0)
-    assert spent < 2.2 * fleet.times.lease_ms
+    assert elapsed_ms < 2.2 * fleet.timing.lease_ms
 
 
-def test_who_watches_reads_only_when_its_owner_tells_nothing() -> None:
+def test_candidates_read_registers_only_when_owner_updates_stop() -> None:
     """What it costs: the keepers are asked by nobody while leases are renewed, and soon when they are not."""
-    fleet = settled(7, processes=5)
+    fleet = fleet_with_owner(7, processes=5)
     owner = fleet.owner("duty0")
     assert owner is not None
     reads = []
@@ -117,28 +117,28 @@
         read = proposer.read
         proposer.read = lambda key, then, read=read: (reads.append(key), read(key, then))  # type: ignore[method-assign]
     fleet.network.loss_rate = 0.0
-    fleet.run(2 * fleet.times.lease_ms)
+    fleet.run(2 * fleet.timing.lease_ms)
     reads.clear()
-    fleet.run(6 * fleet.times.lease_ms)
+    fleet.run(6 * fleet.timing.lease_ms)
     assert len(reads) <= 2  # it was two candidates, six times a lease
     fleet.network.pause(owner.name)
-    fleet.run(fleet.times.lease_ms)
+    fleet.run(fleet.timing.lease_ms)
     assert reads
 
 
-def test_leases_of_one_process_are_renewed_in_one_go() -> None:
-    fleet = Fleet(3, processes=3, duties=9, lost=0.0, times=LeaseTiming(lease_ms=1000.0, step_ms=1e9))
+def test_leases_of_one_process_are_renewed_together() -> None:
+    fleet = Fleet(3, processes=3, duties=9, loss_rate=0.0, timing=LeaseTiming(lease_ms=1000.0, step_ms=1e9))
     assert fleet.run_until(lambda: all(fleet.owner(key) for key in fleet.keys), 8000.0)
     fleet.run(4250.0)  # between two renewals
     for process in fleet.processes.values():
         assert process.owners is not None
         owned = [process.owners.leaderships[name] for name in process.owners.owned_duties]
-        assert len({term._renewed_ms for term in owned}) == 1 < len(owned)
+        assert len({leadership._renewed_ms for leadership in owned}) == 1 < len(owned)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_successor_that_is_told_what_was_closed_votes_at_once(seed: int) -> None:
-    fleet = settled(seed)
+def test_successor_with_a_matching_fingerprint_votes_at_once(seed: int) -> None:
+    fleet = fleet_with_owner(seed)
     for name in fleet.members:  # each is dead while the next hands over: two are left, and both must vote
         process = fleet.processes[name]
         before = process.disk.copy() if process.disk is not None else None
@@ -153,12 +153,12 @@
 
 
 @pytest.mark.parametrize("early", [False, True])
-def test_a_predecessor_that_tells_before_it_has_stopped_voting_is_found(early: bool) -> None:
+def test_fingerprint_taken_before_voting_stopped_breaks_an_invariant(early: bool) -> None:
     """A planted fault, and the same without it: what is told of one keeper misses what it took last, the second has
     not seen that, and the third, who has, dies."""
     broken = 0
     for seed in range(4):
-        fleet = settled(seed, processes=6)
+        fleet = fleet_with_owner(seed, processes=6)
         first, second, third = (fleet.processes[name] for name in fleet.members)
         assert first.disk is not None
         disk = first.disk.copy()
@@ -172,19 +172,19 @@
         fleet.network.heal()
         try:
             fleet.run(100.0)
-            fleet.look(fleet.processes[fleet.names[5]], "duty0")  # must not be older than what counted
+            fleet.check_read(fleet.processes[fleet.names[5]], "duty0")  # must not be older than what counted
             fleet.run(4000.0)
-        except BrokenError:
+        except InvariantError:
             broken += 1
     assert broken == (4 if early else 0)
 
 
-@pytest.mark.parametrize("how", ["empty", "old"])
-def test_where_all_keepers_lost_their_disks_duties_go_on_above_what_copies_hold(how: str) -> None:
+@pytest.mark.parametrize("disks", ["empty", "old"])
+def test_duties_continue_above_known_versions_after_all_replicas_lost_their_disks(disks: str) -> None:
     """More than is promised for: the page says to empty all folders and to start all."""
-    fleet = settled(1, processes=6)
+    fleet = fleet_with_owner(1, processes=6)
     old = {name: fleet.processes[name].disk for name in fleet.members}
-    old = {name: disk.copy() if how == "old" and disk is not None else None for name, disk in old.items()}
+    old = {name: disk.copy() if disks == "old" and disk is not None else None for name, disk in old.items()}
     fleet.run(1000.0)
     before = fleet.checker.last["duty0"]
     for name in fleet.members:
@@ -196,14 +196,14 @@
     assert now.term > before.term and now.update_count > before.update_count + 10
 
 
-def test_without_a_majority_nobody_owns_and_status_says_so() -> None:
-    fleet = settled(3)
+def test_without_a_majority_no_duty_runs_and_status_reports_it() -> None:
+    fleet = fleet_with_owner(3)
     for name in fleet.members[:2]:
         fleet.network.pause(name)
-    fleet.run(8 * fleet.times.lease_ms)
-    effects = fleet.checker.effects["duty0"]
+    fleet.run(8 * fleet.timing.lease_ms)
+    update_count = fleet.checker.update_counts["duty0"]
     fleet.run(3000.0)
-    assert fleet.checker.effects["duty0"] == effects
+    assert fleet.checker.update_counts["duty0"] == update_count
     for name in fleet.names[3:]:
         owners = fleet.processes[name].owners
         assert owners is not None
@@ -212,11 +212,11 @@
         assert status.duties["duty0"].phase in ("watching", "rests")
     for name in fleet.members[:2]:
         fleet.network.resume(name)
-    assert fleet.run_until(lambda: fleet.checker.effects["duty0"] > effects, 8000.0)
+    assert fleet.run_until(lambda: fleet.checker.update_counts["duty0"] > update_count, 8000.0)
 
 
-def test_duties_spread_and_stay_where_they_are_while_others_come_and_go() -> None:
-    fleet = settled(5, processes=14, duties=10)
+def test_duties_are_spread_and_do_not_move_when_other_processes_restart() -> None:
+    fleet = fleet_with_owner(5, processes=14, duties=10)
     fleet.run(4000.0)
     owners = {key: fleet.owner(key) for key in fleet.keys}
     assert len({process.name for process in owners.values() if process is not None}) >= 4
@@ -229,43 +229,43 @@
     assert {key: fleet.owner(key) for key in fleet.keys} == owners
 
 
-def test_a_duty_goes_to_its_preferred_place_once_when_that_has_settled() -> None:
-    fleet = settled(2)
+def test_duty_moves_to_its_preferred_owner_once_after_the_minimum_tenure() -> None:
+    fleet = fleet_with_owner(2)
     home = fleet.owner("duty0")
     assert home is not None
     fleet.kill(home.name, 200.0)
     assert fleet.run_until(lambda: fleet.owner("duty0") not in (None, home), 5000.0)
     fleet.start(home.name)
-    fleet.run(5 * fleet.times.lease_ms)
+    fleet.run(5 * fleet.timing.lease_ms)
     assert fleet.checker.last["duty0"].term == 2  # not yet
-    fleet.run(9 * fleet.times.lease_ms)
+    fleet.run(9 * fleet.timing.lease_ms)
     assert fleet.owner("duty0") is home
     assert fleet.checker.last["duty0"].term == 3
 
 
-def test_an_owner_whose_loop_lags_gives_up() -> None:
-    fleet = settled(4)
+def test_owner_releases_its_duties_when_its_event_loop_lags() -> None:
+    fleet = fleet_with_owner(4)
     old = fleet.owner("duty0")
     assert old is not None and old.owners is not None
-    old.owners.on_lag(fleet.times.max_lag_ms - 1.0, fleet.network.now_ms)
-    old.after()
+    old.owners.on_lag(fleet.timing.max_lag_ms - 1.0, fleet.network.now_ms)
+    old.flush_and_reschedule()
     fleet.run(500.0)
     assert fleet.owner("duty0") is old
-    old.owners.on_lag(fleet.times.max_lag_ms + 1.0, fleet.network.now_ms)
-    old.after()
+    old.owners.on_lag(fleet.timing.max_lag_ms + 1.0, fleet.network.now_ms)
+    old.flush_and_reschedule()
     assert fleet.run_until(lambda: fleet.owner("duty0") not in (None, old), 500.0)
 
 
-def test_an_owner_that_hears_of_a_later_record_owns_no_more() -> None:
-    fleet = settled(1)
+def test_owner_stops_owning_when_it_learns_of_a_later_record() -> None:
+    fleet = fleet_with_owner(1)
     old = fleet.owner("duty0")
     assert old is not None and old.owners is not None
-    term = old.owners.leaderships["duty0"]
-    assert fleet.run_until(lambda: not term._is_busy, 1000.0, 1.0)
-    assert term.record is not None
-    gone = Record(term.record.term + 1, term.record.number + 9, "", 0, "10.9.9.9:1")
-    term.on_record_seen(gone, fleet.network.now_ms)
-    assert (term.is_owner, term.record) == (False, gone)
+    leadership = old.owners.leaderships["duty0"]
+    assert fleet.run_until(lambda: not leadership._is_busy, 1000.0, 1.0)
+    assert leadership.record is not None
+    gone = Record(leadership.record.term + 1, leadership.record.number + 9, "", 0, "10.9.9.9:1")
+    leadership.on_record_seen(gone, fleet.network.now_ms)
+    assert (leadership.is_owner, leadership.record) == (False, gone)
 
 
 if __name__ == "__main__":
@@ -273,7 +273,7 @@
     for number in range(int(sys.argv[1]), int(sys.argv[2])):
         try:
             Fleet(number).play()
-        except BrokenError as error:
+        except InvariantError as error:
             bad += 1
             print(number, error, flush=True)
     print(f"{bad} of {int(sys.argv[2]) - int(sys.argv[1])} seeds broke a promise")
--- a/packages/owners/tests/test_owners_traces.py
+++ b/packages/owners/tests/test_owners_traces.py
@@ -20,31 +20,31 @@
     digest = blake2b(digest_size=16)
     send = fleet.network.send
 
-    def sent(source: str, to: str, item: bytes) -> None:
+    def traced_send(source: str, to: str, item: bytes) -> None:
         digest.update(f"{fleet.network.now_ms:.6f} {source} {to} ".encode() + item)
         send(source, to, item)
 
-    fleet.network.send = sent  # type: ignore[method-assign]
+    fleet.network.send = traced_send  # type: ignore[method-assign]
     for process in fleet.processes.values():
-        flushed = process._flushed
+        on_flushed = process._on_flushed
 
-        def seen(step: AcceptorOutput, process: Process = process, flushed=flushed) -> None:  # type: ignore[no-untyped-def]
-            for number, entry in enumerate(step.entries):
+        def traced_flush(output: AcceptorOutput, process: Process = process, on_flushed=on_flushed) -> None:  # type: ignore[no-untyped-def]
+            for number, entry in enumerate(output.entries):
                 digest.update(
                     f"{fleet.network.now_ms:.6f} {process.name} ".encode() + encode_frame(number, entry)
                 )
-            flushed(step)
+            on_flushed(output)
 
-        process._flushed = seen  # type: ignore[method-assign]
+        process._on_flushed = traced_flush  # type: ignore[method-assign]
     fleet.play()
-    return f"{digest.hexdigest()} {fleet.network.sent} {sum(fleet.checker.effects.values())}"
+    return f"{digest.hexdigest()} {fleet.network.sent} {sum(fleet.checker.update_counts.values())}"
 
 
 @pytest.mark.parametrize(
     ("seed", "processes", "duties"),
     [*((seed, 5, 1) for seed in range(6)), (100, 5, 3), (101, 7, 4), (102, 3, 2)],
 )
-def test_a_seeded_fleet_sends_and_flushes_the_same(seed: int, processes: int, duties: int) -> None:
+def test_seeded_fleet_sends_and_flushes_the_golden_trace(seed: int, processes: int, duties: int) -> None:
     known = dict(line.split(": ") for line in TRACES.read_text(encoding="ascii").splitlines())
     assert trace_of(seed, processes, duties) == known[f"{seed} {processes} {duties}"]
 
@@ -57,7 +57,7 @@
         ((1, 2), (1, 1), (4439, 16, True)),
     ],
 )
-def test_the_explorer_meets_the_same_states(
+def test_explorer_visits_the_same_states(
     writes: tuple[int, int], rounds: tuple[int, int], found: tuple[int, int, bool]
 ) -> None:
     assert Explorer(writes, rounds).run(100) == found
