--- a/packages/owners/src/larkweir_owners/__init__.py
+++ b/packages/owners/src/larkweir_owners/__init__.py
@@ -1,3 +1,3 @@
-"""One owner at a time for each singleton task ("duty") of a fleet. Import by module: `duty_manager`, `acceptor_file`,
-`ports` and so on.
+"""Gives each singleton task ("duty") of a fleet one owner at a time. Import the modules directly: `duty_manager`,
+`acceptor_file`, `ports` and so on.
 """
--- a/packages/owners/src/larkweir_owners/acceptor.py
+++ b/packages/owners/src/larkweir_owners/acceptor.py
@@ -1,8 +1,9 @@
 """An acceptor of CASPaxos (Rystsov 2018, section 2.2): a replica that promises and accepts. Pure logic.
 
-What it answers rests on what is on its disk: each call returns the entries to flush first and the messages to send
-then. An accept names the progress of all acceptors that promised its ballot; an acceptor rejects it where it knows a
-later incarnation of one of them, or where it has not promised just that ballot. `recovery` says when it may vote.
+An acceptor may only answer from state that is on its disk, so each call returns the entries to flush first and the
+messages to send afterwards. An accept request names the progress of all acceptors that promised its ballot. An acceptor
+rejects the request if it knows a later incarnation of one of them, or if its own promise is for another ballot.
+`recovery` decides when an acceptor may vote.
 """
 
 from __future__ import annotations
@@ -47,19 +48,21 @@
 
 
 class Acceptor:
-    """One replica of the registers. Its driver flushes and sends what each call returns, in that order."""
+    """One replica of the registers. For each output that a call returns, the driver flushes its entries, then sends
+    its messages.
+    """
 
     def __init__(self, name: str, state: AcceptorState, closed_fingerprint: str = "") -> None:
-        """`closed_fingerprint`: as `Recovery` takes it; empty where no process has handed the file over."""
+        """`closed_fingerprint`: see `Recovery`; empty if no earlier process handed the file over."""
         self.name = name
         self.state = state
-        self.dropped = 0  # messages that can't be handled, or are beyond a bound
+        self.dropped = 0  # messages that can't be handled or exceed a limit
         self.rejected = 0
         self._recovery = Recovery(name, state, closed_fingerprint)
 
     @property
     def mode(self) -> ReplicaMode:
-        """Whether it votes, or how it comes to."""
+        """Whether the acceptor votes, and if not, the stage of its recovery."""
         return self._recovery.mode
 
     @property
@@ -69,24 +72,24 @@
 
     @property
     def progress(self) -> Progress:
-        """Its incarnation, and how many answers it has given in it."""
+        """The acceptor's incarnation, and the number of answers it has given in this incarnation."""
         return (*self.state.incarnation, self.state.answer_count)
 
     @property
     def voting_incarnation(self) -> Incarnation | None:
-        """The incarnation that it votes as; None where it does not vote."""
+        """The incarnation under which the acceptor votes; None if it does not vote."""
         return self.state.incarnation if self.mode is ReplicaMode.VOTING else None
 
     def on_disk_failed(self) -> None:
-        """The disk can't be written: what it holds is not known, so nothing is promised from here on."""
+        """Stop voting after a failed write: the content of the disk is unknown, so nothing more may be promised."""
         self._recovery.mode = ReplicaMode.FAILED
 
     def tick(self, now_ms: float) -> AcceptorOutput:
-        """Go on with the recovery, where it does not vote yet."""
+        """Continue the recovery of an acceptor that does not vote yet."""
         return self._recovery.tick(now_ms)
 
     def on_message(self, source: str, message: AnyMessage) -> AcceptorOutput:
-        """Handle a message to an acceptor; any other is counted as dropped."""
+        """Handle a message that is meant for acceptors; any other message is counted in `dropped`."""
         output = AcceptorOutput()
         match message:
             case ReadRequest():
@@ -121,7 +124,7 @@
         output.send(to, Rejected(key, ballot, reason, promised, replica_set))
 
     def _can_vote(self, to: str, epoch: int, key: str, ballot: Ballot, output: AcceptorOutput) -> bool:
-        """Whether it votes in that epoch; if not, the request is rejected."""
+        """Whether this acceptor votes in `epoch`. If not, this method rejects the request."""
         if epoch != self.state.replica_set.epoch:
             self._reject(to, key, ballot, RejectReason.EPOCH, output)
         elif self.mode is not ReplicaMode.VOTING or self.name not in self.state.replica_set.names:
@@ -179,7 +182,7 @@
         output.send(source, Accepted(key, ballot, self.progress))
 
     def _are_incarnations_current(self, promised_by: dict[str, Progress]) -> bool:
-        """Whether no later incarnation of those that promised is known here, and this one's own is the present one."""
+        """Whether no later incarnation of a promising acceptor is known, and this one promised in its current one."""
         if promised_by.get(self.name, NO_PROGRESS)[:2] != self.state.incarnation:
             return False
         known = self.state.peer_progress
@@ -198,7 +201,7 @@
             self.dropped += 1
             return
         if new != present:
-            # The same epoch only ever loses its `previous`, when all is in the new set
+            # Within an epoch, the only change is that `previous` is cleared once the new set holds all records
             if new.epoch == present.epoch and new.previous:
                 return
             self._adopt(new, output)
--- a/packages/owners/src/larkweir_owners/acceptor_file.py
+++ b/packages/owners/src/larkweir_owners/acceptor_file.py
@@ -1,10 +1,11 @@
-"""An acceptor's file: a log of entries that is flushed, compacted by a rename, and cut where its end is torn.
-
-The file is a header (magic, version, the random number that names this disk, CRC-32) and frames (length, CRC-32 over
-what follows it, serial, an entry as MessagePack). Entries before a damaged one count, none after it: what a flipped
-bit takes away is then missing as in an older copy, which the other replicas notice. A header that can't be read means
-a lost disk. A file is replaced by writing `NAME.new` completely, flushing it, renaming it, and flushing the folder.
-Any error ends the writing for this process, since after a failed flush it is not known what the file holds (fsync(2)).
+"""An acceptor's file: an append-only log that is flushed, compacted by a rename, and truncated at a torn end.
+
+The file is a header (magic, version, random disk id, CRC-32) followed by frames (length, CRC-32 over the rest of the
+frame, serial, an entry as MessagePack). Reading stops at the first damaged frame. The entries lost this way are missing
+as they would be in an older copy of the file, and the other replicas detect that. A header that can't be read is
+treated as a lost disk. To replace the file, `NAME.new` is written completely, flushed and renamed, and the folder is
+flushed. After any error this process writes no more, because a failed flush leaves the file's content unknown
+(fsync(2)).
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 SERIAL = struct.Struct(">Q")
 HEADER_BYTES = HEADER.size + CHECK.size
 MAX_ENTRY_BYTES = 16 * 1024
-# A file of this size, and of four times what it had when it was last rewritten, is compacted
+# The file is compacted at this size, or at four times its size after the last compaction if that is larger
 MIN_COMPACT_BYTES = 4 * 1024 * 1024
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -45,20 +46,20 @@
 
 
 def encode_header(disk_id: int) -> bytes:
-    """The header of a file."""
+    """Encode the header of a file."""
     text = HEADER.pack(MAGIC, VERSION, disk_id)
     return text + CHECK.pack(zlib.crc32(text))
 
 
 def encode_frame(serial: int, entry: LogEntry) -> bytes:
-    """An entry as it is in the file. `serial` counts a file's entries from 1."""
+    """Encode an entry as a frame of the file. `serial` counts a file's entries from 1."""
     inner = SERIAL.pack(serial) + _encode(entry)
     return FRAME.pack(len(inner), zlib.crc32(inner)) + inner
 
 
 def decode_file(data: bytes, replica_set: ReplicaSet) -> tuple[AcceptorState, int, int] | None:
-    """The state, how many bytes of the file count, and how many entries; None where the header can't be read.
-    `replica_set`: the set where the file names none.
+    """Return the state, the length of the valid part in bytes, and the number of entries; None if the header can't be
+    read. `replica_set`: the set to use if the file holds none.
     """
     if len(data) < HEADER_BYTES:
         return None
@@ -84,16 +85,16 @@
 
 
 class AcceptorFile:
-    """One acceptor's file, open. Blocking: used on a thread of its own, by one call at a time."""
+    """One acceptor's file. Its calls block: use it on a separate thread, one call at a time."""
 
     def __init__(
         self, files: FileSystem, replica_set: ReplicaSet, new_disk_id: Callable[[], int], name: str = "keeper"
     ) -> None:
-        """`new_disk_id`: a random number of 63 bits, for a disk that is new or lost."""
+        """`new_disk_id`: returns a random 63-bit number, for a new or lost disk."""
         self.name = name
-        self.state = AcceptorState(0, replica_set)  # what is on disk, and nothing else
-        self.truncated_bytes = 0  # after the last entry that counts, when it was opened
-        self.fault = ""  # why it is not written to any more
+        self.state = AcceptorState(0, replica_set)  # exactly what is on disk
+        self.truncated_bytes = 0  # removed after the last valid entry when the file was opened
+        self.fault = ""  # the error that stopped all writing, or ""
         self._files, self._new_disk_id = files, new_disk_id
         self._descriptor = -1
         self._serial = 0
@@ -101,10 +102,10 @@
         self._rewritten_bytes = 0
 
     def open(self) -> AcceptorState:
-        """Read the file, or make a new one; returns a copy of the state for the acceptor.
+        """Read the file, or create it; return a copy of the state for the acceptor.
 
         Raises:
-            OSError: another process has the folder (FolderInUseError), or it can't be read or written.
+            OSError: another process has locked the folder (FolderInUseError), or it can't be read or written.
         """
         self._files.lock()
         data = self._files.read(self.name)
@@ -120,7 +121,9 @@
         return self.state.copy()
 
     def append(self, entries: Iterable[LogEntry]) -> bool:
-        """Append and flush. False, then and ever after, where that fails: the acceptor must not vote any more."""
+        """Append entries and flush. After a failure, this and every later call return False, and the acceptor must stop
+        voting.
+        """
         if self.fault or self._descriptor < 0:
             return False
         written = list(entries)
@@ -142,14 +145,14 @@
             try:
                 self._rewrite()
             except OSError as error:
-                self._on_failed(error)  # what is flushed stands; nothing follows it
+                self._on_failed(error)  # the flushed entries remain valid; no more are written
         return True
 
     def close(self, voting_incarnation: Incarnation | None = None) -> str:
-        """Close the file: this process writes nothing from here on, and another may open it.
+        """Close the file. This process writes no more, and another process may open the file.
 
-        Returns the state's fingerprint where the acceptor voted as `voting_incarnation`, else "": one that had not
-        caught up, or whose coming to vote is not on disk, has nothing that a successor could vote by.
+        Returns the state's fingerprint if the acceptor voted as `voting_incarnation`, else "". A successor can't vote
+        from the file if the acceptor had not caught up, or if the disk does not record that it had begun to vote.
         """
         is_known = self._descriptor >= 0 and not self.fault
         if self._descriptor >= 0:
@@ -164,7 +167,7 @@
         self.fault = error.strerror or str(error)
 
     def _rewrite(self) -> None:
-        """Write the state to a new file, and put that in the old one's place."""
+        """Write the state to a new file, then replace the old file with it."""
         frames, serial = [encode_header(self.state.disk_id)], 0
         for entry in self.state.entries():
             serial += 1
--- a/packages/owners/src/larkweir_owners/acceptor_state.py
+++ b/packages/owners/src/larkweir_owners/acceptor_state.py
@@ -1,6 +1,6 @@
-"""The durable state of an acceptor, and the entries of the log that it is rebuilt from. Pure logic.
+"""The durable state of an acceptor, and the log entries from which it is rebuilt. Pure logic.
 
-The class tags and the order of fields are the format on disk.
+The class tags and the order of the fields define the disk format.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class SlotEntry(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """A register's new slot, with the progress of other acceptors that was learned from the same message."""
+    """A register's new slot, with the other acceptors' progress that the same message carried."""
 
     key: str
     slot: Slot
@@ -33,7 +33,7 @@
 
 
 class IncarnationEntry(msgspec.Struct, frozen=True, array_like=True, tag="m"):
-    """The acceptor's own incarnation. `can_vote`: it votes, or did before its process stopped."""
+    """The acceptor's own incarnation. `can_vote`: it votes, or it voted before its process stopped."""
 
     incarnation: Incarnation
     can_vote: bool
@@ -47,7 +47,7 @@
 
 
 class ReplicaSetEntry(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    """The replica set from here on."""
+    """The replica set that is in effect from this entry on."""
 
     replica_set: ReplicaSet
 
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class AcceptorState:
-    """What the entries of a log say together. `disk_id` is random, and made with the file."""
+    """The result of applying all entries of a log. `disk_id` is random and is chosen when the file is created."""
 
     disk_id: int
     replica_set: ReplicaSet
@@ -94,7 +94,7 @@
                 self.replica_set = replica_set
 
     def entries(self) -> Iterable[LogEntry]:
-        """Entries that rebuild this state from an empty one: the content of a compacted file."""
+        """Return entries that rebuild this state from an empty one, as written to a compacted file."""
         yield ReplicaSetEntry(self.replica_set)
         yield PeerProgressEntry(tuple(sorted(self.peer_progress.items())))
         for key in sorted(self.slots):
@@ -103,25 +103,25 @@
 
 
 def fingerprint(state: AcceptorState) -> str:
-    """A hash of the whole state, as hexadecimal digits. States that differ in anything have different ones."""
+    """Hash the whole state, as hexadecimal digits. Any difference between two states gives different fingerprints."""
     contents = msgspec.msgpack.encode((state.disk_id, list(state.entries())))
     return blake2b(contents, digest_size=16).hexdigest()
 
 
 @dataclass(slots=True)
 class AcceptorOutput:
-    """What one step of an acceptor asks of its driver: flush all `entries`, then send all `messages`. Where the flush
-    fails nothing is sent.
+    """The work that one call of an acceptor leaves to its driver: flush all `entries`, then send all `messages`. If the
+    flush fails, the driver sends nothing.
     """
 
     entries: list[LogEntry] = field(default_factory=list)
     messages: list[tuple[str, AnyMessage]] = field(default_factory=list)
 
     def persist(self, state: AcceptorState, entry: LogEntry) -> None:
-        """Apply an entry to `state`, and have it flushed."""
+        """Apply an entry to `state`, and queue it for flushing."""
         state.apply(entry)
         self.entries.append(entry)
 
     def send(self, to: str, message: AnyMessage) -> None:
-        """Have a message sent once all entries are flushed."""
+        """Queue a message that is sent once all entries are flushed."""
         self.messages.append((to, message))
--- a/packages/owners/src/larkweir_owners/duty_manager.py
+++ b/packages/owners/src/larkweir_owners/duty_manager.py
@@ -1,8 +1,8 @@
-"""All duties at one process: its part in each, the replicated states, and the acceptor if the process is a replica.
+"""Manages all duties at one process: leadership, replicated states, and the acceptor if the process is a replica.
 
-Messages and time go in by `on_message` and `tick`. What goes out goes by the transport, except for an acceptor's
-answers, which rest on its disk: `take_outputs` returns outputs, and the driver flushes the entries of each and then
-calls `on_flushed`, in their order. Pure logic.
+The driver passes in messages and time by `on_message` and `tick`. Outgoing messages are sent by the transport, except
+for an acceptor's answers, which must not be sent before its state is on disk. The driver gets these by `take_outputs`;
+for each output, in order, it flushes the entries and then calls `on_flushed`. Pure logic.
 """
 
 from __future__ import annotations
@@ -45,15 +45,15 @@
 from larkweir_owners.replica_set_change import ReplicaSetChange
 from larkweir_owners.state_replicator import Sampler, StateReplicator
 
-CANDIDATES = 3  # processes that watch a duty
-PLACEMENT_INTERVAL_MS = 1000.0  # between two looks at which processes are alive
+CANDIDATES = 3  # number of processes that watch a duty
+PLACEMENT_INTERVAL_MS = 1000.0  # interval between two rankings of the live processes
 MAX_BATCHED_MESSAGES = 64
-SUSPENDED = "rests"  # in STATUS, in place of a phase
+SUSPENDED = "rests"  # shown in STATUS instead of a phase
 
 
 @dataclass(frozen=True, slots=True)
 class DutyStatus:
-    """One duty as this process sees it. `phase`: a value of `Phase`, or `SUSPENDED`."""
+    """One duty as this process knows it. `phase`: a value of `Phase`, or `SUSPENDED`."""
 
     phase: str
     owner: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ManagerStatus:
-    """All of it, for STATUS. `mode`: of the acceptor, "" where the process is no replica."""
+    """The manager's state, for STATUS. `mode`: the acceptor's mode, or "" if the process is not a replica."""
 
     duties: dict[str, DutyStatus]
     has_majority: bool
@@ -76,7 +76,7 @@
 
 
 class DutyManager:
-    """Which duties this process owns, and what it holds of all of them."""
+    """Decides which duties this process owns, and holds the latest state of every duty."""
 
     def __init__(
         self,
@@ -91,8 +91,8 @@
         acceptor: Acceptor | None = None,
         initial_records: Iterable[tuple[str, Record]] = (),
     ) -> None:
-        """`incarnation`: random, made at each start; `jitter`: returns a number from 0 to 1; `sample`: so many of a
-        list, at random; `initial_records`: of an earlier incarnation, from a store.
+        """`incarnation`: a random number chosen at each start; `jitter`: returns a number from 0 to 1; `sample`: draws
+        a random sample from a list; `initial_records`: records of an earlier incarnation, from a store.
         """
         self.me = me
         self.acceptor = acceptor
@@ -120,7 +120,7 @@
     # ------------------------------------------------ in
 
     def on_message(self, source: str, message: bytes, now_ms: float) -> None:
-        """Handle a message of another process; one that can't be decoded is counted and dropped."""
+        """Handle a message from another process. A message that can't be decoded is dropped and counted."""
         self.proposer.set_time(now_ms)
         self._outbox.gather()
         self._on_data(source, message, now_ms)
@@ -128,7 +128,7 @@
         self._outbox.send()
 
     def tick(self, now_ms: float) -> None:
-        """Do what is due at `next_ms`."""
+        """Run the work that is due; call it at `next_ms`."""
         self.proposer.set_time(now_ms)
         self._outbox.gather()
         if now_ms >= self._placement_ms:
@@ -151,25 +151,25 @@
         self._outbox.send()
 
     def wake(self, name: str, now_ms: float) -> None:
-        """A duty has something to do: where this process owns it, its step is due with the next `tick`."""
+        """Report that a duty has work to do. If this process owns the duty, its next step becomes due early."""
         if (leadership := self.leaderships.get(name)) is not None:
             leadership.wake(now_ms)
 
     def on_lag(self, lag_ms: float, now_ms: float) -> None:
-        """The event loop came late by `lag_ms`: above `LeaseTiming.max_lag_ms` this process releases its duties."""
+        """Report that the event loop was late by `lag_ms`. Above `LeaseTiming.max_lag_ms` all duties are released."""
         if lag_ms > self.timing.max_lag_ms:
             for leadership in self.leaderships.values():
                 leadership.release(now_ms, self.timing.min_tenure_ms)
 
     def drain(self, now_ms: float) -> None:
-        """Hand over all duties, and acquire none from now on. Done when `owned_duties` is empty."""
+        """Release all duties, and acquire none from now on. Draining is complete when `owned_duties` is empty."""
         self.is_draining = True
         for leadership in self.leaderships.values():
             leadership.release(now_ms, float("inf"))
         self.tick(now_ms)
 
     def resume(self, now_ms: float) -> None:
-        """After `drain`: acquire duties again."""
+        """Allow this process to acquire duties again after `drain`."""
         self.is_draining = False
         for leadership in self.leaderships.values():
             leadership.resume()
@@ -189,21 +189,21 @@
 
     @property
     def owned_duties(self) -> list[str]:
-        """Names of the duties that this process believes to own."""
+        """Names of the duties that this process believes it owns."""
         return [name for name, leadership in self.leaderships.items() if leadership.is_owner]
 
     def take_outputs(self) -> list[AcceptorOutput]:
-        """Outputs of the acceptor, to be flushed in this order."""
+        """Return the acceptor's pending outputs, which must be flushed in this order."""
         outputs = list(self._outputs)
         self._outputs.clear()
         return outputs
 
     def on_flushed(self, output: AcceptorOutput, now_ms: float) -> None:
-        """The entries of an output are on disk: its messages may be sent. Once for each output, in their order."""
+        """Send the messages of an output whose entries are on disk. Call this once per output, in order."""
         self.on_all_flushed((output,), now_ms)
 
     def on_all_flushed(self, outputs: Iterable[AcceptorOutput], now_ms: float) -> None:
-        """As `on_flushed` of each, in their order; messages to one process go together."""
+        """Like `on_flushed` for each output in order, but messages to one process are batched."""
         self._outbox.gather()
         for output in outputs:
             self._unflushed -= 1
@@ -212,13 +212,13 @@
         self._outbox.send()
 
     def on_flush_failed(self) -> None:
-        """The acceptor stops voting, and none of the pending messages is sent."""
+        """Stop voting, and discard all pending messages of the acceptor."""
         if self.acceptor is not None:
             self.acceptor.on_disk_failed()
         self._outputs.clear()
 
     def status(self) -> ManagerStatus:
-        """The state of each duty and of the acceptor, for STATUS."""
+        """Return the state of each duty and of the acceptor, for STATUS."""
         queried = [
             leadership
             for leadership in self.leaderships.values()
@@ -247,7 +247,7 @@
     # ------------------------------------------------ messages
 
     def _drain_inbox(self, now_ms: float) -> None:
-        """Handle what this process has sent to itself."""
+        """Handle the messages that this process has sent to itself."""
         for _ in range(MAX_INBOX_MESSAGES):
             if not self._outbox.inbox:
                 return
@@ -295,7 +295,7 @@
 
     def _on_output(self, output: AcceptorOutput) -> None:
         if output.entries or (output.messages and self._unflushed):
-            # An answer without entries of its own may rest on some that are not on disk yet: it waits its turn
+            # An answer without entries may depend on earlier entries that are not on disk yet, so it waits for them
             self._outputs.append(output)
             self._unflushed += 1
         else:
@@ -308,7 +308,7 @@
     # ------------------------------------------------ duties
 
     def _place_duties(self) -> None:
-        """Rank the processes that are alive for each duty."""
+        """Rank the live processes for each duty."""
         alive = set(self._outbox.alive())
         alive.add(self.me)
         for name, leadership in self.leaderships.items():
@@ -324,5 +324,5 @@
         if duty is not None:
             try:
                 duty.on_committed(record.value, record.version)
-            except Exception:  # a duty's fault ends no process
+            except Exception:  # a faulty duty must not stop the process
                 self.failed_commits += 1
--- a/packages/owners/src/larkweir_owners/errors.py
+++ b/packages/owners/src/larkweir_owners/errors.py
@@ -1,10 +1,10 @@
-"""The exceptions of this package: `OwnersError` is the root of all of them."""
+"""The exceptions of this package; `OwnersError` is their base class."""
 
 from __future__ import annotations
 
 
 class OwnersError(Exception):
-    """Something that this package can't do, with what was wrong in the message."""
+    """The base of all errors of this package; the message states the cause."""
 
 
 class InvalidWriteError(OwnersError, ValueError):
--- a/packages/owners/src/larkweir_owners/file_system.py
+++ b/packages/owners/src/larkweir_owners/file_system.py
@@ -1,4 +1,4 @@
-"""The system calls that an acceptor's file makes: a locked folder, files that are appended to, flushed and renamed.
+"""The system calls that an acceptor's file needs: lock a folder; append to, flush and rename files.
 
 Each call may raise OSError.
 """
@@ -16,22 +16,22 @@
 
 
 class FileSystem(Protocol):
-    """The calls in one place, so that a test can fail any of them. OSError from each."""
+    """The system calls behind one interface, so that a test can make any of them fail. Each may raise OSError."""
 
     def lock(self) -> None:
-        """Make the folder, and lock it; FolderInUseError where another process has it."""
+        """Create the folder if necessary, and lock it; FolderInUseError if another process holds the lock."""
         ...
 
     def read(self, name: str) -> bytes | None:
-        """A file's content; None where there is no such file."""
+        """Return a file's content; None if there is no such file."""
         ...
 
     def create(self, name: str) -> int:
-        """Open an empty file for writing; returns its descriptor."""
+        """Open an empty file for writing; return its descriptor."""
         ...
 
     def append(self, name: str, length: int) -> int:
-        """Open a file for appending, cut to `length` bytes and flushed so; returns its descriptor."""
+        """Open a file for appending, truncate it to `length` bytes and flush it; return its descriptor."""
         ...
 
     def write(self, descriptor: int, data: bytes) -> None:
@@ -39,7 +39,7 @@
         ...
 
     def flush(self, descriptor: int) -> None:
-        """Return once what was written is on disk (fsync(2))."""
+        """Flush all written data to disk (fsync(2)) before returning."""
         ...
 
     def close_file(self, descriptor: int) -> None:
@@ -47,11 +47,11 @@
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Put a file in the place of another. It counts once the folder is flushed."""
+        """Replace the file `new` with the file `old`. The change is durable only after `flush_folder`."""
         ...
 
     def flush_folder(self) -> None:
-        """Flush the names of the folder."""
+        """Flush the folder, so that new and renamed files survive a crash."""
         ...
 
     def close(self) -> None:
@@ -60,14 +60,14 @@
 
 
 class LockedFolder:
-    """`FileSystem` on a folder of this user's own, which one process has at a time."""
+    """A `FileSystem` on a folder that only this user can access and only one process uses at a time."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self._lock = -1
 
     def lock(self) -> None:
-        """Make the folder, and lock it; FolderInUseError where another process has it."""
+        """Create the folder if necessary, and lock it; FolderInUseError if another process holds the lock."""
         os.makedirs(self.path, mode=0o700, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW
         self._lock = os.open(os.path.join(self.path, "keeper.lock"), flags, 0o600)
@@ -84,23 +84,23 @@
             self._lock = -1
 
     def read(self, name: str) -> bytes | None:
-        """A file's content; None where there is none. FileTooLargeError above `MAX_FILE_BYTES`."""
+        """Return a file's content; None if there is no such file. FileTooLargeError above `MAX_FILE_BYTES`."""
         try:
             descriptor = os.open(os.path.join(self.path, name), os.O_RDONLY | os.O_CLOEXEC | os.O_NOFOLLOW)
         except FileNotFoundError:
             return None
         with os.fdopen(descriptor, "rb") as file:
             if os.fstat(descriptor).st_size > MAX_FILE_BYTES:
-                raise FileTooLargeError(errno.EFBIG, "it is no keeper's file")
+                raise FileTooLargeError(errno.EFBIG, "the file is too large to be an acceptor's file")
             return file.read()
 
     def create(self, name: str) -> int:
-        """Open an empty file for writing; returns its descriptor."""
+        """Open an empty file for writing; return its descriptor."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC | os.O_NOFOLLOW
         return os.open(os.path.join(self.path, name), flags, 0o600)
 
     def append(self, name: str, length: int) -> int:
-        """Open a file for appending, cut to `length` bytes and flushed so; returns its descriptor."""
+        """Open a file for appending, truncate it to `length` bytes and flush it; return its descriptor."""
         flags = os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC | os.O_NOFOLLOW
         descriptor = os.open(os.path.join(self.path, name), flags)
         try:
@@ -118,7 +118,7 @@
             left = left[os.write(descriptor, left) :]
 
     def flush(self, descriptor: int) -> None:
-        """Return once what was written is on disk (fsync(2))."""
+        """Flush all written data to disk (fsync(2)) before returning."""
         os.fsync(descriptor)
 
     def close_file(self, descriptor: int) -> None:
@@ -126,11 +126,11 @@
         os.close(descriptor)
 
     def rename(self, old: str, new: str) -> None:
-        """Put a file in the place of another. It counts once the folder is flushed."""
+        """Replace the file `new` with the file `old`. The change is durable only after `flush_folder`."""
         os.rename(os.path.join(self.path, old), os.path.join(self.path, new))
 
     def flush_folder(self) -> None:
-        """Flush the names of the folder."""
+        """Flush the folder, so that new and renamed files survive a crash."""
         descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/packages/owners/src/larkweir_owners/leadership.py
+++ b/packages/owners/src/larkweir_owners/leadership.py
@@ -1,7 +1,7 @@
-"""One duty at one process: to watch its owner, to acquire it under a new term, to hold its lease, to release it.
+"""One duty at one process: watch its owner, acquire it under a new term, hold its lease, release it.
 
-Nothing here is made safe by time. A step counts once a majority of the replicas has accepted a conditional write under
-the term; the registers reject all others. The lease only makes it rare that two contend: an owner is suspended while
+Safety does not depend on time. A step counts once a majority of the replicas has accepted a conditional write under the
+owner's term; the registers reject every other write. The lease only makes contention rare: an owner is suspended while
 its lease has not been renewed for `lease_ms` by its own clock. Pure logic.
 """
 
@@ -15,12 +15,12 @@
 from larkweir_owners.owner_watch import OwnerWatch
 from larkweir_owners.ports import Duty, Outcome, Publisher, Registers, Result
 
-MAX_REMINDERS = 3  # to a preferred owner that has not taken the duty yet
-REMIND_MS = 40.0  # from one to the next
+MAX_REMINDERS = 3  # notifications to a preferred owner that has not acquired the duty yet
+REMIND_MS = 40.0  # interval between reminders
 
 
 class Leadership:
-    """A process's part in one duty. `is_owner` says what this process believes; what counts, the registers decide."""
+    """A process's role in one duty. `is_owner` is only its own belief; the registers decide which writes count."""
 
     def __init__(
         self,
@@ -35,34 +35,34 @@
         self.phase = Phase.WATCHING
         self.next_ms = 0.0
         self.terms_taken = 0
-        self.rejected = 0  # writes that met another version
-        self.failed_steps = 0  # steps that raised, or returned too much
-        self.late_turns = 0  # turns that came so late that the lease was over
+        self.rejected = 0  # writes rejected because the register held another version
+        self.failed_steps = 0  # steps that raised an exception or returned an oversized state
+        self.late_turns = 0  # ticks that were late by more than `LeaseTiming.max_lag_ms`
         self._me, self._registers, self._publisher = me, registers, publisher
         self._watch = OwnerWatch(me, timing)
         self._register_behind: Version | None = (
-            None  # what the register holds, where more has counted than that
+            None  # the register's version, if it is behind the known record
         )
-        self._renewed_ms = -inf  # when the last write that counted was begun
+        self._renewed_ms = -inf  # start of the last successful write
         self._acquired_ms = 0.0
-        self._is_busy = False  # a write is under way, or a read that an owner waits for
-        self._is_reading = False  # a candidate's read is under way
+        self._is_busy = False  # a write is in progress, or a read that an owner waits for
+        self._is_reading = False  # a candidate's read is in progress
         self._announced, self._announced_update_count = NO_VERSION, -1
         self._reminders_left = 0
-        self._successor = ""  # the best of the other candidates
-        self._successor_preferred_ms = 0.0  # since when it is preferred to this process; 0.0: it is not
+        self._successor = ""  # the highest-ranked of the other candidates
+        self._successor_preferred_ms = 0.0  # since when it is preferred over this process; 0.0: it is not
         self._is_releasing = False
         self._step_ms = 0.0  # when the duty's next step is due
         self._stepped_ms = -inf
 
     @property
     def record(self) -> Record | None:
-        """The latest record that is known to count."""
+        """The latest record that is known to be accepted by a majority."""
         return self._watch.record
 
     @property
     def has_majority(self) -> bool:
-        """Whether the last question to the replicas was answered by a majority."""
+        """Whether a majority of the replicas answered the last request."""
         return self._watch.has_majority
 
     @property
@@ -72,7 +72,7 @@
 
     @property
     def is_suspended(self) -> bool:
-        """It owns, but its lease is over: no step is taken until a write has counted again."""
+        """Whether this owner's lease has expired. It runs no step until a write succeeds again."""
         return self.is_owner and self._watch.now_ms - self._renewed_ms >= self.timing.lease_ms
 
     @property
@@ -80,11 +80,11 @@
         """Whether an owner's write is under way."""
         return self._is_busy and self.phase is Phase.OWNER
 
-    # ------------------------------------------------ what the process asks of it
+    # ------------------------------------------------ calls of the duty manager
 
     def set_preference(self, rank: int | None, successor: str) -> None:
-        """`rank`: this process's among the duty's candidates (0 is preferred), None where it is none; `successor`: the
-        best of the others.
+        """`rank`: this process's rank among the duty's candidates (0 is preferred), None if it is not a candidate;
+        `successor`: the highest-ranked other process.
         """
         now_ms = self._watch.now_ms
         if rank == 0 or not successor:
@@ -96,7 +96,7 @@
         self._watch.rank, self._successor = rank, successor
 
     def release(self, now_ms: float, yield_ms: float) -> None:
-        """Hand the duty over, and let others go first for `yield_ms` (inf: take no duty)."""
+        """Release the duty, and yield to other candidates for `yield_ms` (inf: acquire no duty)."""
         self._watch.now_ms = now_ms
         self._yield(now_ms + yield_ms)
         if self.is_owner:
@@ -104,38 +104,38 @@
             self.next_ms = now_ms
 
     def resume(self) -> None:
-        """Take the duty again when it is free."""
+        """Stop yielding: acquire the duty again when it is free."""
         self._watch.yield_until_ms = 0.0
 
     def on_record_seen(self, record: Record, now_ms: float, source: str = "") -> None:
-        """A record that counts has arrived from another process: as good as one that was read, but it may be old, and
-        is no sign that its owner is there now unless that is the `source`.
+        """Handle a committed record from another process. It is as valid as a record read from the register, but it may
+        be old, and shows that its owner is live only if the owner is the `source`.
         """
         watch = self._watch
         watch.now_ms = max(now_ms, watch.now_ms)
         if watch.record is None or record.version > watch.record.version:
             if not self._is_busy and not watch.is_mine(record):
-                if self.is_owner:  # another has it, or nobody: what this process held is over
+                if self.is_owner:  # another has it, or nobody: this process has lost the duty
                     self.rejected += 1
                     self._stop_owning()
                 watch.learn(record, is_fresh=source == record.owner)
-                watch.has_majority = True  # one has accepted it
+                watch.has_majority = True  # a majority has accepted it
             if self._can_acquire(now_ms):
                 self.next_ms = now_ms
 
     def wake(self, now_ms: float) -> None:
-        """The duty has something to do: its step is due as soon as it is allowed."""
+        """Report that the duty has work to do: its next step becomes due as soon as `wake_ms` allows."""
         if self.phase is Phase.OWNER:
             self._step_ms = min(self._step_ms, max(now_ms, self._stepped_ms + self.timing.wake_ms))
             if not self._is_busy:
                 self.next_ms = min(self.next_ms, self._step_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Do what is due at `next_ms`."""
+        """Run the work that is due; call it at `next_ms`."""
         late_ms = now_ms - max(self.next_ms, self._watch.now_ms)
         self._watch.now_ms = now_ms
         if self._is_busy:
-            self.next_ms = now_ms + self.timing.check_ms  # the operation ends by itself
+            self.next_ms = now_ms + self.timing.check_ms  # the callback of the operation continues
         elif self.is_owner:
             if late_ms > self.timing.max_lag_ms:
                 self.late_turns += 1
@@ -150,7 +150,7 @@
             self._check_owner(now_ms)
 
     def piggyback(self, now_ms: float) -> None:
-        """Another duty of this process is being written: renew a lease that is due soon, so that both go together."""
+        """Renew a lease that is due soon while another duty of this process is written, so that both are batched."""
         soon = now_ms >= self._renew_ms - self.timing.renew_ms / 3
         if soon and self.phase is Phase.OWNER and not self._is_busy and not self._is_releasing:
             self._watch.now_ms = now_ms
@@ -165,7 +165,7 @@
         return not self.is_owner and not self._is_busy and self._watch.can_acquire(now_ms)
 
     def _remind(self, now_ms: float) -> None:
-        """Notify the preferred owner of a duty that this process has released."""
+        """Notify the preferred owner again of a duty that this process has released."""
         self._reminders_left -= 1
         self.next_ms = now_ms + REMIND_MS
         record = self.record
@@ -173,7 +173,7 @@
             self._publisher.notify_preferred_owner(self.key, record)
 
     def _check_owner(self, now_ms: float) -> None:
-        """As a candidate: read the register where the owner's updates do not arrive."""
+        """As a candidate, read the register if no updates from the owner arrive."""
         watch = self._watch
         if watch.rank is None:
             self.next_ms = inf
@@ -189,7 +189,7 @@
 
     def _on_checked(self, result: Result) -> None:
         self._is_reading = False
-        if self._is_busy or self.is_owner:  # it has acquired the duty meanwhile, or is about to
+        if self._is_busy or self.is_owner:  # this process has acquired the duty meanwhile, or is acquiring it
             return
         self._watch.on_read(result)
         if self._watch.has_majority and self._can_acquire(self._watch.now_ms):
@@ -198,7 +198,7 @@
     # ------------------------------------------------ acquiring
 
     def _acquire(self) -> None:
-        """Write a record under a term above all that was seen."""
+        """Write a record under a term above every term seen so far."""
         record = self.record
         known = record.version if record is not None else NO_VERSION
         seen = self._publisher.version(self.key)
@@ -227,11 +227,11 @@
         watch.has_majority = result.outcome is Outcome.CONFLICT
         self._register_behind = None
         if watch.has_majority and watch.record is not None:
-            # A register that holds less than what has counted: more disks are lost than is allowed for. The known
-            # state goes on from here, under a term above all that was seen
+            # The register may be behind the known record: more disks were lost than the replicas tolerate. The next
+            # write then continues from the known state, under a term above every term seen so far
             register_version = result.record.version if result.record is not None else NO_VERSION
             self._register_behind = register_version if register_version < watch.record.version else None
-        if result.record is not None:  # this round may have completed what its owner left half done
+        if result.record is not None:  # this round may have completed the owner's unfinished write
             watch.learn(result.record, is_fresh=False)
         self.next_ms = watch.now_ms + self.timing.check_ms
 
@@ -242,7 +242,7 @@
         return self.record
 
     def _maintain(self, now_ms: float) -> None:
-        """As the owner: release the duty, step it, or renew its lease, whichever is due."""
+        """As the owner, release the duty, run its step or renew its lease, whichever is due."""
         if self.phase is Phase.UNSURE:
             self.next_ms = now_ms + self.timing.check_ms
             self._is_busy = True
@@ -268,7 +268,7 @@
         self.next_ms = min(self._step_ms, self._renew_ms)
 
     def _should_move(self, now_ms: float) -> bool:
-        """Whether another process has been preferred, and the duty held here, for long enough."""
+        """Whether, for the minimum tenure, another process was preferred and this process held the duty."""
         if not self._successor_preferred_ms:
             return False
         return now_ms - max(self._successor_preferred_ms, self._acquired_ms) >= self.timing.min_tenure_ms
@@ -281,10 +281,10 @@
         self._write(record.version, self._next_record(record, record.value, 0), self._on_written)
 
     def _run_step(self, record: Record, now_ms: float) -> bytes | None:
-        """The duty's next state; None where there is none."""
+        """Run the duty's step. Return its next state, or None if there is no new state."""
         try:
             value = self.duty.step(record.value, now_ms)
-        except Exception:  # a duty's fault ends no process; the duty stops, and STATUS counts it
+        except Exception:  # a faulty duty must not stop the process; STATUS counts its failed steps
             self.failed_steps += 1
             return None
         if value is not None and len(value) > MAX_STATE_BYTES:
@@ -335,7 +335,7 @@
             watch.learn(result.record)
 
     def _on_unsure_read(self, result: Result) -> None:
-        """What the register holds, after a write whose outcome was not known."""
+        """Handle the read that follows a write with an unknown outcome."""
         self._is_busy = False
         self._watch.has_majority = result.outcome is not Outcome.UNKNOWN
         if not self._watch.has_majority:
@@ -349,7 +349,7 @@
             self._on_conflict(result)
 
     def _on_conflict(self, result: Result) -> None:
-        """The register holds another version than the one that this process has written last."""
+        """Handle a register that does not hold the version that this process wrote last."""
         self.rejected += 1
         record, known = result.record, self.record
         if (
@@ -358,7 +358,7 @@
             and self._watch.is_mine(record)
             and record.version >= known.version
         ):
-            self.phase = Phase.OWNER  # an earlier write of this process had counted after all
+            self.phase = Phase.OWNER  # an earlier write of this process succeeded after all
             self._on_counted(record)
             return
         self._stop_owning()
@@ -370,13 +370,13 @@
         self.phase, self._is_releasing = Phase.WATCHING, False
 
     def _on_counted(self, record: Record) -> None:
-        """A majority has accepted it, and it is this process's."""
+        """Handle a record of this process that a majority has accepted."""
         self._watch.learn(record)
         self.next_ms = self._watch.now_ms if self._is_releasing else min(self._step_ms, self._renew_ms)
         self._publish(record)
 
     def _publish(self, record: Record) -> None:
-        """Every process gets a new term, a new state, and a released duty; only candidates get a renewed lease."""
+        """Send a new term, a new state or a released duty to every process, and a renewed lease to candidates."""
         last = self._announced
         if record.version <= last:
             return
@@ -389,5 +389,7 @@
 
 
 def _next_aligned_ms(after_ms: float, every_ms: float) -> float:
-    """The next of the moments that all duties of a process share, so that their writes go together."""
+    """Return the next multiple of `every_ms`. All duties of a process share these times, so that their writes are
+    batched.
+    """
     return (after_ms // every_ms + 1.0) * every_ms
--- a/packages/owners/src/larkweir_owners/messages.py
+++ b/packages/owners/src/larkweir_owners/messages.py
@@ -1,8 +1,8 @@
-"""What proposers and acceptors send to each other, as values and as bytes (MessagePack by msgspec). Pure logic.
+"""The messages between proposers and acceptors, and their encoding (MessagePack by msgspec). Pure logic.
 
-A message is at most `MAX_MESSAGE_BYTES`; one that can't be decoded, or of an unknown kind, is None. Ballots, progress
-and versions are plain tuples, so that they are ordered and hashed as they are. The numeric tags and the order of the
-fields are the wire format; names are not on the wire.
+A message has at most `MAX_MESSAGE_BYTES`. A message that can't be decoded or has an unknown tag is decoded as None.
+Ballots, progress and versions are plain tuples, so that they can be compared and hashed directly. The numeric tags and
+the order of the fields define the wire format; names are not on the wire.
 """
 
 from __future__ import annotations
@@ -13,15 +13,19 @@
 
 import msgspec
 
-MAX_MESSAGE_BYTES = 8 * 1024  # what a transport carries
-MAX_STATE_BYTES = 6 * 1024  # of a record's value; leaves room for names and progress
-MAX_NAME_CHARS = 128  # of a key or a process's name
-MAX_UPDATES_BYTES = 7 * 1024  # of keys, names and values in one StateUpdates
-MAX_BATCH_BYTES = 180  # of small messages that go together: about what one datagram carries
+MAX_MESSAGE_BYTES = 8 * 1024  # the largest message that a transport must carry
+MAX_STATE_BYTES = 6 * 1024  # limit for a record's value; leaves room for names and progress
+MAX_NAME_CHARS = 128  # limit for a key or a process's name
+MAX_UPDATES_BYTES = 7 * 1024  # limit for the keys, names and values in one StateUpdates
+MAX_BATCH_BYTES = 180  # limit for a batch of small messages: about the payload of one datagram
 
 Ballot: TypeAlias = tuple[int, str, int]  # counter, proposer's name, proposer's incarnation
-Incarnation: TypeAlias = tuple[int, int]  # of an acceptor: how often its disk was new, and the disk's id
-Progress: TypeAlias = tuple[int, int, int]  # an acceptor's incarnation, and how many answers it gave in it
+Incarnation: TypeAlias = tuple[
+    int, int
+]  # of an acceptor: a number that increases with each incarnation, and the disk's id
+Progress: TypeAlias = tuple[
+    int, int, int
+]  # an acceptor's incarnation, and its number of answers in this incarnation
 Version: TypeAlias = tuple[int, int]  # term, number
 
 NO_BALLOT: Ballot = (0, "", 0)
@@ -30,8 +34,9 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a register holds: who owns the duty, and its state. `number` counts writes over all terms, `update_count`
-    those that changed `value`. `owner` "" is nobody; `preferred_owner` is then who is to take the next term, or "".
+    """The content of a register: the duty's owner and state. `number` counts all writes over all terms, `update_count`
+    only the writes that changed `value`. If `owner` is "", nobody owns the duty; `preferred_owner` is then the process
+    that should acquire the next term, or "".
     """
 
     term: int
@@ -44,13 +49,13 @@
 
     @property
     def version(self) -> Version:
-        """Versions of one register only go up."""
+        """The version of a register only increases."""
         return (self.term, self.number)
 
 
 class ReplicaSet(msgspec.Struct, frozen=True, array_like=True):
-    """The replicas of all registers. `previous`: those of the epoch before, until this set holds all that they held.
-    `added`: a replica that this set added, with the incarnation by which it was known then.
+    """The replicas of all registers. `previous`: the replicas of the previous epoch, until this set holds all their
+    records. `added`: the replica that this set added, with its incarnation at that time.
     """
 
     epoch: int
@@ -67,10 +72,10 @@
 class RejectReason(StrEnum):
     """Why an acceptor rejects a request. The values are on the wire."""
 
-    BALLOT = "ballot"  # a higher one is promised
-    INCARNATION = "life"  # an acceptor that promised it has a later incarnation
+    BALLOT = "ballot"  # the acceptor has promised a higher ballot
+    INCARNATION = "life"  # an acceptor that promised the ballot has a later incarnation
     NOT_VOTING = "rest"
-    EPOCH = "epoch"  # the request is of another replica set
+    EPOCH = "epoch"  # the request belongs to another replica set
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag_field="k", gc=False):
@@ -81,7 +86,7 @@
 
 
 class ReadRequest(Message, frozen=True, tag=1):
-    """Which record of `key` have you accepted last?"""
+    """Ask for the record of `key` that the acceptor accepted last."""
 
     operation_id: int
     epoch: int
@@ -89,7 +94,7 @@
 
 
 class Prepare(Message, frozen=True, tag=2):
-    """Promise to accept nothing of `key` under a lower ballot."""
+    """Ask for a promise to accept no record of `key` under a lower ballot."""
 
     epoch: int
     key: str
@@ -97,7 +102,9 @@
 
 
 class Accept(Message, frozen=True, tag=3):
-    """Accept a record. `promised_by`: the progress of those that promised the ballot, the receiver among them."""
+    """Ask to accept a record. `promised_by`: the progress of the acceptors that promised the ballot, including the
+    receiver.
+    """
 
     epoch: int
     key: str
@@ -110,7 +117,7 @@
 
 
 class ReadReply(Message, frozen=True, tag=4):
-    """The answer to ReadRequest: the ballot accepted last and its record."""
+    """The answer to ReadRequest: the last accepted ballot and its record."""
 
     operation_id: int
     key: str
@@ -119,7 +126,7 @@
 
 
 class Promised(Message, frozen=True, tag=5):
-    """The answer to Prepare. `known_progress`: of other acceptors, as far as this one knows."""
+    """The answer to Prepare. `known_progress`: the progress of other acceptors that this acceptor knows."""
 
     key: str
     ballot: Ballot
@@ -138,8 +145,8 @@
 
 
 class Rejected(Message, frozen=True, tag=7):
-    """The answer to a request that is not granted. `reason`: a RejectReason, or one of a later release;
-    `promised_ballot` is above the request's for BALLOT, `replica_set` the acceptor's for EPOCH.
+    """The answer to a rejected request. `reason`: a RejectReason, or an unknown reason from a later release;
+    `promised_ballot`: for BALLOT, the ballot above the request's; `replica_set`: for EPOCH, the acceptor's set.
     """
 
     key: str
@@ -153,14 +160,14 @@
 
 
 class RecoveryQuery(Message, frozen=True, tag=8):
-    """What do you know of me? From an acceptor that has just started."""
+    """Sent by an acceptor that has just started, to learn what others know about it."""
 
     disk_id: int
 
 
 class RecoveryReply(Message, frozen=True, tag=9):
-    """`requester_progress`: the highest progress known of the asker; `mode` and `progress` are those of the one that
-    answers.
+    """The answer to RecoveryQuery. `requester_progress`: the highest known progress of the acceptor that asks; `mode`
+    and `progress`: those of the replica that answers.
     """
 
     requester_progress: Progress
@@ -170,7 +177,7 @@
 
 
 class CatchUpRequest(Message, frozen=True, tag=10):
-    """Record my new incarnation, then send me the slots that you hold after `after_key`."""
+    """Ask a replica to record the sender's new incarnation and then to send its slots after `after_key`."""
 
     incarnation: Incarnation
     after_key: str
@@ -179,7 +186,7 @@
 class CatchUpPage(Message, frozen=True, tag=11):
     """The answer to CatchUpRequest. `slots`: key, promised ballot, accepted ballot, record."""
 
-    incarnation: Incarnation  # the asker's
+    incarnation: Incarnation  # of the replica that asks
     after_key: str
     slots: tuple[tuple[str, Ballot, Ballot, Record | None], ...]
     has_more: bool
@@ -190,14 +197,14 @@
 
 
 class AdoptSet(Message, frozen=True, tag=12):
-    """Go by this replica set from now on. Answered by SetAdopted once it is on disk."""
+    """Ask a replica to use this replica set from now on. It answers with SetAdopted once the set is on disk."""
 
     replica_set: ReplicaSet
     after_key: str = ""
 
 
 class SetAdopted(Message, frozen=True, tag=13):
-    """`keys`: what the one that answers holds, a page of them after `after_key`."""
+    """The answer to AdoptSet. `keys`: a page of the keys that the replica holds, after `after_key`."""
 
     epoch: int
     after_key: str
@@ -205,23 +212,23 @@
     has_more: bool
 
 
-# ------------------------------------------------ of state updates
+# ------------------------------------------------ state updates
 
 
 class StateUpdates(Message, frozen=True, tag=14):
-    """Records that a majority has accepted, by key."""
+    """Records that a majority has accepted, with their keys."""
 
     updates: tuple[tuple[str, Record], ...]
 
 
 class Digest(Message, frozen=True, tag=15):
-    """The versions that the sender holds: key, term, number."""
+    """The versions that the sender holds, as (key, term, number)."""
 
     versions: tuple[tuple[str, int, int], ...]
 
 
 class Batch(Message, frozen=True, tag=16):
-    """Small messages to one process that go together, in their order. None of them is a batch."""
+    """Small messages to one process, in order. None of them may be a batch."""
 
     items: tuple[bytes, ...]
 
@@ -250,12 +257,12 @@
 
 
 def encode(message: AnyMessage) -> bytes:
-    """The bytes of a message."""
+    """Encode a message."""
     return _encode(message)
 
 
 def decode(data: bytes) -> AnyMessage | None:
-    """The message of some bytes; None where they are too many, of an unknown kind, or no message at all."""
+    """Decode a message; return None if the data is too long, of an unknown kind or not a message."""
     if len(data) > MAX_MESSAGE_BYTES:
         return None
     try:
@@ -265,8 +272,8 @@
 
 
 def batched(messages: Iterable[bytes]) -> Iterator[bytes]:
-    """The same encoded messages in their order, with small neighbours in one Batch. A large one goes alone, so that
-    the loss of a datagram takes no more with it than before.
+    """Combine consecutive small messages into batches, in order. A large message is sent alone, so that the loss of a
+    datagram loses no more messages than it would without batching.
     """
     pending: list[bytes] = []
     size_bytes = 0
--- a/packages/owners/src/larkweir_owners/outbox.py
+++ b/packages/owners/src/larkweir_owners/outbox.py
@@ -1,4 +1,4 @@
-"""The transport that also reaches this process itself, and sends small messages to one process together."""
+"""A transport that batches small messages per receiver and can also deliver to this process itself."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 class Outbox:
-    """A `Transport`. Between `gather` and `send` it holds outgoing messages, so that small ones to one process are sent
-    as one. Messages to this process itself are put into `inbox`.
+    """A `Transport` that buffers outgoing messages between `gather` and `send`, and then sends small messages to one
+    process as one batch. Messages to this process itself are put into `inbox`.
     """
 
     def __init__(self, me: str, transport: Transport) -> None:
@@ -23,11 +23,11 @@
         self._is_gathering = False
 
     def gather(self) -> None:
-        """Hold outgoing messages from here on."""
+        """Buffer outgoing messages until `send`."""
         self._is_gathering = True
 
     def send(self) -> None:
-        """Send what was held, in batches, and hold nothing any more."""
+        """Send the buffered messages in batches, and stop buffering."""
         self._is_gathering = False
         gathered, self._gathered = self._gathered, {}
         for to, messages in gathered.items():
@@ -35,7 +35,7 @@
                 self._transport.post(to, message)
 
     def post(self, to: str, item: bytes) -> bool:
-        """Send a message, or hold it. What is held counts as sent: every sender can bear the loss of a message."""
+        """Send or buffer a message. A buffered message counts as sent, since every sender tolerates a lost message."""
         if to != self._me:
             if not self._is_gathering:
                 return self._transport.post(to, item)
@@ -47,5 +47,5 @@
         return True
 
     def alive(self) -> Sequence[str]:
-        """As the transport says."""
+        """The processes that the underlying transport reports as alive."""
         return self._transport.alive()
--- a/packages/owners/src/larkweir_owners/owner_watch.py
+++ b/packages/owners/src/larkweir_owners/owner_watch.py
@@ -1,7 +1,7 @@
-"""What one process knows of a duty's owner, and when it may take the duty itself. Pure logic.
+"""What one process knows about a duty's owner, and when the process may acquire the duty. Pure logic.
 
-A candidate waits until it has seen no change for a lease, by its own clock. That only makes it rare that two contend:
-what counts is decided by the registers.
+A candidate waits until it has seen no change for the length of a lease, by its own clock. This wait only makes it rare
+that two candidates contend; which write counts is decided by the registers.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 
 class OwnerWatch:
-    """The latest record of a duty that is known to count, and since when it is known."""
+    """The latest record of a duty that is known to be accepted by a majority, and when it was learned."""
 
     def __init__(self, me: tuple[str, int], timing: LeaseTiming) -> None:
         """`me`: this process's name and incarnation."""
-        self.now_ms = 0.0  # the latest time of a call
+        self.now_ms = 0.0  # the time of the latest call
         self.record: Record | None = None
-        self.has_majority = False  # the last question to the replicas was answered by a majority
+        self.has_majority = False  # a majority of the replicas answered the last request
         self.rank: int | None = (
-            None  # this process's place among the candidates, 0 is preferred; None: it is none
+            None  # this process's rank among the candidates; 0 is preferred, None is not a candidate
         )
-        self.yield_until_ms = 0.0  # it lets others go first until then; inf: it takes no duty
-        self.owner_seen_ms = 0.0  # when the owner was seen to be there last
+        self.yield_until_ms = 0.0  # yields to other candidates until then; inf: acquires no duty
+        self.owner_seen_ms = 0.0  # when there was last evidence that the owner is live
         self._me, self._timing = me, timing
-        self._learned_ms = 0.0  # when the record was first seen as it is
+        self._learned_ms = 0.0  # when the current record was first seen
         self._read_ms = -inf
 
     def is_mine(self, record: Record) -> bool:
@@ -35,7 +35,7 @@
         return (record.owner, record.incarnation) == self._me
 
     def learn(self, record: Record, is_fresh: bool = True) -> None:
-        """Keep a record that is newer than the known one. `is_fresh`: it was written just now, as far as is known."""
+        """Keep a record that is newer than the known one. `is_fresh`: as far as is known, it has just been written."""
         before = self.record
         if before is None or record.version > before.version:
             self.record = record
@@ -44,7 +44,7 @@
                 self.owner_seen_ms = self.now_ms
 
     def on_read(self, result: Result) -> None:
-        """The register's record, as a read gave it."""
+        """Handle the result of reading the register."""
         self.has_majority = result.outcome is not Outcome.UNKNOWN
         if not self.has_majority:
             return
@@ -56,7 +56,7 @@
             self.owner_seen_ms = self.now_ms
 
     def is_owner_live(self, now_ms: float) -> bool:
-        """Whether the owner's updates arrive, which are as good as reads."""
+        """Whether updates from the owner arrive, so that the register need not be read."""
         return (
             self.has_majority
             and self.record is not None
@@ -65,10 +65,11 @@
         )
 
     def can_acquire(self, now_ms: float) -> bool:
-        """Whether nobody owns the duty, or its owner was not seen for a lease; the preferred candidate first.
+        """Whether the duty is free, or its owner was not seen for a lease. The preferred candidate is allowed first.
 
-        A duty that was released to this process by name is taken at once, also while this process lets others go first:
-        the former owner does not know of that, and all others wait. Not while it drains.
+        A duty that was released to this process by name may be acquired at once, even while this process yields to
+        other candidates: the former owner does not know that this process yields, and all others wait for it. A process
+        that drains acquires nothing.
         """
         if self.yield_until_ms == inf:
             return False
@@ -78,16 +79,17 @@
         if self.rank is None or not self.has_majority:
             return False
         if record is not None and self.is_mine(record) and now_ms >= self.yield_until_ms:
-            return True  # acquired by a write whose outcome was not known
+            return True  # acquired earlier by a write whose outcome was unknown
         return now_ms >= self.available_ms
 
     @property
     def available_ms(self) -> float:
-        """When this candidate may take the duty, if nothing more arrives.
+        """When this candidate may acquire the duty if no further update arrives.
 
-        A process that lets others go first waits half a lease longer: had none of them taken the duty by then, they are
-        paused or yield as well, and a fourth would move up only once membership has counted the first as lost. What was
-        learned late says that the owner was there some time; one that is there renews within half a lease.
+        A yielding process waits half a lease longer. If no other candidate has acquired the duty by then, the others
+        are paused or yield too, and a fourth process becomes a candidate only after membership has removed one of them.
+        A record that was learned late shows only that the owner was live at some time; a live owner renews within half
+        a lease.
         """
         record, lease_ms = self.record, self._timing.lease_ms
         wait_ms = 0.25 * (self.rank or 0) * lease_ms
--- a/packages/owners/src/larkweir_owners/ports.py
+++ b/packages/owners/src/larkweir_owners/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces of this package: the transport, the registers, and what a duty is."""
+"""The interfaces of this package: transport, registers, duties and the publisher of records."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class Transport(Protocol):
-    """Carries messages between processes; each may be lost, duplicated, late or out of order."""
+    """Carries messages between processes. Messages may be lost, duplicated, delayed or reordered."""
 
     def post(self, to: str, item: bytes) -> bool:
-        """Send a message; False where the sender's budget does not allow it."""
+        """Send a message; return False if the sender's budget does not allow it."""
         ...
 
     def alive(self) -> Sequence[str]:
-        """Processes that are likely to answer: a hint, never the truth."""
+        """Processes that are likely to answer. This is only a hint."""
         ...
 
 
 class Outcome(Enum):
     """How an operation on a register ended."""
 
-    DONE = "done"  # read, or written: a majority has it
-    CONFLICT = "conflict"  # the register holds another version than was expected
-    UNKNOWN = "unknown"  # no majority answered in time: it may or may not be written
+    DONE = "done"  # the read or write is complete, confirmed by a majority
+    CONFLICT = "conflict"  # the register does not hold the expected version
+    UNKNOWN = "unknown"  # no majority answered in time: the write may or may not have taken effect
 
 
 class Result(NamedTuple):
-    """`record`: what the register held when this was decided; None where nothing, or not known. `may_have_counted`: the
-    write did not end as DONE, and yet it may have counted for a while.
+    """`record`: the register's content when the outcome was decided; None if the register was empty or its content is
+    unknown. `may_have_counted`: the write did not end as DONE, but may have been in effect for a while.
     """
 
     outcome: Outcome
@@ -43,14 +43,14 @@
 
 
 class Registers(Protocol):
-    """Conditional registers. Linearizable: a write counts only if the register held `expected` until then."""
+    """Linearizable registers with conditional writes: a write succeeds only if the register still holds `expected`."""
 
     def read(self, key: str, on_result: OnResult) -> None:
-        """Read a register; `on_result` is called later, or at once where too many operations are under way."""
+        """Read a register; `on_result` is called later, or immediately if too many operations are in progress."""
         ...
 
     def write(self, key: str, expected: Version, record: Record, on_result: OnResult) -> None:
-        """Write a register that holds the version `expected`, (0, 0) where nothing is held yet.
+        """Write a register if it holds the version `expected`; (0, 0) is the version of an empty register.
 
         Raises:
             InvalidWriteError: `record.version` is not above `expected`, or the key or the value is too long.
@@ -59,39 +59,39 @@
 
 
 class Duty(Protocol):
-    """A singleton task of the fleet. Its owner steps it; what a step returns is the duty's complete state from then on.
-    An exception from any of these is counted and ends nothing.
+    """A singleton task of the fleet. The owner calls `step`, which returns the duty's complete new state. An exception
+    from a method is counted, and the process continues.
     """
 
     @property
     def name(self) -> str:
-        """The key of its register."""
+        """The key of the duty's register."""
         ...
 
     def step(self, state: bytes, now_ms: float) -> bytes | None:
-        """As its owner: the next state, at most `MAX_STATE_BYTES`; None where there is nothing to do."""
+        """Called at the owner. Returns the next state, at most `MAX_STATE_BYTES`; None if there is nothing to do."""
         ...
 
     def on_committed(self, state: bytes, version: Version) -> None:
-        """At every process: a majority has accepted this state. Versions only go up."""
+        """Called at every process once a majority has accepted this state. Versions only increase."""
         ...
 
 
 class Publisher(Protocol):
-    """Where records go once they count (`state_replicator.StateReplicator`)."""
+    """Distributes records once a majority has accepted them (see `state_replicator.StateReplicator`)."""
 
     def version(self, key: str) -> Version:
-        """The highest version that this process has seen anywhere; a new term is above that too."""
+        """The highest version that this process has seen from any source; a new term must be above it."""
         ...
 
     def announce(self, key: str, record: Record) -> None:
-        """A new term or state, or a duty that was released, for every process."""
+        """Send a new term, a new state or a released duty to every process."""
         ...
 
     def notify_preferred_owner(self, key: str, record: Record) -> None:
-        """A released duty, once more."""
+        """Notify the preferred owner again of a released duty."""
         ...
 
     def announce_renewal(self, key: str, record: Record) -> None:
-        """A renewed lease, for the other candidates."""
+        """Send a renewed lease to the other candidates."""
         ...
--- a/packages/owners/src/larkweir_owners/proposer.py
+++ b/packages/owners/src/larkweir_owners/proposer.py
@@ -1,9 +1,9 @@
 """The proposer of CASPaxos (Rystsov 2018, section 2.2): conditional registers over replicas that vote by majority.
 
-A write is a round of prepare and accept on one key, with a ballot of (counter, name, incarnation). What it proposes is
-the record of the highest ballot that the majority has accepted, or the new record where that is the version expected.
-A round counts accepts only of acceptors that promised it, in the same incarnations. A read first asks without a
-promise, and takes a round where a majority does not agree. Pure logic.
+A write runs rounds of prepare and accept on one key, with ballots of (counter, name, incarnation). It proposes the
+record with the highest accepted ballot among the majority's promises, or the new record if that record has the expected
+version. A round counts accepts only from acceptors that promised its ballot, in the same incarnations. A read first
+asks without a ballot, and runs a round only if no majority agrees. Pure logic.
 """
 
 from __future__ import annotations
@@ -38,16 +38,16 @@
 )
 from larkweir_owners.ports import OnResult, Outcome, Result, Transport
 
-MAX_OPERATIONS = 256  # under way; further ones end as unknown at once
-RESEND_MS = 40.0  # an unanswered round is sent again after this, then after twice as much, ...
+MAX_OPERATIONS = 256  # in progress at a time; any further operation ends at once as UNKNOWN
+RESEND_MS = 40.0  # first retry delay of an unanswered round; it doubles with each retry
 MAX_RESEND_MS = 800.0
-READ_RETRY_MS = 25.0  # until a read without a majority asks again
-SENDS_PER_ROUND = 4  # before a round is begun anew, with a higher ballot
+READ_RETRY_MS = 25.0  # before a read without a majority asks again
+SENDS_PER_ROUND = 4  # before a new round starts with a higher ballot
 OPERATION_TIMEOUT_MS = 3000.0  # after which the outcome is unknown
 
 
 class OperationPhase(Enum):
-    """What an operation waits for."""
+    """The kind of answers that an operation waits for."""
 
     READ = "read"
     PREPARE = "prepare"
@@ -56,14 +56,16 @@
 
 @dataclass(slots=True)
 class Operation:
-    """One read or write, over as many rounds as it takes. What stands under a ballot is of the present round."""
+    """One read or write, over as many rounds as it takes. All fields from `ballot` to `proposal` describe the current
+    round.
+    """
 
     key: str
     on_result: OnResult
     deadline_ms: float
     expected: Version = NO_VERSION
     record: Record | None = None  # what to write; None reads
-    rewrite: bool = False  # propose the present record even where a majority agrees
+    rewrite: bool = False  # propose the current record even if a majority agrees on it
     phase: OperationPhase = OperationPhase.READ
     operation_id: int = 0
     ballot: Ballot = NO_BALLOT
@@ -73,7 +75,7 @@
     accepted_by: set[str] = field(default_factory=set)
     proposal: Record | None = None
     outcome: Outcome = Outcome.DONE
-    may_have_counted: bool = False  # an accept with the new record was sent
+    may_have_counted: bool = False  # an accept request with the new record was sent
     sends: int = 0
     resend_at_ms: float = 0.0
 
@@ -89,8 +91,8 @@
         transport: Transport,
         jitter: Callable[[], float],
     ) -> None:
-        """`incarnation`: random, made at each start of the process. `jitter`: returns a number from 0 to 1, so that two
-        that contend do not go on in step.
+        """`incarnation`: a random number chosen at each start of the process. `jitter`: returns a number from 0 to 1,
+        so that two contending proposers do not retry in lockstep.
         """
         self.name, self.incarnation, self.replica_set = name, incarnation, replica_set
         self._transport = transport
@@ -106,23 +108,23 @@
     # ------------------------------------------------ registers
 
     def read(self, key: str, on_result: OnResult) -> None:
-        """Read a register. `on_result` is called at once where `MAX_OPERATIONS` are under way."""
+        """Read a register. `on_result` is called immediately if `MAX_OPERATIONS` are in progress."""
         self._start(Operation(key, on_result, self._now_ms + OPERATION_TIMEOUT_MS))
 
     def write(self, key: str, expected: Version, record: Record, on_result: OnResult) -> None:
-        """Write a register that holds the version `expected`.
+        """Write a register if it holds the version `expected`.
 
         Raises:
             InvalidWriteError: `record.version` is not above `expected`, or the key or the value is too long.
         """
         if record.version <= expected or len(record.value) > MAX_STATE_BYTES or len(key) > MAX_NAME_CHARS:
             raise InvalidWriteError(
-                f"{key}: version {record.version} is not above {expected}, or it is too long"
+                f"{key}: version {record.version} is not above {expected}, or the key or value is too long"
             )
         self._start(Operation(key, on_result, self._now_ms + OPERATION_TIMEOUT_MS, expected, record))
 
     def rewrite(self, key: str, on_result: OnResult) -> None:
-        """Read a register, and have a majority of the present replica set accept its record anew."""
+        """Read a register, and have a majority of the current replica set accept its record again."""
         self._start(Operation(key, on_result, self._now_ms + OPERATION_TIMEOUT_MS, rewrite=True))
 
     @property
@@ -131,7 +133,7 @@
         return min((min(op.resend_at_ms, op.deadline_ms) for op in self._open), default=float("inf"))
 
     def adopt(self, replica_set: ReplicaSet) -> None:
-        """Go by a newer replica set: what is under way begins anew with it. An older one is ignored."""
+        """Use a newer replica set, and restart the operations in progress with it. An older set is ignored."""
         present = self.replica_set
         if (replica_set.epoch, not replica_set.previous) <= (present.epoch, not present.previous):
             return
@@ -141,11 +143,11 @@
                 self._start_round(op)
 
     def set_time(self, now_ms: float) -> None:
-        """Set the time of the calls that follow."""
+        """Set the current time for the calls that follow."""
         self._now_ms = max(now_ms, self._now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Send again what is unanswered, and end operations that are past their deadlines."""
+        """Resend unanswered requests, and end operations that are past their deadlines."""
         self.set_time(now_ms)
         for op in list(self._open):
             if op.deadline_ms <= now_ms:
@@ -220,7 +222,7 @@
         self._send(op)
 
     def _send(self, op: Operation) -> None:
-        """Send the request of the present phase to all that have not answered it yet."""
+        """Send the request of the current phase to all replicas that have not answered it yet."""
         backoff_ms = min(RESEND_MS * 2**op.sends, MAX_RESEND_MS)
         op.resend_at_ms = self._now_ms + backoff_ms * (1 + 0.5 * self._jitter())
         op.sends += 1
@@ -252,18 +254,18 @@
         if sum(reply.ballot == best.ballot for reply in op.replies.values()) >= self.replica_set.quorum:
             self._finish(op, Outcome.DONE, best.record)
         elif len(op.replies) == len(self.replica_set.names):
-            # Another proposer is writing: a round would stop it, so ask again first
+            # Another proposer is writing, and a round would interrupt it, so ask again first
             op.resend_at_ms = min(op.resend_at_ms, self._now_ms + READ_RETRY_MS * (1 + self._jitter()))
 
     def _on_promised(self, op: Operation, source: str, message: Promised) -> None:
         if op.phase is not OperationPhase.PREPARE:
-            return  # the accepts that were sent do not name it: nobody would check its incarnation
+            return  # the accepts that were sent do not name it, so no acceptor would check its incarnation
         op.promises[source] = message
         latest: dict[str, Progress] = {}
         for promise in op.promises.values():
             for name, progress in promise.known_progress:
                 latest[name] = max(progress, latest.get(name, progress))
-        # A promise may be forgotten where another acceptor knows a later incarnation of the one that made it
+        # An acceptor may have lost its promise if another acceptor knows a later incarnation of it
         valid = {
             name: promise
             for name, promise in op.promises.items()
@@ -279,7 +281,7 @@
 
     def _propose(self, op: Operation, current: Record | None, agree: bool) -> None:
         """Propose a record under a ballot that a majority has promised. `current`: the record that was accepted last;
-        `agree`: by a majority, so that it counts already.
+        `agree`: a majority has accepted it, so it is already chosen.
         """
         op.outcome = Outcome.DONE
         op.proposal = current
@@ -313,7 +315,7 @@
         if message.reason not in (RejectReason.BALLOT, RejectReason.INCARNATION):
             return
         for op in self._rounds_of(message.ballot, message.key):
-            # After a short pause a new round, with a ballot above the one that another proposer was promised
+            # Start a new round after a short pause, with a ballot above the one promised to another proposer
             self._counter = max(self._counter, message.promised_ballot[0])
             op.sends = SENDS_PER_ROUND
             op.resend_at_ms = min(op.resend_at_ms, self._now_ms + RESEND_MS * self._jitter())
--- a/packages/owners/src/larkweir_owners/recovery.py
+++ b/packages/owners/src/larkweir_owners/recovery.py
@@ -1,10 +1,10 @@
-"""How an acceptor that has just started comes to vote: it catches up from enough others first. Pure logic.
+"""The recovery of an acceptor that has just started: before it votes, it catches up from enough others. Pure logic.
 
-A new or lost disk is a new incarnation. Each start without a fingerprint from the process before begins a new
-incarnation as well, which votes once it has caught up from n - m + 1 other replicas, m being the majority of n
-(docs/design/owners.md has the proof). Acceptors remember the progress of each other, so that one whose disk was
-restored from an older copy finds out; it is then treated as one that lost its disk, and nobody learns from it until it
-has caught up.
+A new or lost disk means a new incarnation. So does each start without a fingerprint from the previous process. A new
+incarnation votes once it has caught up from n - m + 1 other replicas, where m is the majority of n (the proof is in
+docs/design/owners.md). Acceptors remember each other's progress, so that an acceptor whose disk was restored from an
+older copy can detect it. Such an acceptor is treated like one that lost its disk: no other replica learns from it until
+it has caught up.
 """
 
 from __future__ import annotations
@@ -35,28 +35,28 @@
     ReplicaSet,
 )
 
-RETRY_MS = 500.0  # between two queries of an acceptor that does not vote yet
-MAX_PAGE_BYTES = 4096  # of values in a CatchUpPage; names and numbers come on top
+RETRY_MS = 500.0  # interval between queries by an acceptor that does not vote yet
+MAX_PAGE_BYTES = 4096  # limit for the values in a CatchUpPage; names and numbers are extra
 MAX_PAGE_KEYS = 32
 
 
 class ReplicaMode(StrEnum):
-    """What an acceptor does. The values are in messages, in log lines and in STATUS."""
+    """The state of an acceptor. The values appear in messages, log lines and STATUS."""
 
     NEW = "new"  # its disk has no incarnation yet
-    RESTARTED = "back"  # has a disk, and asks whether it is the latest
-    CATCHING_UP = "catching"  # it is, as far as others know: catches up, and others may learn from it
-    LOST = "lost"  # its disk is gone or old: catches up, and nobody learns from it
+    RESTARTED = "back"  # has a disk, and asks the others whether its state is the latest
+    CATCHING_UP = "catching"  # others know of no later state; it catches up, and others may learn from it
+    LOST = "lost"  # its disk was lost or is outdated; it catches up, and no other replica learns from it
     VOTING = "voting"
     FAILED = "failed"  # its disk can't be written
 
 
 class Recovery:
-    """The mode of one acceptor, and its way to `ReplicaMode.VOTING`. `state` is shared with the acceptor."""
+    """The mode of one acceptor and its steps towards `ReplicaMode.VOTING`. `state` is shared with the acceptor."""
 
     def __init__(self, name: str, state: AcceptorState, closed_fingerprint: str) -> None:
-        """`closed_fingerprint`: of the file as the process that voted by it has just closed it, told by that process in
-        a handover. Where it is the state's own, nothing was promised since, and no other replica need be asked.
+        """`closed_fingerprint`: the fingerprint of the file when the previous voting process closed it, passed on in a
+        handover. If it matches `state`, nothing was promised since then, and no other replica has to be asked.
         """
         self.mode = ReplicaMode.RESTARTED if state.can_vote else ReplicaMode.NEW
         if state.can_vote and closed_fingerprint and closed_fingerprint == fingerprint(state):
@@ -65,11 +65,13 @@
         self._name, self._state = name, state
         self._replies: dict[str, RecoveryReply] = {}
         self._catch_up_incarnation: Incarnation | None = None
-        self._caught_up_to: dict[str, str | None] = {}  # by replica, the last key; None when complete
+        self._caught_up_to: dict[
+            str, str | None
+        ] = {}  # by replica: the last key received; None when complete
         self._learned_slots: dict[str, Slot] = {}
 
     def tick(self, now_ms: float) -> AcceptorOutput:
-        """Query the others, or ask for further pages."""
+        """Query the other replicas, or ask them for further pages."""
         output = AcceptorOutput()
         if self.mode in (ReplicaMode.VOTING, ReplicaMode.FAILED) or self._name not in self._all_names():
             self.next_ms = float("inf")
@@ -82,10 +84,10 @@
                 output.send(peer, CatchUpRequest(self._catch_up_incarnation, after))
         return output
 
-    # ------------------------------------------------ as the one that recovers
+    # ------------------------------------------------ as the recovering replica
 
     def on_reply(self, source: str, reply: RecoveryReply, output: AcceptorOutput) -> None:
-        """Another replica's answer to a RecoveryQuery."""
+        """Handle another replica's answer to a RecoveryQuery."""
         if (
             self.mode not in (ReplicaMode.NEW, ReplicaMode.RESTARTED)
             or source not in self._peers()
@@ -103,31 +105,35 @@
             self._check_first_start(output)
 
     def _check_disk(self) -> None:
-        """Whether the disk is the latest, by what the others know of this replica."""
+        """Start to catch up: as LOST if another replica knows more progress of this one than its disk holds, otherwise as
+        CATCHING_UP once enough have replied.
+        """
         if max(reply.requester_progress for reply in self._replies.values()) > self._progress():
             self._start_catch_up(ReplicaMode.LOST)
         elif self._are_enough(
             self._replies
-        ):  # of one bad disk at a time: where another's is, this one is not
+        ):  # only one disk may be bad at a time: if another one is, this one is not
             self._start_catch_up(ReplicaMode.CATCHING_UP)
 
     def _check_first_start(self, output: AcceptorOutput) -> None:
-        """Whether an empty disk is a new replica's, or that of one which lost its own."""
+        """Find out whether an empty disk belongs to a new replica or to one that lost its disk."""
         replies, disk_id = self._replies, self._state.disk_id
         me = (1, disk_id, 0)
         if self.is_added():
-            self.start_voting(self._state.replica_set.added[1:], output)  # named while it was empty
+            self.start_voting(
+                self._state.replica_set.added[1:], output
+            )  # the replica set named this empty disk when it added the replica
         elif len(replies) == len(self._peers()) and all(
             reply.mode == ReplicaMode.NEW for reply in replies.values()
         ):
-            # All are new: whatever there was, nobody has it
+            # All replicas are new, so there is nothing to catch up with
             progress = tuple((name, (1, reply.progress[1], 0)) for name, reply in replies.items())
             output.persist(self._state, PeerProgressEntry(progress))
             self.start_voting((1, disk_id), output)
         elif any(reply.requester_progress == me for reply in replies.values()) and self._are_enough(
             name for name, reply in replies.items() if reply.requester_progress in (me, NO_PROGRESS)
         ):
-            # It was counted as new when the others began, and has answered nothing yet
+            # The others counted it as new when they started, and it has given no answer yet
             self.start_voting((1, disk_id), output)
         elif self._are_enough(
             name for name, reply in replies.items() if reply.mode not in (ReplicaMode.NEW, ReplicaMode.LOST)
@@ -142,10 +148,12 @@
         self._learned_slots.clear()
 
     def on_page(self, source: str, page: CatchUpPage, output: AcceptorOutput) -> None:
-        """A page of another replica's slots. With all pages of enough replicas this one votes."""
+        """Handle a page of another replica's slots. After all pages of enough replicas, this replica votes."""
         if page.incarnation != self._catch_up_incarnation or source not in self._peers():
             return
-        if page.replica_set.epoch > self._state.replica_set.epoch:  # others are enough now: begin anew
+        if (
+            page.replica_set.epoch > self._state.replica_set.epoch
+        ):  # the required replicas may differ now: start again
             output.persist(self._state, ReplicaSetEntry(page.replica_set))
             self._caught_up_to.clear()
             return
@@ -167,7 +175,7 @@
         self.start_voting(page.incarnation, output)
 
     def start_voting(self, incarnation: Incarnation, output: AcceptorOutput) -> None:
-        """Vote as this incarnation from now on."""
+        """Vote under this incarnation from now on."""
         is_same = incarnation == self._state.incarnation
         answer_count = self._state.answer_count if is_same else 0
         output.persist(self._state, IncarnationEntry(incarnation, True, answer_count))
@@ -176,27 +184,27 @@
         self._replies.clear()
 
     def on_replica_set_changed(self) -> None:
-        """Another replica set was adopted: replies that have arrived say nothing of it."""
+        """Discard the replies received so far, because they do not apply to the newly adopted replica set."""
         if self.mode not in (ReplicaMode.VOTING, ReplicaMode.FAILED):
             self._replies.clear()
             self.next_ms = 0.0
 
     def is_added(self) -> bool:
-        """Whether the change of the replica set that is under way adds this replica, with this disk."""
+        """Whether the replica set change in progress adds this replica, with this disk."""
         name, _, disk_id = self._state.replica_set.added
         return (name, disk_id) == (self._name, self._state.disk_id) and bool(self._state.replica_set.previous)
 
-    # ------------------------------------------------ as one that others recover from
+    # ------------------------------------------------ as a peer of a recovering replica
 
     def on_query(self, source: str, output: AcceptorOutput) -> None:
-        """A replica that has just started asks what is known of it."""
+        """Tell a replica that has just started what is known about it."""
         state = self._state
         shown = self._progress() if state.can_vote else (0, state.disk_id, 0)
         known = state.peer_progress.get(source, NO_PROGRESS)
         output.send(source, RecoveryReply(known, self.mode, shown, state.replica_set))
 
     def on_catch_up_request(self, source: str, request: CatchUpRequest, output: AcceptorOutput) -> None:
-        """A replica catches up: its new incarnation is recorded before it gets a page."""
+        """Record the new incarnation of a replica that catches up, then send it a page."""
         state = self._state
         if self.mode not in (ReplicaMode.VOTING, ReplicaMode.CATCHING_UP) or source not in self._all_names():
             return
@@ -220,7 +228,7 @@
             slots.append((key, slot.promised_ballot, slot.accepted_ballot, slot.record))
         return tuple(slots), False
 
-    # ------------------------------------------------ of the replica set
+    # ------------------------------------------------ the replica set
 
     def _progress(self) -> Progress:
         return (*self._state.incarnation, self._state.answer_count)
@@ -233,8 +241,8 @@
         return [name for name in self._all_names() if name != self._name]
 
     def _are_enough(self, names: Iterable[str]) -> bool:
-        """Whether `names` has n - m + 1 others of each replica set that counts, m being its majority: then one of them
-        was in every majority that this replica was in.
+        """Whether `names` has n - m + 1 other members of each relevant replica set, where m is the set's majority. Then
+        every majority that this replica was part of includes at least one of them.
         """
         others = {name for name in names if name != self._name}
         replica_set = self._state.replica_set
@@ -245,11 +253,11 @@
 
 
 def _enough(members: tuple[str, ...]) -> int:
-    """How many others a replica of such a set has to catch up from."""
+    """Return the number of others from which a replica of such a set must catch up."""
     return min(len(members) - ReplicaSet(0, members).quorum + 1, len(members) - 1)
 
 
 def _merged(slot: Slot, other: Slot) -> Slot:
-    """What two replicas hold of a register, together: the higher promise, and what was accepted last."""
+    """Merge two replicas' slots of a register: the higher promise, and the record that was accepted last."""
     newest = slot if slot.accepted_ballot > other.accepted_ballot else other
     return Slot(max(slot.promised_ballot, other.promised_ballot), newest.accepted_ballot, newest.record)
--- a/packages/owners/src/larkweir_owners/replica_set_change.py
+++ b/packages/owners/src/larkweir_owners/replica_set_change.py
@@ -1,13 +1,13 @@
-"""The replica set changes by one replica at a time, by the registers themselves.
+"""Changes the replica set by one replica at a time. The set itself is stored in a register.
 
-1. The next set (epoch + 1, with the names before) is written to a register of its own, by a majority of the present
-   set.
-2. Replicas adopt it until a majority of each set has: from then on nothing of the old epoch can count.
-3. Each key that those of the old set hold is read and accepted anew by a majority of the new set.
-4. The register is written once more, without the names before: only then may the next change begin.
+1. The next set (epoch + 1, with the previous names) is written to its register by a majority of the current set.
+2. Replicas adopt the set until a majority of both sets has adopted it. From then on, no write of the old epoch can
+   count.
+3. Each key that replicas of the old set hold is read, and accepted again by a majority of the new set.
+4. The register is written again without the previous names. Only then may the next change begin.
 
-Two sets that differ by one replica have no two majorities apart, so reads and writes go on meanwhile. Whoever finds a
-change that was abandoned can carry it on (`resume`). Pure logic.
+Any two majorities of sets that differ by one replica overlap, so reads and writes continue during a change. Any process
+that finds an abandoned change can continue it (`resume`). Pure logic.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 from larkweir_owners.ports import Outcome, Result, Transport
 from larkweir_owners.proposer import Proposer
 
-SETS_KEY = "\0keepers"  # of the register that holds the replica set
+SETS_KEY = "\0keepers"  # the key of the register that holds the replica set
 RESEND_MS = 300.0
-CHANGE_TIMEOUT_MS = 20_000.0  # a change without progress for longer is abandoned, and can be resumed
-COMMITTED_SET_SENDS = 4  # of a settled set; a replica that misses all goes on as if it were not settled
-INCARNATIONS_PER_EPOCH = (
-    1 << 20
-)  # the incarnations of an added replica are numbered from its epoch times this
+CHANGE_TIMEOUT_MS = 20_000.0  # a change without progress for this long is abandoned; it can be resumed
+COMMITTED_SET_SENDS = (
+    4  # of a committed set; a replica that misses them all keeps treating the set as uncommitted
+)
+INCARNATIONS_PER_EPOCH = 1 << 20  # the first incarnation of an added replica is its epoch times this number
 MAX_REPLICAS = 7
-NO_MAJORITY = "no majority of the new set; resume when there is one"
+NO_MAJORITY = "no majority of the new set answered; resume the change when a majority is available"
 
 
 class ChangeState(StrEnum):
-    """What a change waits for. The values are in the fault of one that is abandoned."""
+    """The step that a change is waiting for. The fault of an abandoned change contains the value."""
 
     IDLE = ""
     QUERYING = "asking the new one"
@@ -56,7 +56,7 @@
 
 
 class ReplicaSetChange:
-    """At most one change at a time. `fault`: how the last one ended, "" where it succeeded."""
+    """Runs at most one change at a time. `fault`: the error of the last change, or "" if it succeeded."""
 
     def __init__(self, proposer: Proposer, transport: Transport) -> None:
         self.next_ms = float("inf")
@@ -66,34 +66,36 @@
         self._now_ms = 0.0
         self._deadline_ms = 0.0
         self._names: tuple[str, ...] = ()
-        self._added_name = ""  # the replica that is added
+        self._added_name = ""  # the replica to add, or ""
         self._added_disk_id = 0
         self._next_set: ReplicaSet | None = None
-        self._adopted_up_to: dict[str, str | None] = {}  # by replica, the last key; None when it has sent all
+        self._adopted_up_to: dict[
+            str, str | None
+        ] = {}  # by replica: the last key received; None when complete
         self._keys: set[str] = set()
         self._committed_names: set[str] = set()
         self._sends_left = 0
         self._on_end: Callable[[str], None] = lambda fault: None
 
     def begin(self, names: tuple[str, ...], on_end: Callable[[str], None], now_ms: float) -> str:
-        """Change to a set of one name more or one less. Returns "", or why the change can't be begun; `on_end` gets the
-        fault, "" where it succeeded.
+        """Change to a set with one replica more or one less. Return "", or the reason why the change can't begin.
+        `on_end` is called with the error, or with "" if the change succeeded.
         """
         present = self._proposer.replica_set
         added, removed = set(names) - set(present.names), set(present.names) - set(names)
         if self.state:
-            return "a change is under way"
+            return "another change is in progress"
         is_by_one = len(names) == len(set(names)) and len(added) + len(removed) == 1
         if not is_by_one or not 1 <= len(names) <= MAX_REPLICAS:
-            return "a change is one keeper more or one less, of 1 to 7"
+            return "a change must add or remove exactly one replica, and leave 1 to 7 replicas"
         self._names, self._added_name = tuple(sorted(names)), next(iter(added), "")
         self._start(ChangeState.QUERYING if self._added_name else ChangeState.READING, on_end, now_ms)
         return ""
 
     def resume(self, on_end: Callable[[str], None], now_ms: float) -> str:
-        """Go on with a change that was abandoned, if there is one. Returns as `begin` does."""
+        """Continue an abandoned change, if there is one. The result is the same as for `begin`."""
         if self.state:
-            return "a change is under way"
+            return "another change is in progress"
         self._names, self._added_name = (), ""
         self._start(ChangeState.READING, on_end, now_ms)
         return ""
@@ -119,21 +121,21 @@
         self._transport.post(to, encode(message))
 
     def tick(self, now_ms: float) -> None:
-        """Send again what is unanswered; abandon a change that makes no progress."""
+        """Resend unanswered messages, and abandon a change that makes no progress."""
         self._now_ms = now_ms
         if not self.state:
             self._send_committed_set()
             return
         self.next_ms = now_ms + RESEND_MS
         if now_ms >= self._deadline_ms:
-            self._finish(f"gave up while {self.state}")
+            self._finish(f"timed out while {self.state}")
         elif self.state is ChangeState.QUERYING:
             self._send(self._added_name, RecoveryQuery(0))
         elif self.state is ChangeState.ADOPTING:
             self._send_next_set()
 
     def on_message(self, source: str, message: AnyMessage, now_ms: float) -> None:
-        """Handle the answer of a replica; any other message is ignored."""
+        """Handle a replica's answer; any other message is ignored."""
         self._now_ms = now_ms
         match message:
             case RecoveryReply() if self.state is ChangeState.QUERYING and source == self._added_name:
@@ -146,7 +148,7 @@
 
     def _on_added_replied(self, source: str, reply: RecoveryReply) -> None:
         if reply.progress[0] != 0:
-            self._finish(f"{source} has kept before: its file must be removed first")
+            self._finish(f"{source} was a replica before: its file must be removed first")
             return
         self._added_disk_id = reply.progress[1]
         self.state = ChangeState.READING
@@ -164,15 +166,15 @@
             try:
                 present = msgspec.msgpack.decode(result.record.value, type=ReplicaSet)
             except msgspec.DecodeError:
-                self._finish("the register of keepers can't be read")
+                self._finish("the record of the replica set can't be decoded")
                 return
-        if present.previous:  # one that was abandoned goes first
+        if present.previous:  # an abandoned change is completed first
             self._next_set = present
             self._on_written(Result(Outcome.DONE, result.record))
         elif not self._names:
             self._finish("")
         elif len(set(present.names) ^ set(self._names)) != 1:
-            self._finish(f"the keepers are {', '.join(present.names)} by now")
+            self._finish(f"the replica set has changed to {', '.join(present.names)}")
         else:
             self._write_next_set(present, version)
 
@@ -190,12 +192,12 @@
         proposer = self._proposer
         return Record(replica_set.epoch, version[1] + 1, proposer.name, proposer.incarnation, value=value)
 
-    # ------------------------------------------------ 2. replicas adopt it
+    # ------------------------------------------------ 2. replicas adopt the next set
 
     def _on_written(self, result: Result) -> None:
         if result.outcome is not Outcome.DONE:
             unknown = result.outcome is Outcome.UNKNOWN
-            self._finish("no majority" if unknown else "another change was first")
+            self._finish("no majority" if unknown else "another change began first")
             return
         self.state = ChangeState.ADOPTING
         self._keys = {SETS_KEY}
@@ -209,7 +211,7 @@
                 self._send(name, AdoptSet(self._next_set, after))
 
     def _on_adopted(self, source: str, message: SetAdopted, next_set: ReplicaSet) -> None:
-        """A page of the keys that a replica holds, which has adopted the set."""
+        """Handle a page of the keys that a replica holds; the replica has adopted the set."""
         if self._adopted_up_to.get(source, "") != message.after_key:
             return
         self._keys.update(message.keys)
@@ -225,7 +227,7 @@
             self.state = ChangeState.REWRITING
             self._rewrite_next(Result(Outcome.DONE, None))
 
-    # ------------------------------------------------ 3. each key is accepted anew
+    # ------------------------------------------------ 3. each key is accepted again
 
     def _rewrite_next(self, result: Result) -> None:
         if self.state is not ChangeState.REWRITING or self._next_set is None:
@@ -241,7 +243,7 @@
             self.state = ChangeState.COMMITTING
             self._proposer.read(SETS_KEY, self._on_rewritten)
 
-    # ------------------------------------------------ 4. the set is settled
+    # ------------------------------------------------ 4. the set is committed
 
     def _on_rewritten(self, result: Result) -> None:
         if result.outcome is not Outcome.DONE or result.record is None or self._next_set is None:
@@ -259,10 +261,10 @@
             self._sends_left = COMMITTED_SET_SENDS
             self.tick(self._now_ms)
         else:
-            self._finish("not settled; resume")
+            self._finish("the new set is not committed; resume the change")
 
     def _send_committed_set(self) -> None:
-        """Send the settled set to all that may still go by the one before."""
+        """Send the committed set to all replicas that may still use the previous one."""
         self.next_ms = float("inf")
         if self._sends_left and self._next_set is not None:
             self._sends_left -= 1
--- a/packages/owners/src/larkweir_owners/state_replicator.py
+++ b/packages/owners/src/larkweir_owners/state_replicator.py
@@ -1,10 +1,10 @@
-"""How the states of duties reach every process once a majority has accepted them. Pure logic.
+"""Distributes the states of duties to every process once a majority has accepted them. Pure logic.
 
-An update is the complete state of its duty under a version (term, number). A process applies it if its version is above
-the one held, and never goes back. An update is passed on once, to `FANOUT` others (rumours), while the budget lasts;
-each second one peer gets a digest of the versions held, and both send what the other lacks (anti-entropy). What does
-not arrive then is read from the replicas. So a process sends the same however large the fleet is, and however much
-happens.
+An update is the complete state of a duty under a version (term, number). A process applies an update only if its
+version is above the version held, so versions never decrease. A process forwards each update once, to `FANOUT` others
+(rumour mongering), within a budget. Each second it sends one peer a digest of its versions, and each side sends what
+the other lacks (anti-entropy). Updates that still do not arrive are read from the replicas. The traffic that a process
+sends is therefore independent of the size of the fleet and of the rate of updates.
 """
 
 from __future__ import annotations
@@ -25,20 +25,22 @@
 )
 from larkweir_owners.ports import Registers, Result, Transport
 
-FANOUT = 2  # peers that an update is passed on to
-RUMOURS_PER_S = 3.0  # messages that pass updates on, beyond a burst of
+FANOUT = 2  # number of peers to which an update is forwarded
+RUMOURS_PER_S = 3.0  # budget for messages that forward updates, beyond a burst of
 RUMOUR_BURST = 8.0
-MAX_ENTRY_OVERHEAD_BYTES = 96  # of an update besides its key, names and value
+MAX_ENTRY_OVERHEAD_BYTES = 96  # size of an update besides its key, names and value
 DIGEST_INTERVAL_MS = 1000.0
-MAX_DIGEST_KEYS = 64  # in one digest; further ones take turns
-FETCH_AFTER_MS = 1500.0  # until what a peer has and did not send is read from the replicas
+MAX_DIGEST_KEYS = 64  # limit per digest; successive digests rotate through the keys
+FETCH_AFTER_MS = 1500.0  # a newer record that a peer has not sent by then is read from the replicas
 MAX_KEYS = 4096
 
-Sampler: TypeAlias = Callable[[Sequence[str], int], Sequence[str]]  # so many of these, at random
+Sampler: TypeAlias = Callable[
+    [Sequence[str], int], Sequence[str]
+]  # returns a random sample of the given size
 
 
 class StateReplicator:
-    """The record of each duty that this process holds."""
+    """Holds the latest record of each duty at this process."""
 
     def __init__(
         self,
@@ -50,36 +52,36 @@
         initial_records: Iterable[tuple[str, Record]] = (),
         first_digest_fraction: float = 1.0,
     ) -> None:
-        """`on_applied` is called with each record that is applied, in the order of its versions.
-        `first_digest_fraction`: 0 to 1, of the interval until the second digest, so that processes that start together
-        don't send theirs at the same moments. `initial_records`: what an earlier incarnation of this process held, from
-        a store; without it the first versions that arrive are applied, whichever they are.
+        """`on_applied` is called with each applied record, in the order of its versions. `first_digest_fraction`: the
+        fraction (0 to 1) of the digest interval to wait before the second digest, so that processes that start together
+        don't send their digests at the same times. `initial_records`: the records of an earlier incarnation of this
+        process, from a store; without them, the first version that arrives is applied, however old it is.
         """
         self.me = me
         self.records: dict[str, Record] = dict(initial_records)
         self.next_ms = 0.0
         self.applied = 0
-        self.stale = 0  # updates that were older than what is held
-        self.skipped = 0  # updates that were overtaken by a later one
-        self.fetched = 0  # records that were read from the replicas
+        self.stale = 0  # updates older than the version held
+        self.skipped = 0  # updates never received because a later one arrived first
+        self.fetched = 0  # records read from the replicas
         self._transport, self._registers = transport, registers
         self._sample, self._on_applied = sample, on_applied
         self._watchers: dict[str, Sequence[str]] = {}
         self._wanted: dict[
             str, tuple[Version, float]
-        ] = {}  # by key: what a peer has, and since when it is awaited
+        ] = {}  # by key: a peer's newer version, and when it was learned
         self._digest_cursor = ""
         self._now_ms = 0.0
         self._digest_fraction = first_digest_fraction
         self._budget, self._budget_ms = RUMOUR_BURST, 0.0
 
     def version(self, key: str) -> Version:
-        """The version that is held; (0, 0) for none."""
+        """The version held for a key; (0, 0) if there is none."""
         record = self.records.get(key)
         return record.version if record is not None else NO_VERSION
 
     def apply(self, key: str, record: Record) -> bool:
-        """Hold a record; False where its version is not above the one held."""
+        """Store a record; return False if its version is not above the version held."""
         known = self.records.get(key)
         if known is not None and not record.version > known.version:
             if record.version != known.version:
@@ -96,32 +98,32 @@
         self._on_applied(key, record)
         return True
 
-    # ------------------------------------------------ of this process
+    # ------------------------------------------------ updates of this process
 
     def set_watchers(self, key: str, names: Sequence[str]) -> None:
-        """The candidates of a duty, which `announce_renewal` reaches."""
+        """Set the candidates of a duty, to which `announce_renewal` sends."""
         self._watchers[key] = names
 
     def announce(self, key: str, record: Record) -> None:
-        """Spread an update of this process. The preferred owner of a released duty gets it first."""
+        """Send an update of this process to others. The preferred owner of a released duty gets it first."""
         if self.apply(key, record):
             if record.preferred_owner and record.preferred_owner != self.me:
                 self.notify_preferred_owner(key, record)
             self._spread([(key, record)], record.preferred_owner)
 
     def notify_preferred_owner(self, key: str, record: Record) -> None:
-        """Send a released duty to its preferred owner, again in case the update was lost."""
+        """Send a released duty to its preferred owner; repeated in case an update was lost."""
         self._transport.post(record.preferred_owner, encode(StateUpdates(((key, record),))))
 
     def announce_renewal(self, key: str, record: Record) -> None:
-        """Tell the candidates that the lease was renewed, so that they need not read. Nobody passes that on."""
+        """Tell the candidates that the lease was renewed, so that they need not read. Renewals are not forwarded."""
         for name in self._watchers.get(key, ()):
             self._transport.post(name, encode(StateUpdates(((key, record),))))
 
-    # ------------------------------------------------ from others
+    # ------------------------------------------------ updates of other processes
 
     def on_updates(self, source: str, message: StateUpdates, now_ms: float) -> list[tuple[str, Record]]:
-        """Apply updates, and pass new ones on. Returns those that were applied."""
+        """Apply updates and forward new ones. Return the updates that were applied."""
         self._now_ms = max(now_ms, self._now_ms)
         applied = [
             (key, record)
@@ -136,7 +138,7 @@
         return applied
 
     def _is_renewal(self, key: str, record: Record) -> bool:
-        """Whether it is nothing but a renewed lease."""
+        """Whether the record differs from the known one only by a renewed lease."""
         known = self.records.get(key)
         return (
             known is not None
@@ -146,12 +148,12 @@
         )
 
     def _owner_reaches_all(self, updates: Sequence[tuple[str, Record]], source: str) -> bool:
-        """Whether the owner has so few others that it sends to all of them itself."""
+        """Whether there are so few other processes that the owner sends to all of them itself."""
         has_few_peers = len(set(self._transport.alive()) - {self.me, source}) < FANOUT
         return has_few_peers and all(record.owner == source for _, record in updates)
 
     def on_digest(self, source: str, message: Digest, now_ms: float) -> None:
-        """Send what is newer here, and a digest of what is newer there, so that it is sent."""
+        """Send the records that are newer here, and a digest that asks the peer for its newer records."""
         updates: list[tuple[str, Record]] = []
         behind: list[tuple[str, int, int]] = []
         for key, term, number in message.versions[:MAX_DIGEST_KEYS]:
@@ -167,10 +169,10 @@
         if behind:
             self._transport.post(source, encode(Digest(tuple(behind))))
 
-    # ------------------------------------------------ time
+    # ------------------------------------------------ periodic work
 
     def tick(self, now_ms: float) -> None:
-        """Send a digest to one peer, and read from the replicas what has not arrived."""
+        """Send a digest to one peer, and read overdue records from the replicas."""
         self._now_ms = max(now_ms, self._now_ms)
         self.next_ms = now_ms + DIGEST_INTERVAL_MS * self._digest_fraction
         self._digest_fraction = 1.0
@@ -185,7 +187,7 @@
                 self._registers.read(key, lambda result, key=key: self._on_read(key, result))  # type: ignore[misc]
 
     def _next_digest(self) -> Digest:
-        """The next keys in turn, from where the last digest ended."""
+        """Return the versions of the next keys, continuing after the last digest."""
         keys = sorted(self.records)
         after = [key for key in keys if key > self._digest_cursor]
         chosen = (after + keys[: len(keys) - len(after)])[:MAX_DIGEST_KEYS]
@@ -197,7 +199,7 @@
             self.fetched += 1
 
     def _spread(self, updates: list[tuple[str, Record]], excluded: str) -> None:
-        """Pass updates on to some peers, within the budget; what goes beyond it goes by digests."""
+        """Forward updates to some peers within the budget. Updates beyond the budget spread by digests."""
         passed_ms, self._budget_ms = self._now_ms - self._budget_ms, self._now_ms
         self._budget = min(RUMOUR_BURST, self._budget + passed_ms * RUMOURS_PER_S / 1000.0)
         if self._budget < 1.0:
@@ -210,7 +212,7 @@
 
 
 def _encode_updates(updates: list[tuple[str, Record]]) -> bytes:
-    """As many as one message carries; the rest goes with a later digest."""
+    """Encode as many updates as fit in one message; the others follow after a later digest."""
     chosen: list[tuple[str, Record]] = []
     size_bytes = 0
     for key, record in updates:
