--- a/packages/owners/src/larkweir_owners/recovery.py
+++ b/packages/owners/src/larkweir_owners/recovery.py
@@ -105,8 +105,8 @@
             self._check_first_start(output)
 
     def _check_disk(self) -> None:
-        """Start to catch up: as LOST if another replica knows more progress of this one than its disk holds, otherwise as
-        CATCHING_UP once enough have replied.
+        """Start to catch up: as LOST if another replica knows more progress of this one than its disk holds,
+        otherwise as CATCHING_UP once enough have replied.
         """
         if max(reply.requester_progress for reply in self._replies.values()) > self._progress():
             self._start_catch_up(ReplicaMode.LOST)
--- a/packages/owners/tests/explore_owners.py
+++ b/packages/owners/tests/explore_owners.py
@@ -1,15 +1,13 @@
-"""`python packages/owners/tests/explore_owners.py [--depth N]`: two proposers, three keepers, every order of messages.
-
-The network is the set of all that was ever sent to keepers: each item may come at any time, once, often, or never. At
-each step one item comes to one keeper, and its answer comes or is lost; or its flush is lost, and it starts again from
-its disk; or a keeper crashes; or a proposer's wait ends and it takes a higher ballot; or it begins its next write. An
-answer that comes late is no case of its own: what a proposer does with it is to send, and what it sends may be as late
-as anything. States that differ only by which keeper is which count once, and so do those that differ only in how many
-answers were counted: no disk is lost here, so nothing rests on that number (lost disks: test_owners_seeds.py). Real
-keepers and proposers are run; what one of them does in one state is remembered.
-
-Checked in every state: one value for each version, each value chosen follows the one before, an operation that has
-ended as done was chosen, and what an operation gives is no older than what had ended when it began.
+"""`python packages/owners/tests/explore_owners.py [--depth N]`: explores every message order, 2 proposers, 3 replicas.
+
+The network is the set of all messages ever sent to replicas: each may arrive at any time, once, repeatedly or never.
+In each step, a message reaches a replica and the answer arrives or is lost; or the flush is lost and the replica
+restarts from its disk; or a replica crashes; or a proposer times out and takes a higher ballot, or begins its next
+write. Late answers need no case of their own: a proposer reacts by sending messages, and those may be late. States that
+differ only by a permutation of the replicas count once. So do states that differ only in answer counts, which matter
+only when a disk is lost (test_owners_seeds.py covers lost disks). The real acceptors and proposers run; each transition
+is cached. Checked in every state: each version has one value, each chosen value follows the previous one, the record of
+an operation that ended as DONE was chosen, and no operation returns an older version than had ended when it began.
 """
 
 from __future__ import annotations
@@ -43,7 +41,7 @@
 
 
 class InvariantError(AssertionError):
-    """What was promised does not hold in a state that can be reached."""
+    """An invariant does not hold in a reachable state."""
 
 
 class Outbox:
@@ -58,20 +56,20 @@
         return NAMES
 
 
-def fresh_disk(number: int) -> AcceptorState:
+def new_disk(number: int) -> AcceptorState:
     disk = AcceptorState(number + 1, SET, (1, number + 1), True)
     disk.peer_progress = {name: (1, n + 1, 0) for n, name in enumerate(NAMES) if n != number}
     return disk
 
 
-def restarted_acceptor(number: int, disk: AcceptorState) -> Acceptor:
-    """A keeper on its disk, with its predecessor's word that the disk is the latest."""
+def restart(number: int, disk: AcceptorState) -> Acceptor:
+    """An acceptor started from its disk, with a fingerprint that confirms that the disk is current."""
     return Acceptor(NAMES[number], disk, fingerprint(disk))
 
 
-class ReplicaState(NamedTuple):
+class Replica(NamedTuple):
     replica: Acceptor
-    disk: AcceptorState  # what was flushed
+    disk: AcceptorState  # the flushed state
 
 
 @dataclass(slots=True)
@@ -79,15 +77,15 @@
     proposer: Proposer
     writes: int = 0
     rounds: int = 0
-    began: Version = (0, 0)  # the highest version that had ended when its operation began
-    next: Version | None = (0, 0)  # what its next write expects
+    began: Version = (0, 0)  # the highest completed version when its operation began
+    next: Version | None = (0, 0)  # the version that its next write expects
     ended: tuple[Hashable, ...] = ()
-    signature: int = 0  # of all but what follows
-    reply_keys: tuple[int, ...] = (0, 0, 0)  # by keeper
+    signature: int = 0  # identifies all of the state except the replies
+    reply_keys: tuple[int, ...] = (0, 0, 0)  # by replica
 
 
 class State(NamedTuple):
-    """Numbers of keepers and proposers; sets, as bits, of what was ever sent to a keeper and ever accepted there."""
+    """Replicas and proposers as interned numbers; bit sets of the messages sent to and accepted at each replica."""
 
     replicas: tuple[int, int, int]
     proposers: tuple[int, int]
@@ -97,7 +95,7 @@
 
 
 class Move(NamedTuple):
-    """What a proposer did: itself afterwards, what it sent to each keeper, what it was given for its operations."""
+    """A proposer's transition: its state afterwards, the messages sent to each replica, and operation results."""
 
     after: int
     sent: tuple[int, int, int]
@@ -105,7 +103,7 @@
 
 
 class Interner:
-    """Things by number; two with the same key are one."""
+    """Numbers values by key; values with equal keys share a number."""
 
     def __init__(self) -> None:
         self.numbers: dict[Hashable, int] = {}
@@ -125,14 +123,13 @@
         self.signatures, self.reply_tuples, self.chosen = Interner(), Interner(), Interner()
         self.replica_moves: dict[tuple[int, int, int], Any] = {}
         self.proposer_moves: dict[Hashable, Move] = {}
-        self.replica_signatures: list[int] = []  # by number, the same for all keepers
+        self.replica_keys: list[int] = []  # by number; equal for all replicas in the same state
         self.restarts: dict[int, int] = {}
         self.checked: set[int] = set()
 
     def initial_state(self) -> State:
         replicas = tuple(
-            self._intern_replica(n, ReplicaState(restarted_acceptor(n, fresh_disk(n)), fresh_disk(n)))
-            for n in range(3)
+            self._intern_replica(n, Replica(restart(n, new_disk(n)), new_disk(n))) for n in range(3)
         )
         proposers = tuple(
             self._intern_proposer(ProposerState(Proposer(name, n + 1, SET, Outbox(), lambda: 0.0)))
@@ -157,27 +154,25 @@
                 start = self._cached_move(state.proposers[index], ("start", state.done))
                 yield self._after_move(state, index, start)
 
-    # Keepers
+    # Replicas
 
-    def _intern_replica(self, n: int, k: ReplicaState) -> int:
+    def _intern_replica(self, n: int, k: Replica) -> int:
         signature = (k.replica.mode, k.replica.state.slots.get(KEY), k.disk.slots.get(KEY))
         number = self.replica_table.intern((n, k.replica.state.incarnation, k.disk.incarnation, signature), k)
-        if number == len(self.replica_signatures):
-            self.replica_signatures.append(self.signatures.intern(signature, None))
+        if number == len(self.replica_keys):
+            self.replica_keys.append(self.signatures.intern(signature, None))
         return number
 
     def _restart(self, n: int, number: int) -> int:
         if number in self.restarts:
             return self.restarts[number]
         disk = self.replica_table.values[number].disk
-        restarted = self.restarts[number] = self._intern_replica(
-            n, ReplicaState(restarted_acceptor(n, disk.copy()), disk)
-        )
+        restarted = self.restarts[number] = self._intern_replica(n, Replica(restart(n, disk.copy()), disk))
         return restarted
 
     def _replica_move(self, n: int, number: int, item: int) -> tuple[int, int | None, int, tuple[int, ...]]:
-        """The keeper afterwards; the same where its flush was lost; what it has now accepted, as a bit; answers."""
-        old: ReplicaState = self.replica_table.values[number]
+        """Return the replica afterwards, or after a lost flush; the accepted record as a bit; and the answers."""
+        old: Replica = self.replica_table.values[number]
         replica = object.__new__(Acceptor)
         replica.__dict__.update(old.replica.__dict__)
         replica.state = old.replica.state.copy()
@@ -192,7 +187,7 @@
                 bit = 1 << self.chosen.intern(
                     (request.ballot, request.record), (request.ballot, request.record)
                 )
-        after = self._intern_replica(n, ReplicaState(replica, disk))
+        after = self._intern_replica(n, Replica(replica, disk))
         lost = self._restart(n, number) if output.entries else None
         return after, lost, bit, tuple(self._item(answer) for _, answer in output.messages)
 
@@ -216,7 +211,7 @@
                 yield self._after_move(new, index, move)
 
     def _item(self, item: AnyMessage) -> int:
-        """Numbers of answers are left out, and who else promised: nothing rests on them while no disk is lost."""
+        """Intern a message without its answer counts and `promised_by`, which matter only when a disk is lost."""
         match item:
             case Accept():
                 fingerprint: Hashable = (3, item.ballot, item.record)
@@ -290,7 +285,9 @@
         for result in results:
             version = result.record.version if result.record is not None else (0, 0)
             if version < p.began:
-                raise InvariantError(f"an operation gave {version}, {p.began} had ended when it began")
+                raise InvariantError(
+                    f"an operation returned {version}, but {p.began} had ended when it began"
+                )
             p.ended = (*p.ended, (version, result.outcome, result.may_have_counted))
             p.next = version
         sent = [0, 0, 0]
@@ -312,7 +309,7 @@
         for result in move.results:
             if result.outcome is Outcome.DONE and result.record is not None:
                 if not any(record == result.record for _, record in self._chosen(state.accepted)):
-                    raise InvariantError(f"{result.record} is told as written, and no majority has it")
+                    raise InvariantError(f"{result.record} was reported as written, but no majority has it")
                 done = max(done, result.record.version)
         (a, b, c), (d, e, f) = state.sent_to, move.sent
         proposers = (move.after, state.proposers[1]) if index == 0 else (state.proposers[0], move.after)
@@ -337,15 +334,15 @@
                 raise InvariantError(f"two values of {record.version}: {values[record.version]} and {record}")
             last = before.version if before is not None else (0, 0)
             if record != before and record.version != (last[0] + 1, last[1] + 1):
-                raise InvariantError(f"{record} was chosen behind {before}")
+                raise InvariantError(f"{record} was chosen after {before}")
             before = record
         self.checked.add(bits)
 
     def signature(self, state: State) -> Hashable:
-        """The same for states that differ only in which keeper is which."""
+        """Return a hash that is equal for states that differ only by a permutation of the replicas."""
         a, b = self.proposer_table.values[state.proposers[0]], self.proposer_table.values[state.proposers[1]]
         signatures, (k, m, o), (d, e, f), (g, h, i) = (
-            self.replica_signatures,
+            self.replica_keys,
             state.replicas,
             state.sent_to,
             state.accepted,
@@ -358,7 +355,7 @@
     def run(
         self, depth: int, timeout_s: float = float("inf"), verbose: bool = False
     ) -> tuple[int, int, bool]:
-        """States seen, the depth to which all of them were, and whether there are no more behind it."""
+        """Return the number of states seen, the fully explored depth, and whether all reachable states were seen."""
         started = time.monotonic()
         frontier = [self.initial_state()]
         seen = {self.signature(frontier[0])}
@@ -395,7 +392,7 @@
     states, depth, is_complete = Explorer(tuple(args.writes), tuple(args.rounds)).run(
         args.depth, args.seconds, True
     )
-    print(f"{states} states, {'complete' if is_complete else 'all'} to depth {depth}: no promise broken")
+    print(f"{states} states, {'complete' if is_complete else 'all'} to depth {depth}: no invariant violated")
     return 0
 
 
--- a/packages/owners/tests/fleet_owners.py
+++ b/packages/owners/tests/fleet_owners.py
@@ -1,5 +1,5 @@
-"""A fleet of `Owners` on the simulated network: seeded faults, disks that lose what was not flushed, and a checker that
-sees all that keepers accept and followers take."""
+"""A fleet of `DutyManager`s on the simulated network, with seeded faults, disks that lose unflushed data, and a checker
+that sees every record that replicas accept and every state that processes apply."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class InvariantError(AssertionError):
-    """A promise was broken; the message names it first."""
+    """An invariant was violated; the message begins with its name."""
 
 
 class CountingDuty:
-    """A duty that always has something to do: it counts. Its state names the owner that counted."""
+    """A duty that always has work to do: it counts. Its state names the owner that counted last."""
 
     def __init__(self, name: str, process: Process) -> None:
         self.name = name
@@ -44,11 +44,11 @@
 
 
 class Checker:
-    """One owner a term; one value a version; effects in order, none of an old term; followers take only what counts,
-    and never go back; nothing is told as written that no majority has.
+    """Checks the invariants: one owner per term; one value per version; updates in order, and none of an old term;
+    processes apply only chosen states, in increasing versions; no write without a majority is reported as done.
 
-    What a keeper holds when it goes on to another set is a vote in that set too: two of four that took a ballot are no
-    majority, but once both are of a set of three, each later ballot meets one of them."""
+    A record that a replica holds when it adopts another set is also a vote in that set: two of four replicas are no
+    majority, but in a set of three that includes both, each later ballot reaches one of them."""
 
     def __init__(self) -> None:
         self.votes: dict[tuple[str, Ballot], tuple[Record, set[tuple[int, str]]]] = {}
@@ -57,14 +57,18 @@
         self.owners: dict[tuple[str, int], tuple[str, int]] = {}
         self.held: dict[tuple[str, str], Version] = {}
         self.stale_term_writes = 0
-        self.violations: list[str] = []  # what was found where an exception would be taken for a duty's own
+        self.violations: list[
+            str
+        ] = []  # found in callbacks, where an exception would be taken for the duty's
         self.update_counts: Counter[str] = Counter()
-        self.term_committed_ms: dict[tuple[str, int], float] = {}  # when a term first counted
+        self.term_committed_ms: dict[
+            tuple[str, int], float
+        ] = {}  # when a record of the term was first chosen
 
     def accepted(
         self, replica: str, key: str, ballot: Ballot, record: Record, replica_set: ReplicaSet, now: float
     ) -> None:
-        """Holds it on its disk, and votes in this set."""
+        """Record that `replica` has the record on its disk and votes in `replica_set`."""
         first, names = self.votes.setdefault((key, ballot), (record, set()))
         if first != record:
             raise InvariantError(f"one ballot, two values: {key} {ballot}: {first} and {record}")
@@ -81,7 +85,7 @@
         self.values[key, record.version] = record
         before = self.last.get(key)
         if before is not None and record.version <= before.version:
-            raise InvariantError(f"versions never go back: {key}: {record} counts after {before}")
+            raise InvariantError(f"versions never decrease: {key}: {record} chosen after {before}")
         if before is not None and record.term < before.term:
             self.stale_term_writes += 1
         if record.owner and not key.startswith("\0"):
@@ -93,24 +97,24 @@
         if record.update_count not in (update_count, update_count + 1) or (
             not key.startswith("\0") and record.value.split(b" ")[0] not in (b"%d" % record.update_count, b"")
         ):
-            raise InvariantError(f"effects in order: {key}: {record} after {before}")
+            raise InvariantError(f"updates in order: {key}: {record} after {before}")
         self.last[key] = record
         self.update_counts[key] += record.update_count - update_count
 
     def on_applied(self, process: Process, key: str, version: Version, state: bytes) -> None:
         held = self.held.get((process.name, key), (0, 0))
         if version <= held:
-            self.violations.append(f"copies never go back: {process.name} {key}: {version} after {held}")
+            self.violations.append(f"copies never decrease: {process.name} {key}: {version} after {held}")
         self.held[process.name, key] = version
         chosen = self.values.get((key, version))
         if chosen is None or chosen.value != state:
             self.violations.append(
-                f"only what counts is taken: {process.name} {key} {version}: {state!r}, {chosen}"
+                f"only chosen states are applied: {process.name} {key} {version}: {state!r}, {chosen}"
             )
 
 
 class Process:
-    """`disk` is what was flushed; it outlives the process."""
+    """A process of the fleet. `disk` is the flushed state, which survives a crash of the process."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
@@ -120,11 +124,11 @@
         self.held: dict[str, Record] = {}
         self.owners: DutyManager | None = None
         self.sent = 0
-        self.voting = False  # by what is flushed
+        self.voting = False  # according to the flushed state
         self._timer: Any = None
         self._flush_ms = 0.0
 
-    # Mail
+    # Transport
 
     def post(self, to: str, item: bytes) -> bool:
         assert len(item) <= 8192
@@ -135,10 +139,10 @@
     def alive(self) -> Sequence[str]:
         return self.fleet.alive
 
-    # Life
+    # Start, stop and handover
 
     def start(self, closed_fingerprint: str = "") -> None:
-        """`witness`: what its predecessor told (a handover)."""
+        """`closed_fingerprint`: the fingerprint from the predecessor, in a handover."""
         fleet, network = self.fleet, self.fleet.network
         self.incarnation = fleet.rng.getrandbits(31)
         acceptor = None
@@ -170,8 +174,8 @@
     def hand_over(
         self, delay_ms: float, disk: AcceptorState | None = None, early_fingerprint: str | None = None
     ) -> None:
-        """To a successor under the same name, which is told what the file held; `disk`: what stands there by then;
-        `early`: what a faulty predecessor told before it had stopped."""
+        """Hand over to a successor with the same name, which gets the fingerprint of the closed file. `disk`: replaces
+        the disk before the successor starts; `early_fingerprint`: sent by a faulty predecessor before it stopped."""
         assert self.owners is not None
         acceptor = self.owners.acceptor
         voted = (
@@ -200,7 +204,7 @@
         self.flush_and_reschedule()
 
     def flush_and_reschedule(self) -> None:
-        """Flush what is to be flushed, one after another, and set the timer."""
+        """Schedule the flushes of all outputs, one after another, and reset the timer."""
         assert self.owners is not None
         network = self.fleet.network
         for output in self.owners.take_outputs():
@@ -224,7 +228,7 @@
                     self._record_votes(key)
                 case IncarnationEntry():
                     self.voting = True
-                    self._record_votes(*self.disk.slots)  # what it learned, and what it had
+                    self._record_votes(*self.disk.slots)  # the slots it learned and the slots it had
                 case ReplicaSetEntry() if self.voting:
                     self._record_votes(*self.disk.slots)
         self.owners.on_flushed(output, self.fleet.network.now_ms)
@@ -271,7 +275,7 @@
             raise InvariantError(self.checker.violations[0])
 
     def owner(self, key: str) -> Process | None:
-        """Whom the register names, if that process lives and knows it."""
+        """Return the owner named in the register, if that process is alive and knows that it owns the duty."""
         record = self.checker.last.get(key)
         if record is None or not record.owner:
             return None
@@ -303,7 +307,7 @@
             self.run(step_ms)
         return bool(condition())
 
-    # Seeded plans
+    # Seeded faults
 
     def play(
         self,
@@ -311,7 +315,7 @@
         gap_ms: tuple[float, float] = (100.0, 2500.0),
         recovery_ms: float = 12_000.0,
     ) -> None:
-        """So many faults at random, some at the same time; then all is well again, and it must go on by itself."""
+        """Inject random faults, which may overlap, then end them all and check that the fleet recovers by itself."""
         rng = self.rng
         self.run(rng.uniform(500.0, 2000.0))
         for _ in range(fault_count):
@@ -323,13 +327,13 @@
         before = sum(self.checker.update_counts.values())
         self.run(recovery_ms)
         if sum(self.checker.update_counts.values()) <= before:
-            raise InvariantError("once all is well, duties go on")
+            raise InvariantError("duties continue once all faults have ended")
         self.network.loss_rate = 0.0
         self.run(100.0)
         self.check_converged()
 
     def check_converged(self) -> None:
-        """What is held at the end is the same everywhere, but for what is on its way."""
+        """Check that all processes hold almost the latest state; the last updates may still be in transit."""
         for key in self.keys:
             last = self.checker.last[key]
             for process in self.processes.values():
@@ -350,7 +354,7 @@
             self.start(name)
 
     def _has_bad_disk(self) -> bool:
-        """At most one disk at a time is lost or old; that is what is promised for."""
+        """Whether a replica does not vote. The invariants assume that at most one disk at a time is lost or old."""
         return not all(self.votes(name) for name in self.members)
 
     def votes(self, name: str) -> bool:
@@ -359,13 +363,13 @@
 
     @property
     def members(self) -> list[str]:
-        """Of the newest set that anybody has on disk, and the one before it."""
+        """The names of the newest replica set that any process has on disk, and of the set before it."""
         sets = [p.disk.replica_set for p in self.processes.values() if p.disk is not None]
         newest = max(sets, key=lambda replica_set: (replica_set.epoch, not replica_set.previous))
         return sorted({*newest.names, *newest.previous})
 
     def change_replica_set(self, by: Process) -> None:
-        """One keeper more or less; or on with a change that was left undone."""
+        """Add or remove one replica, or resume an unfinished change."""
         assert by.owners is not None
         now, present = self.network.now_ms, by.owners.proposer.replica_set
         if present.previous:
@@ -379,7 +383,7 @@
             new = self.rng.choice(sorted(self.eligible_replicas - names))
             names.add(new)
             if new not in self.members and self.processes[new].owners is not None:
-                self.processes[new].kill()  # what it kept as a former keeper is removed, as the page says
+                self.processes[new].kill()  # a former replica's file must be removed first
                 self.processes[new].disk = self.processes[new].old_disk = None
                 self.start(new)
         else:
@@ -389,14 +393,16 @@
             by.flush_and_reschedule()
 
     def check_read(self, by: Process, key: str) -> None:
-        """A read of the register: it must not be older than what counted when it began."""
+        """Read the register; the result must not be older than the latest record chosen before the read began."""
         last = self.checker.last.get(key)
         least = last.version if last is not None else (0, 0)
 
         def on_result(result: Result) -> None:
             found = result.record.version if result.record is not None else (0, 0)
             if result.outcome is Outcome.DONE and found < least:
-                raise InvariantError(f"reads are linearizable: {key}: {found} read, {least} counted before")
+                raise InvariantError(
+                    f"reads are linearizable: {key}: {found} read, but {least} was chosen before"
+                )
 
         if by.owners is not None:
             by.owners.proposer.set_time(self.network.now_ms)
--- a/packages/owners/tests/owners_cases.py
+++ b/packages/owners/tests/owners_cases.py
@@ -1,4 +1,4 @@
-"""A replica set, records, and stand-ins for what a module is joined to."""
+"""A replica set, records, and fakes of the interfaces that a module uses."""
 
 from collections.abc import Sequence
 
--- a/packages/owners/tests/test_owners_acceptor.py
+++ b/packages/owners/tests/test_owners_acceptor.py
@@ -1,4 +1,4 @@
-"""An acceptor's votes, by hand."""
+"""Votes of a single acceptor."""
 
 from larkweir_owners.acceptor_state import Slot
 from larkweir_owners.messages import Accept, Prepare, ReadRequest, Rejected
@@ -10,12 +10,16 @@
     promised_by = (("k0", (1, 10, 1)), ("k1", (1, 11, 4)))
     for incarnation, reason in (((1, 10), ""), ((2, 10), "life")):
         acceptor = voting_acceptor(incarnation)
-        acceptor.state.slots["d"] = Slot(ballot)  # as it would have learned it from others
+        acceptor.state.slots["d"] = Slot(ballot)  # as if learned from another replica
         answer = only_message(acceptor.on_message("p", Accept(1, "d", ballot, NEW, promised_by)).messages)
         assert getattr(answer, "reason", "") == reason
     acceptor = voting_acceptor()
     acceptor.on_message("p", Prepare(1, "d", ballot))
-    acceptor.state.peer_progress["k1"] = (2, 11, 0)  # k1 has a new life, and asked this keeper to catch up
+    acceptor.state.peer_progress["k1"] = (
+        2,
+        11,
+        0,
+    )  # k1 has a new incarnation, and has asked this acceptor for pages
     output = acceptor.on_message("p", Accept(1, "d", ballot, NEW, promised_by))
     assert isinstance(only_message(output.messages), Rejected) and not output.entries
     assert acceptor.state.slots["d"].record is None
--- a/packages/owners/tests/test_owners_acceptor_file.py
+++ b/packages/owners/tests/test_owners_acceptor_file.py
@@ -1,4 +1,4 @@
-"""The keeper's file: every cut, every flipped bit, every crash between and inside its calls, every call that fails."""
+"""The acceptor's file: every truncation, every flipped bit, a crash at or inside every call, and every failing call."""
 
 import errno
 from collections.abc import Iterator
@@ -33,13 +33,13 @@
 
 
 class ModelFolder:
-    """A folder in memory. What is flushed stays over a crash; of the rest of a file any prefix may, and of what was
-    done to the folder since it was flushed, all or the newest none."""
+    """A folder in memory. Flushed data survives a crash, with any prefix of the unflushed rest of a file. Of the
+    changes to the folder since its last flush, either all survive or none."""
 
     def __init__(self, fail_at: int = 0) -> None:
         self.calls, self.fail_at = 0, fail_at
         self.data: list[bytearray] = []
-        self.flushed_bytes: list[int] = []  # bytes flushed
+        self.flushed_bytes: list[int] = []
         self.names: dict[str, int] = {}
         self.flushed_names: dict[str, int] = {}
 
@@ -92,7 +92,7 @@
         self.flushed_names = dict(self.names)
 
     def crashes(self) -> Iterator["ModelFolder"]:
-        """All that may be there after a crash now."""
+        """Return every possible content of the folder after a crash now."""
         cuts = [
             range(flushed_bytes, len(data) + 1)
             for flushed_bytes, data in zip(self.flushed_bytes, self.data, strict=True)
@@ -107,7 +107,7 @@
 
 
 def states() -> list[AcceptorState]:
-    """After no entry, after one, ..."""
+    """Return the states after no entry, after one entry, and so on."""
     disk = AcceptorState(77, SET)
     found = [disk.copy()]
     for entry in ENTRIES:
@@ -117,7 +117,7 @@
 
 
 def write_entries(model: ModelFolder) -> list[int]:
-    """Puts the entries, one flush each; which of them were promised, as the number of entries, before each call."""
+    """Append the entries with one flush each, and return the serial of the last one in a list."""
     file = AcceptorFile(model, SET, lambda: 77)
     file.open()
     for entry in ENTRIES:
@@ -162,7 +162,7 @@
             for entry in ENTRIES:
                 if not file.append([entry]):
                     assert file.fault == "No space left on device"
-                    assert not file.append([ENTRIES[0]])  # never again in this life
+                    assert not file.append([ENTRIES[0]])  # this process never writes again
                     break
                 promised += 1
         except OSError:
@@ -222,12 +222,12 @@
     assert closed_fingerprint == fingerprint(held) and not file.append(ENTRIES[:1])
     again = AcceptorFile(model, SET, lambda: 78)
     assert Acceptor("a", again.open(), closed_fingerprint).voting_incarnation == (1, 4)
-    assert again.append([PeerProgressEntry((("b", (2, 5, 0)),))])  # no promise, and yet another disk
+    assert again.append([PeerProgressEntry((("b", (2, 5, 0)),))])  # not a promise, but the state has changed
     assert Acceptor("a", again.state.copy(), closed_fingerprint).voting_incarnation is None
     assert again.close(None) == ""  # it did not vote
     other = AcceptorFile(model, SET, lambda: 79)
     other.open()
-    assert other.close((2, 77)) == ""  # its new life had not come to the disk
+    assert other.close((2, 77)) == ""  # its new incarnation is not on disk yet
     full = AcceptorFile(model, SET, lambda: 80)
     full.open()
     model.fail_at = model.calls + 1
--- a/packages/owners/tests/test_owners_duty_manager.py
+++ b/packages/owners/tests/test_owners_duty_manager.py
@@ -1,4 +1,4 @@
-"""What a process does with messages that it can't use, and with batches."""
+"""How a process handles unusable messages and batches."""
 
 import msgspec
 import pytest
--- a/packages/owners/tests/test_owners_explore.py
+++ b/packages/owners/tests/test_owners_explore.py
@@ -1,4 +1,4 @@
-"""Every order of messages, losses, crashes and lost flushes, for two proposers and three keepers, exhaustively."""
+"""Explores all message orders, losses, crashes and lost flushes for two proposers and three replicas."""
 
 import pytest
 from explore_owners import Explorer
--- a/packages/owners/tests/test_owners_golden.py
+++ b/packages/owners/tests/test_owners_golden.py
@@ -1,4 +1,4 @@
-"""Bytes written by the release before: the keeper's file and every message are read, and written again the same."""
+"""The acceptor's file and every message have the same bytes as in the previous release, for reading and writing."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 
 def read_hex_lines(name: str) -> dict[str, bytes]:
-    """Lines of a name and bytes in hex."""
+    """Read lines that hold a name and bytes in hexadecimal."""
     lines = (GOLDEN / name).read_text(encoding="ascii").splitlines()
     return {key: bytes.fromhex(text) for key, text in (line.split(" ") for line in lines)}
 
--- a/packages/owners/tests/test_owners_messages.py
+++ b/packages/owners/tests/test_owners_messages.py
@@ -1,4 +1,4 @@
-"""Messages as bytes: whatever arrives, and small ones together."""
+"""Decoding of arbitrary bytes, and batching of small messages."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/packages/owners/tests/test_owners_proposer.py
+++ b/packages/owners/tests/test_owners_proposer.py
@@ -1,4 +1,4 @@
-"""A proposer's rounds, by hand."""
+"""Rounds of a single proposer."""
 
 from larkweir_owners.messages import Accept, Accepted, Promised
 from larkweir_owners.ports import Outcome, Result
@@ -22,17 +22,17 @@
     transport.sent.clear()
     promise("k0", (1, 10, 1))
     promise("k1", (1, 11, 1), ("k0", (2, 10, 0)))
-    assert transport.sent == []  # k0 has lost what it promised
+    assert transport.sent == []  # k0 has lost its promise, because it has a later incarnation
     promise("k0", (2, 10, 1))
     sent = dict(transport.sent)
     assert sorted(sent) == ["k0", "k1"]
     accept = sent["k0"]
     assert isinstance(accept, Accept) and dict(accept.promised_by) == {"k0": (2, 10, 1), "k1": (1, 11, 1)}
     transport.sent.clear()
-    promise("k2", (1, 12, 1))  # the others were not asked whether its life still is
+    promise("k2", (1, 12, 1))  # too late: the accepts do not name k2's incarnation
     assert transport.sent == []
     proposer.on_message("k1", Accepted("d", ballot, (1, 11, 2)), 2.0)
-    proposer.on_message("k0", Accepted("d", ballot, (1, 10, 2)), 2.0)  # of the former life
+    proposer.on_message("k0", Accepted("d", ballot, (1, 10, 2)), 2.0)  # of the outdated incarnation
     assert results == []
     proposer.on_message("k0", Accepted("d", ballot, (2, 10, 2)), 2.0)
     assert results == [Result(Outcome.DONE, NEW)]
--- a/packages/owners/tests/test_owners_readme.py
+++ b/packages/owners/tests/test_owners_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README works as it is written."""
+"""The example in the README works as written."""
 
 from __future__ import annotations
 
--- a/packages/owners/tests/test_owners_recovery.py
+++ b/packages/owners/tests/test_owners_recovery.py
@@ -1,4 +1,4 @@
-"""How a replica that has just started comes to vote, by hand."""
+"""Recovery of a replica that has just started."""
 
 import pytest
 from larkweir_owners.acceptor import Acceptor
--- a/packages/owners/tests/test_owners_replica_set_change.py
+++ b/packages/owners/tests/test_owners_replica_set_change.py
@@ -1,4 +1,4 @@
-"""Changes of the replica set, in fleets and by hand."""
+"""Changes of the replica set, in simulated fleets and step by step."""
 
 import os
 import subprocess
@@ -49,11 +49,9 @@
 
 @pytest.mark.parametrize("first", range(0, 160, 20))
 def test_old_records_survive_replacing_every_replica(first: int) -> None:
-    """A register that nobody has written since is still there when no keeper of its time is left."""
+    """A register that is not written during the changes survives the removal of all replicas that accepted it."""
     for seed in range(first, first + 20):
-        replace_all_replicas(
-            Fleet(seed), ("a", "old")[seed % 2]
-        )  # before the duty's key in their order, or after it
+        replace_all_replicas(Fleet(seed), ("a", "old")[seed % 2])  # sorts before or after the duty's key
 
 
 def replace_all_replicas(fleet: Fleet, key: str) -> None:
@@ -85,7 +83,8 @@
 
 @pytest.mark.parametrize("pair", [("k0", "k1"), ("k0", "k2"), ("k1", "k2")])
 def test_record_accepted_by_two_of_four_counts_once_both_are_in_a_set_of_three(pair: tuple[str, str]) -> None:
-    """No majority took it; still each round of the next set meets it, so that one may say that it counts."""
+    """No majority of the old set accepted the record, but every majority of the new set includes a replica that did, so
+    the record is chosen there."""
     four = ReplicaSet(1, ("k0", "k1", "k2", "k3"))
     three = ReplicaSet(2, ("k0", "k1", "k2"), four.names)
     disk = AcceptorState(1, four, (1, 1), True)
@@ -115,7 +114,9 @@
     assert results == [Result(Outcome.DONE, accepted_record)] and checker.values == {
         ("d", (1, 1)): accepted_record
     }
-    rival.write("d", (0, 0), Record(1, 1, "r", 9), results.append)  # k3 and it have not heard of the change
+    rival.write(
+        "d", (0, 0), Record(1, 1, "r", 9), results.append
+    )  # the rival and k3 do not know of the change
     deliver_all(rival, (*pair, "k3"), (*pair, "k3"))
     assert results[1:] == [Result(Outcome.CONFLICT, accepted_record)]
 
--- a/packages/owners/tests/test_owners_seeds.py
+++ b/packages/owners/tests/test_owners_seeds.py
@@ -1,8 +1,8 @@
-"""Whole fleets of the rules under seeded faults; run as a program, with FIRST and LAST, it plays those seeds.
+"""Simulated fleets under seeded faults. Run as a program with FIRST and LAST, it plays the seeds of that range.
 
-Faults: owners stopped for up to three leases and woken, kills, no disk, yesterday's disk, handovers, all keepers at
-once, drains, lag, cuts both ways and one way, a disk that can't be written, loss, copies, long delays, changes of the
-set of keepers.
+Faults: owners paused for up to three leases and resumed, kills, lost disks, disks restored from an old copy, handovers,
+restarts of all replicas at once, drains, event loop lag, partitions in both directions or in one, unwritable disks,
+message loss, duplication and long delays, changes of the replica set.
 """
 
 import sys
@@ -44,7 +44,9 @@
     fleet.run(3 * fleet.timing.lease_ms)
     new = fleet.owner("duty0")
     assert new is not None and new is not old
-    assert old.owners.leaderships["duty0"].phase is not Phase.WATCHING  # it still believes that it owns
+    assert (
+        old.owners.leaderships["duty0"].phase is not Phase.WATCHING
+    )  # it still believes that it owns the duty
     fleet.network.resume(old.name)
     fleet.run(1000.0)
     assert old.owners.leaderships["duty0"].phase is Phase.WATCHING
@@ -64,11 +66,11 @@
     assert fleet.checker.last["duty0"].term == term + 1
     assert old.owners.owned_duties == []
     fleet.run(5000.0)
-    assert old.owners.owned_duties == []  # and takes nothing again
+    assert old.owners.owned_duties == []  # it does not acquire the duty again
 
 
 def test_successor_that_yields_after_a_pause_takes_a_duty_released_to_it() -> None:
-    """The preferred place stood still and is back; whoever drains names it, and the others wait for it."""
+    """The preferred process was paused and has resumed. The draining owner names it, and the others wait for it."""
     delays = []
     for seed in range(6):
         fleet = fleet_with_owner(seed)
@@ -90,7 +92,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_yielding_candidates_take_a_duty_that_nobody_else_takes(seed: int) -> None:
-    """The last of three owners stands still, the other two candidates have just stood still themselves."""
+    """The last of three owners is paused while the other two candidates still yield after pauses of their own."""
     fleet = fleet_with_owner(seed)
     for _ in range(3):
         old = fleet.owner("duty0")
@@ -106,7 +108,7 @@
 
 
 def test_candidates_read_registers_only_when_owner_updates_stop() -> None:
-    """What it costs: the keepers are asked by nobody while leases are renewed, and soon when they are not."""
+    """Candidates send no reads to the replicas while leases are renewed, and read soon after renewals stop."""
     fleet = fleet_with_owner(7, processes=5)
     owner = fleet.owner("duty0")
     assert owner is not None
@@ -120,7 +122,7 @@
     fleet.run(2 * fleet.timing.lease_ms)
     reads.clear()
     fleet.run(6 * fleet.timing.lease_ms)
-    assert len(reads) <= 2  # it was two candidates, six times a lease
+    assert len(reads) <= 2  # without renewal updates, two candidates would read six times per lease
     fleet.network.pause(owner.name)
     fleet.run(fleet.timing.lease_ms)
     assert reads
@@ -139,14 +141,14 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_successor_with_a_matching_fingerprint_votes_at_once(seed: int) -> None:
     fleet = fleet_with_owner(seed)
-    for name in fleet.members:  # each is dead while the next hands over: two are left, and both must vote
+    for name in fleet.members:  # one replica after another hands over; a successor must vote within 25 ms
         process = fleet.processes[name]
         before = process.disk.copy() if process.disk is not None else None
         process.hand_over(20.0)
         fleet.run(25.0)
         assert fleet.votes(name)
         fleet.run(1500.0)
-        process.hand_over(20.0, before)  # an older copy is in its place by then
+        process.hand_over(20.0, before)  # an older copy replaces the disk before the successor starts
         fleet.run(25.0)
         assert not fleet.votes(name)
         assert fleet.run_until(lambda name=name, fleet=fleet: fleet.votes(name), 8000.0)
@@ -154,8 +156,8 @@
 
 @pytest.mark.parametrize("early", [False, True])
 def test_fingerprint_taken_before_voting_stopped_breaks_an_invariant(early: bool) -> None:
-    """A planted fault, and the same without it: what is told of one keeper misses what it took last, the second has
-    not seen that, and the third, who has, dies."""
+    """With the planted fault, the first replica's fingerprint and disk lack its last accepted record. The second
+    replica has not seen that record, and the third, which has it, dies. Without the fault, no invariant is violated."""
     broken = 0
     for seed in range(4):
         fleet = fleet_with_owner(seed, processes=6)
@@ -172,7 +174,9 @@
         fleet.network.heal()
         try:
             fleet.run(100.0)
-            fleet.check_read(fleet.processes[fleet.names[5]], "duty0")  # must not be older than what counted
+            fleet.check_read(
+                fleet.processes[fleet.names[5]], "duty0"
+            )  # must not be older than the last chosen record
             fleet.run(4000.0)
         except InvariantError:
             broken += 1
@@ -181,7 +185,7 @@
 
 @pytest.mark.parametrize("disks", ["empty", "old"])
 def test_duties_continue_above_known_versions_after_all_replicas_lost_their_disks(disks: str) -> None:
-    """More than is promised for: the page says to empty all folders and to start all."""
+    """More disks are lost than the replicas tolerate. The documented remedy is to empty all folders and restart all."""
     fleet = fleet_with_owner(1, processes=6)
     old = {name: fleet.processes[name].disk for name in fleet.members}
     old = {name: disk.copy() if disks == "old" and disk is not None else None for name, disk in old.items()}
@@ -237,7 +241,7 @@
     assert fleet.run_until(lambda: fleet.owner("duty0") not in (None, home), 5000.0)
     fleet.start(home.name)
     fleet.run(5 * fleet.timing.lease_ms)
-    assert fleet.checker.last["duty0"].term == 2  # not yet
+    assert fleet.checker.last["duty0"].term == 2  # the minimum tenure has not passed yet
     fleet.run(9 * fleet.timing.lease_ms)
     assert fleet.owner("duty0") is home
     assert fleet.checker.last["duty0"].term == 3
@@ -276,4 +280,4 @@
         except InvariantError as error:
             bad += 1
             print(number, error, flush=True)
-    print(f"{bad} of {int(sys.argv[2]) - int(sys.argv[1])} seeds broke a promise")
+    print(f"{bad} of {int(sys.argv[2]) - int(sys.argv[1])} seeds violated an invariant")
--- a/packages/owners/tests/test_owners_state_replicator.py
+++ b/packages/owners/tests/test_owners_state_replicator.py
@@ -1,4 +1,4 @@
-"""Which states a process applies, passes on and fetches, by hand."""
+"""Which states a process applies, forwards and fetches."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -99,5 +99,5 @@
         and replicator.version("d") == (1, 5)
         and replicator.stale == 0
     )
-    replicator.on_updates("p1", StateUpdates((("d", Record(1, 7, "", 1, "p2", 3, b"x")),)), 20.0)  # given up
+    replicator.on_updates("p1", StateUpdates((("d", Record(1, 7, "", 1, "p2", 3, b"x")),)), 20.0)  # released
     assert replicator.version("d") == (1, 7)
--- a/packages/owners/tests/test_owners_traces.py
+++ b/packages/owners/tests/test_owners_traces.py
@@ -1,4 +1,4 @@
-"""Seeded fleets do the same as in the release before: every message, when it was sent, and every entry flushed."""
+"""Seeded fleets behave as in the previous release: the same messages, send times and flushed entries."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def trace_of(seed: int, processes: int, duties: int) -> str:
-    """A hash of all that a fleet sends and flushes while it is played."""
+    """Return a hash of everything that a fleet sends and flushes during a run."""
     fleet = Fleet(seed, processes=processes, duties=duties)
     digest = blake2b(digest_size=16)
     send = fleet.network.send
