--- a/packages/owners/src/larkweir_owners/leadership.py
+++ b/packages/owners/src/larkweir_owners/leadership.py
@@ -40,9 +40,7 @@
         self.late_turns = 0  # ticks that were late by more than `LeaseTiming.max_lag_ms`
         self._me, self._registers, self._publisher = me, registers, publisher
         self._watch = OwnerWatch(me, timing)
-        self._register_behind: Version | None = (
-            None  # the register's version, if it is behind the known record
-        )
+        self._register_behind: Version | None = None  # the register's version, if behind the known record
         self._renewed_ms = -inf  # start of the last successful write
         self._acquired_ms = 0.0
         self._is_busy = False  # a write is in progress, or a read that an owner waits for
--- a/packages/owners/src/larkweir_owners/lease_timing.py
+++ b/packages/owners/src/larkweir_owners/lease_timing.py
@@ -15,9 +15,7 @@
     lease_ms: float = 3000.0
     step_ms: float = 100.0  # interval between two steps of a duty that is not woken
     wake_ms: float = 50.0  # minimum interval between two steps, however often the duty is woken
-    min_tenure_leases: float = (
-        10.0  # a duty is held for this many leases before it may move to its preferred owner
-    )
+    min_tenure_leases: float = 10.0  # a duty is held this long before it may move to its preferred owner
 
     @property
     def renew_ms(self) -> float:
--- a/packages/owners/src/larkweir_owners/messages.py
+++ b/packages/owners/src/larkweir_owners/messages.py
@@ -20,12 +20,10 @@
 MAX_BATCH_BYTES = 180  # limit for a batch of small messages: about the payload of one datagram
 
 Ballot: TypeAlias = tuple[int, str, int]  # counter, proposer's name, proposer's incarnation
-Incarnation: TypeAlias = tuple[
-    int, int
-]  # of an acceptor: a number that increases with each incarnation, and the disk's id
-Progress: TypeAlias = tuple[
-    int, int, int
-]  # an acceptor's incarnation, and its number of answers in this incarnation
+# Of an acceptor: a number that increases with each incarnation, and the disk's id
+Incarnation: TypeAlias = tuple[int, int]
+# An acceptor's incarnation, and its number of answers in this incarnation
+Progress: TypeAlias = tuple[int, int, int]
 Version: TypeAlias = tuple[int, int]  # term, number
 
 NO_BALLOT: Ballot = (0, "", 0)
--- a/packages/owners/src/larkweir_owners/owner_watch.py
+++ b/packages/owners/src/larkweir_owners/owner_watch.py
@@ -21,9 +21,7 @@
         self.now_ms = 0.0  # the time of the latest call
         self.record: Record | None = None
         self.has_majority = False  # a majority of the replicas answered the last request
-        self.rank: int | None = (
-            None  # this process's rank among the candidates; 0 is preferred, None is not a candidate
-        )
+        self.rank: int | None = None  # among the candidates; 0 is preferred, None: not a candidate
         self.yield_until_ms = 0.0  # yields to other candidates until then; inf: acquires no duty
         self.owner_seen_ms = 0.0  # when there was last evidence that the owner is live
         self._me, self._timing = me, timing
--- a/packages/owners/src/larkweir_owners/recovery.py
+++ b/packages/owners/src/larkweir_owners/recovery.py
@@ -65,9 +65,7 @@
         self._name, self._state = name, state
         self._replies: dict[str, RecoveryReply] = {}
         self._catch_up_incarnation: Incarnation | None = None
-        self._caught_up_to: dict[
-            str, str | None
-        ] = {}  # by replica: the last key received; None when complete
+        self._caught_up_to: dict[str, str | None] = {}  # by replica: the last key; None when complete
         self._learned_slots: dict[str, Slot] = {}
 
     def tick(self, now_ms: float) -> AcceptorOutput:
@@ -110,9 +108,8 @@
         """
         if max(reply.requester_progress for reply in self._replies.values()) > self._progress():
             self._start_catch_up(ReplicaMode.LOST)
-        elif self._are_enough(
-            self._replies
-        ):  # only one disk may be bad at a time: if another one is, this one is not
+        elif self._are_enough(self._replies):
+            # At most one disk may be bad at a time: if a peer's disk is bad, this one is current
             self._start_catch_up(ReplicaMode.CATCHING_UP)
 
     def _check_first_start(self, output: AcceptorOutput) -> None:
@@ -120,13 +117,11 @@
         replies, disk_id = self._replies, self._state.disk_id
         me = (1, disk_id, 0)
         if self.is_added():
-            self.start_voting(
-                self._state.replica_set.added[1:], output
-            )  # the replica set named this empty disk when it added the replica
+            self.start_voting(self._state.replica_set.added[1:], output)  # added with this empty disk
         elif len(replies) == len(self._peers()) and all(
             reply.mode == ReplicaMode.NEW for reply in replies.values()
         ):
-            # All replicas are new, so there is nothing to catch up with
+            # All replicas are new: if there were earlier records, no replica holds them any more
             progress = tuple((name, (1, reply.progress[1], 0)) for name, reply in replies.items())
             output.persist(self._state, PeerProgressEntry(progress))
             self.start_voting((1, disk_id), output)
@@ -151,9 +146,7 @@
         """Handle a page of another replica's slots. After all pages of enough replicas, this replica votes."""
         if page.incarnation != self._catch_up_incarnation or source not in self._peers():
             return
-        if (
-            page.replica_set.epoch > self._state.replica_set.epoch
-        ):  # the required replicas may differ now: start again
+        if page.replica_set.epoch > self._state.replica_set.epoch:  # the peers may differ now: start again
             output.persist(self._state, ReplicaSetEntry(page.replica_set))
             self._caught_up_to.clear()
             return
--- a/packages/owners/src/larkweir_owners/replica_set_change.py
+++ b/packages/owners/src/larkweir_owners/replica_set_change.py
@@ -69,9 +69,8 @@
         self._added_name = ""  # the replica to add, or ""
         self._added_disk_id = 0
         self._next_set: ReplicaSet | None = None
-        self._adopted_up_to: dict[
-            str, str | None
-        ] = {}  # by replica: the last key received; None when complete
+        # By replica: the last key received; None when complete
+        self._adopted_up_to: dict[str, str | None] = {}
         self._keys: set[str] = set()
         self._committed_names: set[str] = set()
         self._sends_left = 0
--- a/packages/owners/src/larkweir_owners/state_replicator.py
+++ b/packages/owners/src/larkweir_owners/state_replicator.py
@@ -34,9 +34,8 @@
 FETCH_AFTER_MS = 1500.0  # a newer record that a peer has not sent by then is read from the replicas
 MAX_KEYS = 4096
 
-Sampler: TypeAlias = Callable[
-    [Sequence[str], int], Sequence[str]
-]  # returns a random sample of the given size
+# Returns a random sample of the given size
+Sampler: TypeAlias = Callable[[Sequence[str], int], Sequence[str]]
 
 
 class StateReplicator:
@@ -67,9 +66,8 @@
         self._transport, self._registers = transport, registers
         self._sample, self._on_applied = sample, on_applied
         self._watchers: dict[str, Sequence[str]] = {}
-        self._wanted: dict[
-            str, tuple[Version, float]
-        ] = {}  # by key: a peer's newer version, and when it was learned
+        # By key: a peer's newer version, and when it was learned
+        self._wanted: dict[str, tuple[Version, float]] = {}
         self._digest_cursor = ""
         self._now_ms = 0.0
         self._digest_fraction = first_digest_fraction
--- a/packages/owners/tests/fleet_owners.py
+++ b/packages/owners/tests/fleet_owners.py
@@ -57,13 +57,11 @@
         self.owners: dict[tuple[str, int], tuple[str, int]] = {}
         self.held: dict[tuple[str, str], Version] = {}
         self.stale_term_writes = 0
-        self.violations: list[
-            str
-        ] = []  # found in callbacks, where an exception would be taken for the duty's
+        # Found in a duty's callback, where an exception would only be counted as the duty's own failure
+        self.violations: list[str] = []
         self.update_counts: Counter[str] = Counter()
-        self.term_committed_ms: dict[
-            tuple[str, int], float
-        ] = {}  # when a record of the term was first chosen
+        # When a record of the term was first chosen
+        self.term_committed_ms: dict[tuple[str, int], float] = {}
 
     def accepted(
         self, replica: str, key: str, ballot: Ballot, record: Record, replica_set: ReplicaSet, now: float
--- a/packages/owners/tests/test_owners_acceptor.py
+++ b/packages/owners/tests/test_owners_acceptor.py
@@ -15,11 +15,8 @@
         assert getattr(answer, "reason", "") == reason
     acceptor = voting_acceptor()
     acceptor.on_message("p", Prepare(1, "d", ballot))
-    acceptor.state.peer_progress["k1"] = (
-        2,
-        11,
-        0,
-    )  # k1 has a new incarnation, and has asked this acceptor for pages
+    # k1 has a new incarnation, and has asked this acceptor for pages
+    acceptor.state.peer_progress["k1"] = (2, 11, 0)
     output = acceptor.on_message("p", Accept(1, "d", ballot, NEW, promised_by))
     assert isinstance(only_message(output.messages), Rejected) and not output.entries
     assert acceptor.state.slots["d"].record is None
--- a/packages/owners/tests/test_owners_replica_set_change.py
+++ b/packages/owners/tests/test_owners_replica_set_change.py
@@ -114,9 +114,8 @@
     assert results == [Result(Outcome.DONE, accepted_record)] and checker.values == {
         ("d", (1, 1)): accepted_record
     }
-    rival.write(
-        "d", (0, 0), Record(1, 1, "r", 9), results.append
-    )  # the rival and k3 do not know of the change
+    # The rival and k3 do not know of the change
+    rival.write("d", (0, 0), Record(1, 1, "r", 9), results.append)
     deliver_all(rival, (*pair, "k3"), (*pair, "k3"))
     assert results[1:] == [Result(Outcome.CONFLICT, accepted_record)]
 
--- a/packages/owners/tests/test_owners_seeds.py
+++ b/packages/owners/tests/test_owners_seeds.py
@@ -44,9 +44,8 @@
     fleet.run(3 * fleet.timing.lease_ms)
     new = fleet.owner("duty0")
     assert new is not None and new is not old
-    assert (
-        old.owners.leaderships["duty0"].phase is not Phase.WATCHING
-    )  # it still believes that it owns the duty
+    # It still believes that it owns the duty
+    assert old.owners.leaderships["duty0"].phase is not Phase.WATCHING
     fleet.network.resume(old.name)
     fleet.run(1000.0)
     assert old.owners.leaderships["duty0"].phase is Phase.WATCHING
@@ -174,9 +173,8 @@
         fleet.network.heal()
         try:
             fleet.run(100.0)
-            fleet.check_read(
-                fleet.processes[fleet.names[5]], "duty0"
-            )  # must not be older than the last chosen record
+            # Must not be older than the last chosen record
+            fleet.check_read(fleet.processes[fleet.names[5]], "duty0")
             fleet.run(4000.0)
         except InvariantError:
             broken += 1
