--- a/packages/owners/tests/explore_owners.py
+++ b/packages/owners/tests/explore_owners.py
@@ -68,7 +68,7 @@
 
 
 class Replica(NamedTuple):
-    replica: Acceptor
+    acceptor: Acceptor
     disk: AcceptorState  # the flushed state
 
 
@@ -157,8 +157,10 @@
     # Replicas
 
     def _intern_replica(self, n: int, k: Replica) -> int:
-        signature = (k.replica.mode, k.replica.state.slots.get(KEY), k.disk.slots.get(KEY))
-        number = self.replica_table.intern((n, k.replica.state.incarnation, k.disk.incarnation, signature), k)
+        signature = (k.acceptor.mode, k.acceptor.state.slots.get(KEY), k.disk.slots.get(KEY))
+        number = self.replica_table.intern(
+            (n, k.acceptor.state.incarnation, k.disk.incarnation, signature), k
+        )
         if number == len(self.replica_keys):
             self.replica_keys.append(self.signatures.intern(signature, None))
         return number
@@ -173,11 +175,11 @@
     def _replica_move(self, n: int, number: int, item: int) -> tuple[int, int | None, int, tuple[int, ...]]:
         """Return the replica afterwards, or after a lost flush; the accepted record as a bit; and the answers."""
         old: Replica = self.replica_table.values[number]
-        replica = object.__new__(Acceptor)
-        replica.__dict__.update(old.replica.__dict__)
-        replica.state = old.replica.state.copy()
+        acceptor = object.__new__(Acceptor)
+        acceptor.__dict__.update(old.acceptor.__dict__)
+        acceptor.state = old.acceptor.state.copy()
         request = self.items.values[item]
-        output = replica.on_message(request.ballot[1], request)
+        output = acceptor.on_message(request.ballot[1], request)
         disk = old.disk.copy()
         for entry in output.entries:
             disk.apply(entry)
@@ -187,7 +189,7 @@
                 bit = 1 << self.chosen.intern(
                     (request.ballot, request.record), (request.ballot, request.record)
                 )
-        after = self._intern_replica(n, Replica(replica, disk))
+        after = self._intern_replica(n, Replica(acceptor, disk))
         lost = self._restart(n, number) if output.entries else None
         return after, lost, bit, tuple(self._item(answer) for _, answer in output.messages)
 
@@ -285,9 +287,7 @@
         for result in results:
             version = result.record.version if result.record is not None else (0, 0)
             if version < p.began:
-                raise InvariantError(
-                    f"an operation returned {version}, but {p.began} had ended when it began"
-                )
+                raise InvariantError(f"an operation returned {version}, {p.began} had ended before")
             p.ended = (*p.ended, (version, result.outcome, result.may_have_counted))
             p.next = version
         sent = [0, 0, 0]
