--- a/benchmarks/chain_budget.py
+++ b/benchmarks/chain_budget.py
@@ -45,7 +45,7 @@
                 served, told = tier(depth + 1, below), below.reported
                 if rng.random() < lost:  # the answer breaks on its way: served or not, nobody hears of it
                     served, told = False, None
-            account.settle(attempt, told, never=False)
+            account.settle(attempt, told, never_ran=False)
             if served:
                 return True
         return False
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -155,7 +155,7 @@
     )
 
     from larkweir.storms.storm import Storm
-    from larkweir.storms.watch import Watch
+    from larkweir.storms.storm_balancer import StormBalancer
 
     settings = Settings(classes=CLASSES, max_attempts=4, retry_advice=True, max_retry_after_ms=2000.0)
     times: dict[bool, list[float]] = {True: [], False: []}
@@ -163,7 +163,7 @@
         for on in (turn % 2 == 0, turn % 2 == 1):
             decisions: Any = Balancer(settings, 1)
             if on:
-                decisions = Watch(decisions, Storm(settings, 1), lambda number: number)
+                decisions = StormBalancer(decisions, Storm(settings, 1), lambda number: number)
             decisions.handle(0.0, ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(12)]))
             begun = time.process_time()
             now, out = 0.0, []
--- a/larkweir/budget/chain.py
+++ b/larkweir/budget/chain.py
@@ -22,16 +22,16 @@
 from larkweir_balancing.interface import NEVER_RAN, Outcome, RequestArrived, Settings
 
 from larkweir.budget.rules import (
-    MOST_BUDGET,
-    MOST_WORTH,
+    MAX_BUDGET,
+    MAX_WORTH,
     SHARES,
     Account,
     RetryRatio,
-    Useful,
+    UsefulTime,
     WorthGate,
-    number,
-    path_of,
-    worth_of,
+    parse_number,
+    parse_path,
+    parse_worth,
 )
 from larkweir.config.options import Budget
 from larkweir.core.message import FramingError, Headers, Message
@@ -42,7 +42,7 @@
 PATH = b"x-budget-path"
 SPENT = b"x-budget-spent"
 LOOP = b"x-budget-loop"
-OURS = frozenset((BUDGET, WORTH, PATH, SPENT, LOOP))
+BUDGET_FIELDS = frozenset((BUDGET, WORTH, PATH, SPENT, LOOP))
 
 
 class KeyOwner(NamedTuple):
@@ -52,16 +52,16 @@
     key: bytes
 
 
-class Ticket:
+class HopBudget:
     """One request's part."""
 
     __slots__ = (
         "_baggage",
         "_chain",
         "_key",
+        "_may_have_run",
         "_path",
-        "_ran",
-        "_times",
+        "_started_ms",
         "_trusted",
         "account",
         "cls",
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        chain: Chain,
+        chain: TierBudgets,
         account: Account,
         path: bytes,
         worth: float,
@@ -85,8 +85,8 @@
         self._trusted = trusted
         self._key = key
         self._baggage = baggage
-        self._ran = False  # an attempt may have run
-        self._times: dict[int, float] = {}
+        self._may_have_run = False  # an attempt may have run
+        self._started_ms: dict[int, float] = {}
         self.account = account
         self.worth = worth
         self.cls = cls
@@ -99,46 +99,46 @@
     def grant(self, attempt: int, tries: int, now_ms: float) -> Headers | None:
         """The headers that an attempt takes down; none if it may not be begun."""
         chain = self._chain
-        if self.account.left < 1 or (attempt and not chain.ratio.again(now_ms)):
+        if self.account.left < 1 or (attempt and not chain.ratio.take_retry(now_ms)):
             return None
         part = self.account.grant(attempt, tries)
         if not part:
             return None
         self.out += 1
-        self._times[attempt] = now_ms
+        self._started_ms[attempt] = now_ms
         found = [
             (b"X-Budget", b"%d" % part),
             (b"X-Budget-Worth", b"%.6g" % self.worth),
             (b"X-Budget-Path", self._path),
         ]
         if self._baggage is not None:
-            found.append((chain.field, self._baggage.down()))
+            found.append((chain.baggage_field, self._baggage.down()))
         return found
 
     def settle(self, attempt: int, outcome: Outcome, answer: Message | None, now_ms: float) -> None:
         """An attempt that was granted has ended."""
-        begun = self._times.pop(attempt, None)
+        begun = self._started_ms.pop(attempt, None)
         if begun is None:
             return
         self.out -= 1
-        never = outcome in NEVER_RAN
-        self._ran = self._ran or not never
+        never_ran = outcome in NEVER_RAN
+        self._may_have_run = self._may_have_run or not never_ran
         spent = None
         if self._baggage is not None:
-            values = answer.values(self._chain.lower) if answer is not None else ()
-            self._baggage.on_answer(values[0] if values else None, not never and not self._chain.last)
+            values = answer.values(self._chain.baggage_field_lower) if answer is not None else ()
+            self._baggage.on_answer(values[0] if values else None, not never_ran and not self._chain.last)
         if answer is not None:
             try:
-                spent = number(answer.value(SPENT), 0, MOST_BUDGET)
+                spent = parse_number(answer.value(SPENT), 0, MAX_BUDGET)
                 self.account.looped = self.account.looped or answer.value(LOOP) == b"1"
             except FramingError:
                 self._chain.unreadable += 1
         if outcome is Outcome.OK:
-            self._chain.useful.served(self.cls, now_ms - begun)
+            self._chain.useful.observe(self.cls, now_ms - begun)
         # Never written whole, it reached nobody. Turned away unseen, it reached an upstream: at the last tier that is
         # an attempt; further up nothing went on from there, unless a balancer below says otherwise.
         reached = outcome is Outcome.FULL and self._chain.last
-        self.account.settle(attempt, spent, never and not spent and not reached)
+        self.account.settle(attempt, spent, never_ran and not spent and not reached)
 
     def closing(self, status: int) -> Headers:
         """What goes back with the one final answer."""
@@ -154,24 +154,24 @@
         found = [(b"X-Budget-Spent", b"%d" % self.account.reported)]
         if self.account.looped:
             found.append((b"X-Budget-Loop", b"1"))
-        if status in (503, 504) and not self._ran and not self.out:
+        if status in (503, 504) and not self._may_have_run and not self.out:
             found.append((b"X-Never-Ran", b"1"))
         if self._baggage is not None:
-            found.append((chain.field, self._baggage.up()))
+            found.append((chain.baggage_field, self._baggage.up()))
         return found
 
 
-class Chain:
+class TierBudgets:
     """What one tier keeps of all its requests: a bounded few numbers, whatever the tenants."""
 
-    MOST_KEYS = 4096
+    MAX_OPEN_KEYS = 4096
 
     def __init__(self, options: Budget, settings: Settings, log: Callable[[str], None]) -> None:
         self.options = options
         self._log = log
         self.ratio = RetryRatio(options.retry_ratio, options.retry_floor_per_s)
         self.gate = WorthGate()
-        self.useful = Useful(len(settings.classes))
+        self.useful = UsefulTime(len(settings.classes))
         self.unreadable = 0  # values that made no sense, so far
         self.loops = 0  # requests refused for one
         self.open_keys: dict[KeyOwner, Account] = {}  # of keyed requests that are open
@@ -179,9 +179,11 @@
         self._networks = [ip_network(item, strict=False) for item in options.trust if item != "unix"]
         self._unix = "unix" in options.trust
         self.own: tuple[bytes, ...] = (b"x-budget",)
-        self.field = self.lower = b""  # that is carried for another part, and in small letters
+        self.baggage_field = self.baggage_field_lower = (
+            b""  # that is carried for another part, and in small letters
+        )
         self._propagator: BaggagePropagator | None = None
-        self._taken = OURS
+        self._consumed_fields = BUDGET_FIELDS
         self.trusts = lru_cache(maxsize=1024)(self._trusts)
         self._settings = settings
         self.configure(settings)
@@ -216,14 +218,14 @@
     def carry(self, propagator: BaggagePropagator) -> None:
         """Another part's field travels too. One at the most."""
         assert self._propagator is None, "a second field"
-        self._propagator, self.field = propagator, propagator.name
-        self.lower = propagator.name.lower()
-        self._taken = OURS | {self.lower}
-        self.own = (b"x-budget", self.lower)
+        self._propagator, self.baggage_field = propagator, propagator.name
+        self.baggage_field_lower = propagator.name.lower()
+        self._consumed_fields = BUDGET_FIELDS | {self.baggage_field_lower}
+        self.own = (b"x-budget", self.baggage_field_lower)
 
     def arrive(
         self, peer: str, message: Message, event: RequestArrived, now_ms: float, trace: bytes = b""
-    ) -> Ticket | Headers:
+    ) -> HopBudget | Headers:
         """Take what came with a request, and take it off: nothing of it goes on unread. A ticket; or the headers
         of a refusal, at once and with nothing sent.
         """
@@ -232,7 +234,7 @@
         kept: Headers = []
         for name, value in message.headers:
             lower = name.lower()
-            if lower not in self._taken:
+            if lower not in self._consumed_fields:
                 kept.append((name, value))
             elif trusted:
                 if lower in received:
@@ -241,20 +243,22 @@
         if len(kept) != len(message.headers):
             message.headers = kept
         cls = event.class_in(self._settings)
-        budget = number(received.get(BUDGET), 1, MOST_BUDGET)
-        worth = worth_of(received.get(WORTH), min(MOST_WORTH, cls.worth * self.options.worth_most))
-        path = path_of(received.get(PATH))
+        budget = parse_number(received.get(BUDGET), 1, MAX_BUDGET)
+        worth = parse_worth(received.get(WORTH), min(MAX_WORTH, cls.worth * self.options.worth_most))
+        path = parse_path(received.get(PATH))
         read = ((BUDGET, budget is None), (WORTH, worth is None), (PATH, path is None))
         self.unreadable += sum(bad and key in received for key, bad in read)
         # A path that can't be read may hide a loop; what it hides is bounded by the budget all the same.
         hops = path or ()
         baggage = None
         if self._propagator is not None:
-            baggage = self._propagator.baggage_for(received.get(self.lower), trace, event, now_ms)
-        if self._loops(hops):
+            baggage = self._propagator.baggage_for(
+                received.get(self.baggage_field_lower), trace, event, now_ms
+            )
+        if self._is_loop(hops):
             return self._refusal(trusted, loop=True, baggage=baggage)
-        self.ratio.first(now_ms)
-        least = self.useful.least_ms(event.class_index)
+        self.ratio.on_first_attempt(now_ms)
+        least = self.useful.min_ms(event.class_index)
         if event.time_left_ms < least + self.way_back_ms:
             return self._refusal(trusted, baggage=baggage)
         if worth is None:
@@ -269,11 +273,11 @@
             first = self.open_keys[key]
             account.budget = account.left = min(budget, first.left)
             first.left = 0
-        if key is not None and len(self.open_keys) < self.MOST_KEYS:
+        if key is not None and len(self.open_keys) < self.MAX_OPEN_KEYS:
             self.open_keys[key] = account
         event.attempts_left = account.left
-        way = b", ".join((*hops, self._hop))
-        return Ticket(self, account, way, worth, trusted, event.class_index, key, baggage)
+        forwarded_path = b", ".join((*hops, self._hop))
+        return HopBudget(self, account, forwarded_path, worth, trusted, event.class_index, key, baggage)
 
     def _key_of(self, message: Message, event: RequestArrived) -> KeyOwner | None:
         key = message.value(b"idempotency-key")
@@ -283,7 +287,7 @@
         name = tenants[event.tenant].name if event.tenant < len(tenants) else ""
         return KeyOwner(name, key)
 
-    def _loops(self, hops: tuple[bytes, ...]) -> bool:
+    def _is_loop(self, hops: tuple[bytes, ...]) -> bool:
         """Whether a request that has passed these tiers is in a loop, which is counted and told."""
         if self._hop not in hops and len(hops) < self.options.hops:
             return False
@@ -298,7 +302,7 @@
         if not self.trusts(peer):
             return None
         found = message.values(PATH)
-        return self._refusal(True, loop=True) if found and self._loops(path_of(found[0]) or ()) else None
+        return self._refusal(True, loop=True) if found and self._is_loop(parse_path(found[0]) or ()) else None
 
     def _refusal(self, trusted: bool, loop: bool = False, baggage: Baggage | None = None) -> Headers:
         found: Headers = []
@@ -309,5 +313,5 @@
             if loop:
                 found.append((b"X-Budget-Loop", b"1"))
             if baggage is not None:
-                found.append((self.field, baggage.up()))
+                found.append((self.baggage_field, baggage.up()))
         return found
--- a/larkweir/budget/part.py
+++ b/larkweir/budget/part.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from larkweir.budget.chain import Chain
+from larkweir.budget.chain import TierBudgets
 from larkweir.config.options import Operator
 from larkweir.config.platform import Config
 from larkweir.core.dispatcher import Dispatcher
@@ -22,5 +22,7 @@
 
 
 def attach(host: Host, options: Operator) -> None:
-    host.dispatcher.extensions.budgets = chain = Chain(options.budget, host.config.settings, host.log.write)
-    host.configure_callbacks.append(lambda config, options: chain.configure(config.settings))
+    host.dispatcher.extensions.budgets = budgets = TierBudgets(
+        options.budget, host.config.settings, host.log.write
+    )
+    host.configure_callbacks.append(lambda config, options: budgets.configure(config.settings))
--- a/larkweir/budget/rules.py
+++ b/larkweir/budget/rules.py
@@ -46,7 +46,7 @@
 class Account:
     """One request's budget at one tier."""
 
-    __slots__ = ("_last", "_out", "_share", "budget", "left", "looped", "overspent", "spent")
+    __slots__ = ("_granted", "_last", "_share", "budget", "left", "looped", "overspent", "spent")
 
     def __init__(self, budget: int, last: bool, share: Share) -> None:
         """`last`: this tier's own attempts are what is counted."""
@@ -55,7 +55,7 @@
         self.spent = 0
         self.overspent = 0  # told by a lower tier beyond what it was granted: it does not divide
         self.looped = False  # a lower tier has refused a loop
-        self._out: dict[int, int] = {}
+        self._granted: dict[int, int] = {}
         self._last = last
         self._share = share
 
@@ -63,29 +63,29 @@
         """What an attempt may cost, taken from what is left; 0 if nothing is. `tries` may still begin here, this
         one among them.
         """
-        if self.left < 1 or self.looped or attempt in self._out:
+        if self.left < 1 or self.looped or attempt in self._granted:
             return 0
         part = 1 if self._last else min(self.left, self._share(self.left, tries))
-        self._out[attempt] = part
+        self._granted[attempt] = part
         self.left -= part
         return part
 
-    def settle(self, attempt: int, told: int | None, never: bool) -> None:
+    def settle(self, attempt: int, reported_spent: int | None, never_ran: bool) -> None:
         """An attempt has ended. `never`: nothing of it can have been taken below; `told` is what the tier below
         says that it spent. A second word for the same attempt changes nothing.
         """
-        part = self._out.pop(attempt, None)
+        part = self._granted.pop(attempt, None)
         if part is None:
             return
-        if never:
+        if never_ran:
             used = 0
         elif self._last:
             used = 1
-        elif told is None:
+        elif reported_spent is None:
             used = part
         else:
-            self.overspent += max(0, told - part)
-            used = min(part, max(0, told))
+            self.overspent += max(0, reported_spent - part)
+            used = min(part, max(0, reported_spent))
         self.spent += used
         self.left += part - used
 
@@ -106,34 +106,34 @@
         self.floor_per_s = floor_per_s
         self.cap = cap
         self._tokens = min(cap, max(1.0, floor_per_s))
-        self._seen_ms: float | None = None
+        self._refilled_ms: float | None = None
 
-    def _pass(self, now_ms: float) -> None:
-        if self._seen_ms is not None:
-            earned = max(0.0, now_ms - self._seen_ms) * self.floor_per_s / 1000.0
+    def _refill(self, now_ms: float) -> None:
+        if self._refilled_ms is not None:
+            earned = max(0.0, now_ms - self._refilled_ms) * self.floor_per_s / 1000.0
             self._tokens = min(self.cap, self._tokens + earned)
-        self._seen_ms = now_ms
+        self._refilled_ms = now_ms
 
-    def first(self, now_ms: float) -> None:
-        self._pass(now_ms)
+    def on_first_attempt(self, now_ms: float) -> None:
+        self._refill(now_ms)
         self._tokens = min(self.cap, self._tokens + self.ratio)
 
-    def again(self, now_ms: float) -> bool:
+    def take_retry(self, now_ms: float) -> bool:
         """Whether one more retry is within the share; it is taken if so."""
-        self._pass(now_ms)
+        self._refill(now_ms)
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
 
-class Useful:
+class UsefulTime:
     """What a useful attempt takes, for each class: a low running quantile of the times of answers that were served.
     Robust to few samples: until there are enough of them nothing is known, and a single odd one moves it little.
     """
 
-    ENOUGH = 20
-    LOW = 0.05  # of answers are faster
+    MIN_SAMPLES = 20
+    QUANTILE = 0.05  # of answers are faster
     STEP = 0.05  # of the present value, at a time
 
     def __init__(self, classes: int) -> None:
@@ -149,19 +149,19 @@
         """Another class has this place now."""
         self._value[cls], self._count[cls] = 0.0, 0
 
-    def served(self, cls: int, spent_ms: float) -> None:
-        count = self._count[cls] = min(self.ENOUGH, self._count[cls] + 1)
+    def observe(self, cls: int, spent_ms: float) -> None:
+        count = self._count[cls] = min(self.MIN_SAMPLES, self._count[cls] + 1)
         value = self._value[cls]
-        if count == 1 or (count < self.ENOUGH and spent_ms < value):
+        if count == 1 or (count < self.MIN_SAMPLES and spent_ms < value):
             self._value[cls] = spent_ms
         elif spent_ms < value:
-            self._value[cls] = value * (1.0 - self.STEP * (1.0 - self.LOW))
+            self._value[cls] = value * (1.0 - self.STEP * (1.0 - self.QUANTILE))
         else:
-            self._value[cls] = value * (1.0 + self.STEP * self.LOW)
+            self._value[cls] = value * (1.0 + self.STEP * self.QUANTILE)
 
-    def least_ms(self, cls: int) -> float:
+    def min_ms(self, cls: int) -> float:
         """Below this no attempt is of use; 0 while that is not known."""
-        return self._value[cls] if self._count[cls] >= self.ENOUGH else 0.0
+        return self._value[cls] if self._count[cls] >= self.MIN_SAMPLES else 0.0
 
 
 class WorthGate:
@@ -171,17 +171,17 @@
     """
 
     STEPS = 16
-    MEMORY = 1.0 / 64.0
-    CALM = 0.1  # of requests given up, from which there is pressure
-    SPARED = 0.1  # of each step, whatever the pressure
+    SMOOTHING = 1.0 / 64.0
+    PRESSURE_THRESHOLD = 0.1  # of requests given up, from which there is pressure
+    MIN_ADMITTED_SHARE = 0.1  # of each step, whatever the pressure
 
     def __init__(self) -> None:
         self._share = [0.0] * self.STEPS  # of arrivals
-        self._owed = [0.0] * self.STEPS  # requests to give up, in parts of one
+        self._refusals_due = [0.0] * self.STEPS  # requests to give up, in parts of one
         self.pressure = 0.0  # of requests, given up for want of time or room
 
     @classmethod
-    def step(cls, worth: float) -> int:
+    def step_of(cls, worth: float) -> int:
         at = 0
         while worth >= 2.0 and at < cls.STEPS - 1:
             worth /= 2.0
@@ -189,59 +189,59 @@
         return at
 
     def ended(self, given_up: bool) -> None:
-        self.pressure += self.MEMORY * (given_up - self.pressure)
+        self.pressure += self.SMOOTHING * (given_up - self.pressure)
 
     def admits(self, worth: float) -> bool:
         """Count an arrival; whether it may go on. Under pressure as much of the least worth is given up as was
         given up of all lately.
         """
-        at = self.step(worth)
+        at = self.step_of(worth)
         for n in range(self.STEPS):
-            self._share[n] += self.MEMORY * ((n == at) - self._share[n])
-        if self.pressure <= self.CALM:
+            self._share[n] += self.SMOOTHING * ((n == at) - self._share[n])
+        if self.pressure <= self.PRESSURE_THRESHOLD:
             return True
         below, here = sum(self._share[:at]), self._share[at]
-        part = (self.pressure - self.CALM - below) / here if here > 0.0 else 0.0
+        part = (self.pressure - self.PRESSURE_THRESHOLD - below) / here if here > 0.0 else 0.0
         if part <= 0.0:
             return True  # giving up all that is worth less is enough
-        self._owed[at] += min(part, 1.0 - self.SPARED)
-        if self._owed[at] < 1.0:
+        self._refusals_due[at] += min(part, 1.0 - self.MIN_ADMITTED_SHARE)
+        if self._refusals_due[at] < 1.0:
             return True
-        self._owed[at] -= 1.0
+        self._refusals_due[at] -= 1.0
         return False
 
 
 # ---------------------------------------------------------------- what travels
 
-MOST_BUDGET = 1000
-MOST_WORTH = 1e6
-MOST_HOPS = 32
-MAX_HOP = 64  # bytes of a hop's name
+MAX_BUDGET = 1000
+MAX_WORTH = 1e6
+MAX_HOPS = 32
+MAX_HOP_BYTES = 64  # bytes of a hop's name
 
 
-def number(text: bytes | None, low: int, high: int) -> int | None:
+def parse_number(text: bytes | None, low: int, high: int) -> int | None:
     """A whole number as it travels, brought within bounds; None if it is unreadable."""
     if text is None or not text.isdigit() or len(text) > 18:
         return None
     return min(high, max(low, int(text)))
 
 
-def worth_of(text: bytes | None, high: float) -> float | None:
+def parse_worth(text: bytes | None, high: float) -> float | None:
     """A worth as it travels, `high` at most; None if it is unreadable."""
     if text is None or len(text) > 20 or not text.replace(b".", b"", 1).isdigit():
         return None
     return min(high, float(text))
 
 
-def path_of(text: bytes | None) -> tuple[bytes, ...] | None:
+def parse_path(text: bytes | None) -> tuple[bytes, ...] | None:
     """The hops that a request has passed, first to last; None if that is unreadable or past all bounds."""
     if not text:
         return ()
     hops = tuple(item.strip() for item in text.split(b","))
-    if len(hops) > MOST_HOPS or not all(0 < len(hop) <= MAX_HOP and hop_fits(hop) for hop in hops):
+    if len(hops) > MAX_HOPS or not all(0 < len(hop) <= MAX_HOP_BYTES and is_valid_hop(hop) for hop in hops):
         return None
     return hops
 
 
-def hop_fits(hop: bytes) -> bool:
+def is_valid_hop(hop: bytes) -> bool:
     return hop.replace(b"-", b"").replace(b"_", b"").replace(b".", b"").replace(b"/", b"").isalnum()
--- a/larkweir/door/guard.py
+++ b/larkweir/door/guard.py
@@ -21,7 +21,7 @@
 class Guard:
     """Fed by the clock with the length of every turn."""
 
-    SAY_MS = 10_000.0  # between two lines of the log
+    LOG_INTERVAL_MS = 10_000.0  # between two lines of the log
 
     def __init__(
         self,
@@ -29,60 +29,63 @@
         settings: Settings,
         clock: Clock,
         seed: int,
-        known: Callable[[bytes], bool],
+        is_taken: Callable[[bytes], bool],
         log: Callable[[str], None],
     ) -> None:
         """`known` tells an id that is open, or was until lately, here or at another life of this balancer."""
-        self.door = LoadShedder(settings.classes, Random(seed), options.high, options.low)
+        self.shedder = LoadShedder(settings.classes, Random(seed), options.high, options.low)
         self._clock = clock
-        self._known = known
+        self._is_taken = is_taken
         self._log = log
-        self._said_ms = -self.SAY_MS
-        self._said = 0
-        clock.on_iteration = self._turn
+        self._logged_ms = -self.LOG_INTERVAL_MS
+        self._logged_count = 0
+        clock.on_iteration = self._on_iteration
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
         """A new generation's figures; a new class may have the place of one that is no more."""
-        self.door.configure(settings.classes)
+        self.shedder.configure(settings.classes)
         self._classes = {item.name.encode(): n for n, item in enumerate(settings.classes)}
         wait_ms = settings.max_retry_after_ms
         self._refusal: Headers = [(b"Retry-After", b"%.3f" % (wait_ms / 1000.0))] if wait_ms > 0.0 else []
         self._refusal.append((b"X-Never-Ran", b"1"))  # a tier above may send it elsewhere
 
-    def _turn(self, busy_ms: float, whole_ms: float) -> None:
-        door = self.door
-        door.on_iteration(busy_ms, whole_ms)
-        if door.shed_count > self._said and self._clock.now_ms() - self._said_ms > self.SAY_MS:
-            self._said_ms = self._clock.now_ms()
+    def _on_iteration(self, busy_ms: float, whole_ms: float) -> None:
+        shedder = self.shedder
+        shedder.on_iteration(busy_ms, whole_ms)
+        if (
+            shedder.shed_count > self._logged_count
+            and self._clock.now_ms() - self._logged_ms > self.LOG_INTERVAL_MS
+        ):
+            self._logged_ms = self._clock.now_ms()
             self._log(
-                f"door: turns of {door.mean_busy_ms:.0f} ms, {door.shed_fraction:.0%} turned away, "
-                f"{door.shed_count - self._said} since"
+                f"door: turns of {shedder.mean_busy_ms:.0f} ms, {shedder.shed_fraction:.0%} turned away, "
+                f"{shedder.shed_count - self._logged_count} since"
             )
-            self._said = door.shed_count
+            self._logged_count = shedder.shed_count
 
     def refusal_for(self, message: Message) -> Headers | None:
         """The headers of a refusal, or None where the message is to be read on."""
-        if not self.door.is_shedding:
+        if not self.shedder.is_shedding:
             return None
         self._clock.loop_iteration()  # a turn that only sheds is one too
-        named = trace = b""
-        again = False
+        class_name = trace = b""
+        is_retry = False
         for name, value in message.headers:
-            if len(name) in FIELDS:
+            if len(name) in FIELD_LENGTHS:
                 lower = name.lower()
                 if lower == b"x-qos":
-                    named = value
+                    class_name = value
                 elif lower == b"x-trace-id":
                     trace = value
                 elif lower == b"x-second-try":
-                    again = value == b"1"
-        at = self._classes.get(named)
+                    is_retry = value == b"1"
+        class_index = self._classes.get(class_name)
         # What is no request gets its own answer. So does an id that is open: a refusal would call harmless what may be
         # running under that id.
-        if at is None or not trace or len(trace) > MAX_TRACE or self._known(trace):
+        if class_index is None or not trace or len(trace) > MAX_TRACE or self._is_taken(trace):
             return None
-        return None if self.door.admits(at, again) else self._refusal
+        return None if self.shedder.admits(class_index, is_retry) else self._refusal
 
 
-FIELDS = frozenset(map(len, (b"x-qos", b"x-trace-id", b"x-second-try")))
+FIELD_LENGTHS = frozenset(map(len, (b"x-qos", b"x-trace-id", b"x-second-try")))
--- a/larkweir/door/part.py
+++ b/larkweir/door/part.py
@@ -25,8 +25,8 @@
 
 def attach(host: Host, options: Operator) -> None:
     config = host.config
-    known, say = host.request_handler.is_known, host.log.write
+    is_taken, log = host.request_handler.is_known, host.log.write
     host.request_handler.load_shedder = guard = Guard(
-        options.door, config.settings, host.clock, config.seed, known, say
+        options.door, config.settings, host.clock, config.seed, is_taken, log
     )
     host.configure_callbacks.append(lambda config, options: guard.configure(config.settings))
--- a/larkweir/lab/balancers.py
+++ b/larkweir/lab/balancers.py
@@ -31,7 +31,7 @@
 from larkweir.lab.policies import POLICIES, Policy
 from larkweir.lab.servers import Call
 from larkweir.storms.storm import Storm
-from larkweir.storms.watch import Watch
+from larkweir.storms.storm_balancer import StormBalancer
 
 if TYPE_CHECKING:
     from larkweir.lab.model import World
@@ -75,11 +75,13 @@
         self._decisions: Decisions = self.decisions
         if scenario.storms and not tier:
             storm = Storm(settings, world.seed * 7_919 + me)
-            watch = Watch(self.decisions, storm, lambda request: world.clients.get(request, 0) + 1)
-            self._decisions = watch
+            storm_balancer = StormBalancer(
+                self.decisions, storm, lambda request: world.clients.get(request, 0) + 1
+            )
+            self._decisions = storm_balancer
 
             def tick() -> None:
-                watch.tick(world.now)
+                storm_balancer.tick(world.now)
                 world.after(STORM_TICK_MS, tick)
 
             world.after(STORM_TICK_MS, tick)
--- a/larkweir/storms/advice.py
+++ b/larkweir/storms/advice.py
@@ -19,106 +19,109 @@
 from larkweir.storms.shares import Kind
 
 
-class Memory:
+class ClientTable:
     """Who was told what, in a fixed table."""
 
     WAYS = 4
-    STEPS = 4  # of a penalty
+    MAX_PENALTY_STEPS = 4  # of a penalty
 
     def __init__(self, sets: int = 1024) -> None:
         size = sets * self.WAYS
         self._sets = sets
         self._tags = array("Q", bytes(8 * size))
-        self._due = array("d", bytes(8 * size))
-        self._until = array("d", bytes(8 * size))
+        self._due_ms = array("d", bytes(8 * size))
+        self._expires_ms = array("d", bytes(8 * size))
         self._steps = array("B", bytes(size))
-        self.last_ms = 0.0  # when the last of all is forgotten
+        self.last_expiry_ms = 0.0  # when the last of all is forgotten
 
     def _find(self, client: int, now_ms: float) -> int:
         base = (client % self._sets) * self.WAYS
         for at in range(base, base + self.WAYS):
-            if self._tags[at] == client and self._until[at] > now_ms:
+            if self._tags[at] == client and self._expires_ms[at] > now_ms:
                 return at
         return -1
 
-    def told(self, now_ms: float, client: int, due_ms: float, until_ms: float, steps: int) -> None:
+    def record(self, now_ms: float, client: int, due_ms: float, until_ms: float, steps: int) -> None:
         """A client that comes from `due_ms` on comes as told, which is remembered until `until_ms`."""
         at = self._find(client, now_ms)
         if at < 0:
             base = (client % self._sets) * self.WAYS
-            at = min(range(base, base + self.WAYS), key=self._until.__getitem__)
+            at = min(range(base, base + self.WAYS), key=self._expires_ms.__getitem__)
             self._tags[at] = client
-        self._due[at], self._until[at] = due_ms, until_ms
-        self._steps[at] = min(self.STEPS, steps)
-        self.last_ms = max(self.last_ms, until_ms)
+        self._due_ms[at], self._expires_ms[at] = due_ms, until_ms
+        self._steps[at] = min(self.MAX_PENALTY_STEPS, steps)
+        self.last_expiry_ms = max(self.last_expiry_ms, until_ms)
 
-    def comes(self, now_ms: float, client: int) -> tuple[Kind, int] | None:
+    def classify(self, now_ms: float, client: int) -> tuple[Kind, int] | None:
         """What a client is that comes now, and its steps; None for one that nothing is known of."""
-        if now_ms >= self.last_ms:
+        if now_ms >= self.last_expiry_ms:
             return None
         at = self._find(client, now_ms)
         if at < 0:
             return None
         steps = self._steps[at]
-        if now_ms < self._due[at]:
-            return Kind.IGNORING, min(self.STEPS, steps + 1)
+        if now_ms < self._due_ms[at]:
+            return Kind.IGNORING, min(self.MAX_PENALTY_STEPS, steps + 1)
         return Kind.PROMISED, max(0, steps - 1)
 
     def forget(self, now_ms: float, client: int) -> None:
         """It was served: nothing is owed to it, but a penalty fades only as told."""
         at = self._find(client, now_ms)
         if at >= 0 and not self._steps[at]:
-            self._until[at] = 0.0
+            self._expires_ms[at] = 0.0
 
 
-class Promises:
+class ScheduledReturns:
     """How many were told to come, by when: a wheel of slots, so that nothing is kept of each."""
 
     SLOTS = 64
 
-    def __init__(self, most_ms: float) -> None:
-        self.slot_ms = max(1.0, most_ms / (self.SLOTS - 4))
+    def __init__(self, max_wait_ms: float) -> None:
+        self.slot_ms = max(1.0, max_wait_ms / (self.SLOTS - 4))
         self._slots = [0] * self.SLOTS
-        self._turn = 0  # the slot that now lies in, counted from the clock's beginning
+        self._current_slot = 0  # the slot that now lies in, counted from the clock's beginning
         self.total = 0
 
-    def _roll(self, now_ms: float) -> None:
-        turn = int(now_ms / self.slot_ms)
-        for past in range(max(self._turn, turn - self.SLOTS), turn):
+    def _advance(self, now_ms: float) -> None:
+        slot = int(now_ms / self.slot_ms)
+        for past in range(max(self._current_slot, slot - self.SLOTS), slot):
             self.total -= self._slots[past % self.SLOTS]
             self._slots[past % self.SLOTS] = 0
-        self._turn = max(self._turn, turn)
+        self._current_slot = max(self._current_slot, slot)
 
-    def promise(self, now_ms: float, wait_ms: float) -> None:
-        self._roll(now_ms)
+    def add(self, now_ms: float, wait_ms: float) -> None:
+        self._advance(now_ms)
         ahead = min(self.SLOTS - 1, int(wait_ms / self.slot_ms))
-        self._slots[(self._turn + ahead) % self.SLOTS] += 1
+        self._slots[(self._current_slot + ahead) % self.SLOTS] += 1
         self.total += 1
 
-    def waiting(self, now_ms: float) -> int:
-        self._roll(now_ms)
+    def count(self, now_ms: float) -> int:
+        self._advance(now_ms)
         return self.total
 
 
 class Advice:
     """The word that a refusal carries. Without a bound in the settings there is none."""
 
-    GROWTH = 1.5  # times, for each step
-    SURE = 0.7  # of the most: where a wait that would be longer still begins, spread from there on
-    CALM = 0.5  # of the most: the same of one that was turned away without a storm
-    SPARE = 0.2  # of what is let in, at the least, is taken to be left for those who come back
-    FORGET = 4.0  # times the most, until what a client did is forgotten
-    EARLY_MS, EARLY = 20.0, 0.05  # sooner than told that is still as told: a time, or a part of the wait
-
-    def __init__(self, most_ms: float, least_ms: float, secret: bytes, sets: int = 1024) -> None:
+    PENALTY_GROWTH = 1.5  # times, for each step
+    SPREAD_START = 0.7  # of the most: where a wait that would be longer still begins, spread from there on
+    CALM_SPREAD_START = 0.5  # of the most: the same of one that was turned away without a storm
+    MIN_SPARE_SHARE = 0.2  # of what is let in, at the least, is taken to be left for those who come back
+    FORGET_AFTER = 4.0  # times the most, until what a client did is forgotten
+    EARLY_TOLERANCE_MS, EARLY_TOLERANCE_SHARE = (
+        20.0,
+        0.05,
+    )  # sooner than told that is still as told: a time, or a part of the wait
+
+    def __init__(self, max_wait_ms: float, min_wait_ms: float, secret: bytes, sets: int = 1024) -> None:
         self._secret = secret
-        self.memory = Memory(sets)
-        self.configure(most_ms, least_ms)
+        self.clients = ClientTable(sets)
+        self.configure(max_wait_ms, min_wait_ms)
 
-    def configure(self, most_ms: float, least_ms: float) -> None:
-        self.most_ms = max(0.0, most_ms)
-        self.least_ms = min(least_ms, self.most_ms)
-        self.promises = Promises(max(self.most_ms, 1.0))
+    def configure(self, max_wait_ms: float, min_wait_ms: float) -> None:
+        self.max_wait_ms = max(0.0, max_wait_ms)
+        self.min_wait_ms = min(min_wait_ms, self.max_wait_ms)
+        self.returns = ScheduledReturns(max(self.max_wait_ms, 1.0))
 
     def fingerprint(self, *parts: bytes) -> int:
         """A client's, and what it asks; never 0. By a secret of this life, so that nobody can look for a clash."""
@@ -128,32 +131,33 @@
             digest.update(part)
         return int.from_bytes(digest.digest(), "big") | 1
 
-    def comes(self, now_ms: float, client: int) -> tuple[Kind, int] | None:
-        return self.memory.comes(now_ms, client)
+    def classify(self, now_ms: float, client: int) -> tuple[Kind, int] | None:
+        return self.clients.classify(now_ms, client)
 
     def wait_ms(
-        self, now_ms: float, client: int, steps: int, let_in_per_s: float, unasked_per_s: float
+        self, now_ms: float, client: int, steps: int, admitted_per_s: float, unscheduled_per_s: float
     ) -> float:
-        """When to come back, and remember it. `let_in_per_s` is what the tier is given, `unasked_per_s` what of that
-        goes
-        to those who were not told to come now; infinite where nothing is bounded.
+        """Choose and record how long a refused client is asked to wait.
+
+        `admitted_per_s` is the rate that the tier admits, infinite where nothing limits it. `unscheduled_per_s` is
+        the part of that rate that goes to requests whose clients were not asked to return now.
         """
-        if self.most_ms <= 0.0:
+        if self.max_wait_ms <= 0.0:
             return 0.0
-        place = (client >> 11) / (1 << 53)  # from 0 to 1, the client's own
-        if let_in_per_s == float("inf"):
-            wait = self.most_ms * (self.CALM + (1.0 - self.CALM) * place)
+        position = (client >> 11) / (1 << 53)  # from 0 to 1, the client's own
+        if admitted_per_s == float("inf"):
+            wait = self.max_wait_ms * (self.CALM_SPREAD_START + (1.0 - self.CALM_SPREAD_START) * position)
         else:
-            spare = max(let_in_per_s - unasked_per_s, self.SPARE * let_in_per_s, 0.01)
-            span = 1000.0 * (self.promises.waiting(now_ms) + 1) / spare
-            if span < self.most_ms:
-                wait = self.least_ms + place * max(0.0, span - self.least_ms)
+            spare = max(admitted_per_s - unscheduled_per_s, self.MIN_SPARE_SHARE * admitted_per_s, 0.01)
+            span = 1000.0 * (self.returns.count(now_ms) + 1) / spare
+            if span < self.max_wait_ms:
+                wait = self.min_wait_ms + position * max(0.0, span - self.min_wait_ms)
             else:  # more wait than can be served in the longest time that may be named
-                wait = self.most_ms * (self.SURE + (1.0 - self.SURE) * place)
-        wait = max(wait, self.least_ms) * self.GROWTH**steps
-        wait = min(wait, self.most_ms * (self.SURE + (1.0 - self.SURE) * place))
-        self.promises.promise(now_ms, wait)
-        until = now_ms + wait + self.FORGET * self.most_ms
-        early = min(max(self.EARLY_MS, self.EARLY * wait), 0.5 * wait)
-        self.memory.told(now_ms, client, now_ms + wait - early, until, steps)
+                wait = self.max_wait_ms * (self.SPREAD_START + (1.0 - self.SPREAD_START) * position)
+        wait = max(wait, self.min_wait_ms) * self.PENALTY_GROWTH**steps
+        wait = min(wait, self.max_wait_ms * (self.SPREAD_START + (1.0 - self.SPREAD_START) * position))
+        self.returns.add(now_ms, wait)
+        until = now_ms + wait + self.FORGET_AFTER * self.max_wait_ms
+        tolerance_ms = min(max(self.EARLY_TOLERANCE_MS, self.EARLY_TOLERANCE_SHARE * wait), 0.5 * wait)
+        self.clients.record(now_ms, client, now_ms + wait - tolerance_ms, until, steps)
         return wait
--- a/larkweir/storms/gate.py
+++ b/larkweir/storms/gate.py
@@ -13,14 +13,14 @@
 from larkweir.core.dispatcher import Dispatcher
 from larkweir.core.message import Headers
 from larkweir.protocols.listener import Listener
-from larkweir.storms.pace import Accepting, Opening
+from larkweir.storms.pace import AcceptLimiter, ConnectLimiter
 from larkweir.storms.signs import State
 from larkweir.storms.storm import Storm
-from larkweir.storms.watch import Watch
+from larkweir.storms.storm_balancer import StormBalancer
 from larkweir.upstreams.pool import UpstreamPool
 
 # What tells a client and its request from others, beside its address: the same when it asks again.
-NAMED = frozenset((b"x-customer", b"x-qos", b"x-object", b"idempotency-key"))
+IDENTIFYING_HEADERS = frozenset((b"x-customer", b"x-qos", b"x-object", b"idempotency-key"))
 
 
 class Gate:
@@ -32,18 +32,20 @@
         self, options: Options, config: Config, decisions: Balancer, log: Callable[[str], None]
     ) -> None:
         self._options = options
-        self.storm = Storm(config.settings, config.seed, say=log, sets=max(16, options.clients // 4))
-        self.watch = Watch(decisions, self.storm, self._client_of)
+        self.storm = Storm(config.settings, config.seed, log=log, sets=max(16, options.clients // 4))
+        self.decisions = StormBalancer(decisions, self.storm, self._fingerprint_of)
         self._balancer = decisions
         self._dispatcher: Dispatcher | None = None
         self._clock: Clock | None = None
-        self._opening = Opening(options.connects_per_s, self._share)
-        self._accepting = Accepting(min(cls.aim_ms for cls in config.settings.classes), Listener.BACKLOG)
+        self._connect_limiter = ConnectLimiter(options.connects_per_s, self._capacity_fraction)
+        self._accept_limiter = AcceptLimiter(
+            min(cls.aim_ms for cls in config.settings.classes), Listener.BACKLOG
+        )
 
     def attach(self, dispatcher: Dispatcher, upstreams: UpstreamPool, listener: Listener) -> None:
         self._dispatcher = dispatcher
         self._clock = dispatcher.clock
-        dispatcher.extensions.retry_after = self.word
+        dispatcher.extensions.retry_after = self.retry_headers
         if self._options.connects_per_s > 0.0:
             upstreams.rate_limiter = self
         listener.can_accept = self._accept
@@ -51,12 +53,12 @@
 
     def _tick(self) -> None:
         assert self._clock is not None
-        self.watch.tick(self._clock.now_ms())
+        self.decisions.tick(self._clock.now_ms())
         self._clock.after(self.TICK_MS, self._tick)
 
     # ------------------------------------------------ clients
 
-    def _client_of(self, number: int) -> int:
+    def _fingerprint_of(self, number: int) -> int:
         """The fingerprint of who asks for what. The address is the connection's, which nobody can forge."""
         assert self._dispatcher is not None
         request = self._dispatcher.requests.get(number)
@@ -65,11 +67,13 @@
         message = request.message
         parts = [request.caller.peer.encode(), message.method, message.target]
         parts += sorted(
-            lower + b":" + value for name, value in message.headers if (lower := name.lower()) in NAMED
+            lower + b":" + value
+            for name, value in message.headers
+            if (lower := name.lower()) in IDENTIFYING_HEADERS
         )
         return self.storm.advice.fingerprint(*parts)
 
-    def word(self, wait_ms: float) -> Headers:
+    def retry_headers(self, wait_ms: float) -> Headers:
         """When to come back (RFC 9110 section 10.2.3), rounded up: who is told 1 s must not come at 0.6."""
         seconds = wait_ms / 1000.0
         text = b"%d" % ceil(seconds) if self._options.whole_seconds else b"%.3f" % seconds
@@ -77,7 +81,7 @@
         if self._options.fields:
             # Structured fields of draft-ietf-httpapi-ratelimit-headers: nothing remains, until the word is over.
             headers.append(
-                (b"RateLimit-Policy", b'"storm";q=1;w=%d' % ceil(self.storm.advice.most_ms / 1000.0))
+                (b"RateLimit-Policy", b'"storm";q=1;w=%d' % ceil(self.storm.advice.max_wait_ms / 1000.0))
             )
             headers.append((b"RateLimit", b'"storm";r=0;t=%d' % ceil(seconds)))
         return headers
@@ -87,23 +91,23 @@
     def _accept(self) -> bool:
         assert self._clock is not None
         now = self._clock.now_ms()
-        if self.storm.signs.flooded and not self._accepting.may(now):
+        if self.storm.signs.flooded and not self._accept_limiter.try_accept(now):
             return False
         self.storm.connected(now)
         return True
 
-    def _share(self, upstream: int, now_ms: float) -> float:
+    def _capacity_fraction(self, upstream: int, now_ms: float) -> float:
         server = self._balancer.table.servers.get(upstream)
         return 1.0 if server is None else self._balancer.slow_start.capacity_fraction(server, now_ms)
 
     def is_allowed(self, upstream: int, now_ms: float) -> bool:
         """Whether a new connection to an upstream may be opened now. In calm, to a warm one, always."""
-        if self.storm.state is State.CALM and self._share(upstream, now_ms) >= 1.0:
+        if self.storm.state is State.CALM and self._capacity_fraction(upstream, now_ms) >= 1.0:
             return True
-        return self._opening.may(upstream, now_ms)
+        return self._connect_limiter.try_open(upstream, now_ms)
 
     def wait_ms(self, upstream: int, now_ms: float) -> float:
-        return self._opening.wait_ms(upstream, now_ms)
+        return self._connect_limiter.wait_ms(upstream, now_ms)
 
     # ------------------------------------------------ what is shown
 
--- a/larkweir/storms/part.py
+++ b/larkweir/storms/part.py
@@ -34,6 +34,6 @@
     """Only round a balancer's own decisions: not where pools or a script decide."""
     if isinstance(host.decisions, Balancer):
         host.storms = gate = Gate(options.storms, host.config, host.decisions, host.log.write)
-        host.dispatcher.decisions = gate.watch
+        host.dispatcher.decisions = gate.decisions
         gate.attach(host.dispatcher, host.upstreams, host.listener)
         host.status_callbacks.append(gate.facts)
--- a/larkweir/storms/signs.py
+++ b/larkweir/storms/signs.py
@@ -26,7 +26,7 @@
     RECOVERING = "recovering"  # calls go well again, and more is still asked for than is let in
 
 
-class Decayed:
+class DecayedSum:
     """A sum whose parts fade with time: over its span it stands for about the last `span_ms`."""
 
     __slots__ = ("_at_ms", "_sum", "span_ms")
@@ -37,31 +37,31 @@
         self._at_ms = -math.inf
 
     def add(self, now_ms: float, amount: float = 1.0) -> None:
-        self._sum = self.at(now_ms) + amount
+        self._sum = self.value_at(now_ms) + amount
         self._at_ms = now_ms
 
-    def at(self, now_ms: float) -> float:
+    def value_at(self, now_ms: float) -> float:
         if self._sum == 0.0 or now_ms <= self._at_ms:
             return self._sum
         return self._sum * math.exp((self._at_ms - now_ms) / self.span_ms)
 
     def per_s(self, now_ms: float) -> float:
-        return self.at(now_ms) * 1000.0 / self.span_ms
+        return self.value_at(now_ms) * 1000.0 / self.span_ms
 
 
 class Rate:
     """Something that happens, lately and usually, a second."""
 
-    __slots__ = ("_begun_ms", "lately", "usual")
+    __slots__ = ("_begun_ms", "recent", "usual")
 
     def __init__(self, short_ms: float, long_ms: float) -> None:
-        self.lately = Decayed(short_ms)
-        self.usual = Decayed(long_ms)
+        self.recent = DecayedSum(short_ms)
+        self.usual = DecayedSum(long_ms)
         self._begun_ms = math.inf
 
     def add(self, now_ms: float) -> None:
         self._begun_ms = min(self._begun_ms, now_ms)
-        self.lately.add(now_ms)
+        self.recent.add(now_ms)
         self.usual.add(now_ms)
 
     def usual_per_s(self, now_ms: float) -> float:
@@ -69,21 +69,21 @@
         known = 1.0 - math.exp(min(0.0, self._begun_ms - now_ms) / self.usual.span_ms)
         return self.usual.per_s(now_ms) / known if known > 0.0 else 0.0
 
-    def risen(self, now_ms: float, times: float, least: float) -> bool:
+    def has_risen(self, now_ms: float, times: float, least: float) -> bool:
         """Whether there are so many times the usual, and `least` more than chance makes of it."""
-        short_s = self.lately.span_ms / 1000.0
+        short_s = self.recent.span_ms / 1000.0
         usual = self.usual_per_s(now_ms) * short_s
         # A decayed sum of a Poisson stream has half of its mean as its variance.
-        return self.lately.at(now_ms) > times * usual + least + 2.0 * math.sqrt(0.5 * usual)
+        return self.recent.value_at(now_ms) > times * usual + least + 2.0 * math.sqrt(0.5 * usual)
 
 
-class Share:
+class EventShare:
     """The part of some events that are of one kind, lately and usually."""
 
     __slots__ = ("_all", "_hits", "usual")
 
     def __init__(self, short_ms: float) -> None:
-        self._all, self._hits = Decayed(short_ms), Decayed(short_ms)
+        self._all, self._hits = DecayedSum(short_ms), DecayedSum(short_ms)
         self.usual = 0.0
 
     def add(self, now_ms: float, hit: bool) -> None:
@@ -91,47 +91,49 @@
         self._hits.add(now_ms, float(hit))
 
     def count(self, now_ms: float) -> float:
-        return self._all.at(now_ms)
+        return self._all.value_at(now_ms)
 
-    def part(self, now_ms: float) -> float:
-        count = self._all.at(now_ms)
-        return self._hits.at(now_ms) / count if count > 0.0 else 0.0
+    def share(self, now_ms: float) -> float:
+        count = self._all.value_at(now_ms)
+        return self._hits.value_at(now_ms) / count if count > 0.0 else 0.0
 
-    def surely(self, now_ms: float) -> float:
+    def lower_bound(self, now_ms: float) -> float:
         """What the part is at the least, but for chance; 0 of next to nothing."""
-        count, part = self._all.at(now_ms), self.part(now_ms)
-        if count < Signs.FEW:
+        count, share = self._all.value_at(now_ms), self.share(now_ms)
+        if count < Signs.MIN_CALLS:
             return 0.0
-        return part - math.sqrt(part * (1.0 - part) / count)
+        return share - math.sqrt(share * (1.0 - share) / count)
 
-    def settle(self, weight: float, now_ms: float) -> None:
-        """Let the usual part follow what there is lately."""
-        if self.count(now_ms) >= Signs.FEW:
-            self.usual += weight * (self.part(now_ms) - self.usual)
+    def update_usual(self, weight: float, now_ms: float) -> None:
+        """Let the usual part follow what there is recent."""
+        if self.count(now_ms) >= Signs.MIN_CALLS:
+            self.usual += weight * (self.share(now_ms) - self.usual)
 
 
 class Signs:
     """Fed with what happens; asked once a tick what it comes to."""
 
-    FEW = 4.0  # calls, under which nothing is told of them
-    SHORT, LONG_MS = 2.5, 60_000.0  # the short span in aims; the usual
-    LEAST_MS, MOST_MS = 500.0, 5_000.0  # of the short span
-    TROUBLE, EASE = 0.25, 0.1  # of the calls came to nothing in time: enters, leaves
-    BEYOND = 1.5  # times the usual part besides
-    SURGE = 1.5  # times the usual rate of a tenant
-    LEAST_RISE = 3.0  # requests, in the short span, that no rise is told under
-    AGAIN = 0.2  # of a tenant's requests come again, more than usually
-    BROAD = 1.0 / 3.0  # of the usual traffic is of tenants that stir: one loud tenant is no storm
-    WEAK = 0.1  # of the ready servers are cold or just back
-    LOST = 0.5  # of the servers that were ready before
-    FLOOD, LEAST_FLOOD = 4.0, 30.0  # times the usual rate of new connections, and so many more
+    MIN_CALLS = 4.0  # calls, under which nothing is told of them
+    SHORT_SPAN_TARGETS, LONG_MS = 2.5, 60_000.0  # the short span in aims; the usual
+    MIN_SHORT_MS, MAX_SHORT_MS = 500.0, 5_000.0  # of the short span
+    TROUBLE_SHARE, EASE_SHARE = 0.25, 0.1  # of the calls came to nothing in time: enters, leaves
+    USUAL_FACTOR = 1.5  # times the usual part besides
+    SURGE_FACTOR = 1.5  # times the usual rate of a tenant
+    MIN_RISE = 3.0  # requests, in the short span, that no rise is told under
+    REPEAT_RISE = 0.2  # of a tenant's requests come again, more than usually
+    MIN_STIRRING_SHARE = (
+        1.0 / 3.0
+    )  # of the usual traffic is of tenants that stir: one loud tenant is no storm
+    WEAK_SHARE = 0.1  # of the ready servers are cold or just back
+    LOST_SHARE = 0.5  # of the servers that were ready before
+    FLOOD_FACTOR, MIN_FLOOD_RISE = 4.0, 30.0  # times the usual rate of new connections, and so many more
 
     def __init__(self, classes: Sequence[RequestClass], tenants: int) -> None:
         aim = min(cls.aim_ms for cls in classes)
-        short = self.short_ms = max(self.LEAST_MS, min(self.MOST_MS, self.SHORT * aim))
+        short = self.short_ms = max(self.MIN_SHORT_MS, min(self.MAX_SHORT_MS, self.SHORT_SPAN_TARGETS * aim))
         self._rates = [Rate(short, self.LONG_MS) for _ in range(tenants + 1)]  # the last: who has no share
-        self._again = [Share(short) for _ in range(tenants + 1)]
-        self.calls = Share(short)  # those that came to nothing in time
+        self._repeats = [EventShare(short) for _ in range(tenants + 1)]
+        self.calls = EventShare(short)  # those that came to nothing in time
         self.connections = Rate(short, self.LONG_MS)
         self.good = Rate(short, self.LONG_MS)
         self.ready = 0
@@ -139,13 +141,13 @@
         self._most_ready = 0.0
         self.troubled = self.stirring = self.weak = self.flooded = False
 
-    def _place(self, tenant: int) -> int:
+    def _tenant_index(self, tenant: int) -> int:
         return tenant if 0 <= tenant < len(self._rates) - 1 else -1
 
     def arrived(self, now_ms: float, tenant: int, again: bool) -> None:
-        at = self._place(tenant)
+        at = self._tenant_index(tenant)
         self._rates[at].add(now_ms)
-        self._again[at].add(now_ms, again)
+        self._repeats[at].add(now_ms, again)
 
     def call_ended(self, now_ms: float, good: bool) -> None:
         self.calls.add(now_ms, not good)
@@ -153,57 +155,57 @@
             self.good.add(now_ms)
 
     def listed(self, ready: int, cold: int) -> None:
-        """What discovery tells: servers that take requests, and those of them that have started lately."""
+        """What discovery tells: servers that take requests, and those of them that have started recent."""
         self.ready, self.cold = ready, cold
         self._most_ready = max(self._most_ready, float(ready))
 
     def arrivals_per_s(self, now_ms: float) -> float:
-        return sum(rate.lately.per_s(now_ms) for rate in self._rates)
+        return sum(rate.recent.per_s(now_ms) for rate in self._rates)
 
-    def usual_part(self, now_ms: float, beyond: float) -> float:
+    def usual_share(self, now_ms: float, beyond: float) -> float:
         """Of the requests that come, the part that comes usually, `beyond` times it allowed; 1 where nothing is
         known.
         """
-        lately = self.arrivals_per_s(now_ms)
+        recent = self.arrivals_per_s(now_ms)
         usual = beyond * sum(rate.usual_per_s(now_ms) for rate in self._rates)
-        return min(1.0, usual / lately) if usual > 0.0 and lately > 0.0 else 1.0
+        return min(1.0, usual / recent) if usual > 0.0 and recent > 0.0 else 1.0
 
-    def look(self, now_ms: float, since_ms: float, settled: bool) -> None:
+    def evaluate(self, now_ms: float, since_ms: float, is_calm: bool) -> None:
         """Weigh the signs, `since_ms` after the last look. Usual parts follow only while all is settled."""
         weight = 1.0 - math.exp(-since_ms / self.LONG_MS)
-        part = self.calls.part(now_ms)
-        surely = self.calls.surely(now_ms)
+        share = self.calls.share(now_ms)
+        lower_bound = self.calls.lower_bound(now_ms)
         usual = self.calls.usual
         if self.troubled:
-            self.troubled = part > max(self.EASE, self.BEYOND * usual)
+            self.troubled = share > max(self.EASE_SHARE, self.USUAL_FACTOR * usual)
         else:
-            self.troubled = surely > max(self.TROUBLE, self.BEYOND * usual + self.EASE)
+            self.troubled = lower_bound > max(self.TROUBLE_SHARE, self.USUAL_FACTOR * usual + self.EASE_SHARE)
         if self.ready == 0 and self._most_ready > 0.0:
             self.troubled = True  # there are no calls that could tell
-        whole = stirs = 0.0
-        for rate, again in zip(self._rates, self._again, strict=True):
+        usual_rate = stirring_rate = 0.0
+        for rate, again in zip(self._rates, self._repeats, strict=True):
             usually = rate.usual_per_s(now_ms)
-            whole += usually
-            comes_again = again.surely(now_ms) > again.usual + self.AGAIN
-            if comes_again or rate.risen(now_ms, self.SURGE, self.LEAST_RISE):
-                stirs += usually
-        self.stirring = whole > 0.0 and stirs >= self.BROAD * whole
-        lost = self.ready < self.LOST * self._most_ready
-        self.weak = lost or self.cold > self.WEAK * self.ready
-        self.flooded = self.connections.risen(now_ms, self.FLOOD, self.LEAST_FLOOD)
-        if settled:
-            self.calls.settle(weight, now_ms)
-            for again in self._again:
-                again.settle(weight, now_ms)
+            usual_rate += usually
+            repeats_risen = again.lower_bound(now_ms) > again.usual + self.REPEAT_RISE
+            if repeats_risen or rate.has_risen(now_ms, self.SURGE_FACTOR, self.MIN_RISE):
+                stirring_rate += usually
+        self.stirring = usual_rate > 0.0 and stirring_rate >= self.MIN_STIRRING_SHARE * usual_rate
+        lost = self.ready < self.LOST_SHARE * self._most_ready
+        self.weak = lost or self.cold > self.WEAK_SHARE * self.ready
+        self.flooded = self.connections.has_risen(now_ms, self.FLOOD_FACTOR, self.MIN_FLOOD_RISE)
+        if is_calm:
+            self.calls.update_usual(weight, now_ms)
+            for again in self._repeats:
+                again.update_usual(weight, now_ms)
         # A fleet that was made smaller for good is no loss for ever.
         self._most_ready += weight * min(0.0, self.ready - self._most_ready)
 
 
-class Course:
+class StormStateMachine:
     """From signs to states, with hysteresis: a state is left later than it was entered."""
 
-    DWELL = 1.0  # short spans, that a sign must be gone for
-    QUIET = 2.0  # short spans without anything shed, that end a recovery
+    DWELL_SPANS = 1.0  # short spans, that a sign must be gone for
+    QUIET_SPANS = 2.0  # short spans without anything shed, that end a recovery
 
     def __init__(self) -> None:
         self.state = State.CALM
@@ -221,17 +223,20 @@
             if some:
                 self._move(State.BUILDING, now_ms)
         elif before is State.BUILDING:
-            if self._gone(not some, since_ms) > self.DWELL * signs.short_ms:
+            if self._count_gone(not some, since_ms) > self.DWELL_SPANS * signs.short_ms:
                 self._move(State.CALM, now_ms)
         elif before is State.STORM:
-            if self._gone(not signs.troubled, since_ms) > self.DWELL * signs.short_ms:
+            if self._count_gone(not signs.troubled, since_ms) > self.DWELL_SPANS * signs.short_ms:
                 self._move(State.RECOVERING, now_ms)
         # Traffic that has grown for good stirs for a while yet: what ends a recovery is that all of it is let in.
-        elif self._gone(not signs.troubled and not shedding, since_ms) > self.QUIET * signs.short_ms:
+        elif (
+            self._count_gone(not signs.troubled and not shedding, since_ms)
+            > self.QUIET_SPANS * signs.short_ms
+        ):
             self._move(State.CALM, now_ms)
         return self.state is not before
 
-    def _gone(self, gone: bool, since_ms: float) -> float:
+    def _count_gone(self, gone: bool, since_ms: float) -> float:
         self._gone_ms = self._gone_ms + since_ms if gone else 0.0
         return self._gone_ms
 
--- a/larkweir/storms/storm.py
+++ b/larkweir/storms/storm.py
@@ -1,9 +1,9 @@
 """The storm as one: signs, state, bound, shares and advice, fed with events and asked for decisions.
 
-Who holds it calls `arrive` for each request that could be taken and then `weigh` with what the decisions say of it,
+Who holds it calls `arrive` for each request that could be taken and then `decide` with what the decisions say of it,
 `sent` when it is first sent on, `call_ended` for each attempt, `advised` for each refusal, `listed` for each list and
 `connected` for each caller's connection. All of them move time on; `tick` does so where nothing happens. In calm a
-request costs a handful of additions, and `weigh` says what the decisions say.
+request costs a handful of additions, and `decide` says what the decisions say.
 
 Nothing here does input or output or reads a clock. Times are milliseconds.
 """
@@ -17,12 +17,12 @@
 
 from larkweir_balancing.interface import Outcome, Settings
 
+from larkweir.storms.admission_swap import AdmissionSwap, RecoveryWindow
 from larkweir.storms.advice import Advice
-from larkweir.storms.barter import Barter, Opening
 from larkweir.storms.shares import Kind, Shares
-from larkweir.storms.signs import Course, Decayed, Signs, State
+from larkweir.storms.signs import DecayedSum, Signs, State, StormStateMachine
 
-UNTELLING = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # of the tier's state
+UNINFORMATIVE_OUTCOMES = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # of the tier's state
 
 
 class Window(Protocol):
@@ -44,24 +44,24 @@
 
 
 class Storm:
-    BEYOND = 1.25  # times the usual, that a busy hour may bring
-    TICK = 0.5  # of the tightest aim, from tick to tick
-    LEAST_TICK_MS, MOST_TICK_MS = 50.0, 500.0
+    USUAL_FACTOR = 1.25  # times the usual, that a busy hour may bring
+    TICK_TARGET_SHARE = 0.5  # of the tightest aim, from tick to tick
+    MIN_TICK_MS, MAX_TICK_MS = 50.0, 500.0
 
     def __init__(
         self,
         settings: Settings,
         seed: int,
-        say: Callable[[str], None] = lambda line: None,
+        log: Callable[[str], None] = lambda line: None,
         sets: int = 1024,
     ) -> None:
         """`sets` bounds the memory of clients, four to each."""
         rng = Random(seed)
         self._window: Window | None = None
-        self._say = say
+        self._log = log
         self._rng = rng
-        self.course = Course()
-        self._take(settings)
+        self.state_machine = StormStateMachine()
+        self._apply(settings)
         self.advice = Advice(
             settings.max_retry_after_ms if settings.retry_advice or settings.max_retry_after_ms else 0.0,
             self._aim_ms,
@@ -69,30 +69,30 @@
             sets,
         )
         self.signs = Signs(settings.classes, len(settings.tenants))
-        self.barter = Barter()
-        self._opening = Opening()
-        self.shares = Shares([cls.worth for cls in settings.classes], self._parts(settings), rng)
+        self.swap = AdmissionSwap()
+        self._recovery_window = RecoveryWindow()
+        self.shares = Shares([cls.worth for cls in settings.classes], self._tenant_shares(settings), rng)
         self._ticked_ms = -math.inf
         # Of what comes, that comes usually: cold servers are given their part of that, and not of every repeat.
-        self.usual_part = 1.0
-        self.short = False  # the decisions have turned something away since the last tick
-        self._sent = Decayed(max(self._aim_ms, 250.0))
-        self._unasked = Decayed(self.signs.short_ms)  # of those let in, who were not told to come now
-        self._out_sum = self._out_count = 0  # calls out, as calls found it, since the last tick
+        self.usual_share = 1.0
+        self.has_refused = False  # the decisions have turned something away since the last tick
+        self._sent = DecayedSum(max(self._aim_ms, 250.0))
+        self._unscheduled = DecayedSum(self.signs.short_ms)  # of those let in, who were not told to come now
+        self._in_flight_sum = self._in_flight_count = 0  # calls out, as calls found it, since the last tick
         self._kind, self._steps = Kind.FIRST, 0  # of the request that has come last
-        self.turned = self.storms = self.ignoring = self.kept_word = 0
+        self.turned_away = self.storms = self.ignoring = self.kept_word = 0
 
-    def watch(self, window: Window) -> None:
+    def set_window(self, window: Window) -> None:
         """The decisions' window, set anew for servers that come back. None in a tier that turns nobody away."""
         self._window = window
 
-    def _take(self, settings: Settings) -> None:
+    def _apply(self, settings: Settings) -> None:
         self.settings = settings
         self._aim_ms = min(cls.aim_ms for cls in settings.classes)
-        self._tick_ms = max(self.LEAST_TICK_MS, min(self.MOST_TICK_MS, self.TICK * self._aim_ms))
+        self._tick_ms = max(self.MIN_TICK_MS, min(self.MAX_TICK_MS, self.TICK_TARGET_SHARE * self._aim_ms))
 
     @staticmethod
-    def _parts(settings: Settings) -> list[float]:
+    def _tenant_shares(settings: Settings) -> list[float]:
         total = sum(tenant.quota_per_s for tenant in settings.tenants)
         if total <= 0.0:
             return [1.0 / max(1, len(settings.tenants)) for _ in settings.tenants]
@@ -101,14 +101,14 @@
     def configure(self, settings: Settings) -> None:
         """New figures in service. Where tenants or classes have changed, counts begin anew; a storm goes on."""
         old = self.settings
-        self._take(settings)
+        self._apply(settings)
         self.advice.configure(settings.max_retry_after_ms, self._aim_ms)
         same = [t.name for t in old.tenants] == [t.name for t in settings.tenants]
         if not same or self._aim_ms != min(cls.aim_ms for cls in old.classes):
             ready, cold = self.signs.ready, self.signs.cold
             self.signs = Signs(settings.classes, len(settings.tenants))
             self.signs.listed(ready, cold)
-        self.shares.configure([cls.worth for cls in settings.classes], self._parts(settings))
+        self.shares.configure([cls.worth for cls in settings.classes], self._tenant_shares(settings))
 
     # ------------------------------------------------ what happens
 
@@ -118,8 +118,10 @@
         """
         before = self.signs.ready
         self.signs.listed(ready, cold)
-        if ready > before and self._window is not None and self.course.state is not State.CALM:
-            self._window.window = self._opening.back(self._window.window, before, ready)
+        if ready > before and self._window is not None and self.state_machine.state is not State.CALM:
+            self._window.window = self._recovery_window.window_after_return(
+                self._window.window, before, ready
+            )
         self.tick(now_ms)
 
     def connected(self, now_ms: float) -> None:
@@ -127,7 +129,7 @@
         self.tick(now_ms)
 
     def call_ended(self, now_ms: float, outcome: Outcome, spent_ms: float, cls: int) -> None:
-        if outcome in UNTELLING:
+        if outcome in UNINFORMATIVE_OUTCOMES:
             return
         good = outcome is Outcome.OK and spent_ms <= self.settings.classes[cls].aim_ms
         self.signs.call_ended(now_ms, good)
@@ -136,8 +138,8 @@
     def sent(self, now_ms: float, out: int) -> None:
         """A request goes to a server for the first time; so many calls are out with it."""
         self._sent.add(now_ms)
-        self._out_sum += out
-        self._out_count += 1
+        self._in_flight_sum += out
+        self._in_flight_count += 1
 
     def tick(self, now_ms: float) -> None:
         """Look at the signs, if it is time."""
@@ -149,31 +151,31 @@
         if first:
             return
         since = min(since, self.signs.LONG_MS)
-        state = self.course.state
-        self.signs.look(now_ms, since, state is State.CALM)
-        self.usual_part = 1.0 if state is State.CALM else self.signs.usual_part(now_ms, self.BEYOND)
-        out = self._out_sum / self._out_count if self._out_count else 0.0
-        self._out_sum = self._out_count = 0
+        state = self.state_machine.state
+        self.signs.evaluate(now_ms, since, state is State.CALM)
+        self.usual_share = 1.0 if state is State.CALM else self.signs.usual_share(now_ms, self.USUAL_FACTOR)
+        out = self._in_flight_sum / self._in_flight_count if self._in_flight_count else 0.0
+        self._in_flight_sum = self._in_flight_count = 0
         if state is not State.CALM:
             self.shares.tick(self._sent.per_s(now_ms), since / 1000.0)
         elif self._window is not None:
-            self._opening.good(since, out, self.signs.ready)
-        short, self.short = self.short, False
-        if self.course.step(now_ms, since, self.signs, short):
-            self._moved(now_ms, state)
+            self._recovery_window.observe_calm(since, out, self.signs.ready)
+        has_refused, self.has_refused = self.has_refused, False
+        if self.state_machine.step(now_ms, since, self.signs, has_refused):
+            self._on_transition(now_ms, state)
 
-    def _moved(self, now_ms: float, before: State) -> None:
-        state = self.course.state
+    def _on_transition(self, now_ms: float, before: State) -> None:
+        state = self.state_machine.state
         if before is State.CALM:
-            self.shares.begin()
-            self.barter.begin()
+            self.shares.reset()
+            self.swap.reset()
         if state is State.STORM:
             self.storms += 1
         signs = self.signs
         words = [name for name in ("troubled", "stirring", "weak", "flooded") if getattr(signs, name)]
-        self._say(
+        self._log(
             f"storm: {before.value} -> {state.value}: {' '.join(words) or 'no sign'}; calls in vain"
-            f" {signs.calls.part(now_ms):.0%} (usually {signs.calls.usual:.0%}),"
+            f" {signs.calls.share(now_ms):.0%} (usually {signs.calls.usual:.0%}),"
             f" {signs.arrivals_per_s(now_ms):.1f}/s come, {self._sent.per_s(now_ms):.1f}/s are sent on,"
             f" upstreams {signs.ready - signs.cold}+{signs.cold} cold"
         )
@@ -182,17 +184,17 @@
 
     @property
     def state(self) -> State:
-        return self.course.state
+        return self.state_machine.state
 
     @property
-    def weighs(self) -> bool:
-        """Whether `weigh` may differ from the decisions."""
-        return self.course.state in (State.STORM, State.RECOVERING)
+    def may_override(self) -> bool:
+        """Whether `decide` may differ from the decisions."""
+        return self.state_machine.state in (State.STORM, State.RECOVERING)
 
     def arrive(self, now_ms: float, tenant: int, again: bool, client: int) -> None:
-        """A request has come. `client` is 0 where its fingerprint was not taken (`wants_clients`)."""
+        """A request has come. `client` is 0 where its fingerprint was not taken (`needs_fingerprints`)."""
         self._kind, self._steps = Kind.AGAIN if again else Kind.FIRST, 0
-        known = self.advice.comes(now_ms, client) if client else None
+        known = self.advice.classify(now_ms, client) if client else None
         if known is not None:
             self._kind, self._steps = known
             if self._kind is Kind.IGNORING:
@@ -202,49 +204,49 @@
         self.signs.arrived(now_ms, tenant, again or known is not None)
         self.tick(now_ms)
 
-    def weigh(self, now_ms: float, cls: int, tenant: int, let_in: bool, lends: bool = True) -> bool:
-        """Whether the request that has come last is let in, where the decisions say `let_in`. Without `lends`:
+    def decide(self, now_ms: float, cls: int, tenant: int, let_in: bool, swaps: bool = True) -> bool:
+        """Whether the request that has come last is let in, where the decisions say `let_in`. Without `swaps`:
         whether it
         is one that should be, if not all can.
         """
-        if self.course.state is State.CALM:
+        if self.state_machine.state is State.CALM:
             return let_in
-        wanted = self.shares.wants(cls, self._kind, tenant)
-        if not self.weighs:
+        preferred = self.shares.prefers(cls, self._kind, tenant)
+        if not self.may_override:
             return let_in
-        if not lends:
-            return wanted
-        verdict = self.barter.weigh(let_in, wanted, self._sent.per_s(now_ms))
-        self.turned += let_in and not verdict
+        if not swaps:
+            return preferred
+        verdict = self.swap.decide(let_in, preferred, self._sent.per_s(now_ms))
+        self.turned_away += let_in and not verdict
         if verdict and self._kind is not Kind.PROMISED:
-            self._unasked.add(now_ms)
+            self._unscheduled.add(now_ms)
         return verdict
 
-    def advised(self, now_ms: float, client: int, steps: int | None = None) -> float:
+    def advised_wait_ms(self, now_ms: float, client: int, steps: int | None = None) -> float:
         """The word for one that is refused here or by the decisions; 0: none."""
-        if not client or not self.advice.most_ms:
-            return self.advice.most_ms
+        if not client or not self.advice.max_wait_ms:
+            return self.advice.max_wait_ms
         if steps is None:
-            known = self.advice.comes(now_ms, client)
+            known = self.advice.classify(now_ms, client)
             steps = known[1] if known is not None else 0
-        unasked = self._unasked.per_s(now_ms)
-        bound = math.inf if self.course.state is State.CALM else self._sent.per_s(now_ms)
-        return self.advice.wait_ms(now_ms, client, steps, bound, unasked)
+        unscheduled = self._unscheduled.per_s(now_ms)
+        bound = math.inf if self.state_machine.state is State.CALM else self._sent.per_s(now_ms)
+        return self.advice.wait_ms(now_ms, client, steps, bound, unscheduled)
 
     def served(self, now_ms: float, client: int) -> None:
         if client:
-            self.advice.memory.forget(now_ms, client)
+            self.advice.clients.forget(now_ms, client)
 
-    def wants_clients(self, now_ms: float) -> bool:
+    def needs_fingerprints(self, now_ms: float) -> bool:
         """Whether a fingerprint is worth its price now: somebody was told to come back."""
-        return now_ms < self.advice.memory.last_ms or self.course.state is not State.CALM
+        return now_ms < self.advice.clients.last_expiry_ms or self.state_machine.state is not State.CALM
 
     def counts(self) -> Counts:
         return Counts(
             self.state,
             self._sent.per_s(self._ticked_ms) if self._ticked_ms > -math.inf else 0.0,
-            self.turned,
-            self.barter.lent,
+            self.turned_away,
+            self.swap.loan_count,
             self.storms,
             self.ignoring,
             self.kept_word,
--- a/larkweir/storms/watch.py
+++ b/larkweir/storms/storm_balancer.py
@@ -28,38 +28,38 @@
 from larkweir.storms.storm import Storm
 
 
-class _Open:
+class _OpenRequest:
     """A request whose end, or an attempt of it, is still to come."""
 
-    __slots__ = ("client", "cls", "out", "over", "sends")
+    __slots__ = ("client", "cls", "in_flight", "is_over", "sends")
 
     def __init__(self, client: int, cls: int) -> None:
         self.client = client
         self.cls = cls
-        self.out = 0
+        self.in_flight = 0
         self.sends = 0
-        self.over = False
+        self.is_over = False
 
 
-class Watch:
+class StormBalancer:
     """Decisions with an eye on storms."""
 
-    COLD_MS = 250.0  # from look to look at how warm the cold servers are
+    COLD_CHECK_MS = 250.0  # from look to look at how warm the cold servers are
 
-    def __init__(self, balancer: Balancer, storm: Storm, client_of: Callable[[int], int]) -> None:
-        """`client_of` takes the fingerprint of a request that is open; 0 where it has none. It is asked only where
+    def __init__(self, balancer: Balancer, storm: Storm, fingerprint_of: Callable[[int], int]) -> None:
+        """`fingerprint_of` takes the fingerprint of a request that is open; 0 where it has none. It is asked only where
         somebody was told to come back, and for those who are refused.
         """
-        self._client_of = client_of
+        self._fingerprint_of = fingerprint_of
         self.balancer = balancer
         self.storm = storm
-        self._open: dict[int, _Open] = {}
-        self._out = 0
-        self._look_ms = 0.0
-        self._now = 0.0
+        self._open: dict[int, _OpenRequest] = {}
+        self._in_flight = 0
+        self._next_count_ms = 0.0
+        self._now_ms = 0.0
         self._tenant = 0
         if not balancer.settings.tier:  # inner tiers turn nobody away: who was let in above is served
-            storm.watch(balancer.limiter)
+            storm.set_window(balancer.limiter)
             balancer.limiter.arbiter = self._arbiter
 
     def _arbiter(self, cls: int, verdict: Verdict, waiting: int) -> Verdict:
@@ -67,74 +67,74 @@
         if verdict is Verdict.WAIT:
             # The waiting room has its own order by worth; while it is crowded it is left to those who are wanted.
             room = waiting < self.balancer.limiter.window
-            wanted = storm.weigh(self._now, cls, self._tenant, True, lends=False)
-            return Verdict.WAIT if room or wanted else Verdict.REFUSE
-        let_in = storm.weigh(self._now, cls, self._tenant, verdict is Verdict.GO)
+            preferred = storm.decide(self._now_ms, cls, self._tenant, True, swaps=False)
+            return Verdict.WAIT if room or preferred else Verdict.REFUSE
+        let_in = storm.decide(self._now_ms, cls, self._tenant, verdict is Verdict.GO)
         return Verdict.GO if let_in else Verdict.REFUSE
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take one event; returns the actions to carry out, in order, at the same time."""
-        self._now = now_ms
+        self._now_ms = now_ms
         storm = self.storm
         if isinstance(event, RequestArrived):
             self._tenant = event.tenant
-            client = self._client_of(event.request) if storm.wants_clients(now_ms) else 0
+            client = self._fingerprint_of(event.request) if storm.needs_fingerprints(now_ms) else 0
             storm.arrive(now_ms, event.tenant, event.client_retry, client)
-            self._open[event.request] = _Open(client, event.class_index)
+            self._open[event.request] = _OpenRequest(client, event.class_index)
         elif isinstance(event, AttemptEnded):
             self._ended(now_ms, event)
         elif isinstance(event, ClientGone):
             self._close(event.request)
         elif isinstance(event, Reconfigured):
             storm.configure(event.settings)
-        self.balancer.slow_start.earn_fraction = storm.usual_part
+        self.balancer.slow_start.earn_fraction = storm.usual_share
         actions = self.balancer.handle(now_ms, event)
         for action in actions:
             if isinstance(action, Send):
                 item = self._open.get(action.request)
                 if item is not None:
-                    item.out += 1
+                    item.in_flight += 1
                     item.sends += 1
-                    self._out += 1
+                    self._in_flight += 1
                     if item.sends == 1:
-                        storm.sent(now_ms, self._out)
+                        storm.sent(now_ms, self._in_flight)
             elif isinstance(action, Refuse):
-                storm.short = True
+                storm.has_refused = True
                 item = self._open.get(action.request)
                 if action.wait_ms > 0.0 and item is not None:
-                    client = item.client or self._client_of(action.request)
-                    action.wait_ms = storm.advised(now_ms, client)
+                    client = item.client or self._fingerprint_of(action.request)
+                    action.wait_ms = storm.advised_wait_ms(now_ms, client)
                 self._close(action.request)
             elif isinstance(action, Fail):
                 self._close(action.request)
-        if isinstance(event, ListUpdate) or (storm.signs.cold and now_ms >= self._look_ms):
-            self._look(now_ms)
+        if isinstance(event, ListUpdate) or (storm.signs.cold and now_ms >= self._next_count_ms):
+            self._count_servers(now_ms)
         return actions
 
     def _ended(self, now_ms: float, event: AttemptEnded) -> None:
         item = self._open.get(event.request)
         if item is None:
             return
-        item.out -= 1
-        self._out -= 1
+        item.in_flight -= 1
+        self._in_flight -= 1
         spent = event.spent_ms if event.upstream_ms is None else event.upstream_ms
         self.storm.call_ended(now_ms, event.outcome, spent, item.cls)
         if event.outcome is Outcome.OK:
             self.storm.served(now_ms, item.client)
-        if event.is_final or event.outcome is Outcome.OK or item.over:
+        if event.is_final or event.outcome is Outcome.OK or item.is_over:
             self._close(event.request)
 
     def _close(self, request: int) -> None:
         """The request is over; its attempts still out keep it known."""
         item = self._open.get(request)
         if item is not None:
-            item.over = True
-            if not item.out:
+            item.is_over = True
+            if not item.in_flight:
                 del self._open[request]
 
-    def _look(self, now_ms: float) -> None:
+    def _count_servers(self, now_ms: float) -> None:
         """Count the servers that take requests, and how warm they are."""
-        self._look_ms = now_ms + self.COLD_MS
+        self._next_count_ms = now_ms + self.COLD_CHECK_MS
         slow = self.balancer.slow_start
         ready = cold = 0
         share = 0.0
@@ -150,7 +150,7 @@
 
     def tick(self, now_ms: float) -> None:
         """Where nothing happens, a storm still passes."""
-        self._now = now_ms
-        if self.storm.signs.cold and now_ms >= self._look_ms:
-            self._look(now_ms)
+        self._now_ms = now_ms
+        if self.storm.signs.cold and now_ms >= self._next_count_ms:
+            self._count_servers(now_ms)
         self.storm.tick(now_ms)
--- a/standins/returning.py
+++ b/standins/returning.py
@@ -30,7 +30,7 @@
 )
 
 from larkweir.storms.storm import Storm
-from larkweir.storms.watch import Watch
+from larkweir.storms.storm_balancer import StormBalancer
 from standins import tier
 
 COLD_SHARE, COLD_MS = 0.32, 8_900.0
@@ -123,7 +123,11 @@
 
     def _decisions(self, settings: Settings, seed: int, limiter: ConcurrencyLimiter | None) -> Any:
         balancer = Balancer(settings, seed, limiter)
-        return balancer if self.storm is None else Watch(balancer, self.storm, self.fingerprints.__getitem__)
+        return (
+            balancer
+            if self.storm is None
+            else StormBalancer(balancer, self.storm, self.fingerprints.__getitem__)
+        )
 
     def ask_as(
         self,
@@ -254,7 +258,7 @@
         copy.sala, copy.clients, copy.fingerprints = self, {}, {}
         if self._storms:
             copy.storm = Storm(
-                self._own[n], seed * 100 + n, say=lambda line: self.log.append((self.now, n, line))
+                self._own[n], seed * 100 + n, log=lambda line: self.log.append((self.now, n, line))
             )
         Copy.__init__(copy, self, n, self._own[n], seed * 1000 + n)
         return copy
--- a/tests/budget/test_tickets.py
+++ b/tests/budget/test_hop_budget.py
@@ -6,8 +6,8 @@
 
 from larkweir_balancing.interface import Effect, Outcome, RequestArrived, RequestClass, Settings, Tenant
 
-from larkweir.budget.chain import Chain, Ticket
-from larkweir.budget.rules import Useful
+from larkweir.budget.chain import HopBudget, TierBudgets
+from larkweir.budget.rules import UsefulTime
 from larkweir.config.options import Budget
 from larkweir.core.message import Message
 
@@ -17,19 +17,19 @@
 )
 
 
-def chain(tier: int = 0, tiers: int = 2, **options: Any) -> Chain:
+def chain(tier: int = 0, tiers: int = 2, **options: Any) -> TierBudgets:
     given = {"on": True, "trust": ("10.0.0.0/8", "unix"), "retry_ratio": 5.0} | options
-    return Chain(Budget(**given), Settings(CLASSES, tier=tier, tiers=tiers), lambda line: None)
+    return TierBudgets(Budget(**given), Settings(CLASSES, tier=tier, tiers=tiers), lambda line: None)
 
 
 def arrive(
-    it: Chain,
+    it: TierBudgets,
     peer: str = "10.1.2.3",
     cls: int = 0,
     left: float = 1000.0,
     retry: bool = False,
     **headers: bytes,
-) -> tuple[Ticket | list[tuple[bytes, bytes]], Message, RequestArrived]:
+) -> tuple[HopBudget | list[tuple[bytes, bytes]], Message, RequestArrived]:
     message = Message()
     message.headers = [(name.replace("_", "-").encode(), value) for name, value in headers.items()]
     event = RequestArrived(1, cls, left, client_retry=retry)
@@ -39,37 +39,37 @@
 def test_headers_are_taken_off_and_believed_from_the_trusted_edge_only() -> None:
     it = chain()
     for peer, attempts in (("10.1.2.3", 2), ("unix", 2), ("192.0.2.1", 4), ("", 4), ("nonsense", 4)):
-        ticket, message, event = arrive(it, peer, X_Budget=b"2", x_budget_path=b"a", X_Other=b"kept")
-        assert isinstance(ticket, Ticket)
+        hop_budget, message, event = arrive(it, peer, X_Budget=b"2", x_budget_path=b"a", X_Other=b"kept")
+        assert isinstance(hop_budget, HopBudget)
         assert message.headers == [(b"X-Other", b"kept")] and event.attempts_left == attempts
-        grant = ticket.grant(0, 4, 0.0)
+        grant = hop_budget.grant(0, 4, 0.0)
         assert grant is not None
         assert dict(grant)[b"X-Budget-Path"] == (b"a, tier-0" if attempts == 2 else b"tier-0")
 
 
 def test_a_forged_worth_is_bounded_by_what_the_caller_is_entitled_to() -> None:
     for most, worth in ((1.0, 1.0), (3.0, 3.0)):
-        ticket, _, _ = arrive(chain(worth_most=most), X_Budget_Worth=b"999999")
-        assert isinstance(ticket, Ticket) and ticket.worth == worth
-    ticket, _, _ = arrive(chain(), X_Budget_Worth=b"0.5")
-    assert isinstance(ticket, Ticket) and ticket.worth == 0.5
-    ticket, _, _ = arrive(chain(), "192.0.2.1", X_Budget_Worth=b"0.5")
-    assert isinstance(ticket, Ticket) and ticket.worth == 1.0
+        hop_budget, _, _ = arrive(chain(worth_most=most), X_Budget_Worth=b"999999")
+        assert isinstance(hop_budget, HopBudget) and hop_budget.worth == worth
+    hop_budget, _, _ = arrive(chain(), X_Budget_Worth=b"0.5")
+    assert isinstance(hop_budget, HopBudget) and hop_budget.worth == 0.5
+    hop_budget, _, _ = arrive(chain(), "192.0.2.1", X_Budget_Worth=b"0.5")
+    assert isinstance(hop_budget, HopBudget) and hop_budget.worth == 1.0
 
 
 def test_unreadable_values_are_counted_and_the_operator_s_count() -> None:
     it = chain()
-    ticket, _, event = arrive(it, X_Budget=b"many", X_Budget_Worth=b"-", X_Budget_Path=b",,")
-    assert isinstance(ticket, Ticket) and (event.attempts_left, it.unreadable) == (4, 3)
+    hop_budget, _, event = arrive(it, X_Budget=b"many", X_Budget_Worth=b"-", X_Budget_Path=b",,")
+    assert isinstance(hop_budget, HopBudget) and (event.attempts_left, it.unreadable) == (4, 3)
 
 
 def test_a_client_s_own_retry_shares_what_its_first_try_has_left() -> None:
     """The first still has an attempt out: both together cost no more than one budget."""
     it = chain(tier=1)
     first, _, _ = arrive(it, cls=1, X_Budget=b"3", Idempotency_Key=b"k")
-    assert isinstance(first, Ticket) and first.grant(0, 4, 0.0)
+    assert isinstance(first, HopBudget) and first.grant(0, 4, 0.0)
     second, _, event = arrive(it, cls=1, retry=True, X_Budget=b"3", Idempotency_Key=b"k")
-    assert isinstance(second, Ticket) and event.attempts_left == 2
+    assert isinstance(second, HopBudget) and event.attempts_left == 2
     assert first.grant(1, 3, 0.0) is None
     assert [bool(second.grant(n, 4, 0.0)) for n in range(3)] == [True, True, False]
     first.settle(0, Outcome.OK, Message(), 5.0)
@@ -86,13 +86,13 @@
     message = Message()
     message.headers = [(b"Idempotency-Key", b"k"), (b"X-Budget", b"3")]
 
-    def ask(tenant: int) -> tuple[Ticket, int | None]:
+    def ask(tenant: int) -> tuple[HopBudget, int | None]:
         asked = Message()
         asked.headers = list(message.headers)
         event = RequestArrived(1, 1, 1000.0, client_retry=True, tenant=tenant)
-        ticket = it.arrive("10.1.2.3", asked, event, 0.0)
-        assert isinstance(ticket, Ticket)
-        return ticket, event.attempts_left
+        hop_budget = it.arrive("10.1.2.3", asked, event, 0.0)
+        assert isinstance(hop_budget, HopBudget)
+        return hop_budget, event.attempts_left
 
     first, _ = ask(0)
     assert first.grant(0, 4, 0.0)
@@ -108,26 +108,26 @@
 
 def test_a_class_in_the_place_of_another_is_not_held_to_its_times() -> None:
     it = chain()
-    for _ in range(Useful.ENOUGH):
-        it.useful.served(0, 900.0)
+    for _ in range(UsefulTime.MIN_SAMPLES):
+        it.useful.observe(0, 900.0)
     assert isinstance(arrive(it, left=500.0)[0], list)
     it.configure(Settings((RequestClass(400.0, 1000.0, Effect.SAFE, name="new"), CLASSES[1]), tiers=2))
-    assert isinstance(arrive(it, left=500.0)[0], Ticket)
+    assert isinstance(arrive(it, left=500.0)[0], HopBudget)
 
 
 def test_what_an_attempt_cost_by_how_it_ended() -> None:
     """At the last tier, and further up with and without a word from below."""
 
     def left(tier: int, outcome: Outcome, told: bytes | None = None) -> int:
-        ticket, _, _ = arrive(chain(tier=tier, divide="half"), X_Budget=b"4")
-        assert isinstance(ticket, Ticket) and ticket.grant(0, 4, 0.0)
+        hop_budget, _, _ = arrive(chain(tier=tier, divide="half"), X_Budget=b"4")
+        assert isinstance(hop_budget, HopBudget) and hop_budget.grant(0, 4, 0.0)
         answer = None
         if told is not None:
             answer = Message()
             answer.headers = [(b"X-Budget-Spent", told)]
-        ticket.settle(0, outcome, answer, 5.0)
-        ticket.settle(0, outcome, answer, 6.0)  # told twice
-        return ticket.left
+        hop_budget.settle(0, outcome, answer, 5.0)
+        hop_budget.settle(0, outcome, answer, 6.0)  # told twice
+        return hop_budget.left
 
     last = {Outcome.OK: 3, Outcome.ERROR: 3, Outcome.TIMEOUT: 3, Outcome.FULL: 3}
     last |= {Outcome.CONNECT_FAILED: 4, Outcome.MOOT: 4}
@@ -141,13 +141,13 @@
 
 
 def test_a_loop_told_from_below_ends_the_request_here() -> None:
-    ticket, _, _ = arrive(chain(), X_Budget=b"8")
-    assert isinstance(ticket, Ticket) and ticket.grant(0, 4, 0.0)
+    hop_budget, _, _ = arrive(chain(), X_Budget=b"8")
+    assert isinstance(hop_budget, HopBudget) and hop_budget.grant(0, 4, 0.0)
     answer = Message()
     answer.headers = [(b"X-Budget-Loop", b"1"), (b"X-Budget-Spent", b"0")]
-    ticket.settle(0, Outcome.FULL, answer, 1.0)
-    assert ticket.left == 0 and ticket.grant(1, 3, 0.0) is None
-    assert dict(ticket.closing(503)) == {
+    hop_budget.settle(0, Outcome.FULL, answer, 1.0)
+    assert hop_budget.left == 0 and hop_budget.grant(1, 3, 0.0) is None
+    assert dict(hop_budget.closing(503)) == {
         b"X-Budget-Spent": b"0",
         b"X-Budget-Loop": b"1",
         b"X-Never-Ran": b"1",
@@ -156,11 +156,11 @@
 
 def test_a_refusal_says_never_ran_only_if_nothing_may_have() -> None:
     for outcome, marked in ((Outcome.FULL, True), (Outcome.RESET, False), (None, False)):
-        ticket, _, _ = arrive(chain(tier=1), X_Budget=b"4")
-        assert isinstance(ticket, Ticket) and ticket.grant(0, 4, 0.0)
+        hop_budget, _, _ = arrive(chain(tier=1), X_Budget=b"4")
+        assert isinstance(hop_budget, HopBudget) and hop_budget.grant(0, 4, 0.0)
         if outcome is not None:
-            ticket.settle(0, outcome, None, 1.0)
-        assert ((b"X-Never-Ran", b"1") in ticket.closing(503)) is marked
+            hop_budget.settle(0, outcome, None, 1.0)
+        assert ((b"X-Never-Ran", b"1") in hop_budget.closing(503)) is marked
 
 
 def test_errors_and_loops_are_no_pressure() -> None:
@@ -168,21 +168,21 @@
     it = chain()
     for status, pressed in ((502, False), (500, False), (499, False), (503, True), (504, True)):
         before = it.gate.pressure
-        ticket, _, _ = arrive(it, X_Budget=b"4")
-        assert isinstance(ticket, Ticket)
-        ticket.closing(status)
+        hop_budget, _, _ = arrive(it, X_Budget=b"4")
+        assert isinstance(hop_budget, HopBudget)
+        hop_budget.closing(status)
         assert (it.gate.pressure > before) is pressed
     before = it.gate.pressure
-    ticket, _, _ = arrive(it, X_Budget=b"4")
-    assert isinstance(ticket, Ticket)
-    ticket.account.looped = True
-    ticket.closing(503)
+    hop_budget, _, _ = arrive(it, X_Budget=b"4")
+    assert isinstance(hop_budget, HopBudget)
+    hop_budget.account.looped = True
+    hop_budget.closing(503)
     assert it.gate.pressure == before
 
 
 def test_the_path_is_bounded() -> None:
     it = chain(hops=3)
-    assert isinstance(arrive(it, X_Budget_Path=b"a, b")[0], Ticket)
+    assert isinstance(arrive(it, X_Budget_Path=b"a, b")[0], HopBudget)
     refused = arrive(it, X_Budget_Path=b"a, b, c")[0]
     assert isinstance(refused, list) and (b"X-Budget-Loop", b"1") in refused and it.loops == 1
     assert isinstance(arrive(it, X_Budget_Path=b"tier-0")[0], list)
@@ -191,24 +191,24 @@
 def test_ten_thousand_tenants_cost_no_memory() -> None:
     it = chain()
     for n in range(10_000):
-        ticket, _, _ = arrive(
+        hop_budget, _, _ = arrive(
             it, f"10.{n // 250}.{n % 250}.1", cls=1, X_Customer=b"t%d" % n, Idempotency_Key=b"%d" % n
         )
-        assert isinstance(ticket, Ticket)
-    assert len(it.open_keys) == Chain.MOST_KEYS
+        assert isinstance(hop_budget, HopBudget)
+    assert len(it.open_keys) == TierBudgets.MAX_OPEN_KEYS
     assert it.trusts.cache_info().currsize <= 1024
 
 
 def test_no_attempt_that_can_t_be_useful_is_begun() -> None:
     it = chain(way_back_ms=5.0)
     for _ in range(50):
-        ticket, _, _ = arrive(it)
-        assert isinstance(ticket, Ticket) and ticket.grant(0, 4, 0.0)
-        ticket.settle(0, Outcome.OK, Message(), 100.0)
-        ticket.closing(200)
-    assert isinstance(arrive(it, left=120.0)[0], Ticket)
+        hop_budget, _, _ = arrive(it)
+        assert isinstance(hop_budget, HopBudget) and hop_budget.grant(0, 4, 0.0)
+        hop_budget.settle(0, Outcome.OK, Message(), 100.0)
+        hop_budget.closing(200)
+    assert isinstance(arrive(it, left=120.0)[0], HopBudget)
     assert isinstance(arrive(it, left=90.0)[0], list)
-    assert isinstance(arrive(it, cls=1, left=90.0)[0], Ticket)  # nothing is known of that class
+    assert isinstance(arrive(it, cls=1, left=90.0)[0], HopBudget)  # nothing is known of that class
 
 
 class Rider:
@@ -240,15 +240,15 @@
     for peer, came, up in (("10.1.2.3", b"it", [b"up"]), ("192.0.2.1", None, [])):
         it, rider = chain(), Rider()
         it.carry(rider)
-        ticket, message, _ = arrive(it, peer, X_Capture=b"it", X_Other=b"kept")
+        hop_budget, message, _ = arrive(it, peer, X_Capture=b"it", X_Other=b"kept")
         assert message.headers == [(b"X-Other", b"kept")] and rider.said == [("came", came, b"")]
-        assert isinstance(ticket, Ticket)
-        grant = ticket.grant(0, 4, 0.0)
+        assert isinstance(hop_budget, HopBudget)
+        grant = hop_budget.grant(0, 4, 0.0)
         assert grant is not None and dict(grant)[b"X-Capture"] == b"down"
         answer = Message()
         answer.headers = [(b"x-capture", b"back")]
-        ticket.settle(0, Outcome.OK, answer, 1.0)
-        assert [value for name, value in ticket.closing(200) if name == b"X-Capture"] == up
+        hop_budget.settle(0, Outcome.OK, answer, 1.0)
+        assert [value for name, value in hop_budget.closing(200) if name == b"X-Capture"] == up
         assert rider.said[1:] == [("told", b"back", True), ("closed", 200)]
         assert it.own == (b"x-budget", b"x-capture")
 
@@ -256,11 +256,11 @@
 def test_a_lost_answer_and_a_refusal_are_told_to_the_part_that_is_carried() -> None:
     it, rider = chain(), Rider()
     it.carry(rider)
-    ticket, _, _ = arrive(it)
-    assert isinstance(ticket, Ticket)
+    hop_budget, _, _ = arrive(it)
+    assert isinstance(hop_budget, HopBudget)
     for attempt, outcome in enumerate((Outcome.TIMEOUT, Outcome.CONNECT_FAILED)):
-        assert ticket.grant(attempt, 4, 0.0) is not None
-        ticket.settle(attempt, outcome, None, 1.0)
+        assert hop_budget.grant(attempt, 4, 0.0) is not None
+        hop_budget.settle(attempt, outcome, None, 1.0)
     assert rider.said[1:] == [("told", None, True), ("told", None, False)]
     refused, _, _ = arrive(it, X_Budget_Path=b"a, tier-0")
     assert isinstance(refused, list) and (b"X-Capture", b"up") in refused
--- a/tests/budget/test_ring.py
+++ b/tests/budget/test_ring.py
@@ -4,14 +4,14 @@
 
 import asyncio
 
-from larkweir.budget.chain import Chain
+from larkweir.budget.chain import TierBudgets
 from larkweir.config.options import Budget
 from tests.fakes import PATIENCE_S, Caller, Running, entry, running
 
 
 def switch_on(node: Running, hop: str, log: list[str]) -> None:
     options = Budget(on=True, trust=("127.0.0.0/8",), hop=hop)
-    node.dispatcher.extensions.budgets = Chain(options, node.dispatcher.config.settings, log.append)
+    node.dispatcher.extensions.budgets = TierBudgets(options, node.dispatcher.config.settings, log.append)
 
 
 async def ring(**headers: str) -> tuple[int, dict[str, str], list[str]]:
--- a/tests/budget/test_rules.py
+++ b/tests/budget/test_rules.py
@@ -13,11 +13,11 @@
     SHARES,
     Account,
     RetryRatio,
-    Useful,
+    UsefulTime,
     WorthGate,
-    number,
-    path_of,
-    worth_of,
+    parse_number,
+    parse_path,
+    parse_worth,
 )
 
 
@@ -71,16 +71,16 @@
             told = child.reported
             child.left = 0  # it has answered: nothing more is begun there
         if how in ("told", "twice"):
-            account.settle(attempt, told, never=False)
+            account.settle(attempt, told, never_ran=False)
         elif how == "more":
-            account.settle(attempt, (told or 0) + 5, never=False)
+            account.settle(attempt, (told or 0) + 5, never_ran=False)
         elif how == "forged":
-            account.settle(attempt, None if told is None else max(told, 10**9), never=False)
+            account.settle(attempt, None if told is None else max(told, 10**9), never_ran=False)
         else:
-            account.settle(attempt, None, never=False)
+            account.settle(attempt, None, never_ran=False)
         if how == "twice":
-            account.settle(attempt, 0, never=False)
-            account.settle(attempt, 0, never=True)
+            account.settle(attempt, 0, never_ran=False)
+            account.settle(attempt, 0, never_ran=True)
         del self.attempts[at, attempt]
 
     @invariant()
@@ -99,10 +99,10 @@
 def test_an_answer_lost_after_the_lower_tier_spent_everything_counts_as_spent() -> None:
     account = Account(3, last=False, share=SHARES["half"])
     assert account.grant(0, 4) == 2
-    account.settle(0, None, never=False)
+    account.settle(0, None, never_ran=False)
     assert (account.left, account.reported) == (1, 2)
     assert account.grant(1, 3) == 1
-    account.settle(1, 1, never=False)
+    account.settle(1, 1, never_ran=False)
     assert account.grant(2, 2) == 0
 
 
@@ -112,14 +112,14 @@
     """
     account = Account(4, last=False, share=SHARES["half"])
     assert account.grant(0, 4) == 2
-    account.settle(0, 10, never=False)
+    account.settle(0, 10, never_ran=False)
     assert (account.left, account.overspent) == (2, 8)
 
 
 def test_second_copies_are_paid_from_the_same_budget() -> None:
     account = Account(2, last=True, share=SHARES["even"])
     assert [account.grant(n, 4) for n in range(3)] == [1, 1, 0]
-    account.settle(1, None, never=True)  # cancelled before it was written
+    account.settle(1, None, never_ran=True)  # cancelled before it was written
     assert account.grant(3, 2) == 1
 
 
@@ -131,9 +131,9 @@
         assert middle.grant(0, 4) == 1
         last = Account(1, True, share)
         assert (last.grant(0, 4), last.grant(1, 3)) == (1, 0)
-        last.settle(0, None, never=False)
-        middle.settle(0, last.reported, never=False)
-        top.settle(0, middle.reported, never=False)
+        last.settle(0, None, never_ran=False)
+        middle.settle(0, last.reported, never_ran=False)
+        top.settle(0, middle.reported, never_ran=False)
         assert top.grant(1, 3) == 0
 
 
@@ -142,29 +142,29 @@
     now, retried = 0.0, 0
     for _ in range(10_000):  # a thousand a second, all of them failing
         now += 1.0
-        ratio.first(now)
-        retried += ratio.again(now)
+        ratio.on_first_attempt(now)
+        retried += ratio.take_retry(now)
     assert 1_000 <= retried <= 1_000 + 10 + 21
     quiet = RetryRatio(0.1, floor_per_s=1.0)
-    assert [quiet.again(n * 1000.0) for n in range(10)] == [True] * 10
-    assert not quiet.again(9000.0)
-    assert quiet.again(8000.0) is False  # a time that goes back earns nothing
+    assert [quiet.take_retry(n * 1000.0) for n in range(10)] == [True] * 10
+    assert not quiet.take_retry(9000.0)
+    assert quiet.take_retry(8000.0) is False  # a time that goes back earns nothing
 
 
 def test_what_a_useful_attempt_takes_is_learned_robustly() -> None:
-    useful = Useful(2)
+    useful = UsefulTime(2)
     rng = Random(1)
-    for _ in range(Useful.ENOUGH - 1):
-        useful.served(0, 100.0)
-    assert useful.least_ms(0) == 0.0  # too few to say
+    for _ in range(UsefulTime.MIN_SAMPLES - 1):
+        useful.observe(0, 100.0)
+    assert useful.min_ms(0) == 0.0  # too few to say
     for _ in range(2_000):
-        useful.served(0, rng.uniform(80.0, 200.0))
-    assert 75.0 <= useful.least_ms(0) <= 100.0
-    before = useful.least_ms(0)
-    useful.served(0, 0.001)
-    useful.served(0, 1e6)
-    assert abs(useful.least_ms(0) - before) < 0.06 * before
-    assert useful.least_ms(1) == 0.0
+        useful.observe(0, rng.uniform(80.0, 200.0))
+    assert 75.0 <= useful.min_ms(0) <= 100.0
+    before = useful.min_ms(0)
+    useful.observe(0, 0.001)
+    useful.observe(0, 1e6)
+    assert abs(useful.min_ms(0) - before) < 0.06 * before
+    assert useful.min_ms(1) == 0.0
 
 
 def test_the_least_worth_is_given_up_first_and_nothing_is_starved() -> None:
@@ -202,14 +202,14 @@
     ],
 )
 def test_budgets_that_travel_are_bounded(text: bytes | None, expected: int | None) -> None:
-    assert number(text, 1, 1000) == expected
+    assert parse_number(text, 1, 1000) == expected
 
 
 def test_worths_and_paths_that_travel_are_bounded() -> None:
-    assert worth_of(b"8.5", 100.0) == 8.5 and worth_of(b"1000000000", 8.0) == 8.0
-    assert [worth_of(text, 8.0) for text in (None, b"", b"-1", b"nan", b"1e9", b"1.2.3", b"9" * 40)] == [
+    assert parse_worth(b"8.5", 100.0) == 8.5 and parse_worth(b"1000000000", 8.0) == 8.0
+    assert [parse_worth(text, 8.0) for text in (None, b"", b"-1", b"nan", b"1e9", b"1.2.3", b"9" * 40)] == [
         None
     ] * 7
-    assert path_of(None) == () and path_of(b"a/b, c-d") == (b"a/b", b"c-d")
+    assert parse_path(None) == () and parse_path(b"a/b, c-d") == (b"a/b", b"c-d")
     for text in (b",", b"a,,b", b"a b", b"x" * 65, b",".join([b"a"] * 33), b"\xff"):
-        assert path_of(text) is None
+        assert parse_path(text) is None
--- a/tests/door/test_guard.py
+++ b/tests/door/test_guard.py
@@ -32,10 +32,10 @@
 def shut(node: object) -> None:
     """As after a long overload: all of what may be shed is."""
     guard = node.dispatcher.clock.on_iteration.__self__  # type: ignore[attr-defined]
-    guard.door.is_shedding = True
-    guard.door.shed_fraction = guard.door.MAX_SHED_FRACTION
-    guard.door.on_iteration = lambda busy, whole: None
-    guard.door.admits = lambda at, again: False
+    guard.shedder.is_shedding = True
+    guard.shedder.shed_fraction = guard.shedder.MAX_SHED_FRACTION
+    guard.shedder.on_iteration = lambda busy, whole: None
+    guard.shedder.admits = lambda at, again: False
 
 
 @pytest.mark.parametrize("speaks", ["http1", "fastcgi"])
@@ -125,12 +125,12 @@
     script.more = busy
     async with running(upstream.entry("u"), script=script, door=ON) as node:
         script.servers = list(node.dispatcher.upstreams.targets)
-        door = node.dispatcher.clock.on_iteration.__self__.door  # type: ignore[union-attr]
+        shedder = node.dispatcher.clock.on_iteration.__self__.shedder  # type: ignore[union-attr]
         for _ in range(3):
             async with Caller(node.port) as caller:
                 caller.ask()
                 assert (await caller.answer()).status == 200
-        assert door.mean_busy_ms > 5.0
+        assert shedder.mean_busy_ms > 5.0
     upstream.close()
 
 
@@ -149,10 +149,10 @@
             node.node.reconfigure(replace(config, settings=replace(config.settings, classes=classes)))
 
         reload(*(f"former{n}" for n in range(MOST_GONE + 1)))
-        door = node.dispatcher.clock.on_iteration.__self__.door  # type: ignore[union-attr]
-        door.on_iteration = lambda busy, whole: None
-        door.is_shedding = True
-        door._shed_probabilities = [1.0] * len(door._shed_probabilities)
+        shedder = node.dispatcher.clock.on_iteration.__self__.shedder  # type: ignore[union-attr]
+        shedder.on_iteration = lambda busy, whole: None
+        shedder.is_shedding = True
+        shedder._shed_probabilities = [1.0] * len(shedder._shed_probabilities)
         reload()
         reload("new")
         places = [cls.name for cls in node.node.settings.classes]
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -166,7 +166,7 @@
     world.play()
     assert len(accounts) > 50
     for account in accounts:
-        out = sum(account._out.values())
+        out = sum(account._granted.values())
         assert account.spent + account.left + out == budget and account.left >= 0 and not account.overspent
     assert sum(server.calls for server in world.servers[6:]) <= budget * len(accounts)
 
--- a/tests/storms/test_advice.py
+++ b/tests/storms/test_advice.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from larkweir.storms.advice import Advice, Memory, Promises
+from larkweir.storms.advice import Advice, ClientTable, ScheduledReturns
 from larkweir.storms.shares import Kind
 
 SECRET = b"0123456789abcdef"
@@ -19,8 +19,8 @@
 
 
 def test_returns_are_spread_over_what_the_tier_needs() -> None:
-    told = advice(60_000.0)
-    waits = sorted(told.wait_ms(0.0, told.fingerprint(b"%d" % n), 0, 50.0, 10.0) for n in range(1000))
+    adviser = advice(60_000.0)
+    waits = sorted(adviser.wait_ms(0.0, adviser.fingerprint(b"%d" % n), 0, 50.0, 10.0) for n in range(1000))
     # 1,000 clients, 40 a second to spare: 25 s.
     assert 20_000.0 < waits[-1] < 27_000.0
     inside = [sum(at <= wait < at + 1000.0 for wait in waits) for at in range(0, 20_000, 1000)]
@@ -28,20 +28,20 @@
 
 
 def test_a_client_keeps_its_place_from_try_to_try() -> None:
-    told = advice()
-    one, other = sorted((told.fingerprint(b"a"), told.fingerprint(b"b")), key=lambda f: f >> 11)
+    adviser = advice()
+    one, other = sorted((adviser.fingerprint(b"a"), adviser.fingerprint(b"b")), key=lambda f: f >> 11)
     for now in (0.0, 5_000.0, 60_000.0):
-        first = told.wait_ms(now, one, 0, 0.1, 0.0)
-        second = told.wait_ms(now, other, 0, 0.1, 0.0)
+        first = adviser.wait_ms(now, one, 0, 0.1, 0.0)
+        second = adviser.wait_ms(now, other, 0, 0.1, 0.0)
         assert first < second
 
 
 def test_retries_that_are_synchronized_to_the_second_are_pulled_apart() -> None:
-    told = advice()
+    adviser = advice()
     for turn in range(3):
         now = turn * 2_000.0
-        clients = [told.fingerprint(b"%d" % n) for n in range(400)]
-        back = {int((now + told.wait_ms(now, client, 0, 1.0, 0.0)) // 50.0) for client in clients}
+        clients = [adviser.fingerprint(b"%d" % n) for n in range(400)]
+        back = {int((now + adviser.wait_ms(now, client, 0, 1.0, 0.0)) // 50.0) for client in clients}
         assert len(back) > 10  # 0.6 s in slots of 50 ms
 
 
@@ -50,58 +50,62 @@
 
 
 def test_ignoring_the_word_makes_it_longer_within_bounds_and_obeying_shortens_it_again() -> None:
-    told = advice(4000.0)
-    client = told.fingerprint(b"x")
+    adviser = advice(4000.0)
+    client = adviser.fingerprint(b"x")
     now, steps, waits = 0.0, 0, []
     for _ in range(8):
-        waits.append(told.wait_ms(now, client, steps, 1000.0, 0.0))
+        waits.append(adviser.wait_ms(now, client, steps, 1000.0, 0.0))
         now += 10.0
-        known = told.comes(now, client)
+        known = adviser.classify(now, client)
         assert known is not None and known[0] is Kind.IGNORING
         steps = known[1]
-    assert steps == Memory.STEPS
+    assert steps == ClientTable.MAX_PENALTY_STEPS
     assert waits[0] < waits[1] < waits[3] and waits[-1] <= 4000.0
-    for left in range(Memory.STEPS - 1, -1, -1):
-        now += told.wait_ms(now, client, steps, 1000.0, 0.0)
-        known = told.comes(now, client)
+    for left in range(ClientTable.MAX_PENALTY_STEPS - 1, -1, -1):
+        now += adviser.wait_ms(now, client, steps, 1000.0, 0.0)
+        known = adviser.classify(now, client)
         assert known == (Kind.PROMISED, left)
         steps = left
 
 
 def test_a_penalty_is_forgotten_in_time() -> None:
-    told = advice()
-    client = told.fingerprint(b"x")
-    told.wait_ms(0.0, client, 4, 1.0, 0.0)
-    assert told.comes(100.0, client) is not None
-    assert told.comes(20_000.0, client) is None
+    adviser = advice()
+    client = adviser.fingerprint(b"x")
+    adviser.wait_ms(0.0, client, 4, 1.0, 0.0)
+    assert adviser.classify(100.0, client) is not None
+    assert adviser.classify(20_000.0, client) is None
 
 
 def test_a_forger_reaches_nobody_at_another_address() -> None:
     """It names the other's tenant, object and key, and ignores every word: the other is untouched."""
-    told = advice(sets=1024)
-    victim = told.fingerprint(b"10.0.0.1", b"GET", b"/api", b"x-customer:acme", b"x-object:7")
-    told.wait_ms(0.0, victim, 0, 10.0, 0.0)
+    adviser = advice(sets=1024)
+    victim = adviser.fingerprint(b"10.0.0.1", b"GET", b"/api", b"x-customer:acme", b"x-object:7")
+    adviser.wait_ms(0.0, victim, 0, 10.0, 0.0)
     for n in range(200):
-        forged = told.fingerprint(b"10.6.6.6", b"GET", b"/api", b"x-customer:acme", b"x-object:7")
-        known = told.comes(n * 1.0, forged)
-        told.wait_ms(n * 1.0, forged, known[1] if known else 0, 10.0, 0.0)
-    assert told.comes(2_500.0, victim) == (Kind.PROMISED, 0)
+        forged = adviser.fingerprint(b"10.6.6.6", b"GET", b"/api", b"x-customer:acme", b"x-object:7")
+        known = adviser.classify(n * 1.0, forged)
+        adviser.wait_ms(n * 1.0, forged, known[1] if known else 0, 10.0, 0.0)
+    assert adviser.classify(2_500.0, victim) == (Kind.PROMISED, 0)
 
 
 def test_parts_of_a_fingerprint_do_not_run_into_each_other() -> None:
-    told = advice()
-    assert told.fingerprint(b"ab", b"c") != told.fingerprint(b"a", b"bc")
+    adviser = advice()
+    assert adviser.fingerprint(b"ab", b"c") != adviser.fingerprint(b"a", b"bc")
     other = Advice(2000.0, 100.0, b"another secret..")
-    assert told.fingerprint(b"a") != other.fingerprint(b"a")
+    assert adviser.fingerprint(b"a") != other.fingerprint(b"a")
 
 
 def test_the_table_does_not_grow_whoever_comes() -> None:
-    told = advice(sets=64)
-    size = sum(map(sys.getsizeof, (told.memory._tags, told.memory._due, told.memory._until)))
+    adviser = advice(sets=64)
+    size = sum(
+        map(sys.getsizeof, (adviser.clients._tags, adviser.clients._due_ms, adviser.clients._expires_ms))
+    )
     for n in range(20_000):
-        told.wait_ms(float(n), told.fingerprint(b"%d" % n), 0, 5.0, 0.0)
-    assert size == sum(map(sys.getsizeof, (told.memory._tags, told.memory._due, told.memory._until)))
-    assert told.promises.waiting(20_000.0) <= 20_000
+        adviser.wait_ms(float(n), adviser.fingerprint(b"%d" % n), 0, 5.0, 0.0)
+    assert size == sum(
+        map(sys.getsizeof, (adviser.clients._tags, adviser.clients._due_ms, adviser.clients._expires_ms))
+    )
+    assert adviser.returns.count(20_000.0) <= 20_000
 
 
 class Clients(RuleBasedStateMachine):
@@ -109,14 +113,18 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.memory = Memory(2)
+        self.table = ClientTable(2)
         self.now = 0.0
         self.true: dict[int, tuple[float, float, int]] = {}
 
     @rule(client=st.integers(1, 40), wait=st.floats(1.0, 500.0), steps=st.integers(0, 9))
     def told(self, client: int, wait: float, steps: int) -> None:
-        self.memory.told(self.now, client, self.now + wait, self.now + 3.0 * wait, steps)
-        self.true[client] = (self.now + wait, self.now + 3.0 * wait, min(Memory.STEPS, steps))
+        self.table.record(self.now, client, self.now + wait, self.now + 3.0 * wait, steps)
+        self.true[client] = (
+            self.now + wait,
+            self.now + 3.0 * wait,
+            min(ClientTable.MAX_PENALTY_STEPS, steps),
+        )
 
     @rule(spent=st.floats(0.0, 400.0))
     def passes(self, spent: float) -> None:
@@ -124,25 +132,25 @@
 
     @rule(client=st.integers(1, 40))
     def comes(self, client: int) -> None:
-        known = self.memory.comes(self.now, client)
+        known = self.table.classify(self.now, client)
         due, until, steps = self.true.get(client, (0.0, -1.0, 0))
         if known is None:
             return
         assert self.now < until
         if self.now < due:
-            assert known == (Kind.IGNORING, min(Memory.STEPS, steps + 1))
+            assert known == (Kind.IGNORING, min(ClientTable.MAX_PENALTY_STEPS, steps + 1))
         else:
             assert known == (Kind.PROMISED, max(0, steps - 1))
 
     @rule(client=st.integers(1, 40))
     def served(self, client: int) -> None:
-        self.memory.forget(self.now, client)
-        known = self.memory.comes(self.now, client)
+        self.table.forget(self.now, client)
+        known = self.table.classify(self.now, client)
         assert known is None or self.true[client][2] > 0  # a penalty stays
 
     @invariant()
     def the_one_told_last_is_known(self) -> None:
-        assert sum(until > self.now for until in self.memory._until) <= 8
+        assert sum(until > self.now for until in self.table._expires_ms) <= 8
 
 
 TestClients = Clients.TestCase
@@ -150,17 +158,17 @@
 
 
 class Wheel(RuleBasedStateMachine):
-    """Promises that are still to come are counted; those that are past are not."""
+    """Returns that are still to come are counted; those that are past are not."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.wheel = Promises(1000.0)
+        self.wheel = ScheduledReturns(1000.0)
         self.now = 0.0
         self.due: list[float] = []
 
     @rule(wait=st.floats(0.0, 1000.0))
     def promise(self, wait: float) -> None:
-        self.wheel.promise(self.now, wait)
+        self.wheel.add(self.now, wait)
         self.due.append(self.now + wait)
 
     @rule(spent=st.floats(0.0, 3000.0))
@@ -170,7 +178,7 @@
     @invariant()
     def those_to_come_are_counted(self) -> None:
         slot = self.wheel.slot_ms
-        waiting = self.wheel.waiting(self.now)
+        waiting = self.wheel.count(self.now)
         assert sum(due > self.now + slot for due in self.due) <= waiting
         assert waiting <= sum(due >= self.now - slot for due in self.due)
 
--- a/tests/storms/test_gate.py
+++ b/tests/storms/test_gate.py
@@ -26,8 +26,8 @@
 def shut(balancer: Running) -> None:
     """As deep in a storm: nobody is let in."""
     storm = gate(balancer).storm
-    storm.course.state = State.STORM
-    storm.course.step = lambda *args: False
+    storm.state_machine.state = State.STORM
+    storm.state_machine.step = lambda *args: False
     balancer.node.decisions.limiter.arbiter = lambda cls, verdict, waiting: type(verdict).REFUSE  # type: ignore
 
 
@@ -78,7 +78,7 @@
             taken: list[int] = []
             part = gate(balancer)
             storm = part.storm
-            storm.wants_clients = lambda now: True
+            storm.needs_fingerprints = lambda now: True
             arrive = storm.arrive
             storm.arrive = lambda now, tenant, again, client: (  # type: ignore[method-assign]
                 taken.append(client),
--- a/tests/storms/test_hard_cases.py
+++ b/tests/storms/test_hard_cases.py
@@ -124,7 +124,7 @@
     """A quarter of the clients come all at once for a second, and are served."""
     world = sala(down=False, load=0.4)
     play(world, surge=lambda now: 2.0 if 8_000 < now < 9_000 else 1.0)
-    assert all(copy.storm.turned == 0 and copy.storm.storms == 0 for copy in world.copies)
+    assert all(copy.storm.turned_away == 0 and copy.storm.storms == 0 for copy in world.copies)
     assert served(world, 2_000, END) > 0.98
 
 
--- a/tests/storms/test_pace.py
+++ b/tests/storms/test_pace.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 from larkweir_balancing.interface import Outcome
 
-from larkweir.storms.pace import Accepting, Bucket, Opening
+from larkweir.storms.pace import AcceptLimiter, ConnectLimiter, TokenBucket
 from tests.fakes import PATIENCE_S, Caller, FakeUpstream, Incoming, Script, Talk, ok, running
 from tests.upstreams.test_attempts import run
 
 
 @given(st.lists(st.floats(0.0, 500.0), max_size=200), st.floats(1.0, 200.0))
 def test_a_bucket_never_gives_more_than_its_rate_and_what_it_holds(steps: list[float], per_s: float) -> None:
-    bucket = Bucket(0.0, 5.0)
+    bucket = TokenBucket(0.0, 5.0)
     now, taken = 0.0, 0
     for step in steps:
         now += step
@@ -25,28 +25,28 @@
 
 
 def test_a_cold_upstream_is_opened_to_by_its_share() -> None:
-    opening = Opening(40.0, lambda upstream, now: 0.25 if upstream == 1 else 1.0)
+    limiter = ConnectLimiter(40.0, lambda upstream, now: 0.25 if upstream == 1 else 1.0)
     counts = {1: 0, 2: 0}
     for now in range(0, 10_000, 5):
         for upstream in counts:
-            counts[upstream] += opening.may(upstream, float(now))
+            counts[upstream] += limiter.try_open(upstream, float(now))
     assert 95 <= counts[1] <= 125  # 10 a second, and what the bucket held
     assert 395 <= counts[2] <= 425
 
 
 def test_the_buckets_do_not_grow_with_the_servers_that_were_ever_seen() -> None:
-    opening = Opening(10.0, lambda upstream, now: 1.0)
+    limiter = ConnectLimiter(10.0, lambda upstream, now: 1.0)
     for upstream in range(20_000):
-        opening.may(upstream, float(upstream))
-    assert len(opening._buckets) <= Opening.MOST
+        limiter.try_open(upstream, float(upstream))
+    assert len(limiter._buckets) <= ConnectLimiter.MAX_BUCKETS
 
 
 @pytest.mark.parametrize("aim_ms", [50.0, 410.0, 5000.0])
 def test_a_flood_that_fills_the_backlog_is_taken_well_within_the_aim(aim_ms: float) -> None:
-    accepting = Accepting(aim_ms, 1024)
+    limiter = AcceptLimiter(aim_ms, 1024)
     now, taken = 0.0, 0
     while taken < 1024:
-        while accepting.may(now):
+        while limiter.try_accept(now):
             taken += 1
         now += 5.0  # the listener's pause
     assert now <= 0.25 * aim_ms + 10.0, now
--- a/tests/storms/test_shares.py
+++ b/tests/storms/test_shares.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkweir.storms.barter import Barter, Opening
-from larkweir.storms.shares import FACTOR, Kind, Shares, divide, fill
+from larkweir.storms.admission_swap import AdmissionSwap, RecoveryWindow
+from larkweir.storms.shares import WORTH_FACTORS, Kind, Shares, divide, max_min_fair
 
 AMOUNTS = st.floats(0.0, 1000.0)
 WANTS = st.lists(st.floats(0.0, 500.0), min_size=1, max_size=8)
@@ -17,7 +17,7 @@
 @given(amount=AMOUNTS, wants=WANTS, data=st.data())
 def test_fill_is_weighted_max_min(amount: float, wants: list[float], data: st.DataObject) -> None:
     weights = data.draw(st.lists(st.floats(0.01, 1.0), min_size=len(wants), max_size=len(wants)))
-    given_ = fill(amount, wants, weights)
+    given_ = max_min_fair(amount, wants, weights)
     assert sum(given_) <= min(amount, sum(wants)) * (1 + 1e-9) + 1e-9
     assert sum(given_) >= min(amount, sum(wants)) * (1 - 1e-6) - 1e-6  # nothing is left lying
     levels = [got / weight for got, weight in zip(given_, weights, strict=True)]
@@ -32,9 +32,9 @@
     rows, tenants = draw(st.integers(1, 6)), draw(st.integers(1, 5))
     wants = [[draw(st.floats(0.0, 100.0)) for _ in range(tenants)] for _ in range(rows)]
     values = [draw(st.floats(0.1, 10.0)) for _ in range(rows)]
-    parts = [draw(st.floats(0.01, 1.0)) for _ in range(tenants)]
-    whole = sum(parts)
-    return draw(st.floats(0.0, 500.0)), wants, values, [part / whole for part in parts]
+    tenant_shares = [draw(st.floats(0.01, 1.0)) for _ in range(tenants)]
+    whole = sum(tenant_shares)
+    return draw(st.floats(0.0, 500.0)), wants, values, [share / whole for share in tenant_shares]
 
 
 @given(demands())
@@ -42,8 +42,8 @@
 def test_divide_gives_all_there_is_and_nobody_more_than_it_wants(
     case: tuple[float, list[list[float]], list[float], list[float]],
 ) -> None:
-    amount, wants, values, parts = case
-    given_ = divide(amount, wants, values, parts, 0.05)
+    amount, wants, values, tenant_shares = case
+    given_ = divide(amount, wants, values, tenant_shares, 0.05)
     total = sum(map(sum, wants))
     assert sum(map(sum, given_)) <= min(amount, total) + 1e-6
     assert sum(map(sum, given_)) >= min(amount, total) * (1 - 1e-6) - 1e-6
@@ -55,18 +55,18 @@
 
 
 def test_the_worthier_go_first_and_the_others_are_not_starved() -> None:
-    parts = [0.5, 0.5]
+    tenant_shares = [0.5, 0.5]
     wants = [[60.0, 60.0], [30.0, 30.0]]
-    look, publish = divide(80.0, wants, [1.0, 8.0], parts, 0.05)
+    look, publish = divide(80.0, wants, [1.0, 8.0], tenant_shares, 0.05)
     assert sum(publish) > 59.0
     assert 15.0 < sum(look) < 21.0
 
 
 def test_a_loud_tenant_of_much_worth_takes_no_part_of_anothers() -> None:
-    parts = [0.25] * 4
+    tenant_shares = [0.25] * 4
     wants = [[0.0, 20.0, 20.0, 20.0], [500.0, 0.0, 0.0, 0.0]]
-    look, publish = divide(80.0, wants, [1.0, 8.0], parts, 0.05)
-    assert min(look[1:]) > 15.0  # near their own parts of what there is
+    look, publish = divide(80.0, wants, [1.0, 8.0], tenant_shares, 0.05)
+    assert min(look[1:]) > 15.0  # near their own shares of what there is
     assert publish[0] < 40.0
 
 
@@ -78,7 +78,7 @@
     for tick in range(100):
         for _ in range(60):
             cls = int(rng.random() < 0.4)
-            wants = shares.wants(cls, Kind.FIRST, int(rng.random() < 0.4))
+            wants = shares.prefers(cls, Kind.FIRST, int(rng.random() < 0.4))
             if tick >= 20:
                 came[cls] += 1
                 wanted[cls] += wants
@@ -89,29 +89,34 @@
 
 
 def test_who_came_as_told_goes_before_a_first_try_and_who_did_not_behind_a_repeat() -> None:
-    assert FACTOR[Kind.PROMISED] > FACTOR[Kind.FIRST] > FACTOR[Kind.AGAIN] > FACTOR[Kind.IGNORING]
+    assert (
+        WORTH_FACTORS[Kind.PROMISED]
+        > WORTH_FACTORS[Kind.FIRST]
+        > WORTH_FACTORS[Kind.AGAIN]
+        > WORTH_FACTORS[Kind.IGNORING]
+    )
 
 
 @given(st.lists(st.tuples(st.booleans(), st.booleans()), max_size=400), st.floats(0.0, 100.0))
 def test_barter_changes_who_and_not_how_many(steps: list[tuple[bool, bool]], sent_per_s: float) -> None:
-    barter = Barter()
-    most = max(1.0, Barter.CREDIT_S * sent_per_s) + 1.0
+    swap = AdmissionSwap()
+    most = max(1.0, AdmissionSwap.MAX_CREDIT_S * sent_per_s) + 1.0
     before = after = 0
-    for let_in, wanted in steps:
-        verdict = barter.weigh(let_in, wanted, sent_per_s)
+    for let_in, preferred in steps:
+        verdict = swap.decide(let_in, preferred, sent_per_s)
         before += let_in
         after += verdict
-        assert verdict or not (let_in and wanted)  # who is wanted and let in always is
-        assert not verdict or let_in or wanted
+        assert verdict or not (let_in and preferred)  # who is preferred and let in always is
+        assert not verdict or let_in or preferred
         assert 0 <= after - before <= most  # lent before it is paid back, never the other way
 
 
 def test_what_is_back_is_given_as_many_calls_as_were_out_in_good_times() -> None:
-    opening = Opening()
-    assert opening.back(3.0, 0, 4) == 3.0  # nothing is known
+    recovery = RecoveryWindow()
+    assert recovery.window_after_return(3.0, 0, 4) == 3.0  # nothing is known
     for _ in range(200):
-        opening.good(500.0, 6.0, 12)
-    assert abs(opening.back(500.0, 0, 12) - 12.0) < 0.2
-    assert abs(opening.back(0.1, 0, 3) - 3.0) < 0.1  # a quarter of them
-    assert abs(opening.back(0.1, 2, 40) - 12.0) < 0.2  # more than ever prove nothing more
-    assert opening.back(20.0, 2, 12) == 20.0  # it has been steered since the first came back
+        recovery.observe_calm(500.0, 6.0, 12)
+    assert abs(recovery.window_after_return(500.0, 0, 12) - 12.0) < 0.2
+    assert abs(recovery.window_after_return(0.1, 0, 3) - 3.0) < 0.1  # a quarter of them
+    assert abs(recovery.window_after_return(0.1, 2, 40) - 12.0) < 0.2  # more than ever prove nothing more
+    assert recovery.window_after_return(20.0, 2, 12) == 20.0  # it has been steered since the first came back
--- a/tests/storms/test_signs.py
+++ b/tests/storms/test_signs.py
@@ -8,7 +8,7 @@
 import pytest
 from larkweir_balancing.interface import Effect, RequestClass
 
-from larkweir.storms.signs import Course, Signs, State
+from larkweir.storms.signs import Signs, State, StormStateMachine
 
 CLASSES = (RequestClass(410.0, 1000.0, Effect.SAFE, name="look"),)
 TENANTS = 6
@@ -21,7 +21,7 @@
     def __init__(self, per_s: float = 40.0, seed: int = 1) -> None:
         self.rng = Random(seed)
         self.signs = Signs(CLASSES, TENANTS)
-        self.course = Course()
+        self.state_machine = StormStateMachine()
         self.now = 0.0
         self.rates = [per_s / TENANTS] * TENANTS
         self.in_vain = 0.01
@@ -33,7 +33,7 @@
 
     def run(self, seconds: float, each: Callable[[float], None] = lambda at: None) -> list[State]:
         """The states that were passed through, from the present one on."""
-        self.seen = [self.course.state]
+        self.seen = [self.state_machine.state]
         until = self.now + seconds * 1000.0
         begun = self.now
         while self.now < until:
@@ -47,9 +47,9 @@
                         self.signs.call_ended(self.now, self.rng.random() >= self.in_vain)
             for _ in range(self._poisson(self.connects * TICK / 1000.0)):
                 self.signs.connections.add(self.now)
-            self.signs.look(self.now, TICK, self.course.state is State.CALM)
-            if self.course.step(self.now, TICK, self.signs, self.shedding):
-                self.seen.append(self.course.state)
+            self.signs.evaluate(self.now, TICK, self.state_machine.state is State.CALM)
+            if self.state_machine.step(self.now, TICK, self.signs, self.shedding):
+                self.seen.append(self.state_machine.state)
         return self.seen
 
     def _poisson(self, mean: float) -> int:
@@ -81,10 +81,10 @@
     story.run(1)
     story.outage()
     story.run(8)
-    assert story.course.state in (State.STORM, State.BUILDING)
+    assert story.state_machine.state in (State.STORM, State.BUILDING)
     story.back()
     story.run(4)
-    assert story.course.state is State.STORM
+    assert story.state_machine.state is State.STORM
     story.well()
     assert story.run(15)[-1] is State.CALM
 
@@ -148,7 +148,7 @@
         story.in_vain = min(0.3, at / 400.0)
 
     story.run(180, worse)
-    assert story.course.state is State.CALM
+    assert story.state_machine.state is State.CALM
     story.cold = 12
     assert State.STORM not in story.run(20)
 
@@ -175,7 +175,7 @@
         story.run(1)
         story.outage()
         story.run(5)
-        assert story.course.state is State.STORM
+        assert story.state_machine.state is State.STORM
         story.back()
         story.run(3)
         story.well()
--- a/tests/storms/test_watch.py
+++ b/tests/storms/test_storm_balancer.py
@@ -29,10 +29,10 @@
     TimerFired,
 )
 
-from larkweir.storms.barter import Barter
+from larkweir.storms.admission_swap import AdmissionSwap
 from larkweir.storms.signs import State
 from larkweir.storms.storm import Storm
-from larkweir.storms.watch import Watch
+from larkweir.storms.storm_balancer import StormBalancer
 
 CLASSES = (
     RequestClass(400.0, 1000.0, Effect.SAFE, worth=1.0, name="look"),
@@ -63,7 +63,7 @@
         super().__init__()
         self.storm = Storm(figures(), 7, sets=16)
         self.clients: dict[int, int] = {}
-        self.watch = Watch(Balancer(figures(), 7), self.storm, self.clients.__getitem__)
+        self.balancer = StormBalancer(Balancer(figures(), 7), self.storm, self.clients.__getitem__)
         self.now = 1.0
         self.next = 1
         self.classes: dict[int, int] = {}
@@ -77,7 +77,7 @@
         self.started = {n: 0.0 for n in range(4)}
 
     def tell(self, event: Any) -> None:
-        for action in self.watch.handle(self.now, event):
+        for action in self.balancer.handle(self.now, event):
             if isinstance(action, Send):
                 number = self.sends.get(action.request, 0)
                 self.sends[action.request] = number + 1
@@ -106,7 +106,7 @@
             self.tell(TimerFired(cookie))
         self.timers = [item for item in self.timers if item[0] > until]
         self.now = max(self.now, until)
-        self.watch.tick(self.now)
+        self.balancer.tick(self.now)
 
     @rule(ready=st.sets(st.integers(0, 3)), fresh=st.booleans())
     def listed(self, ready: set[int], fresh: bool) -> None:
@@ -158,16 +158,16 @@
 
     @invariant()
     def nothing_is_kept_of_what_is_over(self) -> None:
-        known = set(self.watch._open)
+        known = set(self.balancer._open)
         owed = self.open | {item[0] for item in self.out}
         assert known <= owed  # and at most that: bounded by what is open
 
     @invariant()
     def no_more_are_out_than_without_but_for_the_credit(self) -> None:
         storm = self.storm
-        assert storm.barter.owed <= max(1.0, Barter.CREDIT_S * 1e5)
+        assert storm.swap.outstanding <= max(1.0, AdmissionSwap.MAX_CREDIT_S * 1e5)
         if storm.state is State.CALM:
-            assert storm.course.state is State.CALM
+            assert storm.state_machine.state is State.CALM
 
     @invariant()
     def words_are_within_the_settings(self) -> None:
@@ -181,26 +181,26 @@
 def test_in_calm_every_verdict_is_the_decisions_own() -> None:
     """Side by side with decisions that nothing stands before, and the same chance: the same actions, word for word
     but for the wait that is advised."""
-    watch = Watch(Balancer(figures(), 5), Storm(figures(), 5), lambda number: number)
+    wrapped = StormBalancer(Balancer(figures(), 5), Storm(figures(), 5), lambda number: number)
     plain = Balancer(figures(), 5)
     entries = [ServerEntry(n) for n in range(4)]
     now, out = 0.0, []
-    for decisions in (watch, plain):
+    for decisions in (wrapped, plain):
         decisions.handle(0.0, ListUpdate(ListKind.FULL, 1, entries))
     for number in range(1, 600):
         now += 17.0
         event = RequestArrived(number, number % 3, 1000.0, number % 2)
-        first, second = watch.handle(now, event), plain.handle(now, event)
+        first, second = wrapped.handle(now, event), plain.handle(now, event)
         assert first == second
         out += [action for action in first if isinstance(action, Send)]
         if len(out) > 2:
             send = out.pop(0)
             end = AttemptEnded(send.request, 0, send.server, Outcome.OK, True, 40.0)
-            assert watch.handle(now, end) == plain.handle(now, end)
-    assert watch.storm.state is State.CALM and watch.storm.turned == 0
+            assert wrapped.handle(now, end) == plain.handle(now, end)
+    assert wrapped.storm.state is State.CALM and wrapped.storm.turned_away == 0
 
 
 def test_an_inner_tier_turns_nobody_away() -> None:
     balancer = Balancer(figures(tier=1, tiers=2), 5)
-    Watch(balancer, Storm(figures(tier=1, tiers=2), 5), lambda number: number)
+    StormBalancer(balancer, Storm(figures(tier=1, tiers=2), 5), lambda number: number)
     assert balancer.limiter.arbiter is None
