--- a/larkweir/budget/__init__.py
+++ b/larkweir/budget/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets across tiers: time, attempts and worth for the whole chain, loops refused. Imported where it is on."""
+"""Retry budgets across tiers: limits on time, attempts and worth for a chain of tiers, and loop detection. Optional."""
--- a/larkweir/budget/chain.py
+++ b/larkweir/budget/chain.py
@@ -1,15 +1,16 @@
-"""A request's budget, worth, time and path at one tier, as they come with it, go down and come back.
+"""A request's budget, worth, time and path at one tier: what arrives with it, goes down, and returns.
 
-Values and headers in, values and headers out; the dispatcher's hands write them. What travels:
+This module works on values and headers; the dispatcher writes them. The headers are:
 
-    down    X-Budget           attempts at the last tier that this request may cost
-            X-Budget-Worth     what it is worth
+    down    X-Budget           how many attempts at the last tier the request may cost
+            X-Budget-Worth     the worth of the request
             X-Budget-Path      the tiers that it has passed, first to last
-    back    X-Budget-Spent     what it has cost
-            X-Budget-Loop      a tier below has refused a loop: trying again would only meet it again
-            X-Never-Ran        nothing of it has run
+    back    X-Budget-Spent     how many attempts it has cost
+            X-Budget-Loop      a tier below has refused a loop: a retry would only meet the loop again
+            X-Never-Ran        no part of the request has run
 
-Another part may have a field of its own carried both ways (`propagate`), believed and taken off as these are.
+One other component may have a header of its own carried both ways (`BaggagePropagator`). It is trusted and removed
+under the same rules as these.
 """
 
 from __future__ import annotations
@@ -46,14 +47,14 @@
 
 
 class KeyOwner(NamedTuple):
-    """An idempotency key as one tenant uses it: two tenants may choose the same."""
+    """An idempotency key with its tenant, since two tenants may choose the same key."""
 
-    tenant: str  # its name, which a new configuration does not move; empty for none
+    tenant: str  # the name, since a reload may change the index; empty for no tenant
     key: bytes
 
 
 class HopBudget:
-    """One request's part."""
+    """The budget of one request at this tier, with its worth, path and baggage."""
 
     __slots__ = (
         "_baggage",
@@ -85,7 +86,7 @@
         self._trusted = trusted
         self._key = key
         self._baggage = baggage
-        self._may_have_run = False  # an attempt may have run
+        self._may_have_run = False
         self._started_ms: dict[int, float] = {}
         self.account = account
         self.worth = worth
@@ -97,7 +98,7 @@
         return 0 if self.account.looped else self.account.left
 
     def grant(self, attempt: int, tries: int, now_ms: float) -> Headers | None:
-        """The headers that an attempt takes down; none if it may not be begun."""
+        """The headers to send with an attempt; None if the attempt may not begin."""
         chain = self._chain
         if self.account.left < 1 or (attempt and not chain.ratio.take_retry(now_ms)):
             return None
@@ -116,7 +117,7 @@
         return found
 
     def settle(self, attempt: int, outcome: Outcome, answer: Message | None, now_ms: float) -> None:
-        """An attempt that was granted has ended."""
+        """Record the end of an attempt that was granted."""
         begun = self._started_ms.pop(attempt, None)
         if begun is None:
             return
@@ -135,18 +136,18 @@
                 self._chain.unreadable += 1
         if outcome is Outcome.OK:
             self._chain.useful.observe(self.cls, now_ms - begun)
-        # Never written whole, it reached nobody. Turned away unseen, it reached an upstream: at the last tier that is
-        # an attempt; further up nothing went on from there, unless a balancer below says otherwise.
+        # A request that was never written whole reached nobody. A request that an upstream refused unread did reach it:
+        # at the last tier that is an attempt. Further up it went no further, unless a balancer below reports otherwise.
         reached = outcome is Outcome.FULL and self._chain.last
         self.account.settle(attempt, spent, never_ran and not spent and not reached)
 
     def closing(self, status: int) -> Headers:
-        """What goes back with the one final answer."""
+        """The headers of the one final answer."""
         chain = self._chain
         if status == 200 or (status in (503, 504) and not self.account.looped):
-            chain.gate.ended(status != 200)  # errors and loops are no want of time or room
+            chain.gate.ended(status != 200)  # errors and loops are no lack of time or capacity
         if self._key is not None and chain.open_keys.get(self._key) is self.account:
-            del chain.open_keys[self._key]  # not that of a later try with the same key
+            del chain.open_keys[self._key]  # but keep the entry of a later attempt with the same key
         if self._baggage is not None:
             self._baggage.closed(status)
         if not self._trusted:
@@ -162,7 +163,7 @@
 
 
 class TierBudgets:
-    """What one tier keeps of all its requests: a bounded few numbers, whatever the tenants."""
+    """The budgets of all requests at one tier, in bounded memory whatever the number of tenants."""
 
     MAX_OPEN_KEYS = 4096
 
@@ -172,16 +173,14 @@
         self.ratio = RetryRatio(options.retry_ratio, options.retry_floor_per_s)
         self.gate = WorthGate()
         self.useful = UsefulTime(len(settings.classes))
-        self.unreadable = 0  # values that made no sense, so far
-        self.loops = 0  # requests refused for one
-        self.open_keys: dict[KeyOwner, Account] = {}  # of keyed requests that are open
+        self.unreadable = 0  # header values that could not be parsed
+        self.loops = 0  # requests refused for a loop
+        self.open_keys: dict[KeyOwner, Account] = {}  # open requests with an idempotency key
         self._hop = (options.hop or f"tier-{settings.tier}").encode()
         self._networks = [ip_network(item, strict=False) for item in options.trust if item != "unix"]
         self._unix = "unix" in options.trust
         self.own: tuple[bytes, ...] = (b"x-budget",)
-        self.baggage_field = self.baggage_field_lower = (
-            b""  # that is carried for another part, and in small letters
-        )
+        self.baggage_field = self.baggage_field_lower = b""  # header of another component; in lower case
         self._propagator: BaggagePropagator | None = None
         self._consumed_fields = BUDGET_FIELDS
         self.trusts = lru_cache(maxsize=1024)(self._trusts)
@@ -189,8 +188,8 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """A new generation's figures; classes keep their places, there may be more, and a new one may have the place
-        of one that is no more.
+        """Apply new settings. Classes keep their indexes; classes may be added, and a new class may reuse the index
+        of a removed one.
         """
         self.useful.grow(len(settings.classes))
         for at, (before, after) in enumerate(zip(self._settings.classes, settings.classes, strict=False)):
@@ -212,11 +211,11 @@
 
     @property
     def way_back_ms(self) -> float:
-        """Taken off the time that goes down: what an answer needs on its way through this tier."""
+        """The time that an answer needs on its way back through this tier; deducted from the time sent down."""
         return self.options.way_back_ms
 
     def carry(self, propagator: BaggagePropagator) -> None:
-        """Another part's field travels too. One at the most."""
+        """Carry the header of one other component too; at most one."""
         assert self._propagator is None, "a second field"
         self._propagator, self.baggage_field = propagator, propagator.name
         self.baggage_field_lower = propagator.name.lower()
@@ -226,8 +225,9 @@
     def arrive(
         self, peer: str, message: Message, event: RequestArrived, now_ms: float, trace: bytes = b""
     ) -> HopBudget | Headers:
-        """Take what came with a request, and take it off: nothing of it goes on unread. A ticket; or the headers
-        of a refusal, at once and with nothing sent.
+        """Read and remove the budget headers of a request, so that none is forwarded unread.
+
+        Returns the request's budget, or the headers of an immediate refusal.
         """
         trusted = self.trusts(peer)
         received: dict[bytes, bytes] = {}
@@ -238,7 +238,7 @@
                 kept.append((name, value))
             elif trusted:
                 if lower in received:
-                    self.unreadable += 1  # twice: the first counts
+                    self.unreadable += 1  # repeated header: the first value counts
                 received.setdefault(lower, value)
         if len(kept) != len(message.headers):
             message.headers = kept
@@ -248,7 +248,7 @@
         path = parse_path(received.get(PATH))
         read = ((BUDGET, budget is None), (WORTH, worth is None), (PATH, path is None))
         self.unreadable += sum(bad and key in received for key, bad in read)
-        # A path that can't be read may hide a loop; what it hides is bounded by the budget all the same.
+        # An unreadable path may hide a loop; the budget still bounds the attempts of that loop.
         hops = path or ()
         baggage = None
         if self._propagator is not None:
@@ -269,7 +269,7 @@
         key = self._key_of(message, event)
         account = Account(budget, self.last, SHARES[self.options.divide])
         if key is not None and event.client_retry and key in self.open_keys:
-            # The client has given its first try up: what that has left is this one's, and no more.
+            # The client has given up its first attempt: this one gets what that one has left, and no more.
             first = self.open_keys[key]
             account.budget = account.left = min(budget, first.left)
             first.left = 0
@@ -288,17 +288,17 @@
         return KeyOwner(name, key)
 
     def _is_loop(self, hops: tuple[bytes, ...]) -> bool:
-        """Whether a request that has passed these tiers is in a loop, which is counted and told."""
+        """Whether a request that has passed these tiers is in a loop. Loops are counted and logged."""
         if self._hop not in hops and len(hops) < self.options.hops:
             return False
         self.loops += 1
-        # The first, second, fourth, ...: a loop may come with each request.
+        # Log only the 1st, 2nd, 4th, ... loop, since every request may be in one.
         if self.loops & (self.loops - 1) == 0:
             self._log(f"budget: loop number {self.loops} refused: {b' -> '.join((*hops, self._hop))!r:.300}")
         return True
 
     def looped(self, peer: str, message: Message) -> Headers | None:
-        """The headers of a refusal, where a request under an id that is open here is one that has come back."""
+        """The refusal headers for a request whose id is open here, if its path shows a loop; else None."""
         if not self.trusts(peer):
             return None
         found = message.values(PATH)
--- a/larkweir/budget/part.py
+++ b/larkweir/budget/part.py
@@ -1,4 +1,4 @@
-"""The budgets' place in a balancer."""
+"""Attaches retry budgets to a balancer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Host(Protocol):
-    """What it needs of the balancer."""
+    """The attributes of the balancer that this part uses."""
 
     config: Config
     log: StderrLog
--- a/larkweir/budget/rules.py
+++ b/larkweir/budget/rules.py
@@ -1,9 +1,9 @@
-"""What a request may still cost, divided on the way down and given back on the way up.
+"""How many attempts a request may still cost: divided on the way down, and returned on the way up.
 
-The law: the attempts at the last tier that a request causes are never more than the budget that it came with. Each
-attempt down takes a part of what is left; what comes back unspent is added again; what is not heard of is spent. So
-at any time what is left, what is granted and out, and what was spent add up to the budget, whatever is lost, late or
-told twice below.
+Invariant: a request causes no more attempts at the last tier than the budget that it arrived with. Each attempt takes
+part of what is left down with it. What it reports as unspent is added again; without a report, all of it counts as
+spent. So the amounts left, granted to attempts in flight, and spent always add up to the budget, even if the reports
+of the tiers below are lost, late or repeated.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def even(left: int, tries: int) -> int:
-    """An even part of what is left for each further try here."""
+    """An even part of what is left for each further attempt here."""
     return max(1, left // max(1, tries))
 
 
@@ -24,19 +24,19 @@
 
 
 def front(left: int, tries: int) -> int:
-    """All but one for each further try here."""
+    """All but one for each further attempt here."""
     return max(1, left - max(0, tries - 1))
 
 
 def most(left: int, tries: int) -> int:
-    """All but one, which is kept for a try here: who is nearest to a fault tries again, and a lost answer does not
-    cost all.
+    """All but one, which is kept for an attempt here: the tier nearest to a fault retries, and a lost answer does not
+    cost the whole budget.
     """
     return max(1, left - 1) if tries > 1 else left
 
 
 def everything(left: int, tries: int) -> int:
-    """All of it: who is nearest to a fault tries again, and gives back what is not needed. A lost answer costs all."""
+    """All of it: the tier nearest to a fault retries, and returns what it does not need. A lost answer costs all."""
     return left
 
 
@@ -49,19 +49,22 @@
     __slots__ = ("_granted", "_last", "_share", "budget", "left", "looped", "overspent", "spent")
 
     def __init__(self, budget: int, last: bool, share: Share) -> None:
-        """`last`: this tier's own attempts are what is counted."""
+        """`last`: this is the last tier, whose own attempts are counted."""
         self.budget = budget
         self.left = budget
         self.spent = 0
-        self.overspent = 0  # told by a lower tier beyond what it was granted: it does not divide
+        self.overspent = (
+            0  # reported by lower tiers beyond their grants, as by a hop that does not divide its budget
+        )
         self.looped = False  # a lower tier has refused a loop
         self._granted: dict[int, int] = {}
         self._last = last
         self._share = share
 
     def grant(self, attempt: int, tries: int) -> int:
-        """What an attempt may cost, taken from what is left; 0 if nothing is. `tries` may still begin here, this
-        one among them.
+        """Take the budget of an attempt from what is left; 0 if nothing is left.
+
+        `tries` is the number of attempts that may still begin here, including this one.
         """
         if self.left < 1 or self.looped or attempt in self._granted:
             return 0
@@ -71,8 +74,9 @@
         return part
 
     def settle(self, attempt: int, reported_spent: int | None, never_ran: bool) -> None:
-        """An attempt has ended. `never`: nothing of it can have been taken below; `told` is what the tier below
-        says that it spent. A second word for the same attempt changes nothing.
+        """Record the end of an attempt; a second report for the same attempt changes nothing.
+
+        `never_ran`: the tier below can't have spent any of the budget. `reported_spent` is what it reports as spent.
         """
         part = self._granted.pop(attempt, None)
         if part is None:
@@ -91,17 +95,15 @@
 
     @property
     def reported(self) -> int:
-        """What the tier above is told: spent, or still out and not to be heard of any more."""
+        """What the tier above is told: the amount spent, or granted to attempts that have not ended."""
         return self.budget - self.left
 
 
 class RetryRatio:
-    """A tier's retries as a bounded share of its traffic, with a floor for a quiet one (gRPC A6, Finagle, Envoy).
-    Memory of fixed size.
-    """
+    """Limits a tier's retries to a share of its traffic, with a floor for quiet tiers (gRPC A6, Finagle, Envoy)."""
 
     def __init__(self, ratio: float, floor_per_s: float, cap: float = 100.0) -> None:
-        """Each first attempt earns `ratio` of a retry, and each second `floor_per_s`; `cap` bounds what is saved."""
+        """Each first attempt earns `ratio` of a retry, each second `floor_per_s`; `cap` bounds what is saved."""
         self.ratio = ratio
         self.floor_per_s = floor_per_s
         self.cap = cap
@@ -119,7 +121,7 @@
         self._tokens = min(self.cap, self._tokens + self.ratio)
 
     def take_retry(self, now_ms: float) -> bool:
-        """Whether one more retry is within the share; it is taken if so."""
+        """Whether one more retry is within the limit; it is counted if so."""
         self._refill(now_ms)
         if self._tokens < 1.0:
             return False
@@ -128,25 +130,26 @@
 
 
 class UsefulTime:
-    """What a useful attempt takes, for each class: a low running quantile of the times of answers that were served.
-    Robust to few samples: until there are enough of them nothing is known, and a single odd one moves it little.
+    """The least time that a useful attempt needs, per class: a low running quantile of the times of successful answers.
+
+    Unknown until there are enough samples; after that a single outlier changes it little.
     """
 
     MIN_SAMPLES = 20
-    QUANTILE = 0.05  # of answers are faster
-    STEP = 0.05  # of the present value, at a time
+    QUANTILE = 0.05  # share of answers that are faster
+    STEP = 0.05  # change per sample, as a share of the present value
 
     def __init__(self, classes: int) -> None:
         self._value = [0.0] * classes
         self._count = [0] * classes
 
     def grow(self, classes: int) -> None:
-        """There are so many classes now; those known keep their places."""
+        """Extend to so many classes; known classes keep their indexes."""
         self._value += [0.0] * (classes - len(self._value))
         self._count += [0] * (classes - len(self._count))
 
     def forget(self, cls: int) -> None:
-        """Another class has this place now."""
+        """Reset an index that another class uses now."""
         self._value[cls], self._count[cls] = 0.0, 0
 
     def observe(self, cls: int, spent_ms: float) -> None:
@@ -160,25 +163,26 @@
             self._value[cls] = value * (1.0 + self.STEP * self.QUANTILE)
 
     def min_ms(self, cls: int) -> float:
-        """Below this no attempt is of use; 0 while that is not known."""
+        """An attempt with less time than this is useless; 0 while unknown."""
         return self._value[cls] if self._count[cls] >= self.MIN_SAMPLES else 0.0
 
 
 class WorthGate:
-    """Which requests a tier under pressure gives up first: those of the least worth. Sixteen steps of worth, each
-    twice the one below, whatever the number of classes or tenants; of each step a part is let through all the same,
-    so that none is starved for good.
+    """Refuses the requests of least worth first while a tier is under pressure.
+
+    Worths are grouped in sixteen steps, each twice the one below, whatever the number of classes or tenants. Part of
+    each step is always admitted, so that none starves.
     """
 
     STEPS = 16
     SMOOTHING = 1.0 / 64.0
-    PRESSURE_THRESHOLD = 0.1  # of requests given up, from which there is pressure
-    MIN_ADMITTED_SHARE = 0.1  # of each step, whatever the pressure
+    PRESSURE_THRESHOLD = 0.1  # pressure above which requests are refused
+    MIN_ADMITTED_SHARE = 0.1  # share of each step that is admitted at any pressure
 
     def __init__(self) -> None:
-        self._share = [0.0] * self.STEPS  # of arrivals
-        self._refusals_due = [0.0] * self.STEPS  # requests to give up, in parts of one
-        self.pressure = 0.0  # of requests, given up for want of time or room
+        self._share = [0.0] * self.STEPS  # share of arrivals, per step
+        self._refusals_due = [0.0] * self.STEPS  # fractions of requests to refuse, per step
+        self.pressure = 0.0  # recent share of requests refused or failed for lack of time or capacity
 
     @classmethod
     def step_of(cls, worth: float) -> int:
@@ -192,8 +196,9 @@
         self.pressure += self.SMOOTHING * (given_up - self.pressure)
 
     def admits(self, worth: float) -> bool:
-        """Count an arrival; whether it may go on. Under pressure as much of the least worth is given up as was
-        given up of all lately.
+        """Count an arrival; whether to admit it.
+
+        Under pressure the requests of least worth are refused, in proportion to the recent pressure on all.
         """
         at = self.step_of(worth)
         for n in range(self.STEPS):
@@ -203,7 +208,7 @@
         below, here = sum(self._share[:at]), self._share[at]
         part = (self.pressure - self.PRESSURE_THRESHOLD - below) / here if here > 0.0 else 0.0
         if part <= 0.0:
-            return True  # giving up all that is worth less is enough
+            return True  # refusing all requests of lower steps is enough
         self._refusals_due[at] += min(part, 1.0 - self.MIN_ADMITTED_SHARE)
         if self._refusals_due[at] < 1.0:
             return True
@@ -211,30 +216,30 @@
         return False
 
 
-# ---------------------------------------------------------------- what travels
+# ---------------------------------------------------------------- header values
 
 MAX_BUDGET = 1000
 MAX_WORTH = 1e6
 MAX_HOPS = 32
-MAX_HOP_BYTES = 64  # bytes of a hop's name
+MAX_HOP_BYTES = 64
 
 
 def parse_number(text: bytes | None, low: int, high: int) -> int | None:
-    """A whole number as it travels, brought within bounds; None if it is unreadable."""
+    """Parse a whole number from a header and clamp it to the bounds; None if it is unreadable."""
     if text is None or not text.isdigit() or len(text) > 18:
         return None
     return min(high, max(low, int(text)))
 
 
 def parse_worth(text: bytes | None, high: float) -> float | None:
-    """A worth as it travels, `high` at most; None if it is unreadable."""
+    """Parse a worth from a header, limited to `high`; None if it is unreadable."""
     if text is None or len(text) > 20 or not text.replace(b".", b"", 1).isdigit():
         return None
     return min(high, float(text))
 
 
 def parse_path(text: bytes | None) -> tuple[bytes, ...] | None:
-    """The hops that a request has passed, first to last; None if that is unreadable or past all bounds."""
+    """Parse the hops that a request has passed, first to last; None if unreadable or beyond the bounds."""
     if not text:
         return ()
     hops = tuple(item.strip() for item in text.split(b","))
--- a/larkweir/door/__init__.py
+++ b/larkweir/door/__init__.py
@@ -1,1 +1,1 @@
-"""Refusals at the door, where this process is what requests wait for."""
+"""Load shedding before requests are read, for when this process is itself the bottleneck."""
--- a/larkweir/door/guard.py
+++ b/larkweir/door/guard.py
@@ -1,7 +1,7 @@
-"""The door before the request_handler: which messages it looks at, and what a refusal says.
+"""Sheds requests before the request handler reads them, while the event loop is overloaded.
 
-While nothing is to be shed it costs one comparison a request. While it sheds, three fields of the head are looked up
-and a refusal is written: nothing else of the request is read, and the decisions never hear of it.
+While nothing is shed, this costs one comparison per request. While it sheds, it looks up three headers and writes a
+refusal: the rest of the request is not read, and the decisions get no event for it.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 class Guard:
-    """Fed by the clock with the length of every turn."""
+    """Decides about each request, from the length of every iteration of the event loop."""
 
-    LOG_INTERVAL_MS = 10_000.0  # between two lines of the log
+    LOG_INTERVAL_MS = 10_000.0  # least time between two log lines
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         is_taken: Callable[[bytes], bool],
         log: Callable[[str], None],
     ) -> None:
-        """`known` tells an id that is open, or was until lately, here or at another life of this balancer."""
+        """`is_taken` tells whether an id is or recently was open, in this process or in another of this balancer."""
         self.shedder = LoadShedder(settings.classes, Random(seed), options.high, options.low)
         self._clock = clock
         self._is_taken = is_taken
@@ -43,12 +43,12 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """A new generation's figures; a new class may have the place of one that is no more."""
+        """Apply new settings; a new class may reuse the index of a removed one."""
         self.shedder.configure(settings.classes)
         self._classes = {item.name.encode(): n for n, item in enumerate(settings.classes)}
         wait_ms = settings.max_retry_after_ms
         self._refusal: Headers = [(b"Retry-After", b"%.3f" % (wait_ms / 1000.0))] if wait_ms > 0.0 else []
-        self._refusal.append((b"X-Never-Ran", b"1"))  # a tier above may send it elsewhere
+        self._refusal.append((b"X-Never-Ran", b"1"))  # a tier above may send the request elsewhere
 
     def _on_iteration(self, busy_ms: float, whole_ms: float) -> None:
         shedder = self.shedder
@@ -59,16 +59,16 @@
         ):
             self._logged_ms = self._clock.now_ms()
             self._log(
-                f"door: turns of {shedder.mean_busy_ms:.0f} ms, {shedder.shed_fraction:.0%} turned away, "
-                f"{shedder.shed_count - self._logged_count} since"
+                f"door: loop iterations of {shedder.mean_busy_ms:.0f} ms, {shedder.shed_fraction:.0%} refused, "
+                f"{shedder.shed_count - self._logged_count} since the last line"
             )
             self._logged_count = shedder.shed_count
 
     def refusal_for(self, message: Message) -> Headers | None:
-        """The headers of a refusal, or None where the message is to be read on."""
+        """The headers of a refusal, or None if the request is to be handled."""
         if not self.shedder.is_shedding:
             return None
-        self._clock.loop_iteration()  # a turn that only sheds is one too
+        self._clock.loop_iteration()  # an iteration that only sheds counts too
         class_name = trace = b""
         is_retry = False
         for name, value in message.headers:
@@ -81,8 +81,8 @@
                 elif lower == b"x-second-try":
                     is_retry = value == b"1"
         class_index = self._classes.get(class_name)
-        # What is no request gets its own answer. So does an id that is open: a refusal would call harmless what may be
-        # running under that id.
+        # An invalid request gets its own answer. So does an id that is open: a refusal would declare a retry harmless
+        # while a request may be running under that id.
         if class_index is None or not trace or len(trace) > MAX_TRACE or self._is_taken(trace):
             return None
         return None if self.shedder.admits(class_index, is_retry) else self._refusal
--- a/larkweir/door/part.py
+++ b/larkweir/door/part.py
@@ -1,4 +1,4 @@
-"""The door's place in a balancer."""
+"""Attaches load shedding to a balancer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Host(Protocol):
-    """What it needs of the balancer."""
+    """The attributes of the balancer that this part uses."""
 
     config: Config
     clock: Clock
--- a/larkweir/storms/__init__.py
+++ b/larkweir/storms/__init__.py
@@ -1,1 +1,1 @@
-"""Storms after an outage: told, damped, and answered with word when to come back. Off without its table."""
+"""Overload after an outage: detects it, limits it, and sends `Retry-After` advice. Off by default (`[storms]`)."""
--- a/larkweir/storms/admission_swap.py
+++ b/larkweir/storms/admission_swap.py
@@ -1,14 +1,16 @@
-"""Whose request takes the place that the decisions give, and how far they open for a tier that is back.
-
-How much a tier is given is the window's matter (`larkweir_balancing/concurrency_limiter.py`), and stays so. A second
-bound before it that holds back on its own leaves that window unfilled, which then never opens: measured, it cost two
-thirds of what a recovering tier could serve. So nothing here changes how many are let in, only who: a request that is
-preferred and was not let in takes the place of one that is let in and was not wanted. What is out on credit is bounded,
-and paid back by the next that are not wanted.
-
-And nothing has to be felt for twice: what the window was in good times, cut to the part of their capacity that cold
-servers have, is known when they come back. All copies together then open to no more than the tier has proved, for each
-goes by its own part, whatever their number and however uneven their load. Times are milliseconds.
+"""Which requests are admitted in a storm, and how far the window opens when servers return.
+
+The concurrency window alone decides how many requests are admitted (`larkweir_balancing/concurrency_limiter.py`). A
+second limit in front of it leaves the window unfilled, and an unfilled window never grows: measured, that cost two
+thirds of what a recovering tier could serve. So this module changes only which requests are admitted: a preferred
+request that the limiter refuses is admitted in place of a request that is not preferred. A preferred request may be
+admitted before its counterpart is refused; this credit is bounded, and the next requests that are not preferred pay
+it back.
+
+The window need not be found by trial again when servers return: it is set from the calls in flight in the state CALM,
+scaled by the share of servers that are ready. Each balancer uses its own share of the traffic, so together the
+balancers open no further than the tier has proved, however many there are and however uneven their load is. Times are
+milliseconds.
 """
 
 from __future__ import annotations
@@ -17,19 +19,19 @@
 
 
 class AdmissionSwap:
-    """Places lent to those who are wanted, and paid back by those who are not."""
+    """Admits preferred requests in place of others, on a bounded credit."""
 
-    MAX_CREDIT_S = 0.25  # of what is sent on, that may be out on credit
+    MAX_CREDIT_S = 0.25  # seconds of the sent rate; bounds the credit
 
     def __init__(self) -> None:
         self.outstanding = 0.0
-        self.loan_count = 0  # so far
+        self.loan_count = 0
 
     def reset(self) -> None:
         self.outstanding = 0.0
 
     def decide(self, let_in: bool, preferred: bool, sent_per_s: float) -> bool:
-        """Whether a request is let in, where the decisions say `let_in`."""
+        """Whether a request is admitted, given the limiter's verdict `let_in`."""
         if let_in:
             if preferred or self.outstanding < 1.0:
                 return True
@@ -43,14 +45,14 @@
 
 
 class RecoveryWindow:
-    """What is out in good times, and so may be out at once when servers are back.
+    """The window for returning servers, from the mean number of calls in flight in the state CALM.
 
-    As many calls keep a cold server busy as a warm one: it takes longer for each. So it is their number that counts,
-    and not the window, which may be open for far more than anybody asks.
+    A cold server is busy with as many calls as a warm one, since each call takes longer. The number of calls in flight
+    counts, and not the window, which may be far larger than the demand.
     """
 
-    MEAN_SPAN_MS = 10_000.0  # of the mean
-    IN_FLIGHT_FACTOR = 2.0  # of it: one in work and one behind it, where one was in work before
+    MEAN_SPAN_MS = 10_000.0  # time constant of the mean
+    IN_FLIGHT_FACTOR = 2.0  # times the mean: one call in progress and one queued for each in progress before
     MIN_WINDOW = 0.5
 
     def __init__(self) -> None:
@@ -58,15 +60,20 @@
         self._ready_count = 0
 
     def observe_calm(self, since_ms: float, in_flight: float, ready: int) -> None:
-        """In good times, `since_ms` after the last call: how many were out on the mean, as calls found it."""
+        """Update the mean in the state CALM, `since_ms` after the last update.
+
+        `in_flight` is the mean number of calls in flight that new calls found.
+        """
         self._mean_in_flight += (1.0 - math.exp(-since_ms / self.MEAN_SPAN_MS)) * (
             in_flight - self._mean_in_flight
         )
         self._ready_count = max(1, ready)
 
     def window_after_return(self, window: float, ready_before: int, ready: int) -> float:
-        """Servers are back, so that `ready` take requests, where `before` did: the window from now on. Where none did
-        the window is from another time; else it has been steered since, and is only lifted.
+        """The window to use now that `ready` servers take requests and not `ready_before`.
+
+        With no server ready before, the old window is out of date and is replaced. Otherwise the limiter has adjusted
+        it since, and it is only raised.
         """
         if not self._ready_count:
             return window
--- a/larkweir/storms/advice.py
+++ b/larkweir/storms/advice.py
@@ -1,14 +1,15 @@
-"""When whoever was turned away is to come back, and who came sooner than told.
-
-Returns are spread over the time that the tier needs for those who wait: as many as were told to come, by what it has
-left over for them. Where in that time a client's place is goes by its fingerprint, so it keeps its place from try to
-try, and no two have the same reason to come in the same instant. Who comes sooner than told waits longer, by a step for
-each time and no further than the settings allow; who comes as told is taken down a step.
-
-A fingerprint names what is asked by whom: the address, which nobody on TCP can forge, with tenant, class, object and
-key. A forger at another address so has other fingerprints; at the same address it can reach only who shares that
-address. The memory is a fixed table of four ways a set; what is crowded out is forgotten, never mixed up. Times are
-milliseconds.
+"""Chooses the `Retry-After` wait of refused clients and records which clients return too early.
+
+Returns are spread over the time that the tier needs for the waiting clients: the number of clients that were asked to
+return, divided by the tier's spare rate. A client's position in that time comes from its fingerprint, so it keeps its
+position from retry to retry, and clients do not return at the same instant. A client that returns early gets a longer
+wait, one penalty step per early return, up to the longest wait of the settings. A client that returns on time loses
+one step.
+
+A fingerprint covers the client's address, which can't be forged on TCP, and its tenant, class, object and idempotency
+key. A forger at another address therefore has other fingerprints; at the same address it can affect only clients that
+share that address. The table of clients is a fixed 4-way set-associative table: a full set drops the entry
+that expires first, and clients are never mixed up. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 
 
 class ClientTable:
-    """Who was told what, in a fixed table."""
+    """The wait and penalty of each refused client, in a table of fixed size."""
 
     WAYS = 4
-    MAX_PENALTY_STEPS = 4  # of a penalty
+    MAX_PENALTY_STEPS = 4
 
     def __init__(self, sets: int = 1024) -> None:
         size = sets * self.WAYS
@@ -32,7 +33,7 @@
         self._due_ms = array("d", bytes(8 * size))
         self._expires_ms = array("d", bytes(8 * size))
         self._steps = array("B", bytes(size))
-        self.last_expiry_ms = 0.0  # when the last of all is forgotten
+        self.last_expiry_ms = 0.0  # when the last entry expires
 
     def _find(self, client: int, now_ms: float) -> int:
         base = (client % self._sets) * self.WAYS
@@ -42,7 +43,7 @@
         return -1
 
     def record(self, now_ms: float, client: int, due_ms: float, until_ms: float, steps: int) -> None:
-        """A client that comes from `due_ms` on comes as told, which is remembered until `until_ms`."""
+        """Record that a client may return from `due_ms` on. The entry expires at `until_ms`."""
         at = self._find(client, now_ms)
         if at < 0:
             base = (client % self._sets) * self.WAYS
@@ -53,7 +54,7 @@
         self.last_expiry_ms = max(self.last_expiry_ms, until_ms)
 
     def classify(self, now_ms: float, client: int) -> tuple[Kind, int] | None:
-        """What a client is that comes now, and its steps; None for one that nothing is known of."""
+        """The kind of a request that arrives now and its client's penalty steps; None for an unknown client."""
         if now_ms >= self.last_expiry_ms:
             return None
         at = self._find(client, now_ms)
@@ -65,21 +66,21 @@
         return Kind.PROMISED, max(0, steps - 1)
 
     def forget(self, now_ms: float, client: int) -> None:
-        """It was served: nothing is owed to it, but a penalty fades only as told."""
+        """Forget a client that was served, unless it has penalty steps: these go only by returning on time."""
         at = self._find(client, now_ms)
         if at >= 0 and not self._steps[at]:
             self._expires_ms[at] = 0.0
 
 
 class ScheduledReturns:
-    """How many were told to come, by when: a wheel of slots, so that nothing is kept of each."""
+    """Counts the clients that are due to return, per time slot in a ring, with no state per client."""
 
     SLOTS = 64
 
     def __init__(self, max_wait_ms: float) -> None:
         self.slot_ms = max(1.0, max_wait_ms / (self.SLOTS - 4))
         self._slots = [0] * self.SLOTS
-        self._current_slot = 0  # the slot that now lies in, counted from the clock's beginning
+        self._current_slot = 0  # number of the slot of the present time, counted from time 0
         self.total = 0
 
     def _advance(self, now_ms: float) -> None:
@@ -101,17 +102,15 @@
 
 
 class Advice:
-    """The word that a refusal carries. Without a bound in the settings there is none."""
-
-    PENALTY_GROWTH = 1.5  # times, for each step
-    SPREAD_START = 0.7  # of the most: where a wait that would be longer still begins, spread from there on
-    CALM_SPREAD_START = 0.5  # of the most: the same of one that was turned away without a storm
-    MIN_SPARE_SHARE = 0.2  # of what is let in, at the least, is taken to be left for those who come back
-    FORGET_AFTER = 4.0  # times the most, until what a client did is forgotten
-    EARLY_TOLERANCE_MS, EARLY_TOLERANCE_SHARE = (
-        20.0,
-        0.05,
-    )  # sooner than told that is still as told: a time, or a part of the wait
+    """The wait that a refusal asks for. There is none if the settings state no longest wait."""
+
+    PENALTY_GROWTH = 1.5  # factor on the wait for each penalty step
+    SPREAD_START = 0.7  # share of the longest wait: waits that would exceed it are spread from here up to it
+    CALM_SPREAD_START = 0.5  # the same for refusals in the state CALM
+    MIN_SPARE_SHARE = 0.2  # least share of the admitted rate that counts as free for returning clients
+    FORGET_AFTER = 4.0  # an entry expires after the wait plus this many times the longest wait
+    # How early a return still counts as on time: in ms, and as a share of the wait.
+    EARLY_TOLERANCE_MS, EARLY_TOLERANCE_SHARE = 20.0, 0.05
 
     def __init__(self, max_wait_ms: float, min_wait_ms: float, secret: bytes, sets: int = 1024) -> None:
         self._secret = secret
@@ -124,7 +123,9 @@
         self.returns = ScheduledReturns(max(self.max_wait_ms, 1.0))
 
     def fingerprint(self, *parts: bytes) -> int:
-        """A client's, and what it asks; never 0. By a secret of this life, so that nobody can look for a clash."""
+        """A fingerprint of a client and its request, never 0. Keyed with a secret of this process, so that nobody can
+        search for collisions.
+        """
         digest = blake2b(digest_size=8, key=self._secret)
         for part in parts:
             digest.update(len(part).to_bytes(4, "big"))
@@ -144,7 +145,7 @@
         """
         if self.max_wait_ms <= 0.0:
             return 0.0
-        position = (client >> 11) / (1 << 53)  # from 0 to 1, the client's own
+        position = (client >> 11) / (1 << 53)  # from 0 to 1, fixed for this client
         if admitted_per_s == float("inf"):
             wait = self.max_wait_ms * (self.CALM_SPREAD_START + (1.0 - self.CALM_SPREAD_START) * position)
         else:
@@ -152,7 +153,7 @@
             span = 1000.0 * (self.returns.count(now_ms) + 1) / spare
             if span < self.max_wait_ms:
                 wait = self.min_wait_ms + position * max(0.0, span - self.min_wait_ms)
-            else:  # more wait than can be served in the longest time that may be named
+            else:  # serving all waiting clients takes longer than the longest wait
                 wait = self.max_wait_ms * (self.SPREAD_START + (1.0 - self.SPREAD_START) * position)
         wait = max(wait, self.min_wait_ms) * self.PENALTY_GROWTH**steps
         wait = min(wait, self.max_wait_ms * (self.SPREAD_START + (1.0 - self.SPREAD_START) * position))
--- a/larkweir/storms/gate.py
+++ b/larkweir/storms/gate.py
@@ -1,4 +1,4 @@
-"""The storm's place in a balancer: whose request it is, what a refusal says, how connections are paced."""
+"""Connects storm handling to a balancer: client fingerprints, headers of refusals, and limits on new connections."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from larkweir.storms.storm_balancer import StormBalancer
 from larkweir.upstreams.pool import UpstreamPool
 
-# What tells a client and its request from others, beside its address: the same when it asks again.
+# Headers that, with the address, identify a client and its request. They are the same in a retry.
 IDENTIFYING_HEADERS = frozenset((b"x-customer", b"x-qos", b"x-object", b"idempotency-key"))
 
 
 class Gate:
-    """Made with the decisions, and attached once the parts stand."""
+    """Created with the decisions, and attached once the other components exist."""
 
-    TICK_MS = 250.0  # a storm passes also where nothing comes
+    TICK_MS = 250.0  # ends a storm also when no request arrives
 
     def __init__(
         self, options: Options, config: Config, decisions: Balancer, log: Callable[[str], None]
@@ -59,7 +59,7 @@
     # ------------------------------------------------ clients
 
     def _fingerprint_of(self, number: int) -> int:
-        """The fingerprint of who asks for what. The address is the connection's, which nobody can forge."""
+        """The fingerprint of a request's client. It uses the address of the connection, which can't be forged."""
         assert self._dispatcher is not None
         request = self._dispatcher.requests.get(number)
         if request is None:
@@ -74,12 +74,12 @@
         return self.storm.advice.fingerprint(*parts)
 
     def retry_headers(self, wait_ms: float) -> Headers:
-        """When to come back (RFC 9110 section 10.2.3), rounded up: who is told 1 s must not come at 0.6."""
+        """The `Retry-After` header (RFC 9110 section 10.2.3), rounded up: the client must not return too early."""
         seconds = wait_ms / 1000.0
         text = b"%d" % ceil(seconds) if self._options.whole_seconds else b"%.3f" % seconds
         headers = [(b"Retry-After", text)]
         if self._options.fields:
-            # Structured fields of draft-ietf-httpapi-ratelimit-headers: nothing remains, until the word is over.
+            # Structured fields of draft-ietf-httpapi-ratelimit-headers: no quota remains until the wait is over.
             headers.append(
                 (b"RateLimit-Policy", b'"storm";q=1;w=%d' % ceil(self.storm.advice.max_wait_ms / 1000.0))
             )
@@ -101,7 +101,7 @@
         return 1.0 if server is None else self._balancer.slow_start.capacity_fraction(server, now_ms)
 
     def is_allowed(self, upstream: int, now_ms: float) -> bool:
-        """Whether a new connection to an upstream may be opened now. In calm, to a warm one, always."""
+        """Whether a new connection to an upstream may be opened now. Always true for a warm one in the state CALM."""
         if self.storm.state is State.CALM and self._capacity_fraction(upstream, now_ms) >= 1.0:
             return True
         return self._connect_limiter.try_open(upstream, now_ms)
@@ -109,10 +109,10 @@
     def wait_ms(self, upstream: int, now_ms: float) -> float:
         return self._connect_limiter.wait_ms(upstream, now_ms)
 
-    # ------------------------------------------------ what is shown
+    # ------------------------------------------------ status
 
     def facts(self) -> dict[str, object]:
-        """For operators."""
+        """The status that operators see."""
         counts = self.storm.counts()
         return {
             "storm": counts.state.value,
--- a/larkweir/storms/pace.py
+++ b/larkweir/storms/pace.py
@@ -1,8 +1,8 @@
-"""How fast connections are made: callers' accepted, and upstreams' opened anew.
+"""Limits the rate of new connections: connections accepted from callers and connections opened to upstreams.
 
-A connection costs its server work before it carries any, and a cold server is pushed over by those as well as by
-requests. So beside the decisions' own credit with cold servers, which counts calls, each upstream has a bucket of new
-connections, which fills at its share of what a warm one is given. Times are milliseconds.
+A new connection costs its server work before it carries a request, and connections alone can overload a cold server.
+So each upstream has a token bucket for new connections, which fills at the upstream's fraction of the full rate. It
+works beside the limit on calls that the decisions apply to cold servers. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class TokenBucket:
-    """So many a second on the mean, and so many at once."""
+    """A token bucket: a mean rate and a burst."""
 
     __slots__ = ("_at_ms", "_capacity", "tokens")
 
@@ -30,18 +30,18 @@
         return True
 
     def wait_ms(self, per_s: float) -> float:
-        """Until there is one, if nothing else takes it."""
+        """The time until a token is available, if nothing else takes it."""
         return max(0.0, (1.0 - self.tokens) * 1000.0 / per_s) if per_s > 0.0 else math.inf
 
 
 class ConnectLimiter:
-    """New connections to each upstream. Memory is one bucket for each that was opened to lately."""
+    """Limits new connections per upstream, with one bucket for each upstream that was opened to recently."""
 
-    BURST_S = 0.5  # of the rate, that may be opened at once
-    MAX_BUCKETS = 4096  # buckets
+    BURST_S = 0.5  # seconds of the rate that may be opened at once
+    MAX_BUCKETS = 4096
 
     def __init__(self, per_s: float, capacity_fraction: Callable[[int, float], float]) -> None:
-        """`share` tells what part of its full capacity an upstream has by now."""
+        """`capacity_fraction` returns the fraction of its full capacity that an upstream has at a time."""
         self.per_s = per_s
         self._capacity_fraction = capacity_fraction
         self._buckets: dict[int, TokenBucket] = {}
@@ -50,7 +50,7 @@
         bucket = self._buckets.get(upstream)
         if bucket is None:
             if len(self._buckets) >= self.MAX_BUCKETS:
-                self._buckets.clear()  # all start with a full one again: no worse than a restart
+                self._buckets.clear()  # all start with a full bucket again, as after a restart
             bucket = self._buckets[upstream] = TokenBucket(now_ms, max(2.0, self.per_s * self.BURST_S))
         return bucket.take(now_ms, self.per_s * self._capacity_fraction(upstream, now_ms))
 
@@ -64,15 +64,15 @@
 
 
 class AcceptLimiter:
-    """Callers' new connections, while they come by many times the usual.
+    """Limits new connections from callers while they arrive at many times the usual rate.
 
-    What waits unaccepted may be a request that is owed an answer in time: so the pace is such that all that the system
-    can hold is taken within a part of the tightest aim. It smooths a flood over the turns of the loop, so that those
-    who are here are served between; it never makes anyone late.
+    A connection that waits in the backlog may carry a request that needs an answer in time. So the rate is high enough
+    to accept a full backlog within a share of the tightest latency target. The limit spreads a flood over iterations of
+    the event loop, so that accepted callers are served in between; it makes no request late.
     """
 
-    BACKLOG_TARGET_SHARE = 0.2  # of the tightest aim, in which all that waits is taken
-    BURST_S = 0.01  # of the rate, that may come at once: the listener looks again after half of that
+    BACKLOG_TARGET_SHARE = 0.2  # of the tightest latency target, to accept a full backlog
+    BURST_S = 0.01  # seconds of the rate accepted at once: the listener retries after half of that
 
     def __init__(self, aim_ms: float, backlog: int) -> None:
         self.per_s = backlog * 1000.0 / max(1.0, self.BACKLOG_TARGET_SHARE * aim_ms)
--- a/larkweir/storms/part.py
+++ b/larkweir/storms/part.py
@@ -1,4 +1,4 @@
-"""The storms' place in a balancer."""
+"""Attaches storm handling to a balancer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Host(Protocol):
-    """What it needs of the balancer."""
+    """The attributes of the balancer that this part uses."""
 
     config: Config
     log: StderrLog
@@ -31,7 +31,7 @@
 
 
 def attach(host: Host, options: Operator) -> None:
-    """Only round a balancer's own decisions: not where pools or a script decide."""
+    """Attach only where the balancer itself decides, not where pools or a script decide."""
     if isinstance(host.decisions, Balancer):
         host.storms = gate = Gate(options.storms, host.config, host.decisions, host.log.write)
         host.dispatcher.decisions = gate.decisions
--- a/larkweir/storms/shares.py
+++ b/larkweir/storms/shares.py
@@ -1,12 +1,13 @@
-"""Who is let in, where not all can be: by worth, first tries before repeats, fair among tenants, nobody never.
+"""Decides which requests to prefer when not all can be admitted.
 
-Requests are of a class, of a kind (`Kind`) and of a tenant. Once a tick what is let in is divided over what was asked:
-first every tenant's requests up to its part of it, the worthiest first; then what is left over goes to the rest in the
-same order; and a small part is kept for whoever would have nothing. Where a step of that order can't be served whole,
-its tenants share it by max-min fairness, weighted by their parts. Between two ticks each request is wanted or not by an
-even count against its odds.
+The order is by worth, with first attempts before repeats and fairness among tenants; no group gets nothing. Requests
+are grouped by class, kind (`Kind`) and tenant. Once per tick the admitted rate is divided over the demand: first each
+tenant's requests up to the tenant's share, by descending worth; then the remainder over the other requests in the
+same order; and a small share is reserved for groups that would get nothing. Where a class and kind can't be served
+whole, its tenants divide it by max-min fairness, weighted by their shares. Between two ticks an error accumulator per
+group prefers requests evenly at the group's ratio of admitted rate to demand.
 
-Memory is classes times kinds times tenants, all of which the settings name. Rates are a second.
+Memory is classes times kinds times tenants, all of which the settings name. Rates are per second.
 """
 
 from __future__ import annotations
@@ -17,21 +18,23 @@
 
 
 class Kind(IntEnum):
-    """What a request is to its client."""
+    """How a request relates to earlier refusals of its client."""
 
-    PROMISED = 0  # turned away before, told when to come, and here it is
+    PROMISED = 0  # refused before, and returns no earlier than advised
     FIRST = 1
-    AGAIN = 2  # a repeat, of which nothing else is known
-    IGNORING = 3  # a repeat that came sooner than it was told
+    AGAIN = 2  # a retry of a client that is not in the table
+    IGNORING = 3  # a retry earlier than advised
 
 
-# Times the worth of the class: obeying is worth a little, and a repeat less than a first try.
+# Factors on the worth of the class: on-time returns gain a little, and other retries rank below first attempts.
 WORTH_FACTORS = {Kind.PROMISED: 1.2, Kind.FIRST: 1.0, Kind.AGAIN: 0.8, Kind.IGNORING: 0.4}
 
 
 def max_min_fair(amount: float, wants: Sequence[float], weights: Sequence[float]) -> list[float]:
-    """Weighted max-min fairness: nobody has more than it wants, and nobody could have more without one having less
-    whose part, by its weight, is not larger.
+    """Divide `amount` by weighted max-min fairness.
+
+    Nobody gets more than it wants. Nobody could get more without a reduction for another whose amount per weight
+    is not larger.
     """
     given = [0.0] * len(wants)
     if amount >= sum(wants):
@@ -60,15 +63,17 @@
     tenant_shares: Sequence[float],
     trickle: float,
 ) -> list[list[float]]:
-    """What each row (a class and kind) and tenant is given of `amount`; rows go by their `values`, `parts` are the
-    tenants' and come to about 1. `trickle` of the amount is kept for those who would be given nothing.
+    """Divide `amount` over rows (a class and kind) and tenants.
+
+    Rows are served by descending `values`. `tenant_shares` add up to about 1. The fraction `trickle` of the amount is
+    reserved for groups that would get next to nothing.
     """
     rows, tenants = len(wants), len(tenant_shares)
     given = [[0.0] * tenants for _ in range(rows)]
     order = sorted(range(rows), key=lambda at: -values[at])
     left = amount * (1.0 - trickle)
     caps = [share * amount for share in tenant_shares]
-    for is_own_share in (True, False):  # each tenant's part, then what is left over
+    for is_own_share in (True, False):  # each tenant's share, then the remainder
         for at in order:
             if left <= 0.0:
                 break
@@ -94,7 +99,7 @@
         ):
             given[at][n] += more
             kept -= more
-        for at in order:  # what they don't need
+        for at in order:  # the unused rest of the reserve
             got = max_min_fair(
                 max(0.0, kept), [wants[at][n] - given[at][n] for n in range(tenants)], tenant_shares
             )
@@ -105,19 +110,19 @@
 
 
 class Shares:
-    """Tells the requests that are to be let in, where others set how many."""
+    """Chooses the preferred requests, where others decide how many are admitted."""
 
     TRICKLE = 0.05
-    DEMAND_WEIGHT = 0.4  # weight of a tick in what is asked for
+    DEMAND_WEIGHT = 0.4  # weight of the last tick in the mean demand
 
     def __init__(self, worths: Sequence[float], tenant_shares: Sequence[float], rng: Random) -> None:
-        """`worths` by class; `parts` by tenant, to which one is added for all that the settings don't name."""
+        """`worths` by class; `tenant_shares` by tenant, plus one share for all tenants that the settings don't name."""
         self._rng = rng
         self._admit_ratios: list[list[float]] = []
         self.configure(worths, tenant_shares)
 
     def configure(self, worths: Sequence[float], tenant_shares: Sequence[float]) -> None:
-        """New figures. What was asked for is counted anew; it takes a tick."""
+        """Apply new settings. The demand is counted anew, which takes a tick."""
         least = min((share for share in tenant_shares if share > 0.0), default=1.0)
         self._tenant_shares = [*tenant_shares, least]
         self._values = [max(worth, 0.001) * WORTH_FACTORS[kind] for worth in worths for kind in Kind]
@@ -129,13 +134,13 @@
         self._is_first_tick = True
 
     def reset(self) -> None:
-        """Counting starts: nothing is known of what is asked."""
+        """Start to count the demand anew."""
         for row in self._arrivals:
             row[:] = [0] * len(row)
         self._is_first_tick = True
 
     def tick(self, per_s: float, seconds: float) -> None:
-        """Divide anew, after so many seconds."""
+        """Divide the admitted rate `per_s` anew, `seconds` after the last tick."""
         weight = 1.0 if self._is_first_tick else self.DEMAND_WEIGHT
         self._is_first_tick = False
         for row, (came, wants) in enumerate(zip(self._arrivals, self._demand, strict=True)):
@@ -149,7 +154,7 @@
         ]
 
     def prefers(self, cls: int, kind: Kind, tenant: int) -> bool:
-        """Whether a request that has come now is one of those that are to be let in."""
+        """Count a request that arrives now; whether it is preferred."""
         row = cls * len(Kind) + kind
         at = tenant if 0 <= tenant < len(self._tenant_shares) - 1 else -1
         self._arrivals[row][at] += 1
--- a/larkweir/storms/signs.py
+++ b/larkweir/storms/signs.py
@@ -1,13 +1,13 @@
-"""The signs of a storm, from what one balancer sees, and the state that they come to.
+"""Detects a retry storm from the signs that one balancer sees, and maps the signs to states.
 
-A storm is more than a tier that is down, and more than many requests: callers come back, at once and together, to a
-tier that can't yet give what they ask. So two kinds of sign have to meet. *Trouble*: of the calls that ended lately,
-far more than usual came to nothing in time. *Stirring*: many tenants at once send far more than they usually do, or
-send what failed again; or the tier is weak, its servers gone, cold, or just back. Either alone is a fault, a release
-or a busy morning, and nothing is shed for it.
+A storm is more than a tier that is down, and more than many requests: callers return at once and together to a tier
+that can't yet serve them. So two kinds of sign must coincide. *Trouble*: of the calls that ended recently, far more
+than usual failed or were late. *Stirring*: many tenants at once send far more than usual, or retry more than usual;
+or the tier is weak, because its servers are gone, cold, or just back. Either kind alone is a fault, a release or a
+busy morning, and nothing is shed for it.
 
-Every sign is a share or a rate against its own slow mean, with allowance for how few calls a copy sees: two hundred
-copies may have three requests a second each. Times are milliseconds, handed in.
+Every sign compares a share or a rate with its own long-term mean, and allows for how few calls one balancer sees: each
+of two hundred balancers may get three requests a second. Times are milliseconds, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 class State(Enum):
     CALM = "calm"
-    BUILDING = "building"  # signs of one kind: advice is spread and connections are paced, nothing is shed
-    STORM = "storm"  # both kinds: the tier is given what it has proved that it can do
-    RECOVERING = "recovering"  # calls go well again, and more is still asked for than is let in
+    BUILDING = "building"  # signs of one kind: advice is spread and connections are limited, nothing is shed
+    STORM = "storm"  # both kinds: the tier gets what it has proved that it can serve
+    RECOVERING = "recovering"  # calls succeed again, but demand still exceeds what is admitted
 
 
 class DecayedSum:
-    """A sum whose parts fade with time: over its span it stands for about the last `span_ms`."""
+    """A sum with exponential decay, which covers about the last `span_ms`."""
 
     __slots__ = ("_at_ms", "_sum", "span_ms")
 
@@ -50,7 +50,7 @@
 
 
 class Rate:
-    """Something that happens, lately and usually, a second."""
+    """The recent and the usual rate of some event, per second."""
 
     __slots__ = ("_begun_ms", "recent", "usual")
 
@@ -65,20 +65,20 @@
         self.usual.add(now_ms)
 
     def usual_per_s(self, now_ms: float) -> float:
-        """Of a mean that is young, what it comes to over the time that it knows."""
+        """The usual rate, corrected for a mean that covers less than its span so far."""
         known = 1.0 - math.exp(min(0.0, self._begun_ms - now_ms) / self.usual.span_ms)
         return self.usual.per_s(now_ms) / known if known > 0.0 else 0.0
 
     def has_risen(self, now_ms: float, times: float, least: float) -> bool:
-        """Whether there are so many times the usual, and `least` more than chance makes of it."""
+        """Whether the recent count exceeds `times` the usual one by `least` and two standard deviations."""
         short_s = self.recent.span_ms / 1000.0
         usual = self.usual_per_s(now_ms) * short_s
-        # A decayed sum of a Poisson stream has half of its mean as its variance.
+        # The variance of a decayed sum of a Poisson stream is half its mean.
         return self.recent.value_at(now_ms) > times * usual + least + 2.0 * math.sqrt(0.5 * usual)
 
 
 class EventShare:
-    """The part of some events that are of one kind, lately and usually."""
+    """The recent and the usual share of events that are of one kind."""
 
     __slots__ = ("_all", "_hits", "usual")
 
@@ -98,42 +98,46 @@
         return self._hits.value_at(now_ms) / count if count > 0.0 else 0.0
 
     def lower_bound(self, now_ms: float) -> float:
-        """What the part is at the least, but for chance; 0 of next to nothing."""
+        """The recent share less one standard error; 0 for fewer than `Signs.MIN_CALLS` events."""
         count, share = self._all.value_at(now_ms), self.share(now_ms)
         if count < Signs.MIN_CALLS:
             return 0.0
         return share - math.sqrt(share * (1.0 - share) / count)
 
     def update_usual(self, weight: float, now_ms: float) -> None:
-        """Let the usual part follow what there is recent."""
+        """Move the usual share towards the recent one."""
         if self.count(now_ms) >= Signs.MIN_CALLS:
             self.usual += weight * (self.share(now_ms) - self.usual)
 
 
 class Signs:
-    """Fed with what happens; asked once a tick what it comes to."""
-
-    MIN_CALLS = 4.0  # calls, under which nothing is told of them
-    SHORT_SPAN_TARGETS, LONG_MS = 2.5, 60_000.0  # the short span in aims; the usual
-    MIN_SHORT_MS, MAX_SHORT_MS = 500.0, 5_000.0  # of the short span
-    TROUBLE_SHARE, EASE_SHARE = 0.25, 0.1  # of the calls came to nothing in time: enters, leaves
-    USUAL_FACTOR = 1.5  # times the usual part besides
-    SURGE_FACTOR = 1.5  # times the usual rate of a tenant
-    MIN_RISE = 3.0  # requests, in the short span, that no rise is told under
-    REPEAT_RISE = 0.2  # of a tenant's requests come again, more than usually
-    MIN_STIRRING_SHARE = (
-        1.0 / 3.0
-    )  # of the usual traffic is of tenants that stir: one loud tenant is no storm
-    WEAK_SHARE = 0.1  # of the ready servers are cold or just back
-    LOST_SHARE = 0.5  # of the servers that were ready before
-    FLOOD_FACTOR, MIN_FLOOD_RISE = 4.0, 30.0  # times the usual rate of new connections, and so many more
+    """Collects events, and evaluates the signs once per tick."""
+
+    MIN_CALLS = 4.0  # fewer calls than this give no share
+    SHORT_SPAN_TARGETS, LONG_MS = 2.5, 60_000.0  # short span, in latency targets; long span
+    MIN_SHORT_MS, MAX_SHORT_MS = 500.0, 5_000.0  # limits of the short span
+    TROUBLE_SHARE, EASE_SHARE = (
+        0.25,
+        0.1,
+    )  # share of failed or late calls that starts trouble, and that ends it
+    USUAL_FACTOR = 1.5  # trouble also exceeds this many times the usual share
+    SURGE_FACTOR = 1.5  # a tenant stirs above this many times its usual rate
+    MIN_RISE = 3.0  # requests in the short span by which a rate must rise at least
+    REPEAT_RISE = 0.2  # a tenant stirs if its share of retries is higher than usual by this
+    # There is stirring if tenants with this share of the usual traffic stir: one loud tenant is no storm.
+    MIN_STIRRING_SHARE = 1.0 / 3.0
+    WEAK_SHARE = 0.1  # the tier is weak above this share of cold servers among the ready ones
+    LOST_SHARE = 0.5  # the tier is weak below this share of the servers that were ready before
+    FLOOD_FACTOR, MIN_FLOOD_RISE = 4.0, 30.0  # factor on the usual rate of connections, and count above it
 
     def __init__(self, classes: Sequence[RequestClass], tenants: int) -> None:
         aim = min(cls.aim_ms for cls in classes)
         short = self.short_ms = max(self.MIN_SHORT_MS, min(self.MAX_SHORT_MS, self.SHORT_SPAN_TARGETS * aim))
-        self._rates = [Rate(short, self.LONG_MS) for _ in range(tenants + 1)]  # the last: who has no share
+        self._rates = [
+            Rate(short, self.LONG_MS) for _ in range(tenants + 1)
+        ]  # the last is for all other tenants
         self._repeats = [EventShare(short) for _ in range(tenants + 1)]
-        self.calls = EventShare(short)  # those that came to nothing in time
+        self.calls = EventShare(short)  # share that failed or was late
         self.connections = Rate(short, self.LONG_MS)
         self.good = Rate(short, self.LONG_MS)
         self.ready = 0
@@ -155,7 +159,7 @@
             self.good.add(now_ms)
 
     def listed(self, ready: int, cold: int) -> None:
-        """What discovery tells: servers that take requests, and those of them that have started recent."""
+        """Record the list of discovery: how many servers take requests, and how many of them are cold."""
         self.ready, self.cold = ready, cold
         self._most_ready = max(self._most_ready, float(ready))
 
@@ -163,15 +167,13 @@
         return sum(rate.recent.per_s(now_ms) for rate in self._rates)
 
     def usual_share(self, now_ms: float, beyond: float) -> float:
-        """Of the requests that come, the part that comes usually, `beyond` times it allowed; 1 where nothing is
-        known.
-        """
+        """`beyond` times the usual rate of arrivals, as a share of the recent rate; at most 1, and 1 if unknown."""
         recent = self.arrivals_per_s(now_ms)
         usual = beyond * sum(rate.usual_per_s(now_ms) for rate in self._rates)
         return min(1.0, usual / recent) if usual > 0.0 and recent > 0.0 else 1.0
 
     def evaluate(self, now_ms: float, since_ms: float, is_calm: bool) -> None:
-        """Weigh the signs, `since_ms` after the last look. Usual parts follow only while all is settled."""
+        """Evaluate the signs, `since_ms` after the last time. Usual shares are updated only while `is_calm`."""
         weight = 1.0 - math.exp(-since_ms / self.LONG_MS)
         share = self.calls.share(now_ms)
         lower_bound = self.calls.lower_bound(now_ms)
@@ -181,7 +183,7 @@
         else:
             self.troubled = lower_bound > max(self.TROUBLE_SHARE, self.USUAL_FACTOR * usual + self.EASE_SHARE)
         if self.ready == 0 and self._most_ready > 0.0:
-            self.troubled = True  # there are no calls that could tell
+            self.troubled = True  # no calls end that could show it
         usual_rate = stirring_rate = 0.0
         for rate, again in zip(self._rates, self._repeats, strict=True):
             usually = rate.usual_per_s(now_ms)
@@ -197,23 +199,26 @@
             self.calls.update_usual(weight, now_ms)
             for again in self._repeats:
                 again.update_usual(weight, now_ms)
-        # A fleet that was made smaller for good is no loss for ever.
+        # After a lasting reduction of the fleet, the missing servers no longer count as lost.
         self._most_ready += weight * min(0.0, self.ready - self._most_ready)
 
 
 class StormStateMachine:
-    """From signs to states, with hysteresis: a state is left later than it was entered."""
+    """Maps signs to states, with hysteresis: a state is left later than it is entered."""
 
-    DWELL_SPANS = 1.0  # short spans, that a sign must be gone for
-    QUIET_SPANS = 2.0  # short spans without anything shed, that end a recovery
+    DWELL_SPANS = 1.0  # short spans for which a sign must be gone
+    QUIET_SPANS = 2.0  # short spans without a refusal that end a recovery
 
     def __init__(self) -> None:
         self.state = State.CALM
         self.since_ms = 0.0
-        self._gone_ms = 0.0  # for how long the signs that hold the state have been gone
+        self._gone_ms = 0.0  # how long the signs that keep the state have been gone
 
     def step(self, now_ms: float, since_ms: float, signs: Signs, shedding: bool) -> bool:
-        """Move on, `since_ms` after the last step; `shedding`: something was turned away since. Whether it moved."""
+        """Update the state, `since_ms` after the last step; whether it changed.
+
+        `shedding`: a request was refused since the last step.
+        """
         both = signs.troubled and (signs.stirring or signs.weak)
         some = signs.troubled or signs.flooded or (signs.stirring and signs.weak)
         before = self.state
@@ -228,7 +233,7 @@
         elif before is State.STORM:
             if self._count_gone(not signs.troubled, since_ms) > self.DWELL_SPANS * signs.short_ms:
                 self._move(State.RECOVERING, now_ms)
-        # Traffic that has grown for good stirs for a while yet: what ends a recovery is that all of it is let in.
+        # Traffic that has grown for good shows as stirring for a while, so recovery ends once all of it is admitted.
         elif (
             self._count_gone(not signs.troubled and not shedding, since_ms)
             > self.QUIET_SPANS * signs.short_ms
--- a/larkweir/storms/storm.py
+++ b/larkweir/storms/storm.py
@@ -1,11 +1,12 @@
-"""The storm as one: signs, state, bound, shares and advice, fed with events and asked for decisions.
+"""Combines signs, state, admission and advice: takes events and returns decisions.
 
-Who holds it calls `arrive` for each request that could be taken and then `decide` with what the decisions say of it,
-`sent` when it is first sent on, `call_ended` for each attempt, `advised` for each refusal, `listed` for each list and
-`connected` for each caller's connection. All of them move time on; `tick` does so where nothing happens. In calm a
-request costs a handful of additions, and `decide` says what the decisions say.
+The owner calls `arrive` for each request that could be admitted, then `decide` with the limiter's verdict, `sent` for
+its first attempt, `call_ended` for each attempt, `advised_wait_ms` for each refusal, `listed` for each server list and
+`connected` for each connection of a caller. `listed`, `connected`, `call_ended` and `arrive` also advance the state;
+`tick` does so when no event arrives. In the state CALM a request costs a handful of additions, and `decide` returns
+the limiter's verdict.
 
-Nothing here does input or output or reads a clock. Times are milliseconds.
+This module does no input or output and reads no clock. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -22,30 +23,32 @@
 from larkweir.storms.shares import Kind, Shares
 from larkweir.storms.signs import DecayedSum, Signs, State, StormStateMachine
 
-UNINFORMATIVE_OUTCOMES = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))  # of the tier's state
+UNINFORMATIVE_OUTCOMES = frozenset(
+    (Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED)
+)  # say nothing about the tier
 
 
 class Window(Protocol):
-    """The decisions' window of calls out."""
+    """The window of calls in flight of the concurrency limiter."""
 
     window: float
 
 
 class Counts(NamedTuple):
-    """What an operator is shown."""
+    """The counts that operators see."""
 
     state: State
     sent_per_s: float
-    turned_away: int  # who would have been let in, for others
-    let_in: int  # who would have been turned away, in their place
+    turned_away: int  # refused here in place of others, though the limiter admitted them
+    let_in: int  # admitted here in their place, though the limiter refused them
     storms: int
-    ignoring: int  # requests that came sooner than told
-    kept_word: int  # that came as told
+    ignoring: int  # requests that returned earlier than advised
+    kept_word: int  # requests that returned as advised
 
 
 class Storm:
-    USUAL_FACTOR = 1.25  # times the usual, that a busy hour may bring
-    TICK_TARGET_SHARE = 0.5  # of the tightest aim, from tick to tick
+    USUAL_FACTOR = 1.25  # times the usual rate, which a busy hour may reach
+    TICK_TARGET_SHARE = 0.5  # tick interval, as a share of the tightest latency target
     MIN_TICK_MS, MAX_TICK_MS = 50.0, 500.0
 
     def __init__(
@@ -55,7 +58,7 @@
         log: Callable[[str], None] = lambda line: None,
         sets: int = 1024,
     ) -> None:
-        """`sets` bounds the memory of clients, four to each."""
+        """`sets` is the number of sets in the table of clients, with four clients each."""
         rng = Random(seed)
         self._window: Window | None = None
         self._log = log
@@ -73,17 +76,21 @@
         self._recovery_window = RecoveryWindow()
         self.shares = Shares([cls.worth for cls in settings.classes], self._tenant_shares(settings), rng)
         self._ticked_ms = -math.inf
-        # Of what comes, that comes usually: cold servers are given their part of that, and not of every repeat.
+        # Usual rate of arrivals as a share of the present one: cold servers get a share of that.
         self.usual_share = 1.0
-        self.has_refused = False  # the decisions have turned something away since the last tick
+        self.has_refused = False  # the balancer has refused a request since the last tick
         self._sent = DecayedSum(max(self._aim_ms, 250.0))
-        self._unscheduled = DecayedSum(self.signs.short_ms)  # of those let in, who were not told to come now
-        self._in_flight_sum = self._in_flight_count = 0  # calls out, as calls found it, since the last tick
-        self._kind, self._steps = Kind.FIRST, 0  # of the request that has come last
+        self._unscheduled = DecayedSum(
+            self.signs.short_ms
+        )  # admitted requests whose clients were not asked to return
+        self._in_flight_sum = self._in_flight_count = (
+            0  # calls in flight at each new call since the last tick
+        )
+        self._kind, self._steps = Kind.FIRST, 0  # of the request that arrived last
         self.turned_away = self.storms = self.ignoring = self.kept_word = 0
 
     def set_window(self, window: Window) -> None:
-        """The decisions' window, set anew for servers that come back. None in a tier that turns nobody away."""
+        """Set the window to adjust when servers return. Never called in a tier that refuses nobody."""
         self._window = window
 
     def _apply(self, settings: Settings) -> None:
@@ -99,7 +106,7 @@
         return [tenant.quota_per_s / total for tenant in settings.tenants]
 
     def configure(self, settings: Settings) -> None:
-        """New figures in service. Where tenants or classes have changed, counts begin anew; a storm goes on."""
+        """Apply new settings. If tenants or classes have changed, counts start anew; the state is kept."""
         old = self.settings
         self._apply(settings)
         self.advice.configure(settings.max_retry_after_ms, self._aim_ms)
@@ -110,11 +117,11 @@
             self.signs.listed(ready, cold)
         self.shares.configure([cls.worth for cls in settings.classes], self._tenant_shares(settings))
 
-    # ------------------------------------------------ what happens
+    # ------------------------------------------------ events
 
     def listed(self, now_ms: float, ready: int, cold: int, share: float) -> None:
-        """A list: servers that take requests, those that have started lately, and what part of their full capacity
-        all the ready ones have together by now.
+        """Record a server list: how many take requests, how many of these are cold, and the fraction of their full
+        capacity that the ready servers have together.
         """
         before = self.signs.ready
         self.signs.listed(ready, cold)
@@ -136,13 +143,13 @@
         self.tick(now_ms)
 
     def sent(self, now_ms: float, out: int) -> None:
-        """A request goes to a server for the first time; so many calls are out with it."""
+        """Record the first attempt of a request, which brings the calls in flight to `out`."""
         self._sent.add(now_ms)
         self._in_flight_sum += out
         self._in_flight_count += 1
 
     def tick(self, now_ms: float) -> None:
-        """Look at the signs, if it is time."""
+        """Evaluate the signs if a tick is due."""
         since = now_ms - self._ticked_ms
         if since < self._tick_ms:
             return
@@ -174,13 +181,13 @@
         signs = self.signs
         words = [name for name in ("troubled", "stirring", "weak", "flooded") if getattr(signs, name)]
         self._log(
-            f"storm: {before.value} -> {state.value}: {' '.join(words) or 'no sign'}; calls in vain"
+            f"storm: {before.value} -> {state.value}: {' '.join(words) or 'no signs'}; failed or late calls"
             f" {signs.calls.share(now_ms):.0%} (usually {signs.calls.usual:.0%}),"
-            f" {signs.arrivals_per_s(now_ms):.1f}/s come, {self._sent.per_s(now_ms):.1f}/s are sent on,"
+            f" {signs.arrivals_per_s(now_ms):.1f}/s arrive, {self._sent.per_s(now_ms):.1f}/s are sent,"
             f" upstreams {signs.ready - signs.cold}+{signs.cold} cold"
         )
 
-    # ------------------------------------------------ what is decided
+    # ------------------------------------------------ decisions
 
     @property
     def state(self) -> State:
@@ -188,11 +195,11 @@
 
     @property
     def may_override(self) -> bool:
-        """Whether `decide` may differ from the decisions."""
+        """Whether `decide` may differ from the limiter's verdict."""
         return self.state_machine.state in (State.STORM, State.RECOVERING)
 
     def arrive(self, now_ms: float, tenant: int, again: bool, client: int) -> None:
-        """A request has come. `client` is 0 where its fingerprint was not taken (`needs_fingerprints`)."""
+        """Record a request. `client` is 0 if no fingerprint was computed (`needs_fingerprints`)."""
         self._kind, self._steps = Kind.AGAIN if again else Kind.FIRST, 0
         known = self.advice.classify(now_ms, client) if client else None
         if known is not None:
@@ -205,9 +212,9 @@
         self.tick(now_ms)
 
     def decide(self, now_ms: float, cls: int, tenant: int, let_in: bool, swaps: bool = True) -> bool:
-        """Whether the request that has come last is let in, where the decisions say `let_in`. Without `swaps`:
-        whether it
-        is one that should be, if not all can.
+        """Whether to admit the request that arrived last, given the limiter's verdict `let_in`.
+
+        Without `swaps`, whether the request is preferred.
         """
         if self.state_machine.state is State.CALM:
             return let_in
@@ -223,7 +230,7 @@
         return verdict
 
     def advised_wait_ms(self, now_ms: float, client: int, steps: int | None = None) -> float:
-        """The word for one that is refused here or by the decisions; 0: none."""
+        """The wait to advise to a refused client; 0 for none."""
         if not client or not self.advice.max_wait_ms:
             return self.advice.max_wait_ms
         if steps is None:
@@ -238,7 +245,7 @@
             self.advice.clients.forget(now_ms, client)
 
     def needs_fingerprints(self, now_ms: float) -> bool:
-        """Whether a fingerprint is worth its price now: somebody was told to come back."""
+        """Whether requests need a fingerprint now: a client was asked to return, or the state is not CALM."""
         return now_ms < self.advice.clients.last_expiry_ms or self.state_machine.state is not State.CALM
 
     def counts(self) -> Counts:
--- a/larkweir/storms/storm_balancer.py
+++ b/larkweir/storms/storm_balancer.py
@@ -1,8 +1,8 @@
-"""The decisions with the storm before them: every event goes through here, and every action comes back.
+"""Wraps a balancer's decisions with storm handling: all events and actions pass through here.
 
-It stands where the decisions stand, hears what they hear, and changes three things alone: whom they let in, of as many
-as they let in; the word that goes with a refusal; and how far their window opens for servers that are back. Nothing
-here does input or output or reads a clock. Times are milliseconds.
+It has the interface of `Balancer` and changes three things only: which requests are admitted, but not how many; the
+wait that a refusal advises; and how far the window opens when servers return. It does no input or output and reads no
+clock. Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class _OpenRequest:
-    """A request whose end, or an attempt of it, is still to come."""
+    """A request that has no final answer yet, or still has attempts in flight."""
 
     __slots__ = ("client", "cls", "in_flight", "is_over", "sends")
 
@@ -42,13 +42,13 @@
 
 
 class StormBalancer:
-    """Decisions with an eye on storms."""
+    """A balancer's decisions, adjusted in a storm."""
 
-    COLD_CHECK_MS = 250.0  # from look to look at how warm the cold servers are
+    COLD_CHECK_MS = 250.0  # interval at which the capacity of cold servers is checked
 
     def __init__(self, balancer: Balancer, storm: Storm, fingerprint_of: Callable[[int], int]) -> None:
-        """`fingerprint_of` takes the fingerprint of a request that is open; 0 where it has none. It is asked only where
-        somebody was told to come back, and for those who are refused.
+        """`fingerprint_of` computes the fingerprint of an open request, or 0 if it has none. It is called only while
+        `Storm.needs_fingerprints` holds, and for refused requests.
         """
         self._fingerprint_of = fingerprint_of
         self.balancer = balancer
@@ -58,14 +58,14 @@
         self._next_count_ms = 0.0
         self._now_ms = 0.0
         self._tenant = 0
-        if not balancer.settings.tier:  # inner tiers turn nobody away: who was let in above is served
+        if not balancer.settings.tier:  # inner tiers refuse nobody: what the first tier admitted is served
             storm.set_window(balancer.limiter)
             balancer.limiter.arbiter = self._arbiter
 
     def _arbiter(self, cls: int, verdict: Verdict, waiting: int) -> Verdict:
         storm = self.storm
         if verdict is Verdict.WAIT:
-            # The waiting room has its own order by worth; while it is crowded it is left to those who are wanted.
+            # The queue has its own order by worth. While it is full, it takes only preferred requests.
             room = waiting < self.balancer.limiter.window
             preferred = storm.decide(self._now_ms, cls, self._tenant, True, swaps=False)
             return Verdict.WAIT if room or preferred else Verdict.REFUSE
@@ -73,7 +73,7 @@
         return Verdict.GO if let_in else Verdict.REFUSE
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; returns the actions to carry out, in order, at the same time."""
+        """Handle one event; returns the actions to carry out now, in order."""
         self._now_ms = now_ms
         storm = self.storm
         if isinstance(event, RequestArrived):
@@ -125,7 +125,7 @@
             self._close(event.request)
 
     def _close(self, request: int) -> None:
-        """The request is over; its attempts still out keep it known."""
+        """Close a request. It is kept until its last attempt in flight has ended."""
         item = self._open.get(request)
         if item is not None:
             item.is_over = True
@@ -133,7 +133,7 @@
                 del self._open[request]
 
     def _count_servers(self, now_ms: float) -> None:
-        """Count the servers that take requests, and how warm they are."""
+        """Count the servers that take requests, and their capacity."""
         self._next_count_ms = now_ms + self.COLD_CHECK_MS
         slow = self.balancer.slow_start
         ready = cold = 0
@@ -149,7 +149,7 @@
         self.storm.listed(now_ms, ready, cold, share / ready if ready else 1.0)
 
     def tick(self, now_ms: float) -> None:
-        """Where nothing happens, a storm still passes."""
+        """Advance the storm state when no event arrives."""
         self._now_ms = now_ms
         if self.storm.signs.cold and now_ms >= self._next_count_ms:
             self._count_servers(now_ms)
