--- a/larkweir/budget/rules.py
+++ b/larkweir/budget/rules.py
@@ -198,7 +198,7 @@
     def admits(self, worth: float) -> bool:
         """Count an arrival; whether to admit it.
 
-        Under pressure the requests of least worth are refused, in proportion to the recent pressure on all.
+        Refuses the share of requests by which the pressure exceeds `PRESSURE_THRESHOLD`, those of least worth first.
         """
         at = self.step_of(worth)
         for n in range(self.STEPS):
--- a/tests/budget/test_chain.py
+++ b/tests/budget/test_chain.py
@@ -1,4 +1,4 @@
-"""Budgets over three tiers of real processes: attempts, loops, time and what is believed."""
+"""Retry budgets over up to three tiers of real processes: attempts, loops, time, and which headers are trusted."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 @pytest.mark.parametrize("divide", ["half", "even", "most", "all"])
 def test_attempts_at_the_last_tier_never_exceed_the_client_s_budget(divide: str) -> None:
-    """At 30% errors of all kinds, whatever is lost: no budget is exceeded, no unsafe effect comes twice, and every
-    request has its answer.
+    """At 30% errors of all kinds: no budget is exceeded, no unsafe effect happens twice, and every request gets an
+    answer.
     """
 
     async def work() -> None:
@@ -41,13 +41,13 @@
                 if classes[n] == "traspaso":
                     assert rig.ledger.effects[f"c{n}"] <= 1
             assert len(codes) == 150 and codes.count(200) > 75
-            assert max(rig.ledger.attempts.values()) > 1  # they did try again
+            assert max(rig.ledger.attempts.values()) > 1  # there were retries
 
     run(work())
 
 
 def test_without_budgets_the_same_chain_multiplies() -> None:
-    """Guards the test above: with budgets off one request makes more attempts than any budget there allowed."""
+    """Guards the test above: without budgets one request makes more attempts than any budget there allows."""
 
     async def work() -> None:
         async with Chain(budget=False, errors=1.0, stall_s=0.0, seed=3) as rig:
@@ -60,8 +60,8 @@
 
 @pytest.mark.parametrize("tiers", [2, 3])
 def test_a_ring_of_tiers_is_refused_at_the_first_repeat(tiers: int) -> None:
-    """Two tiers that forward to each other, and three in a ring: at most one pass round, told as never run, and not
-    tried again above.
+    """Two tiers that forward to each other, and three in a ring: the request passes each tier at most once, is reported
+    as never run, and is not retried above.
     """
 
     async def work() -> None:
@@ -84,7 +84,7 @@
 
 
 def test_a_hop_that_strips_the_headers_does_bounded_damage() -> None:
-    """Each stretch between two stripped hops has the operator's budget of its own, and no more."""
+    """Each section between two hops that strip the headers has the operator's default budget, and no more."""
 
     async def work() -> None:
         async with Chain(
@@ -92,15 +92,15 @@
         ) as rig:
             for n in range(6):
                 await rig.client(n, budget=1)
-            # One above, and two that each tier below allows itself, since it hears of no other.
+            # One attempt above, and two at each tier below, which uses its default for lack of the headers.
             assert max(rig.ledger.attempts.values()) <= 4
             assert all(n <= (1, 1, 4)[tier] for (_, tier), n in rig.ledger.passes.items() if tier != 1)
 
     run(work())
 
 
-def test_nothing_is_believed_from_outside_the_trusted_edge() -> None:
-    """A forged budget, worth and path, from a caller that is not trusted, change nothing and go nowhere."""
+def test_headers_of_untrusted_callers_are_ignored() -> None:
+    """A forged budget, worth and path from an untrusted caller have no effect and are not forwarded."""
 
     async def work() -> None:
         async with Chain(
@@ -142,9 +142,7 @@
 
 
 def test_time_shrinks_on_the_way_down_and_only_durations_travel() -> None:
-    """Each tier takes off what the way back needs. No time of day is in any header, so clocks may differ as they
-    like.
-    """
+    """Each tier deducts the time for the way back. No header holds a time of day, so clocks may differ."""
 
     async def work() -> None:
         async with Chain(options="way_back_ms = 300.0") as rig:
@@ -156,14 +154,14 @@
 
 
 def test_a_traspaso_without_time_is_refused_before_it_is_sent() -> None:
-    """Below what the way back needs nothing is sent, and the refusal says that it never ran."""
+    """With less time than the way back needs, nothing is sent, and the refusal says that the request never ran."""
 
     async def work() -> None:
         async with Chain(tiers=2, options="way_back_ms = 300.0") as rig:
             answer = await rig.client(1, "traspaso", x_expires_in_ms="250")
             assert answer.status == 503 and answer.headers["x-never-ran"] == "1"
             assert not rig.ledger.passes
-            # Enough for the first tier, not for the second: refused there, and told as never run here.
+            # Enough time for both tiers: the request is served.
             answer = await rig.client(2, "traspaso", x_expires_in_ms="4000", x_budget="1")
             assert answer.status == 200
 
@@ -171,7 +169,7 @@
 
 
 def test_a_traspaso_whose_budget_expires_after_it_was_sent_is_a_failure() -> None:
-    """The last tier holds it past its time: it fails, with no word that it never ran, and is not sent again."""
+    """The last tier holds it past its time: it fails without `X-Never-Ran` and is not sent again."""
 
     async def work() -> None:
         async with Chain(tiers=2, errors=0.0, deadline_ms=4000.0) as rig:
@@ -194,8 +192,8 @@
     run(work())
 
 
-def test_a_refusal_before_any_attempt_lets_an_unsafe_request_go_elsewhere_above() -> None:
-    """Every nodo of the last tier turns it away unseen: each tier may try again, within the one budget."""
+def test_an_unsafe_request_that_was_refused_unread_is_retried() -> None:
+    """The upstreams of the last tier refuse it unread twice: each tier may retry, within the one budget."""
 
     async def work() -> None:
         async with Chain(tiers=2, options="retry_ratio = 5.0") as rig:
@@ -216,9 +214,9 @@
     run(work())
 
 
-def test_a_hop_that_copies_the_budget_costs_what_it_copies_and_no_more() -> None:
-    """Its two calls each spend a whole grant: the last tier sees twice the budget, the tiers above are told of no more
-    than they granted, and nothing grows from there.
+def test_a_hop_that_copies_calls_costs_its_copies_and_no_more() -> None:
+    """A hop copies each call and gives both copies the whole grant: the last tier sees twice the budget, but the tiers
+    above hear of no more than they granted, and the excess does not grow further.
     """
 
     async def work() -> None:
@@ -232,8 +230,8 @@
     run(work())
 
 
-def test_a_traspaso_whose_time_ends_with_the_answer_on_its_way_fails_and_ran_once() -> None:
-    """The last tier has served it; the first tier's nodo brings the answer too late: no refusal, no second run."""
+def test_a_traspaso_whose_answer_is_late_fails_and_ran_once() -> None:
+    """The last tier has served it, but the answer arrives too late at the first tier: no refusal, no second run."""
 
     async def work() -> None:
         async with Chain(late_s=2.5) as rig:
@@ -245,8 +243,8 @@
     run(work())
 
 
-def test_with_the_last_tier_down_every_request_has_its_answer_and_costs_nothing_there() -> None:
-    """Connections are refused: nothing ran, which goes up as that, and an unsafe request is not failed for it."""
+def test_with_the_last_tier_down_every_request_is_answered_and_costs_nothing() -> None:
+    """Connections are refused: nothing ran, and every tier reports that, also for unsafe requests."""
 
     async def work() -> None:
         async with Chain() as rig:
--- a/tests/budget/test_half_written.py
+++ b/tests/budget/test_half_written.py
@@ -1,4 +1,4 @@
-"""A budget that ends while a request is on its way out, byte by byte."""
+"""A request whose time ends while it is still being written to an upstream."""
 
 from __future__ import annotations
 
@@ -8,32 +8,33 @@
 
 import pytest
 
-from tests.budget.test_ring import switch_on
+from tests.budget.test_ring import enable_budgets
 from tests.fakes import PATIENCE_S, Answer, Caller, Script, entry, pass_time, running
 from tests.upstreams.test_attempts import _Wrapped
 
 
 def small_buffers(pool: Any) -> None:
-    """Cut the system's send buffer before anything is written: the last bytes of a body stay with the balancer."""
+    """Shrink the socket's send buffer before the first write, so that the last bytes of a body stay in the balancer."""
     connect = pool._connect
 
-    async def cut(call: Any) -> None:
+    async def connect_with_small_buffer(call: Any) -> None:
         write = call.write
 
-        def small(connection: Any, now_ms: float) -> bool:
+        def write_with_small_buffer(connection: Any, now_ms: float) -> bool:
             descriptor = connection._transport.get_extra_info("socket").fileno()
             with socket.socket(fileno=socket.dup(descriptor)) as raw:
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
             return bool(write(connection, now_ms))
 
-        await connect(_Wrapped(call, small))
+        await connect(_Wrapped(call, write_with_small_buffer))
 
-    pool._connect = cut
+    pool._connect = connect_with_small_buffer
 
 
 async def ask(body: bytes, reads: bool) -> tuple[Answer, bytes]:
-    """A `traspaso` with 8 s and a budget of 3, to an upstream that reads it, or stops after its first bytes, and
-    never answers; the answer, and what reached the upstream. The 8 s are over as soon as it has read so far.
+    """Send a `traspaso` with 8 s and a budget of 3 to an upstream that never answers. With `reads` the upstream reads
+    the whole request, else only its first bytes. Then the clock is advanced by the 8 s. Returns the answer and the
+    bytes that reached the upstream.
     """
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -56,7 +57,7 @@
     serving = asyncio.ensure_future(upstream())
     try:
         async with running(entry("a", listener.getsockname()[1]), script=Script([1])) as node:
-            switch_on(node, "one", [])
+            enable_budgets(node, "one", [])
             small_buffers(node.dispatcher.upstreams)
             async with Caller(node.port) as caller:
                 caller.ask("move", body, **{"X-Expires-In-Ms": "8000", "X-Budget": "3"})
@@ -71,8 +72,8 @@
 
 @pytest.mark.parametrize("reads", [False, True])
 def test_a_traspaso_whose_budget_expires_with_the_last_byte_half_written(reads: bool) -> None:
-    """Before its last byte is written nothing has run: the tier above is told so and may try elsewhere. Once it is,
-    it may have: a failure, with no such word, and the attempt is spent.
+    """Until its last byte is written the request has not run: the tier above is told so and may retry elsewhere. After
+    that it may have run: a failure without `X-Never-Ran`, and the attempt is spent.
     """
     answer, got = asyncio.run(asyncio.wait_for(ask(b"x" * 60_000, reads), PATIENCE_S))
     assert got.startswith(b"POST")
@@ -85,5 +86,5 @@
         assert len(got) == 100
         assert answer.status in (502, 503, 504)
         assert answer.headers["x-budget-spent"] == "0"
-        # Only a refusal carries the word; a failure may not claim it.
+        # Only a refusal carries `X-Never-Ran`; a failure may not.
         assert ("x-never-ran" in answer.headers) is (answer.status != 502)
--- a/tests/budget/test_hop_budget.py
+++ b/tests/budget/test_hop_budget.py
@@ -1,4 +1,4 @@
-"""What travels, at one tier, without sockets: who is believed, what is taken off, what goes down and back."""
+"""Budget headers at one tier, without sockets: which are trusted, removed, sent down and returned."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return it.arrive(peer, message, event, 0.0), message, event
 
 
-def test_headers_are_taken_off_and_believed_from_the_trusted_edge_only() -> None:
+def test_headers_are_always_removed_and_trusted_only_from_trusted_peers() -> None:
     it = chain()
     for peer, attempts in (("10.1.2.3", 2), ("unix", 2), ("192.0.2.1", 4), ("", 4), ("nonsense", 4)):
         hop_budget, message, event = arrive(it, peer, X_Budget=b"2", x_budget_path=b"a", X_Other=b"kept")
@@ -57,14 +57,14 @@
     assert isinstance(hop_budget, HopBudget) and hop_budget.worth == 1.0
 
 
-def test_unreadable_values_are_counted_and_the_operator_s_count() -> None:
+def test_unreadable_values_are_counted_and_replaced_by_the_defaults() -> None:
     it = chain()
     hop_budget, _, event = arrive(it, X_Budget=b"many", X_Budget_Worth=b"-", X_Budget_Path=b",,")
     assert isinstance(hop_budget, HopBudget) and (event.attempts_left, it.unreadable) == (4, 3)
 
 
-def test_a_client_s_own_retry_shares_what_its_first_try_has_left() -> None:
-    """The first still has an attempt out: both together cost no more than one budget."""
+def test_a_client_s_own_retry_shares_the_rest_of_its_first_budget() -> None:
+    """The first request still has an attempt in flight: both together cost no more than one budget."""
     it = chain(tier=1)
     first, _, _ = arrive(it, cls=1, X_Budget=b"3", Idempotency_Key=b"k")
     assert isinstance(first, HopBudget) and first.grant(0, 4, 0.0)
@@ -78,8 +78,8 @@
     assert not it.open_keys
 
 
-def test_two_tenants_with_one_key_have_budgets_of_their_own_over_a_reload_too() -> None:
-    """Guards one customer's attempts against another whose clients chose the same key."""
+def test_two_tenants_with_the_same_key_have_separate_budgets_also_after_a_reload() -> None:
+    """Guards a tenant's attempts against another tenant whose clients chose the same idempotency key."""
     acme, beta = Tenant(1.0, name="acme"), Tenant(1.0, name="beta")
     it = chain(tier=1)
     it.configure(Settings(CLASSES, tier=1, tiers=2, tenants=(acme, beta)))
@@ -98,15 +98,15 @@
     assert first.grant(0, 4, 0.0)
     assert ask(1)[1] == 3 and first.account.left == 2
     it.configure(Settings(CLASSES, tier=1, tiers=2, tenants=(beta, acme)))
-    second, attempts = ask(1)  # acme, at another place
+    second, attempts = ask(1)  # acme, at another index
     assert attempts == 2 and first.account.left == 0
     first.closing(502)
-    third, attempts = ask(1)  # the first's end has not forgotten the second
+    third, attempts = ask(1)  # the end of the first has kept the entry of the second
     assert attempts == 2 and second.account.left == 0
     third.closing(200)
 
 
-def test_a_class_in_the_place_of_another_is_not_held_to_its_times() -> None:
+def test_a_class_that_reuses_an_index_does_not_inherit_its_times() -> None:
     it = chain()
     for _ in range(UsefulTime.MIN_SAMPLES):
         it.useful.observe(0, 900.0)
@@ -115,8 +115,8 @@
     assert isinstance(arrive(it, left=500.0)[0], HopBudget)
 
 
-def test_what_an_attempt_cost_by_how_it_ended() -> None:
-    """At the last tier, and further up with and without a word from below."""
+def test_the_cost_of_an_attempt_by_its_outcome() -> None:
+    """At the last tier, and further up with and without a report from below."""
 
     def left(tier: int, outcome: Outcome, told: bytes | None = None) -> int:
         hop_budget, _, _ = arrive(chain(tier=tier, divide="half"), X_Budget=b"4")
@@ -126,21 +126,21 @@
             answer = Message()
             answer.headers = [(b"X-Budget-Spent", told)]
         hop_budget.settle(0, outcome, answer, 5.0)
-        hop_budget.settle(0, outcome, answer, 6.0)  # told twice
+        hop_budget.settle(0, outcome, answer, 6.0)  # a second report
         return hop_budget.left
 
     last = {Outcome.OK: 3, Outcome.ERROR: 3, Outcome.TIMEOUT: 3, Outcome.FULL: 3}
     last |= {Outcome.CONNECT_FAILED: 4, Outcome.MOOT: 4}
     for outcome, expected in last.items():
         assert left(1, outcome) == expected
-    assert left(0, Outcome.RESET) == 2  # half of four went down, and was not heard of
+    assert left(0, Outcome.RESET) == 2  # half of four was granted, and no report came back
     assert left(0, Outcome.ERROR, b"1") == 3
     assert left(0, Outcome.ERROR, b"77") == 2
     assert left(0, Outcome.ERROR, b"x") == 2
     assert left(0, Outcome.FULL) == 4 and left(0, Outcome.FULL, b"1") == 3
 
 
-def test_a_loop_told_from_below_ends_the_request_here() -> None:
+def test_a_loop_reported_from_below_ends_the_request_here() -> None:
     hop_budget, _, _ = arrive(chain(), X_Budget=b"8")
     assert isinstance(hop_budget, HopBudget) and hop_budget.grant(0, 4, 0.0)
     answer = Message()
@@ -154,7 +154,7 @@
     }
 
 
-def test_a_refusal_says_never_ran_only_if_nothing_may_have() -> None:
+def test_a_refusal_says_never_ran_only_if_nothing_may_have_run() -> None:
     for outcome, marked in ((Outcome.FULL, True), (Outcome.RESET, False), (None, False)):
         hop_budget, _, _ = arrive(chain(tier=1), X_Budget=b"4")
         assert isinstance(hop_budget, HopBudget) and hop_budget.grant(0, 4, 0.0)
@@ -163,8 +163,8 @@
         assert ((b"X-Never-Ran", b"1") in hop_budget.closing(503)) is marked
 
 
-def test_errors_and_loops_are_no_pressure() -> None:
-    """Guards the worth gate: only what is given up for want of time or room may cost others their place."""
+def test_errors_and_loops_do_not_raise_the_pressure() -> None:
+    """Guards the worth gate: only requests without enough time or capacity raise the pressure."""
     it = chain()
     for status, pressed in ((502, False), (500, False), (499, False), (503, True), (504, True)):
         before = it.gate.pressure
@@ -188,7 +188,7 @@
     assert isinstance(arrive(it, X_Budget_Path=b"tier-0")[0], list)
 
 
-def test_ten_thousand_tenants_cost_no_memory() -> None:
+def test_memory_is_bounded_with_ten_thousand_tenants() -> None:
     it = chain()
     for n in range(10_000):
         hop_budget, _, _ = arrive(
@@ -199,7 +199,7 @@
     assert it.trusts.cache_info().currsize <= 1024
 
 
-def test_no_attempt_that_can_t_be_useful_is_begun() -> None:
+def test_an_attempt_without_enough_time_to_be_useful_is_not_begun() -> None:
     it = chain(way_back_ms=5.0)
     for _ in range(50):
         hop_budget, _, _ = arrive(it)
@@ -208,18 +208,20 @@
         hop_budget.closing(200)
     assert isinstance(arrive(it, left=120.0)[0], HopBudget)
     assert isinstance(arrive(it, left=90.0)[0], list)
-    assert isinstance(arrive(it, cls=1, left=90.0)[0], HopBudget)  # nothing is known of that class
+    assert isinstance(arrive(it, cls=1, left=90.0)[0], HopBudget)  # no samples of that class
 
 
-class Rider:
-    """One other part whose field travels: what is said to it is written down."""
+class RecordingPropagator:
+    """Another component with a header of its own; records its calls."""
 
     name = b"X-Capture"
 
     def __init__(self) -> None:
         self.said: list[Any] = []
 
-    def baggage_for(self, came: bytes | None, trace: bytes, event: RequestArrived, now_ms: float) -> Rider:
+    def baggage_for(
+        self, came: bytes | None, trace: bytes, event: RequestArrived, now_ms: float
+    ) -> RecordingPropagator:
         self.said.append(("came", came, trace))
         return self
 
@@ -236,12 +238,12 @@
         self.said.append(("closed", status))
 
 
-def test_another_part_s_field_is_carried_both_ways_from_and_to_whom_budgets_believe() -> None:
+def test_the_header_of_another_component_is_carried_both_ways_for_trusted_peers() -> None:
     for peer, came, up in (("10.1.2.3", b"it", [b"up"]), ("192.0.2.1", None, [])):
-        it, rider = chain(), Rider()
-        it.carry(rider)
+        it, propagator = chain(), RecordingPropagator()
+        it.carry(propagator)
         hop_budget, message, _ = arrive(it, peer, X_Capture=b"it", X_Other=b"kept")
-        assert message.headers == [(b"X-Other", b"kept")] and rider.said == [("came", came, b"")]
+        assert message.headers == [(b"X-Other", b"kept")] and propagator.said == [("came", came, b"")]
         assert isinstance(hop_budget, HopBudget)
         grant = hop_budget.grant(0, 4, 0.0)
         assert grant is not None and dict(grant)[b"X-Capture"] == b"down"
@@ -249,19 +251,19 @@
         answer.headers = [(b"x-capture", b"back")]
         hop_budget.settle(0, Outcome.OK, answer, 1.0)
         assert [value for name, value in hop_budget.closing(200) if name == b"X-Capture"] == up
-        assert rider.said[1:] == [("told", b"back", True), ("closed", 200)]
+        assert propagator.said[1:] == [("told", b"back", True), ("closed", 200)]
         assert it.own == (b"x-budget", b"x-capture")
 
 
-def test_a_lost_answer_and_a_refusal_are_told_to_the_part_that_is_carried() -> None:
-    it, rider = chain(), Rider()
-    it.carry(rider)
+def test_the_carried_component_hears_of_lost_answers_and_refusals() -> None:
+    it, propagator = chain(), RecordingPropagator()
+    it.carry(propagator)
     hop_budget, _, _ = arrive(it)
     assert isinstance(hop_budget, HopBudget)
     for attempt, outcome in enumerate((Outcome.TIMEOUT, Outcome.CONNECT_FAILED)):
         assert hop_budget.grant(attempt, 4, 0.0) is not None
         hop_budget.settle(attempt, outcome, None, 1.0)
-    assert rider.said[1:] == [("told", None, True), ("told", None, False)]
+    assert propagator.said[1:] == [("told", None, True), ("told", None, False)]
     refused, _, _ = arrive(it, X_Budget_Path=b"a, tier-0")
     assert isinstance(refused, list) and (b"X-Capture", b"up") in refused
-    assert rider.said[-1] == ("closed", 503)
+    assert propagator.said[-1] == ("closed", 503)
--- a/tests/budget/test_ring.py
+++ b/tests/budget/test_ring.py
@@ -1,4 +1,4 @@
-"""Two balancers that list each other, with no service between them."""
+"""Two balancers that list each other as upstreams, with no service behind them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.fakes import PATIENCE_S, Caller, Running, entry, running
 
 
-def switch_on(node: Running, hop: str, log: list[str]) -> None:
+def enable_budgets(node: Running, hop: str, log: list[str]) -> None:
     options = Budget(on=True, trust=("127.0.0.0/8",), hop=hop)
     node.dispatcher.extensions.budgets = TierBudgets(options, node.dispatcher.config.settings, log.append)
 
@@ -17,8 +17,8 @@
 async def ring(**headers: str) -> tuple[int, dict[str, str], list[str]]:
     log: list[str] = []
     async with running() as first, running(entry("first", first.port)) as second:
-        switch_on(first, "one", log)
-        switch_on(second, "two", log)
+        enable_budgets(first, "one", log)
+        enable_budgets(second, "two", log)
         first.discovery.change(entry("second", second.port))
         async with asyncio.timeout(PATIENCE_S):
             while not (first.dispatcher.ready and second.dispatcher.ready):
@@ -29,18 +29,18 @@
     return answer.status, answer.headers, log
 
 
-def test_a_request_that_comes_back_under_its_own_id_is_told_as_a_loop() -> None:
+def test_a_request_that_returns_under_its_own_id_is_refused_as_a_loop() -> None:
     status, headers, log = asyncio.run(ring())
     assert status == 503  # nothing ran anywhere
     assert headers["x-budget-loop"] == "1" and headers["x-never-ran"] == "1"
     assert any("one -> two -> one" in line for line in log)
 
 
-def test_a_copy_of_an_open_request_is_still_no_request() -> None:
+def test_a_copy_of_an_open_request_is_still_a_conflict() -> None:
     async def run() -> int:
         log: list[str] = []
         async with running(entry("nobody", 1)) as node:
-            switch_on(node, "one", log)
+            enable_budgets(node, "one", log)
             node.dispatcher.requests.open_ids.add(b"again")
             async with Caller(node.port) as caller:
                 caller.ask(X_Trace_Id="again")
--- a/tests/budget/test_rules.py
+++ b/tests/budget/test_rules.py
@@ -1,4 +1,4 @@
-"""Budgets as rules: the law under loss, delay and duplication, and the limits beside it."""
+"""The rules of budgets: the invariant under loss, delay and duplication, and the limits beside it."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 class Law(RuleBasedStateMachine):
-    """A tree of tiers: any tier may begin attempts, answers come in any order, are lost, or are told twice. Last-tier
-    attempts are counted where they happen, and never exceed what the client came with.
+    """A tree of tiers: any tier may begin attempts, and answers arrive in any order, are lost, or are repeated.
+    Attempts at the last tier are counted where they happen, and never exceed the client's budget.
     """
 
     def __init__(self) -> None:
@@ -31,8 +31,8 @@
         self.budget = 0
         self.nodes: list[
             tuple[Account, int, tuple[int, int] | None]
-        ] = []  # account, depth, parent and its attempt
-        self.attempts: dict[tuple[int, int], int] = {}  # granted, of what is out: node and attempt
+        ] = []  # account, depth, and the parent with its attempt
+        self.attempts: dict[tuple[int, int], int] = {}  # grants of attempts in flight, by node and attempt
         self.reached = 0
         self.next = 0
 
@@ -69,7 +69,7 @@
         if depth < self.tiers - 1:
             child = next(node for node, _, parent in self.nodes if parent == (at, attempt))
             told = child.reported
-            child.left = 0  # it has answered: nothing more is begun there
+            child.left = 0  # it has answered, and begins no further attempts
         if how in ("told", "twice"):
             account.settle(attempt, told, never_ran=False)
         elif how == "more":
@@ -107,8 +107,8 @@
 
 
 def test_a_hop_that_copies_the_budget_does_bounded_damage() -> None:
-    """A foreign balancer below spends ten on a grant of two, and says so: no more than the grant is lost here, and
-    nothing that it says gives anything back.
+    """Another balancer below reports ten spent on a grant of two: this costs the grant and no more, and its report
+    returns nothing.
     """
     account = Account(4, last=False, share=SHARES["half"])
     assert account.grant(0, 4) == 2
@@ -137,10 +137,10 @@
         assert top.grant(1, 3) == 0
 
 
-def test_retries_are_a_share_of_the_traffic_with_a_floor() -> None:
+def test_retries_are_limited_to_a_share_of_the_traffic_with_a_floor() -> None:
     ratio = RetryRatio(0.1, floor_per_s=1.0, cap=20.0)
     now, retried = 0.0, 0
-    for _ in range(10_000):  # a thousand a second, all of them failing
+    for _ in range(10_000):  # a thousand per second, all of which fail
         now += 1.0
         ratio.on_first_attempt(now)
         retried += ratio.take_retry(now)
@@ -148,15 +148,15 @@
     quiet = RetryRatio(0.1, floor_per_s=1.0)
     assert [quiet.take_retry(n * 1000.0) for n in range(10)] == [True] * 10
     assert not quiet.take_retry(9000.0)
-    assert quiet.take_retry(8000.0) is False  # a time that goes back earns nothing
+    assert quiet.take_retry(8000.0) is False  # a clock that goes back earns nothing
 
 
-def test_what_a_useful_attempt_takes_is_learned_robustly() -> None:
+def test_the_least_useful_time_is_learned_robustly() -> None:
     useful = UsefulTime(2)
     rng = Random(1)
     for _ in range(UsefulTime.MIN_SAMPLES - 1):
         useful.observe(0, 100.0)
-    assert useful.min_ms(0) == 0.0  # too few to say
+    assert useful.min_ms(0) == 0.0  # too few samples
     for _ in range(2_000):
         useful.observe(0, rng.uniform(80.0, 200.0))
     assert 75.0 <= useful.min_ms(0) <= 100.0
@@ -167,7 +167,7 @@
     assert useful.min_ms(1) == 0.0
 
 
-def test_the_least_worth_is_given_up_first_and_nothing_is_starved() -> None:
+def test_the_least_worth_is_refused_first_and_nothing_starves() -> None:
     gate = WorthGate()
     for _ in range(300):
         assert gate.admits(1.0) and gate.admits(8.0)
@@ -179,10 +179,12 @@
         for worth in passed:
             passed[worth] += gate.admits(worth)
     assert passed[8.0] == 400
-    assert 100 <= passed[1.0] <= 140  # seven in ten given up: what was given up of all lately, from the least
+    assert (
+        100 <= passed[1.0] <= 140
+    )  # 7 of 10 refused: twice the pressure above 0.1, as half of all requests are of this worth
     gate.pressure = 1.0
     kept = sum(gate.admits(1.0) + 0 * gate.admits(8.0) for _ in range(400))
-    assert 30 <= kept <= 60  # one in ten is spared, whatever the pressure
+    assert 30 <= kept <= 60  # one in ten is admitted at any pressure
     for _ in range(400):
         gate.ended(given_up=False)
     assert gate.admits(1.0)
@@ -201,11 +203,11 @@
         (None, None),
     ],
 )
-def test_budgets_that_travel_are_bounded(text: bytes | None, expected: int | None) -> None:
+def test_parsed_budgets_are_bounded(text: bytes | None, expected: int | None) -> None:
     assert parse_number(text, 1, 1000) == expected
 
 
-def test_worths_and_paths_that_travel_are_bounded() -> None:
+def test_parsed_worths_and_paths_are_bounded() -> None:
     assert parse_worth(b"8.5", 100.0) == 8.5 and parse_worth(b"1000000000", 8.0) == 8.0
     assert [parse_worth(text, 8.0) for text in (None, b"", b"-1", b"nan", b"1e9", b"1.2.3", b"9" * 40)] == [
         None
--- a/tests/door/test_guard.py
+++ b/tests/door/test_guard.py
@@ -1,4 +1,4 @@
-"""The door on sockets: what it looks at, what it says, and what it leaves to others."""
+"""Load shedding on sockets: which requests it looks at, what it answers, and what it leaves to others."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     return run
 
 
-def shut(node: object) -> None:
-    """As after a long overload: all of what may be shed is."""
+def shed_everything(node: object) -> None:
+    """Put the guard in the state after a long overload: everything that may be shed is shed."""
     guard = node.dispatcher.clock.on_iteration.__self__  # type: ignore[attr-defined]
     guard.shedder.is_shedding = True
     guard.shedder.shed_fraction = guard.shedder.MAX_SHED_FRACTION
@@ -40,12 +40,12 @@
 
 @pytest.mark.parametrize("speaks", ["http1", "fastcgi"])
 @on_loop
-async def test_who_is_turned_away_is_told_at_once_and_the_decisions_never_hear_of_it(speaks: str) -> None:
+async def test_a_shed_request_is_answered_at_once_and_the_decisions_get_no_event(speaks: str) -> None:
     Caller.speaks = speaks  # reset after each test
     upstream = await FakeUpstream().start()
     script = Script([1])
     async with running(upstream.entry("u"), script=script, door=ON) as node:
-        shut(node)
+        shed_everything(node)
         async with Caller(node.port) as caller:
             caller.ask()
             answer = await caller.answer()
@@ -58,8 +58,8 @@
 
 
 @on_loop
-async def test_an_open_id_is_never_called_harmless() -> None:
-    # A refusal says that trying again does no harm; under this id something may be running.
+async def test_a_request_with_an_open_id_is_never_shed() -> None:
+    # A refusal declares a retry harmless, but a request may be running under this id.
     release = asyncio.Event()
 
     async def slow(request: Incoming, talk: Talk) -> None:
@@ -72,22 +72,22 @@
             first.ask("move", **{"X-Trace-Id": "one"})
             while not upstream.seen:
                 await asyncio.sleep(0.005)
-            shut(node)
+            shed_everything(node)
             second.ask("move", **{"X-Trace-Id": "one"})
             assert (await second.answer()).status == 409
             release.set()
-            assert (await first.answer()).status == 200  # what was let in is served
+            assert (await first.answer()).status == 200  # an admitted request is served
     upstream.close()
 
 
 @on_loop
-async def test_an_id_that_another_life_has_taken_is_never_called_harmless() -> None:
-    """That life serves beside this one: the request may run there."""
+async def test_a_request_with_an_id_taken_by_another_process_is_never_shed() -> None:
+    """The other process serves beside this one: the request may run there."""
     async with running(script=Script([1]), door=ON) as node:
         assert node.node is not None
         other = 7
         node.node.exchange_ids(other, lambda seen: None).receive(other, TakenIds(("there",)))
-        shut(node)
+        shed_everything(node)
         for trace, expected in (("there", 409), ("nowhere", 503)):
             async with Caller(node.port) as caller:
                 caller.ask("move", **{"X-Trace-Id": trace})
@@ -97,13 +97,13 @@
 
 
 @on_loop
-async def test_what_is_no_request_gets_its_own_answer_and_ready_is_answered() -> None:
+async def test_invalid_requests_and_readiness_checks_get_their_own_answers() -> None:
     async with running(script=Script([1]), door=ON) as node:
-        shut(node)
+        shed_everything(node)
         for ask, expected in (
             ({"cls": "none-such"}, 400),
             ({"target": "/else"}, 404),
-            ({"target": "/ready"}, 503),  # no list yet; not the door
+            ({"target": "/ready"}, 503),  # 503 because there is no server list yet, not because of the guard
         ):
             async with Caller(node.port) as caller:
                 caller.ask(**ask)
@@ -113,7 +113,7 @@
 
 
 @on_loop
-async def test_turns_that_take_long_are_told_to_the_door() -> None:
+async def test_long_loop_iterations_are_measured() -> None:
     upstream = await FakeUpstream().start()
     script = Script([1])
 
@@ -135,8 +135,8 @@
 
 
 @on_loop
-async def test_a_class_that_a_reload_puts_in_the_place_of_another_is_not_shed_for_it() -> None:
-    """Places of classes that are no more are given to new ones once there are many of them."""
+async def test_a_class_that_reuses_an_index_after_a_reload_is_not_shed_for_the_old_class() -> None:
+    """New classes reuse the indexes of removed ones once there are many removed ones."""
     upstream = await FakeUpstream().start()
     async with running(upstream.entry("u"), script=Script([1]), door=ON) as node:
         assert node.node is not None
@@ -165,6 +165,6 @@
     upstream.close()
 
 
-def test_bounds_that_cross_are_a_fault() -> None:
+def test_low_above_high_is_a_configuration_error() -> None:
     _, faults = decode_operator("[door]\nhigh = 0.1\nlow = 0.2\n")
     assert faults == ["door.low: 0.2 is not below high, 0.1"]
--- a/tests/storms/test_advice.py
+++ b/tests/storms/test_advice.py
@@ -1,4 +1,4 @@
-"""Words to come back: spread, stable, growing for who ignores them, and in a memory that nobody can fill or turn."""
+"""Retry advice: waits are spread and stable, grow for clients that ignore them, and need a table of fixed size."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 def test_returns_are_spread_over_what_the_tier_needs() -> None:
     adviser = advice(60_000.0)
     waits = sorted(adviser.wait_ms(0.0, adviser.fingerprint(b"%d" % n), 0, 50.0, 10.0) for n in range(1000))
-    # 1,000 clients, 40 a second to spare: 25 s.
+    # 1,000 clients at a spare rate of 40 per second need 25 s.
     assert 20_000.0 < waits[-1] < 27_000.0
     inside = [sum(at <= wait < at + 1000.0 for wait in waits) for at in range(0, 20_000, 1000)]
-    assert max(inside) < 200  # no second gets a fifth of them, though the first ones knew of no others
+    assert (
+        max(inside) < 200
+    )  # no second gets a fifth of the clients, though the first waits were chosen without the others
 
 
-def test_a_client_keeps_its_place_from_try_to_try() -> None:
+def test_a_client_keeps_its_position_from_retry_to_retry() -> None:
     adviser = advice()
     one, other = sorted((adviser.fingerprint(b"a"), adviser.fingerprint(b"b")), key=lambda f: f >> 11)
     for now in (0.0, 5_000.0, 60_000.0):
@@ -36,20 +38,20 @@
         assert first < second
 
 
-def test_retries_that_are_synchronized_to_the_second_are_pulled_apart() -> None:
+def test_synchronized_retries_are_spread() -> None:
     adviser = advice()
     for turn in range(3):
         now = turn * 2_000.0
         clients = [adviser.fingerprint(b"%d" % n) for n in range(400)]
         back = {int((now + adviser.wait_ms(now, client, 0, 1.0, 0.0)) // 50.0) for client in clients}
-        assert len(back) > 10  # 0.6 s in slots of 50 ms
+        assert len(back) > 10  # the returns spread over 0.6 s, in slots of 50 ms
 
 
-def test_without_a_bound_in_the_settings_there_is_no_word() -> None:
+def test_without_a_longest_wait_there_is_no_advice() -> None:
     assert advice(0.0).wait_ms(0.0, 7, 0, 5.0, 0.0) == 0.0
 
 
-def test_ignoring_the_word_makes_it_longer_within_bounds_and_obeying_shortens_it_again() -> None:
+def test_early_returns_lengthen_the_wait_within_bounds_and_returns_on_time_shorten_it() -> None:
     adviser = advice(4000.0)
     client = adviser.fingerprint(b"x")
     now, steps, waits = 0.0, 0, []
@@ -68,7 +70,7 @@
         steps = left
 
 
-def test_a_penalty_is_forgotten_in_time() -> None:
+def test_a_penalty_expires() -> None:
     adviser = advice()
     client = adviser.fingerprint(b"x")
     adviser.wait_ms(0.0, client, 4, 1.0, 0.0)
@@ -76,8 +78,8 @@
     assert adviser.classify(20_000.0, client) is None
 
 
-def test_a_forger_reaches_nobody_at_another_address() -> None:
-    """It names the other's tenant, object and key, and ignores every word: the other is untouched."""
+def test_forged_headers_do_not_affect_a_client_at_another_address() -> None:
+    """A client that forges another's tenant and object, and ignores all advice, does not affect that other."""
     adviser = advice(sets=1024)
     victim = adviser.fingerprint(b"10.0.0.1", b"GET", b"/api", b"x-customer:acme", b"x-object:7")
     adviser.wait_ms(0.0, victim, 0, 10.0, 0.0)
@@ -88,14 +90,14 @@
     assert adviser.classify(2_500.0, victim) == (Kind.PROMISED, 0)
 
 
-def test_parts_of_a_fingerprint_do_not_run_into_each_other() -> None:
+def test_a_fingerprint_depends_on_the_boundaries_of_its_parts_and_on_the_secret() -> None:
     adviser = advice()
     assert adviser.fingerprint(b"ab", b"c") != adviser.fingerprint(b"a", b"bc")
     other = Advice(2000.0, 100.0, b"another secret..")
     assert adviser.fingerprint(b"a") != other.fingerprint(b"a")
 
 
-def test_the_table_does_not_grow_whoever_comes() -> None:
+def test_the_table_does_not_grow_with_the_clients() -> None:
     adviser = advice(sets=64)
     size = sum(
         map(sys.getsizeof, (adviser.clients._tags, adviser.clients._due_ms, adviser.clients._expires_ms))
@@ -109,7 +111,7 @@
 
 
 class Clients(RuleBasedStateMachine):
-    """A small table against a plain dictionary: what it says of a client is true, or it says nothing."""
+    """Compares a small table with a dictionary: what the table returns for a client is correct or None."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -146,7 +148,7 @@
     def served(self, client: int) -> None:
         self.table.forget(self.now, client)
         known = self.table.classify(self.now, client)
-        assert known is None or self.true[client][2] > 0  # a penalty stays
+        assert known is None or self.true[client][2] > 0  # a penalty is kept
 
     @invariant()
     def the_one_told_last_is_known(self) -> None:
@@ -158,7 +160,7 @@
 
 
 class Wheel(RuleBasedStateMachine):
-    """Returns that are still to come are counted; those that are past are not."""
+    """Returns that are still due are counted; past ones are not."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/storms/test_gate.py
+++ b/tests/storms/test_gate.py
@@ -1,4 +1,4 @@
-"""The part on sockets: what a refusal says, whose request it is, and that it is not there where it is off."""
+"""Storm handling on sockets: headers of refusals, client fingerprints, and that nothing is imported while it is off."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     return balancer.node.storms
 
 
-def shut(balancer: Running) -> None:
-    """As deep in a storm: nobody is let in."""
+def refuse_all(balancer: Running) -> None:
+    """Put the balancer in a storm in which every request is refused."""
     storm = gate(balancer).storm
     storm.state_machine.state = State.STORM
     storm.state_machine.step = lambda *args: False
@@ -32,23 +32,23 @@
 
 
 @pytest.mark.parametrize("speaks", ["http1", "fastcgi"])
-def test_who_is_refused_is_told_at_once_when_to_come_and_each_at_its_own_time(speaks: str) -> None:
+def test_refused_clients_get_an_immediate_answer_with_different_waits(speaks: str) -> None:
     async def work() -> None:
         Caller.speaks = speaks  # reset after each test
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a"), storms=ON) as balancer:
-            shut(balancer)
-            words: dict[str, list[float]] = {}
+            refuse_all(balancer)
+            waits: dict[str, list[float]] = {}
             for _ in range(3):
                 async with Caller(balancer.port) as caller:
                     for n in range(12):
                         caller.ask(X_Object=f"o{n}")
                         answer = await caller.answer()
                         assert answer.status == 503
-                        words.setdefault(f"o{n}", []).append(float(answer.headers["retry-after"]))
-            firsts = [word[0] for word in words.values()]
+                        waits.setdefault(f"o{n}", []).append(float(answer.headers["retry-after"]))
+            firsts = [word[0] for word in waits.values()]
             assert len(set(firsts)) == 12 and min(firsts) > 0.0 and max(firsts) <= 2.0
-            for first, second, third in words.values():  # it comes sooner than told each time
+            for first, second, third in waits.values():  # the client returns early each time
                 assert first <= second <= third <= 2.0
             assert upstream.seen == []
 
@@ -60,7 +60,7 @@
         upstream = await FakeUpstream().start()
         storms = replace(ON, whole_seconds=True, fields=True)
         async with running(upstream.entry("a"), storms=storms) as balancer, Caller(balancer.port) as caller:
-            shut(balancer)
+            refuse_all(balancer)
             caller.ask()
             answer = await caller.answer()
             seconds = answer.headers["retry-after"]
@@ -71,7 +71,7 @@
     run(work())
 
 
-def test_a_fingerprint_is_the_requests_and_its_addresss_and_not_the_trys() -> None:
+def test_a_fingerprint_depends_on_request_and_address_and_not_on_the_attempt() -> None:
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a"), storms=ON) as balancer:
@@ -93,13 +93,13 @@
                 ):
                     one.ask(**more)
                     assert (await one.answer()).status == 200
-            assert taken[0] == taken[1]  # another connection and another id: the same client again
+            assert taken[0] == taken[1]  # the same client, with another connection and another id
             assert len({taken[0], taken[2], taken[3]}) == 3
 
     run(work())
 
 
-def test_status_says_how_the_storm_goes() -> None:
+def test_the_status_shows_the_storm_state() -> None:
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a"), storms=ON) as balancer, Caller(balancer.port) as caller:
@@ -111,7 +111,7 @@
     run(work())
 
 
-def test_where_it_is_off_nothing_of_it_is_imported() -> None:
+def test_nothing_is_imported_while_storms_are_off() -> None:
     script = (
         "import sys, larkweir.lifecycle.daemon, larkweir.cli.main;"
         "print([name for name in sys.modules if 'storms' in name])"
@@ -120,21 +120,21 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_the_operator_file_switches_it_on() -> None:
+def test_the_operator_file_enables_storms() -> None:
     options, faults = decode_operator("[storms]\non = true\nconnects_per_s = 5\n")
     assert not faults and options.storms.on and options.storms.connects_per_s == 5
     assert decode_operator("[storms]\nclients = 3\n")[1]
 
 
-def test_a_refusal_by_the_decisions_in_calm_is_spread_too() -> None:
+def test_waits_of_refusals_in_calm_are_spread_too() -> None:
     async def work() -> None:
         async with running(storms=ON) as balancer, Caller(balancer.port) as caller:
-            words = set()
+            waits = set()
             for n in range(8):
                 caller.send(request_bytes(X_Expires_In_Ms="1", X_Object=f"o{n}"))
                 answer = await caller.answer()
                 assert answer.status in (503, 502, 504)
-                words.add(answer.headers.get("retry-after"))
-            assert len(words - {None}) >= 4
+                waits.add(answer.headers.get("retry-after"))
+            assert len(waits - {None}) >= 4
 
     run(work())
--- a/tests/storms/test_hard_cases.py
+++ b/tests/storms/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Hard cases of storms, each in a small sala in simulated time: real decisions, real rules, clients with habits."""
+"""Hard cases of storms in a small simulated tier: real decisions, real storm rules, and clients of several habits."""
 
 from __future__ import annotations
 
@@ -45,7 +45,9 @@
 
 @pytest.mark.parametrize("part", [1.0, 0.5])
 def test_clients_that_ignore_the_advice(part: float) -> None:
-    """All, or half: nobody's server falls, who obeys fares better, and the worthier are served first."""
+    """With all or half of the clients ignoring it: no server falls over, clients that follow the advice do better, and
+    requests of more worth are served first.
+    """
     habits = (IGNORING,) if part == 1.0 else (IGNORING, OBEYING)
     world = play(sala(habits=habits))
     assert falls(world) == 0
@@ -57,7 +59,7 @@
         assert waits.tries / waits.asked < ignores.tries / ignores.asked
 
 
-def test_one_tenant_that_ignores_the_advice_harms_the_others_little() -> None:
+def test_one_tenant_that_ignores_the_advice_hardly_affects_the_others() -> None:
     quiet = play(sala(habits=(OBEYING,)))
     world = sala(habits=(OBEYING,))
     loud = TENANTS.index(max(TENANTS))
@@ -74,7 +76,7 @@
 
 
 def test_a_storm_that_coincides_with_a_deploy() -> None:
-    """While the sala comes back, its servers are replaced by new ones, cold again."""
+    """While the tier returns, its servers are replaced by new, cold ones."""
     world = sala()
     for turn in range(5):
         world.after(BACK + 2_000 + 600 * turn, lambda n=turn: world.lose([n]))  # type: ignore[misc]
@@ -105,8 +107,8 @@
     assert states(world)[-1] == "calm"
 
 
-def test_a_balancer_that_itself_restarts_in_the_middle() -> None:
-    """It comes up knowing nothing, into the storm; the others go on."""
+def test_a_balancer_that_restarts_during_the_storm() -> None:
+    """It restarts without any history in the storm, while the others continue."""
     world = sala()
 
     def restart() -> None:
@@ -120,8 +122,8 @@
     assert served(world, END - 5_000, END) > 0.9
 
 
-def test_a_false_alarm_turns_nobody_away() -> None:
-    """A quarter of the clients come all at once for a second, and are served."""
+def test_a_false_alarm_refuses_nobody() -> None:
+    """The load doubles for one second, and all of it is served."""
     world = sala(down=False, load=0.4)
     play(world, surge=lambda now: 2.0 if 8_000 < now < 9_000 else 1.0)
     assert all(copy.storm.turned_away == 0 and copy.storm.storms == 0 for copy in world.copies)
@@ -135,8 +137,8 @@
     assert served(world, END - 5_000, END) > 0.9
 
 
-def test_a_list_that_comes_late_and_tells_nothing_of_the_return() -> None:
-    """As with load reports that are stale: for eight seconds nobody is told that the servers are new."""
+def test_a_server_list_that_arrives_late() -> None:
+    """As with stale load reports: for eight seconds the balancers do not learn that the servers are new."""
     world = sala()
     world.late_ms = 8_000.0
     play(world, 34_000.0)
@@ -145,14 +147,14 @@
 
 
 def test_thirty_balancers_in_storm_together() -> None:
-    weights = [float(1 + n % 7) for n in range(30)]  # and unevenly loaded
+    weights = [float(1 + n % 7) for n in range(30)]  # uneven load
     world = play(sala(copies=30, servers=8, clients=300, weights=weights))
     assert falls(world) == 0
     assert served(world, END - 4_000, END) > 0.9
 
 
-def test_a_storm_in_one_sala_only() -> None:
-    """Two of five servers go and come back: the others serve on, and little is turned away."""
+def test_a_storm_from_part_of_the_servers() -> None:
+    """Two of five servers fail and return: the others keep serving, and few requests are refused."""
     world = sala(down=False, load=0.4)
     world.after(DOWN, lambda: world.lose([0, 1]))
     world.after(BACK, lambda: world.bring_back([0, 1]))
@@ -162,7 +164,7 @@
 
 
 def test_recovery_with_traffic_that_has_doubled_for_good() -> None:
-    """It is no storm: once all are warm everything is let in again, and the state is calm."""
+    """It is no storm: once all servers are warm, every request is admitted and the state is CALM."""
     world = sala(load=0.35)
     play(world, 30_000.0, surge=lambda now: 1.0 if now < DOWN else 2.0)
     assert falls(world) == 0
@@ -170,8 +172,8 @@
     assert served(world, 25_000, 30_000) > 0.9
 
 
-def test_the_worthier_are_served_first_while_not_all_can_be() -> None:
-    """Beside the same sala without the part: no fewer in all, but for a little, and more of those that matter."""
+def test_requests_of_more_worth_are_served_first() -> None:
+    """Compared with the same tier without storm handling: hardly fewer requests served, and more of high worth."""
     on = [play(sala(seed), 18_000.0) for seed in range(1, 5)]
     off = [play(sala(seed, storms=False), 18_000.0) for seed in range(1, 5)]
 
@@ -182,7 +184,7 @@
     assert mean(on) > mean(off) - 0.08
 
 
-def test_what_a_storm_holds_stays_bounded() -> None:
+def test_open_requests_stay_bounded() -> None:
     world = play(sala(habits=HABITS), 16_000.0)
     for copy in world.copies:
-        assert len(copy.balancer._open) < 50  # nothing is under way any more
+        assert len(copy.balancer._open) < 50  # no request is open any more
--- a/tests/storms/test_loopback.py
+++ b/tests/storms/test_loopback.py
@@ -1,4 +1,4 @@
-"""The whole part on loopback sockets: a cold server that is back, before a thousand clients."""
+"""Storm handling on loopback sockets: cold servers return to a thousand clients."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 }
 
 
-def test_a_cold_server_survives_a_thousand_clients_that_come_back() -> None:
-    """Two of three go, come back cold, and are listed. None falls over, nothing unsafe runs twice, and every request
-    has one answer; publicar is served.
+def test_cold_servers_survive_a_thousand_returning_clients() -> None:
+    """All three servers stop, return cold, and are listed. None falls over, no id runs twice, every request has one
+    answer, and `publicar` is served.
     """
 
     async def work() -> None:
@@ -53,7 +53,7 @@
             back_s = inf
 
             def publish() -> Seen:
-                """Of those that came after the return."""
+                """Requests of `publicar` that arrived after the return."""
                 return crowd.total(lambda second, cls, habit: cls == 1 and second > back_s)
 
             async def fail() -> None:
@@ -69,7 +69,7 @@
                 balancer.discovery.change(*(upstream.entry() for upstream in upstreams))
 
             await asyncio.gather(crowd.run(1000, 150.0, 5.0), fail())
-            # On a machine that let nothing through in time, afterwards.
+            # A slow machine may have served none in time: ask on until one is served.
             async with asyncio.timeout(PATIENCE_S):
                 while not publish().served:
                     await crowd.ask(1, n=1000)
--- a/tests/storms/test_pace.py
+++ b/tests/storms/test_pace.py
@@ -1,4 +1,4 @@
-"""Connections: paced by rules, and on sockets: reuse before new ones, each call still ends once."""
+"""Limits on new connections: the rules alone, and on sockets, where calls reuse connections and each ends once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @given(st.lists(st.floats(0.0, 500.0), max_size=200), st.floats(1.0, 200.0))
-def test_a_bucket_never_gives_more_than_its_rate_and_what_it_holds(steps: list[float], per_s: float) -> None:
+def test_a_bucket_never_gives_more_than_its_rate_and_burst(steps: list[float], per_s: float) -> None:
     bucket = TokenBucket(0.0, 5.0)
     now, taken = 0.0, 0
     for step in steps:
@@ -24,17 +24,17 @@
         assert taken <= 5.0 + per_s * now / 1000.0 + 1e-6
 
 
-def test_a_cold_upstream_is_opened_to_by_its_share() -> None:
+def test_connections_to_a_cold_upstream_follow_its_capacity() -> None:
     limiter = ConnectLimiter(40.0, lambda upstream, now: 0.25 if upstream == 1 else 1.0)
     counts = {1: 0, 2: 0}
     for now in range(0, 10_000, 5):
         for upstream in counts:
             counts[upstream] += limiter.try_open(upstream, float(now))
-    assert 95 <= counts[1] <= 125  # 10 a second, and what the bucket held
+    assert 95 <= counts[1] <= 125  # 10 a second, and the burst
     assert 395 <= counts[2] <= 425
 
 
-def test_the_buckets_do_not_grow_with_the_servers_that_were_ever_seen() -> None:
+def test_the_number_of_buckets_is_bounded() -> None:
     limiter = ConnectLimiter(10.0, lambda upstream, now: 1.0)
     for upstream in range(20_000):
         limiter.try_open(upstream, float(upstream))
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("aim_ms", [50.0, 410.0, 5000.0])
-def test_a_flood_that_fills_the_backlog_is_taken_well_within_the_aim(aim_ms: float) -> None:
+def test_a_full_backlog_is_accepted_well_within_the_latency_target(aim_ms: float) -> None:
     limiter = AcceptLimiter(aim_ms, 1024)
     now, taken = 0.0, 0
     while taken < 1024:
@@ -52,8 +52,8 @@
     assert now <= 0.25 * aim_ms + 10.0, now
 
 
-class Shut:
-    """Lets so many connections be opened, and no more."""
+class LimitedConnects:
+    """Allows `free` new connections, and no more."""
 
     def __init__(self, free: int) -> None:
         self.free = free
@@ -68,7 +68,7 @@
         return 5.0
 
 
-def test_calls_wait_for_a_connection_that_comes_free_where_none_may_be_opened() -> None:
+def test_calls_wait_for_a_free_connection_when_none_may_be_opened() -> None:
     async def work() -> None:
         async def answer(request: Incoming, talk: Talk) -> None:
             await asyncio.sleep(0.02)
@@ -76,7 +76,7 @@
 
         upstream = await FakeUpstream(answer).start()
         async with running(upstream.entry("a"), script=Script([1])) as balancer:
-            balancer.dispatcher.upstreams.rate_limiter = Shut(2)
+            balancer.dispatcher.upstreams.rate_limiter = LimitedConnects(2)
             callers = [Caller(balancer.port) for _ in range(12)]
             for caller in callers:
                 await caller.__aenter__()
@@ -90,16 +90,16 @@
     run(work())
 
 
-def test_a_call_whose_time_is_over_before_it_had_a_connection_has_never_run() -> None:
+def test_a_call_that_times_out_without_a_connection_has_never_run() -> None:
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1], timeout_ms=60.0)
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            balancer.dispatcher.upstreams.rate_limiter = Shut(0)
+            balancer.dispatcher.upstreams.rate_limiter = LimitedConnects(0)
             caller.ask("move", b"x")
             assert (await caller.answer()).status == 502
             assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
-            balancer.dispatcher.upstreams.rate_limiter = Shut(5)
+            balancer.dispatcher.upstreams.rate_limiter = LimitedConnects(5)
             script.timeout_ms = 0.0
             caller.ask("move", b"x")
             assert (await caller.answer()).status == 200
@@ -111,12 +111,12 @@
     run(work())
 
 
-def test_a_call_that_waits_past_the_grace_of_its_upstreams_drain_is_never_sent() -> None:
+def test_a_call_that_waits_past_the_drain_grace_of_its_upstream_is_never_sent() -> None:
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            balancer.dispatcher.upstreams.rate_limiter = Shut(0)
+            balancer.dispatcher.upstreams.rate_limiter = LimitedConnects(0)
             caller.ask("move", b"x")
             balancer.discovery.change(upstream.entry("a") | {"lifecycle": "leaving"})
             target = balancer.dispatcher.upstreams.targets[1]
@@ -125,7 +125,7 @@
                     balancer.dispatcher.clock.now_ms()
                 ):
                     await asyncio.sleep(0.01)
-            balancer.dispatcher.upstreams.rate_limiter = Shut(5)
+            balancer.dispatcher.upstreams.rate_limiter = LimitedConnects(5)
             assert (await script.ended()).outcome is Outcome.MOOT
             assert not upstream.seen
 
--- a/tests/storms/test_shares.py
+++ b/tests/storms/test_shares.py
@@ -1,4 +1,4 @@
-"""Who is let in: fairness by its definition, order by worth, and nobody never."""
+"""Which requests are admitted: max-min fairness, order by worth, and no group without a share."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 @given(amount=AMOUNTS, wants=WANTS, data=st.data())
 def test_fill_is_weighted_max_min(amount: float, wants: list[float], data: st.DataObject) -> None:
     weights = data.draw(st.lists(st.floats(0.01, 1.0), min_size=len(wants), max_size=len(wants)))
-    given_ = max_min_fair(amount, wants, weights)
-    assert sum(given_) <= min(amount, sum(wants)) * (1 + 1e-9) + 1e-9
-    assert sum(given_) >= min(amount, sum(wants)) * (1 - 1e-6) - 1e-6  # nothing is left lying
-    levels = [got / weight for got, weight in zip(given_, weights, strict=True)]
+    given_amounts = max_min_fair(amount, wants, weights)
+    assert sum(given_amounts) <= min(amount, sum(wants)) * (1 + 1e-9) + 1e-9
+    assert sum(given_amounts) >= min(amount, sum(wants)) * (1 - 1e-6) - 1e-6  # all of it is given out
+    levels = [got / weight for got, weight in zip(given_amounts, weights, strict=True)]
     for at, want in enumerate(wants):
-        assert 0.0 <= given_[at] <= want + 1e-6
-        if given_[at] < want - 1e-6:  # who lacks something has as much as anyone has, by weight
+        assert 0.0 <= given_amounts[at] <= want + 1e-6
+        if given_amounts[at] < want - 1e-6:  # an unfilled demand has the highest level
             assert levels[at] >= max(levels) * (1 - 1e-6) - 1e-6
 
 
@@ -39,22 +39,22 @@
 
 @given(demands())
 @settings(max_examples=300)
-def test_divide_gives_all_there_is_and_nobody_more_than_it_wants(
+def test_divide_gives_out_everything_and_nobody_more_than_it_wants(
     case: tuple[float, list[list[float]], list[float], list[float]],
 ) -> None:
     amount, wants, values, tenant_shares = case
-    given_ = divide(amount, wants, values, tenant_shares, 0.05)
+    given_amounts = divide(amount, wants, values, tenant_shares, 0.05)
     total = sum(map(sum, wants))
-    assert sum(map(sum, given_)) <= min(amount, total) + 1e-6
-    assert sum(map(sum, given_)) >= min(amount, total) * (1 - 1e-6) - 1e-6
-    for row, got in zip(wants, given_, strict=True):
+    assert sum(map(sum, given_amounts)) <= min(amount, total) + 1e-6
+    assert sum(map(sum, given_amounts)) >= min(amount, total) * (1 - 1e-6) - 1e-6
+    for row, got in zip(wants, given_amounts, strict=True):
         for want, item in zip(row, got, strict=True):
             assert -1e-9 <= item <= want + 1e-6
             if want > 1e-6 and amount > 1e-6:
-                assert item > 0.0  # nobody is shut out
+                assert item > 0.0  # every group gets something
 
 
-def test_the_worthier_go_first_and_the_others_are_not_starved() -> None:
+def test_more_worth_goes_first_and_the_rest_does_not_starve() -> None:
     tenant_shares = [0.5, 0.5]
     wants = [[60.0, 60.0], [30.0, 30.0]]
     look, publish = divide(80.0, wants, [1.0, 8.0], tenant_shares, 0.05)
@@ -62,7 +62,7 @@
     assert 15.0 < sum(look) < 21.0
 
 
-def test_a_loud_tenant_of_much_worth_takes_no_part_of_anothers() -> None:
+def test_a_loud_tenant_of_high_worth_takes_nothing_from_the_shares_of_others() -> None:
     tenant_shares = [0.25] * 4
     wants = [[0.0, 20.0, 20.0, 20.0], [500.0, 0.0, 0.0, 0.0]]
     look, publish = divide(80.0, wants, [1.0, 8.0], tenant_shares, 0.05)
@@ -70,7 +70,7 @@
     assert publish[0] < 40.0
 
 
-def test_requests_are_wanted_evenly_by_their_odds() -> None:
+def test_requests_are_preferred_evenly_at_their_ratio() -> None:
     rng = Random(3)
     shares = Shares([1.0, 8.0], [0.6, 0.4], rng)
     came = [0, 0]
@@ -82,13 +82,13 @@
             if tick >= 20:
                 came[cls] += 1
                 wanted[cls] += wants
-        shares.tick(150.0, 0.2)  # 300 come a second, half of them may be let in
+        shares.tick(150.0, 0.2)  # 300 arrive per second, of which half may be admitted
     assert wanted[1] > 0.95 * came[1]
     assert 0.04 * came[0] < wanted[0] < 0.35 * came[0]
     assert 0.42 < sum(wanted) / sum(came) < 0.55
 
 
-def test_who_came_as_told_goes_before_a_first_try_and_who_did_not_behind_a_repeat() -> None:
+def test_returns_on_time_rank_above_first_attempts_and_early_ones_below_repeats() -> None:
     assert (
         WORTH_FACTORS[Kind.PROMISED]
         > WORTH_FACTORS[Kind.FIRST]
@@ -98,7 +98,9 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.booleans()), max_size=400), st.floats(0.0, 100.0))
-def test_barter_changes_who_and_not_how_many(steps: list[tuple[bool, bool]], sent_per_s: float) -> None:
+def test_a_swap_changes_which_requests_are_admitted_and_not_how_many(
+    steps: list[tuple[bool, bool]], sent_per_s: float
+) -> None:
     swap = AdmissionSwap()
     most = max(1.0, AdmissionSwap.MAX_CREDIT_S * sent_per_s) + 1.0
     before = after = 0
@@ -106,17 +108,21 @@
         verdict = swap.decide(let_in, preferred, sent_per_s)
         before += let_in
         after += verdict
-        assert verdict or not (let_in and preferred)  # who is preferred and let in always is
+        assert verdict or not (let_in and preferred)  # preferred and admitted by the limiter: always admitted
         assert not verdict or let_in or preferred
-        assert 0 <= after - before <= most  # lent before it is paid back, never the other way
+        assert 0 <= after - before <= most  # credit is used before it is paid back, never the reverse
 
 
-def test_what_is_back_is_given_as_many_calls_as_were_out_in_good_times() -> None:
+def test_returning_servers_get_as_many_calls_as_were_in_flight_in_calm() -> None:
     recovery = RecoveryWindow()
-    assert recovery.window_after_return(3.0, 0, 4) == 3.0  # nothing is known
+    assert recovery.window_after_return(3.0, 0, 4) == 3.0  # no history yet
     for _ in range(200):
         recovery.observe_calm(500.0, 6.0, 12)
     assert abs(recovery.window_after_return(500.0, 0, 12) - 12.0) < 0.2
-    assert abs(recovery.window_after_return(0.1, 0, 3) - 3.0) < 0.1  # a quarter of them
-    assert abs(recovery.window_after_return(0.1, 2, 40) - 12.0) < 0.2  # more than ever prove nothing more
-    assert recovery.window_after_return(20.0, 2, 12) == 20.0  # it has been steered since the first came back
+    assert abs(recovery.window_after_return(0.1, 0, 3) - 3.0) < 0.1  # a quarter of the servers
+    assert (
+        abs(recovery.window_after_return(0.1, 2, 40) - 12.0) < 0.2
+    )  # more servers than ever do not raise it
+    assert (
+        recovery.window_after_return(20.0, 2, 12) == 20.0
+    )  # the limiter has adjusted it since the first returned
--- a/tests/storms/test_storm_balancer.py
+++ b/tests/storms/test_storm_balancer.py
@@ -1,4 +1,4 @@
-"""The real decisions with the storm before them: any order of events, one final answer each, no more let in."""
+"""The real decisions wrapped by storm handling: any order of events, one final answer each, no more admitted."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         self.now = 1.0
         self.next = 1
         self.classes: dict[int, int] = {}
-        self.open: set[int] = set()  # owed an answer
+        self.open: set[int] = set()  # requests that still need an answer
         self.out: list[tuple[int, int, int]] = []  # request, attempt, server
         self.ends: dict[tuple[int, int], Outcome] = {}
         self.sends: dict[int, int] = {}
@@ -160,7 +160,7 @@
     def nothing_is_kept_of_what_is_over(self) -> None:
         known = set(self.balancer._open)
         owed = self.open | {item[0] for item in self.out}
-        assert known <= owed  # and at most that: bounded by what is open
+        assert known <= owed  # memory is bounded by the open requests
 
     @invariant()
     def no_more_are_out_than_without_but_for_the_credit(self) -> None:
@@ -178,9 +178,8 @@
 TestStorms.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def test_in_calm_every_verdict_is_the_decisions_own() -> None:
-    """Side by side with decisions that nothing stands before, and the same chance: the same actions, word for word
-    but for the wait that is advised."""
+def test_in_calm_the_actions_are_those_of_the_wrapped_decisions() -> None:
+    """Next to unwrapped decisions with the same seed: the same actions."""
     wrapped = StormBalancer(Balancer(figures(), 5), Storm(figures(), 5), lambda number: number)
     plain = Balancer(figures(), 5)
     entries = [ServerEntry(n) for n in range(4)]
@@ -200,7 +199,7 @@
     assert wrapped.storm.state is State.CALM and wrapped.storm.turned_away == 0
 
 
-def test_an_inner_tier_turns_nobody_away() -> None:
+def test_an_inner_tier_refuses_nobody() -> None:
     balancer = Balancer(figures(tier=1, tiers=2), 5)
     StormBalancer(balancer, Storm(figures(tier=1, tiers=2), 5), lambda number: number)
     assert balancer.limiter.arbiter is None
