--- a/larkweir/storms/admission_swap.py
+++ b/larkweir/storms/admission_swap.py
@@ -1,4 +1,4 @@
-"""Which requests are admitted in a storm, and how far the window opens when servers return.
+"""Swaps admitted requests for preferred ones in a storm, and sets the window when servers return.
 
 The concurrency window alone decides how many requests are admitted (`larkweir_balancing/concurrency_limiter.py`). A
 second limit in front of it leaves the window unfilled, and an unfilled window never grows: measured, that cost two
@@ -52,7 +52,9 @@
     """
 
     MEAN_SPAN_MS = 10_000.0  # time constant of the mean
-    IN_FLIGHT_FACTOR = 2.0  # times the mean: one call in progress and one queued for each in progress before
+    IN_FLIGHT_FACTOR = (
+        2.0  # times the mean: one call in progress and one queued for each that was in progress
+    )
     MIN_WINDOW = 0.5
 
     def __init__(self) -> None:
--- a/larkweir/storms/shares.py
+++ b/larkweir/storms/shares.py
@@ -1,6 +1,6 @@
 """Decides which requests to prefer when not all can be admitted.
 
-The order is by worth, with first attempts before repeats and fairness among tenants; no group gets nothing. Requests
+The order is by worth, with first attempts before repeats and fairness among tenants, and no group starves. Requests
 are grouped by class, kind (`Kind`) and tenant. Once per tick the admitted rate is divided over the demand: first each
 tenant's requests up to the tenant's share, by descending worth; then the remainder over the other requests in the
 same order; and a small share is reserved for groups that would get nothing. Where a class and kind can't be served
@@ -33,8 +33,8 @@
 def max_min_fair(amount: float, wants: Sequence[float], weights: Sequence[float]) -> list[float]:
     """Divide `amount` by weighted max-min fairness.
 
-    Nobody gets more than it wants. Nobody could get more without a reduction for another whose amount per weight
-    is not larger.
+    No entry gets more than it wants. An entry could only get more if another entry with the same or a smaller amount
+    per weight got less.
     """
     given = [0.0] * len(wants)
     if amount >= sum(wants):
--- a/larkweir/storms/signs.py
+++ b/larkweir/storms/signs.py
@@ -116,26 +116,23 @@
     MIN_CALLS = 4.0  # fewer calls than this give no share
     SHORT_SPAN_TARGETS, LONG_MS = 2.5, 60_000.0  # short span, in latency targets; long span
     MIN_SHORT_MS, MAX_SHORT_MS = 500.0, 5_000.0  # limits of the short span
-    TROUBLE_SHARE, EASE_SHARE = (
-        0.25,
-        0.1,
-    )  # share of failed or late calls that starts trouble, and that ends it
+    TROUBLE_SHARE, EASE_SHARE = 0.25, 0.1  # shares of failed or late calls that start and end trouble
     USUAL_FACTOR = 1.5  # trouble also exceeds this many times the usual share
     SURGE_FACTOR = 1.5  # a tenant stirs above this many times its usual rate
     MIN_RISE = 3.0  # requests in the short span by which a rate must rise at least
     REPEAT_RISE = 0.2  # a tenant stirs if its share of retries is higher than usual by this
     # There is stirring if tenants with this share of the usual traffic stir: one loud tenant is no storm.
     MIN_STIRRING_SHARE = 1.0 / 3.0
-    WEAK_SHARE = 0.1  # the tier is weak above this share of cold servers among the ready ones
-    LOST_SHARE = 0.5  # the tier is weak below this share of the servers that were ready before
-    FLOOD_FACTOR, MIN_FLOOD_RISE = 4.0, 30.0  # factor on the usual rate of connections, and count above it
+    WEAK_SHARE = 0.1  # the tier is weak if a larger share of its ready servers is cold or just back
+    LOST_SHARE = 0.5  # the tier is weak if a smaller share of the usual number of servers is ready
+    # A flood exceeds the usual rate of connections by this factor and count.
+    FLOOD_FACTOR, MIN_FLOOD_RISE = 4.0, 30.0
 
     def __init__(self, classes: Sequence[RequestClass], tenants: int) -> None:
         aim = min(cls.aim_ms for cls in classes)
         short = self.short_ms = max(self.MIN_SHORT_MS, min(self.MAX_SHORT_MS, self.SHORT_SPAN_TARGETS * aim))
-        self._rates = [
-            Rate(short, self.LONG_MS) for _ in range(tenants + 1)
-        ]  # the last is for all other tenants
+        # The last rate and share are for all tenants that the settings do not name.
+        self._rates = [Rate(short, self.LONG_MS) for _ in range(tenants + 1)]
         self._repeats = [EventShare(short) for _ in range(tenants + 1)]
         self.calls = EventShare(short)  # share that failed or was late
         self.connections = Rate(short, self.LONG_MS)
--- a/larkweir/storms/storm.py
+++ b/larkweir/storms/storm.py
@@ -23,9 +23,8 @@
 from larkweir.storms.shares import Kind, Shares
 from larkweir.storms.signs import DecayedSum, Signs, State, StormStateMachine
 
-UNINFORMATIVE_OUTCOMES = frozenset(
-    (Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED)
-)  # say nothing about the tier
+# Outcomes that say nothing about the state of the tier.
+UNINFORMATIVE_OUTCOMES = frozenset((Outcome.CANCELLED, Outcome.MOOT, Outcome.REJECTED))
 
 
 class Window(Protocol):
@@ -47,6 +46,8 @@
 
 
 class Storm:
+    """The storm handling of one balancer."""
+
     USUAL_FACTOR = 1.25  # times the usual rate, which a busy hour may reach
     TICK_TARGET_SHARE = 0.5  # tick interval, as a share of the tightest latency target
     MIN_TICK_MS, MAX_TICK_MS = 50.0, 500.0
@@ -80,9 +81,8 @@
         self.usual_share = 1.0
         self.has_refused = False  # the balancer has refused a request since the last tick
         self._sent = DecayedSum(max(self._aim_ms, 250.0))
-        self._unscheduled = DecayedSum(
-            self.signs.short_ms
-        )  # admitted requests whose clients were not asked to return
+        # Admitted requests whose clients were not asked to return.
+        self._unscheduled = DecayedSum(self.signs.short_ms)
         self._in_flight_sum = self._in_flight_count = (
             0  # calls in flight at each new call since the last tick
         )
--- a/tests/budget/test_hop_budget.py
+++ b/tests/budget/test_hop_budget.py
@@ -118,13 +118,13 @@
 def test_the_cost_of_an_attempt_by_its_outcome() -> None:
     """At the last tier, and further up with and without a report from below."""
 
-    def left(tier: int, outcome: Outcome, told: bytes | None = None) -> int:
+    def left(tier: int, outcome: Outcome, reported: bytes | None = None) -> int:
         hop_budget, _, _ = arrive(chain(tier=tier, divide="half"), X_Budget=b"4")
         assert isinstance(hop_budget, HopBudget) and hop_budget.grant(0, 4, 0.0)
         answer = None
-        if told is not None:
+        if reported is not None:
             answer = Message()
-            answer.headers = [(b"X-Budget-Spent", told)]
+            answer.headers = [(b"X-Budget-Spent", reported)]
         hop_budget.settle(0, outcome, answer, 5.0)
         hop_budget.settle(0, outcome, answer, 6.0)  # a second report
         return hop_budget.left
@@ -217,25 +217,25 @@
     name = b"X-Capture"
 
     def __init__(self) -> None:
-        self.said: list[Any] = []
+        self.calls: list[Any] = []
 
     def baggage_for(
         self, came: bytes | None, trace: bytes, event: RequestArrived, now_ms: float
     ) -> RecordingPropagator:
-        self.said.append(("came", came, trace))
+        self.calls.append(("came", came, trace))
         return self
 
     def down(self) -> bytes:
         return b"down"
 
     def on_answer(self, text: bytes | None, ran: bool) -> None:
-        self.said.append(("told", text, ran))
+        self.calls.append(("reported", text, ran))
 
     def up(self) -> bytes:
         return b"up"
 
     def closed(self, status: int) -> None:
-        self.said.append(("closed", status))
+        self.calls.append(("closed", status))
 
 
 def test_the_header_of_another_component_is_carried_both_ways_for_trusted_peers() -> None:
@@ -243,7 +243,7 @@
         it, propagator = chain(), RecordingPropagator()
         it.carry(propagator)
         hop_budget, message, _ = arrive(it, peer, X_Capture=b"it", X_Other=b"kept")
-        assert message.headers == [(b"X-Other", b"kept")] and propagator.said == [("came", came, b"")]
+        assert message.headers == [(b"X-Other", b"kept")] and propagator.calls == [("came", came, b"")]
         assert isinstance(hop_budget, HopBudget)
         grant = hop_budget.grant(0, 4, 0.0)
         assert grant is not None and dict(grant)[b"X-Capture"] == b"down"
@@ -251,7 +251,7 @@
         answer.headers = [(b"x-capture", b"back")]
         hop_budget.settle(0, Outcome.OK, answer, 1.0)
         assert [value for name, value in hop_budget.closing(200) if name == b"X-Capture"] == up
-        assert propagator.said[1:] == [("told", b"back", True), ("closed", 200)]
+        assert propagator.calls[1:] == [("reported", b"back", True), ("closed", 200)]
         assert it.own == (b"x-budget", b"x-capture")
 
 
@@ -263,7 +263,7 @@
     for attempt, outcome in enumerate((Outcome.TIMEOUT, Outcome.CONNECT_FAILED)):
         assert hop_budget.grant(attempt, 4, 0.0) is not None
         hop_budget.settle(attempt, outcome, None, 1.0)
-    assert propagator.said[1:] == [("told", None, True), ("told", None, False)]
+    assert propagator.calls[1:] == [("reported", None, True), ("reported", None, False)]
     refused, _, _ = arrive(it, X_Budget_Path=b"a, tier-0")
     assert isinstance(refused, list) and (b"X-Capture", b"up") in refused
-    assert propagator.said[-1] == ("closed", 503)
+    assert propagator.calls[-1] == ("closed", 503)
--- a/tests/budget/test_rules.py
+++ b/tests/budget/test_rules.py
@@ -65,17 +65,17 @@
     def settle(self, data: st.DataObject, how: str) -> None:
         at, attempt = data.draw(st.sampled_from(sorted(self.attempts)))
         account, depth, _ = self.nodes[at]
-        told = None
+        reported = None
         if depth < self.tiers - 1:
             child = next(node for node, _, parent in self.nodes if parent == (at, attempt))
-            told = child.reported
+            reported = child.reported
             child.left = 0  # it has answered, and begins no further attempts
         if how in ("told", "twice"):
-            account.settle(attempt, told, never_ran=False)
+            account.settle(attempt, reported, never_ran=False)
         elif how == "more":
-            account.settle(attempt, (told or 0) + 5, never_ran=False)
+            account.settle(attempt, (reported or 0) + 5, never_ran=False)
         elif how == "forged":
-            account.settle(attempt, None if told is None else max(told, 10**9), never_ran=False)
+            account.settle(attempt, None if reported is None else max(reported, 10**9), never_ran=False)
         else:
             account.settle(attempt, None, never_ran=False)
         if how == "twice":
@@ -179,9 +179,8 @@
         for worth in passed:
             passed[worth] += gate.admits(worth)
     assert passed[8.0] == 400
-    assert (
-        100 <= passed[1.0] <= 140
-    )  # 7 of 10 refused: twice the pressure above 0.1, as half of all requests are of this worth
+    # 7 of 10 are refused: twice the excess of the pressure over 0.1, as half of all requests are of this worth.
+    assert 100 <= passed[1.0] <= 140
     gate.pressure = 1.0
     kept = sum(gate.admits(1.0) + 0 * gate.admits(8.0) for _ in range(400))
     assert 30 <= kept <= 60  # one in ten is admitted at any pressure
--- a/tests/storms/test_advice.py
+++ b/tests/storms/test_advice.py
@@ -24,9 +24,8 @@
     # 1,000 clients at a spare rate of 40 per second need 25 s.
     assert 20_000.0 < waits[-1] < 27_000.0
     inside = [sum(at <= wait < at + 1000.0 for wait in waits) for at in range(0, 20_000, 1000)]
-    assert (
-        max(inside) < 200
-    )  # no second gets a fifth of the clients, though the first waits were chosen without the others
+    # No second gets a fifth of the clients, though the first waits were chosen without knowledge of the others.
+    assert max(inside) < 200
 
 
 def test_a_client_keeps_its_position_from_retry_to_retry() -> None:
--- a/tests/storms/test_gate.py
+++ b/tests/storms/test_gate.py
@@ -46,7 +46,7 @@
                         answer = await caller.answer()
                         assert answer.status == 503
                         waits.setdefault(f"o{n}", []).append(float(answer.headers["retry-after"]))
-            firsts = [word[0] for word in waits.values()]
+            firsts = [times[0] for times in waits.values()]
             assert len(set(firsts)) == 12 and min(firsts) > 0.0 and max(firsts) <= 2.0
             for first, second, third in waits.values():  # the client returns early each time
                 assert first <= second <= third <= 2.0
--- a/tests/storms/test_shares.py
+++ b/tests/storms/test_shares.py
@@ -120,9 +120,7 @@
         recovery.observe_calm(500.0, 6.0, 12)
     assert abs(recovery.window_after_return(500.0, 0, 12) - 12.0) < 0.2
     assert abs(recovery.window_after_return(0.1, 0, 3) - 3.0) < 0.1  # a quarter of the servers
-    assert (
-        abs(recovery.window_after_return(0.1, 2, 40) - 12.0) < 0.2
-    )  # more servers than ever do not raise it
-    assert (
-        recovery.window_after_return(20.0, 2, 12) == 20.0
-    )  # the limiter has adjusted it since the first returned
+    # More servers than ever before do not raise it.
+    assert abs(recovery.window_after_return(0.1, 2, 40) - 12.0) < 0.2
+    # The limiter has adjusted it since the first server returned.
+    assert recovery.window_after_return(20.0, 2, 12) == 20.0
