--- a/larkweir/door/part.py
+++ b/larkweir/door/part.py
@@ -1,4 +1,4 @@
-"""The door's place in a balancer."""
+"""Attaches load shedding to a balancer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Host(Protocol):
-    """What it needs of the balancer."""
+    """The attributes of the balancer that this part uses."""
 
     config: Config
     clock: Clock
@@ -25,8 +25,8 @@
 
 def attach(host: Host, options: Operator) -> None:
     config = host.config
-    known, say = host.request_handler.is_known, host.log.write
+    is_taken, log = host.request_handler.is_known, host.log.write
     host.request_handler.load_shedder = guard = Guard(
-        options.door, config.settings, host.clock, config.seed, known, say
+        options.door, config.settings, host.clock, config.seed, is_taken, log
     )
     host.configure_callbacks.append(lambda config, options: guard.configure(config.settings))
