--- a/larkweir/cluster/configuration/compression.py
+++ b/larkweir/cluster/configuration/compression.py
@@ -10,7 +10,8 @@
 from larkweir.cluster.messages import MAX_LINE_BYTES, CompressedConfigUpdate, ConfigUpdate
 
 DEFLATE = "deflate"  # the zlib format (RFC 1950), which has this name in HTTP
-LEVEL = zlib.Z_BEST_SPEED  # it blocks the event loop, and higher levels shrink a list of routes hardly more
+# Compression blocks the event loop, and higher levels hardly make a list of routes any smaller.
+LEVEL = zlib.Z_BEST_SPEED
 
 
 class CompressionError(LarkweirError, ValueError):
--- a/larkweir/cluster/configuration/schema.py
+++ b/larkweir/cluster/configuration/schema.py
@@ -10,9 +10,8 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-MAX_GENERATION = (
-    2**53 - 1
-)  # the largest integer that every JSON parser represents exactly (RFC 8259, section 6)
+# The largest integer that every JSON parser represents exactly (RFC 8259, section 6).
+MAX_GENERATION = 2**53 - 1
 MAX_DURATION_MS = 86_400_000.0  # a day
 MAX_WEIGHT = 1e9
 MAX_ATTEMPTS = 1_000
--- a/larkweir/cluster/http_server.py
+++ b/larkweir/cluster/http_server.py
@@ -61,9 +61,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Configure the socket; called by the event loop."""
-        transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports do not subclass asyncio.Transport
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS)
 
--- a/larkweir/cluster/links.py
+++ b/larkweir/cluster/links.py
@@ -62,9 +62,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Configure the socket and call `on_made`; called by the event loop."""
-        transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports do not subclass asyncio.Transport
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=IDLE_TIMEOUT_MS)
         if self._on_made is not None:
--- a/larkweir/cluster/periodic_tasks.py
+++ b/larkweir/cluster/periodic_tasks.py
@@ -10,7 +10,7 @@
 from larkweir.cluster import log
 from larkweir.cluster.tasks import log_failure
 
-PAUSE_MS = 700.0  # a tick that is this late means that the process was paused
+PAUSE_MS = 700.0  # a tick this long after the previous one means that the process was paused
 MIN_RETRY_MS = 1_000.0  # delay after a failure; doubled after each further failure in a row
 MAX_RETRY_MS = 8_000.0
 
--- a/larkweir/cluster/tasks.py
+++ b/larkweir/cluster/tasks.py
@@ -66,7 +66,7 @@
 
 
 async def wait_unless_failed(event: asyncio.Event, essential: asyncio.Task[None]) -> None:
-    """Wait for an event while a task runs without which the process can't run.
+    """Wait for an event, unless an essential task ends first: the process can't run without that task.
 
     Raises:
         EssentialTaskError: the task ended before the event was set.
--- a/larkweir/router/attempt.py
+++ b/larkweir/router/attempt.py
@@ -138,7 +138,10 @@
             self.on_first_event(now_ms)
 
     def on_first_event(self, now_ms: float) -> None:
-        """Record that the upstream has prefilled the prompt; an engine's token is returned now."""
+        """Record that the upstream has prefilled the prompt.
+
+        An engine's token is returned now. Those of other upstreams are returned at the end of the attempt.
+        """
         self._cancel_timer()
         tokens = self.prefill_tokens + self.queued_tokens
         self._selector.prefill_time.observe(tokens, now_ms - self._sent_ms)
--- a/larkweir/router/attempt_samples.py
+++ b/larkweir/router/attempt_samples.py
@@ -25,7 +25,7 @@
 class AttemptSamples:
     """The samples of one attempt. Times are milliseconds on the event loop's clock.
 
-    If its service has no running roll-out, the attempt is little more than counted as in flight.
+    If its service has no running roll-out, the attempt is only counted as in flight.
     """
 
     def __init__(self, samples: RolloutSamples, admission: Admission, key: SampleKey) -> None:
--- a/larkweir/router/client_connection.py
+++ b/larkweir/router/client_connection.py
@@ -51,7 +51,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait for the first request: the client has connected."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._transport = transport
         transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS)
--- a/larkweir/router/client_request.py
+++ b/larkweir/router/client_request.py
@@ -81,10 +81,10 @@
         return self.target.decode("latin-1").partition("?")[0]
 
     def prompt(self, target_ms: float) -> Prompt:
-        """The prompt that an engine has to prefill. The last block of its prefix gives the prefix its name.
+        """The prompt that an engine has to prefill.
 
-        The last block of `X-Prompt-Prefix` belongs to this request or its session alone; the blocks before it are
-        the prefix, which other requests may share.
+        Its prefix, which other requests may share, consists of all blocks of `X-Prompt-Prefix` but the last: that one
+        belongs to this request or its session alone. The prefix has the id of its own last block.
 
         Args:
             target_ms: the latency target of the first event, in milliseconds.
--- a/larkweir/router/controller_links.py
+++ b/larkweir/router/controller_links.py
@@ -10,7 +10,8 @@
 from larkweir.cluster.messages import Message, PlacementRequest
 from larkweir.cluster.settings import Settings
 
-# In a row, about a minute. Then a node is dropped unless it is a seed or some controller lists it.
+# Consecutive failed dials (in less than a minute) after which a node is dropped, unless it is a seed or is listed by a
+# controller.
 MAX_FAILED_DIALS = 60
 
 
@@ -27,7 +28,7 @@
         """Create the object without dialing. `keep_alive` dials.
 
         Args:
-            settings: contain the seeds and the controllers' port.
+            settings: the settings, with the seeds and the controllers' port.
             on_message: called with each message received.
             on_connected: called with each new connection, to send the first messages on it.
             on_disconnected: called with the node whose connection has ended.
--- a/larkweir/router/data_plane.py
+++ b/larkweir/router/data_plane.py
@@ -32,7 +32,7 @@
 
 
 class DataPlane:
-    """The state that exchanges use. Everything runs in one event loop, so it only changes between their steps."""
+    """The state that exchanges use. All exchanges run in one event loop: it changes only between their steps."""
 
     def __init__(self, bounds: Bounds, rng: Random, link_mbps: float = 1_000.0) -> None:
         """Create the state, without a configuration or upstreams.
@@ -61,7 +61,7 @@
         self.connections: set[OpenConnection] = set()
         self.stopping = False
         self.error_counts: dict[ErrorKind, int] = dict.fromkeys(ErrorKind, 0)
-        # Notifies the controllers of a long prompt at once. Set by the owner of the links to them.
+        # Notifies the controllers of a long prompt at once. `FleetSync` sets it.
         self.announce_backlog: Callable[[], None] = lambda: None
 
     def is_engine(self, service: str) -> bool:
--- a/larkweir/router/exchange.py
+++ b/larkweir/router/exchange.py
@@ -376,7 +376,7 @@
         self._finish()
 
     def fail(self, error: Exception) -> None:
-        """Respond with 500 after an unexpected exception, and release all resources of the request."""
+        """Respond with 500, or abort a started response, after an unexpected exception; release all resources."""
         log_failure("exchange_failed", error, id=self._request.header(b"x-request-id").decode("latin-1"))
         if not self._is_done:
             has_started = self._relay.has_started
--- a/larkweir/router/graceful_shutdown.py
+++ b/larkweir/router/graceful_shutdown.py
@@ -9,7 +9,7 @@
 
 # The platform checks readiness every second, and sends new connections until two checks have failed.
 ACCEPT_GRACE_S = 2.6
-LAST_REQUEST_TIMEOUT_S = 0.2  # time for the request on a connection that was accepted last to arrive
+LAST_REQUEST_TIMEOUT_S = 0.2  # time for the request on the last accepted connection to arrive
 # Event loop iterations in which connections that are queued in the kernel are still accepted.
 FINAL_ACCEPT_ITERATIONS = 3
 SHUTDOWN_MARGIN_S = 0.4  # reserved at the end of the grace period for the process to exit
--- a/larkweir/router/prefix_affinity.py
+++ b/larkweir/router/prefix_affinity.py
@@ -12,7 +12,8 @@
 from larkweir.cluster.messages import PlacementRequest, PlacementResponse
 from larkweir.router.response_timeout import ResponseTimeout
 
-# A controller responds in a few milliseconds. Without a response, rendezvous hashing of the prefix selects the engine.
+# A controller responds in a few milliseconds. Without a response, the last known owner is used if it is ready;
+# otherwise rendezvous hashing of the prefix selects the engine.
 CONTROLLER_TIMEOUT_S = 0.04
 OWNER_TTL_MS = 30_000.0  # then the controller is asked again, which also renews its own entry
 MAX_PREFIXES = 16_384  # the prefix with the oldest response is evicted first
--- a/larkweir/router/rollout_tracks.py
+++ b/larkweir/router/rollout_tracks.py
@@ -20,7 +20,9 @@
 from larkweir_rollouts.canary import canary_upstreams
 from larkweir_rollouts.state import Rollout, RolloutState
 
-ORDER_WAIT_MS = 10_000.0  # how long the upstreams of a new version wait for an order that names it
+# After a completed roll-out, the upstreams of a version that appears later stay on the track `OTHERS` for this long, as
+# an order for that version may still arrive.
+ORDER_WAIT_MS = 10_000.0
 
 
 class Track(StrEnum):
--- a/larkweir/router/upstream_connection.py
+++ b/larkweir/router/upstream_connection.py
@@ -66,7 +66,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Prepare the connection for calls."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's transports are no subclass of it
+        transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._transport = transport
         set_tcp_options(transport, user_timeout_ms=USER_TIMEOUT_MS, keepalive=True)
 
--- a/larkweir/router/usage_statuses.py
+++ b/larkweir/router/usage_statuses.py
@@ -80,9 +80,10 @@
         self._tables.pop(controller, None)
 
     def level(self, tenant: str, limit: RateLimit, processes: int, now_ms: float) -> float | None:
-        """Return the level left for this router, multiplied by `processes`, by the strictest usage table.
+        """Return what is left of this router's equal part of the tenant's level, multiplied by `processes`.
 
-        Returns None if no usage table has answered within `STATUS_VALID_MS`.
+        The lowest result of all usage tables that have answered within `STATUS_VALID_MS` counts. Returns None if there
+        is no such table.
         """
         levels = [
             self._level_from(table, tenant, limit, processes, now_ms)
--- a/larkweir/system/demo.py
+++ b/larkweir/system/demo.py
@@ -176,7 +176,7 @@
             "larkweir.system",
             role,
             env={**os.environ, ENVIRONMENT_VARIABLE: str(path)},
-            stdout=asyncio.subprocess.DEVNULL,  # so that the demonstration's own output ends with it
+            stdout=asyncio.subprocess.DEVNULL,  # a child must not keep the demonstration's standard output open
             stderr=log,
         )
         self.processes.append(process)
--- a/larkweir/system/operator_commands.py
+++ b/larkweir/system/operator_commands.py
@@ -149,8 +149,8 @@
     journal = Journal(FolderFiles(os.path.join(folder, "replica")))
     newest = journal.newest
     if newest is None or newest.snapshot is None:
-        found_instead = "the journal is damaged" if journal.is_damaged else "there is no intact record"
-        click.echo(f"{folder}: {found_instead}, {journal.unreadable_bytes} bytes can't be read", err=True)
+        problem = "the journal is damaged" if journal.is_damaged else "there is no intact record"
+        click.echo(f"{folder}: {problem}, {journal.unreadable_bytes} bytes can't be read", err=True)
         sys.exit(EXIT_DAMAGED)
     found = {
         "promised": newest.promised.number,
