--- a/larkweir/router/fleet_sync.py
+++ b/larkweir/router/fleet_sync.py
@@ -31,7 +31,8 @@
 from larkweir.router.data_plane import DataPlane
 from larkweir.router.router_count import RouterCount
 
-INITIAL_SYNC_TIMEOUT_MS = 400.0  # after the first configuration, in case another controller has a newer one
+# How long the router waits, after its first configuration, for other controllers, which may have a newer one.
+INITIAL_SYNC_TIMEOUT_MS = 400.0
 
 
 class PullExtras(Flag):
--- a/larkweir/router/router_count.py
+++ b/larkweir/router/router_count.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
-RETENTION_MS = 10_000.0  # of the highest count; a controller that has just started knows only a few routers
-MIN_REPORTING_MS = 2_000.0  # after the first report; a fleet that started together is connected by then
+# How long the highest count is kept. A controller that has just started knows only a few routers.
+RETENTION_MS = 10_000.0
+# How long after the first report the count is reliable. A fleet that started together is connected by then.
+MIN_REPORTING_MS = 2_000.0
 
 
 class RouterCount:
