--- a/larkweir/cluster/configuration/changes.py
+++ b/larkweir/cluster/configuration/changes.py
@@ -85,7 +85,7 @@
     try:
         body = msgspec.json.decode(change.body)
     except msgspec.DecodeError as error:
-        return _invalid(f"the body is not valid JSON: {error}")
+        return _invalid(f"the body is no JSON: {error}")
     if not isinstance(body, dict):
         return _invalid("the body is no object")
     generation = body.get("generation")
@@ -99,7 +99,7 @@
         except PatchError as error:
             return _invalid(str(error))
     if ROLLOUTS_KEY in body:
-        return _invalid(f"{ROLLOUTS_KEY}: a configuration must not contain roll-outs")
+        return _invalid(f"{ROLLOUTS_KEY}: roll-outs are no part of a configuration")
     from larkweir.cluster.configuration.schema import (
         first_problem,
     )  # imported late, as pydantic is slow to import
--- a/larkweir/cluster/configuration/documents.py
+++ b/larkweir/cluster/configuration/documents.py
@@ -28,7 +28,7 @@
     """
     upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
-        raise PatchError("upsert and remove must be objects of lists")
+        raise PatchError("upsert and remove are objects of lists")
     result = {**document, **{key: value for key, value in patch.items() if key not in ("upsert", "remove")}}
     for key in {*upsert, *remove}:
         if key in COLLECTIONS:
@@ -36,19 +36,19 @@
         elif key in upsert:
             result[key] = upsert[key]
         else:
-            raise PatchError(f"remove: {key} is not a list of named items")
+            raise PatchError(f"remove: {key} is no list of named items")
     return result
 
 
 def _apply_to_items(items: object, upsert: object, remove: object, key: str) -> list[Any]:
     if not isinstance(remove, list):
-        raise PatchError(f"{key}: must be a list")
+        raise PatchError(f"{key}: a list is needed")
     before = _named_items(items, key)
     added = {item["name"]: item for item in _named_items(upsert, key)}
     removed = set()
     for name in remove:
         if not isinstance(name, str):
-            raise PatchError(f"{key}: names of removed items must be strings")
+            raise PatchError(f"{key}: what is removed is named by text")
         removed.add(name)
     remaining = [added.pop(item["name"], item) for item in before if item["name"] not in removed]
     return remaining + list(added.values())
@@ -56,10 +56,10 @@
 
 def _named_items(items: object, key: str) -> list[dict[str, Any]]:
     if not isinstance(items, list):
-        raise PatchError(f"{key}: must be a list")
+        raise PatchError(f"{key}: a list is needed")
     for item in items:
         if not isinstance(item, dict) or not isinstance(item.get("name"), str):
-            raise PatchError(f"{key}: each item must be an object with a name")
+            raise PatchError(f"{key}: each item is an object with a name")
     return items
 
 
--- a/larkweir/cluster/configuration/schema.py
+++ b/larkweir/cluster/configuration/schema.py
@@ -65,9 +65,9 @@
     @model_validator(mode="after")
     def _check_backends(self) -> Route:
         if self.traffic_split is not None and sum(part.weight for part in self.traffic_split) <= 0:
-            raise ValueError(f"route {self.name}: the weights of traffic_split sum to 0")
+            raise ValueError(f"route {self.name}: its weights sum to 0")
         if not self.backends:
-            raise ValueError(f"route {self.name}: no service is given")
+            raise ValueError(f"route {self.name}: it names no service")
         return self
 
 
@@ -127,7 +127,7 @@
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            raise ValueError(f"duplicate {what}: {name}")
+            raise ValueError(f"two of one {what}: {name}")
         seen.add(name)
     return seen
 
--- a/larkweir/controller/replica_driver.py
+++ b/larkweir/controller/replica_driver.py
@@ -232,5 +232,5 @@
         case CommandOutcome.UNKNOWN:
             return UNKNOWN
         case CommandOutcome.TOO_OLD:
-            detail = "the change builds on a version too old to tell whether it was already applied"
+            detail = "it builds on a version too old to tell whether it was taken"
             return Rejected(COMMAND_TOO_OLD_STATUS, detail)
--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -172,7 +172,7 @@
 
     def _send(self, request: Request, server: Server) -> None:
         if not request.can_send_to(server, self.now_ms):
-            raise AssertionError("the request may not be sent to this server")
+            raise AssertionError("a send that legality forbids")
         request.wake_ms = math.inf
         self.slow_start.spend(server, self.now_ms)
         idle = self.connections.idle_ms(server, self.now_ms)
@@ -524,7 +524,7 @@
         """
         old, new = self.settings, event.settings
         if problem := fixed_difference(old, new):
-            raise ContractError(f"{problem} can't change at run time")
+            raise ContractError(f"{problem} can't change in service")
         self.settings = self.outliers.settings = self.selector.settings = self.load_probing.settings = new
         for part in (self.connections, self.limiter, self.queue, self.client_stats):
             part.configure(new)
--- a/packages/rollouts/src/larkweir_rollouts/orders.py
+++ b/packages/rollouts/src/larkweir_rollouts/orders.py
@@ -58,7 +58,7 @@
         return rollouts if _is_repeat(current, order) else _replace(rollouts, _with_withdrawn(current, order))
     if current.is_running:
         return OrderConflict(
-            f"a roll-out of {current.service} to {current.target_version} is running; order another after it has ended"
+            f"a roll-out of {current.service} to {current.target_version} is running; it ends before another is ordered"
         )
     return _replace(rollouts, _with_withdrawn(current, order))
 
--- a/packages/rollouts/src/larkweir_rollouts/schedule.py
+++ b/packages/rollouts/src/larkweir_rollouts/schedule.py
@@ -146,7 +146,7 @@
         return f"{view.verdict.target_answers} answers of the target, {needed} needed"
     expected = _expected_in_flight(view)
     if view.totals.target.in_flight > MAX_IN_FLIGHT_FACTOR * expected + MAX_IN_FLIGHT_MARGIN:
-        return f"{view.totals.target.in_flight} requests in flight at the target, {expected:.0f} expected"
+        return f"{view.totals.target.in_flight} requests under way at the target, {expected:.0f} usual"
     return ""
 
 
