--- a/larkweir/routes/pools.py
+++ b/larkweir/routes/pools.py
@@ -26,7 +26,10 @@
 
 def settings_of(pool: Pool, settings: Settings, main: bool) -> Settings:
     """The platform's settings with those of the pool. A pool can't raise the number of attempts, nor the pace of slow
-    start above the limit that `fall_multiple` sets."""
+    start above the limit that `fall_multiple` sets. A pool may not loosen the settings that the balancer's guarantees
+    depend on: one final answer in time for each request, another attempt only where the request's class allows it, no
+    new requests to a draining server, and no overload of a server that has just started.
+    """
     tuning = settings.tuning
     if pool.ratio is not None:
         tuning = replace(tuning, retry_ratio=pool.ratio)
