--- a/larkweir/controller/committed_rollouts.py
+++ b/larkweir/controller/committed_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts of the newest committed configuration: when each entered its current state and how long it has run."""
+"""Roll-outs of the newest committed configuration: when each entered its current state and how long it has run."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CommittedRollout:
-    """One committed rollout.
+    """One committed roll-out.
 
     Attributes:
         rollout: the committed state.
-        sequence: sequence number of the first configuration that contains the rollout in this state.
-        ordered_ms: when the rollout was ordered, by the monotonic clock of this process.
+        sequence: sequence number of the first configuration that contains the roll-out in this state.
+        ordered_ms: when the roll-out was ordered, by the monotonic clock of this process.
         is_estimate: `ordered_ms` was computed from the wall clock.
         is_learned_late: this process may have learned of the order some time after it was placed.
     """
@@ -40,7 +40,7 @@
 
 
 class CommittedRollouts:
-    """The committed rollouts that this controller knows of, by service.
+    """The committed roll-outs that this controller knows of, by service.
 
     Times are milliseconds of the monotonic clock, except `unix_ms`, which is wall-clock time.
 
@@ -50,7 +50,7 @@
     """
 
     def __init__(self) -> None:
-        """Starts without any rollouts."""
+        """Starts without any roll-outs."""
         self._by_service: dict[str, CommittedRollout] = {}
         self._outdated_until_ms = math.inf
 
@@ -60,7 +60,7 @@
             self._outdated_until_ms = now_ms + CATCH_UP_MS
 
     def update(self, document: Document, sequence: int, now_ms: float, unix_ms: float) -> None:
-        """Records the rollouts of a newly committed configuration. `unix_ms`: the wall-clock time."""
+        """Records the roll-outs of a newly committed configuration. `unix_ms`: the wall-clock time."""
         is_late = now_ms < self._outdated_until_ms
         if self._outdated_until_ms == math.inf:
             self._outdated_until_ms = now_ms + CATCH_UP_MS
@@ -79,7 +79,7 @@
             )
 
     def ages(self, now_ms: float) -> dict[str, RolloutAge]:
-        """Returns the ages of running rollouts by service, except those that are estimates."""
+        """Returns the ages of running roll-outs by service, except those that are estimates."""
         return {
             known.rollout.service: RolloutAge(known.rollout.order_id, max(0.0, now_ms - known.ordered_ms))
             for known in self.running()
@@ -100,19 +100,19 @@
                 self._by_service[service] = replace(known, ordered_ms=ordered_ms, is_estimate=False)
 
     def of(self, service: str) -> Rollout | None:
-        """Returns the latest rollout of a service; None if it has had none."""
+        """Returns the latest roll-out of a service; None if it has had none."""
         found = self._by_service.get(service)
         return found.rollout if found is not None else None
 
     def all(self) -> list[CommittedRollout]:
-        """Returns the latest rollout of each service that has had one."""
+        """Returns the latest roll-out of each service that has had one."""
         return list(self._by_service.values())
 
     def running(self) -> list[CommittedRollout]:
-        """Returns the rollouts that are neither completed nor rolled back."""
+        """Returns the roll-outs that are neither completed nor rolled back."""
         return [known for known in self._by_service.values() if known.rollout.is_running]
 
 
 def _age_ms(rollout: Rollout, unix_ms: float) -> float:
-    """Returns the time since the order by the wall clock, limited to the range from 0 to the rollout's duration."""
+    """Returns the time since the order by the wall clock, limited to the range from 0 to the roll-out's duration."""
     return min(max(0.0, unix_ms - rollout.ordered_unix_ms), rollout.duration_s * 1000.0)
--- a/larkweir/controller/node.py
+++ b/larkweir/controller/node.py
@@ -130,7 +130,7 @@
         self._pulls.requests_records = not (self._hints.has_upstreams or self._driver.is_first_start)
 
     def _make_interfaces(self) -> None:
-        """Creates the parts that serve other processes, operators and upstreams, and the rollout driver."""
+        """Creates the parts that serve other processes, operators and upstreams, and the roll-out driver."""
         registry, failure_detector, state = self._registry, self._failure_detector, self._state
         wake = self._pulls.wake
         self._heartbeats = HeartbeatMonitor(
--- a/tests/controller/test_committed_rollouts.py
+++ b/tests/controller/test_committed_rollouts.py
@@ -1,4 +1,4 @@
-"""The sequence number of a rollout's state, and a rollout's age independent of jumps of the wall clock."""
+"""The sequence number of a roll-out's state, and a roll-out's age independent of jumps of the wall clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def known() -> CommittedRollouts:
-    """The rollouts of a controller whose catch-up period after the start is over."""
+    """The roll-outs of a controller whose catch-up period after the start is over."""
     known = CommittedRollouts()
     known.update(document(), 1, SETTLED_MS - 2 * CATCH_UP_MS, ORDERED_UNIX_MS)
     return known
