--- a/packages/owners/src/larkweir_owners/file_system.py
+++ b/packages/owners/src/larkweir_owners/file_system.py
@@ -91,7 +91,7 @@
             return None
         with os.fdopen(descriptor, "rb") as file:
             if os.fstat(descriptor).st_size > MAX_FILE_BYTES:
-                raise FileTooLargeError(errno.EFBIG, "the file is too large to be an acceptor's file")
+                raise FileTooLargeError(errno.EFBIG, "it is no keeper's file")
             return file.read()
 
     def create(self, name: str) -> int:
