--- a/packages/balancing/src/larkweir_balancing/admission_queue.py
+++ b/packages/balancing/src/larkweir_balancing/admission_queue.py
@@ -15,8 +15,8 @@
 
     Traffic within its tenant's share goes before traffic over it. On either side, classes are served in proportion to
     their `worth` (stride scheduling), so that none starves: a class of eight times the worth gets eight turns for one.
-    A request may wait for a fraction of its class's `aim_ms`; for a smaller fraction while the queue has not been empty
-    for some time, as in CoDel: a burst may wait, a standing queue may not.
+    A request may wait for a fraction of the time in which its answer is still useful. While the queue has not been
+    empty for some time the fraction is smaller, as in CoDel: a burst may wait, a standing queue may not.
     """
 
     STANDING_FRACTION = 0.5  # of `aim_ms`: a queue that has not been empty for longer is a standing queue
@@ -38,7 +38,7 @@
 
     def configure(self, settings: Settings) -> None:
         """Take new settings; waiting requests stay. Classes keep their index; new ones may be added at the end."""
-        # Fractions of `aim_ms`: how long a request may wait in a burst, and in a standing queue.
+        # How long a request may wait in a burst, and in a standing queue: fractions of its `aim_left_ms`.
         self._burst_wait_fraction, self._standing_wait_fraction = (
             settings.tuning.queue_patience,
             settings.tuning.queue_standing,
@@ -67,7 +67,10 @@
     def max_wait_ms(
         self, now_ms: float, aim_ms: float, aim_left_ms: float, slot_interval_ms: float, over_share: bool
     ) -> float:
-        """How long a request may wait; `slot_interval_ms` is the mean time between two free slots."""
+        """How long a request may wait. `aim_left_ms`: how long its answer is still useful.
+
+        `slot_interval_ms`: the mean time between two free slots.
+        """
         part = self._burst_wait_fraction
         since = self._occupied_since_ms[over_share]
         if since >= 0.0 and now_ms - since > self.STANDING_FRACTION * aim_ms:
@@ -102,7 +105,7 @@
         return True
 
     def _count_ahead(self, at: int) -> float:
-        """An estimate of how many requests go before one that joins this queue now, including itself."""
+        """Estimate the position of a request that joins this queue now: 1 if it would get the next slot."""
         own = len(self._queues[at]) + 1
         if at >= self._classes:
             return self._count + 1.0
--- a/packages/balancing/src/larkweir_balancing/client_stats.py
+++ b/packages/balancing/src/larkweir_balancing/client_stats.py
@@ -134,7 +134,6 @@
         self._retry_fraction[at] += self.SAMPLE_WEIGHT * (event.client_retry - self._retry_fraction[at])
         repeats = event.client_retry and self._retry_fraction[at] > self.MAX_RETRY_FRACTION
         fair = self._fair_fraction[at]
-        noise = math.sqrt(
-            fair * self.TENANT_SAMPLE_WEIGHT / 2.0
-        )  # approximate standard deviation of the running mean
+        # The approximate standard deviation of the running mean.
+        noise = math.sqrt(fair * self.TENANT_SAMPLE_WEIGHT / 2.0)
         return repeats or self._traffic_fraction[at] > self.OVER_SHARE_FACTOR * fair + 2.0 * noise
--- a/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
+++ b/packages/balancing/src/larkweir_balancing/concurrency_limiter.py
@@ -42,8 +42,8 @@
 
     The target latency is the base latency plus a tolerance for queueing. The tolerance is a multiple of the base
     latency, within a minimum and a maximum fraction of the class's `aim_ms`: a queue of a few milliseconds does no harm
-    to a request with a target of 400. The smallest tolerance of the classes in use applies to all of them, because they
-    share the upstreams' queues.
+    to a request with a target of 400 ms. The smallest tolerance of the classes in use applies to all of them, because
+    they share the upstreams' queues.
 
     A hard limit is adjusted in rounds. The mean latency of the calls that started since the last adjustment, and that
     filled the window, gives the factor to correct it by; so no excess is corrected twice. Until queueing is seen, the
@@ -57,20 +57,21 @@
     MIN_TOLERANCE_FRACTION, TOLERANCE_FACTOR, MAX_TOLERANCE_FRACTION = 0.15, 2.0, 0.5
     HARD_LIMIT_TOLERANCE_FACTOR, HARD_LIMIT_MAX_TOLERANCE_FRACTION = 0.25, 0.3
     GAIN = 0.2  # step of a soft limit per answer, in calls, when the latency is off by the whole target
-    INITIAL_CALLS_PER_SERVER = 4.0  # assumed until there is evidence, for all replicas together
+    INITIAL_CALLS_PER_SERVER = 4.0  # assumed capacity of a server for the calls of all replicas together
     MIN_INITIAL_WINDOW = 0.5  # calls
     MAX_INITIAL_WINDOW = 8.0  # calls, or one for each server where there are more servers
     MIN_WINDOW = 0.1  # calls, admitted at random; below 1 so that replicas with low traffic can shed load too
-    MAX_WINDOW = 100_000.0  # calls
+    MAX_WINDOW = 100_000.0  # calls; no evidence supports a larger window
     IN_FLIGHT_SAMPLE_WEIGHT = 1.0 / 8.0
     # Calls from which on the window is a hard limit. Larger for one of many replicas: its latencies also show the load
     # of the others, so it keeps to small steps for longer.
     MIN_HARD_LIMIT, MIN_HARD_LIMIT_OF_MANY = 2.0, 8.0
     FEW_REPLICAS = 2  # at most; with more, a replica is one of many
-    USED_FRACTION = 0.6  # of the window in flight: such calls tell whether the window is too large
+    # Of the window: a call that starts with at least so many in flight shows whether the window is too large.
+    USED_FRACTION = 0.6
     # Of the tolerance: while queues add less than that, the window doubles each round trip.
     DOUBLING_QUEUE_FRACTION = 0.25
-    DOUBLING_TOLERANCES = 4.0  # that one doubling too many may add to the base latency
+    DOUBLING_TOLERANCES = 4.0  # tolerances that one doubling too many may add to the base latency
     QUEUE_SAMPLE_WEIGHT = 1.0 / 8.0  # weight of a new sample in the running means of queueing
     # Of the tolerance: the most that a round's growth by the square root of the window may add to the latency.
     MAX_EXTRA_GROWTH_FRACTION = 0.25
@@ -85,7 +86,8 @@
     LIGHT_LOAD_FRACTION = 0.5
     BASE_GAIN = 0.25  # fraction of a measured change of the base latency that is applied
     TOLERANCE_REUSE = 8  # answers before the tolerance is computed anew; it changes with rounds only
-    ACTIVE_ARRIVALS = 64.0  # per class: one not among so many last arrivals does not bound the tolerance
+    # Times the number of classes: a class with no request among that many latest arrivals does not bound the tolerance.
+    ACTIVE_ARRIVALS = 64.0
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         self._rng = rng
--- a/packages/balancing/src/larkweir_balancing/connections.py
+++ b/packages/balancing/src/larkweir_balancing/connections.py
@@ -86,7 +86,7 @@
         """Learn from the end of an attempt, by whether its connection was new or idle."""
         outcome = attempt.outcome
         lost = outcome is Outcome.RESET or outcome is Outcome.TIMEOUT
-        # A value that is too short is costly: try a longer one.
+        # With expensive new connections, a `max_idle_ms` that is too short is costly: try a longer one.
         if self.connections_expensive:
             self.max_idle_ms = min(self._settings.conn_idle_ms, self.IDLE_GROWTH_FACTOR * self.max_idle_ms)
         if attempt.connection_idle_ms is None:
--- a/packages/balancing/src/larkweir_balancing/fleet_outlier_detection.py
+++ b/packages/balancing/src/larkweir_balancing/fleet_outlier_detection.py
@@ -37,9 +37,8 @@
 
     def __init__(self) -> None:
         """Start without outcomes."""
-        self._outcomes: dict[
-            str, deque[tuple[float, bool]]
-        ] = {}  # by upstream: (time, failed) of each request
+        # By upstream: (time, failed) of each request.
+        self._outcomes: dict[str, deque[tuple[float, bool]]] = {}
         self._last_failures_ms: dict[str, float] = {}  # by upstream where a request failed within the window
 
     def record(self, upstream: str, now_ms: float, *, failed: bool) -> None:
--- a/packages/balancing/src/larkweir_balancing/latency_estimates.py
+++ b/packages/balancing/src/larkweir_balancing/latency_estimates.py
@@ -17,7 +17,7 @@
     """
 
     SAMPLE_WEIGHT = 1.0 / 16.0  # weight of a new sample in the running means
-    # With a soft limit the base latency follows a lower mean at once and a higher one this much slower.
+    # With a soft limit, the base latency follows a higher mean at this fraction of the speed of following a lower one.
     RISE_FACTOR = 0.1
     MIN_BASE_SAMPLES = 8  # answers after which the base latency is adjusted by rounds only
     MIN_KNOWN_SAMPLES = 16  # answers after which the base latency is more than a guess
@@ -33,8 +33,8 @@
         self._base_samples = [0] * count  # answers that `learn_base` got
         self._mean_samples = [0] * count  # answers that `record` got, up to MIN_KNOWN_SAMPLES
         self._base_sizes = [0.0] * count  # the sum of the size scales of the answers that `learn_base` got
-        # The fraction of the base latency that is proportional to the request's size. The first guess is one of the
-        # remaining tiers, as the size of the work in the tiers behind it is unrelated.
+        # The fraction of the base latency that is proportional to the request's size. The initial value assumes that
+        # all tiers from this one on take equally long, and that the size affects the work of this tier only.
         self._slope = 1.0 / max(1, settings.tiers - settings.tier)
         self._size_variance, self._size_time_covariance = 1.0, self._slope
 
--- a/packages/balancing/src/larkweir_balancing/load_shedding.py
+++ b/packages/balancing/src/larkweir_balancing/load_shedding.py
@@ -20,7 +20,7 @@
 
     A request takes at least three iterations: one reads it, one reads the upstream's answer, and the answer is written
     at the end of an iteration. So an iteration may last a quarter of the smallest `aim_ms`. With hysteresis: shedding
-    begins when the mean iteration is longer than `high`, and ends when nothing had to be shed for `QUIET_TARGETS`.
+    begins when the mean iteration is longer than `high`, and ends after `QUIET_TARGETS` without anything to shed.
     """
 
     SAMPLE_WEIGHT = 0.25  # weight of a new iteration in the means
@@ -84,8 +84,8 @@
         self.mean_busy_ms += self.SAMPLE_WEIGHT * (busy_ms - self.mean_busy_ms)
         before, self._previous_busy_ms = self._previous_busy_ms, busy_ms
         if not self.is_shedding:
-            # Iterations that grow from one to the next give the load at once. A long one after a short one does not:
-            # the process may have been paused.
+            # If iterations grow from one to the next, their ratio gives the load at once. A long iteration after a
+            # short one says nothing: the process may have been paused.
             growing = busy_ms > high and before > 0.5 * low
             if growing or self.mean_busy_ms > high:
                 self._begin_shedding(busy_ms / before if growing and busy_ms > before else None, elapsed_ms)
--- a/packages/balancing/src/larkweir_balancing/outlier_ejection.py
+++ b/packages/balancing/src/larkweir_balancing/outlier_ejection.py
@@ -87,9 +87,8 @@
         """
         self.failure_rate += self.SAMPLE_WEIGHT * (1.0 - self.failure_rate)
         server, outcome, fleet, tuning = attempt.server, attempt.outcome, self.table, self.settings.tuning
-        visit_interval_ms = (
-            self.client_stats.arrival_interval_ms * fleet.ready_count
-        )  # mean time between two requests of this replica to one server
+        # The mean time between two requests of this replica to one server.
+        visit_interval_ms = self.client_stats.arrival_interval_ms * fleet.ready_count
         latency = self.limiter.mean[at]
         if outcome not in NEVER_RAN and outcome is not Outcome.OK:
             # For a server that fails one class and serves the others, whose successes would reset its failures. One
@@ -103,7 +102,8 @@
         fleet.withhold_token(server, now_ms + pause)
         # With many calls in flight, many runs are tested at once, and one of them is improbable by chance; so the
         # probability is multiplied by their number (Bonferroni). Otherwise healthy servers would be ejected in turn,
-        # which overloads the rest. Not so for an unresponsive server, which is ejected sooner.
+        # which overloads the rest. Only errors and resets are corrected in this way, so that a server that does not
+        # answer is ejected sooner.
         runs = fleet.in_flight if outcome is Outcome.ERROR or outcome is Outcome.RESET else 1
         probability = self.failure_rate**server.consecutive_failures * max(1, runs)
         if probability < tuning.eject_odds and len(fleet.ejected) < tuning.eject_most * fleet.ready_count:
@@ -126,8 +126,8 @@
         """Withhold a slow server's token after a call, for longer the slower it is than the usual.
 
         A replica with low traffic always finds its own calls at a server ended, so selecting evenly would overload slow
-        servers and kinds. Only where no load reports show which server is idle. Where a whole tier is slow, slow is
-        usual, and nothing is withheld.
+        servers and kinds. Nothing is withheld if load reports show which server is idle, or if the whole tier is slow,
+        because slow is then the usual.
         """
         kind = self.kind_ratio.get(server.kind, 1.0)
         self.kind_ratio[server.kind] = kind + self.SAMPLE_WEIGHT * (ratio - kind)
--- a/packages/balancing/src/larkweir_balancing/policy.py
+++ b/packages/balancing/src/larkweir_balancing/policy.py
@@ -206,7 +206,7 @@
     def _on_body_received(self, event: RequestBodyReceived) -> None:
         """The last byte of the body has arrived: start the request's time and count its attempt as in flight.
 
-        No server works on a request whose body arrives slowly, so it must not fill the concurrency window until now.
+        No server works on a request whose body arrives slowly, so it must not count towards the window before that.
         """
         request = self.requests.get(event.request)
         if request is None or not request.body_incomplete:
--- a/packages/balancing/src/larkweir_balancing/selection.py
+++ b/packages/balancing/src/larkweir_balancing/selection.py
@@ -63,8 +63,8 @@
                     break
                 if sampled.list_level == 0 and self._is_allowed(request, sampled, now_ms):
                     return sampled
-        # Exception while this balancer has more requests in flight than there are servers, so that its own counts
-        # indicate the load: the servers with the fewest.
+        # Exception while this balancer has more requests in flight than there are servers, because its own counts then
+        # indicate the load: the servers with the fewest of its requests come first.
         crowded = self.table.in_flight > self.table.ready_count
         for lists in self.table.by_in_flight if crowded else self.table.by_in_flight[:1]:
             server = self._sample_near(lists, request, crowded, now_ms)
--- a/packages/balancing/src/larkweir_balancing/servers.py
+++ b/packages/balancing/src/larkweir_balancing/servers.py
@@ -30,9 +30,8 @@
     list_level: int = -1  # index into `by_in_flight`; -1: in no list, its token is spent or withheld
     withheld_until_ms: float = 0.0  # its token is withheld until then, because it seemed busy or unhealthy
     consecutive_failures: int = 0
-    unresponsive: bool = (
-        False  # an attempt there timed out or lost its connection, and none has succeeded since
-    )
+    # An attempt there timed out, lost its connection or could not connect, and none has succeeded since.
+    unresponsive: bool = False
     ejections: int = 0  # since its last success
     # By class: consecutive failures, and until when the server is avoided for that class.
     ejected_for_class: dict[int, tuple[int, float]] = field(default_factory=dict)
@@ -134,7 +133,7 @@
     def may_admit_restored(self, cls: RequestClass) -> bool:
         """Whether a server may serve this class now or soon, where some servers are only restored from disk."""
         found = (server.restored_trust for server in self.servers.values() if server.ready)
-        return any(proof is None or may_become_trusted(cls, proof) for proof in found)
+        return any(trust is None or may_become_trusted(cls, trust) for trust in found)
 
     def _remove(self, server: Server) -> Server:
         server.ready = False
@@ -144,7 +143,10 @@
         return self.servers.pop(server.id)
 
     def earn_token(self, server: Server, now_ms: float) -> None:
-        """List the server by its own requests in flight, unless its token is withheld; with none it holds a token."""
+        """Put the server on the list for its number of own requests in flight, unless its token is withheld.
+
+        Without any in flight, it holds a token.
+        """
         self.spend_token(server)
         if server.withheld_until_ms <= now_ms and server.ready:
             server.list_level = min(server.in_flight, self.MAX_IN_FLIGHT_LEVEL)
--- a/packages/balancing/src/larkweir_balancing/settings.py
+++ b/packages/balancing/src/larkweir_balancing/settings.py
@@ -96,10 +96,11 @@
     eject_most: float = 0.5  # the fraction of the ready servers that may be ejected at once
     # An answer that took longer than this multiple of the usual latency of its class and size counts as a failure.
     slow: float = 4.0
-    queue_patience: float = 0.25  # the fraction of `aim_ms` that a request may wait for a slot
+    # The fraction of the time in which its answer is still useful that a request may wait for a slot.
+    queue_patience: float = 0.25
     queue_standing: float = 0.1  # the same while the queue has not been empty for some time
-    # The planned load of a server in slow start, as a fraction of the multiple that overloads it; the rest is a margin
-    # for chance, heavy requests, retries and replicas with a different view.
+    # The planned load of a server in slow start, as a fraction of the load multiple that overloads it
+    # (`fall_multiple`). The rest is a margin for chance, heavy requests, retries and replicas with a different view.
     cold_pace: float = 0.25
 
 
@@ -171,8 +172,8 @@
         object.__setattr__(self, "longest_ms", longest)
 
 
-# Settings that can't change while a balancer runs. Zones and report values are referred to by their index in these; the
-# others identify this replica. Classes keep their index, and more may be added.
+# Settings that can't change while a balancer runs. Some of them define the indexes of zones and report values; the
+# others identify this replica. Classes are not among them: they keep their index, and more may be added.
 FIXED_SETTINGS = (
     "zones my_zone me tier tiers tick_ms on_request_discovery may_probe report_mode report_fields".split()
 )
--- a/packages/balancing/src/larkweir_balancing/shared_health.py
+++ b/packages/balancing/src/larkweir_balancing/shared_health.py
@@ -1,10 +1,10 @@
 """Health reports of other replicas about servers that this balancer has ejected, weighted by their age. Pure logic.
 
 A report never ejects a server and never sends a request. It moves the time at which a server that this balancer itself
-has ejected is tried again, later or sooner, within bounds set by this balancer's own findings. A restored server is
-selected under the usual rules: discovery must list it, slow start applies, and one that was unresponsive first gets
-requests that may be retried. A probe is sent only when it is this replica's turn, only if the settings allow probes,
-and only to a ready server.
+has ejected is tried again, later or sooner, within bounds set by this balancer's own findings. A server whose ejection
+ends this way is selected under the usual rules: discovery must list it, slow start applies, and one that was
+unresponsive first gets requests that may be retried. A probe is sent only when it is this replica's turn, only if the
+settings allow probes, and only to a ready server.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
     from_request: bool = False
     is_failing: bool = False  # requests fail there; a server that is only slow is not failing
     restored_on_report: bool = False  # restored on a report, and no own finding since
-    # It failed after that; reports that it is healthy are ignored until it has served a request here.
+    # Restored on a report and then failed; reports that it is healthy are ignored until it has served a request here.
     report_was_wrong: bool = False
     probed_ms: float = -math.inf  # when the last probe was sent on this replica's turn
     probe_in_flight: bool = False
@@ -147,9 +147,8 @@
             return
         if event.is_probe_turn:
             self._recheck(health, now_ms, out)
-        elif (
-            event.is_healthy is not None and now_ms - event.age_ms > health.found_ms
-        ):  # else this replica's own finding is newer
+        elif event.is_healthy is not None and now_ms - event.age_ms > health.found_ms:
+            # The report is newer than this replica's own finding.
             self._apply(health, event.is_healthy, event.from_request, event.age_ms, now_ms)
 
     def _apply(
@@ -160,7 +159,7 @@
         if confidence <= 0.0:
             return
         if not is_healthy:
-            # The bound counts from the last failure seen here: then at the latest this replica tries the server
+            # The bound counts from the last failure seen here. When it is reached, this replica tries the server
             # itself, even if wrong reports keep arriving.
             last = health.failed_ms + self._detector.settings.longest_ms
             health.restored_on_report = False
--- a/packages/balancing/src/larkweir_balancing/slow_start.py
+++ b/packages/balancing/src/larkweir_balancing/slow_start.py
@@ -23,9 +23,9 @@
     credit earned, since they are retried.
     """
 
-    # Fraction of the recent maximum of ready servers that counts as all of them (a deploy moves as many).
+    # Fraction of the recent maximum of ready servers that counts as all of them; during a deploy the rest may be away.
     EXPECTED_FRACTION = 0.75
-    READY_DECAY = 0.999  # of that maximum, at each refresh, that is after a hundredth of the warm-up time
+    READY_DECAY = 0.999  # factor on that maximum at each refresh, that is, per hundredth of the warm-up time
     FAILURE_LOSS_FRACTION = 0.25  # of the credit earned, that is lost if all requests fail
     CREDIT_CAP = 2.0  # limits saved credit: a burst right after a start can use up what the server can take
 
@@ -34,7 +34,8 @@
         # Random: balancers with a low rate must neither all start with a full credit nor all without one.
         self.credit = rng.random()
         self._most_ready = 0.0  # recent maximum of ready servers, decaying
-        # Upper bound for the factor of a request's credit; below 1 if far more requests arrive than usual.
+        # Upper bound for the factor on the credit that a request earns. Set from outside: below 1 while it is known
+        # that far more requests arrive than usual.
         self.earn_fraction = 1.0
         self.configure(settings, 0.0)
 
--- a/packages/quotas/src/larkweir_quotas/limits.py
+++ b/packages/quotas/src/larkweir_quotas/limits.py
@@ -13,7 +13,7 @@
 
 
 def check_units(units: float) -> None:
-    """Raise ValueError unless `units` is finite and not negative; other values would corrupt a tenant's usage."""
+    """Raise ValueError unless `units` is finite and not negative; other values would lower or corrupt the usage."""
     if not 0.0 <= units < math.inf:
         raise ValueError(f"units of a request must be finite and not negative: {units}")
 
@@ -33,9 +33,8 @@
 # The tolerated excess of a limit is divided between the mechanisms that may exceed the limit, so that their sum stays
 # within the tolerance.
 RESERVES_FRACTION = 0.15  # for the local reserves of all processes
-RESTARTS_FRACTION = (
-    0.5  # for the initial bucket levels of restarted controllers, at one restart of each per window
-)
+# For the initial bucket levels of restarted controllers, at one restart of each per window.
+RESTARTS_FRACTION = 0.5
 DEBTS_FRACTION = 0.3  # for requests that are larger than the remaining level of a controller's bucket
 
 
--- a/packages/quotas/src/larkweir_quotas/local_reserve.py
+++ b/packages/quotas/src/larkweir_quotas/local_reserve.py
@@ -38,7 +38,8 @@
     rng: Random
     updated_ms: float
     level: float = 0.0
-    _rounding: float = field(init=False, default=1.0)  # 0 for a single process: only one may go into debt
+    # Factor on the random threshold; 0 for a single process, which may go into debt because no other one does.
+    _rounding: float = field(init=False, default=1.0)
     _threshold_fraction: float = field(init=False)  # of a request's size, which the level must reach
     _drawn_ms: float = field(init=False)
 
--- a/packages/quotas/src/larkweir_quotas/quota_requester.py
+++ b/packages/quotas/src/larkweir_quotas/quota_requester.py
@@ -25,9 +25,8 @@
 )
 
 MAX_UNANSWERED = 2  # queries without an answer in time, after which no further controller is queried
-RETRY_SPREAD = (
-    0.5  # largest random addition to a retry delay, as a fraction, so that clients do not all retry together
-)
+# Largest random addition to a retry delay, as a fraction, so that clients do not all retry together.
+RETRY_SPREAD = 0.5
 
 
 class AdmissionRule(StrEnum):
--- a/packages/quotas/src/larkweir_quotas/retry_budget.py
+++ b/packages/quotas/src/larkweir_quotas/retry_budget.py
@@ -12,13 +12,11 @@
 from collections import deque
 from random import Random
 
-RATIO_FRACTION = (
-    0.75  # of the allowed ratio; the rest covers requests that other clocks count in another window
-)
+# Of the allowed ratio; the rest covers requests at a window's edge, which other clocks may count in another window.
+RATIO_FRACTION = 0.75
 SLACK_FRACTION = 0.7  # of the fixed allowance, split evenly over the processes
-ROUNDING_DEVIATIONS = (
-    6.0  # standard deviations of the rounded sum that the rest of the fixed allowance must cover
-)
+# Standard deviations of the rounded sum that the rest of the fixed allowance must cover.
+ROUNDING_DEVIATIONS = 6.0
 
 
 class RetryBudget:
--- a/packages/quotas/src/larkweir_quotas/share_leases.py
+++ b/packages/quotas/src/larkweir_quotas/share_leases.py
@@ -20,9 +20,8 @@
 
 TOTAL_SHARE = 1_000_000  # the whole of each limit; shares are parts of this number
 LEASE_MS = 2_000.0
-URGENT_SHARE_CHANGE = (
-    TOTAL_SHARE // 50
-)  # an offer that differs by at least this much from the holder's share is sent at once
+# An offer that differs by at least this much from the holder's share is sent at once.
+URGENT_SHARE_CHANGE = TOTAL_SHARE // 50
 
 Share = Annotated[int, msgspec.Meta(ge=0, le=TOTAL_SHARE)]
 Term = tuple[int, str]  # number and node of a primary; a later primary has a higher term
--- a/packages/rollouts/src/larkweir_rollouts/pooling.py
+++ b/packages/rollouts/src/larkweir_rollouts/pooling.py
@@ -160,9 +160,8 @@
         self._sums = _Sums(RolloutReport(order_id))
         self._reports: dict[str, RolloutReport] = {}  # by incarnation
         self._routers: set[str] = set()
-        self._route_names = {
-            OTHER_ROUTES
-        }  # never shrinks, so that a route is always counted under the same name
+        # Never shrinks, so that a route is always counted under the same name.
+        self._route_names = {OTHER_ROUTES}
         self._begins: list[tuple[int, _Sums]] = []  # index of a later window, and the sums when it began
         self._next_window_answers = FIRST_WINDOW_ANSWERS
 
--- a/packages/rollouts/src/larkweir_rollouts/schedule.py
+++ b/packages/rollouts/src/larkweir_rollouts/schedule.py
@@ -45,7 +45,7 @@
 FULL_WEIGHT_DWELL_S = 1.5  # observation time at full weight before the other upstreams are stopped
 COMPLETION_MARGIN_S = 1.0  # before the deadline; then completion no longer waits for requests at the others
 ROLLBACK_MARGIN_S = 0.5  # before the deadline; a target that is suspect or has no answers is then rolled back
-CONFIRMATION_GRACE_S = 3.0  # after the deadline; routers may still confirm a target at full weight
+CONFIRMATION_GRACE_S = 3.0  # after the deadline; until then routers may still confirm a target at full weight
 
 
 class View(msgspec.Struct, frozen=True):
