--- a/larkweir/controller/committed_rollouts.py
+++ b/larkweir/controller/committed_rollouts.py
@@ -12,7 +12,8 @@
 from larkweir.cluster.configuration.rollouts import rollouts_of
 from larkweir.cluster.messages import RolloutAge
 
-# Commits that arrive this soon after a start or a loss of contact may have been made earlier.
+# Commits that arrive this soon after a start or a loss of contact may have been made earlier. After that, commits
+# arrive as they are made.
 CATCH_UP_MS = 1_000.0
 
 
@@ -89,7 +90,8 @@
     def adopt_ages(self, ages: Mapping[str, RolloutAge], now_ms: float) -> None:
         """Adopts ages that another controller reports.
 
-        The highest age is kept: a controller can only learn of an order after it was placed.
+        An estimate is always replaced. Otherwise the highest age is kept: a controller can only learn of an order after
+        it was placed, so that the age that it reports is never too high.
         """
         for service, age in ages.items():
             known = self._by_service.get(service)
--- a/larkweir/controller/configuration_delivery.py
+++ b/larkweir/controller/configuration_delivery.py
@@ -12,7 +12,7 @@
 from larkweir.controller.configuration_history import ConfigurationHistory
 from larkweir.controller.subscriptions import Subscriber
 
-MIN_COMPRESSED_BYTES = 4_096  # sending a smaller update takes less time than asking for encodings
+MIN_COMPRESSED_BYTES = 4_096  # asking for encodings takes longer than sending a smaller update
 
 
 @dataclass(frozen=True, slots=True)
--- a/larkweir/controller/pull_service.py
+++ b/larkweir/controller/pull_service.py
@@ -131,7 +131,7 @@
             self._answer(subscriber, pull)
 
     def wake(self) -> None:
-        """Answers all pending pulls for which a change is an update, at the latest after `BATCH_S`."""
+        """Answers, after `BATCH_S`, the pending pulls whose senders lack a change. Must be called after a change."""
         if self._wake_timer is None:
             self._wake_timer = self._loop.call_later(BATCH_S, self._answer_updated)
 
--- a/larkweir/controller/quorum_contact.py
+++ b/larkweir/controller/quorum_contact.py
@@ -20,7 +20,7 @@
         links: ControllerLinks,
         on_regained: Callable[[], None],
     ) -> None:
-        """`update` calls `on_regained` when a majority that was unreachable at its last call is reachable again."""
+        """`on_regained`: called by `update` if there is contact with a majority that was missing at the last call."""
         self._known = known
         self._replica = replica
         self._links = links
--- a/larkweir/controller/quota_accounting.py
+++ b/larkweir/controller/quota_accounting.py
@@ -35,7 +35,8 @@
         """Applies the limits of a new configuration.
 
         A tenant that is added by a configuration change may use its burst at once. The tenants of the first
-        configuration that this process applies may have used theirs before its start, so they get little at first.
+        configuration that this process applies may have used theirs before its start, so they get a small part of it,
+        except at the first start of the controller group, before which nothing can have been used.
 
         Args:
             document: the configuration.
--- a/larkweir/controller/rollout_driver.py
+++ b/larkweir/controller/rollout_driver.py
@@ -30,7 +30,7 @@
 from larkweir.controller.subscriptions import Subscriptions
 
 WARM_UP_MS = 2_000.0  # by then, routers and upstreams have connected to a controller that has just started
-FIRST_REPORTS_MS = 1_000.0  # by then, most routers have sent a pull to such a controller
+FIRST_REPORTS_MS = 1_000.0  # by then, most routers have sent a pull to a controller that has just started
 LOST_ROUTER_GRACE_MS = 2_000.0  # a lost router may serve with its last configuration for this long
 ADVANCE_TIMEOUT_S = 2.0  # after it the step is decided again
 
--- a/larkweir/controller/subscriptions.py
+++ b/larkweir/controller/subscriptions.py
@@ -23,7 +23,7 @@
     outcome_counts: Mapping[str, tuple[int, int]] = field(default_factory=dict)  # by upstream
     records_requested: bool = False
     encodings_requested: bool = False
-    encodings: frozenset[str] | None = None  # that it reads large configurations in; None: not named yet
+    encodings: frozenset[str] | None = None  # for large configurations; None until the process has named them
     sent_ejected: frozenset[str] = frozenset()
     sent_controllers: list[str] = field(default_factory=list)
     sent_granting: bool | None = None  # whether this controller held a quota share, as last sent
--- a/larkweir/core/active_request.py
+++ b/larkweir/core/active_request.py
@@ -82,9 +82,8 @@
         self.deadline_ms = deadline_ms
         self.trace = trace
         self.max_attempts = max_attempts
-        self.attempts: list[
-            Attempt | None
-        ] = []  # indexed by attempt number; None for an attempt that was not sent
+        # Indexed by attempt number; None for an attempt that was not sent.
+        self.attempts: list[Attempt | None] = []
         self.in_flight = 0  # attempts whose end has not been reported to the decisions
         self.may_have_run = False  # an upstream may have run an attempt that has ended
         self.finished = False  # answered, or the client is gone
--- a/larkweir/core/attempts.py
+++ b/larkweir/core/attempts.py
@@ -30,7 +30,7 @@
         self._number = number
         self._server = server
         self._sent_ms = sent_ms
-        self.is_launching = True  # `_launch` has just checked whether the client is gone
+        self.is_launching = True  # during `_launch`, which has just checked whether the client is gone
 
     @property
     def streams(self) -> bool:
--- a/larkweir/core/body_stream.py
+++ b/larkweir/core/body_stream.py
@@ -58,9 +58,8 @@
         self.failed = False
         self.failure = ""  # why it failed, for the log
         self._pause: Callable[[bool], None] | None = None  # the producer's callback
-        self.on_end: Callable[[bool], None] | None = (
-            None  # called once at the end; the argument: is it complete?
-        )
+        # Called once at the end of the body. The argument says whether the body is complete.
+        self.on_end: Callable[[bool], None] | None = None
         self._pieces: list[bytes] = []
         self._sink: Sink | None = None
         self._is_sink_paused = False
--- a/larkweir/core/clock.py
+++ b/larkweir/core/clock.py
@@ -46,8 +46,8 @@
         self._compact_at = 1024  # timers in the heap
         self.timing = LoopTiming(self.now_ms())
         self._in_iteration = False
-        # Called after each iteration of the loop with two durations in milliseconds: of the handling of events, and of
-        # the handling and the poll before it together.
+        # Called after each iteration of the loop with two durations in milliseconds: how long the iteration handled
+        # events, and the same plus the duration of the poll before it.
         self.on_iteration: Callable[[float, float], None] | None = None
 
     def now_ms(self) -> float:
--- a/larkweir/core/loop_timing.py
+++ b/larkweir/core/loop_timing.py
@@ -12,7 +12,8 @@
   and `since_ms` is the end of the previous iteration's poll. The uncertainty is at most one and a half iterations, and
   counts as time of this process.
 - The poll ended later than a timer should have ended it: the process did not run (it was stopped, got no CPU time, or
-  waited for memory pages). `since_ms` is the time at which that timer was due, again a lower bound.
+  waited for memory pages). `since_ms` is the time at which that timer was due, or the start of the poll if the timer
+  was due earlier: again a lower bound.
 """
 
 from __future__ import annotations
--- a/larkweir/core/message.py
+++ b/larkweir/core/message.py
@@ -82,9 +82,8 @@
         self.status = 0
         self.headers: Headers = []
         self.body = b""
-        self.stream: BodyStream | None = (
-            None  # the body if it is streamed, that is forwarded while it arrives
-        )
+        # The body if it is streamed, that is, forwarded while it arrives; else None.
+        self.stream: BodyStream | None = None
         self.keep_alive = True
         self.minor = 1  # the x of HTTP/1.x
         # When it was queued behind another request of its connection (head-of-line blocking); 0: it was not queued.
--- a/larkweir/core/ports.py
+++ b/larkweir/core/ports.py
@@ -117,8 +117,8 @@
 
 
 class BaggagePropagator(Protocol):
-    """A component that propagates a header field of its own with requests, between tiers that trust each other's
-    budgets.
+    """A component that propagates a header field of its own with requests, between the tiers whose budget headers are
+    trusted.
     """
 
     @property
--- a/larkweir/core/request_handler.py
+++ b/larkweir/core/request_handler.py
@@ -55,9 +55,8 @@
         self.streams = True  # whether long bodies are forwarded while they arrive
         self.router: Router | None = None  # None: `/api` is the only path
         self.peer_ids: PeerIds | None = None  # None: no other process of this balancer is serving
-        self.checks: list[
-            Check
-        ] = []  # raise FramingError for messages that the upstreams' protocol can't represent
+        # Each check raises FramingError for a message that the upstreams' protocol can't represent.
+        self.checks: list[Check] = []
 
     def is_known(self, trace: bytes) -> bool:
         """Whether a request with this id is open or ended recently, here or in another process of this balancer."""
--- a/larkweir/upstreams/attempt_call.py
+++ b/larkweir/upstreams/attempt_call.py
@@ -45,7 +45,8 @@
 class AttemptCall:
     """An attempt or a health check. Its observer is notified of its end once, with the outcome and the answer."""
 
-    MIN_TIME_LEFT_MS = 1.0  # a call with less time is not sent: the header has whole milliseconds
+    # A call with less time is not sent: the header that states the upstream's time has whole milliseconds.
+    MIN_TIME_LEFT_MS = 1.0
 
     __slots__ = (
         "clock",
@@ -155,7 +156,9 @@
         return True
 
     def time_out(self) -> None:
-        """End it because no answer has arrived in time. If its dividing line has not been crossed, it never ran."""
+        """End it because no answer has arrived in time. If its dividing line has not been crossed, it can't have run
+        and never will: the rest of the request is not written.
+        """
         if self.connection is not None:
             self.connection.update_written(self)
         self.end(Outcome.TIMEOUT if self.written or self.has_answer_bytes else Outcome.CONNECT_FAILED)
--- a/larkweir/upstreams/connection.py
+++ b/larkweir/upstreams/connection.py
@@ -42,4 +42,4 @@
         """Update the call's `written`: whether its dividing line may have been crossed."""
 
     def release(self, call: AttemptCall) -> None:
-        """The call has ended: stop serving it."""
+        """The call has ended. If this connection still carries it, it has no complete answer: give it up."""
--- a/larkweir/upstreams/pool.py
+++ b/larkweir/upstreams/pool.py
@@ -38,10 +38,8 @@
     # answer to the next call. After a probe's answer there is no delay, since a send usually follows the probe; a
     # repeated answer of a probe is recognized by its body.
     REUSE_DELAY_MS = 25.0
-    WAITING_POLL_MS = (
-        2.0,
-        20.0,
-    )  # minimum and maximum interval of polling for calls that wait for the rate limiter
+    # The minimum and maximum interval at which calls that wait for the rate limiter are tried again.
+    WAITING_POLL_MS = (2.0, 20.0)
     CONNECT_MARGIN_MS = 100.0  # subtracted from a drain's grace period, for lists that are read late
 
     def __init__(
@@ -63,9 +61,8 @@
         self.draining: set[int] = set()  # numbers of the upstreams that drain
         # Whether an upstream that states its capacity has none left, given the calls that wait for a connection to it.
         self.is_full: Callable[[Upstream, int], bool] | None = None
-        self._pending: Counter[int] = (
-            Counter()
-        )  # calls waiting for a connection, by upstream; only with `is_full`
+        # By upstream, the number of calls that wait for a new connection; counted only if `is_full` is set.
+        self._pending: Counter[int] = Counter()
         # Connections with room for a call, by upstream; the most recently used is last.
         self._idle: dict[int, list[UpstreamConnection]] = {}
         # By upstream, a connection that is being established and can carry several calls, with the calls that wait.
@@ -82,7 +79,7 @@
         self.configure(settings, budget, drain_grace_ms)
 
     def configure(self, settings: Settings, budget: int, drain_grace_ms: float) -> None:
-        """Apply new settings. Calls in progress are unaffected; the grace periods of open drains can only decrease."""
+        """Apply new settings. Open connections stay open; the grace periods of current drains can only decrease."""
         self._budget = budget
         idle_ms = settings.conn_idle_ms
         # Guards against writing to a connection at the moment at which the upstream closes it as idle.
--- a/larkweir/upstreams/upstream.py
+++ b/larkweir/upstreams/upstream.py
@@ -18,9 +18,8 @@
     state: ServerState
     started_ms: float
     kind: int = 0
-    draining_since_ms: float = (
-        0.0  # when discovery first reported it as draining or gone; 0 while it is ready
-    )
+    # When discovery first reported it as draining or gone; 0 while it is ready.
+    draining_since_ms: float = 0.0
     drain_ends_ms: float = 0.0  # after this time no new call may be sent to it; 0 while it is ready
     # Identifies the upstream's process. It is replaced by a new object when discovery names another process.
     process: object = field(default_factory=object, compare=False)
--- a/packages/registry/src/larkweir_registry/registry.py
+++ b/packages/registry/src/larkweir_registry/registry.py
@@ -30,9 +30,8 @@
         self.origin = origin
         self.vector: VersionVector = {}
         self.upstreams: dict[str, Upstream] = {}
-        self._versions: dict[
-            str, tuple[str, int]
-        ] = {}  # by upstream: origin and counter of its latest version
+        # By upstream: origin and counter of its latest version.
+        self._versions: dict[str, tuple[str, int]] = {}
         self._ids_by_version: dict[str, SortedDict[int, str]] = {}  # by origin and counter
         self._tombstoned_ms: dict[str, float] = {}
         self._ready_ids: dict[str, list[str]] | None = None  # by service; None until it is computed
@@ -46,9 +45,8 @@
         known = self.upstreams.get(upstream.id)
         joined = upstream if known is None else join(known, upstream)
         if known is not None and not _must_propagate(known, joined):
-            self.upstreams[upstream.id] = (
-                joined  # only the sequence is new; the failure detector propagates it
-            )
+            # Only the sequence is new; the failure detector propagates it.
+            self.upstreams[upstream.id] = joined
             return False
         self._store_new_version(joined, now_ms)
         return True
--- a/packages/replication/src/larkweir_replication/acceptor.py
+++ b/packages/replication/src/larkweir_replication/acceptor.py
@@ -104,7 +104,7 @@
             state.send(epoch.node, Promise(epoch, state.accepted))
 
     def on_snapshot_durable(self, snapshot: Snapshot) -> None:
-        """Tells the primary of its epoch that the state is durable, unless that epoch has been superseded."""
+        """Tells the primary of the state's epoch that the state is durable, unless that epoch has been superseded."""
         state = self._state
         if state.accepted is not None and snapshot.epoch == state.promised and snapshot.epoch.number:
             state.send(snapshot.epoch.node, Accepted(snapshot.epoch, snapshot.sequence))
--- a/packages/replication/src/larkweir_replication/commands.py
+++ b/packages/replication/src/larkweir_replication/commands.py
@@ -18,7 +18,7 @@
 ApplyChange = Callable[[str, str], Result[str, object]]
 """Takes the value and a change; returns the next value, or the reason why the change is rejected."""
 
-MAX_APPLIED_COMMANDS = 8_192  # more commands than there are in a day
+MAX_APPLIED_COMMANDS = 8_192  # identities kept in a state: more commands than there are in a day
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/replication/src/larkweir_replication/departure.py
+++ b/packages/replication/src/larkweir_replication/departure.py
@@ -13,9 +13,8 @@
     """Why a leaving node may exit."""
 
     REPLACED = "replaced"  # another node has taken its place, so that the group loses nothing
-    OTHERS_REACHABLE = (
-        "others_reachable"  # no node stands by, and the other members are a stable group: a plain restart
-    )
+    # No node stands by, and the other members are a stable group: a plain restart.
+    OTHERS_REACHABLE = "others_reachable"
     TIMED_OUT = "timed_out"  # the wait is over; the next failure may leave the group without a majority
 
 
@@ -25,7 +24,7 @@
     Two cases look alike at first: a restart, for which no node stands by, and a replacement whose new node has
     already taken the place of a member that failed meanwhile. In the second case, if this node exits, the group has a
     dead member that no node can replace; the next failure, which the group would otherwise tolerate, would leave it
-    without a majority for ever. So this node remains a member until the failed member is back and stands by, or until
+    without a majority forever. So this node remains a member until the failed member is back and stands by, or until
     `Timing.max_leave_ms` is over.
     """
 
--- a/packages/replication/src/larkweir_replication/leader_lease.py
+++ b/packages/replication/src/larkweir_replication/leader_lease.py
@@ -55,5 +55,5 @@
         return None
 
     def is_valid(self, now_ms: float) -> bool:
-        """Whether no other primary can have been elected. A margin allows for clocks that run at different rates."""
+        """Whether no other primary can have been elected. `lease_margin_ms` allows for clocks of different rates."""
         return now_ms < self.granted_from_ms + self._timing.lease_duration_ms - self._timing.lease_margin_ms
--- a/packages/replication/src/larkweir_replication/messages.py
+++ b/packages/replication/src/larkweir_replication/messages.py
@@ -159,7 +159,7 @@
 
     @property
     def epoch(self) -> Epoch:
-        """Of the primary that sends it."""
+        """The epoch of the primary that sends the message."""
         return self.snapshot.epoch
 
 
@@ -174,7 +174,7 @@
 
     @property
     def epoch(self) -> Epoch:
-        """Of the primary that sends it."""
+        """The epoch of the primary that sends the message."""
         return self.delta.epoch
 
 
@@ -198,7 +198,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat", omit_defaults=True):
-    """The primary is alive. `committed`: the newest sequence on a majority of disks; `round`: the heartbeat's number.
+    """The primary is alive. `committed`: the newest sequence on a majority of disks; `round`: number of the round.
 
     `unreachable`: members that the primary has not heard from recently; omitted from the message if empty.
     """
--- a/packages/replication/src/larkweir_replication/replica.py
+++ b/packages/replication/src/larkweir_replication/replica.py
@@ -260,7 +260,7 @@
         """Handles one message. Messages of an earlier process or epoch have no effect."""
         if self.status is ReplicaStatus.RECOVERING:
             if isinstance(message, RecoverReply) and self._recovery.on_reply(sender, message):
-                self._contact.renew(now_ms)  # it may have granted a lease before it lost its state
+                self._contact.renew(now_ms)  # this replica may have granted a lease before it lost its state
             return
         match message:
             case HeartbeatAck() | Accepted() | Join() | Leave() | SnapshotRequest():
--- a/packages/replication/src/larkweir_replication/timing.py
+++ b/packages/replication/src/larkweir_replication/timing.py
@@ -21,7 +21,7 @@
     leave_interval_ms: float = 100.0  # between requests of a node that is about to stop
     leaving_election_delay_ms: float = 500.0  # added to the election timeout of a node that is about to stop
     replace_after_silence_ms: float = 1_500.0  # a member that is silent this long may be replaced
-    remove_after_silence_ms: float = 3_000.0  # after which a group above its target removes the member
+    remove_after_silence_ms: float = 3_000.0  # then a group above its target size removes the silent member
     unreachable_after_silence_ms: float = 400.0  # the primary reports a member that is silent this long
     min_leave_ms: float = 1_500.0  # gives a node that has just started time to replace the leaving one
     max_leave_ms: float = 6_000.0  # then a leaving node exits, even if the group may lose its majority
