--- a/larkweir/controller/quota_shares.py
+++ b/larkweir/controller/quota_shares.py
@@ -67,7 +67,7 @@
         self._notify_granting_change(now_ms)
 
     def record_claim(self, node: str, claim: ShareClaim, now_ms: float) -> None:
-        """Records the share that another controller holds. Has no effect where this controller is not the primary."""
+        """Records the share that another controller holds. Has no effect if this controller is not the primary."""
         lease_table = self._current_table(now_ms)
         if lease_table is not None:
             lease_table.record_claim(node, claim, now_ms)
--- a/larkweir/controller/rollout_driver.py
+++ b/larkweir/controller/rollout_driver.py
@@ -57,7 +57,7 @@
     """What this process has observed of one running order."""
 
     known_since_ms: float  # when this process learned of the order
-    other_versions: set[str]  # that upstreams have had since the order, without withdrawn versions
+    other_versions: set[str]  # of upstreams since the order, except those withdrawn before it
     is_only_version: bool  # all upstreams have had the target version since the order
     is_learned_late: bool  # the order may be older than `known_since_ms`, after a start or lost contact
     most_target_ready: int = 0
--- a/larkweir/core/attempts.py
+++ b/larkweir/core/attempts.py
@@ -124,7 +124,7 @@
         until_ms: float,
         process_changed: bool = False,
     ) -> None:
-        """Start the attempt if it is still allowed. `process_changed`: another process now has the server's number."""
+        """Start the attempt if it is still allowed. `process_changed`: the upstream's process was replaced."""
         now = self._clock.now_ms()
         too_late = request.finished or until_ms <= now or request.is_body_consumed
         excluded = too_late or number >= request.max_attempts or process_changed
--- a/larkweir/upstreams/attempt_call.py
+++ b/larkweir/upstreams/attempt_call.py
@@ -125,7 +125,7 @@
         return self.process is not self.upstream.process
 
     def left_ms(self, now_ms: float) -> float:
-        """The time that its upstream has left. While the body is still arriving, the time counts from its last byte."""
+        """How long its upstream may still take; while the body is arriving, counted from the body's last byte."""
         left = self.until_ms - now_ms
         return (left if left < math.inf else self.patience_ms) - self.margin_ms
 
