--- a/tests/upstreams/test_late_connections.py
+++ b/tests/upstreams/test_late_connections.py
@@ -30,7 +30,7 @@
 )
 from tests.lifecycle.service import until
 from tests.protocols.http1.test_bodies import LongUpstream
-from tests.storms.test_pace import Shut
+from tests.storms.test_pace import LimitedConnects
 from tests.upstreams.gate import Gate, pass_time_unnoticed
 from tests.upstreams.test_attempts import reset, run
 
@@ -244,11 +244,11 @@
             Caller(balancer.port) as caller,
         ):
             pool = balancer.dispatcher.upstreams
-            pool.rate_limiter = Shut(1)
+            pool.rate_limiter = LimitedConnects(1)
             caller.ask("post", b"x")
             await until(lambda: pool._waiting, "the repeat, waiting")
             pass_time(balancer.dispatcher.clock, MEMORY_MS)
-            pool.rate_limiter = Shut(5)
+            pool.rate_limiter = LimitedConnects(5)
             assert (await caller.answer()).status == 502
             await until(lambda: not pool._waiting, "the end of the wait")
         assert sum(len(up.seen) for up in ups) == 1
@@ -607,14 +607,14 @@
             Caller(balancer.port) as other,
         ):
             pool = balancer.dispatcher.upstreams
-            pool.rate_limiter = Shut(0)
+            pool.rate_limiter = LimitedConnects(0)
             pool.WAITING_POLL_MS = (3_000.0, 3_000.0)  # type: ignore[assignment]
             caller.ask("move", b"x", "/api?old")
             await until(lambda: pool._waiting, "the call, waiting")
             if gone:
                 await change(balancer, script, old.entry("a", lifecycle="left"))
             await change(balancer, script, new.entry("a", startedAtMs=5))
-            pool.rate_limiter = Shut(1)
+            pool.rate_limiter = LimitedConnects(1)
             other.ask("move", b"x", "/api?new")
             assert (await other.answer()).status == 200  # its connection is idle now
             assert (await script.ended()).outcome is Outcome.OK
